--- /dev/null
+++ b/tests/pinned/settings/bad/parse.cue
@@ -0,0 +1,2 @@
+relay: {
+	number: 0,, relays: 3
--- /dev/null
+++ b/tests/test_pinned_messages.py
@@ -0,0 +1,159 @@
+"""Messages that leave a process keep their bytes: recorded by commit c655458, read and written again here.
+
+`tests/pinned/messages.json` holds, for each message type, bytes that commit c655458 wrote with every field
+set and bytes with only the required ones. The names on the left are the recording's own and never change;
+the types on the right may be renamed as long as the bytes stay.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import unittest
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import msgspec.inspect
+
+from lanelead.circle import letters
+from lanelead.configuration import kinds
+from lanelead.node import config
+from lanelead.protocols import configuration, machines, platform, records, steps
+
+RECORDED = Path(__file__).parent / "pinned" / "messages.json"
+
+JSON_TYPES: dict[str, Any] = {
+    "feeds.row": records.Row,
+    "feeds.listed": records.Listed,
+    "feeds.news": records.NewsLine,
+    "feeds.vote": records.VoteAsk,
+    "feeds.vote-answer": records.VoteAnswer,
+    "feeds.complaint": records.Complaint,
+    "feeds.load": records.Load,
+    "platform.state": platform.State,
+    "platform.error": platform.Wrong,
+    "platform.line": platform.Line,
+    "platform.endpoint": platform.Endpoint,
+    "platform.endpoints": platform.Endpoints,
+    "platform.label": platform.Label,
+    "platform.node-config": config.Config,
+    "configuration.entry": configuration.Entry,
+    "configuration.change": configuration.Change,
+    "configuration.line": configuration.Line,
+    "configuration.outline": configuration.Outline,
+    "configuration.buckets": configuration.Buckets,
+    "configuration.applied": configuration.Applied,
+    "configuration.proposal": configuration.Proposal,
+    "configuration.accepted": configuration.Accepted,
+    "configuration.refusal": configuration.Refusal,
+    "configuration.ballot": configuration.Ballot,
+    "configuration.prepare": configuration.Prepare,
+    "configuration.promise": configuration.Promise,
+    "configuration.accept": configuration.Accept,
+    "configuration.vote": configuration.Vote,
+    "configuration.sign": configuration.Sign,
+    "configuration.log": configuration.Log,
+    "configuration.tenant": kinds.Tenant,
+    "configuration.class": kinds.ClassFigures,
+    "machines.decided": machines.Decided,
+    "machines.made": machines.Made,
+    "machines.snapshot": machines.Snapshot,
+    "machines.peer": machines.Peer,
+    "machines.status": machines.Status,
+    "steps.entry": steps.Entry,
+    "steps.logged": steps.Logged,
+    "steps.lease-ask": steps.LeaseAsk,
+    "steps.lease": steps.Lease,
+    "steps.append-ask": steps.AppendAsk,
+    "steps.appended": steps.Appended,
+    "steps.span": steps.Span,
+    "steps.apply-ask": steps.ApplyAsk,
+    "steps.marks": steps.Marks,
+    "steps.seen-ask": steps.SeenAsk,
+    "steps.forget-ask": steps.ForgetAsk,
+    "steps.unseen": steps.Unseen,
+    "steps.page": steps.Page,
+    "steps.refusal": steps.Refusal,
+    "steps.told": steps.Told,
+}
+MESSAGEPACK_TYPES: dict[str, Any] = {
+    "membership.row": letters.Row,
+    "membership.claim": letters.Claim,
+    "membership.gossip": letters.Gossip,
+    "membership.ping": letters.Ping,
+    "membership.ack": letters.Ack,
+    "membership.nack": letters.Nack,
+    "membership.ask": letters.Ask,
+    "membership.join": letters.Join,
+    "membership.table": letters.Table,
+}
+
+
+def bounds_of(message_type: Any) -> Any:
+    """The keys of a message, which of them it must have, and the bounds and enumerations of their values."""
+    return _described(msgspec.inspect.type_info(message_type))
+
+
+def _described(info: Any) -> Any:
+    if isinstance(info, msgspec.inspect.StructType):
+        strict = info.forbid_unknown_fields
+        fields = [(field.encode_name, field.required, _described(field.type)) for field in info.fields]
+        return ["object", strict, info.tag, info.tag_field, fields]
+    described: list[Any] = [type(info).__name__]
+    for name in info.__struct_fields__:
+        value = getattr(info, name)
+        if isinstance(value, msgspec.inspect.Type):
+            described.append((name, _described(value)))
+        elif isinstance(value, tuple):
+            parts = [_described(p) if isinstance(p, msgspec.inspect.Type) else p for p in value]
+            described.append((name, parts))
+        elif value is not None:
+            described.append((name, str(value)))
+    return described
+
+
+def recorded() -> dict[str, dict[str, str]]:
+    """By message name, the recorded bytes: JSON as text, MessagePack as hexadecimal digits."""
+    found: dict[str, dict[str, str]] = json.loads(RECORDED.read_text())
+    return found
+
+
+class PinnedMessages(unittest.TestCase):
+    def test_every_recorded_message_has_a_type_and_every_type_is_recorded(self) -> None:
+        self.assertEqual(sorted(recorded()), sorted([*JSON_TYPES, *MESSAGEPACK_TYPES]))
+
+    def test_json_messages_are_read_and_written_again_byte_for_byte(self) -> None:
+        for name, message_type in JSON_TYPES.items():
+            text = recorded()[name]["full"]
+            with self.subTest(message=name):
+                message = msgspec.json.decode(text.encode(), type=message_type)
+                self.assertEqual(msgspec.json.encode(message).decode(), text)
+
+    def test_every_json_message_has_the_defaults_of_the_recording(self) -> None:
+        """What the sender leaves out is filled in as it was: decoded with only the required fields."""
+        for name, message_type in JSON_TYPES.items():
+            with self.subTest(message=name):
+                texts = recorded()[name]
+                message = msgspec.json.decode(texts["sent"].encode(), type=message_type)
+                self.assertEqual(msgspec.json.encode(message).decode(), texts["required"])
+
+    def test_keys_bounds_and_enumerations_are_those_of_the_recording(self) -> None:
+        for name, message_type in JSON_TYPES.items():
+            with self.subTest(message=name):
+                bounds = json.dumps(bounds_of(message_type))
+                self.assertEqual(hashlib.sha256(bounds.encode()).hexdigest(), recorded()[name]["bounds"])
+
+    def test_membership_messages_are_read_and_written_again_byte_for_byte(self) -> None:
+        for name, message_type in MESSAGEPACK_TYPES.items():
+            data = bytes.fromhex(recorded()[name]["full"])
+            with self.subTest(message=name):
+                message = msgspec.msgpack.decode(data, type=message_type)
+                self.assertEqual(msgspec.msgpack.encode(message), data)
+
+    def test_membership_messages_are_read_by_the_protocol_as_their_kind(self) -> None:
+        for name, message_type in MESSAGEPACK_TYPES.items():
+            if name in ("membership.row", "membership.claim"):
+                continue
+            with self.subTest(message=name):
+                self.assertIs(type(letters.read(bytes.fromhex(recorded()[name]["full"]))), message_type)
--- /dev/null
+++ b/tests/test_pinned_wire.py
@@ -0,0 +1,146 @@
+"""Bytes that are not one msgspec message keep their form: recorded by commit c655458 in `pinned/wire.json`.
+
+Gossip between relays in both forms, datagrams, calls of the platform's JSON-RPC, PostgreSQL's messages, HTTP
+requests and responses.
+"""
+
+from __future__ import annotations
+
+import json
+import unittest
+from pathlib import Path
+
+from lanelead.decisions.interface import (
+    Answered,
+    Condition,
+    Least,
+    Load,
+    Pace,
+    Sighting,
+    Verdict,
+    Word,
+)
+from lanelead.decisions.servers import Server
+from lanelead.hosting.door import Door, pack, unpack
+from lanelead.http import writing
+from lanelead.pgwire import messages
+from lanelead.protocols import datagrams, platform
+from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND
+
+RECORDED = Path(__file__).parent / "pinned" / "wire.json"
+LANES = [PURE, RECEIPTED, EFFECTFUL]
+ALONE = ["u1", "u2", "u3"]
+SAME_SHORT_ID = ["u0", "u5578"]  # their names' CRC-32 have the same low 16 bits
+
+
+def known(names: list[str]) -> Door:
+    """A relay's table of units, ready and of build 7."""
+    found = Door(lambda mark: Server(mark, SECOND, SECOND, 0.0))
+    for name in names:
+        unit = found.unit(name)
+        unit.build, unit.condition = 7, Condition.READY
+    return found
+
+
+def gossip(names: list[str]) -> list[Word]:
+    units = known(names).units.values()
+    found: list[Word] = []
+    for number, unit in enumerate(units):
+        found.append(Sighting(unit, LANES[number % 3], 7, 3 + number, [0, 1, number, 0, 2]))
+        found.append(Load(unit, 9 + number))
+    return [*found, Pace(8200), Answered(14)]
+
+
+def described(words: list[Word], door: Door) -> list[list[object]]:
+    """What a relay understood, in words of no type."""
+    found: list[list[object]] = []
+    for word in words:
+        match word:
+            case Sighting():
+                lane = LANES.index(word.lane)
+                found.append(["seen", door.names[word.unit], lane, word.build, word.outcomes, word.faults])
+            case Load():
+                found.append(["load", door.names[word.unit], word.trips])
+            case Least():
+                found.append(["least", word.trips])
+            case Pace():
+                found.append(["pace", word.took])
+            case Answered():
+                found.append(["answered", word.many])
+    return found
+
+
+def texts() -> dict[str, list[str]]:
+    """By name, what this program writes, as hexadecimal digits."""
+    headers = [(b"content-type", b"application/json"), (b"x-request-id", b"r1")]
+    params = {"build": 3, "stage": 1, "verdict": "promote"}
+    found: dict[str, list[bytes]] = {
+        "gossip": pack(gossip(ALONE), LANES),
+        "gossip between units that share a short id": pack(gossip([*ALONE, *SAME_SHORT_ID]), LANES),
+        "gossip of many endpoints": pack(gossip([f"unit-{number}" for number in range(150)]), LANES),
+        "datagram": [datagrams.seal(7, 11, b"payload"), datagrams.plain(b"payload")],
+        "membership datagram": [datagrams.seal(7, 11, b"payload", datagrams.CIRCLE)],
+        "JSON-RPC": [
+            platform.asked(1, "Events.Watch"),
+            platform.asked(2, "Rollout.Judge", params),
+            *(platform.VERDICTS[verdict].encode() for verdict in Verdict),
+        ],
+        "PostgreSQL": [
+            messages.startup("user", "database"),
+            messages.query(b"SELECT 1"),
+            messages.WELCOME,
+            messages.EMPTY,
+            messages.OLDER,
+            messages.NO_ENCRYPTION,
+            messages.error("53300", "text", "detail"),
+            messages.error("08P01", "text", fatal=True),
+        ],
+        "HTTP": [
+            writing.request("GET", b"/offers/1", headers, b""),
+            writing.request("POST", b"/offers", headers, b"{}"),
+            writing.answer(200, headers, b"body"),
+            writing.answer(503, headers, b"body", keep=False),
+            writing.answer(200, headers, b"", head=True, length=b"12"),
+            writing.answer(204, headers, b""),
+            writing.CONTINUE,
+        ],
+    }
+    return {name: [data.hex() for data in parts] for name, parts in found.items()}
+
+
+class PinnedWire(unittest.TestCase):
+    maxDiff = None
+
+    def test_what_is_written_is_what_was_recorded_byte_for_byte(self) -> None:
+        recorded = json.loads(RECORDED.read_text())["written"]
+        for name, parts in texts().items():
+            with self.subTest(name=name):
+                self.assertEqual(parts, recorded[name])
+        self.assertEqual(sorted(texts()), sorted(recorded))
+
+    def test_recorded_gossip_is_understood_as_it_was(self) -> None:
+        recorded = json.loads(RECORDED.read_text())
+        for name, readings in recorded["understood"].items():
+            for number, text in enumerate(recorded["written"][name]):
+                with self.subTest(name=name, number=number):
+                    self.assertEqual(understood(name, bytes.fromhex(text)), readings[number])
+
+    def test_recorded_datagrams_are_opened(self) -> None:
+        recorded = json.loads(RECORDED.read_text())["written"]
+        sealed, plain = (bytes.fromhex(text) for text in recorded["datagram"])
+        opened = datagrams.open_(sealed, 8)
+        assert isinstance(opened, datagrams.Letter)
+        self.assertEqual(
+            (opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False)
+        )
+        self.assertEqual(datagrams.open_plain(plain), b"payload")
+        member = datagrams.open_(bytes.fromhex(recorded["membership datagram"][0]), 8)
+        assert isinstance(member, datagrams.Letter)
+        self.assertTrue(member.circle)
+
+
+def understood(name: str, text: bytes) -> list[list[object]]:
+    """What a relay that knows all the units of a recording reads in one of its messages."""
+    many = [f"unit-{number}" for number in range(150)]
+    door = known(many if "many" in name else [*ALONE, *SAME_SHORT_ID] if "share" in name else ALONE)
+    return described(unpack(text, door.marks, LANES), door)
