--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -21,9 +21,17 @@
 from lanelead.model.town import Town
 
 SCRIPTS = (
-    "crash", "slow", "neighbour", "vanish", "burst", "cut", "bad-build-errors", "bad-build-slow",
-    "balancer-roll", "zone-loss",
-)  # fmt: skip
+    "crash",
+    "slow",
+    "neighbour",
+    "vanish",
+    "burst",
+    "cut",
+    "bad-build-errors",
+    "bad-build-slow",
+    "balancer-roll",
+    "zone-loss",
+)
 NAMES = (
     "service",
     "shed share",
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -80,9 +80,7 @@
                     town.stop(number, 2 * SECOND)
         town.run(town.now + SECOND)
     span = (town.now - first) / SECOND * case.many
-    accused = {
-        (change.now.number, change.now.turn) for _, _, change in town.found if change.now.state == DEAD
-    }
+    accused = {(change.now.number, change.now.turn) for _, _, change in town.found if change.now.state == DEAD}
     stopped = {(number, turn) for number, turn in accused if case.stops and number % 10 == 0}
     rates = (town.letters - letters) / span, (town.bytes - size) / span
     suspected = sum(member.counts.suspected for member in town.members.values())
--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -24,11 +24,14 @@
     """The bad day's service, one good build, nothing else."""
     base = load("bad-day")
     return msgspec.structs.replace(
-        base, relays=relays, seconds=seconds, events=[],
+        base,
+        relays=relays,
+        seconds=seconds,
+        events=[],
         units=msgspec.structs.replace(base.units, count=units),
         clients=msgspec.structs.replace(base.clients, rate=rate),
         desk=msgspec.structs.replace(base.desk, offers=base.desk.offers[:1]),
-    )  # fmt: skip
+    )
 
 
 def one(job: tuple[int, int, float, float]) -> dict[str, Any]:
@@ -37,8 +40,13 @@
     town.run()
     took = time.perf_counter() - began
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    return {"took": took, "events": town.clock.done, "asked": town.counts.asked, "mb": memory,
-            "service": town.value_share()}  # fmt: skip
+    return {
+        "took": took,
+        "events": town.clock.done,
+        "asked": town.counts.asked,
+        "mb": memory,
+        "service": town.value_share(),
+    }
 
 
 def heap(timers: int) -> float:
@@ -81,17 +89,17 @@
 def main(seconds: float) -> None:
     rates = [(heap(400_000), with_simpy(400_000)) for _ in range(3)]
     ratios = sorted(ours / theirs for ours, theirs in rates)
-    click.echo(
-        f"events a second of the plain heap over simpy's: {ratios[1]:.2f} "
-        f"({ratios[0]:.2f} to {ratios[2]:.2f})"
-    )
-    click.echo(
-        "relays x units, lookups a second | events a lookup | cost a lookup, over the first's | MB | service"
-    )
+    click.echo(f"events a second of the plain heap over simpy's: {ratios[1]:.2f} ({ratios[0]:.2f} to {ratios[2]:.2f})")
+    click.echo("relays x units, lookups a second | events a lookup | cost a lookup, over the first's | MB | service")
     base = None
     with multiprocessing.get_context("spawn").Pool(1, maxtasksperchild=1) as pool:
-        for job in ((10, 20, 200.0, seconds), (100, 40, 500.0, seconds), (400, 80, 1000.0, seconds),
-                    (1000, 250, 2500.0, seconds / 4), (2000, 500, 5000.0, seconds / 4)):  # fmt: skip
+        for job in (
+            (10, 20, 200.0, seconds),
+            (100, 40, 500.0, seconds),
+            (400, 80, 1000.0, seconds),
+            (1000, 250, 2500.0, seconds / 4),
+            (2000, 500, 5000.0, seconds / 4),
+        ):
             row = pool.apply(one, (job,))
             cost = row["took"] / row["asked"]
             base = base or cost
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -39,9 +39,12 @@
 
 ANSWER = writing.answer(200, [(b"content-type", b"text/plain")], b"x" * 100)
 FIELDS = [
-    (b"host", b"relay"), (b"lanelead-left", b"1500"), (b"lanelead-member", b"thermaiki"), (b"accept", b"*/*"),
+    (b"host", b"relay"),
+    (b"lanelead-left", b"1500"),
+    (b"lanelead-member", b"thermaiki"),
+    (b"accept", b"*/*"),
     (b"user-agent", b"benchmark"),
-]  # fmt: skip
+]
 
 
 # Units and the bare forwarder
@@ -64,9 +67,7 @@
 
     def __init__(self, port: int, units: list[int]) -> None:
         self._port, self._units, self._loop = port, units, asyncio.get_running_loop()
-        self._idle: dict[int, list[tuple[socket.socket, AnswerReader, bytearray]]] = {
-            port: [] for port in units
-        }
+        self._idle: dict[int, list[tuple[socket.socket, AnswerReader, bytearray]]] = {port: [] for port in units}
 
     async def run(self) -> None:
         sock = socket.socket()
@@ -106,9 +107,7 @@
             await loop.sock_connect(sock, ("127.0.0.1", port))
         view = memoryview(buffer)
         reader.expect(False)
-        await loop.sock_sendall(
-            sock, writing.request(ask.method, ask.target, writing.passed_on(ask.headers), ask.body)
-        )
+        await loop.sock_sendall(sock, writing.request(ask.method, ask.target, writing.passed_on(ask.headers), ask.body))
         while reader.feed(view[: await loop.sock_recv_into(sock, buffer)]) is Progress.WAITING:
             pass
         self._idle[port].append((sock, reader, buffer))
@@ -155,8 +154,7 @@
     async def run(self) -> dict[str, Any]:
         loop = asyncio.get_running_loop()
         askers = [
-            (await loop.create_connection(lambda: Asker(self), "127.0.0.1", self._port))[1]
-            for _ in range(self._many)
+            (await loop.create_connection(lambda: Asker(self), "127.0.0.1", self._port))[1] for _ in range(self._many)
         ]
         begin = time.perf_counter()
         self._end = begin + self._seconds
@@ -176,9 +174,12 @@
         await asyncio.sleep(0.3)
         rows = sorted(self.times)
         return {
-            "done": len(rows), "bad": self.bad, "rate": len(rows) / self._seconds,
-            "p50": rows[len(rows) // 2] if rows else 0, "p99": rows[len(rows) * 99 // 100] if rows else 0,
-        }  # fmt: skip
+            "done": len(rows),
+            "bad": self.bad,
+            "rate": len(rows) / self._seconds,
+            "p50": rows[len(rows) // 2] if rows else 0,
+            "p99": rows[len(rows) * 99 // 100] if rows else 0,
+        }
 
     def answered(self, asker: Asker, took: float, good: bool) -> None:
         self.times.append(took)
@@ -221,9 +222,7 @@
 
     async def load(self, port: int, rate: float = 0.0) -> dict[str, Any]:
         args = ["generate", str(port), str(self._connections), str(self._seconds), str(rate)]
-        process = await Process.start(
-            "generator", self._folder / "generator.log", "benchmarks.relay_path", *args
-        )
+        process = await Process.start("generator", self._folder / "generator.log", "benchmarks.relay_path", *args)
         text = await process.ready(self._seconds + 30)
         await process.end(5)
         found: dict[str, Any] = msgspec.json.decode(text)
@@ -242,17 +241,21 @@
         for number, unit_port in enumerate(units):
             roster.list_now(Row(f"u{number}", "127.0.0.1", unit_port, "north", 1, "ready"))
         trial, poll = day.service.trial, day.service.poll
-        desk = Desk(
-            self._folder, 0, trial, poll, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None
-        )
+        desk = Desk(self._folder, 0, trial, poll, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None)
         await desk.open()
         allowance = msgspec.structs.replace(day.service.allowance, open_connections=4000)
         service = msgspec.structs.replace(day.service, allowance=allowance)
-        settings = {"relay": {
-            "number": 0, "relays": 1, "zone": "north", "listen": {"port": port},
-            "service": msgspec.to_builtins(service), "roster": {"address": {"port": roster.port}},
-            "desk": {"address": {"port": desk.port}},
-        }}  # fmt: skip
+        settings = {
+            "relay": {
+                "number": 0,
+                "relays": 1,
+                "zone": "north",
+                "listen": {"port": port},
+                "service": msgspec.to_builtins(service),
+                "roster": {"address": {"port": roster.port}},
+                "desk": {"address": {"port": desk.port}},
+            }
+        }
         file = self._folder / f"{name}.cue"
         file.write_bytes(msgspec.json.encode(settings))
         args = ["lanelead", "relay", "--settings", str(file)]
@@ -352,9 +355,7 @@
 @click.option("--connections", default=32)
 @click.option("--idle", default=1000, help="Idle clients, for the memory that one costs; 0 for none.")
 @click.option("--rounds", default=3)
-@click.option(
-    "--parts", is_flag=True, help="The relay's CPU by package, under cProfile; its ratios count for nothing."
-)
+@click.option("--parts", is_flag=True, help="The relay's CPU by package, under cProfile; its ratios count for nothing.")
 def main(seconds: float, connections: int, idle: int, rounds: int, parts: bool) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -23,10 +23,21 @@
 from benchmarks.slopes.series import Series, fit, reference_us
 
 SUBJECTS = (
-    "decisions", "lists", "letters", "tenants", "latency",
-    "configuration", "membership", "votes", "restarts", "losses", "hollow",
-    "distribution", "few", "following",
-)  # fmt: skip
+    "decisions",
+    "lists",
+    "letters",
+    "tenants",
+    "latency",
+    "configuration",
+    "membership",
+    "votes",
+    "restarts",
+    "losses",
+    "hollow",
+    "distribution",
+    "few",
+    "following",
+)
 
 
 def kept(path: Path) -> list[Series]:
--- a/benchmarks/slopes/configuration.py
+++ b/benchmarks/slopes/configuration.py
@@ -71,9 +71,7 @@
         return [Series(SUBJECT, name, unit, by, sorted(self.points[name]), note + self.load())]
 
     def load(self) -> str:
-        return (
-            f"; the machine's load was {min(self.busy):.0f} to {max(self.busy):.0f} on {os.cpu_count()} cores"
-        )
+        return f"; the machine's load was {min(self.busy):.0f} to {max(self.busy):.0f} on {os.cpu_count()} cores"
 
 
 # A change of the two fields that SIGHUP takes
@@ -126,9 +124,13 @@
         return sorted((node.in_force(where) or 0.0) - since for node in nodes)
 
     return {
-        "steady": taken(steady, began), "restarting": taken(restarting, began), "cut": taken(cut, back),
-        "killed": killed, "carried": carried, "load": load_at,
-    }  # fmt: skip
+        "steady": taken(steady, began),
+        "restarting": taken(restarting, began),
+        "cut": taken(cut, back),
+        "killed": killed,
+        "carried": carried,
+        "load": load_at,
+    }
 
 
 async def moves(place: Fleet, found: Found) -> None:
@@ -243,15 +245,17 @@
 
 
 def file_of(tenants: int) -> bytes:
-    accounts = [
-        {"name": f"tenant-{number:05}", "quotaPerS": 100.0, "share": 1.0} for number in range(tenants)
-    ]
+    accounts = [{"name": f"tenant-{number:05}", "quotaPerS": 100.0, "share": 1.0} for number in range(tenants)]
     config = {
-        "name": "n0", "listen": "127.0.0.1:9", "seed": "7f", "discovery": "127.0.0.1:9",
+        "name": "n0",
+        "listen": "127.0.0.1:9",
+        "seed": "7f",
+        "discovery": "127.0.0.1:9",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "platform": {"address": "127.0.0.1:9", "news": NEWS}, "settings": {**SETTINGS, "accounts": accounts},
+        "platform": {"address": "127.0.0.1:9", "news": NEWS},
+        "settings": {**SETTINGS, "accounts": accounts},
         "known": {"version": 1, "full": True, "servers": []},
-    }  # fmt: skip
+    }
     return json.dumps(config).encode()
 
 
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -42,9 +42,7 @@
 def change_us(town: Town) -> float:
     """One unit is told of as draining, then as ready again: of one such change."""
     unit, relay = town.units[len(town.units) // 2], town.relay
-    rows = [
-        town.listing(unit, NEWS["build"], condition) for condition in (Condition.DRAINING, Condition.READY)
-    ]
+    rows = [town.listing(unit, NEWS["build"], condition) for condition in (Condition.DRAINING, Condition.READY)]
 
     def both() -> None:
         for row in rows:
@@ -120,10 +118,16 @@
         "memory": "traced; units as listed, no lookup yet",
     }
     return [
-        Series("decisions", f"services.{name}", "MB" if name == "memory" else "us", "services", rows,
-               f"{notes[name]}; {none}")
+        Series(
+            "decisions",
+            f"services.{name}",
+            "MB" if name == "memory" else "us",
+            "services",
+            rows,
+            f"{notes[name]}; {none}",
+        )
         for name, rows in points.items()
-    ]  # fmt: skip
+    ]
 
 
 def split(services: int, meter: Meter) -> list[Town]:
--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -23,9 +23,7 @@
 ZONES = [("a", "one"), ("b", "one"), ("c", "two"), ("d", "two")]
 CHANGES = 20  # of one run, 2 s apart
 QUIET = 60.0  # seconds without a change
-AWAY = (
-    0.98  # seconds that a real relay is away for an idle restart: `configuration.restart.idle` at one relay
-)
+AWAY = 0.98  # seconds that a real relay is away for an idle restart: `configuration.restart.idle` at one relay
 LARGE = 65_000  # entries at the size planned for: 49,000 tenants and 16,000 routes
 
 
@@ -34,12 +32,8 @@
 
 
 def entries(many: int) -> list[tuple[str, bytes]]:
-    tenants = [
-        (f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90)) for n in range(many * 3 // 4)
-    ]
-    routes = [
-        (f"route/r{n:05d}", b'{"match":"/items/%d","service":"s%d"}' % (n, n % 300)) for n in range(many // 4)
-    ]
+    tenants = [(f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90)) for n in range(many * 3 // 4)]
+    routes = [(f"route/r{n:05d}", b'{"match":"/items/%d","service":"s%d"}' % (n, n % 300)) for n in range(many // 4)]
     return tenants + routes
 
 
@@ -86,9 +80,7 @@
         gc.collect()
         made.run(QUIET)
         quiet = [(after - first) / QUIET for first, after in zip(before, spent(made), strict=True)]
-        for name, value in zip(
-            ("relay.bytes", "relay.cpu", "machine.bytes", "machine.cpu"), quiet, strict=True
-        ):
+        for name, value in zip(("relay.bytes", "relay.cpu", "machine.bytes", "machine.cpu"), quiet, strict=True):
             point(f"quiet.{name}", size, value)
         worst, before = 0.0, spent(made)
         for number in range(CHANGES):
@@ -121,11 +113,16 @@
         point("change.in_force_with_faults", size, max(late))
     units = {"bytes": "B/s", "cpu": "share", "cpu_us": "us"}
     series = [
-        Series(SUBJECT, name, "s" if "in_force" in name else "B" if name == "change.relay.bytes"
-               else units[name.rsplit(".", 1)[-1]], "relays", points,
-               "hollow; 300 entries; heads counted; no kernel time; 4 zones, 8 machines")
+        Series(
+            SUBJECT,
+            name,
+            "s" if "in_force" in name else "B" if name == "change.relay.bytes" else units[name.rsplit(".", 1)[-1]],
+            "relays",
+            points,
+            "hollow; 300 entries; heads counted; no kernel time; 4 zones, 8 machines",
+        )
         for name, points in found.items()
-    ]  # fmt: skip
+    ]
     return series + one(small)
 
 
@@ -165,7 +162,4 @@
         rows["snapshot"].append((many, sum(len(encode(document.bucket(n))) for n in range(4096))))
     units = {"memory": "MB", "load_us": "us", "change_us": "us", "snapshot": "B"}
     note = "one document, three quarters tenants, a quarter routes; traced"
-    return [
-        Series(SUBJECT, f"entries.{name}", units[name], "entries", points, note)
-        for name, points in rows.items()
-    ]
+    return [Series(SUBJECT, f"entries.{name}", units[name], "entries", points, note) for name, points in rows.items()]
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -168,14 +168,26 @@
         opening = Opening([*pairs_of(settings(self.size, relay.number))])
         lanes, duties, allowance = opening.lanes(), opening.duties(), opening.allowance()
         relay.decisions = Relay(
-            place=opening.place(), lanes=lanes, members=opening.members(), allowance=allowance,
-            duties=duties, trial=opening.trial(), poll=opening.poll(), tariff=opening.tariff(),
-            chance=Random(f"relay {self.seed} {relay.number}"), now=self.now,
-        )  # fmt: skip
+            place=opening.place(),
+            lanes=lanes,
+            members=opening.members(),
+            allowance=allowance,
+            duties=duties,
+            trial=opening.trial(),
+            poll=opening.poll(),
+            tariff=opening.tariff(),
+            chance=Random(f"relay {self.seed} {relay.number}"),
+            now=self.now,
+        )
         relay.driver = Driver(
-            relay.decisions, relay, lambda: self.now, lanes, duties, allowance.open_lookups,
+            relay.decisions,
+            relay,
+            lambda: self.now,
+            lanes,
+            duties,
+            allowance.open_lookups,
             allowance.longest_advice,
-        )  # fmt: skip
+        )
 
     def restart_requests(self) -> None:
         for relay in self.relays:
@@ -355,9 +367,10 @@
         watch = max(self.hubs, self.relays[0].decisions._circle.watchers)
         plain = self.relays[watch:]
         return {
-            "hub": self.relays[: self.hubs], "watcher": self.relays[self.hubs : watch],
+            "hub": self.relays[: self.hubs],
+            "watcher": self.relays[self.hubs : watch],
             "plain": plain[: len(plain) // 10 * 10] or plain,
-        }  # fmt: skip
+        }
 
 
 def _echo(data: bytes, marks: dict[bytes, bytes]) -> bytes:
--- a/benchmarks/slopes/following.py
+++ b/benchmarks/slopes/following.py
@@ -60,8 +60,10 @@
         for total in (1_000, 5_000) if small else (1_000, 5_000, 20_000, 49_000):
             began, version = time.monotonic(), 0
             for first in range(held, total, STEP):
-                rows = [(f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90 + 1))
-                        for n in range(first, min(total, first + STEP))]  # fmt: skip
+                rows = [
+                    (f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90 + 1))
+                    for n in range(first, min(total, first + STEP))
+                ]
                 began = time.monotonic()
                 version = await all_.publish(f"entries-{first:06d}", rows, 0)
             await all_.in_force(version)
@@ -79,7 +81,13 @@
     found = uvloop.run(run(small))
     note = "real: 3 machines, 6 relays as processes on one machine, loopback, nobody asks"
     return [
-        Series("following", name, "MB" if "memory" in name else "s" if "in_force" in name else "share",
-               "relays" if "quiet" in name else "entries", points, note)
+        Series(
+            "following",
+            name,
+            "MB" if "memory" in name else "s" if "in_force" in name else "share",
+            "relays" if "quiet" in name else "entries",
+            points,
+            note,
+        )
         for name, points in found.items()
-    ]  # fmt: skip
+    ]
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -143,16 +143,12 @@
         size = Size(relays, UNITS * relays, RATE)
         if not parts:
             parts = outside(size)
-            said = (
-                "what a process has around the modules (sockets, loop, interpreter, collector), fitted here"
-            )
+            said = "what a process has around the modules (sockets, loop, interpreter, collector), fitted here"
             for name, value in parts.items():
                 note(f"outside.{name}", "us", said, relays, value * 1e6)
         found = uvloop.run(real(size, RATE, True))
         made = hollow(replace(size, rate=found["plain"].requests))
-        fixed = (
-            f"13 units a relay, some {RATE:g} requests a second a relay, letters on, 16 s; processor time "
-        )
+        fixed = f"13 units a relay, some {RATE:g} requests a second a relay, letters on, 16 s; processor time "
         fixed += f"is scaled by fixed work in each span to {PACE:g} us of that" + left_out
         for role in ROLES:
             one, other = found[role], made[role]
@@ -186,9 +182,7 @@
         print(f"hollow {relays}: {found} {made}", flush=True)
     for grown, resident, traced in held[1:]:
         growth = (resident - held[0][1]) / (traced - held[0][2])
-        said = (
-            f"what a plain one has grown by since {held[0][0]:g} relays, real (resident) over hollow (traced)"
-        )
+        said = f"what a plain one has grown by since {held[0][0]:g} relays, real (resident) over hollow (traced)"
         note("ratio.plain.memory.growth", "share", said, grown, growth)
     return [Series("hollow", name, unit, "relays", row, said) for (name, unit, said), row in points.items()]
 
@@ -196,9 +190,7 @@
 def modules_mb(size: Size) -> float:
     """What one relay's modules hold, and the last list in its configuration, which a process keeps."""
     text = whole_list(size.units)
-    return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, Endpoints, 16 << 20)))[
-        0
-    ]
+    return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, Endpoints, 16 << 20)))[0]
 
 
 def outside(size: Size) -> dict[str, float]:
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -89,9 +89,7 @@
 
 
 def discovery(size: int, port: int) -> Any:
-    whole = writing.answer(
-        200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False
-    )
+    whole = writing.answer(200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False)
     nothing = writing.answer(200, (), body(1, False, []), keep=False)
 
     def say(caller: Caller, text: bytes) -> None:
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -55,40 +55,76 @@
 
     def lane(name: str, aim: float, deadline: float, credit: float, repeat: str) -> dict[str, Any]:
         return {
-            "name": name, "aimMs": aim, "deadlineMs": deadline, "credit": credit, "lateWorth": 0.2,
-            "repeat": repeat, "group": "all", "windowMs": 2000.0, "streaming": False,
-        }  # fmt: skip
+            "name": name,
+            "aimMs": aim,
+            "deadlineMs": deadline,
+            "credit": credit,
+            "lateWorth": 0.2,
+            "repeat": repeat,
+            "group": "all",
+            "windowMs": 2000.0,
+            "streaming": False,
+        }
 
     return {
-        "me": number, "instances": relays, "zone": ZONES[0], "tickMs": 5.0, "discovery": "automatic",
+        "me": number,
+        "instances": relays,
+        "zone": ZONES[0],
+        "tickMs": 5.0,
+        "discovery": "automatic",
         "requestClasses": [
             lane("status", 1500.0, 6000.0, 1.0, "read_like"),
             lane("search", 800.0, 3000.0, 1.0, "read_like"),
             lane("submit", 1200.0, 4000.0, 3.0, "non_idempotent"),
         ],
         "accounts": [
-            {"name": f"tenant-{place:05d}", "quotaPerS": round(1.3 * RATE * relays / tenants, 4),
-             "share": round(1 / tenants, 8)}
+            {
+                "name": f"tenant-{place:05d}",
+                "quotaPerS": round(1.3 * RATE * relays / tenants, 4),
+                "share": round(1 / tenants, 8),
+            }
             for place in range(tenants)
         ],
         "allowed": {
-            "attemptsCap": 3, "openCap": 1000, "maxStreams": 100, "mayCancel": True, "probes": True,
-            "peers": True, "secondCopies": True, "retryAfter": True, "maxRetryAfterMs": 2000.0,
-            "connectTimeoutMs": 250.0, "connIdleMs": 15000.0,
+            "attemptsCap": 3,
+            "openCap": 1000,
+            "maxStreams": 100,
+            "mayCancel": True,
+            "probes": True,
+            "peers": True,
+            "secondCopies": True,
+            "retryAfter": True,
+            "maxRetryAfterMs": 2000.0,
+            "connectTimeoutMs": 250.0,
+            "connIdleMs": 15000.0,
         },
         "contract": {
-            "answerSlackMs": 20.0, "drainGraceMs": 2000.0, "coldFrom": 0.5, "coldMs": 3000.0,
-            "fallMultiple": 4.0, "fallMs": 1000.0,
+            "answerSlackMs": 20.0,
+            "drainGraceMs": 2000.0,
+            "coldFrom": 0.5,
+            "coldMs": 3000.0,
+            "fallMultiple": 4.0,
+            "fallMs": 1000.0,
         },
         "familyInfo": {
-            "shares": [0.08, 0.25, 0.6, 1.0], "mostShares": [0.096, 0.3, 0.72, 1.0], "uncounted": 3.0,
-            "countedOverMs": 3000.0, "capScope": "all", "decidedBy": "first_voice", "onVotes": 1,
-            "noesNeeded": 1, "apiTimeoutMs": 800.0, "voteTtlMs": 6000.0, "voteAllowance": 200.0,
-            "minDwellMs": 1000.0, "delayPrice": 0.35, "harmPrice": 6.0,
+            "shares": [0.08, 0.25, 0.6, 1.0],
+            "mostShares": [0.096, 0.3, 0.72, 1.0],
+            "uncounted": 3.0,
+            "countedOverMs": 3000.0,
+            "capScope": "all",
+            "decidedBy": "first_voice",
+            "onVotes": 1,
+            "noesNeeded": 1,
+            "apiTimeoutMs": 800.0,
+            "voteTtlMs": 6000.0,
+            "voteAllowance": 200.0,
+            "minDwellMs": 1000.0,
+            "delayPrice": 0.35,
+            "harmPrice": 6.0,
         },
         "prices": {"probe": probe, "peer": 0.01, "waste": 0.03, "lateFail": 0.05, "handshake": handshake},
         "loadReport": {"how": "pull", "names": ["queue", "util"]},
-    }  # fmt: skip
+    }
 
 
 def opening(told: dict[str, Any]) -> Opening:
@@ -132,9 +168,14 @@
     now: Ticks = 3600 * SECOND
     allowance, lanes = told.allowance(), told.lanes()
     return Driver(
-        decisions(told, lanes, told.members(), now), Hands(), lambda: now, lanes, told.duties(),
-        allowance.open_lookups, allowance.longest_advice,
-    )  # fmt: skip
+        decisions(told, lanes, told.members(), now),
+        Hands(),
+        lambda: now,
+        lanes,
+        told.duties(),
+        allowance.open_lookups,
+        allowance.longest_advice,
+    )
 
 
 class Meter:
@@ -189,8 +230,10 @@
         marks = self._chance.sample(range(65536), units)  # one for each
         self.units = [self.relay.meet(mark) for mark in marks]
         new = round(trial * units)
-        rows = [self.listing(unit, NEWS["build"] if place >= new else NEWS["build"] + 1)
-                for place, unit in enumerate(self.units)]  # fmt: skip
+        rows = [
+            self.listing(unit, NEWS["build"] if place >= new else NEWS["build"] + 1)
+            for place, unit in enumerate(self.units)
+        ]
         self.relay.roster(Coverage.CACHED, rows)
         build, phase, stage = NEWS["build"], Phase.RELEASED, NEWS["stage"]
         if new:
--- a/benchmarks/slopes/latency.py
+++ b/benchmarks/slopes/latency.py
@@ -154,10 +154,14 @@
 def node(units: int, ports: Ports, folder: Path) -> tuple[Node, int]:
     file, port, letters = folder / f"relay-{units}.json", free_port(), free_port()
     told = config(
-        3, port, units, discovery=f"127.0.0.1:{ports.discoveries[units]}", units_port=ports.units,
+        3,
+        port,
+        units,
+        discovery=f"127.0.0.1:{ports.discoveries[units]}",
+        units_port=ports.units,
         peer_listen=f"127.0.0.1:{letters}",
         peers=[f"127.0.0.1:{letters if place == NUMBER else ports.sink}" for place in range(RELAYS)],
-    )  # fmt: skip
+    )
     told["platform"]["address"] = f"127.0.0.1:{ports.desk}"
     told["limits"]["sockets"] = SOCKETS
     file.write_bytes(msgspec.json.encode(told))
@@ -223,9 +227,7 @@
     return series(sizes, runs)
 
 
-def series(
-    sizes: tuple[int, ...], runs: list[tuple[dict[int, float], dict[tuple[float, int], Found]]]
-) -> list[Series]:
+def series(sizes: tuple[int, ...], runs: list[tuple[dict[int, float], dict[tuple[float, int], Found]]]) -> list[Series]:
     least, made = sizes[0], list[Series]()
     setting = (
         f"real relay process, {RELAYS} relays told of, letters sent to a sink and none heard, hollow units "
@@ -242,9 +244,7 @@
     quiet += [(size, one[0][size]) for size, one in zip(sizes[1:], runs, strict=True)]
     add("quiet.share", "share", [*quiet], "of a core, nothing asked: beats, letters and feeds")
     for rate in RATES:
-        pairs = [
-            (size, one[1][rate, least], one[1][rate, size]) for size, one in zip(sizes[1:], runs, strict=True)
-        ]
+        pairs = [(size, one[1][rate, least], one[1][rate, size]) for size, one in zip(sizes[1:], runs, strict=True)]
         cpu: list[tuple[float, float]] = [(least, median(low.cpu for _, low, _ in pairs))]
         cpu += [(size, high.cpu) for size, _, high in pairs]
         told = "; ".join(
@@ -259,10 +259,12 @@
                 both = zip(high.took[place], low.took[place], strict=True)
                 ratio.append((size, median(large / small for large, small in both)))
             add(
-                f"at-{rate:g}.{part}", "ratio", ratio,
+                f"at-{rate:g}.{part}",
+                "ratio",
+                ratio,
                 f"the {part} through the relay over that before {least} units, in the same {SLICE:g} s; "
                 f"the median of such slices; {told}",
-            )  # fmt: skip
+            )
     return made
 
 
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -87,9 +87,7 @@
             ("heard.bytes.loads", "B/s"): self.mean(role, lambda relay: relay.parts["loads"]),
             ("heard.cpu", "share"): self.mean(role, lambda relay: relay.us("heard") / 1e6),
             ("beat.cpu", "share"): self.mean(role, lambda relay: relay.us("beat") / 1e6),
-            ("requests.cpu", "share"): self.mean(
-                role, lambda relay: relay.us("take", "ended", "timer") / 1e6
-            ),
+            ("requests.cpu", "share"): self.mean(role, lambda relay: relay.us("take", "ended", "timer") / 1e6),
         }
 
 
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Literal
+
 from functools import partial
 
 import msgspec
@@ -17,14 +19,20 @@
 TENTH = 0.1
 
 
-def endpoint(place: int, state: str = "active", port: int = 5432) -> Endpoint:
+def endpoint(place: int, state: Literal["active", "leaving", "left"] = "active", port: int = 5432) -> Endpoint:
     """A unit on an address of its own, in 127/8; its fields as long as a platform's."""
     number = place + 1
     return Endpoint(
-        id=f"offers-{place % 300:03d}-{place:05d}", addr=f"127.1.{number >> 8}.{number & 255}:{port}",
-        state=state, zone=ZONES[place % len(ZONES)], kind="std-2c", cell=place % 60, weight=1.0,  # type: ignore[arg-type]
-        started_ms=1_790_000_000_000.0 + place, revision_no=NEWS["build"],
-    )  # fmt: skip
+        id=f"offers-{place % 300:03d}-{place:05d}",
+        addr=f"127.1.{number >> 8}.{number & 255}:{port}",
+        state=state,
+        zone=ZONES[place % len(ZONES)],
+        kind="std-2c",
+        cell=place % 60,
+        weight=1.0,
+        started_ms=1_790_000_000_000.0 + place,
+        revision_no=NEWS["build"],
+    )
 
 
 def body(version: int, full: bool, units: list[Endpoint]) -> bytes:
@@ -65,10 +73,7 @@
         whole = body(1, True, [endpoint(place) for place in range(size)])
         parts = {"one": 1, "tenth": max(1, round(TENTH * size))}
         changes = {
-            name: [
-                body(2, False, [endpoint(place, state) for place in range(many)])
-                for state in ("leaving", "active")
-            ]
+            name: [body(2, False, [endpoint(place, state) for place in range(many)]) for state in ("leaving", "active")]
             for name, many in parts.items()
         }
         held, made = traced_mb(partial(filled, [whole]))
@@ -97,8 +102,13 @@
     kinds = {"bytes": "the answer as HTTP, without the call", "decode": "JSON to the driver's rows"}
     kinds["take-in"] = "Driver.listed, up to the decisions' last act"
     return [
-        Series("lists", name, unit, "units", rows, "; ".join(
-            filter(None, (notes[name.partition(".")[0]], kinds.get(name.partition(".")[2]), held_fixed))
-        ))
+        Series(
+            "lists",
+            name,
+            unit,
+            "units",
+            rows,
+            "; ".join(filter(None, (notes[name.partition(".")[0]], kinds.get(name.partition(".")[2]), held_fixed))),
+        )
         for (name, unit), rows in points.items()
-    ]  # fmt: skip
+    ]
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -68,12 +68,14 @@
             fleet.reset()
             fleet.run(1.0)
             for role, some in roles.items():
-                rows[role].append({
-                    "cpu": fmean(relay.us() for relay in some) / 1e6,
-                    "list.cpu": fmean(relay.us("list") for relay in some),
-                    "bytes": fmean(relay.sent["bytes"] + relay.came["bytes"] for relay in some),
-                    "asked": fmean(relay.asked for relay in some),
-                })  # fmt: skip
+                rows[role].append(
+                    {
+                        "cpu": fmean(relay.us() for relay in some) / 1e6,
+                        "list.cpu": fmean(relay.us("list") for relay in some),
+                        "bytes": fmean(relay.sent["bytes"] + relay.came["bytes"] for relay in some),
+                        "asked": fmean(relay.asked for relay in some),
+                    }
+                )
         return rows
 
     before = seconds(2)
--- a/benchmarks/slopes/moving.py
+++ b/benchmarks/slopes/moving.py
@@ -114,10 +114,15 @@
         with open(self.log, "ab") as log:
             self._from = log.tell()
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lanelead", "node",
-                stdout=asyncio.subprocess.DEVNULL, stderr=log, cwd=ROOT,
+                sys.executable,
+                "-m",
+                "lanelead",
+                "node",
+                stdout=asyncio.subprocess.DEVNULL,
+                stderr=log,
+                cwd=ROOT,
                 env={**os.environ, "NODE_CONFIG": str(self.path), "PYTHONPATH": str(ROOT)},
-            )  # fmt: skip
+            )
 
     def signal(self, number: int) -> None:
         with contextlib.suppress(ProcessLookupError):
@@ -206,17 +211,25 @@
     def config(self, node: Node) -> dict[str, Any]:
         classes = [{**row, "deadlineMs": 3000.0} for row in SETTINGS["requestClasses"]]
         settings = {
-            **SETTINGS, "me": node.number, "instances": len(self.nodes), "zone": f"z{node.zone}",
-            "requestClasses": classes, "prices": {"probe": 0.08, "handshake": 0.02},
-        }  # fmt: skip
+            **SETTINGS,
+            "me": node.number,
+            "instances": len(self.nodes),
+            "zone": f"z{node.zone}",
+            "requestClasses": classes,
+            "prices": {"probe": 0.08, "handshake": 0.02},
+        }
         return {
-            "name": f"n{node.number}", "listen": f"127.0.0.1:{node.port}", "seed": f"{node.number + 1:x}",
-            "discovery": self.discovery(), "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+            "name": f"n{node.number}",
+            "listen": f"127.0.0.1:{node.port}",
+            "seed": f"{node.number + 1:x}",
+            "discovery": self.discovery(),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "peer_listen": f"127.0.0.1:{node.letters}",
             "peers": [f"127.0.0.1:{other.letters}" for other in self.nodes],
             "platform": {"address": f"127.0.0.1:{self.feeds[self.at].desk}", "news": NEWS},
-            "settings": settings, "known": self.known,
-        }  # fmt: skip
+            "settings": settings,
+            "known": self.known,
+        }
 
     async def put_up(self) -> None:
         starting = asyncio.Semaphore(STARTS)
--- a/benchmarks/slopes/page.py
+++ b/benchmarks/slopes/page.py
@@ -146,9 +146,15 @@
     """Each row that has a formula, with what its figure, verdict and basis have to say."""
     known: dict[str, float] = {}
     functions: dict[str, Callable[..., float]] = {
-        "at": slopes.at, "slope": slopes.slope, "start": slopes.start, "breaks": slopes.breaks,
-        "row": lambda name: known[name], "max": max, "min": min, "ceil": math.ceil,
-    }  # fmt: skip
+        "at": slopes.at,
+        "slope": slopes.slope,
+        "start": slopes.start,
+        "breaks": slopes.breaks,
+        "row": lambda name: known[name],
+        "max": max,
+        "min": min,
+        "ceil": math.ceil,
+    }
     found, known_sizes = list[tuple[Row, dict[str, str]]](), sizes(text)
     for row in rows(text):
         formula = row.cells["formula"].strip("`")
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -207,12 +207,18 @@
         unit, self._discovery, self._desk_port = (s.sockets[0].getsockname()[1] for s in self._servers)
         self.list_ = [
             {
-                "id": unit_name(number), "addr": f"127.0.0.1:{unit}", "zone": f"z{number % ZONES}",
-                "kind": "std", "cell": number // 4, "state": "active", "weight": 1.0, "started_ms": 0,
+                "id": unit_name(number),
+                "addr": f"127.0.0.1:{unit}",
+                "zone": f"z{number % ZONES}",
+                "kind": "std",
+                "cell": number // 4,
+                "state": "active",
+                "weight": 1.0,
+                "started_ms": 0,
                 "revision_no": 1,
             }
             for number in range(self.size.units)
-        ]  # fmt: skip
+        ]
         self._whole = json.dumps({"version": 1, "full": True, "servers": self.list_}).encode()
         for watched in self.watched:
             for other in range(self.size.relays):
@@ -241,23 +247,24 @@
 
     def config(self, number: int, known: bool) -> Path:
         peers = [
-            self.taps[number, other].transport.get_extra_info("sockname")[1]
-            if (number, other) in self.taps
-            else port
+            self.taps[number, other].transport.get_extra_info("sockname")[1] if (number, other) in self.taps else port
             for other, port in enumerate(self.peer_ports)
         ]
         told = settings(self.size, number)
         told["allowed"] = {**told["allowed"], "peers": self.peers}
         path = self.folder / f"{number}.json"
         config = {
-            "name": f"n{number}", "listen": f"127.0.0.1:{self.ports[number]}", "seed": f"{number + 1:x}",
-            "discovery": f"127.0.0.1:{self._discovery}", "settings": told,
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{self.ports[number]}",
+            "seed": f"{number + 1:x}",
+            "discovery": f"127.0.0.1:{self._discovery}",
+            "settings": told,
             "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
             "peer_listen": f"127.0.0.1:{self.peer_ports[number]}",
             "peers": [f"127.0.0.1:{port}" for port in peers],
             "platform": {"address": f"127.0.0.1:{self._desk_port}", "news": NEWS},
             "known": {"version": 1, "full": True, "servers": self.list_ if known else []},
-        }  # fmt: skip
+        }
         path.write_text(json.dumps(config))
         return path
 
@@ -325,9 +332,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site(
-    size: Size, watched: Sequence[int] = (), peers: bool = True, seed: int = 1
-) -> AsyncIterator[Site]:
+async def site(size: Size, watched: Sequence[int] = (), peers: bool = True, seed: int = 1) -> AsyncIterator[Site]:
     """`size.rate` is what settings say of the quota; the clients' own is given to `start_all`."""
     with TemporaryDirectory() as folder:
         found = Site(Path(folder), replace(size), watched, peers, seed)
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -35,12 +35,18 @@
     """Discovery's answer, as `lanelead.protocols.platform` reads it."""
     servers = [
         {
-            "id": unit_name(number), "addr": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:5432",
-            "zone": f"z{number % ZONES}", "kind": "std", "cell": number // 4, "state": "active",
-            "weight": 1.0, "started_ms": 1.7e12 + number, "revision_no": 1,
+            "id": unit_name(number),
+            "addr": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:5432",
+            "zone": f"z{number % ZONES}",
+            "kind": "std",
+            "cell": number // 4,
+            "state": "active",
+            "weight": 1.0,
+            "started_ms": 1.7e12 + number,
+            "revision_no": 1,
         }
         for number in range(units)
-    ]  # fmt: skip
+    ]
     return msgspec.json.encode({"version": 1, "full": True, "servers": servers})
 
 
@@ -120,9 +126,7 @@
     for units in SMALL_UNITS if small else UNITS:
         for at, value in one(units).items():
             points.setdefault(at, []).append((units, value))
-    said = (
-        "hollow; one relay of 600, all units in one list; a hub, as it has no less to do; nobody else speaks"
-    )
+    said = "hollow; one relay of 600, all units in one list; a hub, as it has no less to do; nobody else speaks"
     found += [Series("restarts", name, unit, "units", row, said) for (name, unit), row in points.items()]
     real = [(units, uvloop.run(process(units))) for units in (REAL_SMALL if small else REAL)]
     said = "one real process, exec to the client's first answer, list from discovery; pycs there; no letters"
@@ -145,6 +149,4 @@
         "restart once in 20 s, 30 times as often as 600 in ten minutes; discovery: whole lists handed out, "
         "all relays once in 600 s, without HTTP's heads and without watches"
     )
-    return found + [
-        Series("restarts", name, unit, "relays", row, said) for (name, unit), row in table.items()
-    ]
+    return found + [Series("restarts", name, unit, "relays", row, said) for (name, unit), row in table.items()]
--- a/benchmarks/slopes/sizes.py
+++ b/benchmarks/slopes/sizes.py
@@ -31,11 +31,21 @@
 
 
 def settings(size: Size, number: int) -> dict[str, Any]:
-    lane = {"aimMs": 1200.0, "deadlineMs": 4000.0, "credit": 1.0, "lateWorth": 0.2, "group": "all",
-            "windowMs": 2000.0, "streaming": False}  # fmt: skip
+    lane = {
+        "aimMs": 1200.0,
+        "deadlineMs": 4000.0,
+        "credit": 1.0,
+        "lateWorth": 0.2,
+        "group": "all",
+        "windowMs": 2000.0,
+        "streaming": False,
+    }
     back = max(1, min(size.watchers, size.relays) * 4 // 5)
     return {
-        "me": number, "instances": size.relays, "zone": f"z{number % ZONES}", "tickMs": 5.0,
+        "me": number,
+        "instances": size.relays,
+        "zone": f"z{number % ZONES}",
+        "tickMs": 5.0,
         "discovery": "automatic",
         "requestClasses": [
             {**lane, "name": "read", "repeat": "read_like"},
@@ -43,30 +53,49 @@
         ],
         "accounts": [{"name": "m", "quotaPerS": size.rate * size.relays * 1.2, "share": 1.0}],
         "allowed": {
-            "attemptsCap": 3, "openCap": 4000, "maxStreams": 1, "mayCancel": True, "probes": True,
-            "peers": size.peers, "secondCopies": False, "retryAfter": True, "maxRetryAfterMs": 2000.0,
-            "connectTimeoutMs": 250.0, "connIdleMs": 15000.0,
+            "attemptsCap": 3,
+            "openCap": 4000,
+            "maxStreams": 1,
+            "mayCancel": True,
+            "probes": True,
+            "peers": size.peers,
+            "secondCopies": False,
+            "retryAfter": True,
+            "maxRetryAfterMs": 2000.0,
+            "connectTimeoutMs": 250.0,
+            "connIdleMs": 15000.0,
         },
         "contract": {
-            "answerSlackMs": 20.0, "drainGraceMs": 2000.0, "coldFrom": 0.5, "coldMs": 2000.0,
-            "fallMultiple": 4.0, "fallMs": 1000.0,
+            "answerSlackMs": 20.0,
+            "drainGraceMs": 2000.0,
+            "coldFrom": 0.5,
+            "coldMs": 2000.0,
+            "fallMultiple": 4.0,
+            "fallMs": 1000.0,
         },
         "familyInfo": {
-            "shares": [0.1, 1.0], "mostShares": [0.2, 1.0], "uncounted": 3.0, "countedOverMs": 3000.0,
-            "capScope": "all", "decidedBy": "by_count", "onVotes": max(1, back), "noesNeeded": back,
-            "apiTimeoutMs": 300.0, "voteTtlMs": 6000.0, "voteAllowance": 100.0, "minDwellMs": 1000.0,
+            "shares": [0.1, 1.0],
+            "mostShares": [0.2, 1.0],
+            "uncounted": 3.0,
+            "countedOverMs": 3000.0,
+            "capScope": "all",
+            "decidedBy": "by_count",
+            "onVotes": max(1, back),
+            "noesNeeded": back,
+            "apiTimeoutMs": 300.0,
+            "voteTtlMs": 6000.0,
+            "voteAllowance": 100.0,
+            "minDwellMs": 1000.0,
         },
         "prices": {"probe": size.probes, "handshake": size.handshake},
         "loadReport": {"how": "pull", "names": ["waiting", "cpu"]},
-    }  # fmt: skip
+    }
 
 
 def listing(units: int, first: int = 0, condition: Any = "ready") -> list[Row]:
     """Rows of units with drawn-like names, in zones one after the other."""
     return [
-        Row(
-            unit_name(number), "127.0.0.1", 5432, f"z{number % ZONES}", 1, condition, number // 4, "std", None
-        )
+        Row(unit_name(number), "127.0.0.1", 5432, f"z{number % ZONES}", 1, condition, number // 4, "std", None)
         for number in range(first, first + units)
     ]
 
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -45,18 +45,21 @@
     timeout_ms: float
 
 
-def config(
-    tenants: int, port: int, units: int = UNITS, units_port: int = 5432, **more: Any
-) -> dict[str, Any]:
+def config(tenants: int, port: int, units: int = UNITS, units_port: int = 5432, **more: Any) -> dict[str, Any]:
     """What a relay of the platform is told by its file."""
     rows = [endpoint(place, port=units_port) for place in range(units)]
     known = {"version": 1, "full": True, "servers": rows}
     return {
-        "name": "relay-300", "listen": f"127.0.0.1:{port}", "seed": "7f", "discovery": NOBODY,
+        "name": "relay-300",
+        "listen": f"127.0.0.1:{port}",
+        "seed": "7f",
+        "discovery": NOBODY,
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
         "platform": {"address": NOBODY, "news": NEWS},
-        "settings": settings(tenants=tenants), "known": known, **more,
-    }  # fmt: skip
+        "settings": settings(tenants=tenants),
+        "known": known,
+        **more,
+    }
 
 
 def free_port() -> int:
@@ -83,18 +86,18 @@
     def __init__(self, file: Path, log: Path) -> None:
         self._log, self._file = log, log.open("wb")
         self._process = subprocess.Popen(
-            [sys.executable, "-m", "lanelead", "node"], env={**os.environ, "NODE_CONFIG": str(file)},
-            stdout=subprocess.DEVNULL, stderr=self._file,
-        )  # fmt: skip
+            [sys.executable, "-m", "lanelead", "node"],
+            env={**os.environ, "NODE_CONFIG": str(file)},
+            stdout=subprocess.DEVNULL,
+            stderr=self._file,
+        )
         self.pid = self._process.pid
 
     def until(self, event: str, times: int = 1) -> None:
         end = time.monotonic() + PATIENCE
         while self._log.read_text().count(f'"event": "{event}"') < times:
             if self._process.poll() is not None or time.monotonic() > end:
-                raise RuntimeError(
-                    f"no {event!r}; the relay's log ends with {self._log.read_text()[-500:]!r}"
-                )
+                raise RuntimeError(f"no {event!r}; the relay's log ends with {self._log.read_text()[-500:]!r}")
             time.sleep(0.005)
 
     def signal(self, number: int) -> None:
@@ -173,10 +176,16 @@
     chance = Random(5)
     classes = "status", "search", "submit"
     rows = [
-        Route(f"route-{place:05d}", f"{place % 4000}.shop.example", f"/v1/part-{place % 97}/",
-              f"offers-{place % 300:03d}", chance.choice(classes), 1500.0)
+        Route(
+            f"route-{place:05d}",
+            f"{place % 4000}.shop.example",
+            f"/v1/part-{place % 97}/",
+            f"offers-{place % 300:03d}",
+            chance.choice(classes),
+            1500.0,
+        )
         for place in range(many)
-    ]  # fmt: skip
+    ]
     return msgspec.json.encode(rows)
 
 
@@ -191,9 +200,7 @@
     return [
         Series("tenants", "routes.bytes", "B", "routes", text, f"as JSON; {none}"),
         Series("tenants", "routes.decode", "s", "routes", cpu, f"processor time; {none}"),
-        Series(
-            "tenants", "routes.memory", "MB", "routes", memory, f"traced; no table to find one by; {none}"
-        ),
+        Series("tenants", "routes.memory", "MB", "routes", memory, f"traced; no table to find one by; {none}"),
     ]
 
 
--- a/benchmarks/slopes/votes.py
+++ b/benchmarks/slopes/votes.py
@@ -58,9 +58,7 @@
         found.add(f"{word}.bytes", max(1, changed), asked_bytes + len(watching.answer(changed)))
     span = 600.0 if small else 3600.0
     part = span / 86_400
-    day = watching.drawn(round(49 * part), 2, span, 1.0) + watching.drawn(
-        round(2700 * part), 3, span, 2.0, 38
-    )
+    day = watching.drawn(round(49 * part), 2, span, 1.0) + watching.drawn(round(2700 * part), 3, span, 2.0, 38)
     wave = [place * 600 / 7800 for place in range(7800)]
     quick = [place * 60 / 7800 for place in range(7800)]
     cases = {"quiet": (span, []), "day": (span, sorted(day)), "release": (600.0, wave), "rush": (60.0, quick)}
@@ -115,16 +113,22 @@
     "bytes.worst": ("B/s", "asked and answered in the worst second, of all relays"),
 }
 REST = {
-    "watch.cpu": ("us", "changes", "real, over loopback: one watch at a relay, called, read, decoded; the "
-                  "decisions do not take it in"),
+    "watch.cpu": (
+        "us",
+        "changes",
+        "real, over loopback: one watch at a relay, called, read, decoded; the decisions do not take it in",
+    ),
     "watch.bytes": ("B", "changes", f"one watch, asked and answered; {MODEL}"),
     "watch.quiet.cpu": ("us", "watches", "real, over loopback: as watch.cpu, where nothing changed"),
     "watch.quiet.bytes": ("B", "watches", f"one watch on which nothing changed; {MODEL}"),
     "relay.bytes": ("B/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL}"),
     "relay.watches": ("count/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL}"),
-    "signs.bytes": ("B/s", "relays", "signs of life that the desk tells all relays, one a second to each; "
-                    "counted by their text"),
-}  # fmt: skip
+    "signs.bytes": (
+        "B/s",
+        "relays",
+        "signs of life that the desk tells all relays, one a second to each; counted by their text",
+    ),
+}
 
 
 def measure(small: bool) -> list[Series]:
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -83,10 +83,17 @@
         self._timer: Ticks | None = None
         self._calls = 0
         decisions = Relay(
-            place=Place(number, relays, "north"), lanes=[LANE], members=[Member("m", 1e6, 1.0)],
-            allowance=ALLOWANCE, duties=DUTIES, trial=TRIAL.figures(), poll=poll.figures(), tariff=TARIFF,
-            chance=chance, now=town.ticks(),
-        )  # fmt: skip
+            place=Place(number, relays, "north"),
+            lanes=[LANE],
+            members=[Member("m", 1e6, 1.0)],
+            allowance=ALLOWANCE,
+            duties=DUTIES,
+            trial=TRIAL.figures(),
+            poll=poll.figures(),
+            tariff=TARIFF,
+            chance=chance,
+            now=town.ticks(),
+        )
         self.driver = Driver(decisions, self, town.ticks, [LANE], DUTIES, 1000, 20_000)
 
     def after(self) -> None:
@@ -251,9 +258,15 @@
         seat.hear(line)
 
     def cast(self, seat: Seat, vote: Vote, number: int, back: float) -> None:
-        text = asked(number, "Rollout.Judge", {
-            "build": vote.build, "stage": vote.stage, "verdict": VERDICTS[vote.verdict],
-        })  # fmt: skip
+        text = asked(
+            number,
+            "Rollout.Judge",
+            {
+                "build": vote.build,
+                "stage": vote.stage,
+                "verdict": VERDICTS[vote.verdict],
+            },
+        )
         word, line = self.desk.vote(VoteAsk(seat.number, vote.build, vote.stage, SAID[vote.verdict]))  # type: ignore[arg-type]
         assert line is not None
         size = len(text) + len(answered(number, _state(line)))
@@ -293,9 +306,12 @@
     """As the platform says it: for its length."""
     phase = {"trial": "testing", "released": "live", "reverting": "recalling", "withdrawn": "recalled"}
     return {
-        "build": 1000 + line.build, "stage": line.stage, "phase": phase[line.phase], "cap": line.cap,
+        "build": 1000 + line.build,
+        "stage": line.stage,
+        "phase": phase[line.phase],
+        "cap": line.cap,
         "age_ms": round(line.age_ms),
-    }  # fmt: skip
+    }
 
 
 def poll_of(relays: int, count: bool) -> Poll:
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -32,10 +32,19 @@
 def answer(changed: int, full: bool = False) -> bytes:
     """What a watch that tells of so many changed units gets."""
     points = [
-        Endpoint(f"s-{number:08x}", f"10.{number >> 8}.{number & 255}.18:5432", "active", "a", "m2", 3, 1.0,
-                 1_764_648_618_000, 1041)
+        Endpoint(
+            f"s-{number:08x}",
+            f"10.{number >> 8}.{number & 255}.18:5432",
+            "active",
+            "a",
+            "m2",
+            3,
+            1.0,
+            1_764_648_618_000,
+            1041,
+        )
         for number in range(changed)
-    ]  # fmt: skip
+    ]
     body = encode(Endpoints(1_234_567, full, [msgspec.Raw(encode(point)) for point in points]))
     return writing.answer(200, ((b"content-type", b"application/json"),), body, keep=False)
 
--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -96,14 +96,10 @@
             ("a backfill without one", backfill(1_000_000, 1e9, 1e6)),
         ):
             times, took = beside(trial, plan, seconds, rate)
-            parts = [
-                times[int(len(times) * part) - 1] / base[int(len(base) * part) - 1] for part in (0.5, 0.99, 1)
-            ]
+            parts = [times[int(len(times) * part) - 1] / base[int(len(base) * part) - 1] for part in (0.5, 0.99, 1)]
             click.echo(f"{said} | {', '.join(f'{part:.2f}' for part in parts)} | {took:.1f}")
         many = 300
-        steps = [
-            Step(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)
-        ]
+        steps = [Step(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)]
         place = trial.place()
         began = time.perf_counter()
         Trial(Steps("many", steps, []), folder, trial.start).go(place, ttl=5.0)
@@ -145,9 +141,7 @@
     times = [asyncio.run(read()) for _ in range(3)]
     place.close()
     size = (file.stat().st_size - empty) / many
-    click.echo(
-        f"{many} entries: {size:.0f} bytes each on disk, read in {statistics.median(times):.2f} s here"
-    )
+    click.echo(f"{many} entries: {size:.0f} bytes each on disk, read in {statistics.median(times):.2f} s here")
 
 
 if __name__ == "__main__":
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -108,11 +108,7 @@
         mine.go(place, at=points.append)
         filer.close()
         place.close()
-    jobs = [
-        (kind, points[n], n)
-        for kind in ("runner killed", "runner stopped")
-        for n in range(0, len(points), every)
-    ]
+    jobs = [(kind, points[n], n) for kind in ("runner killed", "runner stopped") for n in range(0, len(points), every)]
     for call, many in (("lease", 1), ("append", 18), ("apply", 14)):
         spots = ("before", "mid", "commit", "after") if call == "apply" else ("before", "commit", "after")
         jobs += [(k, f"{call}.{s}", n) for k in ("kill", "cut") for s in spots for n in range(0, many, every)]
--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -62,9 +62,7 @@
     with multiprocessing.Pool(procs) as pool:
         for many, case, faults, without, found, _ in pool.imap(one, jobs):
             said = f"{found.breach} (after {found.path} steps)" if found.breach else "no breach"
-            click.echo(
-                f"{many} | {case} | {faults} | {without or '-'} | {found.states} | {found.ends} | {said}"
-            )
+            click.echo(f"{many} | {case} | {faults} | {without or '-'} | {found.states} | {found.ends} | {said}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -27,15 +27,20 @@
 def day(number: int, relays: int, rate: float) -> Day:
     base, chance = load("bad-day"), Random(f"build {number}")
     bad = KINDS[number // 2 % len(KINDS)] if number % 2 else None
-    offer = Offer(at=3.0, strength=chance.uniform(0.1, 0.8), speed=1.0, bad=bad,
-                  lane="offer-submit" if bad == "lane" else None)  # fmt: skip
+    offer = Offer(
+        at=3.0, strength=chance.uniform(0.1, 0.8), speed=1.0, bad=bad, lane="offer-submit" if bad == "lane" else None
+    )
     poll = msgspec.structs.replace(base.service.poll, complaint_share=0.5)
     return msgspec.structs.replace(
-        base, relays=relays, seconds=45.0, events=[], units=msgspec.structs.replace(base.units, count=12),
+        base,
+        relays=relays,
+        seconds=45.0,
+        events=[],
+        units=msgspec.structs.replace(base.units, count=12),
         clients=msgspec.structs.replace(base.clients, rate=rate),
         service=msgspec.structs.replace(base.service, poll=poll),
         desk=msgspec.structs.replace(base.desk, offers=[offer]),
-    )  # fmt: skip
+    )
 
 
 def one(job: tuple[int, int, float, str]) -> tuple[str, str | None, float | None, bool]:
@@ -75,8 +80,7 @@
         bad, good = [row for row in mine if row[1]], [row for row in mine if not row[1]]
         hits = [row for row in back if row[1]]
         kinds = ", ".join(
-            f"{kind} {sum(row[1] == kind for row in hits)}/{sum(row[1] == kind for row in bad)}"
-            for kind in KINDS
+            f"{kind} {sum(row[1] == kind for row in hits)}/{sum(row[1] == kind for row in bad)}" for kind in KINDS
         )
         soon = f"{statistics.median(row[2] for row in hits if row[2] is not None):.1f}" if hits else "-"
         fine = sum(row[3] and row[2] is None for row in good)
--- a/benchmarks/zone_loss.py
+++ b/benchmarks/zone_loss.py
@@ -27,15 +27,21 @@
 SCENES: dict[str, tuple[tuple[float, str, str, float], ...]] = {
     "lost": ((12, "lost", "a", 1.0), (22, "back", "a", 1.0)),
     "lost, back, lost, back": (
-        (12, "lost", "a", 1.0), (18, "back", "a", 1.0), (22, "lost", "a", 1.0), (27, "back", "a", 1.0),
+        (12, "lost", "a", 1.0),
+        (18, "back", "a", 1.0),
+        (22, "lost", "a", 1.0),
+        (27, "back", "a", 1.0),
     ),
     "silent": ((12, "silent", "a", 1.0), (24, "back", "a", 1.0)),
     "half": ((12, "lost", "a", 0.5), (22, "back", "a", 0.5)),
     "slow": ((12, "slow", "a", 1.0), (24, "back", "a", 1.0)),
     "two of three": (
-        (12, "lost", "a", 1.0), (13, "lost", "b", 1.0), (22, "back", "a", 1.0), (25, "back", "b", 1.0),
+        (12, "lost", "a", 1.0),
+        (13, "lost", "b", 1.0),
+        (22, "back", "a", 1.0),
+        (25, "back", "b", 1.0),
     ),
-}  # fmt: skip
+}
 NAMES = ["measured", *POLICIES]
 
 
@@ -52,17 +58,22 @@
     best = min(1.0, left / plan.load)
     home = [world.sends.get(("a", "a"), [0] * 100), world.sends.get(("a", "b"), [0] * 100)]
     home.append(world.sends.get(("a", "c"), [0] * 100))
-    shares = [
-        home[0][s] / max(1, sum(row[s] for row in home)) for s in range(int(back) + 1, int(plan.seconds))
-    ]
+    shares = [home[0][s] / max(1, sum(row[s] for row in home)) for s in range(int(back) + 1, int(plan.seconds))]
     swings = sum(1 for before, after in pairwise(shares) if after < before - 0.25)
     settled = next((n for n, share in enumerate(shares) if share > 0.9), len(shares))
     return {
-        "scene": scene, "policy": policy, "first": world.value(first, first + 5) / best,
-        "then": world.value(first + 5, back) / best, "after": world.value(back, back + 8),
-        "worst": world.worst(), "fallen": sum(machine.fallen for machine in world.machines),
-        "swings": swings, "settled": settled, "home": home, "plan": plan,
-    }  # fmt: skip
+        "scene": scene,
+        "policy": policy,
+        "first": world.value(first, first + 5) / best,
+        "then": world.value(first + 5, back) / best,
+        "after": world.value(back, back + 8),
+        "worst": world.worst(),
+        "fallen": sum(machine.fallen for machine in world.machines),
+        "swings": swings,
+        "settled": settled,
+        "home": home,
+        "plan": plan,
+    }
 
 
 def low(rows: list[float]) -> float:
@@ -78,9 +89,7 @@
 @click.option("--policies", default="", help="Only those whose names hold this.")
 @click.option("--plot", type=click.Path(dir_okay=False), help="Draws seed 1 of each scene here.")
 @click.option("--procs", default=0, help="Processes; 0: one a core.")
-def main(
-    runs: int, relays: int, units: int, scenes: str, policies: str, plot: str | None, procs: int
-) -> None:
+def main(runs: int, relays: int, units: int, scenes: str, policies: str, plot: str | None, procs: int) -> None:
     plan = Plan(relays=relays, units=units, seconds=40)
     chosen = [scene for scene in SCENES if scenes in scene]
     names = [name for name in NAMES if policies in name]
@@ -90,9 +99,7 @@
         for row in pool.imap_unordered(one, jobs, chunksize=2):
             found.append(row)
     click.echo(f"{len(jobs)} runs of {relays} relays and {units} units, load 0.3 to 0.6")
-    click.echo(
-        "scene | policy | first 5 s: mean, 5th percentile | then | after | worst/limit | fell | swings"
-    )
+    click.echo("scene | policy | first 5 s: mean, 5th percentile | then | after | worst/limit | fell | swings")
     for scene in chosen:
         for name in names:
             rows = [row for row in found if (row["scene"], row["policy"]) == (scene, name)]
@@ -114,9 +121,7 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(
-        len(scenes), len(names), figsize=(4 * len(names), 2.2 * len(scenes)), squeeze=False
-    )
+    figure, axes = pyplot.subplots(len(scenes), len(names), figsize=(4 * len(names), 2.2 * len(scenes)), squeeze=False)
     for line, scene in enumerate(scenes):
         for column, name in enumerate(names):
             row = next(row for row in found if (row["scene"], row["policy"]) == (scene, name))
--- a/lanelead/circle/rows.py
+++ b/lanelead/circle/rows.py
@@ -31,9 +31,14 @@
     """One member's view. `outbox` fills with (address, letter), `changes` with what became of members."""
 
     def __init__(
-        self, own: Row, tempo: Tempo, seeds: Sequence[Address], chance: Random, now: Ticks,
+        self,
+        own: Row,
+        tempo: Tempo,
+        seeds: Sequence[Address],
+        chance: Random,
+        now: Ticks,
         known: Sequence[Row] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.own, self._tempo, self._chance, self.now = own, tempo, chance, now
         self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
         self.rows: dict[int, Row] = {own.number: own, **{row.number: row for row in known}}
@@ -110,9 +115,7 @@
     def _of_own(self, told: Row | Claim) -> None:
         """What others say of this member. Rule 2: only it raises its own turn."""
         if told.life > self.own.life:
-            self._replaced(
-                told if isinstance(told, Row) else msgspec.structs.replace(self.own, life=told.life)
-            )
+            self._replaced(told if isinstance(told, Row) else msgspec.structs.replace(self.own, life=told.life))
         elif told.life == self.own.life and told.state != ALIVE and told.turn >= self.own.turn:
             if self.own.state == LEFT:
                 return
--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -146,9 +146,7 @@
         if isinstance(found, dict):
             found = [{"key": key, "value": value} for key, value in found.items()]
         rows = [
-            {**row, "value": msgspec.Raw(msgspec.json.encode(row.get("value")))}
-            if isinstance(row, dict)
-            else row
+            {**row, "value": msgspec.Raw(msgspec.json.encode(row.get("value")))} if isinstance(row, dict) else row
             for row in found
         ]
         return msgspec.convert(rows, list[Entry])
@@ -161,15 +159,21 @@
 @AT
 @click.option("--ident", default=None, help="Of this change: asked for twice, it is made once.")
 @click.option("--expect", multiple=True, help="KEY=VERSION: only if no later version has changed the key.")
+@click.option("--patience", default=60.0, type=click.FloatRange(0.1, 3600), help="Seconds until it is decided.")
 @click.option(
-    "--patience", default=60.0, type=click.FloatRange(0.1, 3600), help="Seconds until it is decided."
+    "--in-force",
+    default=None,
+    type=click.FloatRange(0.0, 3600),
+    help="Seconds to wait until all relays have told that they have it.",
 )
-@click.option("--in-force", default=None, type=click.FloatRange(0.0, 3600),
-              help="Seconds to wait until all relays have told that they have it.")  # fmt: skip
 def publish(
-    file: Any, at: tuple[str, ...], ident: str | None, expect: tuple[str, ...], patience: float,
+    file: Any,
+    at: tuple[str, ...],
+    ident: str | None,
+    expect: tuple[str, ...],
+    patience: float,
     in_force: float | None,
-) -> None:  # fmt: skip
+) -> None:
     """Makes the entries of FILE, JSON (- for standard input), one change.
 
     Exits with 0 once it is made (and, with --in-force, all relays have it), with 2 where it was refused and
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -72,9 +72,15 @@
     """`document`: what is in force; whoever holds it changes nothing. `rate`: bytes a second of a repair."""
 
     def __init__(
-        self, number: int, place: Place, sources: Sequence[Place], document: Document, rate: float,
-        chance: Random, now: float,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        place: Place,
+        sources: Sequence[Place],
+        document: Document,
+        rate: float,
+        chance: Random,
+        now: float,
+    ) -> None:
         self.document, self.history, self.acts = document, "", list[Act]()
         self.refused: list[str] = []  # keys that the relay could not take; the host writes them
         self.refusals = 0
@@ -228,11 +234,16 @@
     def state(self) -> dict[str, object]:
         known = self._known[self._current] if self._current is not None else None
         return {
-            "version": self.document.version, "history": self.history, "entries": len(self.document.entries),
-            "source": known.place.address if known else None, "head": known.head if known else None,
-            "behind_ms": known.behind if known else None, "repairing": self._repair is not None,
-            "repairs": self.repairs, "refused": self.refusals,
-        }  # fmt: skip
+            "version": self.document.version,
+            "history": self.history,
+            "entries": len(self.document.entries),
+            "source": known.place.address if known else None,
+            "head": known.head if known else None,
+            "behind_ms": known.behind if known else None,
+            "repairing": self._repair is not None,
+            "repairs": self.repairs,
+            "refused": self.refusals,
+        }
 
     # Sources
 
@@ -312,8 +323,11 @@
         wait = min(AGAIN[1], AGAIN[0] * 2 ** min(known.failures, 10))
         known.again, known.failures = now + wait * self._chance.uniform(0.5, 1.5), known.failures + 1
         if known.failures == 1:
-            self._note(f"source of configuration lost: {known.place.address}", reason,
-                       "the last good configuration stays; look at that machine")  # fmt: skip
+            self._note(
+                f"source of configuration lost: {known.place.address}",
+                reason,
+                "the last good configuration stays; look at that machine",
+            )
 
     def _leave(self, source: int) -> None:
         if self._repair is not None:
@@ -375,9 +389,7 @@
         wait = APPLIED if self._untold else SIGN
         if self._current is not None and self._opened and now >= self._told_at + wait:
             self._untold, self._told_at = False, now
-            word = Applied(
-                self._number, self.document.version, self.refused[:20], self.refusals, self._place.zone
-            )
+            word = Applied(self._number, self.document.version, self.refused[:20], self.refusals, self._place.zone)
             self.acts.append(Told(self._current, word))
 
     def _note(self, text: str, reason: str, remedy: str) -> None:
--- a/lanelead/configuration/holding.py
+++ b/lanelead/configuration/holding.py
@@ -98,9 +98,9 @@
             same = False
         if not same:
             return Refusal(
-                "malformed", f"ident {proposal.ident} has made other entries, as version {found.version}:"
-                " take another ident"
-            )  # fmt: skip
+                "malformed",
+                f"ident {proposal.ident} has made other entries, as version {found.version}: take another ident",
+            )
         return Accepted(found.version)
 
     def change(self, proposal: Proposal) -> Change | Refusal:
@@ -206,11 +206,7 @@
         if first.version <= self.head:
             return False
         changed = {key: version for page in pages for key, version in page.changed.items()}
-        entries = {
-            entry.key: (bytes(entry.value), changed.get(entry.key))
-            for page in pages
-            for entry in page.entries
-        }
+        entries = {entry.key: (bytes(entry.value), changed.get(entry.key)) for page in pages for entry in page.entries}
         try:
             document = self._made_of(first.version, entries)
         except Refused as fault:
--- a/lanelead/configuration/machine.py
+++ b/lanelead/configuration/machine.py
@@ -129,16 +129,12 @@
             self._accepted = self._accepted[0], now + self._finishing * (1 + self._chance.random())
             change = acceptor.change
             what = Proposal(change.ident, change.entries)
-            self._waiting.append(
-                Proposer(self.number, self.voters, what, self.holding, self._chance, now, change)
-            )
+            self._waiting.append(Proposer(self.number, self.voters, what, self.holding, self._chance, now, change))
 
     def sign(self) -> Sign:
         holding = self.holding
         empty = self.number in self.voters and holding.acceptor.abstains
-        return Sign(
-            self.number, holding.history, holding.head, empty, holding.ready and empty, list(self.voters)
-        )
+        return Sign(self.number, holding.history, holding.head, empty, holding.ready and empty, list(self.voters))
 
     # What others ask. Each raises StoreFault where nothing may be said.
 
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -57,9 +57,11 @@
 WAITING = 256  # operators' calls that are not answered yet
 Answer = Promise | Vote | Sign | Log | Snapshot
 PATHS: dict[type, tuple[bytes, type[Answer] | None]] = {
-    Prepare: (b"prepare", Promise), Accept: (b"accept", Vote),
-    Sign: (b"sign", Sign), Decided: (b"decided", None),
-}  # fmt: skip
+    Prepare: (b"prepare", Promise),
+    Accept: (b"accept", Vote),
+    Sign: (b"sign", Sign),
+    Decided: (b"decided", None),
+}
 
 
 class Refused(Exception):
@@ -78,9 +80,7 @@
         self._settings, self._store, self._log = settings, store, log
         self._loop = asyncio.get_running_loop()
         bounds = settings.bounds
-        holding = Holding(
-            store, settings.voters, lambda: Document(bounds.entries, bounds.document_bytes), time.time
-        )
+        holding = Holding(store, settings.voters, lambda: Document(bounds.entries, bounds.document_bytes), time.time)
         others = [row.number for row in settings.machines if row.number != settings.machine]
         self._places = {row.number: place(row.address) for row in settings.machines}
         self.machine = Machine(
@@ -286,15 +286,23 @@
         for row in self._settings.machines:
             if (seen := machine.seen.get(row.number)) is not None:
                 age = None if seen.sent is None else max(0.0, (now - seen.sent) * 1000)
-                peers.append(
-                    Peer(row.number, row.address, row.zone, row.region, row.voter, seen.head, age, seen.empty)
-                )
+                peers.append(Peer(row.number, row.address, row.zone, row.region, row.voter, seen.head, age, seen.empty))
         return Status(
-            here.number, here.zone, here.region, here.voter, holding.history, holding.head,
-            holding.document.digest, max(0.0, (now - machine.heard) * 1000), len(holding.document.entries),
-            here.voter and not machine.votes, machine.fault, machine.waiting, peers,
+            here.number,
+            here.zone,
+            here.region,
+            here.voter,
+            holding.history,
+            holding.head,
+            holding.document.digest,
+            max(0.0, (now - machine.heard) * 1000),
+            len(holding.document.entries),
+            here.voter and not machine.votes,
+            machine.fault,
+            machine.waiting,
+            peers,
             holding.source.followers(now),
-        )  # fmt: skip
+        )
 
     # Machines
 
--- a/lanelead/configuration/source.py
+++ b/lanelead/configuration/source.py
@@ -40,9 +40,7 @@
     heard: float = 0.0  # when a majority of the machines was last heard
     _changes: deque[Change] = field(default_factory=deque)
     _size: int = 0  # bytes of the changes kept
-    _digests: dict[int, str] = field(
-        default_factory=dict
-    )  # of the versions before and after each change kept
+    _digests: dict[int, str] = field(default_factory=dict)  # of the versions before and after each change kept
     _frozen: list[tuple[float, Document]] = field(default_factory=list)
     _told: dict[int, tuple[float, Applied]] = field(default_factory=dict)
 
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -149,9 +149,7 @@
             raise Corrupt(f"the file does not hold together: {str(found)[:200]}")
         row = db.execute("SELECT form, history, head, digest, floor, ready, votes_from FROM one").fetchone()
         if row is None:
-            if any(
-                db.execute(f"SELECT 1 FROM {name} LIMIT 1").fetchone() for name in ("log", "entry", "vote")
-            ):
+            if any(db.execute(f"SELECT 1 FROM {name} LIMIT 1").fetchone() for name in ("log", "entry", "vote")):
                 raise Corrupt("the file has changes or votes, but not how far they go")
             return Held()
         if row[0] != FORM:
@@ -210,10 +208,13 @@
         if version != self.head + 1:
             raise Corrupt(f"a vote for version {version}, where the head is {self.head}")
         row = (
-            version, promised.number, promised.machine,
-            accepted and accepted.number, accepted and accepted.machine,
+            version,
+            promised.number,
+            promised.machine,
+            accepted and accepted.number,
+            accepted and accepted.machine,
             None if change is None else msgspec.json.encode(change),
-        )  # fmt: skip
+        )
         with self._transaction("vote") as db:
             db.execute("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?, ?)", row)
 
@@ -223,16 +224,12 @@
 
     # Changes
 
-    def decide(
-        self, history: str, change: Change, entries: list[tuple[str, bytes | None]], mark: str
-    ) -> None:
+    def decide(self, history: str, change: Change, entries: list[tuple[str, bytes | None]], mark: str) -> None:
         """The change after the head. `entries` as the document keeps them; none: the key is gone."""
         if change.version != self.head + 1:
             raise Corrupt(f"version {change.version}, where the head is {self.head}")
         with self._transaction("decide") as db:
-            db.execute(
-                "UPDATE one SET history = ?, head = ?, digest = ?", (history, change.version, change.digest)
-            )
+            db.execute("UPDATE one SET history = ?, head = ?, digest = ?", (history, change.version, change.digest))
             now = self._clock()
             body = msgspec.json.encode(change)
             # A commit that was told as failed may be on disk all the same: the same change once more.
@@ -254,17 +251,24 @@
         db.execute("DELETE FROM log WHERE version <= (SELECT MAX(version) FROM log) - ?", (self._most_log,))
         db.execute(
             "DELETE FROM log WHERE version < (SELECT MAX(version) FROM log) AND version <= "
-            "(SELECT COALESCE(MAX(version), 0) FROM log WHERE at < ?)", (now - LOG_SECONDS,),
-        )  # fmt: skip
+            "(SELECT COALESCE(MAX(version), 0) FROM log WHERE at < ?)",
+            (now - LOG_SECONDS,),
+        )
         db.execute(
             "DELETE FROM made WHERE version <= (SELECT COALESCE(MIN(version), 0) FROM "
-            "(SELECT version FROM made ORDER BY version DESC LIMIT 1 OFFSET ?))", (IDENTS,),
-        )  # fmt: skip
+            "(SELECT version FROM made ORDER BY version DESC LIMIT 1 OFFSET ?))",
+            (IDENTS,),
+        )
 
     def replace(
-        self, history: str, version: int, digest: str, floor: int,
-        entries: dict[str, tuple[bytes, int | None]], made: list[Made],
-    ) -> None:  # fmt: skip
+        self,
+        history: str,
+        version: int,
+        digest: str,
+        floor: int,
+        entries: dict[str, tuple[bytes, int | None]],
+        made: list[Made],
+    ) -> None:
         """The whole document as another machine has it, in place of an older one."""
         if version <= self.head:
             raise Corrupt(f"a snapshot of version {version}, where the head is {self.head}")
--- a/lanelead/days/commands.py
+++ b/lanelead/days/commands.py
@@ -59,9 +59,7 @@
     help="Takes that guard out of the relays, to see the judge catch it.",
 )
 @click.option("--quiet", is_flag=True, help="Only the verdict.")
-def play(
-    name: str, seed: int | None, verdict: str | None, capture: str | None, seam: str | None, quiet: bool
-) -> None:
+def play(name: str, seed: int | None, verdict: str | None, capture: str | None, seam: str | None, quiet: bool) -> None:
     """Plays NAME, a day's name or file. Exits with 0: rules kept, 3: a rule broken, 2: bad input."""
     import uvloop
 
@@ -98,9 +96,7 @@
 
 @day.command("from-bench")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option(
-    "-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written."
-)
+@click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written.")
 def from_bench(file: str, out: str) -> None:
     """Turns FILE, a day that the bench has drawn, into a script; says what could not be carried over."""
     from lanelead.days.frombench import NotADay, script, written
--- a/lanelead/days/fleet.py
+++ b/lanelead/days/fleet.py
@@ -136,14 +136,10 @@
     # Machines
 
     def of(self, build: int) -> list[Machine]:
-        return [
-            machine for machine in self.machines.values() if machine.build.number == build and machine.wanted
-        ]
+        return [machine for machine in self.machines.values() if machine.build.number == build and machine.wanted]
 
     def running(self) -> list[Machine]:
-        return [
-            m for m in self.machines.values() if m.wanted and m.process and m.process.alive and not m.hurt
-        ]
+        return [m for m in self.machines.values() if m.wanted and m.process and m.process.alive and not m.hurt]
 
     async def start_build(self, number: int, places: list[int], cold: bool) -> None:
         """Machines with a build on the places given, listed late; returns when all run."""
@@ -176,9 +172,7 @@
             fall_multiple=duties.fall_multiple,
             fall_time=duties.fall_ms / 1000,
             memory={lane.name: lane.memory_ms / 1000 for lane in self._day.service.lanes if lane.memory_ms},
-            receipts={
-                lane.name: self._receipts(lane, machine) for lane in self._day.service.lanes if lane.memory_ms
-            },
+            receipts={lane.name: self._receipts(lane, machine) for lane in self._day.service.lanes if lane.memory_ms},
             report=units.report_ms / 1000,
             errors=units.errors,
             speed=self._speeds[machine.place],
@@ -187,9 +181,7 @@
             write=self.writes.get(machine.build.number, ""),
         )
         text = msgspec.json.encode(life).decode()
-        machine.process = await Process.start(
-            machine.name, self._folder / "errors.log", "lanelead.standins.unit", text
-        )
+        machine.process = await Process.start(machine.name, self._folder / "errors.log", "lanelead.standins.unit", text)
         await machine.process.ready()
         machine.started, machine.wanted = clock(), True
         self.tap.note("start", name=machine.name, pid=machine.process.process.pid, build=machine.build.number)
--- a/lanelead/days/frombench.py
+++ b/lanelead/days/frombench.py
@@ -31,9 +31,7 @@
 Made = list[dict[str, Any]]
 
 
-def _units(
-    kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0
-) -> Callable[[Trouble, Any], Made]:
+def _units(kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0) -> Callable[[Trouble, Any], Made]:
     def make(trouble: Trouble, scale: Any) -> Made:
         count = _part(trouble, scale["units"], scale["machines"])
         return [{"kind": kind, "count": count, "size": size(trouble)}]
@@ -41,9 +39,7 @@
     return make
 
 
-def _plain(
-    kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0
-) -> Callable[[Trouble, Any], Made]:
+def _plain(kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0) -> Callable[[Trouble, Any], Made]:
     return lambda trouble, scale: [{"kind": kind, "size": size(trouble)}]
 
 
@@ -123,9 +119,7 @@
     if rate > MOST_RATE:
         # The same load with fewer lookups: each is made so much longer.
         stretch = rate / MOST_RATE
-        said.append(
-            f"{MOST_RATE:g} lookups a second in place of {rate:.0f}, each {stretch:.1f} times the work"
-        )
+        said.append(f"{MOST_RATE:g} lookups a second in place of {rate:.0f}, each {stretch:.1f} times the work")
         work, rate = {lane: ms * stretch for lane, ms in work.items()}, MOST_RATE
     lanes = [_lane(row, said) for row in classes]
     members = [
@@ -269,9 +263,7 @@
         elif row["bad"] in ways:
             offer["bad"] = row["bad"]
         elif row["bad"]:
-            said.append(
-                f"cannot be carried over: a build that is bad by {row['bad']!r}; it is offered as a good one"
-            )
+            said.append(f"cannot be carried over: a build that is bad by {row['bad']!r}; it is offered as a good one")
         offers.append(offer)
     return offers
 
--- a/lanelead/days/judge.py
+++ b/lanelead/days/judge.py
@@ -209,9 +209,7 @@
         if len(mine) > 1:
             finding.breach(f"{ask['id']} at relay {ask['relay']}: {len(mine)} final answers")
         if mine[0]["t"] > due + slack:
-            finding.breach(
-                f"{ask['id']} at relay {ask['relay']}: answered {mine[0]['t'] - due:.3f} s too late"
-            )
+            finding.breach(f"{ask['id']} at relay {ask['relay']}: answered {mine[0]['t'] - due:.3f} s too late")
         if mine[0]["outcome"] not in ("done", "shed", "broken-off"):
             finding.breach(f"{ask['id']} at relay {ask['relay']}: answered as {mine[0]['outcome']!r}")
         if "echo" in mine[0]:
@@ -367,9 +365,7 @@
         # time.
         allowed = 1.5 * limit * span + 5
         if many > allowed:
-            finding.breach(
-                f"relay {relay}: trip {many} outside {home} in {span:g} s, of {allowed:.1f} allowed"
-            )
+            finding.breach(f"relay {relay}: trip {many} outside {home} in {span:g} s, of {allowed:.1f} allowed")
 
 
 def _returns(capture: Capture, finding: Finding) -> None:
@@ -484,9 +480,7 @@
             rows = [
                 Told(fact["t"], fact["build"], fact["stage"], fact["phase"], fact["cap"])
                 for fact in capture["desk-told"]
-                if fact["relay"] == relay
-                and begin - 3 <= fact["t"] <= end
-                and fact.get("word", "done") == "done"
+                if fact["relay"] == relay and begin - 3 <= fact["t"] <= end and fact.get("word", "done") == "done"
             ]
             news = News(rows, trial.caps)
             taken: dict[str | None, list[float]] = defaultdict(list)
@@ -541,18 +535,14 @@
         elif many > trial.free + cap * have + 1e-9:
             finding.breach(f"{at} is trip {many} in {window:g} s, of {trial.free + cap * have:.2f} allowed")
         stage = told.stage if told and told.build == build else 0
-        guarded = stage < trial.guarded and (
-            before is None or before.build != build or before.stage < trial.guarded
-        )
+        guarded = stage < trial.guarded and (before is None or before.build != build or before.stage < trial.guarded)
         if guarded and capture.lanes[trip["lane"]].repeat != "pure":
             finding.breach(f"{at}, in a stage that is guarded from lane {trip['lane']}")
     if trial.keys_stay:
         _keys(capture, finding, news, asks, trips, relay)
 
 
-def _keys(
-    capture: Capture, finding: Finding, news: News, asks: dict[str, Fact], trips: list[Fact], relay: int
-) -> None:
+def _keys(capture: Capture, finding: Finding, news: News, asks: dict[str, Fact], trips: list[Fact], relay: int) -> None:
     answered: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for fact in capture["answer"]:
         ask = asks.get(fact["id"])
@@ -566,15 +556,11 @@
         ties = [build for t, build in answered[ask["key"]] if t < trip["t"] - NEAR and build == told.build]
         steady = before is not None and (before.build, before.phase) == (told.build, told.phase)
         if ties and steady and trip["build"] < ties[-1] and not _recalled(news, told.build, trip["t"]):
-            finding.breach(
-                f"relay {relay}: {trip['id']} to build {trip['build']}, its key stays with {ties[-1]}"
-            )
+            finding.breach(f"relay {relay}: {trip['id']} to build {trip['build']}, its key stays with {ties[-1]}")
 
 
 def _recalled(news: News, build: int, t: float) -> bool:
-    return any(
-        row.build == build and row.phase in ("reverting", "withdrawn") and row.t <= t for row in news.rows
-    )
+    return any(row.build == build and row.phase in ("reverting", "withdrawn") and row.t <= t for row in news.rows)
 
 
 def _builds(capture: Capture) -> list[Offered]:
--- a/lanelead/days/play.py
+++ b/lanelead/days/play.py
@@ -266,9 +266,7 @@
             await self._until(offer.at)
             self.fleet.builds[number] = Build(number, offer.speed, offer.bad, offer.strength, offer.lane)
             self.tap.note("offer", build=number, bad=offer.bad)
-            self._say(
-                f"{clock() - self._began:5.1f} s  build {number} is offered{' (bad)' if offer.bad else ''}"
-            )
+            self._say(f"{clock() - self._began:5.1f} s  build {number} is offered{' (bad)' if offer.bad else ''}")
             self.desk.offer(number)
 
     def _moved(self, build: int, stage: int, phase: str) -> None:
@@ -286,19 +284,11 @@
             self.desk.machines_run(build, stage)
             if self.day.service.trial.in_place:
                 new = set(places)
-                old = [
-                    m
-                    for m in fleet.machines.values()
-                    if m.wanted and m.build.number < build and m.place in new
-                ]
+                old = [m for m in fleet.machines.values() if m.wanted and m.build.number < build and m.place in new]
                 await asyncio.gather(*(fleet.drain(machine, 0.5) for machine in old))
         elif phase == "released":
             self._share_slowness()
-            old = [
-                machine
-                for machine in fleet.machines.values()
-                if machine.wanted and machine.build.number < build
-            ]
+            old = [machine for machine in fleet.machines.values() if machine.wanted and machine.build.number < build]
             await asyncio.gather(*(fleet.drain(machine, 0.5) for machine in old))
         elif phase == "recall":
             earlier = max(number for number in fleet.builds if number < build)
@@ -342,9 +332,7 @@
             "drain": lambda machine: fleet.drain_and_return(machine, event.for_),
         }
         if event.kind.startswith("zone_"):
-            await asyncio.gather(
-                *(self._zone_event(event, m) for m in fleet.of_zone(event.zone or "", event.part))
-            )
+            await asyncio.gather(*(self._zone_event(event, m) for m in fleet.of_zone(event.zone or "", event.part)))
         elif event.kind in acts:
             await asyncio.gather(*(acts[event.kind](m) for m in fleet.choose(event.count, event.unit)))
         elif event.kind in AT_CLIENTS:
@@ -383,9 +371,7 @@
             self.post.loss = 0.0
         else:
             machines = fleet.choose(event.count, event.unit)
-            await asyncio.gather(
-                *(fleet.fault(machine, event.kind, event.size, event.for_) for machine in machines)
-            )
+            await asyncio.gather(*(fleet.fault(machine, event.kind, event.size, event.for_) for machine in machines))
 
     async def _zone_event(self, event: records.Event, machine: Machine) -> None:
         fleet = self.fleet
--- a/lanelead/decisions/choosing.py
+++ b/lanelead/decisions/choosing.py
@@ -19,8 +19,15 @@
     """`spared`: how long idle connections last; 0: no matter."""
 
     def __init__(
-        self, roster: Roster, guards: Guards, out: Outstanding, traffic: Traffic, figures: Figures,
-        spared: Ticks, place: Place, chance: Random,
+        self,
+        roster: Roster,
+        guards: Guards,
+        out: Outstanding,
+        traffic: Traffic,
+        figures: Figures,
+        spared: Ticks,
+        place: Place,
+        chance: Random,
     ) -> None:
         self._roster, self.guards, self.chance, self._out = roster, guards, chance, out
         self._traffic, self._figures, self._spared = traffic, figures, spared
--- a/lanelead/decisions/guards.py
+++ b/lanelead/decisions/guards.py
@@ -4,7 +4,19 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    SECOND, Allowance, Condition, Duties, Fate, Figures, Lane, Lookup, News, Phase, Repeat, Scope, Ticks,
+    SECOND,
+    Allowance,
+    Condition,
+    Duties,
+    Fate,
+    Figures,
+    Lane,
+    Lookup,
+    News,
+    Phase,
+    Repeat,
+    Scope,
+    Ticks,
     Trial,
 )
 from lanelead.decisions.servers import Roster, Server, Traffic, warmth
@@ -86,7 +98,12 @@
 
 class Guards:
     def __init__(
-        self, allowance: Allowance, duties: Duties, exposure: Exposure, roster: Roster, traffic: Traffic,
+        self,
+        allowance: Allowance,
+        duties: Duties,
+        exposure: Exposure,
+        roster: Roster,
+        traffic: Traffic,
         figures: Figures,
     ) -> None:
         self._allowance, self._duties, self.exposure = allowance, duties, exposure
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -4,7 +4,18 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    SECOND, Act, Control, Fate, News, Note, Phase, Poll, Ticks, Trial, Verdict, Vote,
+    SECOND,
+    Act,
+    Control,
+    Fate,
+    News,
+    Note,
+    Phase,
+    Poll,
+    Ticks,
+    Trial,
+    Verdict,
+    Vote,
 )
 from lanelead.decisions.scoring import FULL, Scoring
 from lanelead.decisions.servers import Roster, Traffic
--- a/lanelead/decisions/rules.py
+++ b/lanelead/decisions/rules.py
@@ -6,9 +6,41 @@
 from lanelead.decisions.choosing import Choice
 from lanelead.decisions.guards import NEVER_RAN, Exposure, Guards
 from lanelead.decisions.interface import (
-    SECOND, Act, Allowance, BreakOff, CallOff, Close, Coverage, Duties, Fate, Fetch, Figures, Lane, Listing,
-    Lookup, Member, News, Out, Phase, Place, Poll, Preference, Probe, Report, Send, Shed, Sighting, Tally,
-    Tariff, Ticks, Trial, Trip, Unit, Wake, Watch, Word,
+    SECOND,
+    Act,
+    Allowance,
+    BreakOff,
+    CallOff,
+    Close,
+    Coverage,
+    Duties,
+    Fate,
+    Fetch,
+    Figures,
+    Lane,
+    Listing,
+    Lookup,
+    Member,
+    News,
+    Out,
+    Phase,
+    Place,
+    Poll,
+    Preference,
+    Probe,
+    Report,
+    Send,
+    Shed,
+    Sighting,
+    Tally,
+    Tariff,
+    Ticks,
+    Trial,
+    Trip,
+    Unit,
+    Wake,
+    Watch,
+    Word,
 )
 from lanelead.decisions.journeys import Journey, Journeys
 from lanelead.decisions.rollout import Rollout
@@ -23,8 +55,17 @@
     chooses: type[Choice] = Choice
 
     def __init__(
-        self, place: Place, lanes: Sequence[Lane], members: Sequence[Member], allowance: Allowance,
-        duties: Duties, trial: Trial, poll: Poll, tariff: Tariff, chance: Random, now: Ticks,
+        self,
+        place: Place,
+        lanes: Sequence[Lane],
+        members: Sequence[Member],
+        allowance: Allowance,
+        duties: Duties,
+        trial: Trial,
+        poll: Poll,
+        tariff: Tariff,
+        chance: Random,
+        now: Ticks,
         preference: Preference = ANYWHERE,
     ) -> None:
         self.now, self.acts = now, list[Act]()
@@ -45,8 +86,14 @@
         self._spill = Spill(preference, duties, self.figures.longest, self._beat, chance)
         self._guards = Guards(allowance, duties, self._exposure, self._roster, self._traffic, self.figures)
         self._choice = self.chooses(
-            self._roster, self._guards, self._out, self._traffic, self.figures,
-            allowance.idle_limit if self._spares else 0, place, chance,
+            self._roster,
+            self._guards,
+            self._out,
+            self._traffic,
+            self.figures,
+            allowance.idle_limit if self._spares else 0,
+            place,
+            chance,
         )
         self._lost, self._untold = Fading(10 * SECOND), Untold(len(Fault))
         self._journeys = Journeys(self._send, lambda act: self.acts.append(act))
--- a/lanelead/decisions/servers.py
+++ b/lanelead/decisions/servers.py
@@ -7,8 +7,23 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    LOADS, Answered, Condition, Coverage, Duties, Lane, Least, Listing, Load, Member, Out, Pace, Sighting,
-    Ticks, Trip, Unit, Word,
+    LOADS,
+    Answered,
+    Condition,
+    Coverage,
+    Duties,
+    Lane,
+    Least,
+    Listing,
+    Load,
+    Member,
+    Out,
+    Pace,
+    Sighting,
+    Ticks,
+    Trip,
+    Unit,
+    Word,
 )
 from lanelead.decisions.sums import Fading
 
--- a/lanelead/decisions/zones.py
+++ b/lanelead/decisions/zones.py
@@ -12,9 +12,7 @@
 
 
 class Spill:
-    def __init__(
-        self, preference: Preference, duties: Duties, longest: Ticks, beat: Ticks, chance: Random
-    ) -> None:
+    def __init__(self, preference: Preference, duties: Duties, longest: Ticks, beat: Ticks, chance: Random) -> None:
         self._wants, self._duties, self._chance = preference, duties, chance
         self._longest, self._beat, self._rate, self._beats = longest, beat, 0.0, 0
         self.tiers = [Tier(2 * longest) for _ in preference.tiers]
--- a/lanelead/experiments/commands.py
+++ b/lanelead/experiments/commands.py
@@ -33,9 +33,15 @@
 @click.option("--capture", type=click.Path(file_okay=False), help="Where the capture is kept.")
 @click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
 def run_(
-    name: str, seed: int | None, policy: str, relays: int | None, units: int | None, rate: float | None,
-    capture: str | None, verdict: str | None,
-) -> None:  # fmt: skip
+    name: str,
+    seed: int | None,
+    policy: str,
+    relays: int | None,
+    units: int | None,
+    rate: float | None,
+    capture: str | None,
+    verdict: str | None,
+) -> None:
     """Plays NAME, a day's name or file, in the model. Exits as `day play` does."""
     try:
         day = load(name)
--- a/lanelead/experiments/plan.py
+++ b/lanelead/experiments/plan.py
@@ -15,9 +15,17 @@
 from lanelead.settings.records import Day, Experiment
 
 MEASURES = (
-    "service", "done", "shed", "broken_off", "p50_ms", "p99_ms", "released_s", "back_s", "wrong_end",
+    "service",
+    "done",
+    "shed",
+    "broken_off",
+    "p50_ms",
+    "p99_ms",
+    "released_s",
+    "back_s",
+    "wrong_end",
     "rules_broken",
-)  # fmt: skip
+)
 
 
 @dataclass(frozen=True)
@@ -65,9 +73,7 @@
         raise Unfit(faults) from None
     sets = [("experiment.set", plan.set)]
     for n, factor in enumerate(plan.factors):
-        sets += [
-            (f"experiment.factors[{n}].levels[{m}].set", level.set) for m, level in enumerate(factor.levels)
-        ]
+        sets += [(f"experiment.factors[{n}].levels[{m}].set", level.set) for m, level in enumerate(factor.levels)]
     for path, change in sets:
         for field in unknown(base, change, ""):
             blame(path, f"field {field[1:]!r}", "a field of the day")
--- a/lanelead/experiments/report.py
+++ b/lanelead/experiments/report.py
@@ -71,9 +71,15 @@
         places = [place + 0.06 * number for place, cell in enumerate(cells) if cell in mine]
         some = [mine[cell] for cell in cells if cell in mine]
         axis.errorbar(
-            places, [row["value"] for row in some], [row["width"] for row in some], fmt="o-", capsize=3,
-            label=policy, linewidth=0.8, markersize=4,
-        )  # fmt: skip
+            places,
+            [row["value"] for row in some],
+            [row["width"] for row in some],
+            fmt="o-",
+            capsize=3,
+            label=policy,
+            linewidth=0.8,
+            markersize=4,
+        )
     axis.set_xticks(range(len(cells)), cells, fontsize=8)
     axis.set_ylabel(measure)
     axis.legend(fontsize=8)
@@ -100,7 +106,5 @@
     found = [f"{plan.stop.measure}: levels | policy | runs | mean, half-width | more than {plan.baseline}"]
     for row in table(plan, rows, plan.stop.measure):
         more = f"{row['more']} +- {row['more_half']}" if row["more"] else "-"
-        found.append(
-            f"{row['cell']} | {row['policy']} | {row['runs']} | {row['mean']} +- {row['half']} | {more}"
-        )
+        found.append(f"{row['cell']} | {row['policy']} | {row['runs']} | {row['mean']} +- {row['half']} | {more}")
     return found
--- a/lanelead/experiments/run.py
+++ b/lanelead/experiments/run.py
@@ -63,9 +63,7 @@
         found["rules_broken"] = float(sum(finding.broken for finding in verdict.rules.values()))
         if verdict.builds:
             first = verdict.builds[0]
-            ended = {True: first.sent_back is not None, False: first.released is not None}[
-                first.bad is not None
-            ]
+            ended = {True: first.sent_back is not None, False: first.released is not None}[first.bad is not None]
             found["wrong_end"] = float(not ended or (first.bad is None and first.sent_back is not None))
             if first.released is not None:
                 found["released_s"] = first.released
@@ -83,9 +81,7 @@
     return mean, float(stats.t.ppf((1 + level) / 2, len(values) - 1)) * spread / math.sqrt(len(values))
 
 
-def paired(
-    rows: Rows, cell: str, policy: str, baseline: str, measure: str
-) -> tuple[float, float, int] | None:
+def paired(rows: Rows, cell: str, policy: str, baseline: str, measure: str) -> tuple[float, float, int] | None:
     """How much more a policy has than the baseline, seed by seed: mean, half-width, pairs."""
     ours, theirs = rows.get((cell, policy), {}), rows.get((cell, baseline), {})
     pairs = [
@@ -102,9 +98,7 @@
         body = db.execute("SELECT body FROM plan").fetchone()
         plan = msgspec.json.decode(body[0], type=Experiment)
         rows: Rows = {}
-        for cell, policy, seed, measure, value in db.execute(
-            "SELECT * FROM runs ORDER BY cell, policy, seed"
-        ):
+        for cell, policy, seed, measure, value in db.execute("SELECT * FROM runs ORDER BY cell, policy, seed"):
             rows.setdefault((cell, policy), {}).setdefault(seed, {})[measure] = value
         return plan, rows
     finally:
--- a/lanelead/hosting/door.py
+++ b/lanelead/hosting/door.py
@@ -27,12 +27,8 @@
 KINDS = 5  # kinds of fault in a sighting
 ROW = Struct(f">HHB{1 + KINDS}B")  # a sighting: unit mark, build, lane, outcomes, faults of each kind
 LOAD = Struct(">HB")  # a load: unit mark, trips out
-SHARED = (
-    255  # in the lane's place of a row: it is no sighting but two loads, which earlier programs pass over
-)
-LOADS_SHARED = Struct(
-    ">IBBIB"
-)  # wide mark, trips out, SHARED in the place that ROW has for the lane, the same
+SHARED = 255  # in the lane's place of a row: it is no sighting but two loads, which earlier programs pass over
+LOADS_SHARED = Struct(">IBBIB")  # wide mark, trips out, SHARED in the place that ROW has for the lane, the same
 SEEN_SHARED = Struct(f">IHB{1 + KINDS}B")  # a sighting by its unit's wide mark, in messages of their own form
 MESSAGE = 256  # the most bytes of one message between relays
 FORM, COUNT = 2, 5  # the messages' form, above the bits that count sightings: relays of two versions meet
--- a/lanelead/load/commands.py
+++ b/lanelead/load/commands.py
@@ -23,15 +23,25 @@
 @click.option("--left", default=0, type=click.IntRange(0), help="How long a client waits, in ms.")
 @click.option("--connections", default=256, type=click.IntRange(1, 20000))
 @click.option("--even", is_flag=True, help="Evenly spaced, rather than by chance.")
-@click.option(
-    "--ramp", default=1.0, type=click.FloatRange(0.01, 100), help="Rate at the end over the start's."
-)
+@click.option("--ramp", default=1.0, type=click.FloatRange(0.01, 100), help="Rate at the end over the start's.")
 @click.option("--seed", default=1, type=click.IntRange(0))
 @click.option("-o", "--out", type=click.Path(dir_okay=False), help="Adds the figures to results as SQLite.")
 def load(
-    relay: str, rate: float, seconds: float, method: str, path: str, member: tuple[str, ...], keys: int,
-    body: int, left: int, connections: int, even: bool, ramp: float, seed: int, out: str | None,
-) -> None:  # fmt: skip
+    relay: str,
+    rate: float,
+    seconds: float,
+    method: str,
+    path: str,
+    member: tuple[str, ...],
+    keys: int,
+    body: int,
+    left: int,
+    connections: int,
+    even: bool,
+    ramp: float,
+    seed: int,
+    out: str | None,
+) -> None:
     """Asks RELAY (HOST:PORT) at a steady rate, whether or not it answers.
 
     Times count from when each lookup was due. Exits with 3 where the rate could not be held: such a run says
--- a/lanelead/model/baselines.py
+++ b/lanelead/model/baselines.py
@@ -168,7 +168,13 @@
 
 
 POLICIES: dict[str, type[Relay]] = {
-    "lanelead": Relay, "random": Anyone, "least of two": LeastOfTwo, "least of all": LeastOfAll,
-    "round robin": RoundRobin, "peak ewma": PeakEwma, "by clock": ByClock, "error limit": ErrorLimit,
+    "lanelead": Relay,
+    "random": Anyone,
+    "least of two": LeastOfTwo,
+    "least of all": LeastOfAll,
+    "round robin": RoundRobin,
+    "peak ewma": PeakEwma,
+    "by clock": ByClock,
+    "error limit": ErrorLimit,
     "sequential": Sequential,
-}  # fmt: skip
+}
--- a/lanelead/model/circle.py
+++ b/lanelead/model/circle.py
@@ -36,9 +36,14 @@
     """`warm`: all know all from the start; else each but the first joins by the first ones' addresses."""
 
     def __init__(
-        self, many: int, seed: int, tempo: Tempo, wires: Wires, warm: bool = True,
+        self,
+        many: int,
+        seed: int,
+        tempo: Tempo,
+        wires: Wires,
+        warm: bool = True,
         kind: type[Membership] = Membership,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._kind = kind
         self.now: Ticks = 0
         self.wires, self._tempo, self._seed = wires, tempo, seed
@@ -63,9 +68,7 @@
         return Row(number, life, 0, ALIVE, number < 5, zone, "ab"[zone == "c"], host, PORT)
 
     def _begin(self, own: Row, known: list[Row]) -> None:
-        seeds = [
-            (row.host, row.port) for row in (self.row(n, 1) for n in self.seeds) if row.number != own.number
-        ]
+        seeds = [(row.host, row.port) for row in (self.row(n, 1) for n in self.seeds) if row.number != own.number]
         chance = Random(f"{self._seed} {own.number} {own.life}")
         others = [row for row in known if row.number != own.number]
         self.members[own.number] = self._kind(own, self._tempo, seeds, chance, self.now, others)
@@ -106,18 +109,12 @@
             if receiver in self.members and self.members[receiver].own.host != host:
                 continue  # it has moved
             for _ in range(1 + (chance.random() < wires.double)):
-                self._push(
-                    self.now + wires.least + int(chance.random() * wires.spread), receiver, text, source
-                )
+                self._push(self.now + wires.least + int(chance.random() * wires.spread), receiver, text, source)
         changes, member.changes = member.changes, []
         for change in changes:
             self.found.append((self.now, sender, change))
             now = change.now
-            if (
-                now.state == DEAD
-                and now.number in self.members
-                and self.members[now.number].own.life == now.life
-            ):
+            if now.state == DEAD and now.number in self.members and self.members[now.number].own.life == now.life:
                 self.wrong["stopped" if self.stopped.get(now.number, 0) > self.now else "running"] += 1
 
     def run(self, until: Ticks) -> None:
--- a/lanelead/model/configuration.py
+++ b/lanelead/model/configuration.py
@@ -58,9 +58,7 @@
 class Fleet:
     """`reaches(a, b)`: whether what `a` sends comes to `b`; ends are ("m", number) and ("r", number)."""
 
-    def __init__(
-        self, places: Sequence[Place], relays: Sequence[Place], seed: int, rate: float = 65536.0
-    ) -> None:
+    def __init__(self, places: Sequence[Place], relays: Sequence[Place], seed: int, rate: float = 65536.0) -> None:
         self.now, self._chance, self._rate = 0.0, Random(f"fleet {seed}"), rate
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = self._watches = 0
@@ -106,8 +104,7 @@
         """Whether a machine hears a majority of the voters."""
         here = ("m", number)
         heard = [
-            n == number
-            or (self.machines[n].up and self.reaches(("m", n), here) and self.reaches(here, ("m", n)))
+            n == number or (self.machines[n].up and self.reaches(("m", n), here) and self.reaches(here, ("m", n)))
             for n in range(self.voters)
         ]
         return self.machines[number].up and 2 * sum(heard) > self.voters
@@ -261,14 +258,10 @@
                     self.machines[act.source].watchers.pop(relay.number, None)
                 elif isinstance(act, AskOutline):
                     relay.sent += CALL
-                    self._ask(
-                        relay, act.source, partial(self._outline, relay, act, relay.watches[act.source])
-                    )
+                    self._ask(relay, act.source, partial(self._outline, relay, act, relay.watches[act.source]))
                 elif isinstance(act, AskBuckets):
                     relay.sent += CALL + 4 * len(act.numbers)
-                    self._ask(
-                        relay, act.source, partial(self._buckets, relay, act, relay.watches[act.source])
-                    )
+                    self._ask(relay, act.source, partial(self._buckets, relay, act, relay.watches[act.source]))
                 elif isinstance(act, Told):
                     relay.sent += CALL + len(encode(act.applied))
                     self._ask(relay, act.source, partial(self._applied, act))
@@ -321,16 +314,17 @@
         try:
             buckets = machine.source.buckets(act.version, act.numbers)
         except Gone:
-            self._to_relay(
-                act.source, relay.number, watch, lambda: relay.follower.gone(act.source, self.now), CALL
-            )
+            self._to_relay(act.source, relay.number, watch, lambda: relay.follower.gone(act.source, self.now), CALL)
             return
         length = len(encode(buckets))
         machine.sent += (size := wire(length))
         self._to_relay(
-            act.source, relay.number, watch,
-            lambda: relay.follower.bucketed(act.source, buckets, length, self.now), size,
-        )  # fmt: skip
+            act.source,
+            relay.number,
+            watch,
+            lambda: relay.follower.bucketed(act.source, buckets, length, self.now),
+            size,
+        )
 
     def _applied(self, act: Told) -> None:
         self.machines[act.source].source.applied(act.applied, self.now)
--- a/lanelead/model/steps.py
+++ b/lanelead/model/steps.py
@@ -184,9 +184,7 @@
     def _with(self, place: int, clerk: Clerk) -> tuple[Clerk, ...]:
         return (*self.clerks[:place], clerk, *self.clerks[place + 1 :])
 
-    def _step(
-        self, place: int, clerk: Clerk, want: Want, guards: Guards, fresh: tuple[Runner, ...]
-    ) -> Iterator[Scene]:
+    def _step(self, place: int, clerk: Clerk, want: Want, guards: Guards, fresh: tuple[Runner, ...]) -> Iterator[Scene]:
         shop, reply = self.shop.do(want, guards)
         yield replace(self, shop=shop, clerks=self._with(place, clerk.heard(want, reply, shop)))
         if not self.faults:
--- a/lanelead/model/town.py
+++ b/lanelead/model/town.py
@@ -123,10 +123,16 @@
             return
         warmth = self._warmth()
         self.note(
-            "trip", id=job.ident, op=job.op.ident, lane=job.lane, relay=job.host.number,
-            key=job.op.ident if job.trip.lookup.lane.repeat is Repeat.RECEIPTED else "", work=job.work,
-            build=self.life.build.number, warmth=round(warmth, 4),
-        )  # fmt: skip
+            "trip",
+            id=job.ident,
+            op=job.op.ident,
+            lane=job.lane,
+            relay=job.host.number,
+            key=job.op.ident if job.trip.lookup.lane.repeat is Repeat.RECEIPTED else "",
+            work=job.work,
+            build=self.life.build.number,
+            warmth=round(warmth, 4),
+        )
         self._weigh(job, warmth)
         if self.fallen or "mute" in self._faults:
             return
@@ -232,16 +238,27 @@
             tiers = ((self.zone,), *([others] if others else []))
             preference = Preference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
         decisions = make(
-            place=Place(number, day.relays, self.zone), lanes=self.lanes, members=list(self.members.values()),
-            allowance=service.allowance.figures(True), duties=duties, trial=service.trial.figures(),
-            poll=service.poll.figures(), tariff=records.TARIFF,
-            chance=stream(town.seed, f"relay {number} {town.clock.now}"), now=self.clock(),
+            place=Place(number, day.relays, self.zone),
+            lanes=self.lanes,
+            members=list(self.members.values()),
+            allowance=service.allowance.figures(True),
+            duties=duties,
+            trial=service.trial.figures(),
+            poll=service.poll.figures(),
+            tariff=records.TARIFF,
+            chance=stream(town.seed, f"relay {number} {town.clock.now}"),
+            now=self.clock(),
             preference=preference,
-        )  # fmt: skip
+        )
         self.driver = Driver(
-            decisions, self, self.clock, self.lanes, duties, service.allowance.open_lookups,
+            decisions,
+            self,
+            self.clock,
+            self.lanes,
+            duties,
+            service.allowance.open_lookups,
             records.ticks(service.allowance.longest_advice_ms),
-        )  # fmt: skip
+        )
 
     def clock(self) -> Ticks:
         return int(self.town.clock.now * 10_000)
@@ -365,9 +382,7 @@
         def note(what: str, **facts: Any) -> None:
             town.book.note("desk", what, **facts)
 
-        super().__init__(
-            day.service.trial, day.service.poll, stream(town.seed, "desk"), town.clock, note, town.moved
-        )
+        super().__init__(day.service.trial, day.service.poll, stream(town.seed, "desk"), town.clock, note, town.moved)
         self._town = town
         self.away, self.stale = False, 0.0
 
@@ -421,21 +436,38 @@
 
 
 SWITCHES: dict[str, Callable[[Town, bool, float], None]] = {
-    "roster_away": _roster, "desk_away": _desk, "desk_mute": _mute, "desk_stale": _stale,
+    "roster_away": _roster,
+    "desk_away": _desk,
+    "desk_mute": _mute,
+    "desk_stale": _stale,
     "peers_lost": _peers,
-}  # fmt: skip
+}
 AT_UNITS = (
-    "slow", "errors", "neighbour", "refuse", "deaf", "mute", "cut", "cut_answer", "trickle", "false_reports",
-)  # fmt: skip
+    "slow",
+    "errors",
+    "neighbour",
+    "refuse",
+    "deaf",
+    "mute",
+    "cut",
+    "cut_answer",
+    "trickle",
+    "false_reports",
+)
 
 
 class Town:
     """`make` makes each relay's decisions; `silent` keeps no capture, for large sizes."""
 
     def __init__(
-        self, day: records.Day, seed: int, make: Make = Relay, silent: bool = False, hop: float = 2e-4,
+        self,
+        day: records.Day,
+        seed: int,
+        make: Make = Relay,
+        silent: bool = False,
+        hop: float = 2e-4,
         far: float | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.day, self.seed, self._make, self.hop_mean = day, seed, make, hop
         self._far = hop if far is None else far
         self.clock = Clock(START)
@@ -537,9 +569,17 @@
         if self.demand.bad():
             self.bad.add(ident)
         self.book.note(
-            "clients", "ask", id=ident, op=op.ident, lane=op.lane, member=op.member, key=op.key,
-            relay=op.relay, left=left, nth=op.tries,
-        )  # fmt: skip
+            "clients",
+            "ask",
+            id=ident,
+            op=op.ident,
+            lane=op.lane,
+            member=op.member,
+            key=op.key,
+            relay=op.relay,
+            left=left,
+            nth=op.tries,
+        )
         asked = Asked(self, host, op, ident, self.clock.now, left)
         ticket = Ticket(ident, ASK, asked.replied)
         asked.ticket = ticket
@@ -549,9 +589,7 @@
         op.first = op.first or self.clock.now
         ticks = int(left * 10_000)
         wait = self.hop_mean
-        self.clock.later(
-            wait, lambda: host.whenever(lambda: host.driver.take(ticket, lane, member, op.key, ticks))
-        )
+        self.clock.later(wait, lambda: host.whenever(lambda: host.driver.take(ticket, lane, member, op.key, ticks)))
         host.asked[asked] = None
         if (after := self.demand.leaves(left)) is not None:
             self.clock.later(after, asked.leave)
@@ -595,28 +633,56 @@
         name = name or f"u{place:02d}b{build}"
         self._lives += 1
         life = Life(
-            name=name, folder="", zone=units.zones[place % len(units.zones)], cell=place // 4, port=1,
-            seed=self.seed * 1000 + self._lives, cores=units.cores, waiting_room=units.waiting_room,
-            connections=units.connections, cold_share=units.cold_share,
-            cold=units.cold_ms / 1000 if cold else 0.0, fall_multiple=duties.fall_multiple,
+            name=name,
+            folder="",
+            zone=units.zones[place % len(units.zones)],
+            cell=place // 4,
+            port=1,
+            seed=self.seed * 1000 + self._lives,
+            cores=units.cores,
+            waiting_room=units.waiting_room,
+            connections=units.connections,
+            cold_share=units.cold_share,
+            cold=units.cold_ms / 1000 if cold else 0.0,
+            fall_multiple=duties.fall_multiple,
             fall_time=duties.fall_ms / 1000,
             memory={lane.name: lane.memory_ms / 1000 for lane in self.day.service.lanes if lane.memory_ms},
-            receipts={}, report=units.report_ms / 1000, errors=units.errors, speed=self._speeds[place],
+            receipts={},
+            report=units.report_ms / 1000,
+            errors=units.errors,
+            speed=self._speeds[place],
             build=self.builds[build],
-        )  # fmt: skip
+        )
         machine = self.machines[name] = Machine(self, life, place)
         machine.note(
-            "up", unit=name, build=build, zone=life.zone, cell=life.cell, port=1, cores=life.cores,
-            cold_share=life.cold_share, cold=life.cold, speed=life.speed * life.build.speed,
-        )  # fmt: skip
+            "up",
+            unit=name,
+            build=build,
+            zone=life.zone,
+            cell=life.cell,
+            port=1,
+            cores=life.cores,
+            cold_share=life.cold_share,
+            cold=life.cold,
+            speed=life.speed * life.build.speed,
+        )
         self.book.note("processes", "start", name=name, pid=0, build=build)
         self.report(machine, "ready", cold, None if cold else 0.0)
         return machine
 
     def report(self, machine: Machine, condition: str, cold: bool = True, late: float | None = None) -> None:
         started = machine.started * 1000 if cold else None
-        row = Row(machine.life.name, "127.0.0.1", 1, machine.zone, machine.life.build.number, condition,  # type: ignore[arg-type]
-                  machine.life.cell, "std", started)  # fmt: skip
+        row = Row(
+            machine.life.name,
+            "127.0.0.1",
+            1,
+            machine.zone,
+            machine.life.build.number,
+            condition,  # type: ignore[arg-type]
+            machine.life.cell,
+            "std",
+            started,
+        )
         if late == 0.0:
             self._see(row)
         else:
@@ -634,9 +700,7 @@
                 self._list(host, "changes", [row])
 
     def _list(self, host: Host, coverage: str, rows: list[Row]) -> None:
-        self.book.note(
-            "roster", "told", relay=host.number, coverage=coverage, units=msgspec.to_builtins(rows)
-        )
+        self.book.note("roster", "told", relay=host.number, coverage=coverage, units=msgspec.to_builtins(rows))
         listed = Listed(coverage, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
         host.whenever(lambda: host.driver.listed(listed, 0))
 
@@ -698,8 +762,7 @@
                     self.clock.tell(self._drain(machine, 0.5))
         elif phase in ("recall", "reverting"):
             earlier = max(number for number in self.builds if number < build)
-            have = {m.place for m in self.machines.values() if m.up and not m.leaving
-                    and m.life.build.number < build}  # fmt: skip
+            have = {m.place for m in self.machines.values() if m.up and not m.leaving and m.life.build.number < build}
             missing = [place for place in range(count) if place not in have]
             if phase == "recall":
                 late = self.day.roster.late_ms / 1000 + 0.3
@@ -759,9 +822,7 @@
     # Events
 
     def _event(self, event: records.Event) -> Story:
-        self.book.note(
-            "conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count
-        )
+        self.book.note("conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count)
         kind, last = event.kind, event.for_
         if kind.startswith("zone_"):
             mine = [machine for machine in self.running() if machine.zone == event.zone]
@@ -782,8 +843,7 @@
             for machine in self._choose(event.count, event.unit):
                 self.clock.tell(self._hurt(machine, kind, event.size, last))
         elif kind not in SOCKETS_ONLY:
-            facts = {"kind": kind, "size": event.size, "extra": event.extra, "member": event.member,
-                     "lane": event.lane}  # fmt: skip
+            facts = {"kind": kind, "size": event.size, "extra": event.extra, "member": event.member, "lane": event.lane}
             self.demand.obey({"on": True, **facts})
             yield last
             self.demand.obey({"on": False, **facts})
@@ -866,9 +926,7 @@
     shed: int = 0
     broken_off: int = 0
     times: list[float] = field(default_factory=list)
-    asked_value: dict[str, float] = field(
-        default_factory=dict
-    )  # by what its client wants done, over all tries
+    asked_value: dict[str, float] = field(default_factory=dict)  # by what its client wants done, over all tries
     had_value: dict[str, float] = field(default_factory=dict)
 
 
@@ -892,9 +950,15 @@
         self.host.asked.pop(self, None)
         town = self.town
         town.book.note(
-            "clients", what, id=self.ident, op=self.op.ident, relay=self.host.number,
-            took=town.clock.now - self.began, late=town.clock.now - self.began - self.left, **facts,
-        )  # fmt: skip
+            "clients",
+            what,
+            id=self.ident,
+            op=self.op.ident,
+            relay=self.host.number,
+            took=town.clock.now - self.began,
+            late=town.clock.now - self.began - self.left,
+            **facts,
+        )
         town.freed(self.host.number)
         return True
 
@@ -909,9 +973,7 @@
         unit = host.driver.door.names[trip.unit] if trip is not None and outcome is Outcome.DONE else ""
         build = str(town.machines[unit].life.build.number) if unit else ""
         wrong = self.ident in town.wrong and outcome is Outcome.DONE
-        told = self._close(
-            "answer", status=status, outcome=outcome.value, unit=unit, build=build, wrong=wrong
-        )
+        told = self._close("answer", status=status, outcome=outcome.value, unit=unit, build=build, wrong=wrong)
         if not told:
             return
         counts = town.counts
--- a/lanelead/model/world.py
+++ b/lanelead/model/world.py
@@ -69,11 +69,18 @@
             tiers = ((zone,), *(tuple(z for z in tier if z != zone) for tier in plan.preference))
             tiers = tuple(tier for tier in tiers if tier)
         self.relay = Relay(
-            Place(number, plan.relays, zone), world.lanes, [],
+            Place(number, plan.relays, zone),
+            world.lanes,
+            [],
             Allowance(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
-            world.duties, world.trial, world.poll, Tariff(0, 0, 0, 0, 0, 0, 0, 1), Random(world.seed * 7919
-            + number), START, Preference(tiers),
-        )  # fmt: skip
+            world.duties,
+            world.trial,
+            world.poll,
+            Tariff(0, 0, 0, 0, 0, 0, 0, 1),
+            Random(world.seed * 7919 + number),
+            START,
+            Preference(tiers),
+        )
         if world.policy is not None:
             self.relay._spill = world.policy(tiers, world.duties, Random(world.seed * 31 + number))
         self.units: dict[Machine, Unit] = {}
@@ -138,9 +145,7 @@
         self._heap: list[tuple[Ticks, int, Callable[[], None]]] = []
         self._number = 0
         # A stream of chance for each purpose: what one part draws moves nothing in another.
-        self._arrivals, self._net, self._work = (
-            Random(f"{seed} {name}") for name in ("arrivals", "net", "work")
-        )
+        self._arrivals, self._net, self._work = (Random(f"{seed} {name}") for name in ("arrivals", "net", "work"))
         fleet = Random(f"{seed} fleet")
         ms = SECOND // 1000
         expected, limit = int(plan.expected * SECOND), int(plan.limit * SECOND)
@@ -149,19 +154,15 @@
             Lane("submit", expected, limit, 3.0, 0.2, Repeat.EFFECTFUL, Scope.ALL, 0, False, 0.0),
         ]
         cold = int(plan.cold * SECOND)
-        self.duties = Duties(
-            20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms
-        )
+        self.duties = Duties(20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms)
         self.trial = Trial((0.1, 1.0), (0.12, 1.0), 3.0, 3 * SECOND, False, 0, False, False)
         self.poll = Poll(Control.FIRST_VOICE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.35, 6.0, 0.0)
         self.machines = [
-            Machine(f"u{n}", plan.zones[n % len(plan.zones)], fleet.uniform(0.9, 1.1))
-            for n in range(plan.units)
+            Machine(f"u{n}", plan.zones[n % len(plan.zones)], fleet.uniform(0.9, 1.1)) for n in range(plan.units)
         ]
         weights = [fleet.lognormvariate(0, 0.5) for _ in range(plan.relays)]
         self.hosts = [
-            Host(self, n, plan.zones[n % len(plan.zones)], weights[n] / sum(weights))
-            for n in range(plan.relays)
+            Host(self, n, plan.zones[n % len(plan.zones)], weights[n] / sum(weights)) for n in range(plan.relays)
         ]
         self.capacity = sum(m.speed for m in self.machines) * plan.cores / plan.work  # lookups a second
         self.rate = plan.load * self.capacity
--- a/lanelead/node/client.py
+++ b/lanelead/node/client.py
@@ -58,9 +58,7 @@
 
     __slots__ = ("due", "size", "text", "ticket")
 
-    def __init__(
-        self, ticket: Ticket | None, text: bytes | None, due: float = math.inf, size: int = 0
-    ) -> None:
+    def __init__(self, ticket: Ticket | None, text: bytes | None, due: float = math.inf, size: int = 0) -> None:
         self.ticket, self.text, self.due = ticket, text, due  # when it is owed, on the loop's clock
         self.size = size  # bytes of its command
 
@@ -70,9 +68,24 @@
     sent can't be read (`judged`), or because the relay stops (`leaving`)."""
 
     __slots__ = (
-        "asked", "began", "closing", "discarded", "front", "held", "judged", "leaving", "moved", "owed",
-        "paused", "reader", "reading", "shut", "slots", "sock", "writing",
-    )  # fmt: skip
+        "asked",
+        "began",
+        "closing",
+        "discarded",
+        "front",
+        "held",
+        "judged",
+        "leaving",
+        "moved",
+        "owed",
+        "paused",
+        "reader",
+        "reading",
+        "shut",
+        "slots",
+        "sock",
+        "writing",
+    )
 
     def __init__(self, front: House, sock: socket.socket) -> None:
         self.front, self.sock = front, sock
--- a/lanelead/node/configuration.py
+++ b/lanelead/node/configuration.py
@@ -50,9 +50,7 @@
         self.values = Values()
         self.values.take(document, list(document.entries))
         here = Place(following.zone, following.region)
-        self.follower = Follower(
-            number, here, places, document, following.catch_up_bytes_per_s, chance, loop.time()
-        )
+        self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, chance, loop.time())
         self._tasks: dict[asyncio.Task[None], int | None] = {}  # what runs, and of which source's watch
         self._woken = asyncio.Event()
 
@@ -95,8 +93,12 @@
     def _take(self, version: int, keys: Sequence[str]) -> None:
         changed, faults = self.values.take(self.follower.document, keys)
         for fault in faults[:10]:
-            self._log.warning("an entry of the configuration was refused", version=version, reason=str(fault),
-                              remedy="its last good value stays in force")  # fmt: skip
+            self._log.warning(
+                "an entry of the configuration was refused",
+                version=version,
+                reason=str(fault),
+                remedy="its last good value stays in force",
+            )
         self.follower.refused = list(self.values.refused)
         self.follower.refusals = self.values.refusals
         if changed:
@@ -142,9 +144,7 @@
     async def _buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
         named = ",".join(str(number) for number in numbers).encode()
         try:
-            answer = await self._ask(
-                source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named)
-            )
+            answer = await self._ask(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
             buckets = decode(answer, Buckets, LONGEST)
         except (Failed, Malformed, TimeoutError):
             self.follower.gone(source, self._loop.time())
--- a/lanelead/node/desk.py
+++ b/lanelead/node/desk.py
@@ -91,9 +91,11 @@
             except (OSError, Malformed, TimeoutError) as fault:
                 if self.up:
                     self._log.warning(
-                        "feed down", feed="desk", reason=str(fault) or "silent",
+                        "feed down",
+                        feed="desk",
+                        reason=str(fault) or "silent",
                         remedy="look at the platform; votes wait until it is back",
-                    )  # fmt: skip
+                    )
             except Exception:
                 # Guards against a fault of ours on one line that would leave the relay without news for good.
                 self._log.exception("the desk's connection failed")
--- a/lanelead/node/feeds.py
+++ b/lanelead/node/feeds.py
@@ -65,9 +65,11 @@
             except (Failed, Malformed, TimeoutError) as fault:
                 if self.up:
                     self._log.warning(
-                        "feed down", feed="discovery", reason=str(fault) or "silent",
+                        "feed down",
+                        feed="discovery",
+                        reason=str(fault) or "silent",
                         remedy="look at discovery's agent; the last good list stays",
-                    )  # fmt: skip
+                    )
                 self._refused(fault)
             except Exception:
                 # Guards against a fault of ours on one list that would leave the relay without any for good.
@@ -109,9 +111,11 @@
         if (now := self._loop.time()) >= self._quiet:
             self._quiet = now + QUIET
             self._log.warning(
-                "list refused", reason=str(fault), refused=self._held.refused,
+                "list refused",
+                reason=str(fault),
+                refused=self._held.refused,
                 remedy="put right what discovery's agent sends; the last good list stays",
-            )  # fmt: skip
+            )
 
     def _doubt(self, found: Endpoints) -> None:
         """Guards against an old copy of the list, by which units that drain would be ready again. One that
--- a/lanelead/node/front.py
+++ b/lanelead/node/front.py
@@ -91,9 +91,7 @@
                 return False
             except OSError as fault:
                 if fault.errno in PASSING:
-                    self._log.warning(
-                        "cannot accept", reason=str(fault), remedy="more descriptors for the process"
-                    )
+                    self._log.warning("cannot accept", reason=str(fault), remedy="more descriptors for the process")
                     if not self._make_room():
                         self._rest()
                         return False
--- a/lanelead/node/inforce.py
+++ b/lanelead/node/inforce.py
@@ -32,14 +32,11 @@
 def without_figures(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
     """The classes, but for what may change without a restart."""
     return [
-        {field: value for field, value in row.items() if field not in FIGURES}
-        for row in settings.get(CLASSES) or ()
+        {field: value for field, value in row.items() if field not in FIGURES} for row in settings.get(CLASSES) or ()
     ]
 
 
-def changed(
-    old: Mapping[str, Any], new: Mapping[str, Any]
-) -> tuple[list[str], Mapping[str, Value], list[Unfit]]:
+def changed(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[list[str], Mapping[str, Value], list[Unfit]]:
     """The keys that a file says otherwise now, the values of all, and what is unfit, not among the keys."""
     before, now = dict(entries(old)), dict(entries(new))
     document, values = Document(len(now) + 1, 1 << 40), Values()
@@ -53,9 +50,7 @@
 class InForce:
     """`members` and `lanes` are the relay's own tables, by name; `retold` hears the sum of all quotas."""
 
-    def __init__(
-        self, members: dict[str, Member], lanes: Mapping[str, Lane], retold: Callable[[float], None]
-    ) -> None:
+    def __init__(self, members: dict[str, Member], lanes: Mapping[str, Lane], retold: Callable[[float], None]) -> None:
         self._members, self._lanes, self._retold = members, lanes, retold
 
     def put(self, keys: Iterable[str], values: Mapping[str, Value]) -> list[str]:
--- a/lanelead/node/links.py
+++ b/lanelead/node/links.py
@@ -203,8 +203,10 @@
         if trip is not None:
             if answer.code is None:
                 fate = Fate.DONE
+            elif answer.code == TURNED_AWAY:
+                fate = Fate.TURNED_AWAY
             else:
-                fate = Fate.TURNED_AWAY if answer.code == TURNED_AWAY else Fate.ERROR
+                fate = Fate.ERROR
             self._ended(trip, fate, answer)
         if probe is not None:
             report = report_of(answer.value, self._names) if answer.code is None else None
--- a/lanelead/node/lists.py
+++ b/lanelead/node/lists.py
@@ -26,10 +26,12 @@
             self.refused += len(refused)
             self._log.warning(
                 "entries refused",
-                version=found.version, many=len(refused), first=[entry.id[:64] for entry in refused[:NAMED]],
+                version=found.version,
+                many=len(refused),
+                first=[entry.id[:64] for entry in refused[:NAMED]],
                 reason=refused[0].reason,
                 remedy="put these entries right at discovery; what counted of these units last still counts",
-            )  # fmt: skip
+            )
         return taken
 
     def _last(self, name: str) -> Row | None:
--- a/lanelead/node/pools.py
+++ b/lanelead/node/pools.py
@@ -24,9 +24,21 @@
     """One connection to a unit."""
 
     __slots__ = (
-        "asked", "began", "connected", "late", "pool", "probe", "reader", "rest", "rested", "since", "sock",
-        "timer", "trip", "writing",
-    )  # fmt: skip
+        "asked",
+        "began",
+        "connected",
+        "late",
+        "pool",
+        "probe",
+        "reader",
+        "rest",
+        "rested",
+        "since",
+        "sock",
+        "timer",
+        "trip",
+        "writing",
+    )
 
     def __init__(self, sock: socket.socket, pool: Pool, longest: int) -> None:
         self.sock, self.pool, self.reader = sock, pool, UnitReader(longest, b"vitals")
--- a/lanelead/node/service.py
+++ b/lanelead/node/service.py
@@ -113,13 +113,9 @@
         self.driver.news(config.platform.news.line(), False, Fate.DONE)
         self._discovery: Succession[Discovery] = Succession(self._task)
         self._desk: Succession[Desk] = Succession(self._task)
-        self._letters = Letters(
-            self._loop, place.number, config.peers, self.driver.heard, self.after, self._log
-        )
+        self._letters = Letters(self._loop, place.number, config.peers, self.driver.heard, self.after, self._log)
         told = ("instances", "familyInfo", "contract", "allowed", "requestClasses")
-        self._log.info(
-            "told", **{name: config.settings.get(name) for name in told}, limits=str(config.limits)
-        )
+        self._log.info("told", **{name: config.settings.get(name) for name in told}, limits=str(config.limits))
 
     def _feed(self, config: Config) -> None:
         """Discovery and the desk as this configuration names them; earlier ones end once these speak."""
@@ -165,8 +161,10 @@
     def answer_signals(self) -> None:
         """SIGTERM and SIGINT stop the relay, SIGHUP moves its feeds."""
         for number, answer in (
-            (signal.SIGTERM, self.stop), (signal.SIGINT, self.stop), (signal.SIGHUP, self.reload),
-        ):  # fmt: skip
+            (signal.SIGTERM, self.stop),
+            (signal.SIGINT, self.stop),
+            (signal.SIGHUP, self.reload),
+        ):
             self._loop.add_signal_handler(number, answer)
 
     async def run(self, config: Config) -> None:
@@ -207,9 +205,10 @@
     def _put(self, keys: Sequence[str], values: Mapping[str, Value]) -> None:
         if unknown := self._in_force.put(keys, values):
             self._log.warning(
-                "figures of classes that the settings do not have", keys=unknown[:10],
+                "figures of classes that the settings do not have",
+                keys=unknown[:10],
                 remedy="name the class in the file and restart the relay, or remove the key",
-            )  # fmt: skip
+            )
         self._log.info("configuration in force", keys=len(keys), first=list(keys[:3]))
         self.after()
 
@@ -221,9 +220,7 @@
         for wait in waits:
             wait.cancel()
         if not self._knows.is_set():
-            self._log.warning(
-                "no list of units yet", remedy="look at discovery; lookups are refused until it answers"
-            )
+            self._log.warning("no list of units yet", remedy="look at discovery; lookups are refused until it answers")
 
     async def _serve(self, host: str, port: int) -> None:
         try:
@@ -329,8 +326,9 @@
         except Malformed as fault:
             self._log.error(
                 "configuration not read anew: all stays as it was",
-                reason=str(fault), remedy="put the file right and send SIGHUP again",
-            )  # fmt: skip
+                reason=str(fault),
+                remedy="put the file right and send SIGHUP again",
+            )
             return
         names = ("name", "listen", "limits", "peer_listen", "peers", "peers_all")
         kept = [name for name in names if getattr(config, name) != getattr(self._config, name)]
@@ -340,8 +338,10 @@
         kept += [f"settings.{name}" for name in paths if old.get(name) != new.get(name)]
         self._log.info(
             "configuration read anew",
-            discovery=config.discovery, desk=config.platform.address, ignored_until_restart=kept,
-        )  # fmt: skip
+            discovery=config.discovery,
+            desk=config.platform.address,
+            ignored_until_restart=kept,
+        )
         self._feed(config)
 
     def _take_figures(self, config: Config) -> list[str]:
@@ -350,9 +350,7 @@
         old, new = self._config.settings, config.settings
         keys, values, faults = changed(old, new)
         for fault in faults[:10]:
-            self._log.warning(
-                "a figure of the file was refused", reason=str(fault), remedy="the last good one stays"
-            )
+            self._log.warning("a figure of the file was refused", reason=str(fault), remedy="the last good one stays")
         if keys:
             self._put(keys, values)
         kept = {name: new.get(name) for name in (TENANTS, CLASSES)}
--- a/lanelead/protocols/steps.py
+++ b/lanelead/protocols/steps.py
@@ -69,9 +69,7 @@
     token: Whole
     intent: Whole
     part: Whole
-    statements: Annotated[
-        tuple[Annotated[str, Meta(max_length=65536)], ...], Meta(min_length=1, max_length=256)
-    ]
+    statements: Annotated[tuple[Annotated[str, Meta(max_length=65536)], ...], Meta(min_length=1, max_length=256)]
     span: Span | None = None
 
 
--- a/lanelead/relay/circle.py
+++ b/lanelead/relay/circle.py
@@ -20,15 +20,28 @@
     """Decides nothing: the members' own module does, lanelead/circle/members.py."""
 
     def __init__(
-        self, settings: records.Relay, loop: asyncio.AbstractEventLoop, udp: socket.socket,
-        clock: Callable[[], Ticks], log: Any,
-    ) -> None:  # fmt: skip
+        self,
+        settings: records.Relay,
+        loop: asyncio.AbstractEventLoop,
+        udp: socket.socket,
+        clock: Callable[[], Ticks],
+        log: Any,
+    ) -> None:
         circle, peers = settings.circle, settings.peers
         assert circle is not None and peers is not None
         self._loop, self._udp, self._clock, self._log = loop, udp, clock, log
         host, port = udp.getsockname()[:2]
-        own = Row(settings.number, time.time_ns() // 1_000_000, 0, ALIVE, False, settings.zone,
-                  circle.region(settings.zone), host, port)  # fmt: skip
+        own = Row(
+            settings.number,
+            time.time_ns() // 1_000_000,
+            0,
+            ALIVE,
+            False,
+            settings.zone,
+            circle.region(settings.zone),
+            host,
+            port,
+        )
         tempo = Tempo(records.ticks(circle.period_ms), records.ticks(circle.forget_ms))
         # Where peers are written down, their addresses stand above those that others tell.
         listed = {other.number: (other.host, other.port) for other in peers.others}
--- a/lanelead/relay/driver.py
+++ b/lanelead/relay/driver.py
@@ -230,9 +230,7 @@
                     since = old.since
             self.places[unit] = Destination(row.host, row.port, row.build, since)
             condition = Condition(row.condition)
-            listings.append(
-                Listing(unit, row.zone, row.cell, row.kind, since, row.build, row.size, condition)
-            )
+            listings.append(Listing(unit, row.zone, row.cell, row.kind, since, row.build, row.size, condition))
         coverage = Coverage.FULL if listed.coverage == "full" else Coverage.CHANGES
         if not self._listed:
             coverage, self._listed = Coverage.CACHED, True
@@ -279,9 +277,7 @@
         """The record of steps has grown. Raises Malformed where it follows no rules."""
         assert self.readiness is not None
         if page.last < self.readiness.record.seq:  # another store, or an old copy: what it says is not this
-            raise Malformed(
-                f"a record of {page.last} entries, of which {self.readiness.record.seq} were read"
-            )
+            raise Malformed(f"a record of {page.last} entries, of which {self.readiness.record.seq} were read")
         self._now()
         self.readiness.hear(page.entries)
         self._relist()
@@ -379,9 +375,7 @@
         self._number += 1
         heappush(self._timers, (when, self._number, what))
 
-    def _answer(
-        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Any, come_back: Ticks
-    ) -> None:
+    def _answer(self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Any, come_back: Ticks) -> None:
         if ticket.answered:  # exactly one final answer, whoever asks for another
             return
         ticket.answered = True
--- a/lanelead/relay/gate.py
+++ b/lanelead/relay/gate.py
@@ -86,9 +86,7 @@
                 if ask.method in methods:
                     return lane
                 fitting = True
-        raise Refused(
-            405 if fitting else 404, "no lane takes this method here" if fitting else "no such lane"
-        )
+        raise Refused(405 if fitting else 404, "no lane takes this method here" if fitting else "no such lane")
 
     def member_at(self, address: str) -> Member | None:
         """By the client's address, the narrowest network first."""
@@ -292,9 +290,7 @@
                 (b"retry-after", b"%d" % seconds),
                 (b"lanelead-come-back", b"%d" % (come_back // 10)),
             ]
-            text = writing.answer(
-                503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46"
-            )
+            text = writing.answer(503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46")
         else:
             status = 504 if ticket.late else 502
             fields = [*PLAIN, ident, word]
@@ -405,9 +401,7 @@
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self._most = min(self.allowance.open_connections, max(1, (limit - SPARE) // 2))
         if self._most < self.allowance.open_connections:
-            log.warning(
-                "descriptors allow fewer clients than the settings", clients=self._most, descriptors=limit
-            )
+            log.warning("descriptors allow fewer clients than the settings", clients=self._most, descriptors=limit)
         self.malformed = 0
 
     def listen(self, host: str, port: int) -> tuple[str, int]:
--- a/lanelead/relay/service.py
+++ b/lanelead/relay/service.py
@@ -268,11 +268,7 @@
     # Feeds
 
     def _feed(self, name: str, what: Any) -> None:
-        if (
-            (old := self._feeds.get(name)) is not None
-            and not old.done()
-            and old is not asyncio.current_task()
-        ):
+        if (old := self._feeds.get(name)) is not None and not old.done() and old is not asyncio.current_task():
             old.cancel()
         self._feeds[name] = self._loop.create_task(what)
 
@@ -399,9 +395,7 @@
     # Peers
 
     def _open_peers(self, peers: records.Peers) -> None:
-        sock = socket.socket(
-            socket.AF_INET6 if ":" in peers.listen.host else socket.AF_INET, socket.SOCK_DGRAM
-        )
+        sock = socket.socket(socket.AF_INET6 if ":" in peers.listen.host else socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         sock.bind((peers.listen.host, peers.listen.port))
         self._udp = sock
--- a/lanelead/settings/cue.py
+++ b/lanelead/settings/cue.py
@@ -201,9 +201,7 @@
     def definitions(self, tree: Tree[Token]) -> dict[str, Value]:
         scope = self._scope(tree, None)
         return {
-            name: self._named(name, scope, trees, name)
-            for name, trees in scope.fields.items()
-            if name.startswith("#")
+            name: self._named(name, scope, trees, name) for name, trees in scope.fields.items() if name.startswith("#")
         }
 
     @staticmethod
@@ -328,9 +326,7 @@
 
     def _reference(self, tree: Tree[Token], scope: Scope, where: str) -> Value:
         spot = self._spot(tree)
-        name, *path = [
-            str(part.children[0]) if isinstance(part, Tree) else str(part) for part in tree.children
-        ]
+        name, *path = [str(part.children[0]) if isinstance(part, Tree) else str(part) for part in tree.children]
         if not path and name in KINDS:
             return Limits(spot, name)
         if not path and name in ATOMS:
--- a/lanelead/settings/read.py
+++ b/lanelead/settings/read.py
@@ -151,9 +151,7 @@
                 faults.append(Fault(spots[path], path, f"{zone!r} again", "a zone in one tier only"))
     if record.spill and record.zone not in record.spill.tiers[0]:
         path = "relay.spill.tiers[0]"
-        faults.append(
-            Fault(spots[path], path, f"{record.spill.tiers[0]}", f"the relay's own zone {record.zone!r}")
-        )
+        faults.append(Fault(spots[path], path, f"{record.spill.tiers[0]}", f"the relay's own zone {record.zone!r}"))
     if record.circle is not None:
         faults += _circle(record, record.circle, spots, named)
     for name in ("roster", "desk"):
--- a/lanelead/standins/capture.py
+++ b/lanelead/standins/capture.py
@@ -46,11 +46,7 @@
                 continue
             try:
                 fact = msgspec.json.decode(line)
-                if (
-                    not isinstance(fact, dict)
-                    or "ev" not in fact
-                    or not isinstance(fact.get("t"), float | int)
-                ):
+                if not isinstance(fact, dict) or "ev" not in fact or not isinstance(fact.get("t"), float | int):
                     raise msgspec.DecodeError("no event")
             except msgspec.DecodeError as fault:
                 if number == len(lines) - 1:
--- a/lanelead/standins/clients.py
+++ b/lanelead/standins/clients.py
@@ -186,9 +186,7 @@
             if (wait := at - clock()) > 0:
                 await asyncio.sleep(wait)
             self._try(self.demand.draw(clock()))
-        await asyncio.sleep(
-            max(lane.outer_limit_ms for lane in crowd.service.lanes) / 1000 + 2 * crowd.slack + 0.6
-        )
+        await asyncio.sleep(max(lane.outer_limit_ms for lane in crowd.service.lanes) / 1000 + 2 * crowd.slack + 0.6)
         self.tap.note("end")
 
     # Tries
@@ -304,9 +302,7 @@
                 writer.write(writing.request("POST", b"/.lanelead/complaint", fields, body))
                 status = await reader.readline()
                 writer.close()
-            self.tap.note(
-                "complaint", unit=unit, lane=op.lane, relay=relay, answer=status.decode("latin-1").strip()
-            )
+            self.tap.note("complaint", unit=unit, lane=op.lane, relay=relay, answer=status.decode("latin-1").strip())
         except (OSError, TimeoutError):
             pass
 
--- a/lanelead/standins/demand.py
+++ b/lanelead/standins/demand.py
@@ -17,9 +17,7 @@
 
     __slots__ = ("due", "first", "ident", "key", "lane", "member", "relay", "tries", "work")
 
-    def __init__(
-        self, ident: str, lane: str, member: str | None, key: str | None, work: float, relay: int
-    ) -> None:
+    def __init__(self, ident: str, lane: str, member: str | None, key: str | None, work: float, relay: int) -> None:
         self.ident, self.lane, self.member, self.key = ident, lane, member, key
         self.work, self.relay, self.tries = work, relay, 0
         self.due = 0.0
--- a/lanelead/standins/engine.py
+++ b/lanelead/standins/engine.py
@@ -107,10 +107,7 @@
         self._recent_sum += job.work
         while self._recent and self._recent[0][0] < now - life.fall_time:
             self._recent_sum -= self._recent.popleft()[1]
-        if (
-            self._recent_sum > life.fall_multiple * self._capacity() * life.fall_time + 8 * 0.1
-            and not self.fallen
-        ):
+        if self._recent_sum > life.fall_multiple * self._capacity() * life.fall_time + 8 * 0.1 and not self.fallen:
             self.fallen = True
             self.fell(self._recent_sum, warmth)
 
--- a/lanelead/standins/interrupts.py
+++ b/lanelead/standins/interrupts.py
@@ -183,9 +183,13 @@
         return self.start(file)
 
     def go(
-        self, place: Place, what: str = "run", at: Callable[[str], None] = lambda point: None,
-        name: str = "one", ttl: float = 0.05,
-    ) -> Stop:  # fmt: skip
+        self,
+        place: Place,
+        what: str = "run",
+        at: Callable[[str], None] = lambda point: None,
+        name: str = "one",
+        ttl: float = 0.05,
+    ) -> Stop:
         """A whole run in this thread. Raises Killed where `at` does."""
 
         async def whole() -> Stop:
--- a/lanelead/standins/polling.py
+++ b/lanelead/standins/polling.py
@@ -125,9 +125,15 @@
     def told(self, relay: int, line: NewsLine, **more: Any) -> None:
         """Takes note of what a relay is told."""
         self._note(
-            "told", relay=relay, build=line.build, stage=line.stage, phase=line.phase, cap=line.cap,
-            age=line.age_ms / 1000, **more,
-        )  # fmt: skip
+            "told",
+            relay=relay,
+            build=line.build,
+            stage=line.stage,
+            phase=line.phase,
+            cap=line.cap,
+            age=line.age_ms / 1000,
+            **more,
+        )
 
     def vote(self, vote: VoteAsk) -> tuple[str, NewsLine | None]:
         """A relay's vote: the word on it, and the news that goes with it; none where the desk is mute."""
@@ -144,9 +150,15 @@
         if counts:
             self._votes[vote.relay] = (vote.verdict, vote.stage, now)
         self._note(
-            "vote", relay=vote.relay, build=vote.build, stage=vote.stage, verdict=vote.verdict, word=word,
-            counts=counts, mute=self.mute,
-        )  # fmt: skip
+            "vote",
+            relay=vote.relay,
+            build=vote.build,
+            stage=vote.stage,
+            verdict=vote.verdict,
+            word=word,
+            counts=counts,
+            mute=self.mute,
+        )
         line = None if self.mute else self.line()
         if line is not None:
             self.told(vote.relay, line, word=word)
--- a/lanelead/standins/saboteur.py
+++ b/lanelead/standins/saboteur.py
@@ -64,9 +64,7 @@
     """Sends an effectful lookup again after an error, whether it ran or not."""
 
     def ended(self, trip: Trip, fate: Fate, closed: bool, took: int, report: Report | None) -> None:
-        told = (
-            Fate.TURNED_AWAY if fate is Fate.ERROR and trip.lookup.lane.repeat is Repeat.EFFECTFUL else fate
-        )
+        told = Fate.TURNED_AWAY if fate is Fate.ERROR and trip.lookup.lane.repeat is Repeat.EFFECTFUL else fate
         self._decisions.ended(trip, told, closed, took, report)
 
 
--- a/lanelead/standins/stepstore.py
+++ b/lanelead/standins/stepstore.py
@@ -119,8 +119,14 @@
         status, body = super().handle(method, path, ask, query)
         if path == "/apply":
             sent = msgspec.json.decode(ask.body) if status in (200, 409, 422) else {}
-            self.note("effect_asked", status=status, intent=sent.get("intent"), part=sent.get("part"),
-                      token=sent.get("token"), said=msgspec.json.decode(body))  # fmt: skip
+            self.note(
+                "effect_asked",
+                status=status,
+                intent=sent.get("intent"),
+                part=sent.get("part"),
+                token=sent.get("token"),
+                said=msgspec.json.decode(body),
+            )
         elif path in ("/seen", "/lease", "/forget"):
             self.note("said", path=path, status=status, body=msgspec.json.decode(ask.body))
         return status, body
@@ -161,9 +167,7 @@
     tap = Tap(Path(folder), "store") if folder else None
     store = FaultyStore(Ledger(file), tap)
     reader = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
-    )
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
     async def orders() -> None:
         while line := await reader.readline():
--- a/lanelead/steps/commands.py
+++ b/lanelead/steps/commands.py
@@ -165,21 +165,32 @@
         click.option("--past-back", is_flag=True, help="Steps may make a way back impossible."),
         click.option("--without-relay", multiple=True, type=click.IntRange(0), help="It is gone for good."),
         click.option("--ttl", default=5.0, type=click.FloatRange(0.2, 3600), help="Seconds of a lease."),
-        click.option("--patience", default=30.0, type=click.FloatRange(0, 86400),
-                     help="Seconds to wait for a store, a lease or relays."),
+        click.option(
+            "--patience",
+            default=30.0,
+            type=click.FloatRange(0, 86400),
+            help="Seconds to wait for a store, a lease or relays.",
+        ),
         click.option("--console", is_flag=True, help="Logs for people rather than JSON lines."),
         click.option("--to", default="", help="The last step to apply, or to undo."),
         STORE,
         click.argument("file", type=click.Path()),
-    ):  # fmt: skip
+    ):
         command = option(command)
     return command
 
 
 def start(
-    what: str, file: str, store: str, to: str, past_back: bool, without_relay: tuple[int, ...], ttl: float,
-    patience: float, console: bool,
-) -> None:  # fmt: skip
+    what: str,
+    file: str,
+    store: str,
+    to: str,
+    past_back: bool,
+    without_relay: tuple[int, ...],
+    ttl: float,
+    patience: float,
+    console: bool,
+) -> None:
     where, (found,) = address(store), load((file,))
     goal = Goal(found, what, to, past_back)
     stop = asyncio.run(conduct(goal, where, frozenset(without_relay), ttl, patience, console))
--- a/lanelead/steps/plan.py
+++ b/lanelead/steps/plan.py
@@ -74,8 +74,11 @@
         here.add(step.name)
         owners.setdefault(step.name, plan.name)
         if (step.kind == "backfill") is (step.batch is None):
-            found, wanted = ("none", "the batches of a backfill") if step.batch is None else (
-                "batches", "none: only a backfill goes in batches")  # fmt: skip
+            found, wanted = (
+                ("none", "the batches of a backfill")
+                if step.batch is None
+                else ("batches", "none: only a backfill goes in batches")
+            )
             faults.append(Fault(spot, f"{path}.batch", found, wanted))
 
 
--- a/lanelead/steps/record.py
+++ b/lanelead/steps/record.py
@@ -205,11 +205,7 @@
             return f"rule 6: {name!r} is {stand.value}, with no intent to {entry.way} it"
         if entry.kind == "resumed" and stand is not Stand.FAILED:
             return f"rule 6: {name!r} has not failed"
-        if (
-            entry.kind == "dropped"
-            and stand is not Stand.CLOSING
-            and (stand is not Stand.FAILED or mark.parts)
-        ):
+        if entry.kind == "dropped" and stand is not Stand.CLOSING and (stand is not Stand.FAILED or mark.parts):
             return f"rule 6: {name!r} is {stand.value}, and some of it was had"
         return ""
 
--- a/lanelead/steps/runner.py
+++ b/lanelead/steps/runner.py
@@ -146,9 +146,7 @@
         if self.goal.what == "take":
             return Stop(True, "taken up: its builds have traffic as its steps allow")
         if (mark := record.under_way()) is not None:
-            return (
-                self._closing(record, mark) if mark.stand is Stand.CLOSING else self._intended(record, mark)
-            )
+            return self._closing(record, mark) if mark.stand is Stand.CLOSING else self._intended(record, mark)
         if (mark := record.failed()) is not None:
             return self._failed(record, mark)
         return self._next(record)
@@ -215,9 +213,7 @@
     def _begin(self, record: Record, mark: Mark, way: Way) -> Want:
         name, taken = mark.step.name, record.takes(mark, way)
         if taken and way == "apply" and not self.goal.past_back:
-            return Stop(
-                False, f"{name!r} would make a way back to build {taken[0]} impossible: say --past-back"
-            )
+            return Stop(False, f"{name!r} would make a way back to build {taken[0]} impossible: say --past-back")
         entry = Entry("closing", name, way) if taken else Entry("intent", name, way)
         if why := record.allows(entry):
             return Stop(False, why)
@@ -251,7 +247,5 @@
                     resumed = self.resumed or entry.kind == "resumed"
                     if goal.what == "resume" and entry.way == "undo" and entry.kind in ("resumed", "done"):
                         goal = replace(goal, what="undo", to=entry.step)  # what is resumed is a way back
-                    return replace(
-                        self, goal=goal, marks=None, seen=False, tries=0, failure="", resumed=resumed
-                    )
+                    return replace(self, goal=goal, marks=None, seen=False, tries=0, failure="", resumed=resumed)
                 return replace(self, read=True)
--- a/lanelead/store/ledger.py
+++ b/lanelead/store/ledger.py
@@ -177,8 +177,7 @@
     def seen(self, relay: int, seq: int) -> None:
         with self._change("seen") as db:
             db.execute(
-                f"INSERT INTO {OURS}seen VALUES (?, ?) ON CONFLICT (relay) DO UPDATE SET seq = "
-                "MAX(seq, excluded.seq)",
+                f"INSERT INTO {OURS}seen VALUES (?, ?) ON CONFLICT (relay) DO UPDATE SET seq = MAX(seq, excluded.seq)",
                 (relay, min(seq, self.last())),
             )
 
@@ -237,9 +236,7 @@
                 db.set_authorizer(None)
         if cursor is None and ask.span is not None:
             cursor = ask.span.low
-        db.execute(
-            f"INSERT INTO {OURS}marks VALUES (?, ?, ?, ?, ?)", (ask.intent, ask.part, cursor, more, rows)
-        )
+        db.execute(f"INSERT INTO {OURS}marks VALUES (?, ?, ?, ?, ?)", (ask.intent, ask.part, cursor, more, rows))
 
     def _reach(self, db: sqlite3.Connection, span: Span) -> tuple[int | None, bool, int]:
         """The last key of the next batch, or none where no row is left; whether more follow; how many."""
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -82,9 +82,7 @@
         while True:
             await asyncio.sleep(1)
             for caller in list(self._watchers):
-                self._catch_up(
-                    caller
-                )  # guards against an entry on disk whose call was cut before it was told
+                self._catch_up(caller)  # guards against an entry on disk whose call was cut before it was told
                 caller.write(chunk(b"\n"))
 
     def heard(self, caller: Caller, ask: Ask) -> None:
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -19,9 +19,16 @@
 def entry(unit: Unit, **fields: Any) -> dict[str, Any]:
     """A unit's entry; a field given as None is left out."""
     found = {
-        "id": unit.name, "addr": f"127.0.0.1:{unit.port}", "zone": "north", "kind": "k", "cell": 0,
-        "state": "active", "weight": 1.0, "started_ms": 0, "revision_no": 1,
-    }  # fmt: skip
+        "id": unit.name,
+        "addr": f"127.0.0.1:{unit.port}",
+        "zone": "north",
+        "kind": "k",
+        "cell": 0,
+        "state": "active",
+        "weight": 1.0,
+        "started_ms": 0,
+        "revision_no": 1,
+    }
     return {name: value for name, value in (found | fields).items() if value is not None}
 
 
@@ -63,9 +70,7 @@
 
     async def open(self, port: int = 0) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(
-            lambda: Caller(self._heard, self._callers.append), "127.0.0.1", port
-        )
+        self._server = await loop.create_server(lambda: Caller(self._heard, self._callers.append), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def _heard(self, caller: Caller, ask: Ask) -> None:
--- a/tests/configurationhand.py
+++ b/tests/configurationhand.py
@@ -42,9 +42,12 @@
     """`here` is the document of the relay; it stands in zone a of region one."""
 
     def __init__(
-        self, here: Document | None = None, places: Sequence[Place] = PLACES[:1], rate: float = 1e9,
+        self,
+        here: Document | None = None,
+        places: Sequence[Place] = PLACES[:1],
+        rate: float = 1e9,
         seed: int = 1,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.now = 100.0
         self.follower = Follower(
             7, Place("a", "one"), places, Document() if here is None else here, rate, Random(seed), self.now
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -136,16 +136,12 @@
 class Followed:
     """A feed that follows these machines, the first one of its own zone."""
 
-    def __init__(
-        self, machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]], **more: Any
-    ) -> None:
+    def __init__(self, machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
         self.log, self.changed, self.puts = Log(), list[str](), 0
         sources = [SourceAt(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
         following = Following(sources, **more)
-        self.feed = Feed(
-            asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log
-        )  # fmt: skip
+        self.feed = Feed(asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log)
 
     def _put(self, keys: Sequence[str], values: Mapping[str, Value]) -> None:
         self.puts += 1
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -5,8 +5,32 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    Act, Allowance, BreakOff, Condition, Control, Coverage, Duties, Fate, Lane, Listing, Lookup, News, Phase,
-    Place, Poll, Repeat, Scope, Send, Shed, Tariff, Ticks, Trial, Trip, Unit, Vote, Wake,
+    Act,
+    Allowance,
+    BreakOff,
+    Condition,
+    Control,
+    Coverage,
+    Duties,
+    Fate,
+    Lane,
+    Listing,
+    Lookup,
+    News,
+    Phase,
+    Place,
+    Poll,
+    Repeat,
+    Scope,
+    Send,
+    Shed,
+    Tariff,
+    Ticks,
+    Trial,
+    Trip,
+    Unit,
+    Vote,
+    Wake,
 )
 from lanelead.decisions.rules import Relay
 
@@ -18,29 +42,46 @@
 
 class FakeHost:
     def __init__(
-        self, units: int = 8, by_lane: bool = False, guarded: int = 0, keys_stay: bool = False,
-        control: Control = Control.FIRST_VOICE, copies: bool = True, probes: bool = False, now: Ticks = 0,
-        relays: int = 3, number: int = 0, probe_price: float = 0.0,
-        handshake_price: float = 0.0, idle_limit: Ticks = 0, least_stage: Ticks = SECOND,
+        self,
+        units: int = 8,
+        by_lane: bool = False,
+        guarded: int = 0,
+        keys_stay: bool = False,
+        control: Control = Control.FIRST_VOICE,
+        copies: bool = True,
+        probes: bool = False,
+        now: Ticks = 0,
+        relays: int = 3,
+        number: int = 0,
+        probe_price: float = 0.0,
+        handshake_price: float = 0.0,
+        idle_limit: Ticks = 0,
+        least_stage: Ticks = SECOND,
     ) -> None:
         self.acts: list[Act] = []
         self.wakes: list[tuple[Ticks, Lookup | None]] = []
         self.relay = Relay(
-            place=Place(number, relays, "z"), lanes=[PURE, RECEIPTED, EFFECTFUL], members=[],
-            allowance=Allowance(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4,
-                                idle_limit),
+            place=Place(number, relays, "z"),
+            lanes=[PURE, RECEIPTED, EFFECTFUL],
+            members=[],
+            allowance=Allowance(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
             duties=Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
             trial=Trial((0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False),
             poll=Poll(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
             tariff=Tariff(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
-            chance=Random(7), now=now,
+            chance=Random(7),
+            now=now,
         )
         self.relay.now = now
         self.units = [self.listed(1) for _ in range(units)]
         self.news(1, 2, Phase.RELEASED, 1.0)
 
     def listed(
-        self, build: int, since: Ticks = 0, condition: Condition = Condition.READY, unit: Unit | None = None,
+        self,
+        build: int,
+        since: Ticks = 0,
+        condition: Condition = Condition.READY,
+        unit: Unit | None = None,
         zone: str = "z",
     ) -> Unit:
         unit = unit or self.relay.meet(0)
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -110,14 +110,17 @@
 
     def front(self, number: int, relays: int) -> Front:
         relay = Relay(
-            place=Place(number, relays, "z"), lanes=[LANE], members=self.members,
-            allowance=Allowance(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4,
-                                15 * SECOND),
-            duties=self.duties, trial=Trial((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
+            place=Place(number, relays, "z"),
+            lanes=[LANE],
+            members=self.members,
+            allowance=Allowance(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
+            duties=self.duties,
+            trial=Trial((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
             poll=Poll(Control.FIRST_VOICE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
             tariff=Tariff(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
-            chance=Random(self.chance.random()), now=self.now,
-        )  # fmt: skip
+            chance=Random(self.chance.random()),
+            now=self.now,
+        )
         relay.now = self.now
         front = Front(relay, [relay.meet(place + 1) for place in range(len(self.units))])
         self.tell(front)
--- a/tests/machinegroup.py
+++ b/tests/machinegroup.py
@@ -36,10 +36,15 @@
 
     def settings(self, number: int) -> Path:
         rows = [
-            {"number": other, "zone": f"zone-{other % 2}", "region": "hellas", "voter": other < self.voters,
-             "address": self.at(number)[0] if other == number else self.wires.address(number, other)}
+            {
+                "number": other,
+                "zone": f"zone-{other % 2}",
+                "region": "hellas",
+                "voter": other < self.voters,
+                "address": self.at(number)[0] if other == number else self.wires.address(number, other),
+            }
             for other in range(self.many)
-        ]  # fmt: skip
+        ]
         file = self.folder / f"machine-{number}.json"
         store = str(self.folder / f"machine-{number}.sqlite")
         bounds = {"connections": 64, "log_changes": 50}
@@ -51,10 +56,16 @@
             for file in self.folder.glob(f"machine-{number}.sqlite*"):
                 file.unlink()
         self.processes[number] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lanelead", "configuration", "serve", str(self.settings(number)),
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
+            sys.executable,
+            "-m",
+            "lanelead",
+            "configuration",
+            "serve",
+            str(self.settings(number)),
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
-        )  # fmt: skip
+        )
         out = self.processes[number].stdout
         assert out is not None
         assert (await out.readline()).startswith(b"ready")
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -54,9 +54,7 @@
 
 def proposal(ident: str, key: str = "tenant/a", value: Any = None, **expect: int) -> Proposal:
     body = msgspec.json.encode({"quota_per_s": 1.0} if value is None else value)
-    return Proposal(
-        ident, [Entry(key, msgspec.Raw(body))], {k.replace("_", "/"): v for k, v in expect.items()}
-    )
+    return Proposal(ident, [Entry(key, msgspec.Raw(body))], {k.replace("_", "/"): v for k, v in expect.items()})
 
 
 @dataclass
@@ -103,9 +101,14 @@
         holding = Holding(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
         others = [other for other in range(self.many) if other != number]
         machine = Machine(
-            number, list(self.voters), others, holding, self.chance, self.now,
+            number,
+            list(self.voters),
+            others,
+            holding,
+            self.chance,
+            self.now,
             lambda text, remedy: self.notes.append((number, text, remedy)),
-        )  # fmt: skip
+        )
         store.at = lambda point: self._fate(number, point)
         self.machines[number] = machine
         self._tick(number, self.lives[number])
@@ -259,9 +262,7 @@
             self.answers[ident] = result
 
     def _once(self, version: int, ident: str, digest: str) -> None:
-        assert self.decided.setdefault(version, (ident, digest)) == (ident, digest), (
-            f"two of version {version}"
-        )
+        assert self.decided.setdefault(version, (ident, digest)) == (ident, digest), f"two of version {version}"
         assert self._idents.setdefault(ident, version) == version, f"{ident} made twice"
 
     # Faults
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -26,39 +26,60 @@
     {"name": "file", "aimMs": 800.0, "deadlineMs": 1500.0, "repeat": "non_idempotent"},
 ]
 SETTINGS: dict[str, Any] = {
-    "me": 0, "instances": 2, "zone": "north", "tickMs": 5.0, "discovery": "automatic",
+    "me": 0,
+    "instances": 2,
+    "zone": "north",
+    "tickMs": 5.0,
+    "discovery": "automatic",
     "requestClasses": [
         {"credit": 1.0, "lateWorth": 0.2, "group": "all", "windowMs": 2000.0, "streaming": False, **lane}
         for lane in LANES
     ],
     "accounts": [{"name": "m", "quotaPerS": 100.0, "share": 1.0}],
     "allowed": {
-        "attemptsCap": 3, "openCap": 1000, "maxStreams": 1, "mayCancel": True, "probes": True, "peers": True,
-        "secondCopies": False, "retryAfter": True, "maxRetryAfterMs": 2000.0, "connectTimeoutMs": 250.0,
+        "attemptsCap": 3,
+        "openCap": 1000,
+        "maxStreams": 1,
+        "mayCancel": True,
+        "probes": True,
+        "peers": True,
+        "secondCopies": False,
+        "retryAfter": True,
+        "maxRetryAfterMs": 2000.0,
+        "connectTimeoutMs": 250.0,
         "connIdleMs": 15000.0,
     },
     "contract": {
-        "answerSlackMs": 20.0, "drainGraceMs": 2000.0, "coldFrom": 0.5, "coldMs": 2000.0, "fallMultiple": 4.0,
+        "answerSlackMs": 20.0,
+        "drainGraceMs": 2000.0,
+        "coldFrom": 0.5,
+        "coldMs": 2000.0,
+        "fallMultiple": 4.0,
         "fallMs": 1000.0,
     },
     "familyInfo": {
-        "shares": [0.1, 1.0], "mostShares": [0.2, 1.0], "uncounted": 3.0, "countedOverMs": 3000.0,
-        "capScope": "all", "decidedBy": "first_voice", "onVotes": 1, "noesNeeded": 1, "apiTimeoutMs": 300.0,
-        "voteTtlMs": 6000.0, "voteAllowance": 100.0, "minDwellMs": 1000.0,
+        "shares": [0.1, 1.0],
+        "mostShares": [0.2, 1.0],
+        "uncounted": 3.0,
+        "countedOverMs": 3000.0,
+        "capScope": "all",
+        "decidedBy": "first_voice",
+        "onVotes": 1,
+        "noesNeeded": 1,
+        "apiTimeoutMs": 300.0,
+        "voteTtlMs": 6000.0,
+        "voteAllowance": 100.0,
+        "minDwellMs": 1000.0,
     },
     "loadReport": {"how": "pull", "names": ["waiting", "cpu"]},
-}  # fmt: skip
+}
 NEWS = {"build": 1, "stage": 1, "phase": "live", "cap": 1.0, "age_ms": 60000}
 Script = Callable[["Unit", bytes], Awaitable[bytes | None]]
 
 
 def row(value: bytes) -> bytes:
     described = message(b"T", b"\0\1doc\0" + bytes(17) + b"\1")
-    return (
-        described
-        + message(b"D", b"\0\1" + len(value).to_bytes(4, "big") + value)
-        + message(b"C", b"SELECT 1\0")
-    )
+    return described + message(b"D", b"\0\1" + len(value).to_bytes(4, "big") + value) + message(b"C", b"SELECT 1\0")
 
 
 async def good(unit: Unit, text: bytes) -> bytes:
@@ -190,23 +211,34 @@
 
     def write(self, ports: list[int]) -> None:
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "7f",
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "7f",
             "discovery": f"127.0.0.1:{ports[0]}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
-            "peer_listen": f"127.0.0.1:{self.letters}", "peers": [f"127.0.0.1:{self.letters}", "127.0.0.1:9"],
-            "platform": {"address": f"127.0.0.1:{ports[1]}", "news": NEWS}, "settings": SETTINGS,
+            "peer_listen": f"127.0.0.1:{self.letters}",
+            "peers": [f"127.0.0.1:{self.letters}", "127.0.0.1:9"],
+            "platform": {"address": f"127.0.0.1:{ports[1]}", "news": NEWS},
+            "settings": SETTINGS,
             "known": json.loads(self.list_of(self.units if self.known else [])),
-        }  # fmt: skip
+        }
         (self.folder / "config.json").write_text(json.dumps(config))
 
     def list_of(self, units: list[Unit], full: bool = True) -> bytes:
         rows = [
             {
-                "id": unit.name, "addr": f"127.0.0.1:{unit.port}", "zone": "north", "kind": "k", "cell": 0,
-                "state": self.states[unit.name], "weight": 1.0, "started_ms": 0, "revision_no": 1,
+                "id": unit.name,
+                "addr": f"127.0.0.1:{unit.port}",
+                "zone": "north",
+                "kind": "k",
+                "cell": 0,
+                "state": self.states[unit.name],
+                "weight": 1.0,
+                "started_ms": 0,
+                "revision_no": 1,
             }
             for unit in units
-        ]  # fmt: skip
+        ]
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode()
 
     def turn(self, unit: Unit, state: str) -> None:
@@ -247,9 +279,7 @@
                 call = json.loads(line)
                 self.calls.append(call)
                 if call["method"] == "Events.Watch":
-                    writer.write(
-                        json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": True}).encode() + b"\n"
-                    )
+                    writer.write(json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": True}).encode() + b"\n")
                     if self.speaks:
                         writer.write(told(NEWS))
                 elif (answer := self.judge(call)) is not None:
--- a/tests/tcpwires.py
+++ b/tests/tcpwires.py
@@ -41,9 +41,7 @@
         other: asyncio.StreamWriter | None = None
         try:
             back, other = await asyncio.open_connection("127.0.0.1", self._ends[b])
-            await asyncio.gather(
-                self._pass(self.ways[a, b], reader, other), self._pass(self.ways[b, a], back, writer)
-            )
+            await asyncio.gather(self._pass(self.ways[a, b], reader, other), self._pass(self.ways[b, a], back, writer))
         except (OSError, asyncio.CancelledError):
             pass
         finally:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,10 +13,20 @@
 TEXT = (ROOT / "docs/CAPACITY.md").read_text()
 # The numbers to plan with, by the operators' word.
 SIZE = {
-    "relays": 600, "units": 7800, "services": 300, "regions": 2, "zones": 4, "requests": 110_000,
-    "routes": 16_000, "tenants": 49_000, "changes": 800, "failures": 49, "restarts": 2700, "machines": 8,
+    "relays": 600,
+    "units": 7800,
+    "services": 300,
+    "regions": 2,
+    "zones": 4,
+    "requests": 110_000,
+    "routes": 16_000,
+    "tenants": 49_000,
+    "changes": 800,
+    "failures": 49,
+    "restarts": 2700,
+    "machines": 8,
     "day": 86_400,
-}  # fmt: skip
+}
 BUDGETS = {"5.6 ms", "3 s", "0.014 of a core", "256 MB", "4,000 B/s"}
 
 
@@ -47,8 +57,16 @@
 
     def test_each_number_has_a_row(self) -> None:
         named = " ".join(row.cells.get("number", "") for row in rows(TEXT))
-        for word in ("600 relays", "7,800 units", "300 services", "110,000 requests", "16,000 routes",
-                     "49,000 tenants", "99 in 100", "800 changes"):  # fmt: skip
+        for word in (
+            "600 relays",
+            "7,800 units",
+            "300 services",
+            "110,000 requests",
+            "16,000 routes",
+            "49,000 tenants",
+            "99 in 100",
+            "800 changes",
+        ):
             self.assertIn(word, named)
         kinds = " ".join(row.cells["what"] for row in rows(TEXT) if row.heading == "A failure budget")
         for word in ("machine", "restarts", "rack", "zone", "regions apart"):
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -128,9 +128,7 @@
         st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3), st.integers(0, 3)), max_size=12),
         st.randoms(),
     )
-    def test_whatever_the_order_the_highest_row_holds(
-        self, told: list[tuple[int, int, int]], chance: Random
-    ) -> None:
+    def test_whatever_the_order_the_highest_row_holds(self, told: list[tuple[int, int, int]], chance: Random) -> None:
         rows = [row(5, *rank) for rank in told]
         first, second = one(row(5), row(6)), one(row(5), row(6))
         for member in (first, second):
--- a/tests/test_circle_processes.py
+++ b/tests/test_circle_processes.py
@@ -48,10 +48,16 @@
         file = self._folder / f"relay-{number}.cue"
         file.write_text(text)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lanelead", "relay", "--settings", str(file),
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
+            sys.executable,
+            "-m",
+            "lanelead",
+            "relay",
+            "--settings",
+            str(file),
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
-        )  # fmt: skip
+        )
         self.processes[number] = process
         assert process.stdout is not None
         await process.stdout.readline()
@@ -116,8 +122,9 @@
             at = f"127.0.0.1:{circle.ports[1]}"
             found = await asyncio.to_thread(CliRunner().invoke, commands, ["members", "--at", at, "--json"])
             rows = json.loads(found.stdout)["members"]
-            self.assertEqual([(n, "alive", "north") for n in range(3)],
-                             [(row["number"], row["state"], row["zone"]) for row in rows])  # fmt: skip
+            self.assertEqual(
+                [(n, "alive", "north") for n in range(3)], [(row["number"], row["state"], row["zone"]) for row in rows]
+            )
             found = await asyncio.to_thread(CliRunner().invoke, commands, ["status", "--at", at])
             self.assertEqual("hellas/north: 3 alive\n", found.stdout)
             (free,) = free_ports(1, socket.SOCK_DGRAM)
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -48,9 +48,14 @@
             self.assertEqual({member.own.region}, {row.region for row in member.rows.values()})
 
     def story(
-        self, many: int, tempo: Tempo, long: int, loss: float = 0.0,
-        meanwhile: Callable[[Town], None] | None = None, before: Callable[[Town], None] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        many: int,
+        tempo: Tempo,
+        long: int,
+        loss: float = 0.0,
+        meanwhile: Callable[[Town], None] | None = None,
+        before: Callable[[Town], None] | None = None,
+    ) -> None:
         town = Town(many, 11, tempo, Wires(loss=loss))
         town.run(SECOND)
         if before is not None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -158,9 +158,14 @@
     path = place.folder / f"cold{number}.json"
     path.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "lanelead", "node", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "lanelead",
+        "node",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "NODE_CONFIG": str(path)},
-    )  # fmt: skip
+    )
     found = Relay(place, process, port)
     try:
         yield found
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -168,9 +168,7 @@
         self.acceptor.accept(Accept(Ballot(1, 1), change("the-earlier")))
         self.acceptor.accept(Accept(Ballot(2, 1), change("the-later")))
         promise = self.acceptor.prepare(Prepare(1, Ballot(3, 0)))
-        self.assertEqual(
-            (Ballot(2, 1), "the-later"), (promise.accepted, promise.change and promise.change.ident)
-        )
+        self.assertEqual((Ballot(2, 1), "the-later"), (promise.accepted, promise.change and promise.change.ident))
 
     def test_6_what_can_not_be_kept_is_not_said(self) -> None:
         def fails(*row: object) -> None:
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -86,9 +86,7 @@
                 await asyncio.sleep(0.05)
             digest = (await machines.status(1)).digest
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(
-                b"GET /configuration/watch?from=1&digest=%s HTTP/1.1\r\nhost: x\r\n\r\n" % digest.encode()
-            )
+            writer.write(b"GET /configuration/watch?from=1&digest=%s HTTP/1.1\r\nhost: x\r\n\r\n" % digest.encode())
             heads = list[int]()
 
             async def until(version: int) -> None:
@@ -115,14 +113,16 @@
             at = machines.at(0)[0]
             await machines.makes("at-first", 0)
             bad = [
-                ("POST", b"/configuration", b"{", 400), ("POST", b"/configuration", b'{"ident": "x"}', 400),
-                ("GET", b"/configuration/log?from=-1", b"", 400), ("GET", b"/nothing", b"", 404),
+                ("POST", b"/configuration", b"{", 400),
+                ("POST", b"/configuration", b'{"ident": "x"}', 400),
+                ("GET", b"/configuration/log?from=-1", b"", 400),
+                ("GET", b"/nothing", b"", 404),
                 ("GET", b"//[", b"", 400),
                 ("GET", b"/configuration/snapshot?version=0&page=99", b"", 400),
                 ("GET", b"/configuration/buckets?version=0&numbers=1", b"", 410),
                 ("POST", b"/configuration/prepare", b"[]", 400),
                 ("POST", b"/configuration", b"x" * (2 << 20), 413),
-            ]  # fmt: skip
+            ]
             for ident in ("at-first", "the-next"):
                 text = f'{{"ident": "{ident}", "entries": [{{"key": "x/a", "value": "\\ud800"}}]}}'
                 bad.append(("POST", b"/configuration", text.encode(), 400))
@@ -178,10 +178,15 @@
 
             async def run() -> tuple[int, str]:
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "lanelead", "configuration", "serve", str(file),
+                    sys.executable,
+                    "-m",
+                    "lanelead",
+                    "configuration",
+                    "serve",
+                    str(file),
                     stderr=asyncio.subprocess.PIPE,
                     env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
-                )  # fmt: skip
+                )
                 _, text = await process.communicate()
                 return process.returncode or 0, text.decode()
 
@@ -202,9 +207,10 @@
         self.assertEqual("unknown", answer.why)
         self.assertEqual(({}, at), await look(at))
         found = await asyncio.to_thread(
-            CliRunner().invoke, configuration,
+            CliRunner().invoke,
+            configuration,
             ["publish", "-", "--at", at[0], "--patience", "0.3", "--ident", "some-change"],
             input='{"x/a": 1}',
-        )  # fmt: skip
+        )
         self.assertEqual(3, found.exit_code)
         self.assertIn("--ident some-change", found.output)
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -133,9 +133,7 @@
                 Document().differing(bad)
 
     def test_records_with_fields_of_a_later_program_are_read_and_bad_ones_refused(self) -> None:
-        text = b'{"history":"ident-0001","version":1,"digest":"%s","buckets":"","form":9,"later":[1]}' % (
-            b"0" * 32
-        )
+        text = b'{"history":"ident-0001","version":1,"digest":"%s","buckets":"","form":9,"later":[1]}' % (b"0" * 32)
         self.assertEqual(9, decode(text, Outline).form)
         for bad in (b'{"key":"nokind"}', b'{"key":"/x"}', b'{"key":"tenant/"}', b"[]", b'{"key":5}'):
             with self.assertRaises(Malformed):
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -19,8 +19,17 @@
 from lanelead.protocols.records import Malformed, encode
 from tests.configurationhand import entry, row
 from tests.configurationmachine import (
-    APPLIED, BUCKETS, OUTLINE, WATCH, Answer, Followed, Machine, following, line, machines,
-)  # fmt: skip
+    APPLIED,
+    BUCKETS,
+    OUTLINE,
+    WATCH,
+    Answer,
+    Followed,
+    Machine,
+    following,
+    line,
+    machines,
+)
 from tests.town import live
 
 FILE = [("tenant/m", b'{"quota_per_s":9}')]
@@ -84,7 +93,7 @@
     "no HTTP": lambda machine, writer: machine.write(writer, b"\x16\x03\x01 hello\r\n\r\n"),
     "drop by drop": drop_by_drop,
     "silent": silent,
-}  # fmt: skip
+}
 
 
 class Watches(unittest.TestCase):
@@ -190,9 +199,7 @@
     async def test_a_source_whose_snapshot_is_none_is_left_for_another(self) -> None:
         async def lies(machine: Machine, writer: Writer) -> None:
             outline = machine.source.outline(0.0)
-            await machine.answer(
-                writer, 200, encode(msgspec.structs.replace(outline, buckets="0" * (ALL * 16)))
-            )
+            await machine.answer(writer, 200, encode(msgspec.structs.replace(outline, buckets="0" * (ALL * 16))))
 
         async def empties(machine: Machine, writer: Writer) -> None:
             await machine.answer(writer, 200, encode(Buckets(1, {n: [] for n in range(ALL)})))
@@ -231,9 +238,7 @@
                     self.assertLessEqual(ill.count(path), 3, number)
 
         for start in range(0, len(cases), 4):
-            await asyncio.gather(
-                *(one(number, *cases[number]) for number in range(start, min(start + 4, len(cases))))
-            )
+            await asyncio.gather(*(one(number, *cases[number]) for number in range(start, min(start + 4, len(cases)))))
 
     @live
     async def test_buckets_too_large_for_one_answer_are_asked_for_in_smaller_parts(self) -> None:
@@ -266,9 +271,7 @@
                     self.assertIn("raise most_entries or most_bytes", said[0]["remedy"])
                     before = [list(machine.asked) for machine in both]
                     await asyncio.sleep(2.0)
-                    calls = [
-                        call for at, old in zip(both, before, strict=True) for call in at.asked[len(old) :]
-                    ]
+                    calls = [call for at, old in zip(both, before, strict=True) for call in at.asked[len(old) :]]
                     self.assertEqual([], [call for call in calls if call != APPLIED])
                     self.assertEqual(1, len(relay.log.rows))
                     self.assertEqual({"tenant/m": Tenant(9.0)}, relay.feed.values.values)
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -257,9 +257,7 @@
         hand.bucketed(0, theirs)
         hand.notes()
         hand.lines(0, 2, 36.0)
-        self.assertEqual(
-            (0, [], 1), (len(hand.acts(AskOutline)), hand.notes(), hand.follower.document.version)
-        )
+        self.assertEqual((0, [], 1), (len(hand.acts(AskOutline)), hand.notes(), hand.follower.document.version))
 
     def test_what_comes_into_force_is_what_differs_removed_keys_too(self) -> None:
         hand, theirs = Hand(document(3, 1)), document(2, 5)
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -211,8 +211,7 @@
         for number in range(40):
             _take(source, entry("tenant/a", f"{number}" + "x" * (VALUE - 100)))
         line, after = source.line(0, 0.0)
-        self.assertLessEqual(sum(len(row.value) for made in line.changes for row in made.entries),
-                             CHANGE + VALUE)  # fmt: skip
+        self.assertLessEqual(sum(len(row.value) for made in line.changes for row in made.entries), CHANGE + VALUE)
         self.assertEqual(len(line.changes), after)
 
     def test_what_is_kept_of_digests_is_bounded(self) -> None:
@@ -228,9 +227,7 @@
         _take(source, entry("tenant/a", 2))
         self.assertEqual(1, source.outline(now + FROZEN - 0.1).version)
         self.assertEqual(2, source.outline(now + FROZEN).version)
-        self.assertNotEqual(
-            source.buckets(1, [bucket_of("tenant/a")]), source.buckets(2, [bucket_of("tenant/a")])
-        )
+        self.assertNotEqual(source.buckets(1, [bucket_of("tenant/a")]), source.buckets(2, [bucket_of("tenant/a")]))
         kept = source._frozen[-1][1]
         source.outline(now + 5 * FROZEN)
         self.assertIs(kept, source._frozen[-1][1])  # nothing has changed: no copy is made
@@ -262,8 +259,9 @@
 
 class Applying(unittest.TestCase):
     def test_a_file_s_unfit_rows_are_no_changes_and_what_is_gone_is_one(self) -> None:
-        old = {"accounts": [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": 1},
-                            {"name": "c", "quotaPerS": 1}]}  # fmt: skip
+        old = {
+            "accounts": [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": 1}, {"name": "c", "quotaPerS": 1}]
+        }
         new = {"accounts": [{"name": "a", "quotaPerS": -1}, {"name": "b", "quotaPerS": 2}]}
         keys, values, faults = changed(old, new)
         self.assertEqual((["tenant/b", "tenant/c"], ["tenant/a"]), (keys, [fault.key for fault in faults]))
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -90,9 +90,7 @@
         world.start(2, empty=True)
         world.run(3)
         machine = world.alive(2)
-        self.assertEqual(
-            (4, 7, False), (machine.holding.head, machine.holding.acceptor.votes_from, machine.votes)
-        )
+        self.assertEqual((4, 7, False), (machine.holding.head, machine.holding.acceptor.votes_from, machine.votes))
         ask = Prepare(5, Ballot(9, 1), machine.holding.group)
         self.assertEqual("abstains", machine.asked_prepare(ask, world.now).word)
         makes(world, 0, "change-5")
@@ -277,9 +275,7 @@
 
     def test_another_history_is_not_followed_and_an_operator_is_told_once(self) -> None:
         world, machine = self.hears(Sign(1, "another-one", 9, voters=[0, 1, 2]))
-        machine.answered(
-            Call(1, machine.sign(), world.now), Sign(1, "another-one", 9, voters=[0, 1, 2]), world.now
-        )
+        machine.answered(Call(1, machine.sign(), world.now), Sign(1, "another-one", 9, voters=[0, 1, 2]), world.now)
         self.assertEqual([], machine.calls)
         self.assertEqual(1, len([note for note in world.notes if "another-one" in note[2]]))
         change = machine.holding.change(proposal("change-2"))
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_machines.py
@@ -30,8 +30,7 @@
     async def test_killed_in_the_middle_of_changes(self) -> None:
         async with group() as machines:
             some = [
-                asyncio.create_task(machines.makes(f"change-{n}", n % 3, (n + 1) % 3, (n + 2) % 3))
-                for n in range(12)
+                asyncio.create_task(machines.makes(f"change-{n}", n % 3, (n + 1) % 3, (n + 2) % 3)) for n in range(12)
             ]
             await asyncio.sleep(0.05)
             await machines.kill(1)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -44,13 +44,17 @@
             for m in range(MACHINES)
         ]
         config["settings"] = {
-            **SETTINGS, "me": number, "instances": RELAYS,
+            **SETTINGS,
+            "me": number,
+            "instances": RELAYS,
             "accounts": [{"name": "m", "quotaPerS": quota, "share": 1.0}],
-        }  # fmt: skip
+        }
         config |= {
-            "name": f"n{number}", "listen": f"127.0.0.1:{self.ports[number]}", "seed": f"{number + 1:x}",
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{self.ports[number]}",
+            "seed": f"{number + 1:x}",
             "configuration": {"sources": sources, "zone": f"zone-{number % MACHINES}", "region": "hellas"},
-        }  # fmt: skip
+        }
         file = self.place.folder / f"relay-{number}.json"
         file.write_text(json.dumps(config))
         await self.again(number, file)
@@ -59,9 +63,14 @@
         """Starts a relay with the file as it stands."""
         with (self.place.folder / f"relay-{number}.log").open("ab") as log:
             self.processes[number] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lanelead", "node", stdout=log, stderr=log,
+                sys.executable,
+                "-m",
+                "lanelead",
+                "node",
+                stdout=log,
+                stderr=log,
                 env={**os.environ, "NODE_CONFIG": str(file), "PYTHONPATH": os.getcwd()},
-            )  # fmt: skip
+            )
 
     async def kill(self, number: int) -> None:
         self.processes[number].kill()
@@ -195,8 +204,11 @@
             assert isinstance(answer, Refusal)
             self.assertEqual("malformed", answer.why)
             self.assertIn("tenant/bad", answer.text)
-            rows = [("tenant/good", tenant(1)), ("later/kind", b"[1]"),
-                    ("class/nobody", b'{"aim_ms":5,"deadline_ms":9}')]  # fmt: skip
+            rows = [
+                ("tenant/good", tenant(1)),
+                ("later/kind", b"[1]"),
+                ("class/nobody", b'{"aim_ms":5,"deadline_ms":9}'),
+            ]
             version = await all_.publish("two-are-unknown", rows)
             self.assertEqual(2, version)  # the bad one made none
             await all_.in_force(version)
