--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -313,10 +313,14 @@
         self.close()
         whole = self.file.read_bytes()
         for statement in (
-            "UPDATE one SET head = 3", "DELETE FROM one", "DELETE FROM log WHERE version = 2",
-            "UPDATE vote SET version = 9", "UPDATE entry SET value = X'31' WHERE key = 'x/3'",
-            "UPDATE vote SET accepted = 1, accepted_by = 1, change = X'00'", "DELETE FROM entry",
-        ):  # fmt: skip
+            "UPDATE one SET head = 3",
+            "DELETE FROM one",
+            "DELETE FROM log WHERE version = 2",
+            "UPDATE vote SET version = 9",
+            "UPDATE entry SET value = X'31' WHERE key = 'x/3'",
+            "UPDATE vote SET accepted = 1, accepted_by = 1, change = X'00'",
+            "DELETE FROM entry",
+        ):
             self.close()
             self.file.write_bytes(whole)
             db = sqlite3.connect(self.file, isolation_level=None)
@@ -353,9 +357,10 @@
         )
         root = Path(__file__).parent.parent
         with subprocess.Popen(
-            [sys.executable, "-c", text, str(self.file)], stdout=subprocess.PIPE,
+            [sys.executable, "-c", text, str(self.file)],
+            stdout=subprocess.PIPE,
             env={**os.environ, "PYTHONPATH": str(root)},
-        ) as process:  # fmt: skip
+        ) as process:
             assert process.stdout is not None
             said = 0
             while said < 20:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -22,9 +22,7 @@
 
 
 async def taken_in(place: Platform, sock: socket.socket) -> Client:
-    await place.until(
-        lambda: any(c.sock.getpeername() == sock.getsockname() for c in place.relay.front.clients)
-    )
+    await place.until(lambda: any(c.sock.getpeername() == sock.getsockname() for c in place.relay.front.clients))
     return met(place, sock)
 
 
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -73,10 +73,7 @@
             place.turn(place.units[1], "leaving")
             await place.until(lambda: condition(place, "u1") == "draining")
             place.states["u1"], place.version = "active", 1
-            old = [
-                writing.answer(200, (), place.list_of(place.units, bool(full)), keep=False)
-                for full in (0, 1, 1)
-            ]
+            old = [writing.answer(200, (), place.list_of(place.units, bool(full)), keep=False) for full in (0, 1, 1)]
             place.states["u1"], place.version = "leaving", 2
             place.spoil = list(old)
             with mock.patch.object(place.relay.driver, "listed", wraps=place.relay.driver.listed) as taken:
@@ -262,9 +259,13 @@
             else:
                 place[last] = value
         config = {
-            "name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7f",
-            "platform": {"address": "127.0.0.1:3", "news": NEWS}, "settings": settings,
-        }  # fmt: skip
+            "name": "n",
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:2",
+            "seed": "7f",
+            "platform": {"address": "127.0.0.1:3", "news": NEWS},
+            "settings": settings,
+        }
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "c.json"
             file.write_text(json.dumps(config))
@@ -273,15 +274,27 @@
     def test_what_is_missing_or_out_of_range_is_refused_by_its_name(self) -> None:
         self._load()
         for path, value in (
-            ("allowed__connectTimeoutMs", None), ("allowed__connectTimeoutMs", 0), ("allowed__openCap", None),
-            ("allowed__attemptsCap", 0), ("familyInfo__apiTimeoutMs", None), ("familyInfo__voteTtlMs", -1),
-            ("familyInfo__mostShares", [0.2]), ("familyInfo__shares", [0.1, 7]), ("requestClasses", []),
-            ("requestClasses__0__aimMs", None), ("requestClasses__1__deadlineMs", 0),
-            ("requestClasses__1__repeat", "sometimes"), ("requestClasses__1__name", "read"),
-            ("requestClasses__0__aimMs", "soon"), ("accounts__0__quotaPerS", -5), ("me", 2),
-            ("instances", 0), ("familyInfo__shares", ["few"]), ("contract__coldMs", -1),
+            ("allowed__connectTimeoutMs", None),
+            ("allowed__connectTimeoutMs", 0),
+            ("allowed__openCap", None),
+            ("allowed__attemptsCap", 0),
+            ("familyInfo__apiTimeoutMs", None),
+            ("familyInfo__voteTtlMs", -1),
+            ("familyInfo__mostShares", [0.2]),
+            ("familyInfo__shares", [0.1, 7]),
+            ("requestClasses", []),
+            ("requestClasses__0__aimMs", None),
+            ("requestClasses__1__deadlineMs", 0),
+            ("requestClasses__1__repeat", "sometimes"),
+            ("requestClasses__1__name", "read"),
+            ("requestClasses__0__aimMs", "soon"),
+            ("accounts__0__quotaPerS", -5),
+            ("me", 2),
+            ("instances", 0),
+            ("familyInfo__shares", ["few"]),
+            ("contract__coldMs", -1),
             ("contract__fallMultiple", 0),
-        ):  # fmt: skip
+        ):
             with self.assertRaises(Malformed) as caught:
                 self._load(**{path: value})
             last = path.rpartition("__")[2]
--- a/tests/test_crossings_kills.py
+++ b/tests/test_crossings_kills.py
@@ -62,9 +62,14 @@
 async def next_one(one: Relay, stack: contextlib.AsyncExitStack) -> Relay:
     """The next process on the same address, at once."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "lanelead", "node", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "lanelead",
+        "node",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "NODE_CONFIG": str(one.place.folder / "other.json")},
-    )  # fmt: skip
+    )
     found = Relay(one.place, process, one.port)
 
     async def end() -> None:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -89,9 +89,7 @@
                 fields["addr"], there = f"127.0.0.1:{elsewhere.port}", elsewhere
             watch.tell(13, entry(out, **fields), entry(stays, state="leaving"), full=True)
             watch = await disc.next()
-            self.assertEqual(
-                (condition(place, out.name), condition(place, stays.name)), ("ready", "draining")
-            )
+            self.assertEqual((condition(place, out.name), condition(place, stays.name)), ("ready", "draining"))
             second = await place.client()
             second.send("2a", "file")  # beside the one that is out: on a connection of its own
             await place.until(lambda: any(b"id=2a" in query for query in there.queries))
@@ -121,20 +119,39 @@
         async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
             u0, u1 = place.units
             watch.tell(
-                11, entry(u1, state="leaving"), entry(u1, state="left"), entry(u1, revision_no=2),
+                11,
+                entry(u1, state="leaving"),
+                entry(u1, state="left"),
+                entry(u1, revision_no=2),
                 entry(u0, state="leaving"),
-            )  # fmt: skip
+            )
             await disc.next()
             self.assertEqual((condition(place, "u0"), condition(place, "u1")), ("draining", "ready"))
             self.assertEqual(state(place, "refused_entries"), 0)
 
 
 BAD: list[dict[str, Any]] = [
-    {"addr": None}, {"addr": ""}, {"addr": "127.0.0.1"}, {"addr": "127.0.0.1:0"}, {"addr": "127.0.0.1:70000"},
-    {"addr": ":5432"}, {"addr": "a\0b:5432"}, {"addr": "a..b:5432"}, {"addr": "a" * 64 + ".b:5432"},
-    {"addr": 7}, {"state": None}, {"state": "asleep"}, {"state": 1}, {"weight": 0}, {"weight": "much"},
-    {"revision_no": 70_000}, {"revision_no": -1}, {"started_ms": "now"}, {"cell": 1.5}, {"zone": []},
-]  # fmt: skip
+    {"addr": None},
+    {"addr": ""},
+    {"addr": "127.0.0.1"},
+    {"addr": "127.0.0.1:0"},
+    {"addr": "127.0.0.1:70000"},
+    {"addr": ":5432"},
+    {"addr": "a\0b:5432"},
+    {"addr": "a..b:5432"},
+    {"addr": "a" * 64 + ".b:5432"},
+    {"addr": 7},
+    {"state": None},
+    {"state": "asleep"},
+    {"state": 1},
+    {"weight": 0},
+    {"weight": "much"},
+    {"revision_no": 70_000},
+    {"revision_no": -1},
+    {"started_ms": "now"},
+    {"cell": 1.5},
+    {"zone": []},
+]
 
 
 class Entries(unittest.TestCase):
@@ -154,9 +171,7 @@
                         self.assertIn(b"from=%d&" % version, watch.target, bad)
                         self.assertEqual(state(place, "refused_entries"), refused, bad)
                         seen = [condition(place, f"u{n}") for n in range(3)]
-                        self.assertEqual(
-                            seen, ["ready", "ready", "draining" if other == "leaving" else "ready"]
-                        )
+                        self.assertEqual(seen, ["ready", "ready", "draining" if other == "leaving" else "ready"])
             watch.tell(version + 1, entry(u0, state="leaving"), entry(u2, state="leaving"))
             await disc.next()
             self.assertIn("T", await (await place.client()).ask("1a"))
@@ -181,8 +196,18 @@
     async def test_what_names_nobody_known_is_passed_over(self) -> None:
         async with town(Unit("u0")) as (place, disc, watch):
             u0 = place.units[0]
-            more = [entry(u0, id=None), entry(u0, id=""), entry(u0, id="u" * 65), entry(u0, id=["u"]), "u9",
-                    7, None, [], {}, entry(u0, id="u9", addr="")]  # fmt: skip
+            more = [
+                entry(u0, id=None),
+                entry(u0, id=""),
+                entry(u0, id="u" * 65),
+                entry(u0, id=["u"]),
+                "u9",
+                7,
+                None,
+                [],
+                {},
+                entry(u0, id="u9", addr=""),
+            ]
             watch.tell(11, *more, entry(u0), full=True)
             watch = await disc.next()
             self.assertEqual((state(place, "refused_entries"), state(place, "units")), (len(more), 1))
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -100,9 +100,7 @@
         "allow": {"max_attempts": 3, "cancel": True, "probes": True, "second_copies": True},
         "classes": [{"name": "read", "effect": "safe", **lane}, {"name": "file", "effect": "unsafe", **lane}],
         "tenants": [{"name": "m", "share": 1.0, "quota": 0.8}],
-        "tiers": [
-            {"kinds": [kind], "report_period": 200000, "stated_cold_from": 0.4, "stated_cold": 4000000}
-        ],
+        "tiers": [{"kinds": [kind], "report_period": 200000, "stated_cold_from": 0.4, "stated_cold": 4000000}],
         "balancers": [{}] * 150,
         "fam": {
             "places": 20,
@@ -177,9 +175,7 @@
         ]
         for name in days:
             self.assertTrue(load(name).says)
-        self.assertEqual(
-            set(MAKERS) | {"bad_build"}, {name.replace("-", "_") for name in days[:-1]} | {"bad_build"}
-        )
+        self.assertEqual(set(MAKERS) | {"bad_build"}, {name.replace("-", "_") for name in days[:-1]} | {"bad_build"})
 
     def test_any_field_missing_or_of_another_kind_is_refused_not_a_crash(self) -> None:
         whole = bench_day(trouble("crash"))
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -80,11 +80,17 @@
     def __init__(self, open_lookups: int = 1000, start: Ticks = 100 * SECOND) -> None:
         self.hands = PaperHands(start)
         relay = Relay(
-            place=Place(0, 3, "north"), lanes=LANES, members=[], duties=DUTIES, trial=TRIAL,
+            place=Place(0, 3, "north"),
+            lanes=LANES,
+            members=[],
+            duties=DUTIES,
+            trial=TRIAL,
             allowance=Allowance(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
             poll=Poll(Control.FIRST_VOICE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0),
-            tariff=Tariff(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0), chance=Random(1), now=start,
-        )  # fmt: skip
+            tariff=Tariff(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
+            chance=Random(1),
+            now=start,
+        )
         self.driver = Driver(relay, self.hands, lambda: self.hands.now, LANES, DUTIES, open_lookups, SECOND)
         self.answers: list[tuple[Ticks, Ticket, Outcome]] = []
         self.tickets: list[Ticket] = []
@@ -234,9 +240,7 @@
             assert name not in self.drained, "sent to a unit that drains or is gone"
             born = self.born.get(name)
             if born is not None and now - born < DUTIES.cold_time:
-                lately = sum(
-                    1 for when, other in sent if other.unit is trip.unit and when > now - DUTIES.fall_time
-                )
+                lately = sum(1 for when, other in sent if other.unit is trip.unit and when > now - DUTIES.fall_time)
                 assert lately <= 2 + DUTIES.fall_multiple * self.done / 4, "a cold unit was sent too much"
             if trip.unit.build > 1:
                 mine = [when for when, other in sent if other.unit.build == trip.unit.build]
@@ -273,10 +277,14 @@
             run_state_machine_as_test(
                 Careless,
                 settings=settings(
-                    max_examples=150, stateful_step_count=40, deadline=None, derandomize=True,
-                    phases=[Phase.generate], print_blob=False,
+                    max_examples=150,
+                    stateful_step_count=40,
+                    deadline=None,
+                    derandomize=True,
+                    phases=[Phase.generate],
+                    print_blob=False,
                 ),
-            )  # fmt: skip
+            )
 
     def test_the_first_word_on_a_trip_counts_and_a_late_one_changes_nothing(self) -> None:
         stage = Stage()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -45,19 +45,29 @@
         self.wires.join(number, ("127.0.0.1", listen))
         ends = [self.wires.address(number, end)[1] if end != number else listen for end in range(ENDS)]
         config["settings"] = {
-            **SETTINGS, "me": number, "instances": ENDS, "prices": {"probe": 0.08, "handshake": 0.02},
+            **SETTINGS,
+            "me": number,
+            "instances": ENDS,
+            "prices": {"probe": 0.08, "handshake": 0.02},
             "allowed": {**SETTINGS["allowed"], "secondCopies": False},
-        }  # fmt: skip
+        }
         config |= {
-            "name": f"n{number}", "listen": f"127.0.0.1:{self.ports[number]}", "seed": f"{number + 1:x}",
-            "peer_listen": f"127.0.0.1:{listen}", "peers": [f"127.0.0.1:{port}" for port in ends],
-        }  # fmt: skip
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{self.ports[number]}",
+            "seed": f"{number + 1:x}",
+            "peer_listen": f"127.0.0.1:{listen}",
+            "peers": [f"127.0.0.1:{port}" for port in ends],
+        }
         letters.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lanelead", "node",
-            stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL,
+            sys.executable,
+            "-m",
+            "lanelead",
+            "node",
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "NODE_CONFIG": str(letters), "PYTHONPATH": str(Path(__file__).parent.parent)},
-        )  # fmt: skip
+        )
         self.processes.append(process)
 
     async def listening(self) -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,11 +22,7 @@
 class Asking(unittest.TestCase):
     def test_bodies_by_length_and_by_chunk_and_pipelined_requests(self) -> None:
         text = b"POST /a HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc"
-        text += (
-            b"PUT /b HTTP/1.1\r\n"
-            + HOST
-            + b"Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1\r\nf\r\n0\r\n\r\n"
-        )
+        text += b"PUT /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1\r\nf\r\n0\r\n\r\n"
         text += b"HEAD /c HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n"
         for cut in range(len(text)):
             found = asks(text, cut)
@@ -77,12 +73,7 @@
         for text, status in cases:
             self.assertEqual([getattr(event, "status", 0) for event in asks(text)], [status], text[:40])
         chunks = (
-            b"POST / HTTP/1.1\r\n"
-            + HOST
-            + b"Transfer-Encoding: chunked\r\n\r\n"
-            + b"1ff\r\n"
-            + b"x" * 511
-            + b"\r\n"
+            b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + b"1ff\r\n" + b"x" * 511 + b"\r\n"
         )
         found = asks(chunks + b"1ff\r\n" + b"x" * 511 + b"\r\n")
         self.assertEqual([getattr(event, "status", 0) for event in found], [413])
@@ -213,9 +204,7 @@
         fields = [(b"host", b"a"), (b"x-y", b"z")]
         (ask,) = asks(writing.request(method, b"/p?q", fields, sent))
         assert isinstance(ask, Ask)
-        self.assertEqual(
-            (ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z")
-        )
+        self.assertEqual((ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z"))
         reader = AnswerReader(1000)
         self.assertIs(reader.feed(writing.answer(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
         self.assertEqual(reader.answer and reader.answer.body, b"" if status in (204, 304) else body)
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -45,12 +45,8 @@
         lane = Lane("read", 8000, 15000, 1.0, 0.2, Repeat.PURE, Scope.ALL, 0, False, 0.0)
         here = InForce({}, {"read": lane}, lambda _: None)
         figures = ClassFigures(400.0, 900.0, 2.0, 0.5)
-        self.assertEqual(
-            ["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures})
-        )
-        self.assertEqual(
-            (4000, 9000, 2.0, 0.5), (lane.expected_time, lane.outer_limit, lane.value, lane.late_value)
-        )
+        self.assertEqual(["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures}))
+        self.assertEqual((4000, 9000, 2.0, 0.5), (lane.expected_time, lane.outer_limit, lane.value, lane.late_value))
 
 
 class Hangup(unittest.TestCase):
@@ -68,15 +64,9 @@
             relay.reload()
             self.assertEqual(["m", "n"], list(relay.front.members))
             figures = relay.driver.decisions.figures
-            self.assertEqual(
-                (48.0, 24.0, 3000, 8000), (figures.quotas, figures.quota, figures.least, figures.longest)
-            )
-            (told,) = [
-                call.kwargs for call in place.log.calls if call.args and "read anew" in str(call.args[0])
-            ] or [
-                call.kwargs
-                for call in place.log.calls
-                if call.kwargs.get("event") == "configuration read anew"
+            self.assertEqual((48.0, 24.0, 3000, 8000), (figures.quotas, figures.quota, figures.least, figures.longest))
+            (told,) = [call.kwargs for call in place.log.calls if call.args and "read anew" in str(call.args[0])] or [
+                call.kwargs for call in place.log.calls if call.kwargs.get("event") == "configuration read anew"
             ]
             self.assertEqual(["settings.instances"], told["ignored_until_restart"])
             client = await place.client()
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -20,9 +20,11 @@
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
 PLAN: Steps = plan(
-    step("a"), step("b", "a"), step("end", "b", kind="contract"),
+    step("a"),
+    step("b", "a"),
+    step("end", "b", kind="contract"),
     builds=(Demands(1, [], ["end"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
-)  # fmt: skip
+)
 TAKEN = Entry("plan", text=Goal(PLAN).body)
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -131,9 +131,7 @@
     def write(self, folder: Path) -> None:
         (folder / "day.json").write_bytes(msgspec.json.encode(self.day))
         for file, rows in self.lines.items():
-            (folder / f"{file}.ndjson").write_bytes(
-                b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
-            )
+            (folder / f"{file}.ndjson").write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in rows))
 
 
 class Case(unittest.TestCase):
@@ -354,9 +352,11 @@
         papers.day = msgspec.structs.replace(papers.day, steps=StepsOfDay(0, []))
         papers.up("d", 0.0, build=2)
         rows = [
-            (1.0, Entry("plan", text=Goal(ONE_AFTER_ANOTHER).body)), (2.0, Entry("intent", "a")),
-            (3.0, Entry("done", "a")), *rest,
-        ]  # fmt: skip
+            (1.0, Entry("plan", text=Goal(ONE_AFTER_ANOTHER).body)),
+            (2.0, Entry("intent", "a")),
+            (3.0, Entry("done", "a")),
+            *rest,
+        ]
         for seq, (t, entry) in enumerate(rows, 1):
             facts = {"seq": seq, "token": 1, "runner": "r", "at_ms": 0.0}
             papers.note("store", t, "entry", entry=msgspec.to_builtins(entry), **facts)
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -34,17 +34,13 @@
 
 # Letters as written by the program before wide marks (f8e7855), of units of build 7: sightings of A, B, C of
 # 3, 9, 4 outcomes, loads of C, A, B of 5, 6, 7, 4 answers; the same of A and C alone with a pace of 0.8 s.
-BOTH = bytes.fromhex(
-    "43ff04afe0000700030001000002afe00007000900010000029f760007000400010000029f7605afe006afe007"
-)
+BOTH = bytes.fromhex("43ff04afe0000700030001000002afe00007000900010000029f760007000400010000029f7605afe006afe007")
 FIRST = bytes.fromhex("422804afe00007000300010000029f760007000400010000029f7605afe006")
 # Its letters of 0 to 150 units that share no mark, each with its length before it; see `test_not_a_byte`.
 DIGEST = "5c9a76f04021065d93de8c2358a564c0f3a9dcbac923299a7f0aaf59cc291a36"
 
 
-def earlier(
-    text: bytes, units: Mapping[int, str], build: int, lanes: int
-) -> dict[str, list[tuple[int, ...]]]:
+def earlier(text: bytes, units: Mapping[int, str], build: int, lanes: int) -> dict[str, list[tuple[int, ...]]]:
     """How the program before wide marks read a letter: rows of sightings and of loads by the units' names."""
     row, load, found = Struct(">HHB6B"), Struct(">HB"), dict[str, list[tuple[int, ...]]]()
     form, count = divmod(text[0], 32) if text else (2, 0)
@@ -70,9 +66,7 @@
 
 
 def letters(teller: Door, loads: Mapping[str, int], seen: Mapping[str, int] | None = None) -> list[bytes]:
-    words: list[Word] = [
-        Sighting(teller.units[name], PURE, 7, many, FAULTS) for name, many in (seen or {}).items()
-    ]
+    words: list[Word] = [Sighting(teller.units[name], PURE, 7, many, FAULTS) for name, many in (seen or {}).items()]
     return pack([*words, *(Load(teller.units[name], many) for name, many in loads.items())], [PURE])
 
 
@@ -360,10 +354,15 @@
         good = letters(door(A, B, C), {A: 6, B: 7, C: 5}, {A: 3, B: 9, C: 4})
         loads, seen = good
         for text, reason in (
-            (seen[:-1], "length"), (seen + b"\0", "length"), (bytes([seen[0] + 1]) + seen[1:], "length"),
-            (loads[:13], "length"), (loads + bytes(MESSAGE), "length"), (bytes([5 << 5]) + loads[1:], "form"),
-            (seen + bytes(13 * 20), "length"), (bytes([FORM_SHARED << 5 | 20]) + bytes(260), "length"),
-        ):  # fmt: skip
+            (seen[:-1], "length"),
+            (seen + b"\0", "length"),
+            (bytes([seen[0] + 1]) + seen[1:], "length"),
+            (loads[:13], "length"),
+            (loads + bytes(MESSAGE), "length"),
+            (bytes([5 << 5]) + loads[1:], "form"),
+            (seen + bytes(13 * 20), "length"),
+            (bytes([FORM_SHARED << 5 | 20]) + bytes(260), "length"),
+        ):
             hearer = door(A, B, C)
             self.assertEqual([], unpack(text, hearer.marks, [PURE]))
             self.assertEqual({reason: 1}, hearer.marks.passed_over)
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -45,9 +45,7 @@
                 (text,) = letters(doors[name], loads)
                 tell(sender, text, "hub", now)
             total = out["hub"].add([Load(doors["hub"].units[B], 1)], now)
-            self.assertEqual(
-                {A: 6, B: 3, C: 1}, {doors["hub"].names[load.unit]: load.trips for load in total}
-            )
+            self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.unit]: load.trips for load in total})
             self.assertEqual({A: 6, B: 2, C: 1}, at("hub", now))
             (text,) = pack(total, [PURE])
             for name in ("first", "second", "one"):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -133,9 +133,15 @@
         )
         none = msgspec.structs.replace(day.desk, offers=[])
         day = msgspec.structs.replace(
-            day, service=service, clients=clients, units=shape, relays=1, seconds=1200.0 / units, events=[],
+            day,
+            service=service,
+            clients=clients,
+            units=shape,
+            relays=1,
+            seconds=1200.0 / units,
+            events=[],
             desk=none,
-        )  # fmt: skip
+        )
         town = Town(day, 5, policy, silent=True, hop=1e-6)
         town.demand._draw = lambda work: town.demand._chance.expovariate(1000 / work.ms)  # type: ignore[method-assign]
         times = town.run().counts.times
@@ -199,8 +205,12 @@
             self.assertEqual(self.call("report", str(out), "-o", str(html))[0], 0)
             text = html.read_text()
             self.assertIn("<svg", text)
-            self.assertNotIn("http://", text.replace("http://www.w3.org", "").replace("http://purl.org", "")
-                             .replace("http://creativecommons.org", ""))  # fmt: skip
+            self.assertNotIn(
+                "http://",
+                text.replace("http://www.w3.org", "")
+                .replace("http://purl.org", "")
+                .replace("http://creativecommons.org", ""),
+            )
             plan.write_text(PLAN.replace("rate: 30", "rate: 31"))
             code, said = self.call("run", str(plan), "-o", str(out))
             self.assertEqual((code, "another plan" in said), (2, True))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -141,9 +141,7 @@
             async with platform(unit, Unit("u1")) as place:
                 unit.port = deaf.getsockname()[1]
                 place.turn(unit, "active")
-                await place.until(
-                    lambda: any(p.port == unit.port for p in place.relay.driver.places.values())
-                )
+                await place.until(lambda: any(p.port == unit.port for p in place.relay.driver.places.values()))
                 client = await place.client()
                 for number in range(6):
                     self.assertIn("D", await client.ask(str(number), "file"))
@@ -259,13 +257,22 @@
         with mock.patch.multiple(front, SILENCE=0.3):
             async with platform(Unit("u0")) as place:
                 for text in (
-                    b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 5000, start + b"\0" * 5000, start + b"P\0\0\0\4",
-                    start + b"Q\xff\xff\xff\xff", start + b"Q\x7f\xff\xff\xff" + b"x" * 100_000,
-                    start + messages.query(b"SELECT 1"), start + messages.query(statement("1", lane="none")),
-                    start + messages.query(statement("1").replace(b"d=1400", b"d=soon")), start + many,
-                    start + messages.query(statement("1"))[:-9], b"", start, start[:9],
+                    b"GET / HTTP/1.1\r\n\r\n",
+                    b"\xff" * 5000,
+                    start + b"\0" * 5000,
+                    start + b"P\0\0\0\4",
+                    start + b"Q\xff\xff\xff\xff",
+                    start + b"Q\x7f\xff\xff\xff" + b"x" * 100_000,
+                    start + messages.query(b"SELECT 1"),
+                    start + messages.query(statement("1", lane="none")),
+                    start + messages.query(statement("1").replace(b"d=1400", b"d=soon")),
+                    start + many,
+                    start + messages.query(statement("1"))[:-9],
+                    b"",
+                    start,
+                    start[:9],
                     b"\0\0\0\x08\4\xd2\x16\x2e",
-                ):  # fmt: skip
+                ):
                     client = await place.client(start=False)
                     client.writer.write(text)
                     found = b""
@@ -344,9 +351,7 @@
                 (lambda call: None, Fate.TIMED_OUT),
                 (lambda call: b'{"jsonrpc":"2.0","id":\xff noise\n', Fate.TIMED_OUT),
             ):
-                with mock.patch.object(
-                    decisions, "news", lambda news: heard.append((news.answer, news.word))
-                ):
+                with mock.patch.object(decisions, "news", lambda news: heard.append((news.answer, news.word))):
                     place.judge = answer
                     await place.until(lambda: place.relay.state()["desk"])
                     place.relay.vote(Vote(1, 1, Verdict.BACK))
@@ -354,9 +359,7 @@
                 self.assertIn((True, fate), heard)
                 heard.clear()
             await place.until(lambda: len(place.desks) == 2)  # the spoilt connection was left
-            self.assertEqual(
-                {call["params"]["verdict"] for call in place.calls if "params" in call}, {"abort"}
-            )
+            self.assertEqual({call["params"]["verdict"] for call in place.calls if "params" in call}, {"abort"})
 
     @live
     async def test_news_counts_as_soon_as_it_comes(self) -> None:
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -72,9 +72,14 @@
         path = place.folder / "other.json"
         path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lanelead", "node", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "lanelead",
+            "node",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": str(path)},
-        )  # fmt: skip
+        )
         found = Relay(place, process, port)
         try:
             yield found
@@ -140,9 +145,14 @@
             self.assertEqual(await one.ended(), -signal.SIGKILL)
             self.assertEqual(await client.reader.read(), b"")
             again = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lanelead", "node", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+                sys.executable,
+                "-m",
+                "lanelead",
+                "node",
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
                 env={**os.environ, "NODE_CONFIG": str(one.place.folder / "other.json")},
-            )  # fmt: skip
+            )
             two = Relay(one.place, again, one.port)
             await two.until("listening")
             self.assertIn("D", await (await two.client()).ask("1a"))
@@ -160,22 +170,32 @@
             "with mock.patch.object(main, 'load', load): main.run('json')\n"
         )
         done = subprocess.run(
-            [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=30,
+            [sys.executable, "-c", script],
+            capture_output=True,
+            text=True,
+            cwd=ROOT,
+            timeout=30,
             env={**os.environ, "NODE_CONFIG": "any"},
-        )  # fmt: skip
+        )
         self.assertEqual((done.stdout, done.returncode), ("True\n", 2), done.stderr)
         self.assertIn("seen enough", done.stderr)
 
     def test_a_file_that_can_not_be_used_ends_it_with_one_line_that_names_the_field(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "c.json"
-            path.write_text('{"name":"n","listen":"nowhere","discovery":"a:1","seed":"7","settings":{},'
-                            '"platform":{"address":"a:1","news":{"build":1,"stage":0,"phase":"live",'
-                            '"cap":1,"age_ms":0}}}')  # fmt: skip
+            path.write_text(
+                '{"name":"n","listen":"nowhere","discovery":"a:1","seed":"7","settings":{},'
+                '"platform":{"address":"a:1","news":{"build":1,"stage":0,"phase":"live",'
+                '"cap":1,"age_ms":0}}}'
+            )
             done = subprocess.run(
-                [sys.executable, "-m", "lanelead", "node"], capture_output=True, text=True, cwd=ROOT,
-                timeout=30, env={**os.environ, "NODE_CONFIG": str(path)},
-            )  # fmt: skip
+                [sys.executable, "-m", "lanelead", "node"],
+                capture_output=True,
+                text=True,
+                cwd=ROOT,
+                timeout=30,
+                env={**os.environ, "NODE_CONFIG": str(path)},
+            )
         self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
         self.assertIn("listen", done.stderr)
 
@@ -196,9 +216,13 @@
         (tools / "python3").chmod(0o755)
         build = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["build"]
         return subprocess.run(
-            ["/bin/sh", "-c", build], cwd=folder, capture_output=True, text=True, timeout=30,
+            ["/bin/sh", "-c", build],
+            cwd=folder,
+            capture_output=True,
+            text=True,
+            timeout=30,
             env={**os.environ, "PATH": f"{tools}:{os.environ['PATH']}"},
-        )  # fmt: skip
+        )
 
     def test_one_cut_off_half_way_does_not_pass_for_done(self) -> None:
         with tempfile.TemporaryDirectory() as name:
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -77,9 +77,13 @@
             path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
             path.write_text(text)
             done = subprocess.run(
-                [sys.executable, "-m", "lanelead", "node"], capture_output=True, text=True, timeout=30,
-                env={**os.environ, "NODE_CONFIG": str(path)}, cwd=Path(__file__).parent.parent,
-            )  # fmt: skip
+                [sys.executable, "-m", "lanelead", "node"],
+                capture_output=True,
+                text=True,
+                timeout=30,
+                env={**os.environ, "NODE_CONFIG": str(path)},
+                cwd=Path(__file__).parent.parent,
+            )
             self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
 
 
@@ -92,8 +96,7 @@
                 for number in range(300):
                     for state in ("active", "left"):
                         rows = [
-                            {"id": f"s{number}-{n}", "addr": f"127.0.0.1:{1 + n}", "state": state}
-                            for n in range(10)
+                            {"id": f"s{number}-{n}", "addr": f"127.0.0.1:{1 + n}", "state": state} for n in range(10)
                         ]
                         found = {"version": 2, "full": False, "servers": rows}
                         relay._listed(listed(decode(json.dumps(found).encode(), Endpoints)))
@@ -106,9 +109,18 @@
             await place.until(lambda: not relay.front.clients)
             driver = relay.driver
             sizes = [
-                len(table) for table in (
-                    driver.places, driver.door.units, driver.door.names, driver.door.marks, driver.tickets,
-                    relay.links._pools, relay.links._out, relay.links.links, relay.front.open, driver._gone,
+                len(table)
+                for table in (
+                    driver.places,
+                    driver.door.units,
+                    driver.door.names,
+                    driver.door.marks,
+                    driver.tickets,
+                    relay.links._pools,
+                    relay.links._out,
+                    relay.links.links,
+                    relay.front.open,
+                    driver._gone,
                 )
-            ]  # fmt: skip
+            ]
             self.assertLessEqual(max(sizes), 12, sizes)
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -93,8 +93,15 @@
         for units in (100, 99):
             counts.append(Counter())
             for number in range(0, 200, 5):
-                host = FakeHost(units=units, probes=True, relays=200, number=number, probe_price=DEAR,
-                                handshake_price=DEAR, idle_limit=15 * SECOND)  # fmt: skip
+                host = FakeHost(
+                    units=units,
+                    probes=True,
+                    relays=200,
+                    number=number,
+                    probe_price=DEAR,
+                    handshake_price=DEAR,
+                    idle_limit=15 * SECOND,
+                )
                 for mark, unit in enumerate(host.units):
                     unit.mark = mark
                 near = host.relay._choice._near([mine(unit) for unit in host.units], 0)
@@ -108,8 +115,15 @@
         first, second = self.host(), self.host()
         places = [{host.units.index(unit) for unit in self.goes(host, 10)} for host in (first, second)]
         self.assertEqual(places[0], places[1])  # the same number
-        other = FakeHost(units=100, probes=True, relays=200, number=150, probe_price=DEAR,
-                         handshake_price=DEAR, idle_limit=15 * SECOND)  # fmt: skip
+        other = FakeHost(
+            units=100,
+            probes=True,
+            relays=200,
+            number=150,
+            probe_price=DEAR,
+            handshake_price=DEAR,
+            idle_limit=15 * SECOND,
+        )
         self.assertFalse(places[0] & {other.units.index(unit) for unit in self.goes(other, 10)})
 
     def test_with_its_own_part_drained_it_goes_to_the_others(self) -> None:
@@ -177,9 +191,12 @@
     def test_what_is_over_is_shed_least_worth_first(self) -> None:
         # zone+mass, 15 s: 52% late and 12% in time while three times what is timely was sent.
         for took, pure, effectful in (
-            (None, 1, 1), (SECOND * 3 // 4, 1, 1), (SECOND, 0.5, 1), (SECOND * 3 // 2, 0, 1),
+            (None, 1, 1),
+            (SECOND * 3 // 4, 1, 1),
+            (SECOND, 0.5, 1),
+            (SECOND * 3 // 2, 0, 1),
             (3 * SECOND, 0, 0.5),
-        ):  # fmt: skip
+        ):
             host = self.host(50)
             sent = self.answers(host, took)
             self.assertAlmostEqual(pure, sent[PURE], delta=0.25, msg=took)
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -84,12 +84,21 @@
 
     def test_what_no_client_of_the_platform_sends(self) -> None:
         for old, new in (
-            (b"id=1f,", b""), (b"c=read,", b""), (b"d=480", b"d=0"), (b"d=480", b"d=-3"),
+            (b"id=1f,", b""),
+            (b"c=read,", b""),
+            (b"d=480", b"d=0"),
+            (b"d=480", b"d=-3"),
             (b"d=480", b"d=nan"),
-            (b"d=480", b"d=1e3"), (b",d=480", b""), (b"t=m", b"id=2f"), (b"t=m", b"t"), (b"doc", b"*"),
-            (b"'ab12'", b"'a'; DROP TABLE items"), (b" */", b""),
-            (b"id=1f", b"id="), (b" */", b" */;SELECT 1"),
-        ):  # fmt: skip
+            (b"d=480", b"d=1e3"),
+            (b",d=480", b""),
+            (b"t=m", b"id=2f"),
+            (b"t=m", b"t"),
+            (b"doc", b"*"),
+            (b"'ab12'", b"'a'; DROP TABLE items"),
+            (b" */", b""),
+            (b"id=1f", b"id="),
+            (b" */", b" */;SELECT 1"),
+        ):
             with self.assertRaises(statements.Unreadable, msg=new):
                 statements.read(SELECT.replace(old, new, 1))
         with self.assertRaises(statements.Unreadable):
@@ -124,14 +133,24 @@
         describe, data, end = good[:29], good[29:-14], good[-14:]
         self.assertEqual((describe[:1], data[:1], end[:1]), (b"T", b"D", b"C"))
         for spoilt in (
-            b"noise and more noise", describe + data + data + end, data + end, describe + end, end,
+            b"noise and more noise",
+            describe + data + data + end,
+            data + end,
+            describe + end,
+            end,
             message(b"T", b"\0\2" + describe[7:]) + data + end,
             describe + message(b"D", b"\0\2" + data[7:]) + end,
-            describe + message(b"D", data[5:] + b"x") + end, describe + message(b"D", data[5:-1]) + end,
-            describe + b"D" + (3 << 29).to_bytes(4, "big") + b"\0\1", describe + b"D\0\0\0\1", READY,
-            describe + data + message(b"C", b"SELECT 1"), describe + data + message(b"C", b"\x01\x02\0"),
-            describe + message(b"D", b"\0\1\xff\xff\xff\xff") + end, message(b"E", b"C53300"), message(b"H"),
-        ):  # fmt: skip
+            describe + message(b"D", data[5:] + b"x") + end,
+            describe + message(b"D", data[5:-1]) + end,
+            describe + b"D" + (3 << 29).to_bytes(4, "big") + b"\0\1",
+            describe + b"D\0\0\0\1",
+            READY,
+            describe + data + message(b"C", b"SELECT 1"),
+            describe + data + message(b"C", b"\x01\x02\0"),
+            describe + message(b"D", b"\0\1\xff\xff\xff\xff") + end,
+            message(b"E", b"C53300"),
+            message(b"H"),
+        ):
             reader = unit_reader()
             self.assertIs(reader.feed(spoilt), Progress.SPOILT, spoilt)
             self.assertIsNone(reader.answer, spoilt)
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -30,9 +30,7 @@
     """Every table of a database, with its columns."""
     db = sqlite3.connect(file)
     try:
-        names = [
-            name for (name,) in db.execute("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY 1")
-        ]
+        names = [name for (name,) in db.execute("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY 1")]
         found: dict[str, list[tuple[object, ...]]] = {}
         for name in names:
             columns = tuple(row[1] for row in db.execute(f"PRAGMA table_info({name})"))
@@ -94,9 +92,12 @@
     def test_document_history_idents_and_votes_are_read(self) -> None:
         holding = self.open()
         self.assertEqual((holding.head, holding.history), (3, "change-1"))
-        self.assertEqual({key: bytes(value) for key, value in holding.document.entries.items()}, {
-            "tenant/b": b'{"quota_per_s":2.0}',
-        })  # fmt: skip
+        self.assertEqual(
+            {key: bytes(value) for key, value in holding.document.entries.items()},
+            {
+                "tenant/b": b'{"quota_per_s":2.0}',
+            },
+        )
         self.assertEqual(holding.document.changed, {"tenant/a": 3, "tenant/b": 2})
         self.assertEqual(holding.made(proposal("change-2", "tenant/b", 2.0)), Accepted(2))
         self.assertEqual((holding.acceptor.promised, holding.acceptor.accepted), (Ballot(5, 1), Ballot(4, 2)))
@@ -125,9 +126,13 @@
     def test_record_lease_marks_and_relays_are_read(self) -> None:
         ledger = self.open()
         entries = ledger.page(0).entries
-        self.assertEqual([(e.seq, e.token, e.runner, e.entry.kind, e.entry.step) for e in entries], [
-            (1, 1, "runner-1", "plan", ""), (2, 1, "runner-1", "intent", "widen"),
-        ])  # fmt: skip
+        self.assertEqual(
+            [(e.seq, e.token, e.runner, e.entry.kind, e.entry.step) for e in entries],
+            [
+                (1, 1, "runner-1", "plan", ""),
+                (2, 1, "runner-1", "intent", "widen"),
+            ],
+        )
         marks = ledger.marks(2)
         self.assertEqual((marks.parts, marks.cursor, marks.finished, marks.rows), (1, 2, False, 2))
         self.assertEqual(ledger.unseen(2), [3])
--- a/tests/test_pinned_verdicts.py
+++ b/tests/test_pinned_verdicts.py
@@ -19,9 +19,17 @@
 RECORDED = Path(__file__).parent / "pinned" / "verdicts.json"
 SEED = "7"
 DAYS = (
-    "bad-build-errors", "bad-build-slow", "crash", "cut", "drain", "give-up", "hot-key", "retry-abuse",
-    "tenant-burst", "zone-loss",
-)  # fmt: skip
+    "bad-build-errors",
+    "bad-build-slow",
+    "crash",
+    "cut",
+    "drain",
+    "give-up",
+    "hot-key",
+    "retry-abuse",
+    "tenant-burst",
+    "zone-loss",
+)
 
 
 def digests(day: str) -> dict[str, str]:
@@ -43,9 +51,7 @@
         if result.exit_code not in (0, 3):
             raise AssertionError(f"{day}: exit code {result.exit_code}\n{result.output}")
         files = sorted(path for path in folder.rglob("*") if path.is_file())
-        found = {
-            str(path.relative_to(folder)): hashlib.sha256(path.read_bytes()).hexdigest() for path in files
-        }
+        found = {str(path.relative_to(folder)): hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
         return found | {"exit code": str(result.exit_code)}
 
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -130,9 +130,7 @@
         sealed, plain = (bytes.fromhex(text) for text in recorded["datagram"])
         opened = datagrams.open_(sealed, 8)
         assert isinstance(opened, datagrams.Letter)
-        self.assertEqual(
-            (opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False)
-        )
+        self.assertEqual((opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False))
         self.assertEqual(datagrams.open_plain(plain), b"payload")
         member = datagrams.open_(bytes.fromhex(recorded["membership datagram"][0]), 8)
         assert isinstance(member, datagrams.Letter)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -50,10 +50,17 @@
     roster.list_now(Row(unit.name, "127.0.0.1", unit.port, "north", 1, "ready"))
     (folder / "relay.cue").write_text(SETTINGS.replace(", MORE", "") % (roster.port, desk.port))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", LIMITED, str(descriptors), "relay", "--settings", str(folder / "relay.cue"),
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
+        sys.executable,
+        "-c",
+        LIMITED,
+        str(descriptors),
+        "relay",
+        "--settings",
+        str(folder / "relay.cue"),
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
-    )  # fmt: skip
+    )
     assert process.stdout is not None
     found = Process(process, int((await process.stdout.readline()).split()[2]))
     try:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -14,9 +14,7 @@
 class MayHaveRun(unittest.TestCase):
     """The table of docs/relay.md: when a trip never ran, and when it may have."""
 
-    async def meet(
-        self, bad: Handler, method: str, shut: bool = False, **fields: str
-    ) -> tuple[int, str, int]:
+    async def meet(self, bad: Handler, method: str, shut: bool = False, **fields: str) -> tuple[int, str, int]:
         """The first lookup of a relay that happens to choose the bad unit of two: its status and outcome, and
         how many trips reached the good unit."""
         for seed in range(20):
@@ -87,9 +85,7 @@
 
     @live
     async def test_a_kept_connection_that_the_unit_closed_is_found_out_before_it_is_used(self) -> None:
-        async def once(
-            unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-        ) -> None:
+        async def once(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await unit.request(reader)
             writer.write(writing.answer(200, (), b"ok"))
 
@@ -105,9 +101,7 @@
 class Connections(unittest.TestCase):
     @live
     async def test_answers_come_in_the_order_asked_though_the_second_ends_first(self) -> None:
-        async def by_path(
-            unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-        ) -> None:
+        async def by_path(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 path = (await unit.request(reader)).split()[1]
                 await asyncio.sleep(0.3 if path == b"/slow" else 0)
@@ -119,9 +113,7 @@
                 await client.ask("GET", "/warm")
             for path in ("/slow", "/quick", "/quick2"):
                 client.send("GET", path)
-            self.assertEqual(
-                [(await client.answer())[2] for _ in range(3)], [b"/slow", b"/quick", b"/quick2"]
-            )
+            self.assertEqual([(await client.answer())[2] for _ in range(3)], [b"/slow", b"/quick", b"/quick2"])
 
     @live
     async def test_a_pipelined_lookup_whose_time_ends_before_the_one_ahead_waits_to_be_taken(self) -> None:
@@ -157,9 +149,7 @@
 
     @live
     async def test_a_unit_may_answer_before_it_has_read_the_whole_body(self) -> None:
-        async def early(
-            unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-        ) -> None:
+        async def early(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             unit.requests.append(await reader.readuntil(b"\r\n\r\n"))
             writer.write(writing.answer(413, (), b"too much\n"))
             await writer.drain()
@@ -176,9 +166,7 @@
 
     @live
     async def test_a_late_answer_is_never_given_to_the_next_trip(self) -> None:
-        async def first_late(
-            unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-        ) -> None:
+        async def first_late(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 path = (await unit.request(reader)).split()[1]
                 await asyncio.sleep(0.5 if path == b"/late" else 0)
@@ -195,9 +183,7 @@
         unit = ScriptedUnit("u", says(b"body\n"))
         async with town(unit) as place:
             client = await Client.to(place)
-            client.writer.write(
-                b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-            )
+            client.writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             self.assertEqual(await client.reader.readuntil(b"\r\n\r\n"), writing.CONTINUE)
             client.writer.write(b"ab")
             self.assertEqual((await client.answer())[0], 200)
@@ -209,9 +195,7 @@
             status, told, body = await client.ask("HEAD", "/")
             self.assertEqual((status, told["content-length"], body), (200, "5", b""))
             self.assertEqual((await client.ask("GET", "/"))[2], b"body\n")
-        self.assertTrue(
-            unit.requests[0].endswith(b"\r\n\r\nab") and unit.requests[1].endswith(b"\r\n\r\nabc")
-        )
+        self.assertTrue(unit.requests[0].endswith(b"\r\n\r\nab") and unit.requests[1].endswith(b"\r\n\r\nabc"))
         self.assertNotIn(b"expect", unit.requests[0].lower())
 
     @live
@@ -260,9 +244,7 @@
 class Stalls(unittest.TestCase):
     @live
     async def test_a_client_that_reads_nothing_holds_up_no_connection_that_others_use(self) -> None:
-        async def by_path(
-            unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-        ) -> None:
+        async def by_path(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 big = b"/big" in await unit.request(reader)
                 writer.write(writing.answer(200, (), b"x" * (24 << 20) if big else b"small"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,19 @@
 import unittest
 
 from lanelead.decisions.interface import (
-    BreakOff, Close, Condition, Control, Fate, Lane, News, Phase, Probe, Send, Shed, Sighting, Verdict,
+    BreakOff,
+    Close,
+    Condition,
+    Control,
+    Fate,
+    Lane,
+    News,
+    Phase,
+    Probe,
+    Send,
+    Shed,
+    Sighting,
+    Verdict,
 )
 from lanelead.decisions.scoring import FULL, Fault, Scoring, View
 from lanelead.decisions.servers import Server, mine
@@ -174,8 +186,7 @@
         for least, wait in ((SECOND * 8 // 10, 4 * SECOND), (3 * SECOND, 5 * SECOND), (0, 5 * SECOND)):
             host = FakeHost(now=20 * SECOND, least_stage=least)
             host.news(2, 0, Phase.TRIAL, 0.1)
-            host.relay._scoring.record(
-                mine(host.listed(2, since=host.relay.now)), PURE, {}, host.relay.now, 10)
+            host.relay._scoring.record(mine(host.listed(2, since=host.relay.now)), PURE, {}, host.relay.now, 10)
             host.run(wait - 1)
             self.assertEqual(host.votes(), [])
             host.run(1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -71,9 +71,7 @@
     def test_what_no_field_can_say_alone_is_checked_too(self) -> None:
         self.assertIn("no more than outer_limit_ms", self.faults(GOOD.replace("ms: 100,", "ms: 2000,"))[0])
         self.assertIn("less than relay.relays", self.faults(GOOD.replace("number: 0", "number: 3"))[0])
-        members = (
-            'service: members: [{name: "m", quota: 1, share: 1, networks: ["10.0.0.0/40"]}]\n\tservice: lanes'
-        )
+        members = 'service: members: [{name: "m", quota: 1, share: 1, networks: ["10.0.0.0/40"]}]\n\tservice: lanes'
         self.assertIn("an IP network", self.faults(GOOD.replace("service: lanes", members))[0])
         trial = "service: trial: caps: [0.5, 0.1, 1, 1]\n\tservice: lanes"
         self.assertIn("never fall", self.faults(GOOD.replace("service: lanes", trial))[0])
@@ -119,9 +117,7 @@
 
     def test_closed_structs_patterns_and_disjunctions(self) -> None:
         self.assertEqual(value('#M: {[string]: int}\nm: #M & {a: 1, "b c": 2}')["m"], {"a": 1, "b c": 2})
-        self.assertEqual(
-            value('a: ({k: "x", v: int} | {k: "y", w: int}) & {k: "y", w: 1}')["a"], {"k": "y", "w": 1}
-        )
+        self.assertEqual(value('a: ({k: "x", v: int} | {k: "y", w: int}) & {k: "y", w: 1}')["a"], {"k": "y", "w": 1})
         for text in (
             "#A: {x: 1}\na: #A & {y: 2}",
             'a: ("x" | "y") & "z"',
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -218,9 +218,7 @@
 
     def test_a_half_done_step_is_undone_and_an_untouched_one_dropped(self) -> None:
         body = Entry("plan", text=Goal(ONE_AFTER_ANOTHER).body)
-        half = Shop(
-            (body, *through("a"), Entry("intent", "b"), Entry("failed", "b", parts=1)), 1, ((2, 0), (4, 0))
-        )
+        half = Shop((body, *through("a"), Entry("intent", "b"), Entry("failed", "b", parts=1)), 1, ((2, 0), (4, 0)))
         shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo", to="b"), half)
         self.assertEqual(folded(shop.entries).marks["b"].stand, Stand.WAITING)
         self.assertEqual(shop.state()["b"], 0)
@@ -264,9 +262,10 @@
 
     TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(Demands(1, [], [], ""),))
     ENDS = plan(
-        step("a"), step("d", "a", kind="contract"),
+        step("a"),
+        step("d", "a", kind="contract"),
         builds=(Demands(1, [], ["d"], ""), Demands(2, [Need("a", 0)], [], "")),
-    )  # fmt: skip
+    )
 
     def test_two_runners_that_run_the_same_plan(self) -> None:
         found = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
@@ -311,9 +310,7 @@
         needs = [Need(s.name, 0) for s in steps[: many // 2]]
         builds = (Demands(1, [], ["last"], ""), Demands(2, needs, [], ""))
         self.plan = plan(*steps, builds=builds)
-        self.fresh = tuple(
-            Runner(Goal(self.plan, what, past_back=True)) for what in ("run", "undo", "resume")
-        )
+        self.fresh = tuple(Runner(Goal(self.plan, what, past_back=True)) for what in ("run", "undo", "resume"))
         self.scene = Scene(Shop(), tuple(Clerk(one) for one in self.fresh), (), 12)
 
     @rule(data=st.data(), many=st.integers(1, 8))
@@ -353,9 +350,13 @@
 
 
 BOUND = settings(
-    max_examples=60, stateful_step_count=25, deadline=None, derandomize=True, database=None,
+    max_examples=60,
+    stateful_step_count=25,
+    deadline=None,
+    derandomize=True,
+    database=None,
     suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+)
 LongerOrders = Longer.TestCase
 LongerOrders.settings = BOUND
 
--- a/tests/test_stepstore.py
+++ b/tests/test_stepstore.py
@@ -97,9 +97,7 @@
 
     def test_an_effect_and_its_mark_are_one(self) -> None:
         token = self.lease()
-        ask = ApplyAsk(
-            token, self.intent(token), 0, ("INSERT INTO t (n) VALUES (1)", "INSERT INTO nowhere VALUES (1)")
-        )
+        ask = ApplyAsk(token, self.intent(token), 0, ("INSERT INTO t (n) VALUES (1)", "INSERT INTO nowhere VALUES (1)"))
         with self.denied("nowhere"):
             self.ledger.apply(ask)
         self.assertEqual((self.rows(), self.ledger.marks(1).parts), ([], 0))
@@ -117,10 +115,16 @@
         token = self.lease()
         intent = self.intent(token)
         for text in (
-            "COMMIT", "ROLLBACK", "SAVEPOINT x", "PRAGMA synchronous = OFF", "ATTACH '/dev/null' AS x",
-            "DELETE FROM ll_record", "UPDATE LL_lease SET token = 9", "DROP TABLE ll_marks",
+            "COMMIT",
+            "ROLLBACK",
+            "SAVEPOINT x",
+            "PRAGMA synchronous = OFF",
+            "ATTACH '/dev/null' AS x",
+            "DELETE FROM ll_record",
+            "UPDATE LL_lease SET token = 9",
+            "DROP TABLE ll_marks",
             "SELECT * FROM ll_marks",
-        ):  # fmt: skip
+        ):
             with self.assertRaises(Denied, msg=text) as caught:
                 self.ledger.apply(ApplyAsk(token, intent, 0, ("INSERT INTO t (n) VALUES (1)", text)))
             self.assertEqual(caught.exception.why, "failed")
@@ -187,12 +191,15 @@
 
     def test_a_store_that_refuses_drops_or_is_late(self) -> None:
         for kind, path, more in (
-            ("refuse", "/apply", {}), ("drop", "/apply", {}), ("drop", "/record", {}), ("drop", "/lease", {}),
-            ("refuse", "/record", {}), ("late", "/apply", {"size": 0.05}), ("drop", "/marks", {}),
-        ):  # fmt: skip
-            self.assertEqual(
-                self.trial.store_hurt(kind, path, 3 if path != "/lease" else 0, **more), [], kind
-            )
+            ("refuse", "/apply", {}),
+            ("drop", "/apply", {}),
+            ("drop", "/record", {}),
+            ("drop", "/lease", {}),
+            ("refuse", "/record", {}),
+            ("late", "/apply", {"size": 0.05}),
+            ("drop", "/marks", {}),
+        ):
+            self.assertEqual(self.trial.store_hurt(kind, path, 3 if path != "/lease" else 0, **more), [], kind)
 
     def test_a_full_disk_is_failed_at_with_what_was_done_and_resumed_when_there_is_room(self) -> None:
         place = self.trial.place()
@@ -266,9 +273,7 @@
             place = trial.place()
             self.addCleanup(place.close)
             plan = Path(name, "offers.cue")
-            plan.write_bytes(
-                msgspec.json.format(msgspec.json.encode({"steps": msgspec.to_builtins(trial.plan)}))
-            )
+            plan.write_bytes(msgspec.json.format(msgspec.json.encode({"steps": msgspec.to_builtins(trial.plan)})))
 
             def call(*args: str) -> tuple[int, str]:
                 result = CliRunner().invoke(main, ["steps", *args, "--store", f"127.0.0.1:{place.port}"])
--- a/tests/town.py
+++ b/tests/town.py
@@ -116,9 +116,7 @@
             self._server.close()
 
 
-def says(
-    body: bytes = b"ok\n", status: int = 200, wait: float = 0.0, *fields: tuple[bytes, bytes]
-) -> Handler:
+def says(body: bytes = b"ok\n", status: int = 200, wait: float = 0.0, *fields: tuple[bytes, bytes]) -> Handler:
     """A unit that answers all alike, after a wait."""
 
     async def handler(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -226,9 +224,7 @@
         size = 0 if head else int(fields.get("content-length", "0"))
         return int(first.split()[1]), fields, await self.reader.readexactly(size)
 
-    async def ask(
-        self, method: str, path: str, body: bytes = b"", **fields: str
-    ) -> tuple[int, dict[str, str], bytes]:
+    async def ask(self, method: str, path: str, body: bytes = b"", **fields: str) -> tuple[int, dict[str, str], bytes]:
         self.send(method, path, body, **fields)
         return await self.answer(method == "HEAD")
 
