--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -17,6 +17,7 @@
 from lanelead.relay.driver import Driver
 
 TENTH = 0.1
+STATES: tuple[Literal["leaving", "active"], ...] = ("leaving", "active")
 
 
 def endpoint(place: int, state: Literal["active", "leaving", "left"] = "active", port: int = 5432) -> Endpoint:
@@ -73,7 +74,7 @@
         whole = body(1, True, [endpoint(place) for place in range(size)])
         parts = {"one": 1, "tenth": max(1, round(TENTH * size))}
         changes = {
-            name: [body(2, False, [endpoint(place, state) for place in range(many)]) for state in ("leaving", "active")]
+            name: [body(2, False, [endpoint(place, state) for place in range(many)]) for state in STATES]
             for name, many in parts.items()
         }
         held, made = traced_mb(partial(filled, [whole]))
