--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -30,14 +30,14 @@
 from lanelead.days.commands import load
 from lanelead.days.fleet import Process, free_ports
 from lanelead.http import writing
-from lanelead.http.answers import AnswerReader, Progress
-from lanelead.http.asks import Ask, AskReader
-from lanelead.http.serving import Caller
-from lanelead.protocols.records import Row
+from lanelead.http.answers import ResponseReader, Progress
+from lanelead.http.asks import HttpRequest, RequestReader
+from lanelead.http.serving import ServerConnection
+from lanelead.protocols.records import EndpointMessage
 from lanelead.standins.desk import Desk
 from lanelead.standins.roster import Roster
 
-ANSWER = writing.answer(200, [(b"content-type", b"text/plain")], b"x" * 100)
+ANSWER = writing.response(200, [(b"content-type", b"text/plain")], b"x" * 100)
 FIELDS = [
     (b"host", b"relay"),
     (b"lanelead-left", b"1500"),
@@ -54,10 +54,10 @@
     """Answers every request at once."""
     loop = asyncio.get_running_loop()
 
-    def heard(caller: Caller, ask: Ask) -> None:
+    def heard(caller: ServerConnection, ask: HttpRequest) -> None:
         caller.write(ANSWER)
 
-    await loop.create_server(lambda: Caller(heard), "127.0.0.1", port, backlog=1024)
+    await loop.create_server(lambda: ServerConnection(heard), "127.0.0.1", port, backlog=1024)
     print("ready", flush=True)
     await asyncio.Event().wait()
 
@@ -67,7 +67,7 @@
 
     def __init__(self, port: int, units: list[int]) -> None:
         self._port, self._units, self._loop = port, units, asyncio.get_running_loop()
-        self._idle: dict[int, list[tuple[socket.socket, AnswerReader, bytearray]]] = {port: [] for port in units}
+        self._idle: dict[int, list[tuple[socket.socket, ResponseReader, bytearray]]] = {port: [] for port in units}
 
     async def run(self) -> None:
         sock = socket.socket()
@@ -84,24 +84,24 @@
             task.add_done_callback(tasks.discard)
 
     async def _serve(self, conn: socket.socket) -> None:
-        loop, reader, buffer = self._loop, AskReader(16384, 1 << 20), bytearray(8192)
+        loop, reader, buffer = self._loop, RequestReader(16384, 1 << 20), bytearray(8192)
         view = memoryview(buffer)
         try:
             while size := await loop.sock_recv_into(conn, buffer):
                 for event in reader.feed(view[:size]):
-                    if isinstance(event, Ask):
+                    if isinstance(event, HttpRequest):
                         await loop.sock_sendall(conn, await self._pass_on(event))
         except OSError:
             pass
         finally:
             conn.close()
 
-    async def _pass_on(self, ask: Ask) -> bytes:
+    async def _pass_on(self, ask: HttpRequest) -> bytes:
         loop, port = self._loop, random.choice(self._units)
         if self._idle[port]:
             sock, reader, buffer = self._idle[port].pop()
         else:
-            sock, reader, buffer = socket.socket(), AnswerReader(1 << 20), bytearray(16384)
+            sock, reader, buffer = socket.socket(), ResponseReader(1 << 20), bytearray(16384)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await loop.sock_connect(sock, ("127.0.0.1", port))
@@ -113,7 +113,7 @@
         self._idle[port].append((sock, reader, buffer))
         answer = reader.answer
         assert answer is not None
-        return writing.answer(answer.status, writing.passed_on(answer.headers), answer.body)
+        return writing.response(answer.status, writing.passed_on(answer.headers), answer.body)
 
 
 # The generator
@@ -121,7 +121,7 @@
 
 class Asker(asyncio.Protocol):
     def __init__(self, owner: Generator_) -> None:
-        self._owner, self._reader, self._began = owner, AnswerReader(1 << 20), 0.0
+        self._owner, self._reader, self._began = owner, ResponseReader(1 << 20), 0.0
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -239,7 +239,7 @@
         roster, port = Roster(self._folder, 0, 0.0), free_ports(1)[0]
         await roster.open()
         for number, unit_port in enumerate(units):
-            roster.list_now(Row(f"u{number}", "127.0.0.1", unit_port, "north", 1, "ready"))
+            roster.list_now(EndpointMessage(f"u{number}", "127.0.0.1", unit_port, "north", 1, "ready"))
         trial, poll = day.service.trial, day.service.poll
         desk = Desk(self._folder, 0, trial, poll, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None)
         await desk.open()
--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -14,7 +14,7 @@
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.configuration.acts import Place
 from lanelead.configuration.document import Document
-from lanelead.configuration.kinds import InForce
+from lanelead.configuration.kinds import AppliedValues
 from lanelead.model.configuration import Fleet
 from lanelead.protocols.configuration import Change, Entry
 from lanelead.protocols.records import decode, encode
@@ -138,8 +138,8 @@
     for many in counts:
         data = entries(many)
 
-        def make(data: list[tuple[str, bytes]] = data) -> tuple[Document, InForce]:
-            document, values = Document(), InForce()
+        def make(data: list[tuple[str, bytes]] = data) -> tuple[Document, AppliedValues]:
+            document, values = Document(), AppliedValues()
             document.load(data)
             values.take(document, list(document.entries))
             return document, values
@@ -152,7 +152,7 @@
         text = encode(change)
 
         def take(
-            document: Document = document, text: bytes = text, values: InForce = values, key: str = data[0][0]
+            document: Document = document, text: bytes = text, values: AppliedValues = values, key: str = data[0][0]
         ) -> None:
             document.version = 0
             document.apply(decode(text, Change))
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -30,7 +30,7 @@
 from lanelead.hosting.door import FORM, HEAD, LOAD, ROW
 from lanelead.hosting.opening import Opening, pairs_of
 from lanelead.protocols import datagrams
-from lanelead.protocols.records import Listed, NewsLine, Row
+from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
 from lanelead.relay.driver import Driver, Outcome, Ticket
 from lanelead.relay.timing import EPOCH
 
@@ -38,7 +38,7 @@
 CONNECTING: Ticks = 2500  # an attempt at a unit that is silent: the limit for connecting
 LATE: Ticks = 5  # the loop's timers go off so much after their time
 SHARES = (1.0, 0.6, 0.6, 0.6, 0.6, 4.0, 0.6, 0.6, 0.6, 0.8)  # of the mean rate, by relay; their mean is 1
-NEWS = NewsLine(1, 1, "released", 1.0, 60_000)
+NEWS = RolloutMessage(1, 1, "released", 1.0, 60_000)
 
 
 @dataclass
@@ -83,7 +83,7 @@
     def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         assert peer is not None  # `Circle` names each
         for payload in payloads:
-            self.letters.append((peer, datagrams.plain(payload)))
+            self.letters.append((peer, datagrams.encode_plain(payload)))
 
     def probe(self, unit: Unit) -> None: ...
     def close(self, unit: Unit) -> None: ...
@@ -106,7 +106,9 @@
 class Fleet:
     """All events in one heap; `run` takes them up to a time. One seed draws everything."""
 
-    def __init__(self, size: Size, seed: int, rows: Sequence[Row] | None = None, even: bool = False) -> None:
+    def __init__(
+        self, size: Size, seed: int, rows: Sequence[EndpointMessage] | None = None, even: bool = False
+    ) -> None:
         self.size, self.seed, self.now = size, seed, EPOCH
         self.chance = Random(f"fleet {seed}")
         self.rows = list(rows) if rows is not None else listing(size.units)
@@ -158,7 +160,7 @@
         gc.disable()
         try:
             self._count(relay, "start", self._make, relay)
-            self._count(relay, "list", relay.driver.listed, Listed("full", 1, 0.0, self.rows), 0)
+            self._count(relay, "list", relay.driver.listed, EndpointListMessage("full", 1, 0.0, self.rows), 0)
             self._count(relay, "news", relay.driver.news, NEWS, False, Fate.DONE)
         finally:
             if collecting:
@@ -267,7 +269,7 @@
             self._count(relay, "beat" if due[2] is None else "timer", relay.driver.tick)
 
     def _heard(self, relay: Hollow, sender: int, data: bytes) -> None:
-        payload = datagrams.open_plain(data)
+        payload = datagrams.decode_plain(data)
         if payload is not None:
             relay.driver.heard(sender, payload)
 
@@ -382,7 +384,7 @@
     for place in [*range(HEAD, end, ROW.size), *range(end, len(payload), LOAD.size)]:
         mark = bytes(payload[place : place + 2])
         payload[place : place + 2] = marks.get(mark, mark)
-    return datagrams.plain(bytes(payload))
+    return datagrams.encode_plain(bytes(payload))
 
 
 def _empty_ns() -> int:
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -24,7 +24,7 @@
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND
-from lanelead.protocols.platform import Endpoints
+from lanelead.protocols.platform import EndpointList
 from lanelead.protocols.records import decode
 
 UNITS, RATE, CLIENTS = 13, 5.0, 3
@@ -190,7 +190,7 @@
 def modules_mb(size: Size) -> float:
     """What one relay's modules hold, and the last list in its configuration, which a process keeps."""
     text = whole_list(size.units)
-    return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, Endpoints, 16 << 20)))[0]
+    return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, EndpointList, 16 << 20)))[0]
 
 
 def outside(size: Size) -> dict[str, float]:
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -18,8 +18,8 @@
 from benchmarks.slopes.hollow_relay import NEWS
 from benchmarks.slopes.lists import body, endpoint
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from lanelead.pgwire.messages import READY, WELCOME, message
 
 HOLD = 2.0  # seconds that discovery holds a watch
@@ -89,20 +89,20 @@
 
 
 def discovery(size: int, port: int) -> Any:
-    whole = writing.answer(200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False)
-    nothing = writing.answer(200, (), body(1, False, []), keep=False)
+    whole = writing.response(200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False)
+    nothing = writing.response(200, (), body(1, False, []), keep=False)
 
-    def say(caller: Caller, text: bytes) -> None:
+    def say(caller: ServerConnection, text: bytes) -> None:
         caller.write(text)
         caller.close()
 
-    def heard(caller: Caller, ask: Ask) -> None:
+    def heard(caller: ServerConnection, ask: HttpRequest) -> None:
         if b"from=" in ask.target:
             asyncio.get_running_loop().call_later(HOLD, say, caller, nothing)
         else:
             say(caller, whole)
 
-    return lambda: Caller(heard)
+    return lambda: ServerConnection(heard)
 
 
 async def serve(sizes: list[int]) -> None:
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -12,7 +12,7 @@
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.http import writing
 from lanelead.node.feeds import LONGEST
-from lanelead.protocols.platform import Endpoint, Endpoints, listed
+from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from lanelead.relay.driver import Driver
 
@@ -20,10 +20,10 @@
 STATES: tuple[Literal["leaving", "active"], ...] = ("leaving", "active")
 
 
-def endpoint(place: int, state: Literal["active", "leaving", "left"] = "active", port: int = 5432) -> Endpoint:
+def endpoint(place: int, state: Literal["active", "leaving", "left"] = "active", port: int = 5432) -> ListedEndpoint:
     """A unit on an address of its own, in 127/8; its fields as long as a platform's."""
     number = place + 1
-    return Endpoint(
+    return ListedEndpoint(
         id=f"offers-{place % 300:03d}-{place:05d}",
         addr=f"127.1.{number >> 8}.{number & 255}:{port}",
         state=state,
@@ -36,23 +36,23 @@
     )
 
 
-def body(version: int, full: bool, units: list[Endpoint]) -> bytes:
+def body(version: int, full: bool, units: list[ListedEndpoint]) -> bytes:
     rows = [msgspec.Raw(msgspec.json.encode(unit)) for unit in units]
-    return msgspec.json.encode(Endpoints(version, full, rows))
+    return msgspec.json.encode(EndpointList(version, full, rows))
 
 
 def answer(text: bytes) -> int:
     """Bytes of discovery's answer, as HTTP."""
-    return len(writing.answer(200, (), text, keep=False))
+    return len(writing.response(200, (), text, keep=False))
 
 
 def decoded(text: bytes) -> None:
-    listed(decode(text, Endpoints, LONGEST))
+    read_endpoint_list(decode(text, EndpointList, LONGEST))
 
 
 def taken_in(driver: Driver, texts: list[bytes]) -> float:
     """Microseconds for one of the lists, which are taken in again and again, in turn."""
-    lists = [listed(decode(text, Endpoints, LONGEST)) for text in texts]
+    lists = [read_endpoint_list(decode(text, EndpointList, LONGEST)) for text in texts]
 
     def all_of_them() -> None:
         for each in lists:
@@ -64,7 +64,7 @@
 def filled(texts: list[bytes]) -> Driver:
     made = driver(opening(settings()))
     for text in texts:
-        made.listed(listed(decode(text, Endpoints, LONGEST)), 0)
+        made.listed(read_endpoint_list(decode(text, EndpointList, LONGEST)), 0)
     return made
 
 
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -17,7 +17,7 @@
 from benchmarks.slopes.series import Series, resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, listing
 from lanelead.decisions.interface import SECOND, Fate
-from lanelead.protocols.records import Listed
+from lanelead.protocols.records import EndpointListMessage
 
 SIZES, SMALL = ((8, 104), (40, 520), (200, 2600), (600, 7800)), ((8, 104), (40, 520))
 RATE, WHOLE, WARM, TOLD, AFTER = 183.0, 17, 4.0, 10, 13  # `TOLD`: the second that discovery tells
@@ -88,7 +88,7 @@
     fleet.crowd = ZONES / (ZONES - 1)
     gone = [row for row in listing(units, condition="gone") if row.unit in lost]
     for relay in left:
-        fleet.at(fleet.now + TOLD * SECOND, "list", relay.number, Listed("changes", 2, 0.0, gone))
+        fleet.at(fleet.now + TOLD * SECOND, "list", relay.number, EndpointListMessage("changes", 2, 0.0, gone))
     after = seconds(AFTER)
     table: dict[tuple[str, str], float] = {}
     for role in roles:
--- a/benchmarks/slopes/moving.py
+++ b/benchmarks/slopes/moving.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from lanelead.pgwire import messages
 from tests.platform import NEWS, SETTINGS, Client, Platform, Unit, answered, good, told
 
@@ -41,12 +41,12 @@
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        self._servers = [await loop.create_server(lambda: Caller(self._listed), "127.0.0.1", 0, backlog=1024)]
+        self._servers = [await loop.create_server(lambda: ServerConnection(self._listed), "127.0.0.1", 0, backlog=1024)]
         self._servers.append(await asyncio.start_server(self._desk, "127.0.0.1", 0, backlog=1024))
         self.discovery, self.desk = (server.sockets[0].getsockname()[1] for server in self._servers)
         self._pinging = loop.create_task(self._pings())
 
-    def _listed(self, caller: Caller, ask: Ask) -> None:
+    def _listed(self, caller: ServerConnection, ask: HttpRequest) -> None:
         loop = asyncio.get_running_loop()
         if b"from=" in ask.target:
             self.watches += 1
@@ -55,8 +55,8 @@
             self.whole += 1
             self._say(caller, self.known())
 
-    def _say(self, caller: Caller, body: bytes) -> None:
-        caller.write(writing.answer(200, (), body, keep=False))
+    def _say(self, caller: ServerConnection, body: bytes) -> None:
+        caller.write(writing.response(200, (), body, keep=False))
         caller.close()
 
     def known(self) -> bytes:
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -25,8 +25,8 @@
 from benchmarks.slopes.series import resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY, message
 
@@ -201,7 +201,7 @@
 
     async def open(self) -> None:
         loop, units = self.loop, lambda: UnitEnd(self)
-        discovery = await loop.create_server(lambda: Caller(self._list), "127.0.0.1", 0)
+        discovery = await loop.create_server(lambda: ServerConnection(self._list), "127.0.0.1", 0)
         self._servers = [await loop.create_server(units, "127.0.0.1", 0, backlog=4096), discovery]
         self._servers.append(await loop.create_server(lambda: DeskEnd(self), "127.0.0.1", 0, backlog=1024))
         unit, self._discovery, self._desk_port = (s.sockets[0].getsockname()[1] for s in self._servers)
@@ -231,16 +231,16 @@
         self.ports = free_ports(self.size.relays, socket.SOCK_STREAM)
         self.peer_ports = free_ports(self.size.relays, socket.SOCK_DGRAM)
 
-    def _list(self, caller: Caller, ask: Ask) -> None:
+    def _list(self, caller: ServerConnection, ask: HttpRequest) -> None:
         if b"from=" not in ask.target:
-            caller.write(writing.answer(200, (), self._whole, keep=False))
+            caller.write(writing.response(200, (), self._whole, keep=False))
             caller.close()
         else:
             self.loop.call_later(1.9, self._nothing_new, caller)
 
-    def _nothing_new(self, caller: Caller) -> None:
+    def _nothing_new(self, caller: ServerConnection) -> None:
         body = b'{"version":1,"full":false,"servers":[]}'
-        caller.write(writing.answer(200, (), body, keep=False))
+        caller.write(writing.response(200, (), body, keep=False))
         caller.close()
 
     # Relays
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -20,7 +20,7 @@
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
 from lanelead.decisions.interface import SECOND
 from lanelead.hosting.opening import Opening, pairs_of
-from lanelead.protocols.platform import Endpoints, listed
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from lanelead.relay.timing import EPOCH
 
@@ -54,7 +54,7 @@
     """What a restart costs the modules, of 600 relays."""
     body = whole_list(units)
     size = Size(600, units, 0.0, whole=1)
-    read = processor_us(lambda: listed(decode(body, Endpoints, 16 << 20)), rounds=3)
+    read = processor_us(lambda: read_endpoint_list(decode(body, EndpointList, 16 << 20)), rounds=3)
     opening = processor_us(lambda: Opening([*pairs_of(settings(size, 0))]).lanes(), rounds=3)
     fleet = Fleet(size, 1)
     relay = fleet.relays[0]
--- a/benchmarks/slopes/sizes.py
+++ b/benchmarks/slopes/sizes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lanelead.protocols.records import Row
+from lanelead.protocols.records import EndpointMessage
 
 ZONES = 4  # of two regions: zones 0 and 1, 2 and 3
 
@@ -92,10 +92,12 @@
     }
 
 
-def listing(units: int, first: int = 0, condition: Any = "ready") -> list[Row]:
+def listing(units: int, first: int = 0, condition: Any = "ready") -> list[EndpointMessage]:
     """Rows of units with drawn-like names, in zones one after the other."""
     return [
-        Row(unit_name(number), "127.0.0.1", 5432, f"z{number % ZONES}", 1, condition, number // 4, "std", None)
+        EndpointMessage(
+            unit_name(number), "127.0.0.1", 5432, f"z{number % ZONES}", 1, condition, number // 4, "std", None
+        )
         for number in range(first, first + units)
     ]
 
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -38,8 +38,8 @@
 from lanelead.decisions.rollout import Rollout
 from lanelead.decisions.rules import Relay
 from lanelead.decisions.servers import Roster
-from lanelead.protocols.platform import VERDICTS, asked
-from lanelead.protocols.records import Listed, NewsLine, Row, VoteAsk
+from lanelead.protocols.platform import VERDICTS, encode_call
+from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
 from lanelead.relay.driver import WORDS, Driver, Outcome, Ticket
 from lanelead.relay.driver import VERDICTS as SAID
 from lanelead.settings.records import Poll, Trial
@@ -115,11 +115,11 @@
         self.after()
         self.town.later(self.chance.expovariate(ASKS), self.ask)
 
-    def hear(self, line: NewsLine, answer: bool = False, word: Fate = Fate.DONE) -> None:
+    def hear(self, line: RolloutMessage, answer: bool = False, word: Fate = Fate.DONE) -> None:
         self.driver.news(line, answer, word)
         self.after()
 
-    def listed(self, listed: Listed) -> None:
+    def listed(self, listed: EndpointListMessage) -> None:
         self.driver.listed(listed, 0)
         self.after()
 
@@ -158,7 +158,7 @@
 class Bucket(Polling):
     """Counts only the calls that it takes: the bench's page says how many it takes, not how many come."""
 
-    def vote(self, vote: VoteAsk) -> tuple[str, NewsLine | None]:
+    def vote(self, vote: VoteRequest) -> tuple[str, RolloutMessage | None]:
         found = super().vote(vote)
         if found[0] == "overloaded":
             self._calls.pop()
@@ -182,13 +182,13 @@
         self.seats = [Seat(self, number, relays, poll) for number in range(relays)]
         rows = [self._row(number, 1) for number in range(UNITS)]
         for seat in self.seats:
-            seat.listed(Listed("full", 1, 0.0, rows))
-            seat.hear(NewsLine(1, 2, "released", 1.0, 60_000.0))
+            seat.listed(EndpointListMessage("full", 1, 0.0, rows))
+            seat.hear(RolloutMessage(1, 2, "released", 1.0, 60_000.0))
             self.later(self.chance.expovariate(ASKS), seat.ask)
         self.later(0.05, self._beat)
 
-    def _row(self, number: int, build: int) -> Row:
-        return Row(f"s-{build}-{number:06x}", "127.0.0.1", 9, "north", build, "ready")
+    def _row(self, number: int, build: int) -> EndpointMessage:
+        return EndpointMessage(f"s-{build}-{number:06x}", "127.0.0.1", 9, "north", build, "ready")
 
     # Time
 
@@ -242,7 +242,7 @@
 
         def run() -> None:
             for seat in self.seats:
-                seat.listed(Listed("changes", 2 + stage, 0.0, rows))
+                seat.listed(EndpointListMessage("changes", 2 + stage, 0.0, rows))
             self.desk.machines_run(build, stage)
 
         self.later(BOOT, run)
@@ -258,7 +258,7 @@
         seat.hear(line)
 
     def cast(self, seat: Seat, vote: Vote, number: int, back: float) -> None:
-        text = asked(
+        text = encode_call(
             number,
             "Rollout.Judge",
             {
@@ -267,7 +267,7 @@
                 "verdict": VERDICTS[vote.verdict],
             },
         )
-        word, line = self.desk.vote(VoteAsk(seat.number, vote.build, vote.stage, SAID[vote.verdict]))  # type: ignore[arg-type]
+        word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, SAID[vote.verdict]))  # type: ignore[arg-type]
         assert line is not None
         size = len(text) + len(answered(number, _state(line)))
         self.casts.append(Cast(self.now - self.began, vote.stage, word, size))
@@ -302,7 +302,7 @@
     return
 
 
-def _state(line: NewsLine) -> dict[str, Any]:
+def _state(line: RolloutMessage) -> dict[str, Any]:
     """As the platform says it: for its length."""
     phase = {"trial": "testing", "released": "live", "reverting": "recalling", "withdrawn": "recalled"}
     return {
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -23,8 +23,8 @@
 
 from lanelead.http import writing
 from lanelead.node.feeds import HOLD, Discovery, Held
-from lanelead.protocols.platform import Endpoint, Endpoints, listed
-from lanelead.protocols.records import Listed, encode
+from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
+from lanelead.protocols.records import EndpointListMessage, encode
 
 CALL = 0.001  # seconds from an answer to the relay's next watch, over a network of one zone
 
@@ -32,7 +32,7 @@
 def answer(changed: int, full: bool = False) -> bytes:
     """What a watch that tells of so many changed units gets."""
     points = [
-        Endpoint(
+        ListedEndpoint(
             f"s-{number:08x}",
             f"10.{number >> 8}.{number & 255}.18:5432",
             "active",
@@ -45,8 +45,8 @@
         )
         for number in range(changed)
     ]
-    body = encode(Endpoints(1_234_567, full, [msgspec.Raw(encode(point)) for point in points]))
-    return writing.answer(200, ((b"content-type", b"application/json"),), body, keep=False)
+    body = encode(EndpointList(1_234_567, full, [msgspec.Raw(encode(point)) for point in points]))
+    return writing.response(200, ((b"content-type", b"application/json"),), body, keep=False)
 
 
 class Ear:
@@ -81,9 +81,9 @@
 
 async def _watch(port: int, many: int) -> tuple[float, int]:
     """Processor time, in seconds, of this thread for so many watches, and how many came."""
-    loop, heard = asyncio.get_running_loop(), list[Listed]()
+    loop, heard = asyncio.get_running_loop(), list[EndpointListMessage]()
     log = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
-    feed = Discovery(loop, f"127.0.0.1:{port}", Held(0), listed, heard.append, Random(37), log)
+    feed = Discovery(loop, f"127.0.0.1:{port}", Held(0), read_endpoint_list, heard.append, Random(37), log)
     spoken = 0
     came = asyncio.Event()
 
--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -21,7 +21,7 @@
 
 from lanelead.days.fleet import free_ports
 from lanelead.http.calls import call
-from lanelead.protocols.steps import AppendAsk, Entry, LeaseAsk, Told
+from lanelead.protocols.steps import AppendRequest, LogEntry, LeaseRequest, SchemaCheck
 from lanelead.settings.records import Address, Batch, Demands, Step, Steps
 from lanelead.standins.interrupts import Apart, Trial
 from lanelead.steps.driver import Client
@@ -41,7 +41,7 @@
 async def file(port: int, seconds: float, rate: float) -> list[float]:
     """Answer times of filings, asked at a steady rate whether or not earlier ones are answered."""
     loop, times, tasks = asyncio.get_running_loop(), list[float](), list[asyncio.Task[None]]()
-    body = msgspec.json.encode(Told(1, "x", WRITE))
+    body = msgspec.json.encode(SchemaCheck(1, "x", WRITE))
 
     async def one() -> None:
         began = time.perf_counter()
@@ -113,20 +113,20 @@
     file = folder / "long.db"
     ledger = Ledger(file)
     ledger.db.execute("PRAGMA synchronous=OFF")
-    token = ledger.lease(LeaseAsk("one", 60_000))
+    token = ledger.lease(LeaseRequest("one", 60_000))
     plan = Steps("p", [Step("s", "expand", [], ["x"], ["y"], 1000.0)], [])
-    ledger.append(AppendAsk(token, 0, Entry("plan", text=msgspec.json.encode(plan).decode())))
+    ledger.append(AppendRequest(token, 0, LogEntry("plan", text=msgspec.json.encode(plan).decode())))
     empty = file.stat().st_size
     for number in range(1, many, 4):
         for after, entry in enumerate(
             (
-                Entry("intent", "s"),
-                Entry("done", "s"),
-                Entry("intent", "s", "undo"),
-                Entry("done", "s", "undo"),
+                LogEntry("intent", "s"),
+                LogEntry("done", "s"),
+                LogEntry("intent", "s", "undo"),
+                LogEntry("done", "s", "undo"),
             )
         ):
-            ledger.append(AppendAsk(token, number + after, entry))
+            ledger.append(AppendRequest(token, number + after, entry))
     ledger.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     ledger.close()
     place = Apart(file, lambda: free_ports(1)[0])
--- a/lanelead/circle/commands.py
+++ b/lanelead/circle/commands.py
@@ -28,7 +28,7 @@
         first, tries = 0, TRIES
         while first < 65536:
             text, _ = write(Join(GUEST, 0, 0, [], [], first, True))
-            sock.send(datagrams.seal(GUEST, tries, text, datagrams.CIRCLE))
+            sock.send(datagrams.encode_datagram(GUEST, tries, text, datagrams.MEMBERSHIP_MAGIC))
             began, until, more = first, time.monotonic() + limit, True
             while more and first < 65536 and (left := until - time.monotonic()) > 0:
                 sock.settimeout(left)
@@ -36,7 +36,7 @@
                     data = sock.recv(datagrams.LARGEST + 1)
                 except TimeoutError:
                     break
-                letter = datagrams.open_(data, 0)
+                letter = datagrams.decode_datagram(data, 0)
                 page = read(letter.payload) if not isinstance(letter, str) and letter.circle else None
                 if isinstance(page, Table) and page.first == first:
                     rows |= {row.number: row for row in page.rows}
--- a/lanelead/configuration/acts.py
+++ b/lanelead/configuration/acts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lanelead.protocols.configuration import Applied
+from lanelead.protocols.configuration import AppliedVersion
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
 @dataclass(frozen=True)
 class Told:
     source: int
-    applied: Applied
+    applied: AppliedVersion
 
 
 @dataclass(frozen=True)
--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -26,14 +26,14 @@
 
 from lanelead.protocols.configuration import (
     Accept,
-    Accepted,
+    AcceptedProposal,
     Ballot,
     Change,
     Prepare,
     Promise,
     Proposal,
-    Refusal,
-    Vote,
+    RejectedProposal,
+    AcceptReply,
 )
 
 Keep = Callable[[int, Ballot, Ballot | None, Change | None], None]
@@ -80,19 +80,19 @@
         self.promised = ask.ballot
         return Promise("promised", self.head, ask.ballot, self.accepted, self.change)
 
-    def accept(self, ask: Accept) -> Vote:
+    def accept(self, ask: Accept) -> AcceptReply:
         """Raises Unfit."""
         if ask.change.version != self.head + 1:
-            return Vote("ahead" if ask.change.version <= self.head else "behind", self.head)
+            return AcceptReply("ahead" if ask.change.version <= self.head else "behind", self.head)
         if self.abstains:
-            return Vote("abstains", self.head)
+            return AcceptReply("abstains", self.head)
         if ask.ballot < self.promised:
-            return Vote("refused", self.head, self.promised)
+            return AcceptReply("refused", self.head, self.promised)
         self.fits(ask.change)
         self._keep(ask.change.version, ask.ballot, ask.ballot, ask.change)
         self.promised = self.accepted = ask.ballot
         self.change = ask.change
-        return Vote("accepted", self.head, ask.ballot)
+        return AcceptReply("accepted", self.head, ask.ballot)
 
     def advance(self, head: int) -> None:
         """What was decided up to `head` is on disk: votes for the next version begin."""
@@ -109,10 +109,10 @@
     @property
     def group(self) -> str: ...
 
-    def made(self, proposal: Proposal) -> Accepted | Refusal | None:
+    def made(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         """The version that made it already; a refusal where its ident was used for something else."""
 
-    def change(self, proposal: Proposal) -> Change | Refusal:
+    def change(self, proposal: Proposal) -> Change | RejectedProposal:
         """What it comes to as the version after the head."""
 
 
@@ -141,14 +141,14 @@
         self._change: Change | None = None  # under way to be accepted
         self._maybe: int | None = None  # the version that may yet be this proposal's
         self._promises: dict[int, Promise] = {}
-        self._votes: dict[int, Vote] = {}
+        self._votes: dict[int, AcceptReply] = {}
         self._ends = now + DEADLINE
         self._next = now  # when the next try begins, or this one is given up
         self._idle = True
         self.words: dict[int, str] = {}  # what each voter last said, for who reads the refusal
         self.asks: list[tuple[int, Prepare | Accept]] = []
         self.decided: Change | None = None
-        self.result: Accepted | Refusal | None = None
+        self.result: AcceptedProposal | RejectedProposal | None = None
 
     @property
     def patience(self) -> float:
@@ -169,7 +169,7 @@
                 self._maybe = None  # decided, and `made` says whether as ours
         self.result = self._holder.made(self.proposal)
         if self.result is None and self.finishes is not None and self.finishes.version != self._version:
-            self.result = Refusal("stale", f"version {self.finishes.version} was decided otherwise")
+            self.result = RejectedProposal("stale", f"version {self.finishes.version} was decided otherwise")
         if self.result is not None:
             return
         if now >= self._ends or (now >= self._next and self._tries >= TRIES):
@@ -183,7 +183,7 @@
     def _begin(self, now: float) -> None:
         # Guards against a proposal that can't be made at all: it is refused before anybody is asked.
         fit = self.finishes or self._holder.change(self.proposal)
-        if isinstance(fit, Refusal) and self._maybe is None:
+        if isinstance(fit, RejectedProposal) and self._maybe is None:
             self.result = fit
             return
         self._tries += 1
@@ -202,9 +202,9 @@
         said = ", ".join(f"{voter} {self.words.get(voter, 'silent')}" for voter in self._voters)
         if self._maybe is not None:
             text = f"it may be made yet as version {self._maybe}: ask again with the same ident ({said})"
-            self.result = Refusal("unknown", text)
+            self.result = RejectedProposal("unknown", text)
         else:
-            self.result = Refusal(
+            self.result = RejectedProposal(
                 "abstains", f"no majority of the voting machines took part, nothing was changed ({said})"
             )
 
@@ -228,7 +228,7 @@
             change = max(found, key=lambda said: said.accepted or NONE).change
         else:
             own = self.finishes or self._holder.change(self.proposal)
-            if isinstance(own, Refusal):
+            if isinstance(own, RejectedProposal):
                 self._pause(now)  # and `_begin` says so, where nothing of it is on its way
                 return
             change = own
@@ -239,7 +239,7 @@
         ask = Accept(self._ballot, change, self._holder.group)
         self.asks += [(voter, ask) for voter in self._voters]
 
-    def voted(self, voter: int, ask: Accept, vote: Vote, now: float) -> None:
+    def voted(self, voter: int, ask: Accept, vote: AcceptReply, now: float) -> None:
         self._heard(voter, vote.word, vote.ballot, ask.change.version)
         if (ask.change.version, ask.ballot) != (self._version, self._ballot) or self._change is None:
             return
--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from lanelead.configuration.settings import Unfit, place, read
-from lanelead.http.calls import Failed, call
-from lanelead.protocols.configuration import Accepted, Applied, Entry, Proposal, Refusal
-from lanelead.protocols.machines import Status
+from lanelead.http.calls import CallFailedError, call
+from lanelead.protocols.configuration import AcceptedProposal, AppliedVersion, Entry, Proposal, RejectedProposal
+from lanelead.protocols.machines import ReplicaStatus
 from lanelead.protocols.records import Malformed, decode, encode
 
 LIMIT = 30.0  # seconds for one answer: a machine ends a proposal before
@@ -59,13 +59,13 @@
     try:
         answer = await call(asyncio.get_running_loop(), place(at), method, path, body, limit)
     except TimeoutError:
-        raise Failed(f"no answer within {limit:g} s") from None
+        raise CallFailedError(f"no answer within {limit:g} s") from None
     return answer.status, answer.body
 
 
-async def made(at: Sequence[str], proposal: Proposal, patience: float) -> Accepted | Refusal:
+async def made(at: Sequence[str], proposal: Proposal, patience: float) -> AcceptedProposal | RejectedProposal:
     """Asks one machine after another, with the same ident, until one says for certain or patience ends."""
-    end, pause, last = time.monotonic() + patience, 0.1, Refusal("abstains", "no machine was asked")
+    end, pause, last = time.monotonic() + patience, 0.1, RejectedProposal("abstains", "no machine was asked")
     while True:
         for each in at:
             left = end - time.monotonic()
@@ -74,14 +74,14 @@
             try:
                 status, body = await ask(each, "POST", b"/configuration", encode(proposal), min(LIMIT, left))
                 if status == 200:
-                    return decode(body, Accepted)
+                    return decode(body, AcceptedProposal)
                 if status in (413, 431):  # what any server says of a request that is too large
-                    return Refusal("malformed", f"{body.decode('utf-8', 'replace')[:200]}: split the change")
-                found = decode(body, Refusal)
-            except Failed as fault:  # it may have been heard all the same
-                found = Refusal("unknown", f"{each}: {fault}")
+                    return RejectedProposal("malformed", f"{body.decode('utf-8', 'replace')[:200]}: split the change")
+                found = decode(body, RejectedProposal)
+            except CallFailedError as fault:  # it may have been heard all the same
+                found = RejectedProposal("unknown", f"{each}: {fault}")
             except Malformed as fault:
-                found = Refusal("unknown", f"{each}: what came is no answer: {fault}")
+                found = RejectedProposal("unknown", f"{each}: what came is no answer: {fault}")
             if found.why in ("malformed", "stale"):
                 return found
             # Once one did not say for certain that nothing was changed, no other can say so.
@@ -90,9 +90,9 @@
         pause = min(2.0, pause * 2)
 
 
-async def look(at: Sequence[str]) -> tuple[dict[str, Status], list[str]]:
+async def look(at: Sequence[str]) -> tuple[dict[str, ReplicaStatus], list[str]]:
     """What all machines say of themselves, as far as any of these names them; who did not answer."""
-    found, silent, asked = dict[str, Status](), list[str](), list[str]()
+    found, silent, asked = dict[str, ReplicaStatus](), list[str](), list[str]()
     todo = list(at)
     while todo:
         asked += todo
@@ -102,11 +102,11 @@
         for each, answer in zip(todo, answers, strict=True):
             if isinstance(answer, tuple) and answer[0] == 200:
                 try:
-                    found[each] = decode(answer[1], Status, LONGEST)
+                    found[each] = decode(answer[1], ReplicaStatus, LONGEST)
                     continue
                 except Malformed:
                     pass
-            elif isinstance(answer, BaseException) and not isinstance(answer, Failed):
+            elif isinstance(answer, BaseException) and not isinstance(answer, CallFailedError):
                 raise answer
             silent.append(each)
         named = [peer.address for status in found.values() for peer in status.peers]
@@ -118,9 +118,9 @@
     return dict(single.values()), [each for each in silent if numbers.get(each) not in here]
 
 
-def relays_of(found: dict[str, Status]) -> dict[int, Applied]:
+def relays_of(found: dict[str, ReplicaStatus]) -> dict[int, AppliedVersion]:
     """Each relay once, with the newest that it told any machine: it never goes back."""
-    relays = dict[int, Applied]()
+    relays = dict[int, AppliedVersion]()
     for status in found.values():
         for told in status.relays:
             if told.relay not in relays or relays[told.relay].version < told.version:
@@ -128,7 +128,7 @@
     return relays
 
 
-def counted(relays: dict[int, Applied], version: int) -> tuple[str, bool]:
+def counted(relays: dict[int, AppliedVersion], version: int) -> tuple[str, bool]:
     """How many of how many have it, by zone."""
     every = Counter(told.zone or "?" for told in relays.values())
     have = Counter(told.zone or "?" for told in relays.values() if told.version >= version)
@@ -202,7 +202,7 @@
 
 async def _publish(at: list[str], proposal: Proposal, patience: float, in_force: float | None) -> int:
     result = await made(at, proposal, patience)
-    if isinstance(result, Refusal):
+    if isinstance(result, RejectedProposal):
         click.echo(f"{result.why}: {result.text}", err=True)
         if result.why != "unknown":
             return REFUSED
@@ -243,7 +243,7 @@
     sys.exit(0 if good and same and max(heads) - min(heads) <= 1 else 3)
 
 
-def table(found: dict[str, Status], silent: Sequence[str]) -> list[str]:
+def table(found: dict[str, ReplicaStatus], silent: Sequence[str]) -> list[str]:
     if not found:
         return ["no machine answers"]
     newest = max(found.values(), key=lambda each: each.head)
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -20,11 +20,11 @@
 
 import msgspec
 
-from lanelead.protocols.configuration import BUCKETS, CHANGE, VALUE, Change, Entry, Outline
+from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, Entry, DigestTree
 
 GONE = b"null"
 MODULUS = 1 << 64
-SUMS = Struct(f">{BUCKETS}Q")
+SUMS = Struct(f">{BUCKET_COUNT}Q")
 
 
 class Refused(Exception):
@@ -48,7 +48,7 @@
 
 
 def bucket_of(key: str) -> int:
-    return int.from_bytes(blake2b(key.encode(), digest_size=2).digest(), "big") % BUCKETS
+    return int.from_bytes(blake2b(key.encode(), digest_size=2).digest(), "big") % BUCKET_COUNT
 
 
 def _hash(key: str, value: bytes) -> int:
@@ -73,8 +73,8 @@
         self.changed: dict[str, int] = {}  # the version at which a key last changed, as far as it is known
         self.size = 0  # bytes of keys and values
         self._most, self._most_bytes = most, most_bytes
-        self._sums = [0] * BUCKETS
-        self._keys: list[dict[str, None]] = [{} for _ in range(BUCKETS)]
+        self._sums = [0] * BUCKET_COUNT
+        self._keys: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
 
     @property
     def digest(self) -> str:
@@ -94,8 +94,8 @@
         """The digest if these were set. Raises TooLarge."""
         wanted = _wanted(entries)
         self._bounded(wanted)
-        if (size := sum(len(key) + len(value) for key, value in wanted.items())) > CHANGE:
-            raise TooLarge(f"a change of {size} bytes, of {CHANGE} at most")
+        if (size := sum(len(key) + len(value) for key, value in wanted.items())) > MAX_CHANGE_BYTES:
+            raise TooLarge(f"a change of {size} bytes, of {MAX_CHANGE_BYTES} at most")
         sums = dict[int, int]()
         for key, value in wanted.items():
             place = bucket_of(key)
@@ -124,14 +124,14 @@
 
     # Repair
 
-    def outline(self, history: str) -> Outline:
+    def outline(self, history: str) -> DigestTree:
         sums = SUMS.pack(*self._sums).hex()
-        return Outline(history, self.version, self.digest, sums)
+        return DigestTree(history, self.version, self.digest, sums)
 
-    def differing(self, outline: Outline) -> list[int]:
+    def differing(self, outline: DigestTree) -> list[int]:
         """The buckets that are not as the outline has them."""
         theirs = sums_of(outline)
-        return [place for place in range(BUCKETS) if self._sums[place] != theirs[place]]
+        return [place for place in range(BUCKET_COUNT) if self._sums[place] != theirs[place]]
 
     def bucket(self, place: int) -> list[Entry]:
         return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._keys[place]]
@@ -147,7 +147,7 @@
         for key, value in (gone | wanted).items():
             self._set(key, value)
 
-    def settle(self, outline: Outline) -> None:
+    def settle(self, outline: DigestTree) -> None:
         """All buckets are as the outline has them: this is that version now. Raises Differs."""
         if self.digest != outline.digest:
             raise Differs(f"not yet version {outline.version}")
@@ -175,8 +175,8 @@
     def _bounded(self, wanted: Mapping[str, bytes]) -> None:
         """Guards against a document that outgrows the memory of those who hold it."""
         for key, value in wanted.items():
-            if len(value) > VALUE:
-                raise TooLarge(f"{key[:80]}: {len(value)} bytes, of {VALUE} at most")
+            if len(value) > MAX_VALUE_BYTES:
+                raise TooLarge(f"{key[:80]}: {len(value)} bytes, of {MAX_VALUE_BYTES} at most")
         held = self.entries
         many = len(held) + sum((value != GONE) - (key in held) for key, value in wanted.items())
         size = self.size + sum(
@@ -186,7 +186,7 @@
             raise TooLarge(f"{many} entries of {size} bytes, of {self._most} and {self._most_bytes} at most")
 
 
-def sums_of(outline: Outline) -> tuple[int, ...]:
+def sums_of(outline: DigestTree) -> tuple[int, ...]:
     """Raises Differs where it is not of this form."""
     try:
         sums = SUMS.unpack(bytes.fromhex(outline.buckets))
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -20,7 +20,7 @@
 
 from lanelead.configuration.acts import Act, AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document, Refused, TooLarge, bucket_of, sums_of
-from lanelead.protocols.configuration import Applied, Buckets, Line, Outline
+from lanelead.protocols.configuration import AppliedVersion, Buckets, WatchLine, DigestTree
 
 SILENCE = 1.2  # seconds without a line; a source writes one each 0.4 s
 OPENS = 0.7  # seconds until the first line, or two silent sources would be longer than a change may take
@@ -59,7 +59,7 @@
 @dataclass
 class _Repair:
     draft: Document
-    outline: Outline | None = None
+    outline: DigestTree | None = None
     missing: list[int] = field(default_factory=list)
     asked: bool = False
     since: float = 0.0  # when something was asked
@@ -99,7 +99,7 @@
 
     # Events
 
-    def line(self, source: int, line: Line, now: float) -> None:
+    def line(self, source: int, line: WatchLine, now: float) -> None:
         if self._trial is not None and source == self._trial[0]:
             began, self._trial = self._trial[1], None
             if self._current is not None:
@@ -146,7 +146,7 @@
             self._failed(source, reason, now)
             self.tick(now)
 
-    def outlined(self, source: int, outline: Outline, now: float) -> None:
+    def outlined(self, source: int, outline: DigestTree, now: float) -> None:
         if (repair := self._asked(source)) is None:
             return
         repair.asked = False
@@ -334,7 +334,7 @@
             self._repair.asked, self._repair.outline = False, None  # the next source has its own snapshots
         self.acts.append(Leave(source))
 
-    def _another_history(self, source: int, line: Line, now: float) -> None:
+    def _another_history(self, source: int, line: WatchLine, now: float) -> None:
         known = self._known[source]
         self._note(
             f"another history of configuration at {known.place.address}",
@@ -372,7 +372,7 @@
         else:
             self._settle(source, repair, repair.outline, now)
 
-    def _settle(self, source: int, repair: _Repair, outline: Outline, now: float) -> None:
+    def _settle(self, source: int, repair: _Repair, outline: DigestTree, now: float) -> None:
         self._repair = None
         repair.draft.settle(outline)  # each bucket was held against the outline, and that against its digest
         places, before = dict.fromkeys(self.document.differing(outline)), self.document
@@ -389,7 +389,9 @@
         wait = APPLIED if self._untold else SIGN
         if self._current is not None and self._opened and now >= self._told_at + wait:
             self._untold, self._told_at = False, now
-            word = Applied(self._number, self.document.version, self.refused[:20], self.refusals, self._place.zone)
+            word = AppliedVersion(
+                self._number, self.document.version, self.refused[:20], self.refusals, self._place.zone
+            )
             self.acts.append(Told(self._current, word))
 
     def _note(self, text: str, reason: str, remedy: str) -> None:
--- a/lanelead/configuration/holding.py
+++ b/lanelead/configuration/holding.py
@@ -12,16 +12,16 @@
 from lanelead.configuration.source import KEPT, Source
 from lanelead.configuration.store import IDENTS, Corrupt, Store
 from lanelead.protocols.configuration import (
-    BUCKETS,
-    Accepted,
+    BUCKET_COUNT,
+    AcceptedProposal,
     Change,
     Entry,
     Proposal,
-    Refusal,
+    RejectedProposal,
 )
-from lanelead.protocols.machines import PAGES, Made, Snapshot
+from lanelead.protocols.machines import SNAPSHOT_PAGES, CompletedProposal, SnapshotPage
 
-A_PAGE = BUCKETS // PAGES  # buckets of one page of a snapshot
+A_PAGE = BUCKET_COUNT // SNAPSHOT_PAGES  # buckets of one page of a snapshot
 PRUNED = 256  # versions between two prunings of keys that are gone
 FROZEN = 60.0  # seconds for which a snapshot is kept after it was last asked for
 
@@ -58,7 +58,7 @@
         self.source = Source()
         self._start_source()
         self._frozen: Document | None = None
-        self._frozen_made: list[Made] = []
+        self._frozen_made: list[CompletedProposal] = []
         self._asked_at = 0.0
 
     def _start_source(self) -> None:
@@ -88,7 +88,7 @@
 
     # As agreement.Holder
 
-    def made(self, proposal: Proposal) -> Accepted | Refusal | None:
+    def made(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         found = self._store.made.get(proposal.ident)
         if found is None:
             return None
@@ -97,30 +97,30 @@
         except Refused:
             same = False
         if not same:
-            return Refusal(
+            return RejectedProposal(
                 "malformed",
                 f"ident {proposal.ident} has made other entries, as version {found.version}: take another ident",
             )
-        return Accepted(found.version)
+        return AcceptedProposal(found.version)
 
-    def change(self, proposal: Proposal) -> Change | Refusal:
+    def change(self, proposal: Proposal) -> Change | RejectedProposal:
         for key, version in proposal.expect.items():
             last = self.document.changed.get(key, self.floor)
             if last > version:
-                return Refusal(
+                return RejectedProposal(
                     "stale",
                     f"{key} was changed by version {last}, after {version}: read it again, and ask anew",
                 )
         key, many = Counter(entry.key for entry in proposal.entries).most_common(1)[0]
         if many > 1:
-            return Refusal("malformed", f"{key} stands {many} times: once is meant")
+            return RejectedProposal("malformed", f"{key} stands {many} times: once is meant")
         try:
             for entry in proposal.entries:
                 if (value := canonical(entry.value)) != GONE:
                     kinds.read(entry.key, value)
             digest = self.document.after(proposal.entries)
-        except (Refused, kinds.Unfit) as fault:
-            return Refusal("malformed", str(fault))
+        except (Refused, kinds.InvalidValueError) as fault:
+            return RejectedProposal("malformed", str(fault))
         return Change(self.head + 1, proposal.ident, digest, proposal.entries, self._wall() * 1000)
 
     def fits(self, change: Change) -> None:
@@ -179,7 +179,7 @@
 
     # Whole documents, to and from a machine that lacks too much
 
-    def snapshot(self, version: int, page: int, now: float) -> Snapshot | None:
+    def snapshot(self, version: int, page: int, now: float) -> SnapshotPage | None:
         """A page of this version, 0: of a newer one; none: it is not kept any more."""
         if self._frozen is not None and now > self._asked_at + FROZEN:
             self._frozen = None
@@ -194,9 +194,9 @@
         if page == 0:
             changed |= {key: at for key, at in frozen.changed.items() if key not in frozen.entries}
         made = self._frozen_made if page == 0 else []
-        return Snapshot(self.history, frozen.version, frozen.digest, page, entries, changed, self.floor, made)
+        return SnapshotPage(self.history, frozen.version, frozen.digest, page, entries, changed, self.floor, made)
 
-    def install(self, pages: Sequence[Snapshot]) -> bool:
+    def install(self, pages: Sequence[SnapshotPage]) -> bool:
         """All pages of one snapshot; an older one than the head is left. Raises Strange and StoreFault."""
         first = pages[0]
         if any((page.version, page.history) != (first.version, first.history) for page in pages):
--- a/lanelead/configuration/kinds.py
+++ b/lanelead/configuration/kinds.py
@@ -17,7 +17,7 @@
 MOST_NAMED = 100  # refused keys that are kept by name
 
 
-class Unfit(Exception):
+class InvalidValueError(Exception):
     """The text names the field, and what to do."""
 
     def __init__(self, key: str, what: str) -> None:
@@ -25,14 +25,14 @@
         self.key = key
 
 
-class Tenant(msgspec.Struct, frozen=True):
+class TenantValue(msgspec.Struct, frozen=True):
     """Lookups a second that are the tenant's own, and its share of the fleet's."""
 
     quota_per_s: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0
 
 
-class ClassFigures(msgspec.Struct, frozen=True):
+class ClassValue(msgspec.Struct, frozen=True):
     """Of a class that the settings name: what may change while requests of it are under way."""
 
     aim_ms: Annotated[float, Meta(gt=0, le=1e7)]
@@ -41,8 +41,8 @@
     late_worth: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
 
 
-Value = Tenant | ClassFigures
-KINDS: dict[str, type[Tenant] | type[ClassFigures]] = {"tenant": Tenant, "class": ClassFigures}
+EntryValue = TenantValue | ClassValue
+KINDS: dict[str, type[TenantValue] | type[ClassValue]] = {"tenant": TenantValue, "class": ClassValue}
 
 
 def split(key: str) -> tuple[str, str]:
@@ -50,37 +50,37 @@
     return kind, name
 
 
-def read(key: str, value: bytes) -> Value | None:
+def read(key: str, value: bytes) -> EntryValue | None:
     """None: a kind that is not known here. Raises Unfit."""
     kind, _ = split(key)
     if kind not in KINDS:
         return None
     try:
-        found: Value = msgspec.json.decode(value, type=KINDS[kind])
+        found: EntryValue = msgspec.json.decode(value, type=KINDS[kind])
     except (msgspec.MsgspecError, RecursionError) as fault:
-        raise Unfit(key, str(fault)[:200]) from None
-    if isinstance(found, ClassFigures) and found.deadline_ms < found.aim_ms:
-        raise Unfit(key, f"deadline_ms {found.deadline_ms:g} is under aim_ms {found.aim_ms:g}")
+        raise InvalidValueError(key, str(fault)[:200]) from None
+    if isinstance(found, ClassValue) and found.deadline_ms < found.aim_ms:
+        raise InvalidValueError(key, f"deadline_ms {found.deadline_ms:g} is under aim_ms {found.aim_ms:g}")
     return found
 
 
-class InForce:
+class AppliedValues:
     """The values in force, by key: the document's, but for keys whose newest value is unfit."""
 
     def __init__(self) -> None:
-        self.values: dict[str, Value] = {}
+        self.values: dict[str, EntryValue] = {}
         self.refused: dict[str, str] = {}  # keys whose newest value is unfit, with why; bounded
         self.refusals = 0
         self.unknown: dict[str, int] = {}  # entries by kinds that are not known here
 
-    def take(self, document: Document, keys: Iterable[str]) -> tuple[list[str], list[Unfit]]:
+    def take(self, document: Document, keys: Iterable[str]) -> tuple[list[str], list[InvalidValueError]]:
         """The keys that have changed in force, and what was refused."""
-        changed, faults = list[str](), list[Unfit]()
+        changed, faults = list[str](), list[InvalidValueError]()
         for key in keys:
             value = document.get(key)
             try:
                 found = read(key, value) if value is not None else None
-            except Unfit as fault:
+            except InvalidValueError as fault:
                 faults.append(fault)
                 self.refusals += 1
                 if len(self.refused) < MOST_NAMED:
--- a/lanelead/configuration/letters.py
+++ b/lanelead/configuration/letters.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from lanelead.configuration.agreement import LONGEST, Proposer
-from lanelead.protocols.configuration import Accept, Prepare, Sign
-from lanelead.protocols.machines import Decided, Snapshot
+from lanelead.protocols.configuration import Accept, Prepare, Heartbeat
+from lanelead.protocols.machines import DecidedChange, SnapshotPage
 
 NEVER = -1e6  # seconds before its start
 
@@ -23,7 +23,7 @@
 @dataclass(frozen=True, eq=False)
 class Call:
     to: int
-    body: Prepare | Accept | Decided | Sign | Asked
+    body: Prepare | Accept | DecidedChange | Heartbeat | Asked
     sent: float
     proposer: Proposer | None = None
     limit: float = LONGEST  # seconds to wait for an answer
@@ -42,4 +42,4 @@
     history: str = ""
     strange: str = ""  # why it is left alone
     fetching: float = NEVER  # until when its answer is waited for
-    pages: list[Snapshot] = field(default_factory=list)
+    pages: list[SnapshotPage] = field(default_factory=list)
--- a/lanelead/configuration/machine.py
+++ b/lanelead/configuration/machine.py
@@ -35,15 +35,15 @@
 from lanelead.protocols.configuration import (
     Accept,
     Change,
-    Log,
+    LogPage,
     Prepare,
     Promise,
     Proposal,
-    Refusal,
-    Sign,
-    Vote,
+    RejectedProposal,
+    Heartbeat,
+    AcceptReply,
 )
-from lanelead.protocols.machines import PAGES, Decided, Snapshot
+from lanelead.protocols.machines import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
 
 SIGNS = 0.5  # seconds
 OUT = 12  # signs to one machine without an answer yet, at the most
@@ -131,10 +131,10 @@
             what = Proposal(change.ident, change.entries)
             self._waiting.append(Proposer(self.number, self.voters, what, self.holding, self._chance, now, change))
 
-    def sign(self) -> Sign:
+    def sign(self) -> Heartbeat:
         holding = self.holding
         empty = self.number in self.voters and holding.acceptor.abstains
-        return Sign(self.number, holding.history, holding.head, empty, holding.ready and empty, list(self.voters))
+        return Heartbeat(self.number, holding.history, holding.head, empty, holding.ready and empty, list(self.voters))
 
     # What others ask. Each raises StoreFault where nothing may be said.
 
@@ -149,40 +149,40 @@
             self._fetch(ask.ballot.machine, now)
         return promise
 
-    def asked_accept(self, ask: Accept, now: float) -> Vote:
+    def asked_accept(self, ask: Accept, now: float) -> AcceptReply:
         """Raises Unfit, too."""
         if ask.group != self.holding.group and ask.change.version == self.holding.head + 1:
-            return Vote("abstains", self.holding.head)
+            return AcceptReply("abstains", self.holding.head)
         if self.number not in self.voters:
-            return Vote("abstains", self.holding.head)
+            return AcceptReply("abstains", self.holding.head)
         with self._disk():
             vote = self.holding.acceptor.accept(ask)
         if vote.word == "behind":
             self._fetch(ask.ballot.machine, now)
         return vote
 
-    def asked_decided(self, told: Decided, now: float) -> None:
+    def asked_decided(self, told: DecidedChange, now: float) -> None:
         if told.group == self.holding.group:
             self._learn([told.change])
             self._pump(now)
 
-    def asked_sign(self, sign: Sign, now: float) -> Sign:
+    def asked_sign(self, sign: Heartbeat, now: float) -> Heartbeat:
         seen = self.seen.get(sign.machine)
         if seen is not None and self._known(sign.machine, seen, sign) and sign.head > self.holding.head:
             self._fetch(sign.machine, now)
         return self.sign()
 
-    def asked_log(self, since: int) -> Log:
+    def asked_log(self, since: int) -> LogPage:
         with self._disk():
             changes, gone = self.holding.log(since)
-        return Log(self.holding.history, self.holding.head, changes, gone)
+        return LogPage(self.holding.history, self.holding.head, changes, gone)
 
-    def propose(self, proposal: Proposal, now: float) -> Proposer | Refusal:
+    def propose(self, proposal: Proposal, now: float) -> Proposer | RejectedProposal:
         """What to wait for: its `result`."""
         if len(self._waiting) >= QUEUE:
-            return Refusal("overloaded", f"{QUEUE} proposals wait already: ask again in a while")
+            return RejectedProposal("overloaded", f"{QUEUE} proposals wait already: ask again in a while")
         if self.holding.head == 0 and not self.votes:
-            return Refusal("abstains", "this machine holds nothing yet: ask another, or again in a while")
+            return RejectedProposal("abstains", "this machine holds nothing yet: ask another, or again in a while")
         proposer = Proposer(self.number, self.voters, proposal, self.holding, self._chance, now)
         if self._waiting and self._waiting[0].finishes is not None:
             self._waiting.popleft()  # any other one finishes that too, and first
@@ -192,33 +192,35 @@
 
     # What came of calls
 
-    def answered(self, call: Call, answer: Promise | Vote | Sign | Log | Snapshot | None, now: float) -> None:
+    def answered(
+        self, call: Call, answer: Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage | None, now: float
+    ) -> None:
         self._now = max(self._now, now)
         seen, proposer = self.seen[call.to], call.proposer
         match call.body, answer:
-            case Sign(), _:
+            case Heartbeat(), _:
                 seen.out -= 1
-                if isinstance(answer, Sign):
+                if isinstance(answer, Heartbeat):
                     self._sign(call, seen, answer, now)
             case Prepare(), Promise() if proposer is not None:
                 proposer.promised(call.to, call.body, answer, now)
                 if answer.word == "ahead":
                     self._fetch(call.to, now)
-            case Accept(), Vote() if proposer is not None:
+            case Accept(), AcceptReply() if proposer is not None:
                 proposer.voted(call.to, call.body, answer, now)
                 if answer.word == "ahead":
                     self._fetch(call.to, now)
             case Asked(), _:
                 seen.fetching = NEVER
-                if isinstance(answer, Log):
+                if isinstance(answer, LogPage):
                     self._log(call, seen, answer, now)
-                elif isinstance(answer, Snapshot):
+                elif isinstance(answer, SnapshotPage):
                     self._page(call, seen, answer, now)
                 else:
                     seen.pages = []
         self._pump(now)
 
-    def _sign(self, call: Call, seen: Seen, sign: Sign, now: float) -> None:
+    def _sign(self, call: Call, seen: Seen, sign: Heartbeat, now: float) -> None:
         if (seen.sent is not None and call.sent < seen.sent) or not self._known(call.to, seen, sign):
             return
         seen.sent, seen.head, seen.history = call.sent, sign.head, sign.history
@@ -229,7 +231,7 @@
             self._fetch(call.to, now)
         self._stand()
 
-    def _known(self, number: int, seen: Seen, sign: Sign) -> bool:
+    def _known(self, number: int, seen: Seen, sign: Heartbeat) -> bool:
         """Guards against versions of two histories taken for one, and majorities of two sets of voters."""
         mine, why = self.holding.history, ""
         if sign.machine != number:
@@ -281,7 +283,7 @@
         seen.fetching = now + LONGEST
         self.calls.append(Call(other, asked, now))
 
-    def _log(self, call: Call, seen: Seen, log: Log, now: float) -> None:
+    def _log(self, call: Call, seen: Seen, log: LogPage, now: float) -> None:
         mine = self.holding.history
         if not log.history or (mine and log.history != mine):
             return
@@ -292,11 +294,11 @@
         elif self._learn(log.changes) and self.holding.head < log.head:
             self._ask(call.to, seen, Asked(self.holding.head + 1), now)
 
-    def _page(self, call: Call, seen: Seen, page: Snapshot, now: float) -> None:
+    def _page(self, call: Call, seen: Seen, page: SnapshotPage, now: float) -> None:
         seen.pages.append(page)
         if page.page != len(seen.pages) - 1 or page.version != seen.pages[0].version:
             seen.pages = []
-        elif len(seen.pages) < PAGES:
+        elif len(seen.pages) < SNAPSHOT_PAGES:
             self._ask(call.to, seen, Asked(page.version, True, page.page + 1), now)
         else:
             pages, seen.pages = seen.pages, []
@@ -347,7 +349,7 @@
                 continue
             if proposer.decided is not None:
                 change, proposer.decided = proposer.decided, None
-                told = Decided(change, self.holding.group)
+                told = DecidedChange(change, self.holding.group)
                 self.calls += [Call(other, told, now) for other in self.seen]
                 if not self._learn([change]):
                     return
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -31,21 +31,21 @@
 from lanelead.configuration.source import SIGN, Gone
 from lanelead.configuration.store import Store, StoreFault
 from lanelead.http import calls, writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import STREAM, Caller, chunk
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import STREAM, ServerConnection, chunk
 from lanelead.protocols.configuration import (
     Accept,
-    Accepted,
-    Applied,
-    Log,
+    AcceptedProposal,
+    AppliedVersion,
+    LogPage,
     Prepare,
     Promise,
     Proposal,
-    Refusal,
-    Sign,
-    Vote,
+    RejectedProposal,
+    Heartbeat,
+    AcceptReply,
 )
-from lanelead.protocols.machines import PAGES, Decided, Peer, Snapshot, Status
+from lanelead.protocols.machines import SNAPSHOT_PAGES, DecidedChange, PeerStatus, SnapshotPage, ReplicaStatus
 from lanelead.protocols.records import Malformed, decode, encode
 
 FIELDS = [(b"content-type", b"application/json")]
@@ -55,17 +55,17 @@
 IDLE = 60.0  # seconds without a request after which a connection is closed
 LINGER = 2.0  # seconds for which one whose request was refused may still send
 WAITING = 256  # operators' calls that are not answered yet
-Answer = Promise | Vote | Sign | Log | Snapshot
+Answer = Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage
 PATHS: dict[type, tuple[bytes, type[Answer] | None]] = {
     Prepare: (b"prepare", Promise),
-    Accept: (b"accept", Vote),
-    Sign: (b"sign", Sign),
-    Decided: (b"decided", None),
+    Accept: (b"accept", AcceptReply),
+    Heartbeat: (b"sign", Heartbeat),
+    DecidedChange: (b"decided", None),
 }
 
 
 class Refused(Exception):
-    def __init__(self, refusal: Refusal, status: int | None = None) -> None:
+    def __init__(self, refusal: RejectedProposal, status: int | None = None) -> None:
         self.refusal, self.status = refusal, status or STATUS[refusal.why]
 
 
@@ -86,9 +86,9 @@
         self.machine = Machine(
             settings.machine, settings.voters, others, holding, chance, self._loop.time(), self._note
         )
-        self._callers: dict[Caller, float] = {}  # with when each last asked
-        self._watchers: dict[Caller, Watcher] = {}
-        self._pending: dict[Caller, tuple[Proposer, Ask]] = {}
+        self._callers: dict[ServerConnection, float] = {}  # with when each last asked
+        self._watchers: dict[ServerConnection, Watcher] = {}
+        self._pending: dict[ServerConnection, tuple[Proposer, HttpRequest]] = {}
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._server: asyncio.Server | None = None
@@ -103,7 +103,7 @@
         self._posts: dict[str, Callable[[bytes], msgspec.Struct]] = {
             "prepare": lambda body: self.machine.asked_prepare(self._read(body, Prepare), self._now()),
             "accept": lambda body: self.machine.asked_accept(self._read(body, Accept), self._now()),
-            "sign": lambda body: self.machine.asked_sign(self._read(body, Sign), self._now()),
+            "sign": lambda body: self.machine.asked_sign(self._read(body, Heartbeat), self._now()),
             "decided": self._decided,
             "applied": self._applied,
         }
@@ -123,8 +123,8 @@
         where = place(self._settings.listen or self._settings.here.address)
         bounds = self._settings.bounds
 
-        def caller() -> Caller:
-            return Caller(self._heard, self._met, bounds.request_bytes, LINGER)
+        def caller() -> ServerConnection:
+            return ServerConnection(self._heard, self._met, bounds.request_bytes, LINGER)
 
         self._server = await self._loop.create_server(caller, where.host, where.port, backlog=1024)
         self._beat()
@@ -184,7 +184,7 @@
         method, path, body = "POST", b"", b""
         kind: type[Answer] | None
         if isinstance(call.body, Asked):
-            method, kind = "GET", Snapshot if call.body.snapshot else Log
+            method, kind = "GET", SnapshotPage if call.body.snapshot else LogPage
             path = b"/configuration/log?from=%d" % call.body.since
             if call.body.snapshot:
                 path = b"/configuration/snapshot?version=%d&page=%d" % (call.body.since, call.body.page)
@@ -196,28 +196,28 @@
             said = await calls.call(self._loop, self._places[call.to], method, path, body, call.limit)
             if said.status == 200 and kind is not None:
                 answer = decode(said.body, kind, LONGEST)
-        except (calls.Failed, Malformed, TimeoutError):
+        except (calls.CallFailedError, Malformed, TimeoutError):
             pass  # as if it had not answered: the rules ask again
         self.machine.answered(call, answer, self._now())
         self._turn()
 
     # Callers
 
-    def _met(self, caller: Caller) -> None:
+    def _met(self, caller: ServerConnection) -> None:
         if len(self._callers) >= self._settings.bounds.connections:
-            text = encode(Refusal("overloaded", "too many connections: raise bounds.connections"))
-            caller.write(writing.answer(503, FIELDS, text, False))
+            text = encode(RejectedProposal("overloaded", "too many connections: raise bounds.connections"))
+            caller.write(writing.response(503, FIELDS, text, False))
             caller.close()
             return
         self._callers[caller] = self._now()
         caller.lost.append(lambda: self._left(caller))
 
-    def _left(self, caller: Caller) -> None:
+    def _left(self, caller: ServerConnection) -> None:
         self._callers.pop(caller, None)
         self._watchers.pop(caller, None)
         self._pending.pop(caller, None)
 
-    def _heard(self, caller: Caller, ask: Ask) -> None:
+    def _heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         if caller not in self._callers:
             return
         self._callers[caller] = self._now()
@@ -230,7 +230,7 @@
             query = {name: some[0] for name, some in parse_qs(split.query).items()}
             name = split.path.removeprefix("/configuration").removeprefix("/")
             if not split.path.startswith("/configuration"):
-                raise Refused(Refusal("malformed", f"no call {split.path[:80]}"), 404)
+                raise Refused(RejectedProposal("malformed", f"no call {split.path[:80]}"), 404)
             if ask.method == "GET" and name == "watch":
                 self._watch(caller, query)
                 return
@@ -241,53 +241,57 @@
         except Refused as fault:
             status, body = fault.status, encode(fault.refusal)
         except (Malformed, Unfit, ValueError) as fault:  # the last: a target that is none
-            status, body = 400, encode(Refusal("malformed", str(fault)))
+            status, body = 400, encode(RejectedProposal("malformed", str(fault)))
         except StoreFault as fault:
-            status, body = 503, encode(Refusal("abstains", f"{fault}; {fault.remedy}"))
+            status, body = 503, encode(RejectedProposal("abstains", f"{fault}; {fault.remedy}"))
         except Gone as fault:
-            status, body = 410, encode(Refusal("stale", str(fault)))
+            status, body = 410, encode(RejectedProposal("stale", str(fault)))
         self._answer(caller, ask, status, body)
         self._turn()
 
-    def _call(self, ask: Ask, name: str, query: dict[str, str]) -> msgspec.Struct:
+    def _call(self, ask: HttpRequest, name: str, query: dict[str, str]) -> msgspec.Struct:
         if ask.method == "GET" and name in self._gets:
             return self._gets[name](query)
         if ask.method == "POST" and name in self._posts:
             return self._posts[name](ask.body)
-        raise Refused(Refusal("malformed", f"no call {ask.method} /configuration/{name[:80]}"), 404)
+        raise Refused(RejectedProposal("malformed", f"no call {ask.method} /configuration/{name[:80]}"), 404)
 
-    def _answer(self, caller: Caller, ask: Ask, status: int, body: bytes) -> None:
-        caller.write(writing.answer(status, FIELDS, body, ask.keep))
+    def _answer(self, caller: ServerConnection, ask: HttpRequest, status: int, body: bytes) -> None:
+        caller.write(writing.response(status, FIELDS, body, ask.keep))
         if not ask.keep:
             caller.close()
 
     # Operators
 
-    def _propose(self, caller: Caller, ask: Ask) -> None:
+    def _propose(self, caller: ServerConnection, ask: HttpRequest) -> None:
         if len(self._pending) >= WAITING:
-            raise Refused(Refusal("overloaded", f"{WAITING} calls wait already: ask again in a while"))
+            raise Refused(RejectedProposal("overloaded", f"{WAITING} calls wait already: ask again in a while"))
         found = self.machine.propose(self._read(ask.body, Proposal), self._now())
-        if isinstance(found, Refusal):
+        if isinstance(found, RejectedProposal):
             self._proposed(caller, ask, found)
         else:
             self._pending[caller] = found, ask
         self._turn()
 
-    def _proposed(self, caller: Caller, ask: Ask, result: Accepted | Refusal) -> None:
-        status = 200 if isinstance(result, Accepted) else STATUS[result.why]
-        if isinstance(result, Accepted):
+    def _proposed(
+        self, caller: ServerConnection, ask: HttpRequest, result: AcceptedProposal | RejectedProposal
+    ) -> None:
+        status = 200 if isinstance(result, AcceptedProposal) else STATUS[result.why]
+        if isinstance(result, AcceptedProposal):
             self._log.info("change made", version=result.version)
         self._answer(caller, ask, status, encode(result))
 
-    def status(self) -> Status:
+    def status(self) -> ReplicaStatus:
         machine, now = self.machine, self._now()
         holding, here = machine.holding, self._settings.here
-        peers = list[Peer]()
+        peers = list[PeerStatus]()
         for row in self._settings.machines:
             if (seen := machine.seen.get(row.number)) is not None:
                 age = None if seen.sent is None else max(0.0, (now - seen.sent) * 1000)
-                peers.append(Peer(row.number, row.address, row.zone, row.region, row.voter, seen.head, age, seen.empty))
-        return Status(
+                peers.append(
+                    PeerStatus(row.number, row.address, row.zone, row.region, row.voter, seen.head, age, seen.empty)
+                )
+        return ReplicaStatus(
             here.number,
             here.zone,
             here.region,
@@ -307,13 +311,13 @@
     # Machines
 
     def _decided(self, body: bytes) -> msgspec.Struct:
-        self.machine.asked_decided(self._read(body, Decided), self._now())
+        self.machine.asked_decided(self._read(body, DecidedChange), self._now())
         return self.machine.sign()
 
     def _snapshot(self, query: dict[str, str]) -> msgspec.Struct:
         version, page = _whole(query, "version"), _whole(query, "page")
-        if page >= PAGES:
-            raise Malformed(f"page: {page}, of {PAGES}")
+        if page >= SNAPSHOT_PAGES:
+            raise Malformed(f"page: {page}, of {SNAPSHOT_PAGES}")
         found = self.machine.holding.snapshot(version, page, self._now())
         if found is None:
             raise Gone(f"no snapshot of version {version}")
@@ -324,16 +328,16 @@
     def _source(self) -> Any:
         holding = self.machine.holding
         if not holding.head:
-            raise Refused(Refusal("abstains", "this machine holds nothing yet: ask another"))
+            raise Refused(RejectedProposal("abstains", "this machine holds nothing yet: ask another"))
         holding.source.heard = self.machine.heard
         return holding.source
 
     def _applied(self, body: bytes) -> msgspec.Struct:
-        told = self._read(body, Applied)
+        told = self._read(body, AppliedVersion)
         self.machine.holding.source.applied(told, self._now())
-        return Accepted(told.version)
+        return AcceptedProposal(told.version)
 
-    def _watch(self, caller: Caller, query: dict[str, str]) -> None:
+    def _watch(self, caller: ServerConnection, query: dict[str, str]) -> None:
         position = self._source().position(_whole(query, "from"), query.get("digest", ""))
         caller.write(STREAM)
         self._watchers[caller] = Watcher(position, -1e9)
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.platform import address
+from lanelead.protocols.platform import parse_address
 from lanelead.protocols.records import Malformed
 from lanelead.settings.records import Address
 
@@ -139,11 +139,11 @@
 
 def _address(name: str, text: str) -> list[str]:
     try:
-        address(text)
+        parse_address(text)
     except Malformed:
         return [f"{name}: {text[:80]!r}; expected HOST:PORT"]
     return []
 
 
 def place(text: str) -> Address:
-    return Address(*address(text))
+    return Address(*parse_address(text))
--- a/lanelead/configuration/source.py
+++ b/lanelead/configuration/source.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from lanelead.configuration.document import Document
-from lanelead.protocols.configuration import CHANGE, Applied, Buckets, Change, Line, Outline
+from lanelead.protocols.configuration import MAX_CHANGE_BYTES, AppliedVersion, Buckets, Change, WatchLine, DigestTree
 
 KEPT = 1000  # changes told one by one; a follower that lacks more compares buckets, which costs less
 KEPT_BYTES = 16 << 20  # of their keys and values, at most
@@ -42,7 +42,7 @@
     _size: int = 0  # bytes of the changes kept
     _digests: dict[int, str] = field(default_factory=dict)  # of the versions before and after each change kept
     _frozen: list[tuple[float, Document]] = field(default_factory=list)
-    _told: dict[int, tuple[float, Applied]] = field(default_factory=dict)
+    _told: dict[int, tuple[float, AppliedVersion]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self._digests = {self.document.version: self.document.digest}
@@ -83,7 +83,7 @@
         # What a relay's file says is of no version; it is that of the digest, the newest if it is several's.
         return next((at for at in sorted(self._digests, reverse=True) if self._digests[at] == digest), None)
 
-    def line(self, position: int | None, now: float) -> tuple[Line, int | None]:
+    def line(self, position: int | None, now: float) -> tuple[WatchLine, int | None]:
         """The next line for a follower that stands at this position, and where it stands after it."""
         head = self.document.version
         behind = max(0.0, (now - self.heard) * 1000)
@@ -93,20 +93,20 @@
                 position = None
             else:
                 some = self._some(position + 1 - first)
-                return Line(self.history, head, behind, some), some[-1].version
-        return Line(self.history, head, behind, repair=position is None), position
+                return WatchLine(self.history, head, behind, some), some[-1].version
+        return WatchLine(self.history, head, behind, repair=position is None), position
 
     def _some(self, start: int) -> list[Change]:
         """Some changes from this place on: one, or as many as a line may hold."""
         some, size = [self._changes[start]], 0
         for at in range(start + 1, min(len(self._changes), start + AT_ONCE)):
             size += _size(some[-1])
-            if size > CHANGE:
+            if size > MAX_CHANGE_BYTES:
                 break
             some.append(self._changes[at])
         return some
 
-    def outline(self, now: float) -> Outline:
+    def outline(self, now: float) -> DigestTree:
         made, newest = self._frozen[-1] if self._frozen else (now - FROZEN, None)
         if newest is None or (newest.version != self.document.version and now >= made + FROZEN):
             newest = self.document.copy()
@@ -121,12 +121,12 @@
                 return Buckets(version, {number: snapshot.bucket(number) for number in wanted})
         raise Gone(f"no snapshot of version {version}")
 
-    def applied(self, told: Applied, now: float) -> None:
+    def applied(self, told: AppliedVersion, now: float) -> None:
         """Guards against a table that grows with numbers that somebody makes up."""
         if told.relay in self._told or len(self._told) < FOLLOWERS:
             self._told[told.relay] = now, told
 
-    def followers(self, now: float) -> list[Applied]:
+    def followers(self, now: float) -> list[AppliedVersion]:
         self._told = {relay: word for relay, word in self._told.items() if word[0] > now - FORGOTTEN}
         return [told for _, told in self._told.values()]
 
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from lanelead.protocols.configuration import Ballot, Change
-from lanelead.protocols.machines import Made
+from lanelead.protocols.machines import CompletedProposal
 
 IDENTS = 10_000  # of changes made last, kept to make none twice
 LOG, LOG_SECONDS = 20_000, 86_400.0
@@ -114,7 +114,7 @@
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = LOG) -> None:
         self._clock, self._most_log = clock, log
         self.at: Callable[[str], None] = lambda point: None
-        self.made: OrderedDict[str, Made] = OrderedDict()
+        self.made: OrderedDict[str, CompletedProposal] = OrderedDict()
         self.head = 0
         try:
             self._db = self._connect(file)
@@ -161,7 +161,7 @@
             for key, value, changed in db.execute("SELECT key, value, changed FROM entry"):
                 held.entries[key] = (bytes(value), changed)
             for ident, version, mark in db.execute("SELECT ident, version, mark FROM made ORDER BY version"):
-                self.made[ident] = Made(ident, version, mark)
+                self.made[ident] = CompletedProposal(ident, version, mark)
         except (msgspec.MsgspecError, TypeError, ValueError) as fault:
             raise Corrupt(f"a row that can't be read: {fault}") from None
         last = db.execute("SELECT MAX(version), MIN(version), COUNT(*) FROM log").fetchone()
@@ -242,7 +242,7 @@
             self._trim(db, now)
         self.head = change.version
         self.made.pop(change.ident, None)
-        self.made[change.ident] = Made(change.ident, change.version, mark)
+        self.made[change.ident] = CompletedProposal(change.ident, change.version, mark)
         while len(self.made) > IDENTS:
             self.made.popitem(last=False)
 
@@ -267,7 +267,7 @@
         digest: str,
         floor: int,
         entries: dict[str, tuple[bytes, int | None]],
-        made: list[Made],
+        made: list[CompletedProposal],
     ) -> None:
         """The whole document as another machine has it, in place of an older one."""
         if version <= self.head:
--- a/lanelead/days/fleet.py
+++ b/lanelead/days/fleet.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lanelead.protocols.records import Row
+from lanelead.protocols.records import EndpointMessage
 from lanelead.settings import records
 from lanelead.standins.capture import Tap, clock
 from lanelead.standins.roster import Roster
@@ -193,9 +193,9 @@
         folder.mkdir(parents=True, exist_ok=True)
         return str(folder)
 
-    def row(self, machine: Machine, condition: str, cold: bool = True) -> Row:
+    def row(self, machine: Machine, condition: str, cold: bool = True) -> EndpointMessage:
         started = machine.started * 1000 if cold else None
-        return Row(
+        return EndpointMessage(
             machine.name,
             "127.0.0.1",
             machine.port,
--- a/lanelead/days/judge.py
+++ b/lanelead/days/judge.py
@@ -31,7 +31,7 @@
 import msgspec
 
 from lanelead.settings import records
-from lanelead.protocols.steps import Logged
+from lanelead.protocols.steps import LoggedEntry
 from lanelead.standins.capture import BadCapture, read
 from lanelead.steps.record import Broken, Record, Stand
 
@@ -381,7 +381,7 @@
         if fact["ev"] == "effect_asked":
             _effect_of_step(fact, record, had, finding)
             continue
-        logged = msgspec.convert({key: fact[key] for key in Logged.__struct_fields__}, Logged)
+        logged = msgspec.convert({key: fact[key] for key in LoggedEntry.__struct_fields__}, LoggedEntry)
         try:
             record.add(logged)
         except Broken as fault:
--- a/lanelead/http/answers.py
+++ b/lanelead/http/answers.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Answer:
+class HttpResponse:
     status: int
     headers: Headers
     body: bytes
@@ -34,14 +34,14 @@
     pass
 
 
-class AnswerReader:
+class ResponseReader:
     """One connection's answers. Call `expect` before each request, then `feed` until it says WHOLE or
     BROKEN."""
 
     def __init__(self, body_bytes: int, head_bytes: int = 65536) -> None:
         self._most, self._most_head = body_bytes, head_bytes
         self._parser = httptools.HttpResponseParser(self)
-        self.answer: Answer | None = None
+        self.answer: HttpResponse | None = None
         self.reason = ""
         self.expect(False)
 
@@ -121,4 +121,4 @@
 
     def _finish(self, keep: bool) -> None:
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
-        self.answer = Answer(self._parser.get_status_code(), self._headers, body, keep)
+        self.answer = HttpResponse(self._parser.get_status_code(), self._headers, body, keep)
--- a/lanelead/http/asks.py
+++ b/lanelead/http/asks.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class HttpRequest:
     """A whole request."""
 
     method: str
@@ -47,33 +47,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Expecting:
+class ContinueExpected:
     """A client waits for 100 Continue before it sends its body."""
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
+class RejectedRequest:
     """What came is not a request that may be served; answer so and close."""
 
     status: int
     reason: str
 
 
-Event = Ask | Expecting | Refusal
+Event = HttpRequest | ContinueExpected | RejectedRequest
 
 
 class _Refused(Exception):
     pass
 
 
-class AskReader:
+class RequestReader:
     """One connection's requests. `feed` never raises, whatever the bytes."""
 
     def __init__(self, head_bytes: int, body_bytes: int) -> None:
         self._most_head, self._most_body = head_bytes, body_bytes
         self._parser = httptools.HttpRequestParser(self)
         self._events: list[Event] = []
-        self._refusal: Refusal | None = None
+        self._refusal: RejectedRequest | None = None
         self._head, self._fed = 0, 0
         self.state = State.IDLE
 
@@ -83,18 +83,18 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refusal = Refusal(501, "no other protocol is spoken here")
+            self._refusal = RejectedRequest(501, "no other protocol is spoken here")
         except (httptools.HttpParserCallbackError, _Refused):
-            self._refusal = self._refusal or Refusal(400, "a request that cannot be read")
+            self._refusal = self._refusal or RejectedRequest(400, "a request that cannot be read")
         except httptools.HttpParserError as fault:
-            self._refusal = Refusal(400, str(fault)[:120] or "a request that cannot be read")
+            self._refusal = RejectedRequest(400, str(fault)[:120] or "a request that cannot be read")
         except ValueError:
-            self._refusal = Refusal(400, "a request that cannot be read")
+            self._refusal = RejectedRequest(400, "a request that cannot be read")
         if self.state is State.HEAD and self._refusal is None:
             # The parser holds a field until it is whole, so an endless one shows only in what was fed.
             self._fed += len(data)
             if self._fed > self._most_head + 65536:
-                self._refusal = Refusal(431, f"a head of over {self._most_head} bytes")
+                self._refusal = RejectedRequest(431, f"a head of over {self._most_head} bytes")
         events, self._events = self._events, []
         if self._refusal is not None:
             events.append(self._refusal)
@@ -102,7 +102,7 @@
         return events
 
     def _refuse(self, status: int, reason: str) -> None:
-        self._refusal = Refusal(status, reason)
+        self._refusal = RejectedRequest(status, reason)
         raise _Refused
 
     # Called by the parser
@@ -156,7 +156,7 @@
             if expected.lower() != b"100-continue":
                 self._refuse(417, "the only expectation met is 100-continue")
             if chunked or (length is not None and int(length)):
-                self._events.append(Expecting())
+                self._events.append(ContinueExpected())
         self.state = State.BODY
 
     def on_body(self, part: bytes) -> None:
@@ -169,8 +169,8 @@
             return
         method = self._parser.get_method().decode("latin-1")
         keep = bool(self._parser.should_keep_alive())
-        if self._events and isinstance(self._events[-1], Expecting):
+        if self._events and isinstance(self._events[-1], ContinueExpected):
             self._events.pop()  # the body came along: nobody waits any more
-        self._events.append(Ask(method, self._target, self._headers, bytes(self._body), keep))
+        self._events.append(HttpRequest(method, self._target, self._headers, bytes(self._body), keep))
         self._body = bytearray()
         self.state = State.IDLE
--- a/lanelead/http/calls.py
+++ b/lanelead/http/calls.py
@@ -9,14 +9,14 @@
 import httptools
 
 from lanelead.http import writing
-from lanelead.http.answers import Answer, AnswerReader, Progress
-from lanelead.protocols.records import Lines, Malformed
+from lanelead.http.answers import HttpResponse, ResponseReader, Progress
+from lanelead.protocols.records import LineSplitter, Malformed
 from lanelead.settings.records import Address
 
 BUFFER = 16384
 
 
-class Failed(Exception):
+class CallFailedError(Exception):
     """The other end could not be asked, or what it said was no answer; the text says why."""
 
 
@@ -34,7 +34,7 @@
 
 async def call(
     loop: asyncio.AbstractEventLoop, address: Address, method: str, path: bytes, body: bytes, limit: float
-) -> Answer:
+) -> HttpResponse:
     """One request on a connection of its own. Raises Failed, or TimeoutError after `limit` seconds."""
     sock: socket.socket | None = None
     try:
@@ -43,19 +43,19 @@
             fields = [(b"host", address.host.encode()), (b"connection", b"close")]
             fields += [(b"content-type", b"application/json")] * bool(body)
             await loop.sock_sendall(sock, writing.request(method, path, fields, body))
-            reader, buffer = AnswerReader(16 << 20), bytearray(BUFFER)
+            reader, buffer = ResponseReader(16 << 20), bytearray(BUFFER)
             view = memoryview(buffer)
             while True:
                 size = await loop.sock_recv_into(sock, buffer)
                 progress = reader.feed(view[:size]) if size else reader.eof()
                 if progress is Progress.BROKEN:
-                    raise Failed(reader.reason or "the connection was closed")
+                    raise CallFailedError(reader.reason or "the connection was closed")
                 if reader.answer is not None:
                     return reader.answer
     except OSError as fault:
         if isinstance(fault, TimeoutError):
             raise
-        raise Failed(str(fault)) from None
+        raise CallFailedError(str(fault)) from None
     finally:
         if sock is not None:
             sock.close()
@@ -85,28 +85,28 @@
             sock = await connect(loop, address)
             fields = [(b"host", address.host.encode()), (b"accept", b"application/x-ndjson")]
             await loop.sock_sendall(sock, writing.request("GET", path, fields, b""))
-        reader, lines, buffer = _Streamed(), Lines(), bytearray(BUFFER)
+        reader, lines, buffer = _Streamed(), LineSplitter(), bytearray(BUFFER)
         view = memoryview(buffer)
         while True:
             async with asyncio.timeout(silence):
                 size = await loop.sock_recv_into(sock, buffer)
             if size == 0:
-                raise Failed("the stream was closed")
+                raise CallFailedError("the stream was closed")
             reader.parser.feed_data(view[:size])
             parts, reader.parts = reader.parts, []
             if parts and reader.parser.get_status_code() != 200:
-                raise Failed(f"status {reader.parser.get_status_code()}")
+                raise CallFailedError(f"status {reader.parser.get_status_code()}")
             for part in parts:
                 for line in lines.feed(part):
                     yield line
             if reader.over:
-                raise Failed("the stream ended")
+                raise CallFailedError("the stream ended")
     except TimeoutError:
-        raise Failed(f"silent for {silence:g} s") from None
+        raise CallFailedError(f"silent for {silence:g} s") from None
     except OSError as fault:
-        raise Failed(str(fault)) from None
+        raise CallFailedError(str(fault)) from None
     except (httptools.HttpParserError, Malformed) as fault:
-        raise Failed(str(fault)) from None
+        raise CallFailedError(str(fault)) from None
     finally:
         if sock is not None:
             sock.close()
--- a/lanelead/http/serving.py
+++ b/lanelead/http/serving.py
@@ -6,24 +6,24 @@
 from collections.abc import Callable
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask, AskReader, Expecting, Refusal
+from lanelead.http.asks import HttpRequest, RequestReader, ContinueExpected, RejectedRequest
 
 
-class Caller(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection. Requests come one at a time; `heard` is called with each. `linger`: seconds for which
     a connection that was refused is still read from, and nothing of it used: closed at once, it would be
     reset and the refusal lost where the other end still writes."""
 
     def __init__(
         self,
-        heard: Callable[[Caller, Ask], None],
-        met: Callable[[Caller], None] | None = None,
+        heard: Callable[[ServerConnection, HttpRequest], None],
+        met: Callable[[ServerConnection], None] | None = None,
         body_bytes: int = 64 << 20,
         linger: float = 0.0,
     ) -> None:
         self._linger, self._refused = linger, False
         self._heard, self._met = heard, met
-        self._reader = AskReader(65536, body_bytes)
+        self._reader = RequestReader(65536, body_bytes)
         self.transport: asyncio.Transport | None = None
         self.lost: list[Callable[[], None]] = []
         self.heard_at = 0.0  # when the last request came
@@ -40,12 +40,12 @@
             return
         for event in self._reader.feed(data):
             match event:
-                case Ask():
+                case HttpRequest():
                     self._heard(self, event)
-                case Expecting():
+                case ContinueExpected():
                     self.write(writing.CONTINUE)
-                case Refusal(status, reason):
-                    self.write(writing.answer(status, (), reason.encode(), keep=False))
+                case RejectedRequest(status, reason):
+                    self.write(writing.response(status, (), reason.encode(), keep=False))
                     self._refused = True
                     if self._linger:
                         asyncio.get_running_loop().call_later(self._linger, self.close)
--- a/lanelead/http/writing.py
+++ b/lanelead/http/writing.py
@@ -50,7 +50,7 @@
     return b"".join(rows)
 
 
-def answer(
+def response(
     status: int,
     headers: Iterable[tuple[bytes, bytes]],
     body: bytes,
--- a/lanelead/load/generator.py
+++ b/lanelead/load/generator.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from lanelead.http import writing
-from lanelead.http.answers import AnswerReader, Progress
+from lanelead.http.answers import ResponseReader, Progress
 
 LONGEST = 60_000_000  # microseconds that a histogram holds
 OUTCOMES = ("done", "shed", "broken-off", "not-a-lookup", "lost")
@@ -78,7 +78,7 @@
 
     def __init__(self, load: Load) -> None:
         self._load = load
-        self._reader = AnswerReader(64 << 20)
+        self._reader = ResponseReader(64 << 20)
         self.transport: asyncio.Transport | None = None
         self.due: float | None = None
 
--- a/lanelead/model/configuration.py
+++ b/lanelead/model/configuration.py
@@ -20,7 +20,7 @@
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
 from lanelead.configuration.source import SIGN, Gone, Source
-from lanelead.protocols.configuration import Change, Entry, Line
+from lanelead.protocols.configuration import Change, Entry, WatchLine
 from lanelead.protocols.records import decode, encode
 
 HEADS = 52  # bytes of TCP and IP heads of one packet, and as many for its acknowledgement
@@ -168,7 +168,7 @@
 
     def _heard(self, number: int, source: int, text: bytes) -> None:
         relay = self.relays[number]
-        relay.follower.line(source, decode(text, Line, 4 << 20), self.now)
+        relay.follower.line(source, decode(text, WatchLine, 4 << 20), self.now)
 
     def _to_relay(self, machine: int, relay: int, watch: int, what: Callable[[], None], size: int) -> None:
         """What a machine writes to a relay's watch, or answers to it: it comes late, or stalls for good."""
--- a/lanelead/model/steps.py
+++ b/lanelead/model/steps.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from functools import lru_cache
 
-from lanelead.protocols.steps import ApplyAsk, Entry, Logged, Marks
+from lanelead.protocols.steps import ApplyRequest, LogEntry, LoggedEntry, EffectProgress
 from lanelead.steps import runner
 from lanelead.steps.record import Broken, Mark, Record, Stand
 from lanelead.steps.runner import Append, Apply, Goal, Reply, Runner, Want
@@ -24,13 +24,13 @@
 
 
 @lru_cache(maxsize=200_000)
-def folded(entries: tuple[Entry, ...]) -> Record:
+def folded(entries: tuple[LogEntry, ...]) -> Record:
     """The record that some entries make; not to be changed."""
     if not entries:
         return Record()
     record, entry = folded(entries[:-1]).copy(), entries[-1]
     try:
-        record.add(Logged(len(entries), 0, "", 0.0, entry))
+        record.add(LoggedEntry(len(entries), 0, "", 0.0, entry))
     except Broken as fault:
         raise Breach(f"entry {len(entries)}, {entry.kind} of {entry.step!r}: {fault}") from None
     return record
@@ -53,14 +53,14 @@
 class Shop:
     """The store, and one relay that watches it."""
 
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
     token: int = 0
     had: tuple[tuple[int, int], ...] = ()  # effects in the order in which they were had: (intent, part)
     seen: int = 0
 
-    def marks(self, intent: int) -> Marks:
+    def marks(self, intent: int) -> EffectProgress:
         parts = sum(1 for of, _ in dict.fromkeys(self.had) if of == intent)
-        return Marks(parts, None, parts >= self.parts(intent))
+        return EffectProgress(parts, None, parts >= self.parts(intent))
 
     def parts(self, intent: int) -> int:
         entry = self.entries[intent - 1]
@@ -74,7 +74,7 @@
             case runner.Read():
                 return self, runner.Done()
             case runner.Ask(intent):
-                return self, self.marks(intent) if guards.marks else Marks(0)
+                return self, self.marks(intent) if guards.marks else EffectProgress(0)
             case runner.Unseen(closing):
                 return self, runner.Waiting(() if self.seen >= closing or not guards.closing else (0,))
             case Append(token, after, entry):
@@ -90,7 +90,7 @@
             case runner.Stop():
                 raise AssertionError("it wants nothing")
 
-    def _apply(self, ask: ApplyAsk, guards: Guards) -> tuple[Shop, Reply]:
+    def _apply(self, ask: ApplyRequest, guards: Guards) -> tuple[Shop, Reply]:
         if guards.fence and ask.token != self.token:
             return self, runner.Refused("fenced")
         if guards.intent_first:
@@ -137,7 +137,7 @@
         want = super().want(record)
         if isinstance(want, Append) and want.entry.kind == "intent" and self.marks is None:
             mark: Mark = record.marks[want.entry.step]
-            ask = ApplyAsk(self.token, record.seq + 1, 0, tuple(mark.step.apply))
+            ask = ApplyRequest(self.token, record.seq + 1, 0, tuple(mark.step.apply))
             return Apply(ask, 1.0, False)
         return want
 
--- a/lanelead/model/town.py
+++ b/lanelead/model/town.py
@@ -30,10 +30,10 @@
 )
 from lanelead.decisions.rules import Relay
 from lanelead.decisions.zones import ANYWHERE
-from lanelead.http.answers import Answer
-from lanelead.http.asks import Ask
+from lanelead.http.answers import HttpResponse
+from lanelead.http.asks import HttpRequest
 from lanelead.model.core import Clock, Story, stream
-from lanelead.protocols.records import Listed, NewsLine, Row, VoteAsk
+from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
 from lanelead.relay.driver import VERDICTS, WORDS, Driver, Outcome, Ticket
 from lanelead.settings import records
 from lanelead.standins.demand import Demand, Op
@@ -41,8 +41,8 @@
 from lanelead.standins.polling import Polling
 
 START = 3600.0  # the clock at the start: units have a past
-ASK = Ask("GET", b"/", [], b"", True)
-ANSWER = Answer(200, [], b"", True)
+ASK = HttpRequest("GET", b"/", [], b"", True)
+ANSWER = HttpResponse(200, [], b"", True)
 SOCKETS_ONLY = ("drop_idle", "few_connections", "idle_reap", "garbage")  # faults of connections
 Make = Callable[..., Decisions]
 
@@ -481,7 +481,7 @@
         self._receipts: dict[tuple[str, str, str], float] = {}
         self.builds = {1: Build(1)}
         self.machines: dict[str, Machine] = {}
-        self._rows: dict[str, Row] = {}
+        self._rows: dict[str, EndpointMessage] = {}
         self._version, self._roster_away, self._loss, self._lives = 0, False, 0.0, 0
         spread = day.units.speed_spread
         self._speeds = [self._fleet.uniform(1 - spread, 1 + spread) for _ in range(day.units.count)]
@@ -672,7 +672,7 @@
 
     def report(self, machine: Machine, condition: str, cold: bool = True, late: float | None = None) -> None:
         started = machine.started * 1000 if cold else None
-        row = Row(
+        row = EndpointMessage(
             machine.life.name,
             "127.0.0.1",
             1,
@@ -688,7 +688,7 @@
         else:
             self.clock.later(self.day.roster.late_ms / 1000 if late is None else late, self._see, row)
 
-    def _see(self, row: Row) -> None:
+    def _see(self, row: EndpointMessage) -> None:
         if row.condition == "gone":
             if self._rows.pop(row.unit, None) is None:
                 return
@@ -699,9 +699,9 @@
             for host in self.hosts:
                 self._list(host, "changes", [row])
 
-    def _list(self, host: Host, coverage: str, rows: list[Row]) -> None:
+    def _list(self, host: Host, coverage: str, rows: list[EndpointMessage]) -> None:
         self.book.note("roster", "told", relay=host.number, coverage=coverage, units=msgspec.to_builtins(rows))
-        listed = Listed(coverage, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
+        listed = EndpointListMessage(coverage, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
         host.whenever(lambda: host.driver.listed(listed, 0))
 
     def of(self, build: int) -> list[Machine]:
@@ -795,13 +795,13 @@
     def voted(self, host: Host, vote: Vote) -> None:
         poll = self.day.service.poll
 
-        def back(line: NewsLine | None, word: Fate, wait: float) -> None:
+        def back(line: RolloutMessage | None, word: Fate, wait: float) -> None:
             self.clock.later(wait, lambda: host.whenever(lambda: host.driver.news(line, True, word)))
 
         if self.desk.away:
             back(None, Fate.ERROR, self.hop_mean)
             return
-        asked = VoteAsk(host.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
+        asked = VoteRequest(host.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
         word, line = self.desk.vote(asked)
         if line is None:
             back(None, Fate.TIMED_OUT, poll.answer_limit_ms / 1000)
@@ -963,7 +963,7 @@
         return True
 
     def replied(
-        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Answer | None, come_back: Ticks
+        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
     ) -> None:
         self.town.clock.later(self.town.hop_mean, self._answered, outcome, trip, come_back)
 
--- a/lanelead/node/client.py
+++ b/lanelead/node/client.py
@@ -19,7 +19,7 @@
 from lanelead.node.reports import still
 from lanelead.pgwire import messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
-from lanelead.pgwire.units import Answer
+from lanelead.pgwire.units import QueryResult
 from lanelead.relay.driver import Driver, Outcome, Ticket
 
 BUFFER = 32768  # bytes read at once
@@ -178,10 +178,10 @@
             statement = statements.read(text)
             lane = front.driver.lanes.get(statement.lane)
             if lane is None:
-                raise statements.Unreadable("no such class")
+                raise statements.StatementError("no such class")
             if statement.ident in front.open:
-                raise statements.Unreadable("a request with this id is open")
-        except statements.Unreadable as fault:
+                raise statements.StatementError("a request with this id is open")
+        except statements.StatementError as fault:
             front.unreadable += 1
             self._say(messages.error("42601", str(fault)) + messages.READY)
             return
@@ -231,7 +231,7 @@
         if slot is None:
             return
         if outcome is Outcome.DONE:
-            assert isinstance(answer, Answer)
+            assert isinstance(answer, QueryResult)
             slot.text = answer.raw + messages.READY
         else:
             slot.text = self.front.refusal(outcome, back)
--- a/lanelead/node/config.py
+++ b/lanelead/node/config.py
@@ -11,7 +11,7 @@
 
 from lanelead.hosting.opening import Opening, pairs_of
 from lanelead.node.checks import check
-from lanelead.protocols.platform import Endpoints, State, address
+from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
 from lanelead.protocols.records import Malformed, decode
 
 
@@ -26,7 +26,7 @@
 
 class Platform(msgspec.Struct, frozen=True):
     address: str
-    news: State
+    news: StageMessage
 
 
 class SourceAt(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     platform: Platform
     settings: dict[str, Any]
     limits: Limits = Limits()
-    known: Endpoints = Endpoints(0, True, [])
+    known: EndpointList = EndpointList(0, True, [])
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
@@ -97,7 +97,7 @@
 
 def _address(name: str, text: str) -> None:
     try:
-        address(text)
+        parse_address(text)
     except Malformed:
         raise Malformed(f"{name}: {text[:80]!r}; must be an address and a port") from None
 
--- a/lanelead/node/configuration.py
+++ b/lanelead/node/configuration.py
@@ -14,12 +14,12 @@
 from lanelead.configuration.acts import AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document, Refused
 from lanelead.configuration.follower import ANSWER, SILENCE, Follower
-from lanelead.configuration.kinds import InForce as Values
-from lanelead.configuration.kinds import Value
-from lanelead.http.calls import Failed, call, stream
+from lanelead.configuration.kinds import AppliedValues as Values
+from lanelead.configuration.kinds import EntryValue
+from lanelead.http.calls import CallFailedError, call, stream
 from lanelead.node.config import Following
-from lanelead.protocols.configuration import Buckets, Line, Outline
-from lanelead.protocols.platform import address
+from lanelead.protocols.configuration import Buckets, WatchLine, DigestTree
+from lanelead.protocols.platform import parse_address
 from lanelead.protocols.records import Malformed, decode, encode
 from lanelead.settings.records import Address
 
@@ -35,12 +35,12 @@
         number: int,
         following: Following,
         entries: Sequence[tuple[str, bytes]],
-        changed: Callable[[Sequence[str], Mapping[str, Value]], None],
+        changed: Callable[[Sequence[str], Mapping[str, EntryValue]], None],
         chance: Random,
         log: Any,
     ) -> None:
         self._loop, self._changed, self._log = loop, changed, log
-        self._sources = [Address(*address(source.address)) for source in following.sources]
+        self._sources = [Address(*parse_address(source.address)) for source in following.sources]
         places = [Place(source.zone, source.region, source.address) for source in following.sources]
         document = Document(following.most_entries, following.most_bytes)
         try:
@@ -126,17 +126,17 @@
         reason = "the watch ended"
         try:
             async for text in stream(self._loop, self._sources[source], path, 2 * SILENCE):
-                self.follower.line(source, decode(text, Line, LONGEST), self._loop.time())
+                self.follower.line(source, decode(text, WatchLine, LONGEST), self._loop.time())
                 self._woken.set()
-        except (Failed, Malformed, TimeoutError) as fault:
+        except (CallFailedError, Malformed, TimeoutError) as fault:
             reason = str(fault)
         self.follower.ended(source, reason, self._loop.time())
 
     async def _outline(self, source: int) -> None:
         try:
             answer = await self._ask(source, b"/configuration/outline")
-            outline = decode(answer, Outline, LONGEST)
-        except (Failed, Malformed, TimeoutError):
+            outline = decode(answer, DigestTree, LONGEST)
+        except (CallFailedError, Malformed, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
             self.follower.outlined(source, outline, self._loop.time())
@@ -146,7 +146,7 @@
         try:
             answer = await self._ask(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
             buckets = decode(answer, Buckets, LONGEST)
-        except (Failed, Malformed, TimeoutError):
+        except (CallFailedError, Malformed, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
             self.follower.bucketed(source, buckets, len(answer), self._loop.time())
@@ -154,10 +154,10 @@
     async def _ask(self, source: int, path: bytes) -> bytes:
         answer = await call(self._loop, self._sources[source], "GET", path, b"", ANSWER)
         if answer.status != 200:
-            raise Failed(f"status {answer.status}")
+            raise CallFailedError(f"status {answer.status}")
         return bytes(answer.body)
 
     async def _tell(self, source: int, body: bytes) -> None:
         """A word that is lost is said again within seconds."""
-        with suppress(Failed, TimeoutError):
+        with suppress(CallFailedError, TimeoutError):
             await call(self._loop, self._sources[source], "POST", b"/configuration/applied", body, ANSWER)
--- a/lanelead/node/desk.py
+++ b/lanelead/node/desk.py
@@ -11,15 +11,15 @@
 
 from lanelead.decisions.interface import Fate, Vote
 from lanelead.http.calls import connect
-from lanelead.protocols.platform import VERDICTS, WORDS, Line, address, asked, state
-from lanelead.protocols.records import Lines, Malformed, NewsLine, decode
+from lanelead.protocols.platform import VERDICTS, ERROR_OUTCOMES, RpcMessage, parse_address, encode_call, decode_stage
+from lanelead.protocols.records import LineSplitter, Malformed, RolloutMessage, decode
 from lanelead.settings.records import Address
 
 SIGNS = 1.0  # seconds between the platform's signs of life
 SILENCE = 2.5 * SIGNS
 PAUSE = 0.2  # before a connection is tried again, with a random part
 LONGEST = 65536  # bytes of one line
-Heard = Callable[[NewsLine | None, bool, Fate], None]
+Heard = Callable[[RolloutMessage | None, bool, Fate], None]
 
 
 class Desk:
@@ -34,7 +34,7 @@
         chance: Random,
         log: Any,
     ) -> None:
-        self._loop, self._where, self._heard = loop, Address(*address(where)), heard
+        self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
         self._limit, self._chance, self._log = answer_limit, chance, log
         self._sock: socket.socket | None = None
         self._number = 0
@@ -44,7 +44,7 @@
 
     def vote(self, vote: Vote) -> None:
         params = {"build": vote.build, "stage": vote.stage, "verdict": VERDICTS[vote.verdict]}
-        text = asked(self._number + 1, "Rollout.Judge", params)
+        text = encode_call(self._number + 1, "Rollout.Judge", params)
         try:
             if self._sock is None or self._sock.send(text) != len(text):
                 raise OSError("not connected, or not taken whole")
@@ -104,12 +104,12 @@
             await asyncio.sleep(PAUSE * self._chance.uniform(0.5, 1.5))
 
     async def _watch(self) -> None:
-        lines = Lines(LONGEST)
+        lines = LineSplitter(LONGEST)
         async with asyncio.timeout(SIGNS):
             sock = await connect(self._loop, self._where)
         try:
             self._number += 1
-            await self._loop.sock_sendall(sock, asked(self._number, "Events.Watch"))
+            await self._loop.sock_sendall(sock, encode_call(self._number, "Events.Watch"))
             self._sock = sock
             while True:
                 async with asyncio.timeout(SILENCE):
@@ -119,7 +119,7 @@
                 for line in lines.feed(data):
                     if self._over:
                         return
-                    self._line(decode(line, Line))
+                    self._line(decode(line, RpcMessage))
                 if not self.up:
                     self.up = True
                     self._log.info("feed up", feed="desk")
@@ -127,18 +127,18 @@
             self._sock = None
             sock.close()
 
-    def _line(self, line: Line) -> None:
+    def _line(self, line: RpcMessage) -> None:
         if line.method == "stage":
-            news = state(line.params).line()
+            news = decode_stage(line.params).line()
             self.spoke()
             self._heard(news, False, Fate.DONE)
         elif line.method is not None:  # ping, and what later platforms may tell
             return
         elif line.id is not None and (timer := self._votes.get(line.id)) is not None:
             if line.error is not None:
-                news, word = None, WORDS.get(line.error.message, Fate.ERROR)
+                news, word = None, ERROR_OUTCOMES.get(line.error.message, Fate.ERROR)
             else:
-                news, word = state(line.result).line(), Fate.DONE
+                news, word = decode_stage(line.result).line(), Fate.DONE
             timer.cancel()
             del self._votes[line.id]
             self._heard(news, True, word)
--- a/lanelead/node/feeds.py
+++ b/lanelead/node/feeds.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import Any
 
-from lanelead.http.calls import Failed, call
-from lanelead.protocols.platform import Endpoints, address
-from lanelead.protocols.records import Listed, Malformed, decode
+from lanelead.http.calls import CallFailedError, call
+from lanelead.protocols.platform import EndpointList, parse_address
+from lanelead.protocols.records import EndpointListMessage, Malformed, decode
 from lanelead.settings.records import Address
 
 HOLD = 2.0  # seconds a watch may wait; far inside the time after which a change counts as told
@@ -39,12 +39,12 @@
         loop: asyncio.AbstractEventLoop,
         where: str,
         held: Held,
-        read: Callable[[Endpoints], Listed],
-        heard: Callable[[Listed], None],
+        read: Callable[[EndpointList], EndpointListMessage],
+        heard: Callable[[EndpointListMessage], None],
         chance: Random,
         log: Any,
     ) -> None:
-        self._loop, self._where, self._heard = loop, Address(*address(where)), heard
+        self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
         self._held, self._read, self._whole = held, read, True
         self._chance, self._log = chance, log
         # Since when older versions only have come, without a break. Each feed has its own: an earlier
@@ -62,7 +62,7 @@
             try:
                 await self._next()
                 continue
-            except (Failed, Malformed, TimeoutError) as fault:
+            except (CallFailedError, Malformed, TimeoutError) as fault:
                 if self.up:
                     self._log.warning(
                         "feed down",
@@ -84,8 +84,8 @@
             limit += HOLD
         answer = await call(self._loop, self._where, "GET", path, b"", limit)
         if answer.status != 200:
-            raise Failed(f"status {answer.status}")
-        found = decode(answer.body, Endpoints, LONGEST)
+            raise CallFailedError(f"status {answer.status}")
+        found = decode(answer.body, EndpointList, LONGEST)
         if self._whole and not found.full:
             raise Malformed("changes, where the whole list was asked for")
         if found.version < held.version:
@@ -117,7 +117,7 @@
                 remedy="put right what discovery's agent sends; the last good list stays",
             )
 
-    def _doubt(self, found: Endpoints) -> None:
+    def _doubt(self, found: EndpointList) -> None:
         """Guards against an old copy of the list, by which units that drain would be ready again. One that
         says the same for long has begun to count anew."""
         held, now = self._held, self._loop.time()
--- a/lanelead/node/inforce.py
+++ b/lanelead/node/inforce.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.kinds import ClassFigures, Tenant, Unfit, Value, split
-from lanelead.configuration.kinds import InForce as Values
+from lanelead.configuration.kinds import ClassValue, TenantValue, InvalidValueError, EntryValue, split
+from lanelead.configuration.kinds import AppliedValues as Values
 from lanelead.decisions.interface import Lane, Member
 
 TENANTS, CLASSES = "accounts", "requestClasses"  # where a file has them
@@ -36,7 +36,9 @@
     ]
 
 
-def changed(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[list[str], Mapping[str, Value], list[Unfit]]:
+def changed(
+    old: Mapping[str, Any], new: Mapping[str, Any]
+) -> tuple[list[str], Mapping[str, EntryValue], list[InvalidValueError]]:
     """The keys that a file says otherwise now, the values of all, and what is unfit, not among the keys."""
     before, now = dict(entries(old)), dict(entries(new))
     document, values = Document(len(now) + 1, 1 << 40), Values()
@@ -53,7 +55,7 @@
     def __init__(self, members: dict[str, Member], lanes: Mapping[str, Lane], retold: Callable[[float], None]) -> None:
         self._members, self._lanes, self._retold = members, lanes, retold
 
-    def put(self, keys: Iterable[str], values: Mapping[str, Value]) -> list[str]:
+    def put(self, keys: Iterable[str], values: Mapping[str, EntryValue]) -> list[str]:
         """Puts these keys' values in force; gives those that name no class of the settings. A lookup under
         way keeps the time limit that it was taken with."""
         unknown = list[str]()
@@ -64,15 +66,15 @@
                 self._tenant(name, value)
             elif kind == "class" and name not in self._lanes:
                 unknown.append(key)
-            elif isinstance(value, ClassFigures):
+            elif isinstance(value, ClassValue):
                 lane = self._lanes[name]
                 lane.expected_time, lane.outer_limit = int(value.aim_ms * 10), int(value.deadline_ms * 10)
                 lane.value, lane.late_value = value.credit, value.late_worth
         self._retold(sum(member.quota for member in self._members.values()))
         return unknown
 
-    def _tenant(self, name: str, value: Value | None) -> None:
-        if not isinstance(value, Tenant):
+    def _tenant(self, name: str, value: EntryValue | None) -> None:
+        if not isinstance(value, TenantValue):
             self._members.pop(name, None)
         elif (member := self._members.get(name)) is not None:
             member.quota, member.share = value.quota_per_s, value.share
--- a/lanelead/node/letters.py
+++ b/lanelead/node/letters.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lanelead.protocols import datagrams
-from lanelead.protocols.platform import address
+from lanelead.protocols.platform import parse_address
 
 AT_ONCE = 64  # letters read in one turn, so that a flood leaves time for lookups
 
@@ -27,7 +27,7 @@
         log: Any,
     ) -> None:
         self._loop, self._number, self._heard, self._after, self._log = loop, number, heard, after, log
-        self._peers = [address(text) for text in peers]
+        self._peers = [parse_address(text) for text in peers]
         self._number_at = {place: number for number, place in enumerate(self._peers)}
         self._sock: socket.socket | None = None
         self.dropped = 0
@@ -54,7 +54,7 @@
                 continue
             for payload in payloads:
                 with contextlib.suppress(OSError):
-                    self._sock.sendto(datagrams.plain(payload), place)
+                    self._sock.sendto(datagrams.encode_plain(payload), place)
 
     def _read(self) -> None:
         assert self._sock is not None
@@ -65,7 +65,7 @@
                 break
             except OSError:
                 continue
-            number, payload = self._number_at.get(place[:2]), datagrams.open_plain(data)
+            number, payload = self._number_at.get(place[:2]), datagrams.decode_plain(data)
             if number is None or number == self._number or payload is None:
                 self.dropped += 1
             else:
--- a/lanelead/node/links.py
+++ b/lanelead/node/links.py
@@ -16,7 +16,7 @@
 from lanelead.node.reports import report_of, still
 from lanelead.pgwire import messages
 from lanelead.pgwire.statements import Statement
-from lanelead.pgwire.units import Answer, Progress
+from lanelead.pgwire.units import QueryResult, Progress
 from lanelead.relay.driver import Driver, Ticket
 
 BUFFER = 65536  # bytes read at once
@@ -133,7 +133,7 @@
             link.asked, link.writing = True, False
             self._loop.remove_writer(link.sock)
 
-    def _ended(self, trip: Trip, fate: Fate, answer: Answer | None) -> None:
+    def _ended(self, trip: Trip, fate: Fate, answer: QueryResult | None) -> None:
         if self._out.pop(trip, None) is not None:
             report = report_of(answer.report, self._names) if answer else None
             self.driver.ended(trip, fate, answer, report)
--- a/lanelead/node/lists.py
+++ b/lanelead/node/lists.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from lanelead.decisions.interface import Condition, Ticks
-from lanelead.protocols.platform import Endpoints, Refusal, listed
-from lanelead.protocols.records import Listed, Row
+from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
+from lanelead.protocols.records import EndpointListMessage, EndpointMessage
 from lanelead.relay.driver import Driver
 
 NAMED = 5  # refused entries that one line of the log names
@@ -19,9 +19,9 @@
         self._driver, self._offset, self._log = driver, offset, log
         self.refused = 0
 
-    def read(self, found: Endpoints) -> Listed:
-        refused: list[Refusal] = []
-        taken = listed(found, self._last, refused)
+    def read(self, found: EndpointList) -> EndpointListMessage:
+        refused: list[RejectedEntry] = []
+        taken = read_endpoint_list(found, self._last, refused)
         if refused:
             self.refused += len(refused)
             self._log.warning(
@@ -34,14 +34,14 @@
             )
         return taken
 
-    def _last(self, name: str) -> Row | None:
+    def _last(self, name: str) -> EndpointMessage | None:
         """A unit as it was told of last; None where it is not known, or gone."""
         unit = self._driver.door.units.get(name)
         place = self._driver.places.get(unit) if unit is not None else None
         if unit is None or place is None or unit.condition is Condition.GONE:
             return None
         started = (place.since - self._offset) / 10 if place.since else None
-        return Row(
+        return EndpointMessage(
             name,
             place.host,
             place.port,
--- a/lanelead/node/pools.py
+++ b/lanelead/node/pools.py
@@ -13,7 +13,7 @@
 
 from lanelead.decisions.interface import Condition, Trip, Unit
 from lanelead.node.reports import still
-from lanelead.pgwire.units import UnitReader
+from lanelead.pgwire.units import ServerReader
 from lanelead.relay.driver import Destination
 
 WEAR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
@@ -41,7 +41,7 @@
     )
 
     def __init__(self, sock: socket.socket, pool: Pool, longest: int) -> None:
-        self.sock, self.pool, self.reader = sock, pool, UnitReader(longest, b"vitals")
+        self.sock, self.pool, self.reader = sock, pool, ServerReader(longest, b"vitals")
         self.trip: Trip | None = None  # that goes, or is to go, over it
         self.probe: Unit | None = None
         self.connected = False  # the unit has welcomed it
--- a/lanelead/node/service.py
+++ b/lanelead/node/service.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from lanelead.configuration.kinds import Value
+from lanelead.configuration.kinds import EntryValue
 from lanelead.decisions.interface import Fate, Trip, Unit, Vote
 from lanelead.decisions.rules import Relay
 from lanelead.node import config as configuration
@@ -25,8 +25,8 @@
 from lanelead.node.links import Links
 from lanelead.node.lists import Lists
 from lanelead.node.pauses import Pauses
-from lanelead.protocols.platform import address
-from lanelead.protocols.records import Listed, Malformed, NewsLine
+from lanelead.protocols.platform import parse_address
+from lanelead.protocols.records import EndpointListMessage, Malformed, RolloutMessage
 from lanelead.relay.driver import Driver, Ticket
 from lanelead.relay.timing import Clock
 
@@ -141,12 +141,12 @@
             )
         )
 
-    def _listed(self, found: Listed) -> None:
+    def _listed(self, found: EndpointListMessage) -> None:
         self.driver.listed(found, self._offset)
         self._knows.set()
         self.after()
 
-    def _news(self, line: NewsLine | None, answer: bool, word: Fate) -> None:
+    def _news(self, line: RolloutMessage | None, answer: bool, word: Fate) -> None:
         if line is not None and line.stage >= self._stages:
             if line.phase == "trial":
                 raise Malformed(f"news of stage {line.stage}, of {self._stages} in the settings")
@@ -171,13 +171,13 @@
         self._pauses.watch()
         self._feed(config)
         if config.peer_listen:
-            self._letters.open(*address(config.peer_listen))
+            self._letters.open(*parse_address(config.peer_listen))
         if config.configuration is not None:
             self._follow(config, config.configuration)
         if not config.known.servers:
             await self._first_list()
         if not self._stop.is_set():  # told to stop before anybody could come: nothing was taken
-            await self._serve(*address(config.listen))
+            await self._serve(*parse_address(config.listen))
         self._over = True
         self.links.shut()
         self._letters.close()
@@ -202,7 +202,7 @@
         )
         self._task(self._following.run())
 
-    def _put(self, keys: Sequence[str], values: Mapping[str, Value]) -> None:
+    def _put(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
         if unknown := self._in_force.put(keys, values):
             self._log.warning(
                 "figures of classes that the settings do not have",
--- a/lanelead/pgwire/statements.py
+++ b/lanelead/pgwire/statements.py
@@ -18,7 +18,7 @@
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?\Z")
 
 
-class Unreadable(Exception):
+class StatementError(Exception):
     """The text says what is wrong, for whoever sent it."""
 
 
@@ -42,31 +42,31 @@
 def read(text: bytes) -> Statement:
     form = FORM.match(text)
     if form is None:
-        raise Unreadable("not a statement of the platform's, or no comment behind it")
+        raise StatementError("not a statement of the platform's, or no comment behind it")
     found, insert, value, comment = form.groups()
     if value is not None and len(value) % 2:
-        raise Unreadable("invalid hexadecimal data: odd number of digits")
+        raise StatementError("invalid hexadecimal data: odd number of digits")
     words: dict[bytes, bytes] = {}
     at, limit = form.start(4), (0, 0)
     for pair in comment.split(b","):
         name, mark, word = pair.partition(b"=")
         if not mark or name in words or not WORD.match(word):
-            raise Unreadable("the comment is no list of names and values")
+            raise StatementError("the comment is no list of names and values")
         words[name] = word
         if name == b"d":
             limit = at + 2, at + len(pair)
         at += len(pair) + 1
     if b"id" not in words:
-        raise Unreadable("no id")
+        raise StatementError("no id")
     if b"c" not in words:
-        raise Unreadable("no class")
+        raise StatementError("no class")
     if not MILLISECONDS.match(words.get(b"d", b"")) or not float(words[b"d"]) > 0:
-        raise Unreadable("d is no positive number of milliseconds")
+        raise StatementError("d is no positive number of milliseconds")
     try:
         ident, lane = words[b"id"].decode(), words[b"c"].decode()
         member = words[b"t"].decode() if b"t" in words else None
     except UnicodeDecodeError:
-        raise Unreadable("a name is not UTF-8") from None
+        raise StatementError("a name is not UTF-8") from None
     return Statement(
         ident=ident,
         lane=lane,
--- a/lanelead/pgwire/units.py
+++ b/lanelead/pgwire/units.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class QueryResult:
     """A row, as the messages that it came in and as its value, or an error's code. `report`: the text of the
     ParameterStatus that the reader looks for."""
 
@@ -45,14 +45,14 @@
     return {chr(word[0]): word[1:].decode("utf-8", "replace") for word in words}
 
 
-class UnitReader:
+class ServerReader:
     def __init__(self, longest: int, report: bytes) -> None:
         self._rest, self._longest, self._report = b"", longest, report
         self.ready = False  # welcomed, and nothing is out
         self._asking = False
         self._raw: list[bytes] = []
-        self._answer = Answer()
-        self.answer: Answer | None = None
+        self._answer = QueryResult()
+        self.answer: QueryResult | None = None
         self.reason = ""
 
     @property
@@ -63,7 +63,7 @@
     def expect(self) -> None:
         """A question goes out."""
         self._asking, self.ready = True, False
-        self._raw, self._answer, self.answer = [], Answer(), None
+        self._raw, self._answer, self.answer = [], QueryResult(), None
 
     def feed(self, data: bytes) -> Progress:
         data = self._rest + data if self._rest else data
@@ -90,7 +90,7 @@
             return Progress.ANSWERED
         return Progress.READY if self.ready else Progress.WAITING
 
-    def _spoilt(self, reason: str, before: Answer | None) -> Progress:
+    def _spoilt(self, reason: str, before: QueryResult | None) -> Progress:
         """What comes behind a whole answer does not spoil it, but the connection is of no more use."""
         self.ready, self.reason = False, reason
         return Progress.ANSWERED if self.answer is not None and before is None else Progress.SPOILT
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.records import Positive, Whole
+from lanelead.protocols.records import NonNegativeFloat, NonNegativeInt
 
-FORM = 1  # of these records; a field that an earlier form lacks has a default here
-ENTRIES = 1000  # of one change, at most
-VALUE = 16384  # bytes of one value, as JSON
-CHANGE = 262144  # bytes of one change's keys and values
-BUCKETS = 4096  # of a document: entries go by a hash of their key, and each bucket has a digest
+FORMAT_VERSION = 1  # of these records; a field that an earlier form lacks has a default here
+MAX_CHANGE_ENTRIES = 1000  # of one change, at most
+MAX_VALUE_BYTES = 16384  # bytes of one value, as JSON
+MAX_CHANGE_BYTES = 262144  # bytes of one change's keys and values
+BUCKET_COUNT = 4096  # of a document: entries go by a hash of their key, and each bucket has a digest
 Key = Annotated[str, Meta(min_length=3, max_length=200, pattern=r"^[a-z][a-z0-9_-]{0,31}/.+$")]
 Ident = Annotated[str, Meta(min_length=8, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 History = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*$")]  # empty: nothing is decided yet
@@ -35,17 +35,17 @@
     """`ident` is the publisher's own: the same change asked for twice is made once. `digest`: of the whole
     document once this change is in it."""
 
-    version: Whole
+    version: NonNegativeInt
     ident: Ident
     digest: Digest
-    entries: Annotated[list[Entry], Meta(min_length=1, max_length=ENTRIES)]
-    at_ms: Positive = 0.0  # when it was asked for, Unix time
+    entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
+    at_ms: NonNegativeFloat = 0.0  # when it was asked for, Unix time
 
 
 # What a relay (a follower) and a machine (a source) say to each other
 
 
-class Line(msgspec.Struct, frozen=True):
+class WatchLine(msgspec.Struct, frozen=True):
     """One line of a watch: a sign of life, changes in order, or that the follower has to repair.
 
     `history`: which succession of versions this is (the ident of the first change); another one is not
@@ -53,41 +53,41 @@
     majority of the machines. `at`: in the first line, the version whose digest the follower has named."""
 
     history: History
-    head: Whole
-    behind_ms: Positive
+    head: NonNegativeInt
+    behind_ms: NonNegativeFloat
     changes: list[Change] = []
     repair: bool = False
-    at: Whole | None = None
-    form: int = FORM
+    at: NonNegativeInt | None = None
+    form: int = FORMAT_VERSION
 
 
-class Outline(msgspec.Struct, frozen=True):
+class DigestTree(msgspec.Struct, frozen=True):
     """The digests of a snapshot's buckets, hexadecimal, 16 digits each, one after another."""
 
     history: History
-    version: Whole
+    version: NonNegativeInt
     digest: Digest
-    buckets: Annotated[str, Meta(max_length=BUCKETS * 16)]
-    form: int = FORM
+    buckets: Annotated[str, Meta(max_length=BUCKET_COUNT * 16)]
+    form: int = FORMAT_VERSION
 
 
 class Buckets(msgspec.Struct, frozen=True):
     """Some buckets of the snapshot of that version, whole: number and entries."""
 
-    version: Whole
+    version: NonNegativeInt
     buckets: dict[int, list[Entry]]
-    form: int = FORM
+    form: int = FORMAT_VERSION
 
 
-class Applied(msgspec.Struct, frozen=True):
+class AppliedVersion(msgspec.Struct, frozen=True):
     """What a relay has in force, and which keys it could not take: told after changes, and now and then."""
 
-    relay: Whole
-    version: Whole
+    relay: NonNegativeInt
+    version: NonNegativeInt
     refused: Annotated[list[str], Meta(max_length=20)] = []
-    refusals: Whole = 0  # since its start
+    refusals: NonNegativeInt = 0  # since its start
     zone: Annotated[str, Meta(max_length=64)] = ""
-    form: int = FORM
+    form: int = FORMAT_VERSION
 
 
 # What an operator and a machine say
@@ -97,15 +97,15 @@
     """`expect`: keys that may only be changed if no version after the one named has changed them."""
 
     ident: Ident
-    entries: Annotated[list[Entry], Meta(min_length=1, max_length=ENTRIES)]
-    expect: dict[str, Whole] = {}
+    entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
+    expect: dict[str, NonNegativeInt] = {}
 
 
-class Accepted(msgspec.Struct, frozen=True):
-    version: Whole
+class AcceptedProposal(msgspec.Struct, frozen=True):
+    version: NonNegativeInt
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class RejectedProposal(msgspec.Struct, frozen=True):
     """`unknown`: it may or may not be made; ask again with the same ident. Else nothing was changed."""
 
     why: Literal["malformed", "stale", "unknown", "overloaded", "abstains"]
@@ -116,14 +116,14 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True):
-    number: Whole = 0
-    machine: Whole = 0
+    number: NonNegativeInt = 0
+    machine: NonNegativeInt = 0
 
 
 class Prepare(msgspec.Struct, frozen=True):
     """`group`: of the history and the set of voters that the sender goes by; another one is not voted for."""
 
-    version: Whole  # the one that is to be decided: the last known one plus one
+    version: NonNegativeInt  # the one that is to be decided: the last known one plus one
     ballot: Ballot
     group: str = ""
 
@@ -133,7 +133,7 @@
     versions), ahead (this version is decided; `head` says how far), abstains (it lost its disk)."""
 
     word: Literal["promised", "refused", "behind", "ahead", "abstains"]
-    head: Whole
+    head: NonNegativeInt
     ballot: Ballot = Ballot()
     accepted: Ballot | None = None
     change: Change | None = None
@@ -145,29 +145,29 @@
     group: str = ""
 
 
-class Vote(msgspec.Struct, frozen=True):
+class AcceptReply(msgspec.Struct, frozen=True):
     word: Literal["accepted", "refused", "behind", "ahead", "abstains"]
-    head: Whole
+    head: NonNegativeInt
     ballot: Ballot = Ballot()
 
 
-class Sign(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """A machine's sign of life to another, and the answer to it."""
 
-    machine: Whole
+    machine: NonNegativeInt
     history: str  # empty: none yet
-    head: Whole
+    head: NonNegativeInt
     empty: bool = False  # it started with nothing on its disk, and abstains still
     ready: bool = False  # it has seen all voters empty, and none that votes
-    voters: Annotated[list[Whole], Meta(max_length=64)] = []  # as its settings have them
-    form: int = FORM
+    voters: Annotated[list[NonNegativeInt], Meta(max_length=64)] = []  # as its settings have them
+    form: int = FORMAT_VERSION
 
 
-class Log(msgspec.Struct, frozen=True):
+class LogPage(msgspec.Struct, frozen=True):
     """Decided changes in order, from the version asked for; fewer than there are where they are many.
     `whole`: the earliest are not kept any more, and a snapshot has to be taken."""
 
     history: str
-    head: Whole
+    head: NonNegativeInt
     changes: list[Change]
     whole: bool = False
--- a/lanelead/protocols/datagrams.py
+++ b/lanelead/protocols/datagrams.py
@@ -13,45 +13,45 @@
 from lanelead.hosting.door import MESSAGE
 
 HEAD = Struct(">4sHHI")  # magic with version, sender, length of the payload, count of the sender's datagrams
-MAGIC = b"LLP1"
-CIRCLE = b"LLM1"  # what members of a circle write to each other
+GOSSIP_MAGIC = b"LLP1"
+MEMBERSHIP_MAGIC = b"LLM1"  # what members of a circle write to each other
 TAIL = Struct(">I")
 SHORT = Struct(">H")
 LARGEST = HEAD.size + MESSAGE + TAIL.size
 
 
 @dataclass(slots=True, frozen=True)
-class Letter:
+class Datagram:
     sender: int
     count: int
     payload: bytes
     circle: bool = False
 
 
-def seal(sender: int, count: int, payload: bytes, magic: bytes = MAGIC) -> bytes:
+def encode_datagram(sender: int, count: int, payload: bytes, magic: bytes = GOSSIP_MAGIC) -> bytes:
     if len(payload) > MESSAGE:
         raise ValueError(f"{len(payload)} bytes, of {MESSAGE} at most")
     body = HEAD.pack(magic, sender, len(payload), count & 0xFFFFFFFF) + payload
     return body + TAIL.pack(zlib.crc32(body))
 
 
-def open_(data: bytes, relays: int) -> Letter | str:
+def decode_datagram(data: bytes, relays: int) -> Datagram | str:
     """The letter, or why it is none."""
     if not HEAD.size + TAIL.size <= len(data) <= LARGEST:
         return "length"
     magic, sender, size, count = HEAD.unpack_from(data)
-    if magic not in (MAGIC, CIRCLE):
+    if magic not in (GOSSIP_MAGIC, MEMBERSHIP_MAGIC):
         return "version"
     if size != len(data) - HEAD.size - TAIL.size:
         return "length"
     if TAIL.unpack(data[-TAIL.size :])[0] != zlib.crc32(data[: -TAIL.size]):
         return "checksum"
-    if sender >= relays and magic == MAGIC:
+    if sender >= relays and magic == GOSSIP_MAGIC:
         return "sender"
-    return Letter(sender, count, data[HEAD.size : -TAIL.size], magic == CIRCLE)
+    return Datagram(sender, count, data[HEAD.size : -TAIL.size], magic == MEMBERSHIP_MAGIC)
 
 
-def plain(payload: bytes) -> bytes:
+def encode_plain(payload: bytes) -> bytes:
     """For networks that know the sender by its address, and where 256 bytes bound a datagram with all that
     is in it: the payload and half of its CRC-32."""
     data = payload + SHORT.pack(zlib.crc32(payload) & 0xFFFF)
@@ -60,7 +60,7 @@
     return data
 
 
-def open_plain(data: bytes) -> bytes | None:
+def decode_plain(data: bytes) -> bytes | None:
     """The payload, or None where the datagram is not whole."""
     if not SHORT.size <= len(data) <= MESSAGE:
         return None
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -13,7 +13,16 @@
 from msgspec import Meta
 
 from lanelead.decisions.interface import Fate, Verdict
-from lanelead.protocols.records import Build, Listed, Malformed, NewsLine, Positive, Row, Whole, decode
+from lanelead.protocols.records import (
+    BuildNumber,
+    EndpointListMessage,
+    Malformed,
+    RolloutMessage,
+    NonNegativeFloat,
+    EndpointMessage,
+    NonNegativeInt,
+    decode,
+)
 
 PHASES = {"testing": "trial", "recalling": "reverting", "live": "released", "recalled": "withdrawn"}
 STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
@@ -21,82 +30,82 @@
 # A host that can't be one raises other errors than OSError when connected to, which nobody catches.
 LABEL = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
 ADDRESS = rf"^{LABEL}(\.{LABEL})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
-WORDS = {"too_many_calls": Fate.TURNED_AWAY, "out_of_date": Fate.UNSENT}  # any other error: it did not count
+ERROR_OUTCOMES = {"too_many_calls": Fate.TURNED_AWAY, "out_of_date": Fate.UNSENT}  # any other error: it did not count
 
 
-class State(msgspec.Struct, frozen=True):
+class StageMessage(msgspec.Struct, frozen=True):
     """Where the newest build stands."""
 
-    build: Build
+    build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
     phase: Literal["testing", "recalling", "live", "recalled"]
     cap: Annotated[float, Meta(ge=0, le=1)]
-    age_ms: Positive
+    age_ms: NonNegativeFloat
 
-    def line(self) -> NewsLine:
-        return NewsLine(self.build, self.stage, PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
+    def line(self) -> RolloutMessage:
+        return RolloutMessage(self.build, self.stage, PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
 
 
-class Wrong(msgspec.Struct, frozen=True):
+class RpcError(msgspec.Struct, frozen=True):
     message: str
 
 
-class Line(msgspec.Struct, frozen=True):
+class RpcMessage(msgspec.Struct, frozen=True):
     """An answer (with an id) or a notification (with a method)."""
 
     jsonrpc: Literal["2.0"]
     id: int | None = None
     result: msgspec.Raw = msgspec.Raw()
-    error: Wrong | None = None
+    error: RpcError | None = None
     method: str | None = None
     params: msgspec.Raw = msgspec.Raw()
 
 
-class Endpoint(msgspec.Struct, frozen=True):
+class ListedEndpoint(msgspec.Struct, frozen=True):
     id: Annotated[str, Meta(min_length=1, max_length=64)]
     addr: Annotated[str, Meta(max_length=270, pattern=ADDRESS)]
     state: Literal["active", "leaving", "left"]
     zone: str = ""
     kind: str = ""
-    cell: Whole = 0
+    cell: NonNegativeInt = 0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
-    started_ms: Positive = 0.0
-    revision_no: Build = 0
+    started_ms: NonNegativeFloat = 0.0
+    revision_no: BuildNumber = 0
 
 
-class Endpoints(msgspec.Struct, frozen=True):
-    version: Whole
+class EndpointList(msgspec.Struct, frozen=True):
+    version: NonNegativeInt
     full: bool
     servers: Annotated[list[msgspec.Raw], Meta(max_length=20000)]  # each an Endpoint, if it can be read
 
 
-class Label(msgspec.Struct, frozen=True):
+class EndpointLabel(msgspec.Struct, frozen=True):
     """What may still be read of an entry that is no Endpoint."""
 
     id: Any = None
     state: Any = None
 
 
-class Refusal(NamedTuple):
+class RejectedEntry(NamedTuple):
     """An entry that can't be read: which unit it names, if it does, and why it is refused."""
 
     id: str
     reason: str
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise Malformed(f"not an address: {text[:80]!r}")
     return host.strip("[]"), int(port)
 
 
-def _row(raw: msgspec.Raw) -> Row:
+def _row(raw: msgspec.Raw) -> EndpointMessage:
     """Raises Malformed. One clock is read by all machines: Unix time."""
     text = bytes(raw)
-    point = decode(text, Endpoint, len(text))  # the list's length is bounded already
-    host, port = address(point.addr)
-    return Row(
+    point = decode(text, ListedEndpoint, len(text))  # the list's length is bounded already
+    host, port = parse_address(point.addr)
+    return EndpointMessage(
         point.id,
         host,
         port,
@@ -114,25 +123,27 @@
     """Which unit an entry names that can't be read, and whether it says that the unit wants nothing new."""
     try:
         text = bytes(raw)
-        label = decode(text, Label, len(text))
+        label = decode(text, EndpointLabel, len(text))
     except Malformed:
         return "", False
     return label.id if isinstance(label.id, str) else "", label.state in ("leaving", "left")
 
 
-def _nobody(name: str) -> Row | None:
+def _nobody(name: str) -> EndpointMessage | None:
     return None
 
 
-def listed(
-    found: Endpoints, last: Callable[[str], Row | None] = _nobody, refused: list[Refusal] | None = None
-) -> Listed:
+def read_endpoint_list(
+    found: EndpointList,
+    last: Callable[[str], EndpointMessage | None] = _nobody,
+    refused: list[RejectedEntry] | None = None,
+) -> EndpointListMessage:
     """Discovery's list as the driver takes it; `refused` gets the entries that were refused, `last` says
     what counts of a unit so far, which goes on for a refused one. Yet one told as leaving gets nothing new,
     whatever else of its entry is wrong. A whole list that tells a unit twice and differently is refused for
     that unit; among changes the last word counts."""
     refusals = refused if refused is not None else []
-    rows: dict[str, Row] = {}
+    rows: dict[str, EndpointMessage] = {}
     bad: dict[str, tuple[str, bool]] = {}  # by name: why, and whether any entry says that it leaves
     for raw in found.servers:
         try:
@@ -140,7 +151,7 @@
         except Malformed as fault:
             name, leaves, reason = *_label(raw), str(fault)
             if not name:
-                refusals.append(Refusal("", reason))
+                refusals.append(RejectedEntry("", reason))
                 continue
         else:
             other = rows.get(row.unit, row)
@@ -157,16 +168,16 @@
             rows.pop(name, None)
             if kept := last(name):
                 rows[name] = msgspec.structs.replace(kept, condition="draining") if leaves else kept
-    refusals += [Refusal(name, reason) for name, (reason, _) in bad.items()]
-    return Listed("full" if found.full else "changes", found.version, 0.0, list(rows.values()))
+    refusals += [RejectedEntry(name, reason) for name, (reason, _) in bad.items()]
+    return EndpointListMessage("full" if found.full else "changes", found.version, 0.0, list(rows.values()))
 
 
-def asked(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
+def encode_call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
     call: dict[str, Any] = {"jsonrpc": "2.0", "id": number, "method": method}
     if params is not None:
         call["params"] = params
     return msgspec.json.encode(call) + b"\n"
 
 
-def state(raw: msgspec.Raw) -> State:
-    return decode(bytes(raw), State)
+def decode_stage(raw: msgspec.Raw) -> StageMessage:
+    return decode(bytes(raw), StageMessage)
--- a/lanelead/protocols/records.py
+++ b/lanelead/protocols/records.py
@@ -8,77 +8,77 @@
 from msgspec import Meta
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
-Whole = Annotated[int, Meta(ge=0, le=2**53)]
-Build = Annotated[int, Meta(ge=0, le=65535)]
-Positive = Annotated[float, Meta(ge=0, le=1e15)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=2**53)]
+BuildNumber = Annotated[int, Meta(ge=0, le=65535)]
+NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e15)]
 T = TypeVar("T")
-LONGEST = 1 << 20  # bytes of one line
+MAX_LINE_BYTES = 1 << 20  # bytes of one line
 
 
 class Malformed(Exception):
     """What came is not such a record; the text says which field and why."""
 
 
-class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EndpointMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One unit, as the roster knows it. `started_ms` is on the roster's clock; null: long ago."""
 
     unit: Name
     host: Annotated[str, Meta(min_length=1, max_length=64)]
     port: Annotated[int, Meta(ge=1, le=65535)]
     zone: Name
-    build: Build
+    build: BuildNumber
     condition: Literal["ready", "draining", "gone"]
-    cell: Whole = 0
+    cell: NonNegativeInt = 0
     kind: str = ""
-    started_ms: Positive | None = None
+    started_ms: NonNegativeFloat | None = None
     size: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
 
 
-class Listed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EndpointListMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     coverage: Literal["full", "changes"]
-    version: Whole
-    clock_ms: Positive
-    units: Annotated[list[Row], Meta(max_length=20000)]
+    version: NonNegativeInt
+    clock_ms: NonNegativeFloat
+    units: Annotated[list[EndpointMessage], Meta(max_length=20000)]
 
 
-class NewsLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    build: Build
+class RolloutMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
     phase: Literal["trial", "reverting", "released", "withdrawn"]
     cap: Annotated[float, Meta(ge=0, le=1)]
-    age_ms: Positive
+    age_ms: NonNegativeFloat
 
 
-class VoteAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    relay: Whole
-    build: Build
+class VoteRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    relay: NonNegativeInt
+    build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
     verdict: Literal["none", "on", "hold", "back"]
 
 
-class VoteAnswer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class VoteResponse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     word: Literal["done", "moot", "overloaded", "failed"]
-    news: NewsLine
+    news: RolloutMessage
 
 
 class Complaint(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     unit: Name
     lane: Name
-    age_ms: Positive
+    age_ms: NonNegativeFloat
 
 
-class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class LoadMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """A unit's load report, in an answer's Lanelead-Load field or to a probe."""
 
-    waiting: Positive | None = None
-    active: Positive | None = None
-    cpu: Positive | None = None
-    avg_ms: Positive | None = None
-    rps: Positive | None = None
-    err_rps: Positive | None = None
+    waiting: NonNegativeFloat | None = None
+    active: NonNegativeFloat | None = None
+    cpu: NonNegativeFloat | None = None
+    avg_ms: NonNegativeFloat | None = None
+    rps: NonNegativeFloat | None = None
+    err_rps: NonNegativeFloat | None = None
 
 
-def decode(data: bytes, kind: type[T], longest: int = LONGEST) -> T:
+def decode(data: bytes, kind: type[T], longest: int = MAX_LINE_BYTES) -> T:
     """Raises Malformed, with the field and what was expected of it."""
     if len(data) > longest:
         raise Malformed(f"{len(data)} bytes, of {longest} at most")
@@ -91,10 +91,10 @@
 encode = msgspec.json.encode
 
 
-class Lines:
+class LineSplitter:
     """Cuts a stream into lines; raises Malformed at one that is too long."""
 
-    def __init__(self, longest: int = LONGEST) -> None:
+    def __init__(self, longest: int = MAX_LINE_BYTES) -> None:
         self._rest, self._longest = b"", longest
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/lanelead/protocols/steps.py
+++ b/lanelead/protocols/steps.py
@@ -7,54 +7,54 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.records import Positive, Whole
+from lanelead.protocols.records import NonNegativeFloat, NonNegativeInt
 
-Way = Literal["apply", "undo"]
-Kind = Literal["plan", "closing", "intent", "done", "failed", "resumed", "dropped"]
+Direction = Literal["apply", "undo"]
+EntryKind = Literal["plan", "closing", "intent", "done", "failed", "resumed", "dropped"]
 Ident = Annotated[str, Meta(pattern=r"^[A-Za-z_][A-Za-z0-9_]{0,63}$")]
 
 
-class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class LogEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """One line of the record. `closed`: of an intent, the closing that it waited for."""
 
-    kind: Kind
+    kind: EntryKind
     step: str = ""
-    way: Way = "apply"
-    closed: Whole = 0
-    parts: Whole = 0  # of a failure: the parts whose effect was had
+    way: Direction = "apply"
+    closed: NonNegativeInt = 0
+    parts: NonNegativeInt = 0  # of a failure: the parts whose effect was had
     text: Annotated[str, Meta(max_length=1 << 20)] = ""  # of a failure: the reason; of a plan: all of it
 
 
-class Logged(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LoggedEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An entry with its number, the token it was written under, and the store's time (for people only)."""
 
-    seq: Whole
-    token: Whole
+    seq: NonNegativeInt
+    token: NonNegativeInt
     runner: str
-    at_ms: Positive
-    entry: Entry
+    at_ms: NonNegativeFloat
+    entry: LogEntry
 
 
-class LeaseAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LeaseRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     runner: Annotated[str, Meta(min_length=1, max_length=64)]
     ttl_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
 
 
 class Lease(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    token: Whole  # grows with every lease: what was sent under an earlier one changes nothing
+    token: NonNegativeInt  # grows with every lease: what was sent under an earlier one changes nothing
 
 
-class AppendAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    token: Whole
-    after: Whole  # the last entry that the writer knows
-    entry: Entry
+class AppendRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    token: NonNegativeInt
+    after: NonNegativeInt  # the last entry that the writer knows
+    entry: LogEntry
 
 
-class Appended(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    seq: Whole
+class AppendReply(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    seq: NonNegativeInt
 
 
-class Span(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class BatchRange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A batch: at most so many rows of a table whose key is above `low`."""
 
     table: Ident
@@ -63,49 +63,49 @@
     low: int | None = None
 
 
-class ApplyAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ApplyRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The effect of one part of a step; its mark is (intent, part), written in the same transaction."""
 
-    token: Whole
-    intent: Whole
-    part: Whole
+    token: NonNegativeInt
+    intent: NonNegativeInt
+    part: NonNegativeInt
     statements: Annotated[tuple[Annotated[str, Meta(max_length=65536)], ...], Meta(min_length=1, max_length=256)]
-    span: Span | None = None
+    span: BatchRange | None = None
 
 
-class Marks(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EffectProgress(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What effects of an intent were had: so many parts, up to a key, and whether any are left."""
 
-    parts: Whole
+    parts: NonNegativeInt
     cursor: int | None = None
     finished: bool = False
-    rows: Whole = 0
+    rows: NonNegativeInt = 0
 
 
-class SeenAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AcknowledgeRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A relay sends nothing more, and has nothing open, that an entry up to `seq` forbids."""
 
-    relay: Whole
-    seq: Whole
+    relay: NonNegativeInt
+    seq: NonNegativeInt
 
 
-class ForgetAsk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ForgetRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The operator's word that a relay is gone for good, and need not be waited for."""
 
-    token: Whole
-    relay: Whole
+    token: NonNegativeInt
+    relay: NonNegativeInt
 
 
-class Unseen(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    relays: list[Whole]
+class UnacknowledgedRelays(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    relays: list[NonNegativeInt]
 
 
-class Page(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    entries: list[Logged]
-    last: Whole
+class MigrationLogPage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    entries: list[LoggedEntry]
+    last: NonNegativeInt
 
 
-class Refusal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RejectedCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Why nothing was changed. `held`: another runner has the lease; `fenced`: a later lease was given;
     `behind`: the record has grown; `unseen`: relays have not seen the closing; `failed`: the store could not
     do it; `no intent`: no such intent is written."""
@@ -114,9 +114,9 @@
     text: str = ""
 
 
-class Told(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SchemaCheck(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A unit asks whether its build's write fits the schema as it stands; only stand-ins do."""
 
-    build: Whole
+    build: NonNegativeInt
     op: str
     write: str
--- a/lanelead/relay/circle.py
+++ b/lanelead/relay/circle.py
@@ -69,7 +69,7 @@
         out, self.members.outbox = self.members.outbox, []
         for to, text in out:
             self._count += 1
-            letter = datagrams.seal(self.members.own.number, self._count, text, datagrams.CIRCLE)
+            letter = datagrams.encode_datagram(self.members.own.number, self._count, text, datagrams.MEMBERSHIP_MAGIC)
             try:
                 self._udp.sendto(letter, to)
             except OSError:  # a full buffer, or nobody there: such letters may be lost
--- a/lanelead/relay/driver.py
+++ b/lanelead/relay/driver.py
@@ -47,8 +47,8 @@
     Word,
 )
 from lanelead.hosting.door import Door, pack, unpack
-from lanelead.protocols.records import Listed, Malformed, NewsLine
-from lanelead.protocols.steps import Page
+from lanelead.protocols.records import EndpointListMessage, Malformed, RolloutMessage
+from lanelead.protocols.steps import MigrationLogPage
 from lanelead.steps.join import Readiness
 
 WORDS = {"done": Fate.DONE, "moot": Fate.UNSENT, "overloaded": Fate.TURNED_AWAY, "failed": Fate.ERROR}
@@ -214,7 +214,7 @@
         self.decisions.probed(unit, fate, took, report)
         self._carry()
 
-    def listed(self, listed: Listed, offset: Ticks) -> None:
+    def listed(self, listed: EndpointListMessage, offset: Ticks) -> None:
         """The roster's word. `offset` is what its clock lacks of ours, fixed for as long as one stream
         lasts."""
         self._now()
@@ -273,7 +273,7 @@
             return listing
         return replace(listing, condition=Condition.DRAINING)
 
-    def steps(self, page: Page) -> None:
+    def steps(self, page: MigrationLogPage) -> None:
         """The record of steps has grown. Raises Malformed where it follows no rules."""
         assert self.readiness is not None
         if page.last < self.readiness.record.seq:  # another store, or an old copy: what it says is not this
@@ -298,7 +298,7 @@
         self.decisions.roster(Coverage.FAILED, [])
         self._carry()
 
-    def news(self, line: NewsLine | None, answer: bool, word: Fate) -> None:
+    def news(self, line: RolloutMessage | None, answer: bool, word: Fate) -> None:
         """The desk's news, or its answer to a vote; no line where the answer never came."""
         self._now()
         if line is None:
--- a/lanelead/relay/gate.py
+++ b/lanelead/relay/gate.py
@@ -23,8 +23,8 @@
 
 from lanelead.decisions.interface import Lane, Member, Ticks, Trip
 from lanelead.http import writing
-from lanelead.http.answers import Answer
-from lanelead.http.asks import Ask, AskReader, Refusal, State
+from lanelead.http.answers import HttpResponse
+from lanelead.http.asks import HttpRequest, RequestReader, RejectedRequest, State
 from lanelead.protocols.records import Complaint, Malformed, decode, encode
 from lanelead.relay.driver import Driver, Outcome, Ticket
 from lanelead.relay.links import OURS
@@ -46,7 +46,7 @@
 
     __slots__ = ("ask", "close", "due", "text", "ticket", "waits")
 
-    def __init__(self, ask: Ask | None) -> None:
+    def __init__(self, ask: HttpRequest | None) -> None:
         self.ask = ask
         self.text: bytes | None = None  # the answer, once there is one
         self.ticket: Ticket | None = None
@@ -79,7 +79,7 @@
         self._spans = spans
         self._number = itertools.count(1)
 
-    def lane(self, ask: Ask) -> Lane:
+    def lane(self, ask: HttpRequest) -> Lane:
         path, fitting = ask.target.partition(b"?")[0], False
         for prefix, methods, lane in self._lanes:
             if path.startswith(prefix):
@@ -95,15 +95,15 @@
         ip = netaddr.IPAddress(address)
         return next((self.members[name] for span, name in self._spans if ip in span), None)
 
-    def member(self, ask: Ask, by_address: Member | None) -> Member | None:
+    def member(self, ask: HttpRequest, by_address: Member | None) -> Member | None:
         raw = ask.header(self._member)
         return by_address if raw is None else self.members.get(raw.decode("latin-1"), by_address)
 
-    def key(self, ask: Ask) -> str | None:
+    def key(self, ask: HttpRequest) -> str | None:
         raw = ask.header(self._key)
         return None if raw is None else raw.decode("latin-1")
 
-    def left(self, ask: Ask, lane: Lane) -> Ticks:
+    def left(self, ask: HttpRequest, lane: Lane) -> Ticks:
         """The time to the final answer; earlier than the client's own by what the way back may take."""
         raw, most = ask.header(self._left), lane.outer_limit
         if raw is not None:
@@ -112,7 +112,7 @@
             most = min(most, int(float(raw) * 10))
         return most - self._early
 
-    def ident(self, ask: Ask) -> str:
+    def ident(self, ask: HttpRequest) -> str:
         raw = ask.header(self._lookup)
         if raw is None or not IDENT.match(raw):
             return f"relay-{next(self._number)}"
@@ -128,7 +128,7 @@
 
     def __init__(self, gate: Gate, sock: socket.socket, address: str) -> None:
         self._gate, self._sock, self._loop = gate, sock, gate.loop
-        self._reader = AskReader(gate.allowance.head_bytes, gate.allowance.body_bytes)
+        self._reader = RequestReader(gate.allowance.head_bytes, gate.allowance.body_bytes)
         self._member = gate.reception.member_at(address)
         self.slots: deque[Slot] = deque()
         self._room = asyncio.Event()
@@ -166,9 +166,9 @@
                     continue
                 self.moved = self._loop.time()
                 for event in self._reader.feed(view[:size]):
-                    if isinstance(event, Ask):
+                    if isinstance(event, HttpRequest):
                         self._asked(event)
-                    elif isinstance(event, Refusal):
+                    elif isinstance(event, RejectedRequest):
                         gate.refused(event.status, event.reason)
                         self._say(self._slot(None), event.status, event.reason, close=True)
                     elif self.quiet and not self._closing:
@@ -182,12 +182,12 @@
             self._reading = False
             self._settle()
 
-    def _slot(self, ask: Ask | None) -> Slot:
+    def _slot(self, ask: HttpRequest | None) -> Slot:
         slot = Slot(ask)
         self.slots.append(slot)
         return slot
 
-    def _asked(self, ask: Ask) -> None:
+    def _asked(self, ask: HttpRequest) -> None:
         if self._closing:
             return
         slot = self._slot(ask)
@@ -221,7 +221,7 @@
         else:
             take()
 
-    def _own(self, slot: Slot, ask: Ask) -> None:
+    def _own(self, slot: Slot, ask: HttpRequest) -> None:
         """The relay's own paths: complaints of wrong answers, and how the relay stands."""
         gate = self._gate
         if ask.target == b"/.lanelead/complaint" and ask.method == "POST":
@@ -235,10 +235,10 @@
             except Malformed as fault:
                 self._say(slot, 400, str(fault))
                 return
-            self._fill(slot, writing.answer(204, (), b"", not slot.close))
+            self._fill(slot, writing.response(204, (), b"", not slot.close))
         elif ask.target == b"/.lanelead/state" and ask.method in ("GET", "HEAD"):
             body = encode(gate.state())
-            text = writing.answer(
+            text = writing.response(
                 200,
                 ((b"content-type", b"application/json"),),
                 body,
@@ -259,10 +259,10 @@
         head = slot.ask is not None and slot.ask.method == "HEAD"
         body = (text + "\n").encode()
         fields = (*PLAIN, (b"lanelead-outcome", b"not-a-lookup"))
-        self._fill(slot, writing.answer(status, fields, body, not slot.close, head, b"%d" % len(body)))
+        self._fill(slot, writing.response(status, fields, body, not slot.close, head, b"%d" % len(body)))
 
     def _replied(
-        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Answer | None, come_back: Ticks
+        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
     ) -> None:
         slot = next((slot for slot in self.slots if slot.ticket is ticket), None)
         if slot is None:
@@ -280,7 +280,7 @@
                 (b"lanelead-build", b"%d" % trip.unit.build),
             )
             length = answer.header(b"content-length")
-            text = writing.answer(answer.status, fields, answer.body, keep, head, length)
+            text = writing.response(answer.status, fields, answer.body, keep, head, length)
         elif outcome is Outcome.SHED:
             seconds = max(1, -(-come_back // 10_000))
             fields = [
@@ -290,11 +290,11 @@
                 (b"retry-after", b"%d" % seconds),
                 (b"lanelead-come-back", b"%d" % (come_back // 10)),
             ]
-            text = writing.answer(503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46")
+            text = writing.response(503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46")
         else:
             status = 504 if ticket.late else 502
             fields = [*PLAIN, ident, word]
-            text = writing.answer(status, fields, b"broken off: it may have been done\n", keep, head, b"34")
+            text = writing.response(status, fields, b"broken off: it may have been done\n", keep, head, b"34")
         self._fill(slot, text)
 
     def _fill(self, slot: Slot, text: bytes) -> None:
@@ -432,7 +432,7 @@
                 self.turned_off += 1
                 fields = (*PLAIN, (b"lanelead-outcome", b"shed"), (b"retry-after", b"1"))
                 with contextlib.suppress(OSError):
-                    conn.send(writing.answer(503, fields, b"shed: too many connections\n", keep=False))
+                    conn.send(writing.response(503, fields, b"shed: too many connections\n", keep=False))
                 conn.close()
                 continue
             conn.setblocking(False)
--- a/lanelead/relay/links.py
+++ b/lanelead/relay/links.py
@@ -18,8 +18,8 @@
 
 from lanelead.decisions.interface import Fate, Ticks, Trip, Unit
 from lanelead.http import writing
-from lanelead.http.answers import Answer, AnswerReader, Progress
-from lanelead.protocols.records import Load, Malformed, decode
+from lanelead.http.answers import HttpResponse, ResponseReader, Progress
+from lanelead.protocols.records import LoadMessage, Malformed, decode
 from lanelead.relay.driver import Destination, Driver, Ticket
 from lanelead.relay.reports import LOAD, figures, report_of
 
@@ -47,9 +47,9 @@
 
     def __init__(self, sock: socket.socket, pool: Pool, buffer: bytearray, answer_bytes: int) -> None:
         self.sock, self.pool, self.buffer = sock, pool, buffer
-        self.reader = AnswerReader(answer_bytes)
+        self.reader = ResponseReader(answer_bytes)
         self.trip: Trip | None = None  # whose answer is awaited
-        self.answer: asyncio.Future[Answer | None] | None = None  # a probe's
+        self.answer: asyncio.Future[HttpResponse | None] | None = None  # a probe's
         self.sending = self.dead = False
         self.idle_since = 0.0
 
@@ -168,7 +168,7 @@
         finally:
             link.sending = False
 
-    def _end(self, trip: Trip, fate: Fate, answer: Answer | None) -> None:
+    def _end(self, trip: Trip, fate: Fate, answer: HttpResponse | None) -> None:
         if self._out.pop(trip, None) is not None:
             assert self.driver is not None
             report = None if answer is None else report_of(answer, self._reports)
@@ -208,7 +208,7 @@
             if pool.free is not None:
                 pool.free.set()
 
-    def _answered(self, link: Link, answer: Answer | None, open_: bool) -> None:
+    def _answered(self, link: Link, answer: HttpResponse | None, open_: bool) -> None:
         trip, link.trip = link.trip, None
         probe, link.answer = link.answer, None
         # An answer that came before its request was written whole leaves a connection nobody can use again.
@@ -367,7 +367,7 @@
             elif answer.status != 200:
                 fate = Fate.ERROR
             else:
-                report, fate = figures(decode(answer.body, Load), self._reports), Fate.DONE
+                report, fate = figures(decode(answer.body, LoadMessage), self._reports), Fate.DONE
         except (OSError, TimeoutError):
             pass
         except Malformed:
--- a/lanelead/relay/reports.py
+++ b/lanelead/relay/reports.py
@@ -3,24 +3,24 @@
 from __future__ import annotations
 
 from lanelead.decisions.interface import Report
-from lanelead.http.answers import Answer
-from lanelead.protocols.records import Load, Malformed, decode
+from lanelead.http.answers import HttpResponse
+from lanelead.protocols.records import LoadMessage, Malformed, decode
 
 LOAD = b"lanelead-load"
 
 
-def report_of(answer: Answer, names: frozenset[str]) -> Report | None:
+def report_of(answer: HttpResponse, names: frozenset[str]) -> Report | None:
     """The load report in an answer, of the figures that the settings name; None where there is none to
     trust."""
     raw = answer.header(LOAD)
     if raw is None:
         return None
     try:
-        return figures(decode(raw, Load), names)
+        return figures(decode(raw, LoadMessage), names)
     except Malformed:
         return None
 
 
-def figures(load: Load, names: frozenset[str]) -> Report:
+def figures(load: LoadMessage, names: frozenset[str]) -> Report:
     pairs = ((name, getattr(load, name)) for name in load.__struct_fields__ if name in names)
     return {name: value for name, value in pairs if value is not None}
--- a/lanelead/relay/service.py
+++ b/lanelead/relay/service.py
@@ -12,10 +12,18 @@
 from lanelead.decisions.interface import Decisions, Duties, Fate, Lane, Member, Ticks, Trip, Unit, Vote
 from lanelead.decisions.rules import Relay
 from lanelead.decisions.zones import ANYWHERE
-from lanelead.http.calls import Failed, call, stream
+from lanelead.http.calls import CallFailedError, call, stream
 from lanelead.protocols import datagrams
-from lanelead.protocols.records import Listed, Malformed, NewsLine, VoteAnswer, VoteAsk, decode, encode
-from lanelead.protocols.steps import Page, SeenAsk
+from lanelead.protocols.records import (
+    EndpointListMessage,
+    Malformed,
+    RolloutMessage,
+    VoteResponse,
+    VoteRequest,
+    decode,
+    encode,
+)
+from lanelead.protocols.steps import MigrationLogPage, AcknowledgeRequest
 from lanelead.relay.circle import Circle
 from lanelead.relay.driver import VERDICTS, WORDS, Driver, Ticket
 from lanelead.relay.gate import Gate
@@ -245,7 +253,7 @@
                 self._sent += 1
                 try:
                     self._udp.sendto(
-                        datagrams.seal(self._settings.number, self._sent, payload), (other.host, other.port)
+                        datagrams.encode_datagram(self._settings.number, self._sent, payload), (other.host, other.port)
                     )
                 except OSError:  # a full buffer, or nobody there: such messages may be lost
                     self._drop("not sent")
@@ -291,7 +299,7 @@
                         self._up[name] = True
                         self._log.info("feed up", feed=name)
                     self._after()
-            except (Failed, Malformed) as fault:
+            except (CallFailedError, Malformed) as fault:
                 if self._up[name]:
                     self._log.warning("feed down: going on with what is known", feed=name, reason=str(fault))
                 self._up[name] = False
@@ -308,7 +316,7 @@
 
     async def _roster(self) -> None:
         def heard(line: bytes) -> None:
-            listed = decode(line, Listed)
+            listed = decode(line, EndpointListMessage)
             if self._offset is None:
                 self._offset = self.clock() - int(listed.clock_ms * 10)
             self.driver.listed(listed, self._offset)
@@ -320,7 +328,7 @@
 
     async def _desk(self) -> None:
         def heard(line: bytes) -> None:
-            self.driver.news(decode(line, NewsLine), False, Fate.DONE)
+            self.driver.news(decode(line, RolloutMessage), False, Fate.DONE)
 
         path = b"/news?relay=%d" % self._settings.number
         await self._follow("desk", lambda: path, self._settings.desk, heard)
@@ -333,7 +341,7 @@
         def path() -> bytes:
             return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
 
-        await self._follow("steps", path, feed, lambda line: self.driver.steps(decode(line, Page)))
+        await self._follow("steps", path, feed, lambda line: self.driver.steps(decode(line, MigrationLogPage)))
 
     async def _vouch(self, feed: records.Feed) -> None:
         """Tells the store that a closing is seen, once nothing is out that it forbids."""
@@ -342,11 +350,11 @@
         while True:
             await asyncio.sleep(feed.least_wait_ms / 1000)
             if owed := readiness.owes(self.clock()):
-                body = encode(SeenAsk(self._settings.number, owed))
+                body = encode(AcknowledgeRequest(self._settings.number, owed))
                 limit = feed.silence_ms / 1000
                 try:
                     answer = await call(self._loop, feed.address, "POST", b"/seen", body, limit)
-                except (Failed, TimeoutError) as fault:
+                except (CallFailedError, TimeoutError) as fault:
                     self._log.warning("store not told", reason=str(fault))
                     continue
                 if answer.status == 200:
@@ -357,8 +365,8 @@
         feed = self._settings.roster
         try:
             answer = await call(self._loop, feed.address, "GET", b"/roster", b"", feed.silence_ms / 1000)
-            listed = decode(answer.body, Listed)
-        except (Failed, TimeoutError, Malformed) as fault:
+            listed = decode(answer.body, EndpointListMessage)
+        except (CallFailedError, TimeoutError, Malformed) as fault:
             self._log.warning("roster not fetched", reason=str(fault))
             await asyncio.sleep(feed.least_wait_ms / 1000)
             self._roster_failed()
@@ -369,7 +377,7 @@
 
     async def _vote(self, vote: Vote) -> None:
         poll = self._settings.service.poll
-        asked = VoteAsk(self._settings.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
+        asked = VoteRequest(self._settings.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
         line, word = None, Fate.ERROR
         try:
             answer = await call(
@@ -381,12 +389,12 @@
                 poll.answer_limit_ms / 1000,
             )
             if answer.status != 200:
-                raise Failed(f"status {answer.status}")
-            told = decode(answer.body, VoteAnswer)
+                raise CallFailedError(f"status {answer.status}")
+            told = decode(answer.body, VoteResponse)
             line, word = told.news, WORDS[told.word]
         except TimeoutError:
             word = Fate.TIMED_OUT
-        except (Failed, Malformed) as fault:
+        except (CallFailedError, Malformed) as fault:
             self._log.warning("vote not cast", reason=str(fault))
         self._log.info("vote", build=vote.build, stage=vote.stage, verdict=asked.verdict, word=word.value)
         self.driver.news(line, True, word)
@@ -411,7 +419,7 @@
                 break
             except OSError:
                 continue
-            letter = datagrams.open_(data, self._settings.relays)
+            letter = datagrams.decode_datagram(data, self._settings.relays)
             if isinstance(letter, str):
                 self._drop(letter)
             elif letter.circle:
--- a/lanelead/standins/clients.py
+++ b/lanelead/standins/clients.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from lanelead.http import writing
-from lanelead.http.answers import AnswerReader, Progress
+from lanelead.http.answers import ResponseReader, Progress
 from lanelead.settings.records import Clients, Service
 from lanelead.standins.capture import Tap, clock
 from lanelead.standins.demand import Demand, Op
@@ -45,7 +45,7 @@
 
     def __init__(self, crowd: Callers, relay: int) -> None:
         self._crowd, self.relay = crowd, relay
-        self._reader = AnswerReader(64 << 20)
+        self._reader = ResponseReader(64 << 20)
         self.transport: asyncio.Transport | None = None
         self.ident = ""
         self.op: Op | None = None
--- a/lanelead/standins/desk.py
+++ b/lanelead/standins/desk.py
@@ -8,9 +8,9 @@
 from random import Random
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import STREAM, Caller, chunk
-from lanelead.protocols.records import Malformed, VoteAnswer, VoteAsk, decode, encode
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import STREAM, ServerConnection, chunk
+from lanelead.protocols.records import Malformed, VoteResponse, VoteRequest, decode, encode
 from lanelead.settings.records import Poll, Trial
 from lanelead.standins.capture import Tap, clock
 from lanelead.standins.polling import Polling
@@ -32,7 +32,7 @@
         Door.__init__(self, port, Tap(folder, "desk"))
         Polling.__init__(self, trial, poll, chance, clock, self.tap.note, moved)
         self._told, self._push = told, push
-        self._watchers: dict[Caller, int] = {}
+        self._watchers: dict[ServerConnection, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self.stale = 0.0  # seconds by which its news is later than usual
 
@@ -60,10 +60,10 @@
                 for caller, relay in list(self._watchers.items()):
                     self._tell(caller, relay)
 
-    def _leave(self, caller: Caller) -> None:
+    def _leave(self, caller: ServerConnection) -> None:
         self._watchers.pop(caller, None)
 
-    def _tell(self, caller: Caller, relay: int) -> None:
+    def _tell(self, caller: ServerConnection, relay: int) -> None:
         if caller.transport is None:
             return
         line = self.line()
@@ -72,7 +72,7 @@
 
     # Calls
 
-    def heard(self, caller: Caller, ask: Ask) -> None:
+    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         path = ask.target.partition(b"?")[0]
         if path == b"/news":
             relay = relay_of(ask)
@@ -82,13 +82,13 @@
             self._tell(caller, relay)
         elif path == b"/votes" and ask.method == "POST":
             try:
-                vote = decode(ask.body, VoteAsk)
+                vote = decode(ask.body, VoteRequest)
             except Malformed as fault:
-                caller.write(writing.answer(400, (), str(fault).encode(), ask.keep))
+                caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
                 return
             word, line = self.vote(vote)
             if line is not None:
-                body = encode(VoteAnswer(word, line))  # type: ignore[arg-type]
-                caller.write(writing.answer(200, [(b"content-type", b"application/json")], body, ask.keep))
+                body = encode(VoteResponse(word, line))  # type: ignore[arg-type]
+                caller.write(writing.response(200, [(b"content-type", b"application/json")], body, ask.keep))
         else:
-            caller.write(writing.answer(404, (), b"", ask.keep))
+            caller.write(writing.response(404, (), b"", ask.keep))
--- a/lanelead/standins/interrupts.py
+++ b/lanelead/standins/interrupts.py
@@ -26,9 +26,9 @@
 import msgspec
 
 from lanelead.decisions.interface import Lane, Lookup, Repeat, Scope, Ticks, Trip
-from lanelead.http.calls import Failed, call, stream
+from lanelead.http.calls import CallFailedError, call, stream
 from lanelead.protocols.records import decode
-from lanelead.protocols.steps import Entry, Logged, Page, SeenAsk, Told
+from lanelead.protocols.steps import LogEntry, LoggedEntry, MigrationLogPage, AcknowledgeRequest, SchemaCheck
 from lanelead.settings.records import Address, Demands, Steps
 from lanelead.standins.stepstore import FaultyStore
 from lanelead.steps.driver import Client, Conductor
@@ -111,7 +111,7 @@
 
 
 class Seeing(FaultyStore):
-    def noted(self, logged: Logged) -> None:
+    def noted(self, logged: LoggedEntry) -> None:
         if logged.entry.kind == "closing":
             asyncio.get_running_loop().call_later(0.005, self.ledger.seen, 0, logged.seq)
 
@@ -277,7 +277,7 @@
     db = sqlite3.connect(file, isolation_level=None)
     try:
         for seq, body in db.execute("SELECT seq, body FROM ll_record ORDER BY seq").fetchall():
-            record.add(Logged(seq, 0, "", 0.0, msgspec.json.decode(body, type=Entry)))
+            record.add(LoggedEntry(seq, 0, "", 0.0, msgspec.json.decode(body, type=LogEntry)))
         had = {intent for (intent,) in db.execute("SELECT DISTINCT intent FROM ll_marks")}
         for step in plan.steps:
             mark = record.marks.get(step.name)
@@ -348,16 +348,16 @@
             path = b"/record/watch?relay=7&since=%d" % self._readiness.record.seq
             try:
                 async for line in stream(self._loop, self._address, path, 3.0):
-                    self._readiness.hear(decode(line, Page).entries)
-            except Failed:
+                    self._readiness.hear(decode(line, MigrationLogPage).entries)
+            except CallFailedError:
                 await asyncio.sleep(0.02)
 
     async def _vouch(self) -> None:
         while True:
             await asyncio.sleep(0.005)
             if owed := self._readiness.owes(self._clock()):
-                with contextlib.suppress(Failed, TimeoutError):
-                    body = msgspec.json.encode(SeenAsk(7, owed))
+                with contextlib.suppress(CallFailedError, TimeoutError):
+                    body = msgspec.json.encode(AcknowledgeRequest(7, owed))
                     answer = await call(self._loop, self._address, "POST", b"/seen", body, 1.0)
                     if answer.status == 200:
                         self._readiness.seen = owed
@@ -368,13 +368,13 @@
         self._readiness.sent(demands.build, trip)
         known = False
         try:
-            body = msgspec.json.encode(Told(demands.build, "filed", demands.write))
+            body = msgspec.json.encode(SchemaCheck(demands.build, "filed", demands.write))
             answer = await call(self._loop, self._address, "POST", b"/file", body, 1.0)
             known = True
             self.filed[demands.build] = self.filed.get(demands.build, 0) + 1
             if answer.status != 200:
                 self.misfits.append(f"build {demands.build}: {answer.body.decode()}")
-        except (Failed, TimeoutError):
+        except (CallFailedError, TimeoutError):
             pass  # the store was away: it may still be carried out
         finally:
             self._readiness.ended(trip, known)
--- a/lanelead/standins/polling.py
+++ b/lanelead/standins/polling.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lanelead.protocols.records import NewsLine, VoteAsk
+from lanelead.protocols.records import RolloutMessage, VoteRequest
 from lanelead.settings.records import Poll, Trial
 
 
@@ -118,11 +118,11 @@
             self._held += span
         self._count()
 
-    def line(self) -> NewsLine:
+    def line(self) -> RolloutMessage:
         age = (self._clock() - self._since) * 1000
-        return NewsLine(self.build, self.stage, self.phase, self.cap, age)  # type: ignore[arg-type]
+        return RolloutMessage(self.build, self.stage, self.phase, self.cap, age)  # type: ignore[arg-type]
 
-    def told(self, relay: int, line: NewsLine, **more: Any) -> None:
+    def told(self, relay: int, line: RolloutMessage, **more: Any) -> None:
         """Takes note of what a relay is told."""
         self._note(
             "told",
@@ -135,7 +135,7 @@
             **more,
         )
 
-    def vote(self, vote: VoteAsk) -> tuple[str, NewsLine | None]:
+    def vote(self, vote: VoteRequest) -> tuple[str, RolloutMessage | None]:
         """A relay's vote: the word on it, and the news that goes with it; none where the desk is mute."""
         now = self._clock()
         while self._calls and self._calls[0] < now - 1:
@@ -165,7 +165,7 @@
         self._count()
         return word, line
 
-    def _moot(self, vote: VoteAsk) -> bool:
+    def _moot(self, vote: VoteRequest) -> bool:
         if vote.build != self.build or self.phase not in ("trial", "released"):
             return True
         if vote.verdict in ("on", "hold"):
--- a/lanelead/standins/roster.py
+++ b/lanelead/standins/roster.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import STREAM, Caller, chunk
-from lanelead.protocols.records import Listed, Row, encode
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import STREAM, ServerConnection, chunk
+from lanelead.protocols.records import EndpointListMessage, EndpointMessage, encode
 from lanelead.standins.capture import Tap, clock
 
 
-def relay_of(ask: Ask) -> int:
+def relay_of(ask: HttpRequest) -> int:
     query = parse_qs(urlsplit(ask.target.decode("latin-1")).query)
     text = query.get("relay", ["-1"])[0]
     return int(text) if text.lstrip("-").isdigit() else -1
@@ -28,12 +28,12 @@
     def __init__(self, port: int, tap: Tap) -> None:
         self.port, self.tap = port, tap
         self._server: asyncio.Server | None = None
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[ServerConnection, None] = {}
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Caller(self.heard, self._met), "127.0.0.1", self.port, reuse_address=True
+            lambda: ServerConnection(self.heard, self._met), "127.0.0.1", self.port, reuse_address=True
         )
         self.port = int(self._server.sockets[0].getsockname()[1])
 
@@ -49,11 +49,11 @@
         self.shut()
         self.tap.close()
 
-    def _met(self, caller: Caller) -> None:
+    def _met(self, caller: ServerConnection) -> None:
         self.callers[caller] = None
         caller.lost.append(lambda: self.callers.pop(caller, None) and None)
 
-    def heard(self, caller: Caller, ask: Ask) -> None:
+    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         raise NotImplementedError
 
 
@@ -61,9 +61,9 @@
     def __init__(self, folder: Path, port: int, late: float) -> None:
         super().__init__(port, Tap(folder, "roster"))
         self._late = late
-        self._rows: dict[str, Row] = {}
+        self._rows: dict[str, EndpointMessage] = {}
         self._version = 0
-        self._watchers: dict[Caller, int] = {}
+        self._watchers: dict[ServerConnection, int] = {}
         self._beat: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
@@ -80,11 +80,11 @@
     def clock_ms(self) -> float:
         return clock() * 1000
 
-    def see(self, row: Row, late: float | None = None) -> None:
+    def see(self, row: EndpointMessage, late: float | None = None) -> None:
         """A process has changed; it is told after the roster's delay."""
         asyncio.get_running_loop().call_later(self._late if late is None else late, self.list_now, row)
 
-    def list_now(self, row: Row) -> None:
+    def list_now(self, row: EndpointMessage) -> None:
         if row.condition == "gone":
             if self._rows.pop(row.unit, None) is None:
                 return
@@ -94,19 +94,19 @@
         for caller, relay in list(self._watchers.items()):
             self._tell(caller, relay, "changes", [row])
 
-    def _listed(self, coverage: str, rows: list[Row]) -> Listed:
-        return Listed(coverage, self._version, self.clock_ms(), rows)  # type: ignore[arg-type]
+    def _listed(self, coverage: str, rows: list[EndpointMessage]) -> EndpointListMessage:
+        return EndpointListMessage(coverage, self._version, self.clock_ms(), rows)  # type: ignore[arg-type]
 
-    def _leave(self, caller: Caller) -> None:
+    def _leave(self, caller: ServerConnection) -> None:
         self._watchers.pop(caller, None)
 
-    def _tell(self, caller: Caller, relay: int, coverage: str, rows: list[Row]) -> None:
+    def _tell(self, caller: ServerConnection, relay: int, coverage: str, rows: list[EndpointMessage]) -> None:
         if caller.transport is None:
             return
         self.tap.note("told", relay=relay, coverage=coverage, units=msgspec.to_builtins(rows))
         caller.write(chunk(encode(self._listed(coverage, rows)) + b"\n"))
 
-    def heard(self, caller: Caller, ask: Ask) -> None:
+    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         path = ask.target.partition(b"?")[0]
         rows = list(self._rows.values())
         if path == b"/roster/watch":
@@ -117,6 +117,6 @@
             self._tell(caller, relay, "full", rows)
         elif path == b"/roster":
             body = encode(self._listed("full", rows))
-            caller.write(writing.answer(200, [(b"content-type", b"application/json")], body, ask.keep))
+            caller.write(writing.response(200, [(b"content-type", b"application/json")], body, ask.keep))
         else:
-            caller.write(writing.answer(404, (), b"", ask.keep))
+            caller.write(writing.response(404, (), b"", ask.keep))
