--- a/lanelead/standins/stepstore.py
+++ b/lanelead/standins/stepstore.py
@@ -25,10 +25,10 @@
 import uvloop
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from lanelead.protocols.records import Malformed, decode, encode
-from lanelead.protocols.steps import Logged, Refusal, Told
+from lanelead.protocols.steps import LoggedEntry, RejectedCall, SchemaCheck
 from lanelead.standins.capture import Tap
 from lanelead.steps.record import Record
 from lanelead.store.ledger import Ledger
@@ -84,7 +84,7 @@
         elif order is not None:
             raise Cut
 
-    def heard(self, caller: Caller, ask: Ask) -> None:
+    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         path = ask.target.partition(b"?")[0].decode("latin-1")
         if path == "/file":
             self._file(caller, ask)
@@ -92,21 +92,21 @@
         order = self._due(("refuse", "early", "drop", "hang", "late"), path)
         kind = order["kind"] if order is not None else ""
         if kind == "refuse":
-            caller.write(writing.answer(503, (), b"", False))
+            caller.write(writing.response(503, (), b"", False))
             caller.close()
         elif kind == "early":
             return
         elif kind == "late":
             assert order is not None
-            asyncio.get_running_loop().call_later(order["size"], self._do, Caller(lambda *_: None), ask)
+            asyncio.get_running_loop().call_later(order["size"], self._do, ServerConnection(lambda *_: None), ask)
         elif kind in ("drop", "hang"):
-            self._do(Caller(lambda *_: None), ask)
+            self._do(ServerConnection(lambda *_: None), ask)
             if kind == "drop":
                 caller.reset()
         else:
             self._do(caller, ask)
 
-    def _do(self, caller: Caller, ask: Ask) -> None:
+    def _do(self, caller: ServerConnection, ask: HttpRequest) -> None:
         try:
             super().heard(caller, ask)
         except Cut:
@@ -115,7 +115,7 @@
 
     # What passed
 
-    def handle(self, method: str, path: str, ask: Ask, query: dict[str, int]) -> tuple[int, bytes]:
+    def handle(self, method: str, path: str, ask: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
         status, body = super().handle(method, path, ask, query)
         if path == "/apply":
             sent = msgspec.json.decode(ask.body) if status in (200, 409, 422) else {}
@@ -131,7 +131,7 @@
             self.note("said", path=path, status=status, body=msgspec.json.decode(ask.body))
         return status, body
 
-    def written(self, logged: Logged) -> None:
+    def written(self, logged: LoggedEntry) -> None:
         self.catch_up()
         super().written(logged)
 
@@ -142,14 +142,14 @@
             self.note("entry", **msgspec.to_builtins(logged))
             self.noted(logged)
 
-    def noted(self, logged: Logged) -> None: ...
+    def noted(self, logged: LoggedEntry) -> None: ...
 
-    def _file(self, caller: Caller, ask: Ask) -> None:
+    def _file(self, caller: ServerConnection, ask: HttpRequest) -> None:
         """A unit writes what an effectful lookup is for, as its build does, into the schema as it stands."""
         try:
-            told = decode(ask.body, Told)
+            told = decode(ask.body, SchemaCheck)
         except Malformed as fault:
-            caller.write(writing.answer(400, (), str(fault).encode(), ask.keep))
+            caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
             return
         ready, why = self._record.ready(told.build), ""
         try:
@@ -159,8 +159,8 @@
             why = str(fault)
         self.note("filed", build=told.build, op=told.op, ready=ready, why=why, seq=self._record.seq)
         status = 409 if why else 200
-        body = encode(Refusal("failed", why)) if why else b"{}"
-        caller.write(writing.answer(status, (), body, ask.keep))
+        body = encode(RejectedCall("failed", why)) if why else b"{}"
+        caller.write(writing.response(status, (), body, ask.keep))
 
 
 async def _run(file: str, port: int, folder: str | None) -> None:
--- a/lanelead/standins/unit.py
+++ b/lanelead/standins/unit.py
@@ -28,10 +28,10 @@
 import uvloop
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.calls import Failed, call
-from lanelead.http.serving import Caller
-from lanelead.protocols.steps import Told
+from lanelead.http.asks import HttpRequest
+from lanelead.http.calls import CallFailedError, call
+from lanelead.http.serving import ServerConnection
+from lanelead.protocols.steps import SchemaCheck
 from lanelead.settings.records import Address
 from lanelead.standins.capture import Tap, clock
 from lanelead.standins.engine import Engine, Life
@@ -40,7 +40,7 @@
 class Job:
     __slots__ = ("ask", "caller", "due", "ident", "key", "lane", "op", "relay", "work")
 
-    def __init__(self, caller: Caller, ask: Ask) -> None:
+    def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
         def text(name: bytes, absent: str = "") -> str:
             raw = ask.header(name)
             return absent if raw is None else raw.decode("latin-1")
@@ -59,7 +59,7 @@
         self._loop = asyncio.get_running_loop()
         self._tap = Tap(Path(life.folder), f"unit-{life.name}")
         self._waiting = deque[Job]()
-        self._callers: dict[Caller, None] = {}
+        self._callers: dict[ServerConnection, None] = {}
         self._load: tuple[float, bytes] = (-1.0, b"{}")
         self._server: asyncio.Server | None = None
         self.draining = False
@@ -69,7 +69,7 @@
     async def open(self) -> int:
         life = self.life
         self._server = await self._loop.create_server(
-            lambda: Caller(self._heard, self._met), "127.0.0.1", life.port, backlog=512, reuse_address=True
+            lambda: ServerConnection(self._heard, self._met), "127.0.0.1", life.port, backlog=512, reuse_address=True
         )
         port = int(self._server.sockets[0].getsockname()[1])
         self._tap.note(
@@ -88,7 +88,7 @@
 
     # Connections
 
-    def _met(self, caller: Caller) -> None:
+    def _met(self, caller: ServerConnection) -> None:
         limit = self._faults.get("few_connections", {}).get("size", self.life.connections)
         if len(self._callers) >= max(1, int(limit)):
             caller.reset()
@@ -98,7 +98,7 @@
         if "deaf" in self._faults or self.fallen:
             caller.transport.pause_reading()  # type: ignore[union-attr]
 
-    def _heard(self, caller: Caller, ask: Ask) -> None:
+    def _heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         if ask.target == b"/.lanelead/load":
             self._probed(caller)
             return
@@ -146,12 +146,12 @@
     def _turn_away(self, job: Job) -> None:
         self._tap.note("turned_away", id=job.ident, op=job.op)
         fields = [(b"lanelead-turned-away", b"1"), *self._gauge()]
-        job.caller.write(writing.answer(503, fields, b"turned away\n"))
+        job.caller.write(writing.response(503, fields, b"turned away\n"))
 
     def _begin(self, job: Job) -> None:
         if clock() > job.due:  # nobody waits any more: it is not begun
             self._tap.note("expired", id=job.ident, op=job.op)
-            job.caller.write(writing.answer(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
+            job.caller.write(writing.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
             return
         self._busy += 1
         self._loop.call_later(job.work / max(1e-3, self._pace(job)), self._end, job)
@@ -168,11 +168,11 @@
         """Files a lookup where the schema is. What does not fit is an error: the client learns that, and the
         capture that a relay sent it here."""
         address, fits = Address("127.0.0.1", self.life.store), False
-        body = msgspec.json.encode(Told(self.life.build.number, job.op, self.life.write))
+        body = msgspec.json.encode(SchemaCheck(self.life.build.number, job.op, self.life.write))
         try:
             answer = await call(self._loop, address, "POST", b"/file", body, 2.0)
             fits = answer.status == 200
-        except (Failed, TimeoutError):
+        except (CallFailedError, TimeoutError):
             self._tap.note("unfiled", id=job.ident, op=job.op)
         self._ended(job, fits)
 
@@ -183,7 +183,7 @@
                 self._answer(job)
             else:
                 self._tap.note("erred", id=job.ident, op=job.op)
-                job.caller.write(writing.answer(500, self._gauge(), b"not filed\n"))
+                job.caller.write(writing.response(500, self._gauge(), b"not filed\n"))
         while self._waiting and self._busy < self.life.cores:
             self._begin(self._waiting.popleft())
 
@@ -215,11 +215,11 @@
             if self._chance.random() < 0.5:
                 self._effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
-            caller.write(writing.answer(500, fields, b"error\n"))
+            caller.write(writing.response(500, fields, b"error\n"))
             return
         earlier = self._effect(job)
         if self._hit("cut_answer"):
-            caller.write(writing.answer(200, fields, b"x" * 400)[:-200])
+            caller.write(writing.response(200, fields, b"x" * 400)[:-200])
             caller.close()
             return
         if "garbage" in self._faults and self._hit("garbage"):
@@ -229,13 +229,13 @@
         body = earlier or b"answer to %s\n" % job.ident.encode("latin-1")
         if build.bad == "wrong" and self._chance.random() < build.strength:
             fields.append((b"day-wrong", b"1"))
-        text = writing.answer(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
+        text = writing.response(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
         if self._hit("trickle"):
             self._trickle(caller, text, 0)
         else:
             caller.write(text)
 
-    def _trickle(self, caller: Caller, text: bytes, at: int) -> None:
+    def _trickle(self, caller: ServerConnection, text: bytes, at: int) -> None:
         if at < len(text) and caller.transport is not None:
             caller.write(text[at : at + 8])
             self._loop.call_later(0.02, self._trickle, caller, text, at + 8)
@@ -254,11 +254,11 @@
     def _gauge(self) -> list[tuple[bytes, bytes]]:
         return [(b"lanelead-load", self._figures())]
 
-    def _probed(self, caller: Caller) -> None:
+    def _probed(self, caller: ServerConnection) -> None:
         if self.fallen or "mute" in self._faults:
             return
         body = self._figures()
-        caller.write(writing.answer(200, [(b"content-type", b"application/json")], body))
+        caller.write(writing.response(200, [(b"content-type", b"application/json")], body))
 
     # What the day does to it
 
@@ -286,7 +286,7 @@
                         caller.transport.resume_reading()
             elif order["kind"] == "refuse":
                 self._server = await self._loop.create_server(
-                    lambda: Caller(self._heard, self._met), "127.0.0.1", self.life.port, reuse_address=True
+                    lambda: ServerConnection(self._heard, self._met), "127.0.0.1", self.life.port, reuse_address=True
                 )
         elif what == "drain":
             self.draining = order.get("on", True)
@@ -297,7 +297,7 @@
             self.over.set()
 
 
-def _forget(caller: Caller) -> None:
+def _forget(caller: ServerConnection) -> None:
     """Drops a connection so that the other end sees a reset only when it next writes, or sooner."""
     if caller.transport is not None:
         sock = caller.transport.get_extra_info("socket")
--- a/lanelead/steps/commands.py
+++ b/lanelead/steps/commands.py
@@ -14,7 +14,7 @@
 from tqdm import tqdm
 
 from lanelead.logs import logger
-from lanelead.protocols.steps import Marks
+from lanelead.protocols.steps import EffectProgress
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import spotted
 from lanelead.settings.records import Address, Steps
@@ -105,14 +105,14 @@
     where a step is under way or has failed."""
     where = address(store)
 
-    async def read() -> tuple[Record, Marks | None]:
+    async def read() -> tuple[Record, EffectProgress | None]:
         client, record = Client(where), Record()
         await client.read(record)
         mark = record.under_way() or record.failed()
         if mark is None or not mark.intent:
             return record, None
-        marks = await client.ask("GET", f"/marks?intent={mark.intent}", Marks)
-        return record, marks if isinstance(marks, Marks) else None
+        marks = await client.ask("GET", f"/marks?intent={mark.intent}", EffectProgress)
+        return record, marks if isinstance(marks, EffectProgress) else None
 
     try:
         record, marks = asyncio.run(read())
@@ -127,7 +127,7 @@
     sys.exit(3 if record.under_way() or record.failed() else 0)
 
 
-def shown(record: Record, marks: Marks | None) -> dict[str, Any]:
+def shown(record: Record, marks: EffectProgress | None) -> dict[str, Any]:
     rows = [
         {"step": m.step.name, "plan": m.plan, "stand": m.stand.value, "way": m.way, "text": m.text}
         for m in record.marks.values()
@@ -140,7 +140,7 @@
     return {"seq": record.seq, "steps": rows, "builds": builds, "had": had}
 
 
-def told(record: Record, marks: Marks | None) -> list[str]:
+def told(record: Record, marks: EffectProgress | None) -> list[str]:
     lines = list[str]()
     if not record.marks:
         return ["no plan has been taken up"]
@@ -206,7 +206,7 @@
     # A bar where somebody looks on, and nothing but the log elsewhere.
     with tqdm(unit="row", file=sys.stderr, disable=None) as bar:
 
-        def moved(record: Record, marks: Marks | None) -> None:
+        def moved(record: Record, marks: EffectProgress | None) -> None:
             mark = record.under_way()
             if marks is not None and mark is not None and mark.step.batch:
                 bar.set_description(mark.step.name)
--- a/lanelead/steps/driver.py
+++ b/lanelead/steps/driver.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-from lanelead.http.answers import Answer
-from lanelead.http.calls import Failed, call
+from lanelead.http.answers import HttpResponse
+from lanelead.http.calls import CallFailedError, call
 from lanelead.protocols.records import Malformed, decode, encode
 from lanelead.protocols.steps import (
-    AppendAsk,
-    Appended,
-    ForgetAsk,
+    AppendRequest,
+    AppendReply,
+    ForgetRequest,
     Lease,
-    LeaseAsk,
-    Logged,
-    Marks,
-    Page,
-    Refusal,
+    LeaseRequest,
+    LoggedEntry,
+    EffectProgress,
+    MigrationLogPage,
+    RejectedCall,
 )
-from lanelead.protocols.steps import Unseen as UnseenAnswer
+from lanelead.protocols.steps import UnacknowledgedRelays as UnseenAnswer
 from lanelead.settings.records import Address
 from lanelead.steps import runner
 from lanelead.steps.pace import Pace
@@ -50,25 +50,25 @@
 
     async def ask(
         self, method: str, path: str, kind: type[T], body: msgspec.Struct | None = None, limit: float = CALL
-    ) -> T | Refusal:
+    ) -> T | RejectedCall:
         text = b"" if body is None else encode(body)
         try:
-            answer: Answer = await call(self._loop, self._address, method, path.encode(), text, limit)
+            answer: HttpResponse = await call(self._loop, self._address, method, path.encode(), text, limit)
             if answer.status == 200:
                 return msgspec.json.decode(answer.body, type=kind)
             if answer.status in (400, 409, 422):
-                return decode(answer.body, Refusal)
+                return decode(answer.body, RejectedCall)
         except TimeoutError:
             raise Away(f"no answer in {limit:g} s") from None
-        except (Failed, Malformed, msgspec.MsgspecError) as fault:
+        except (CallFailedError, Malformed, msgspec.MsgspecError) as fault:
             raise Away(str(fault)) from None
         raise Away(f"status {answer.status}")
 
     async def read(self, record: Record) -> None:
         """Brings a record up to date. Raises Away, or Broken where the entries follow no rules."""
         while True:
-            page = await self.ask("GET", f"/record?since={record.seq}", Page)
-            if isinstance(page, Refusal):
+            page = await self.ask("GET", f"/record?since={record.seq}", MigrationLogPage)
+            if isinstance(page, RejectedCall):
                 raise Away(page.text)
             for logged in page.entries:
                 record.add(logged)
@@ -86,7 +86,7 @@
         client: Client,
         ttl: float = 5.0,
         log: Any = None,
-        moved: Callable[[Record, Marks | None], None] = lambda record, marks: None,
+        moved: Callable[[Record, EffectProgress | None], None] = lambda record, marks: None,
         at: Callable[[str], None] = lambda point: None,
         patience: float = 30.0,
         without: frozenset[int] = frozenset(),
@@ -147,8 +147,8 @@
             case runner.Append():
                 return await self._append(want)
             case runner.Ask(intent):
-                marks = await self._client.ask("GET", f"/marks?intent={intent}", Marks)
-                return _refused(marks) if isinstance(marks, Refusal) else marks
+                marks = await self._client.ask("GET", f"/marks?intent={intent}", EffectProgress)
+                return _refused(marks) if isinstance(marks, RejectedCall) else marks
             case runner.Unseen(closing):
                 return await self._unseen(closing)
             case runner.Apply():
@@ -160,8 +160,8 @@
         """Where another runner has the lease, it is waited for: it may be dead, and its lease end."""
         began = time.monotonic()
         while True:
-            told = await self._client.ask("POST", "/lease", Lease, LeaseAsk(self._name, self._ttl * 1000))
-            if not isinstance(told, Refusal):
+            told = await self._client.ask("POST", "/lease", Lease, LeaseRequest(self._name, self._ttl * 1000))
+            if not isinstance(told, RejectedCall):
                 self._say("lease", token=told.token)
                 return runner.Token(told.token)
             if told.why != "held" or time.monotonic() - began > self._patience:
@@ -169,12 +169,12 @@
             await asyncio.sleep(min(0.1, self._ttl / 4))
 
     async def _append(self, want: runner.Append) -> Reply:
-        ask = AppendAsk(want.token, want.after, want.entry)
-        told = await self._client.ask("POST", "/record", Appended, ask)
-        if isinstance(told, Refusal):
+        ask = AppendRequest(want.token, want.after, want.entry)
+        told = await self._client.ask("POST", "/record", AppendReply, ask)
+        if isinstance(told, RejectedCall):
             return _refused(told)
         entry = want.entry
-        self.record.add(Logged(told.seq, want.token, self._name, 0.0, entry))
+        self.record.add(LoggedEntry(told.seq, want.token, self._name, 0.0, entry))
         self._say("written", kind=entry.kind, step=entry.step, way=entry.way, seq=told.seq)
         return runner.Done()
 
@@ -182,11 +182,11 @@
         began, said = time.monotonic(), list[int]()
         while True:
             told = await self._client.ask("GET", f"/unseen?closing={closing}", UnseenAnswer)
-            if isinstance(told, Refusal):
+            if isinstance(told, RejectedCall):
                 return _refused(told)
             for relay in [relay for relay in told.relays if relay in self._without]:
                 self._say("a relay is taken for gone", relay=relay)
-                await self._client.ask("POST", "/forget", ForgetAsk, ForgetAsk(self.runner.token, relay))
+                await self._client.ask("POST", "/forget", ForgetRequest, ForgetRequest(self.runner.token, relay))
             if not told.relays:
                 return runner.Waiting(())
             if time.monotonic() - began > self._patience:
@@ -197,7 +197,7 @@
                 self._say("waiting for relays", relays=said)
             await asyncio.sleep(0.02)
             renewed = await self._client.ask("POST", "/renew", Lease, Lease(self.runner.token))
-            if isinstance(renewed, Refusal):
+            if isinstance(renewed, RejectedCall):
                 return _refused(renewed)
 
     async def _apply(self, want: runner.Apply) -> Reply:
@@ -209,8 +209,8 @@
             pace = self._paces.setdefault(ask.intent, fresh)
             ask = msgspec.structs.replace(ask, span=msgspec.structs.replace(ask.span, rows=pace.rows))
         began = time.monotonic()
-        told = await self._client.ask("POST", "/apply", Marks, ask, want.limit_ms / 1000)
-        if isinstance(told, Refusal):
+        told = await self._client.ask("POST", "/apply", EffectProgress, ask, want.limit_ms / 1000)
+        if isinstance(told, RejectedCall):
             self._say("not done", step=mark.step.name if mark else "", why=told.why, reason=told.text)
             return _refused(told)
         if pace is not None and not told.finished:
@@ -219,5 +219,5 @@
         return told
 
 
-def _refused(told: Refusal) -> Reply:
+def _refused(told: RejectedCall) -> Reply:
     return runner.Refused(told.why, told.text)
--- a/lanelead/steps/join.py
+++ b/lanelead/steps/join.py
@@ -14,7 +14,7 @@
 
 from lanelead.decisions.interface import Ticks, Trip
 from lanelead.protocols.records import Malformed
-from lanelead.protocols.steps import Logged
+from lanelead.protocols.steps import LoggedEntry
 from lanelead.steps.record import Broken, Record, Stand
 
 LAST = 1 << 30  # past every stage: all needs of a build that is released
@@ -37,7 +37,7 @@
 
     # What is told
 
-    def hear(self, entries: Iterable[Logged]) -> None:
+    def hear(self, entries: Iterable[LoggedEntry]) -> None:
         """Raises Malformed where the entries follow no rules; what came before them stays."""
         self._heard = True
         for logged in entries:
--- a/lanelead/steps/record.py
+++ b/lanelead/steps/record.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from lanelead.protocols.steps import Entry, Logged, Way
+from lanelead.protocols.steps import LogEntry, LoggedEntry, Direction
 from lanelead.settings.records import Demands, Step, Steps
 from lanelead.steps.plan import ordered
 
@@ -45,7 +45,7 @@
     step: Step
     plan: str
     stand: Stand = Stand.WAITING
-    way: Way = "apply"
+    way: Direction = "apply"
     intent: int = 0  # the entry whose effects are had or to be had
     closing: int = 0
     text: str = ""
@@ -71,7 +71,7 @@
         other._demands = {build: list(some) for build, some in self._demands.items()}
         return other
 
-    def add(self, logged: Logged) -> None:
+    def add(self, logged: LoggedEntry) -> None:
         """Raises Broken."""
         if logged.seq != self.seq + 1:
             raise Broken(f"entry {logged.seq} after {self.seq}")
@@ -82,7 +82,7 @@
             self._step(entry, logged.seq)
         self.seq = logged.seq
 
-    def allows(self, entry: Entry) -> str:
+    def allows(self, entry: LogEntry) -> str:
         """Why the rules refuse an entry; empty where they don't."""
         if entry.kind == "plan":
             return ""
@@ -106,7 +106,7 @@
     def builds(self) -> list[int]:
         return sorted(self._demands)
 
-    def ready(self, build: int, stage: int = 0, but: Mark | None = None, way: Way = "apply") -> bool:
+    def ready(self, build: int, stage: int = 0, but: Mark | None = None, way: Direction = "apply") -> bool:
         """May a build have traffic at a stage of its trial? `but`: as if that step had begun that way.
 
         A build that no plan names counts as the nearest before it that one does, or as the first of all.
@@ -125,7 +125,7 @@
                     return False
         return True
 
-    def takes(self, mark: Mark, way: Way) -> list[int]:
+    def takes(self, mark: Mark, way: Direction) -> list[int]:
         """The builds that are ready now and would not be any more once a step has begun that way."""
         return [b for b in self.builds() if self.ready(b) and not self.ready(b, 0, mark, way)]
 
@@ -144,7 +144,7 @@
 
     # Rules
 
-    def _plan(self, entry: Entry) -> None:
+    def _plan(self, entry: LogEntry) -> None:
         try:
             plan = msgspec.json.decode(entry.text, type=Steps)
         except msgspec.MsgspecError as fault:
@@ -166,7 +166,7 @@
         for demands in plan.builds:
             self._demands.setdefault(demands.build, []).append(demands)
 
-    def _step(self, entry: Entry, seq: int) -> None:
+    def _step(self, entry: LogEntry, seq: int) -> None:
         mark = self.marks.get(entry.step)
         if mark is None:
             raise Broken(f"no step {entry.step!r}")
@@ -188,7 +188,7 @@
                 mark.stand = Stand.WAITING if mark.way == "apply" else Stand.DONE
                 mark.text = ""
 
-    def _refusal(self, mark: Mark, entry: Entry) -> str:
+    def _refusal(self, mark: Mark, entry: LogEntry) -> str:
         name, stand, other = mark.step.name, mark.stand, self.under_way() or self.failed()
         if entry.kind in ("closing", "intent"):
             if other not in (None, mark):
--- a/lanelead/steps/runner.py
+++ b/lanelead/steps/runner.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lanelead.protocols.steps import ApplyAsk, Entry, Marks, Span, Way
+from lanelead.protocols.steps import ApplyRequest, LogEntry, EffectProgress, BatchRange, Direction
 from lanelead.settings.records import Steps
 from lanelead.steps.record import Mark, Record, Stand
 
@@ -50,7 +50,7 @@
 class Append:
     token: int
     after: int
-    entry: Entry
+    entry: LogEntry
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    ask: ApplyAsk
+    ask: ApplyRequest
     limit_ms: float
     batched: bool
 
@@ -115,7 +115,7 @@
     relays: tuple[int, ...]
 
 
-Reply = Token | Done | Refused | Unknown | Waiting | Marks
+Reply = Token | Done | Refused | Unknown | Waiting | EffectProgress
 
 
 @dataclass(frozen=True)
@@ -123,7 +123,7 @@
     goal: Goal
     token: int = 0
     read: bool = False
-    marks: Marks | None = None  # of the intent under way; None: not asked yet
+    marks: EffectProgress | None = None  # of the intent under way; None: not asked yet
     seen: bool = False  # all relays have seen the closing under way
     tries: int = 0
     failure: str = ""  # why the store would not do the effect
@@ -140,7 +140,7 @@
         if self.goal.plan.name not in record.plans:
             if record.under_way() or record.failed():
                 return Stop(False, "a step of another plan is under way")
-            return self._write(record, Entry("plan", text=self.goal.body))
+            return self._write(record, LogEntry("plan", text=self.goal.body))
         if record.plans[self.goal.plan.name] != self.goal.plan:
             return Stop(False, f"the record has another plan named {self.goal.plan.name!r}")
         if self.goal.what == "take":
@@ -151,33 +151,33 @@
             return self._failed(record, mark)
         return self._next(record)
 
-    def _write(self, record: Record, entry: Entry) -> Append:
+    def _write(self, record: Record, entry: LogEntry) -> Append:
         return Append(self.token, record.seq, entry)
 
     def _closing(self, record: Record, mark: Mark) -> Want:
         if self.goal.what == "undo" and mark.way == "apply":  # nothing was changed: traffic may go on
-            return self._write(record, Entry("dropped", mark.step.name, mark.way))
+            return self._write(record, LogEntry("dropped", mark.step.name, mark.way))
         if not self.seen:
             return Unseen(mark.closing)
-        return self._write(record, Entry("intent", mark.step.name, mark.way, mark.closing))
+        return self._write(record, LogEntry("intent", mark.step.name, mark.way, mark.closing))
 
     def _intended(self, record: Record, mark: Mark) -> Want:
         if self.marks is None:
             return Ask(mark.intent)
         name, had = mark.step.name, self.marks
         if had.finished:
-            return self._write(record, Entry("done", name, mark.way))
+            return self._write(record, LogEntry("done", name, mark.way))
         giving_up = self.goal.what == "undo" and mark.way == "apply"
         why = self.failure or ("given up" if giving_up else "")
         if not why and self.tries >= TRIES:
             why = "its outcome could not be had"
         if why:
-            return self._write(record, Entry("failed", name, mark.way, parts=had.parts, text=why[:500]))
+            return self._write(record, LogEntry("failed", name, mark.way, parts=had.parts, text=why[:500]))
         statements = mark.step.apply if mark.way == "apply" else mark.step.undoing
         span, batch = None, mark.step.batch
         if batch is not None and any(":low" in text for text in statements):
-            span = Span(batch.table, batch.key, batch.rows, had.cursor)
-        ask = ApplyAsk(self.token, mark.intent, had.parts, tuple(statements), span)
+            span = BatchRange(batch.table, batch.key, batch.rows, had.cursor)
+        ask = ApplyRequest(self.token, mark.intent, had.parts, tuple(statements), span)
         return Apply(ask, mark.step.limit_ms, span is not None)
 
     def _failed(self, record: Record, mark: Mark) -> Want:
@@ -185,11 +185,11 @@
         told = f"{name!r} failed to {mark.way} after {mark.parts} parts: {mark.text}"
         if self.goal.what == "undo" and mark.way == "apply":
             if not mark.parts:
-                return self._write(record, Entry("dropped", name, mark.way))
+                return self._write(record, LogEntry("dropped", name, mark.way))
             return self._begin(record, mark, "undo")
         if self.goal.what == "run" or self.resumed:
             return Stop(False, told)
-        return self._write(record, Entry("resumed", name, mark.way))
+        return self._write(record, LogEntry("resumed", name, mark.way))
 
     def _next(self, record: Record) -> Want:
         marks = [mark for mark in record.marks.values() if mark.plan == self.goal.plan.name]
@@ -210,11 +210,11 @@
                 break
         return Stop(True, "all done")
 
-    def _begin(self, record: Record, mark: Mark, way: Way) -> Want:
+    def _begin(self, record: Record, mark: Mark, way: Direction) -> Want:
         name, taken = mark.step.name, record.takes(mark, way)
         if taken and way == "apply" and not self.goal.past_back:
             return Stop(False, f"{name!r} would make a way back to build {taken[0]} impossible: say --past-back")
-        entry = Entry("closing", name, way) if taken else Entry("intent", name, way)
+        entry = LogEntry("closing", name, way) if taken else LogEntry("intent", name, way)
         if why := record.allows(entry):
             return Stop(False, why)
         return self._write(record, entry)
@@ -239,7 +239,7 @@
                 return replace(self, token=token, read=False, marks=None, seen=False)
             case Waiting(relays):
                 return replace(self, seen=not relays)
-            case Marks():
+            case EffectProgress():
                 return replace(self, marks=reply, tries=0 if isinstance(want, Apply) else self.tries)
             case Done():
                 if isinstance(want, Append):
--- a/lanelead/store/ledger.py
+++ b/lanelead/store/ledger.py
@@ -21,14 +21,14 @@
 import msgspec
 
 from lanelead.protocols.steps import (
-    AppendAsk,
-    ApplyAsk,
-    Entry,
-    LeaseAsk,
-    Logged,
-    Marks,
-    Page,
-    Span,
+    AppendRequest,
+    ApplyRequest,
+    LogEntry,
+    LeaseRequest,
+    LoggedEntry,
+    EffectProgress,
+    MigrationLogPage,
+    BatchRange,
 )
 
 OURS = "ll_"
@@ -102,7 +102,7 @@
 
     # Lease
 
-    def lease(self, ask: LeaseAsk) -> int:
+    def lease(self, ask: LeaseRequest) -> int:
         """A new token. Raises Denied('held') while another runner's lease lasts."""
         with self._change("lease") as db:
             row = db.execute(f"SELECT token, runner, until FROM {OURS}lease").fetchone()
@@ -139,7 +139,7 @@
     def last(self) -> int:
         return int(self._db.execute(f"SELECT COALESCE(MAX(seq), 0) FROM {OURS}record").fetchone()[0])
 
-    def append(self, ask: AppendAsk) -> Logged:
+    def append(self, ask: AppendRequest) -> LoggedEntry:
         with self._change("append") as db:
             runner = self._fence(db, ask.token)
             last = self.last()
@@ -147,7 +147,7 @@
                 raise Denied("behind", f"the record stands at {last}")
             if ask.entry.closed and (relays := self.unseen(ask.entry.closed)):
                 raise Denied("unseen", f"relays {relays}")
-            logged = Logged(last + 1, ask.token, runner, time.time() * 1000, ask.entry)
+            logged = LoggedEntry(last + 1, ask.token, runner, time.time() * 1000, ask.entry)
             body = msgspec.json.encode(ask.entry)
             db.execute(
                 f"INSERT INTO {OURS}record VALUES (?, ?, ?, ?, ?)",
@@ -155,16 +155,16 @@
             )
         return logged
 
-    def page(self, since: int, many: int = PAGE) -> Page:
+    def page(self, since: int, many: int = PAGE) -> MigrationLogPage:
         rows = self._db.execute(
             f"SELECT seq, token, runner, at, body FROM {OURS}record WHERE seq > ? ORDER BY seq LIMIT ?",
             (since, many),
         )
         entries = [
-            Logged(seq, token, runner, at, msgspec.json.decode(body, type=Entry))
+            LoggedEntry(seq, token, runner, at, msgspec.json.decode(body, type=LogEntry))
             for seq, token, runner, at, body in rows
         ]
-        return Page(entries, self.last())
+        return MigrationLogPage(entries, self.last())
 
     # Relays
 
@@ -192,24 +192,24 @@
 
     # Effects
 
-    def marks(self, intent: int) -> Marks:
+    def marks(self, intent: int) -> EffectProgress:
         row = self._db.execute(
             f"SELECT COUNT(*), COALESCE(SUM(rows), 0) FROM {OURS}marks WHERE intent = ?", (intent,)
         ).fetchone()
         if not row[0]:
-            return Marks(0)
+            return EffectProgress(0)
         cursor, more = self._db.execute(
             f"SELECT cursor, more FROM {OURS}marks WHERE intent = ? ORDER BY part DESC LIMIT 1", (intent,)
         ).fetchone()
-        return Marks(row[0], cursor, not more, row[1])
+        return EffectProgress(row[0], cursor, not more, row[1])
 
-    def apply(self, ask: ApplyAsk) -> Marks:
+    def apply(self, ask: ApplyRequest) -> EffectProgress:
         """Has the effect of one part, unless its mark is there. Raises Denied; then nothing of it was had."""
         try:
             with self._change("apply") as db:
                 self._fence(db, ask.token)
                 row = db.execute(f"SELECT body FROM {OURS}record WHERE seq = ?", (ask.intent,)).fetchone()
-                if row is None or msgspec.json.decode(row[0], type=Entry).kind != "intent":
+                if row is None or msgspec.json.decode(row[0], type=LogEntry).kind != "intent":
                     raise Denied("no intent", f"entry {ask.intent} is none")
                 had = db.execute(
                     f"SELECT 1 FROM {OURS}marks WHERE intent = ? AND part = ?", (ask.intent, ask.part)
@@ -220,7 +220,7 @@
             raise Denied("failed", f"{type(fault).__name__}: {fault}") from None
         return self.marks(ask.intent)
 
-    def _effect(self, db: sqlite3.Connection, ask: ApplyAsk) -> None:
+    def _effect(self, db: sqlite3.Connection, ask: ApplyRequest) -> None:
         cursor, more, rows, values = None, False, 0, dict[str, int | None]()
         if ask.span is not None:
             cursor, more, rows = self._reach(db, ask.span)
@@ -238,7 +238,7 @@
             cursor = ask.span.low
         db.execute(f"INSERT INTO {OURS}marks VALUES (?, ?, ?, ?, ?)", (ask.intent, ask.part, cursor, more, rows))
 
-    def _reach(self, db: sqlite3.Connection, span: Span) -> tuple[int | None, bool, int]:
+    def _reach(self, db: sqlite3.Connection, span: BatchRange) -> tuple[int | None, bool, int]:
         """The last key of the next batch, or none where no row is left; whether more follow; how many."""
         low = LOWEST if span.low is None else span.low
         key, table = f'"{span.key}"', f'"{span.table}"'
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -20,20 +20,20 @@
 import uvloop
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import STREAM, Caller, chunk
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import STREAM, ServerConnection, chunk
 from lanelead.protocols.records import Malformed, decode, encode
 from lanelead.protocols.steps import (
-    AppendAsk,
-    Appended,
-    ApplyAsk,
-    ForgetAsk,
+    AppendRequest,
+    AppendReply,
+    ApplyRequest,
+    ForgetRequest,
     Lease,
-    LeaseAsk,
-    Logged,
-    Refusal,
-    SeenAsk,
-    Unseen,
+    LeaseRequest,
+    LoggedEntry,
+    RejectedCall,
+    AcknowledgeRequest,
+    UnacknowledgedRelays,
 )
 from lanelead.store.ledger import Denied, Ledger
 
@@ -45,26 +45,26 @@
 class Store:
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self._watchers: dict[Caller, int] = {}  # with the last entry that was told
+        self._watchers: dict[ServerConnection, int] = {}  # with the last entry that was told
         self._server: asyncio.Server | None = None
         self._heart: asyncio.Task[None] | None = None
-        self._calls: dict[tuple[str, str], Callable[[Ask, dict[str, int]], msgspec.Struct]] = {
-            ("POST", "/lease"): lambda ask, _: Lease(self.ledger.lease(decode(ask.body, LeaseAsk))),
+        self._calls: dict[tuple[str, str], Callable[[HttpRequest, dict[str, int]], msgspec.Struct]] = {
+            ("POST", "/lease"): lambda ask, _: Lease(self.ledger.lease(decode(ask.body, LeaseRequest))),
             ("POST", "/release"): lambda ask, _: self._release(decode(ask.body, Lease)),
             ("POST", "/renew"): lambda ask, _: self._renew(decode(ask.body, Lease)),
-            ("POST", "/record"): lambda ask, _: self._append(decode(ask.body, AppendAsk)),
-            ("POST", "/apply"): lambda ask, _: self.ledger.apply(decode(ask.body, ApplyAsk)),
-            ("POST", "/seen"): lambda ask, _: self._seen(decode(ask.body, SeenAsk)),
-            ("POST", "/forget"): lambda ask, _: self._forget(decode(ask.body, ForgetAsk)),
+            ("POST", "/record"): lambda ask, _: self._append(decode(ask.body, AppendRequest)),
+            ("POST", "/apply"): lambda ask, _: self.ledger.apply(decode(ask.body, ApplyRequest)),
+            ("POST", "/seen"): lambda ask, _: self._seen(decode(ask.body, AcknowledgeRequest)),
+            ("POST", "/forget"): lambda ask, _: self._forget(decode(ask.body, ForgetRequest)),
             ("GET", "/record"): lambda _, query: self.ledger.page(query.get("since", 0)),
             ("GET", "/marks"): lambda _, query: self.ledger.marks(query.get("intent", 0)),
-            ("GET", "/unseen"): lambda _, query: Unseen(self.ledger.unseen(query.get("closing", 0))),
+            ("GET", "/unseen"): lambda _, query: UnacknowledgedRelays(self.ledger.unseen(query.get("closing", 0))),
         }
 
     async def open(self, port: int) -> int:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Caller(self.heard), "127.0.0.1", port, backlog=512, reuse_address=True
+            lambda: ServerConnection(self.heard), "127.0.0.1", port, backlog=512, reuse_address=True
         )
         self._heart = loop.create_task(self._beat())
         return int(self._server.sockets[0].getsockname()[1])
@@ -85,35 +85,35 @@
                 self._catch_up(caller)  # guards against an entry on disk whose call was cut before it was told
                 caller.write(chunk(b"\n"))
 
-    def heard(self, caller: Caller, ask: Ask) -> None:
+    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         split = urlsplit(ask.target.decode("latin-1"))
         if split.path == "/record/watch" and ask.method == "GET":
             self._watch(caller, _numbers(split.query))
             return
         status, body = self.handle(ask.method, split.path, ask, _numbers(split.query))
-        caller.write(writing.answer(status, FIELDS, body, ask.keep))
+        caller.write(writing.response(status, FIELDS, body, ask.keep))
         if not ask.keep:
             caller.close()
 
-    def handle(self, method: str, path: str, ask: Ask, query: dict[str, int]) -> tuple[int, bytes]:
+    def handle(self, method: str, path: str, ask: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
         call = self._calls.get((method, path))
         if call is None:
-            return 404, encode(Refusal("malformed", f"no call {method} {path}"))
+            return 404, encode(RejectedCall("malformed", f"no call {method} {path}"))
         try:
             return 200, encode(call(ask, query))
         except Malformed as fault:
-            return 400, encode(Refusal("malformed", str(fault)))
+            return 400, encode(RejectedCall("malformed", str(fault)))
         except sqlite3.Error as fault:  # rolled back: a full disk, say
-            return 422, encode(Refusal("failed", f"{type(fault).__name__}: {fault}"))
+            return 422, encode(RejectedCall("failed", f"{type(fault).__name__}: {fault}"))
         except Denied as denied:
-            return STATUS.get(denied.why, 409), encode(Refusal(denied.why, denied.text))  # type: ignore[arg-type]
+            return STATUS.get(denied.why, 409), encode(RejectedCall(denied.why, denied.text))  # type: ignore[arg-type]
 
-    def _append(self, ask: AppendAsk) -> Appended:
+    def _append(self, ask: AppendRequest) -> AppendReply:
         logged = self.ledger.append(ask)
         self.written(logged)
-        return Appended(logged.seq)
+        return AppendReply(logged.seq)
 
-    def written(self, logged: Logged) -> None:
+    def written(self, logged: LoggedEntry) -> None:
         """An entry is on disk: whoever watches is told."""
         for caller in list(self._watchers):
             self._catch_up(caller)
@@ -126,15 +126,15 @@
         self.ledger.renew(lease.token)
         return lease
 
-    def _seen(self, ask: SeenAsk) -> SeenAsk:
+    def _seen(self, ask: AcknowledgeRequest) -> AcknowledgeRequest:
         self.ledger.seen(ask.relay, ask.seq)
         return ask
 
-    def _forget(self, ask: ForgetAsk) -> ForgetAsk:
+    def _forget(self, ask: ForgetRequest) -> ForgetRequest:
         self.ledger.forget(ask.token, ask.relay)
         return ask
 
-    def _watch(self, caller: Caller, query: dict[str, int]) -> None:
+    def _watch(self, caller: ServerConnection, query: dict[str, int]) -> None:
         # On disk before a word is said: from then on no closing goes on without this relay.
         if "relay" in query:
             self.ledger.told(query["relay"])
@@ -144,10 +144,10 @@
         caller.write(chunk(encode(self.ledger.page(query.get("since", 0), 0)) + b"\n"))  # so that it knows
         self._catch_up(caller)
 
-    def _leave(self, caller: Caller) -> None:
+    def _leave(self, caller: ServerConnection) -> None:
         self._watchers.pop(caller, None)
 
-    def _catch_up(self, caller: Caller) -> None:
+    def _catch_up(self, caller: ServerConnection) -> None:
         while True:
             page = self.ledger.page(self._watchers[caller], LINE)
             if not page.entries:
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from tests.platform import Platform, Unit
 
 WHOLE = b"/v1/endpoints"
@@ -39,7 +39,7 @@
 class Call:
     """One call to discovery. `over`: the relay has ended it, or it was answered."""
 
-    def __init__(self, caller: Caller, ask: Ask) -> None:
+    def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
         self._caller, self.target = caller, ask.target
         self.over = asyncio.Event()
         caller.lost.append(self.over.set)
@@ -55,7 +55,7 @@
         self._caller.close()
 
     def answer(self, text: bytes) -> None:
-        self.part(writing.answer(200, (), text, keep=False))
+        self.part(writing.response(200, (), text, keep=False))
         self.end()
 
     def tell(self, version: int, *entries: Any, full: bool | None = None) -> None:
@@ -66,14 +66,16 @@
 class Agent:
     def __init__(self) -> None:
         self._calls: asyncio.Queue[Call] = asyncio.Queue()
-        self._callers: list[Caller] = []
+        self._callers: list[ServerConnection] = []
 
     async def open(self, port: int = 0) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Caller(self._heard, self._callers.append), "127.0.0.1", port)
+        self._server = await loop.create_server(
+            lambda: ServerConnection(self._heard, self._callers.append), "127.0.0.1", port
+        )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def _heard(self, caller: Caller, ask: Ask) -> None:
+    def _heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         self._calls.put_nowait(Call(caller, ask))
 
     async def next(self) -> Call:
--- a/tests/configurationhand.py
+++ b/tests/configurationhand.py
@@ -11,7 +11,7 @@
 from lanelead.configuration.acts import Act, AskBuckets, AskOutline, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
-from lanelead.protocols.configuration import Buckets, Change, Entry, Line
+from lanelead.protocols.configuration import Buckets, Change, Entry, WatchLine
 
 A = TypeVar("A", bound=Act)
 HISTORY = "ident-0001"
@@ -82,7 +82,7 @@
 
     def line(self, source: int, head: int, *changes: Change, **more: Any) -> None:
         fields: dict[str, Any] = {"history": HISTORY, "behind_ms": 0.0, **more}
-        self.follower.line(source, Line(head=head, changes=list(changes), **fields), self.now)
+        self.follower.line(source, WatchLine(head=head, changes=list(changes), **fields), self.now)
 
     def lines(self, source: int, head: int, seconds: float, **more: Any) -> None:
         """Signs of life for so long."""
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from lanelead.configuration.kinds import Value
+from lanelead.configuration.kinds import EntryValue
 from lanelead.configuration.source import Gone, Source
 from lanelead.http import writing
 from lanelead.http.serving import STREAM, chunk
 from lanelead.node.config import Following, SourceAt
 from lanelead.node.configuration import Feed
-from lanelead.protocols.configuration import Entry, Line
+from lanelead.protocols.configuration import Entry, WatchLine
 from lanelead.protocols.records import encode
 from tests.configurationhand import change
 
@@ -66,7 +66,7 @@
         await writer.drain()
 
     async def answer(self, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
-        await self.write(writer, writing.answer(status, (), body, keep=False))
+        await self.write(writer, writing.response(status, (), body, keep=False))
 
     async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
@@ -117,7 +117,7 @@
 
 def line(source: Source) -> bytes:
     """A good sign of life."""
-    return encode(Line(source.history, source.document.version, 0.0)) + b"\n"
+    return encode(WatchLine(source.history, source.document.version, 0.0)) + b"\n"
 
 
 class Log:
@@ -143,7 +143,7 @@
         following = Following(sources, **more)
         self.feed = Feed(asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log)
 
-    def _put(self, keys: Sequence[str], values: Mapping[str, Value]) -> None:
+    def _put(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
         self.puts += 1
         self.changed += keys
 
--- a/tests/machinegroup.py
+++ b/tests/machinegroup.py
@@ -15,8 +15,8 @@
 
 from lanelead.configuration.commands import ask, made
 from lanelead.days.fleet import free_ports
-from lanelead.protocols.configuration import Accepted, Log
-from lanelead.protocols.machines import Status
+from lanelead.protocols.configuration import AcceptedProposal, LogPage
+from lanelead.protocols.machines import ReplicaStatus
 from lanelead.protocols.records import decode
 from tests.machines import proposal
 from tests.tcpwires import TcpWires
@@ -29,7 +29,7 @@
         self.many, self.folder, self.voters = many, folder, voters
         self.wires, self.ports = TcpWires(many), free_ports(many)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.answers: dict[str, Accepted] = {}
+        self.answers: dict[str, AcceptedProposal] = {}
 
     def at(self, *numbers: int) -> list[str]:
         return [f"127.0.0.1:{self.ports[number]}" for number in numbers]
@@ -77,15 +77,15 @@
     def signal(self, number: int, what: signal.Signals) -> None:
         self.processes[number].send_signal(what)
 
-    async def status(self, number: int) -> Status:
+    async def status(self, number: int) -> ReplicaStatus:
         status, body = await ask(self.at(number)[0], "GET", b"/configuration/status", b"", 5.0)
         assert status == 200
-        return decode(body, Status)
+        return decode(body, ReplicaStatus)
 
     async def makes(self, ident: str, *numbers: int) -> int:
         """By these machines, the one after the other until it is made."""
         answer = await made(self.at(*numbers), proposal(ident, f"tenant/{ident}"), 25.0)
-        assert isinstance(answer, Accepted), answer
+        assert isinstance(answer, AcceptedProposal), answer
         self.answers[ident] = answer
         return answer.version
 
@@ -104,7 +104,7 @@
         logs = []
         for number in range(self.many):
             _, body = await ask(self.at(number)[0], "GET", b"/configuration/log?from=1", b"", 5.0)
-            log = decode(body, Log)
+            log = decode(body, LogPage)
             if not log.whole:
                 logs.append([change.ident for change in log.changes])
         assert logs and all(idents == logs[0] for idents in logs)
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -20,8 +20,16 @@
 from lanelead.configuration.letters import Asked, Call
 from lanelead.configuration.machine import Machine
 from lanelead.configuration.store import Store, StoreFault
-from lanelead.protocols.configuration import Accept, Accepted, Entry, Prepare, Proposal, Refusal, Sign
-from lanelead.protocols.machines import Decided
+from lanelead.protocols.configuration import (
+    Accept,
+    AcceptedProposal,
+    Entry,
+    Prepare,
+    Proposal,
+    RejectedProposal,
+    Heartbeat,
+)
+from lanelead.protocols.machines import DecidedChange
 
 
 class Killed(BaseException):
@@ -69,7 +77,7 @@
     now: float = 0.0
     machines: dict[int, Machine | None] = field(default_factory=dict)
     decided: dict[int, tuple[str, str]] = field(default_factory=dict)  # version to ident and digest
-    answers: dict[str, Accepted | Refusal] = field(default_factory=dict)
+    answers: dict[str, AcceptedProposal | RejectedProposal] = field(default_factory=dict)
     notes: list[tuple[int, str, str]] = field(default_factory=list)
     dropped: Callable[[Call], bool] = lambda call: False  # a fault by hand
 
@@ -208,9 +216,9 @@
                 return machine.asked_prepare(body, self.now)
             case Accept():
                 return machine.asked_accept(body, self.now)
-            case Decided():
+            case DecidedChange():
                 return machine.asked_decided(body, self.now)
-            case Sign():
+            case Heartbeat():
                 return machine.asked_sign(body, self.now)
             case Asked(since, False, _):
                 return machine.asked_log(since)
@@ -223,7 +231,7 @@
         found = self._step(number, lambda machine: machine.propose(what, self.now))
         if isinstance(found, Proposer):
             self._asked.append((what.ident, number, self.lives[number], found))
-        elif isinstance(found, Refusal):
+        elif isinstance(found, RejectedProposal):
             self.answers.setdefault(what.ident, found)
 
     def answered(self, ident: str, seconds: float) -> bool:
@@ -252,13 +260,13 @@
                 self._asked.remove(entry)
                 self._told(ident, proposer.result)
 
-    def _told(self, ident: str, result: Accepted | Refusal) -> None:
-        if isinstance(result, Accepted):
+    def _told(self, ident: str, result: AcceptedProposal | RejectedProposal) -> None:
+        if isinstance(result, AcceptedProposal):
             known = self.decided.get(result.version)
             assert known is not None and known[0] == ident, f"{ident} answered as made, and is not"
         before = self.answers.get(ident)
-        assert not isinstance(before, Accepted) or before == result or isinstance(result, Refusal)
-        if not isinstance(before, Accepted):
+        assert not isinstance(before, AcceptedProposal) or before == result or isinstance(result, RejectedProposal)
+        if not isinstance(before, AcceptedProposal):
             self.answers[ident] = result
 
     def _once(self, version: int, ident: str, digest: str) -> None:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -14,8 +14,8 @@
 import structlog
 
 from lanelead.http import writing
-from lanelead.http.asks import Ask
-from lanelead.http.serving import Caller
+from lanelead.http.asks import HttpRequest
+from lanelead.http.serving import ServerConnection
 from lanelead.node.config import load
 from lanelead.node.service import Service
 from lanelead.pgwire import messages
@@ -195,7 +195,7 @@
         loop = asyncio.get_running_loop()
         for unit in self.units:
             await unit.open()
-        self._servers = [await loop.create_server(lambda: Caller(self._listed), "127.0.0.1", 0)]
+        self._servers = [await loop.create_server(lambda: ServerConnection(self._listed), "127.0.0.1", 0)]
         self._servers.append(await asyncio.start_server(self._desk, "127.0.0.1", 0))
         self.port = free_port()
         self.write(self.ports())
@@ -247,7 +247,7 @@
         self.version += 1
         self._changed.set()
 
-    def _listed(self, caller: Caller, ask: Ask) -> None:
+    def _listed(self, caller: ServerConnection, ask: HttpRequest) -> None:
         self.lists.append(ask.target)
         if not self.answers.is_set():
             asyncio.get_running_loop().create_task(self._silent(caller, ask))
@@ -255,21 +255,21 @@
             caller.write(self.spoil.pop(0))
             caller.close()
         elif b"from=" not in ask.target:
-            caller.write(writing.answer(200, (), self.list_of(self.units), keep=False))
+            caller.write(writing.response(200, (), self.list_of(self.units), keep=False))
             caller.close()
         else:
             asyncio.get_running_loop().create_task(self._hold(caller))
 
-    async def _silent(self, caller: Caller, ask: Ask) -> None:
+    async def _silent(self, caller: ServerConnection, ask: HttpRequest) -> None:
         await self.answers.wait()
         if caller.transport is not None:
             self._listed(caller, ask)
 
-    async def _hold(self, caller: Caller) -> None:
+    async def _hold(self, caller: ServerConnection) -> None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._changed.wait(), 0.5)
         self._changed.clear()
-        caller.write(writing.answer(200, (), self.list_of(self.units, full=False), keep=False))
+        caller.write(writing.response(200, (), self.list_of(self.units, full=False), keep=False))
         caller.close()
 
     async def _desk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_circle_processes.py
+++ b/tests/test_circle_processes.py
@@ -20,7 +20,7 @@
 from lanelead.circle.commands import table
 from lanelead.circle.letters import ALIVE, DEAD, LEFT, Row
 from lanelead.days.fleet import free_ports
-from lanelead.protocols.records import Row as Listed
+from lanelead.protocols.records import EndpointMessage as Listed
 from lanelead.standins.wires import Wires
 from tests.town import SETTINGS, live, outside
 
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -8,14 +8,14 @@
 from lanelead.configuration.agreement import TRIES, Acceptor, Proposer, Unfit
 from lanelead.protocols.configuration import (
     Accept,
-    Accepted,
+    AcceptedProposal,
     Ballot,
     Change,
     Prepare,
     Promise,
     Proposal,
-    Refusal,
-    Vote,
+    RejectedProposal,
+    AcceptReply,
 )
 from tests.machines import World, proposal
 
@@ -69,7 +69,7 @@
         if machine is None:
             world.start(number)
     world.run(40)
-    made = [answer.version for answer in world.answers.values() if isinstance(answer, Accepted)]
+    made = [answer.version for answer in world.answers.values() if isinstance(answer, AcceptedProposal)]
     heads = [machine.holding.head for machine in world.up()]
     assert min(heads) >= max(made, default=0), "what was answered as made is not everywhere"
     for number in range(4):
@@ -77,7 +77,7 @@
         ident = f"healed-{number}"
         world.propose(number % many, proposal(ident))
         assert world.answered(ident, 15), f"{ident} not decided in time"
-        assert isinstance(world.answers[ident], Accepted), world.answers[ident]
+        assert isinstance(world.answers[ident], AcceptedProposal), world.answers[ident]
         world.run(2)
     assert world.run(5, world.agreed), "they don't hold the same"
     assert not world.lost(), "some abstain for ever"
@@ -134,7 +134,7 @@
         for number in range(60):
             world.propose(number % 5, proposal(f"at-once-{number}"))
         world.run(60, lambda: len(world.answers) == 60)
-        made = [answer.version for answer in world.answers.values() if isinstance(answer, Accepted)]
+        made = [answer.version for answer in world.answers.values() if isinstance(answer, AcceptedProposal)]
         self.assertEqual(list(range(1, 61)), sorted(made))
 
 
@@ -204,10 +204,10 @@
 
     head, group = 0, ""
 
-    def made(self, proposal: Proposal) -> Accepted | Refusal | None:
+    def made(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         return None
 
-    def change(self, proposal: Proposal) -> Change | Refusal:
+    def change(self, proposal: Proposal) -> Change | RejectedProposal:
         return change(proposal.ident, self.head + 1)
 
 
@@ -247,11 +247,11 @@
         accept = self.asks()[0]
         assert isinstance(accept, Accept)
         for _ in range(3):
-            self.proposer.voted(1, accept, Vote("accepted", 0, ask.ballot), 0.0)
+            self.proposer.voted(1, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
         other = Accept(Ballot(0, 0), accept.change)
-        self.proposer.voted(2, other, Vote("accepted", 0, other.ballot), 0.0)
+        self.proposer.voted(2, other, AcceptReply("accepted", 0, other.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
-        self.proposer.voted(2, accept, Vote("accepted", 0, ask.ballot), 0.0)
+        self.proposer.voted(2, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
         self.assertEqual(accept.change, self.proposer.decided)
 
     def test_9_an_answer_for_an_earlier_version_is_none_for_this_one_at_the_same_ballot(self) -> None:
@@ -270,7 +270,7 @@
         assert isinstance(accept, Accept)
         old = Accept(ask.ballot, change("own-change", 1))
         for voter in (1, 2):
-            self.proposer.voted(voter, old, Vote("accepted", 0, ask.ballot), 0.0)
+            self.proposer.voted(voter, old, AcceptReply("accepted", 0, ask.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
 
     def end(self) -> str:
@@ -279,7 +279,7 @@
             now = max(now + 0.001, self.proposer.next)
             self.proposer.step(now)
         self.assertLess(now, 30.0)
-        assert isinstance(self.proposer.result, Refusal)
+        assert isinstance(self.proposer.result, RejectedProposal)
         return self.proposer.result.why
 
     def test_10_without_answers_it_ends_and_nothing_was_changed(self) -> None:
@@ -311,7 +311,7 @@
         self.assertIs(found, accept.change)
         self.holder.head = 1
         self.proposer.step(0.1)
-        assert isinstance(self.proposer.result, Refusal)
+        assert isinstance(self.proposer.result, RejectedProposal)
         self.assertEqual(("stale", []), (self.proposer.result.why, self.asks()))
 
     def test_11_proposers_that_meet_wait_for_times_that_differ(self) -> None:
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -16,7 +16,7 @@
 from lanelead.configuration.commands import addresses, ask, configuration, look, made
 from lanelead.configuration.settings import Unfit, read
 from lanelead.days.fleet import free_ports
-from lanelead.protocols.configuration import Applied, Entry, Proposal, Refusal
+from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.records import decode, encode
 from tests.machinegroup import group
 from tests.town import live
@@ -55,13 +55,13 @@
             self.assertEqual(2, code)
             self.assertIn("stale", text)
             for relay, zone, version in ((1, "north", 2), (2, "south", 2), (3, "south", 3)):
-                word = encode(Applied(relay, version, zone=zone))
+                word = encode(AppliedVersion(relay, version, zone=zone))
                 await ask(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
             code, text = await publish('{"tenant/a": null}', "--in-force", "0.5")
             self.assertEqual(4, code)
             self.assertIn("in force: 1 of 3 relays (north 0 of 1, south 1 of 2)", text)
             for relay in (1, 2, 3):
-                word = encode(Applied(relay, 4, zone="south"))
+                word = encode(AppliedVersion(relay, 4, zone="south"))
                 await ask(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
             code, text = await publish('{"tenant/a": {"share": 1}}', "--in-force", "5")
             self.assertEqual(0, code)
@@ -135,7 +135,7 @@
             self.assertEqual(200, status)
             held = [await asyncio.open_connection("127.0.0.1", machines.ports[0]) for _ in range(64)]
             status, body = await ask(at, "GET", b"/configuration/status", b"", 5.0)
-            self.assertEqual((503, "overloaded"), (status, decode(body, Refusal).why))
+            self.assertEqual((503, "overloaded"), (status, decode(body, RejectedProposal).why))
             for _, writer in held:
                 writer.close()
             await asyncio.sleep(0.1)
@@ -203,7 +203,7 @@
         at = [f"127.0.0.1:{port}" for port in ports]
         self.assertEqual(at, addresses(at))
         answer = await made(at, Proposal("some-change", [Entry("x/a", msgspec.Raw(b"1"))]), 0.5)
-        assert isinstance(answer, Refusal)
+        assert isinstance(answer, RejectedProposal)
         self.assertEqual("unknown", answer.why)
         self.assertEqual(({}, at), await look(at))
         found = await asyncio.to_thread(
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -21,9 +21,16 @@
     canonical,
     sums_of,
 )
-from lanelead.configuration.kinds import InForce, Tenant
+from lanelead.configuration.kinds import AppliedValues, TenantValue
 from lanelead.configuration.source import FROZEN, KEPT, SNAPSHOTS, Gone, Source
-from lanelead.protocols.configuration import CHANGE, VALUE, Applied, Change, Entry, Outline
+from lanelead.protocols.configuration import (
+    MAX_CHANGE_BYTES,
+    MAX_VALUE_BYTES,
+    AppliedVersion,
+    Change,
+    Entry,
+    DigestTree,
+)
 from lanelead.protocols.records import Malformed, decode
 
 KEYS = [f"tenant/t{n}" for n in range(12)]
@@ -81,9 +88,9 @@
     def test_bounds_on_a_value_a_change_and_the_whole(self) -> None:
         document = Document(most=3, most_bytes=1000)
         with self.assertRaises(TooLarge):
-            document.after([entry("tenant/a", "x" * VALUE)])
+            document.after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
         with self.assertRaises(TooLarge):
-            Document().after([entry(f"tenant/{n}", "x" * 15000) for n in range(CHANGE // 15000 + 1)])
+            Document().after([entry(f"tenant/{n}", "x" * 15000) for n in range(MAX_CHANGE_BYTES // 15000 + 1)])
         document.apply(change(document, *(entry(f"tenant/{n}", n) for n in range(3))))
         with self.assertRaises(TooLarge):
             document.after([entry("tenant/4", 4)])
@@ -134,7 +141,7 @@
 
     def test_records_with_fields_of_a_later_program_are_read_and_bad_ones_refused(self) -> None:
         text = b'{"history":"ident-0001","version":1,"digest":"%s","buckets":"","form":9,"later":[1]}' % (b"0" * 32)
-        self.assertEqual(9, decode(text, Outline).form)
+        self.assertEqual(9, decode(text, DigestTree).form)
         for bad in (b'{"key":"nokind"}', b'{"key":"/x"}', b'{"key":"tenant/"}', b"[]", b'{"key":5}'):
             with self.assertRaises(Malformed):
                 decode(bad, Entry)
@@ -142,20 +149,20 @@
 
 class Kinds(unittest.TestCase):
     def test_an_unfit_value_is_refused_alone_and_the_last_good_one_stays(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         document.load([("tenant/a", b'{"quota_per_s":5}'), ("tenant/b", b'{"quota_per_s":6}')])
         self.assertEqual(2, len(values.take(document, list(document.entries))[0]))
         document.load([("tenant/a", b'{"quota_per_s":-5}'), ("tenant/b", b'{"quota_per_s":7}')])
         changed, faults = values.take(document, ["tenant/a", "tenant/b"])
         self.assertEqual((["tenant/b"], ["tenant/a"]), (changed, [fault.key for fault in faults]))
-        self.assertEqual(Tenant(5.0), values.values["tenant/a"])
+        self.assertEqual(TenantValue(5.0), values.values["tenant/a"])
         self.assertIn("publish the key anew", values.refused["tenant/a"])
         document.load([("tenant/a", b'{"quota_per_s":8}')])
         values.take(document, ["tenant/a"])
-        self.assertEqual((Tenant(8.0), {}, 1), (values.values["tenant/a"], values.refused, values.refusals))
+        self.assertEqual((TenantValue(8.0), {}, 1), (values.values["tenant/a"], values.refused, values.refusals))
 
     def test_a_removed_key_is_not_in_force_any_more(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         document.load([("tenant/a", b"{}")])
         values.take(document, ["tenant/a"])
         document.load([("tenant/a", b"null")])
@@ -163,13 +170,13 @@
         self.assertEqual({}, values.values)
 
     def test_an_unknown_kind_is_kept_and_counted(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         document.load([("route/a", b'{"match":"/"}')])
         self.assertEqual(([], []), values.take(document, ["route/a"]))
         self.assertEqual(({"route": 1}, 1), (values.unknown, len(document.entries)))
 
     def test_a_deadline_under_the_aim_is_unfit(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         document.load([("class/read", b'{"aim_ms":500,"deadline_ms":100}')])
         self.assertEqual(1, len(values.take(document, ["class/read"])[1]))
 
@@ -257,6 +264,6 @@
     def test_the_table_of_followers_is_bounded_and_forgets(self) -> None:
         source = self.source(1)
         for number in range(10_100):
-            source.applied(Applied(number, 1), 0.0)
+            source.applied(AppliedVersion(number, 1), 0.0)
         self.assertEqual(10_000, len(source.followers(1.0)))
         self.assertEqual(0, len(source.followers(100.0)))
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from lanelead.configuration.follower import Follower
-from lanelead.configuration.kinds import Tenant
+from lanelead.configuration.kinds import TenantValue
 from lanelead.http.serving import STREAM, chunk
 from lanelead.node.configuration import LONGEST
-from lanelead.protocols.configuration import BUCKETS as ALL
-from lanelead.protocols.configuration import Buckets, Entry, Line
-from lanelead.protocols.records import LONGEST as LINE
+from lanelead.protocols.configuration import BUCKET_COUNT as ALL
+from lanelead.protocols.configuration import Buckets, Entry, WatchLine
+from lanelead.protocols.records import MAX_LINE_BYTES as LINE
 from lanelead.protocols.records import Malformed, encode
 from tests.configurationhand import entry, row
 from tests.configurationmachine import (
@@ -73,7 +73,7 @@
     await asyncio.sleep(60)
 
 
-GOOD = encode(Line("ident-0001", 1, 0.0)) + b"\n"
+GOOD = encode(WatchLine("ident-0001", 1, 0.0)) + b"\n"
 BAD_WATCHES: dict[str, Answer] = {
     "no JSON": streams(b"what?\n"),
     "another thing": streams(b"[1,2]\n"),
@@ -127,7 +127,7 @@
                 async with following([ill], FILE) as relay:
                     await asyncio.sleep(4.0)
                     self.assertLessEqual(ill.count(WATCH), 9, name)
-                    self.assertEqual(Tenant(9.0), relay.feed.values.values["tenant/m"], name)
+                    self.assertEqual(TenantValue(9.0), relay.feed.values.values["tenant/m"], name)
                     (said,) = relay.log.said("source of configuration lost")
                     self.assertIn("look at that machine", said["remedy"])
                     self.assertLessEqual(len(relay.feed._tasks), 3, name)
@@ -139,13 +139,13 @@
         async with machines(1) as (machine,):
             machine.publish(entry("tenant/m", {"quota_per_s": 3, "burst": {"of": [1]}}))
             (made,) = machine.source._changes
-            text = msgspec.json.decode(encode(Line("ident-0001", 1, 0.0, [made], form=9)))
+            text = msgspec.json.decode(encode(WatchLine("ident-0001", 1, 0.0, [made], form=9)))
             text |= {"later": {"a": [1, 2]}, "at": None}
             text["changes"][0] |= {"signed_by": "nobody"}
             machine.says[WATCH] = streams(msgspec.json.encode(text) + b"\n")
             async with following([machine]) as relay:
                 await relay.until(1)
-                self.assertEqual(Tenant(3.0), relay.feed.values.values["tenant/m"])
+                self.assertEqual(TenantValue(3.0), relay.feed.values.values["tenant/m"])
                 self.assertEqual([], relay.log.rows)
 
     @live
@@ -157,7 +157,7 @@
                 await relay.until(1)
                 while not (told := machine.count(APPLIED)):
                     await asyncio.sleep(0.01)
-                self.assertEqual({"tenant/m": Tenant(9.0), "tenant/b": Tenant()}, relay.feed.values.values)
+                self.assertEqual({"tenant/m": TenantValue(9.0), "tenant/b": TenantValue()}, relay.feed.values.values)
                 self.assertEqual((["tenant/m"], 1), (relay.feed.follower.refused, told))
                 self.assertEqual(1, len(relay.log.said("an entry of the configuration was refused")))
                 self.assertEqual({"later": 1}, relay.feed.values.unknown)
@@ -186,7 +186,7 @@
             await relay.until(1)
 
 
-def _broken(source: int, line: Line, now: float) -> None:
+def _broken(source: int, line: WatchLine, now: float) -> None:
     raise ValueError("not foreseen")
 
 
@@ -274,7 +274,7 @@
                     calls = [call for at, old in zip(both, before, strict=True) for call in at.asked[len(old) :]]
                     self.assertEqual([], [call for call in calls if call != APPLIED])
                     self.assertEqual(1, len(relay.log.rows))
-                    self.assertEqual({"tenant/m": Tenant(9.0)}, relay.feed.values.values)
+                    self.assertEqual({"tenant/m": TenantValue(9.0)}, relay.feed.values.values)
                     self.assertEqual(0, relay.version)
 
     @live
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -16,12 +16,12 @@
     canonical,
     sums_of,
 )
-from lanelead.configuration.kinds import MOST_NAMED, ClassFigures, InForce, Tenant, Unfit, read
+from lanelead.configuration.kinds import MOST_NAMED, ClassValue, AppliedValues, TenantValue, InvalidValueError, read
 from lanelead.configuration.source import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
 from lanelead.decisions.interface import Lane, Member, Repeat, Scope
 from lanelead.node.inforce import InForce as Relay
 from lanelead.node.inforce import changed
-from lanelead.protocols.configuration import CHANGE, VALUE, Applied, Entry
+from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
 from tests.configurationhand import change, entry
 
 SPACED = b' { "share": 1, "quota_per_s" : 5 }'
@@ -59,9 +59,9 @@
         with self.assertRaises(TooLarge):
             Document(most_bytes=20).load(rows)
         with self.assertRaises(TooLarge):
-            Document().load([("tenant/a", b'"%s"' % (b"x" * VALUE))])
+            Document().load([("tenant/a", b'"%s"' % (b"x" * MAX_VALUE_BYTES))])
         with self.assertRaises(TooLarge):
-            Document().after([entry("tenant/a", "x" * VALUE)])
+            Document().after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
         theirs, ours = Document(), Document(most=1)
         theirs.load(rows)
         outline, place = theirs.outline("h"), bucket_of("tenant/0")
@@ -117,7 +117,7 @@
 
 class Kinds(unittest.TestCase):
     def test_what_is_kept_by_name_of_refused_keys_and_unknown_kinds_is_bounded(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         rows = [(f"tenant/{n}", b"[]") for n in range(MOST_NAMED + 50)]
         rows += [(f"kind{n}/x", b"1") for n in range(MOST_NAMED + 50)]
         document.load(rows)
@@ -126,14 +126,14 @@
         self.assertEqual(MOST_NAMED + 50, values.refusals)
 
     def test_what_stays_as_it_was_is_not_told_as_changed(self) -> None:
-        document, values = Document(), InForce()
+        document, values = Document(), AppliedValues()
         document.load([("tenant/a", b"{}")])
         self.assertEqual(["tenant/a"], values.take(document, ["tenant/a"])[0])
         self.assertEqual([], values.take(document, ["tenant/a", "tenant/none"])[0])
 
     def test_each_figure_has_bounds_and_the_text_says_what_to_do(self) -> None:
         good: dict[str, Any] = {"aim_ms": 5, "deadline_ms": 9, "credit": 1, "late_worth": 0}
-        self.assertEqual(ClassFigures(5, 9, 1, 0), read("class/x", msgspec.json.encode(good)))
+        self.assertEqual(ClassValue(5, 9, 1, 0), read("class/x", msgspec.json.encode(good)))
         bad = [("class/x", good | {name: number}) for name in good for number in (-1, 1e10, "x")]
         bad += [
             ("class/x", good | {"aim_ms": 0}),
@@ -142,15 +142,15 @@
         ]
         bad += [("tenant/x", {name: v}) for name in ("quota_per_s", "share") for v in (-1, 1e10, "x", None)]
         for key, value in bad:
-            with self.assertRaises(Unfit, msg=f"{key} {value}") as caught:
+            with self.assertRaises(InvalidValueError, msg=f"{key} {value}") as caught:
                 read(key, msgspec.json.encode(value))
             self.assertIn("publish the key anew", str(caught.exception))
         later = read("tenant/x", b'{"quota_per_s":2,"from_a_later_program":[1]}')
-        self.assertEqual(Tenant(2.0), later)
+        self.assertEqual(TenantValue(2.0), later)
 
     def test_what_is_nested_without_end_is_unfit(self) -> None:
         for text in (b'{"x":' + b"[" * 5000 + b"]" * 5000 + b"}", b"[" * 5000):
-            with self.assertRaises(Unfit):
+            with self.assertRaises(InvalidValueError):
                 read("tenant/x", text)
 
 
@@ -209,9 +209,11 @@
         self.assertEqual(AT_ONCE, len(source.line(0, 0.0)[0].changes))
         source = Source()
         for number in range(40):
-            _take(source, entry("tenant/a", f"{number}" + "x" * (VALUE - 100)))
+            _take(source, entry("tenant/a", f"{number}" + "x" * (MAX_VALUE_BYTES - 100)))
         line, after = source.line(0, 0.0)
-        self.assertLessEqual(sum(len(row.value) for made in line.changes for row in made.entries), CHANGE + VALUE)
+        self.assertLessEqual(
+            sum(len(row.value) for made in line.changes for row in made.entries), MAX_CHANGE_BYTES + MAX_VALUE_BYTES
+        )
         self.assertEqual(len(line.changes), after)
 
     def test_what_is_kept_of_digests_is_bounded(self) -> None:
@@ -247,8 +249,8 @@
     def test_who_is_known_goes_on_being_heard_where_the_table_is_full(self) -> None:
         source = Source()
         for number in range(10_001):
-            source.applied(Applied(number, 1), 0.0)
-        source.applied(Applied(5, 2), 1.0)
+            source.applied(AppliedVersion(number, 1), 0.0)
+        source.applied(AppliedVersion(5, 2), 1.0)
         found = {told.relay: told.version for told in source.followers(2.0)}
         self.assertEqual((2, 10_000), (found[5], len(found)))
 
@@ -265,7 +267,7 @@
         new = {"accounts": [{"name": "a", "quotaPerS": -1}, {"name": "b", "quotaPerS": 2}]}
         keys, values, faults = changed(old, new)
         self.assertEqual((["tenant/b", "tenant/c"], ["tenant/a"]), (keys, [fault.key for fault in faults]))
-        self.assertEqual({"tenant/b": Tenant(2.0)}, values)
+        self.assertEqual({"tenant/b": TenantValue(2.0)}, values)
         self.assertEqual([], changed(old, old)[0])
 
     def test_figures_of_a_class_that_are_removed_stay_as_they_were(self) -> None:
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -10,15 +10,15 @@
 from lanelead.configuration.machine import QUEUE, Machine
 from lanelead.protocols.configuration import (
     Accept,
-    Accepted,
+    AcceptedProposal,
     Ballot,
     Change,
-    Log,
+    LogPage,
     Prepare,
-    Refusal,
-    Sign,
+    RejectedProposal,
+    Heartbeat,
 )
-from lanelead.protocols.machines import Decided
+from lanelead.protocols.machines import DecidedChange
 from tests.machines import World, proposal
 
 
@@ -28,11 +28,11 @@
     return world
 
 
-def makes(world: World, number: int, ident: str, key: str = "tenant/a") -> Accepted:
+def makes(world: World, number: int, ident: str, key: str = "tenant/a") -> AcceptedProposal:
     world.propose(number, proposal(ident, key))
     assert world.answered(ident, 20), f"{ident} has no answer"
     answer = world.answers[ident]
-    assert isinstance(answer, Accepted), answer
+    assert isinstance(answer, AcceptedProposal), answer
     return answer
 
 
@@ -51,7 +51,7 @@
         world.propose(3, proposal("no-voter"))
         for ident in ("too-early", "no-voter"):
             answer = world.answers[ident]
-            assert isinstance(answer, Refusal)
+            assert isinstance(answer, RejectedProposal)
             self.assertEqual("abstains", answer.why)
         makes(world, 1, "by-a-voter")
         world.run(2)
@@ -102,7 +102,7 @@
         """Machine 0 held version 1 as decided and voted on version 2. The others it hears of, when it starts
         empty, have accepted version 1, and do not know yet that it is decided."""
         world = started(5)
-        world.dropped = lambda call: isinstance(call.body, Decided) and call.to != 0
+        world.dropped = lambda call: isinstance(call.body, DecidedChange) and call.to != 0
         world.propose(4, proposal("change-1"))
         world.run(0.1, lambda: world.alive(4).holding.head == 1)
         world.cut([0, 4], [1, 2, 3])
@@ -147,7 +147,7 @@
         self.assertEqual([1, 1], [world.alive(n).holding.head for n in (1, 2)])
         world.propose(0, proposal("change-2"))
         self.assertTrue(world.answered("change-2", 40))
-        self.assertIsInstance(world.answers["change-2"], Refusal)
+        self.assertIsInstance(world.answers["change-2"], RejectedProposal)
 
     def test_all_one_by_one(self) -> None:
         world = started(3)
@@ -189,7 +189,7 @@
             world.start(2)
             with self.subTest(log=log):
                 self.assertTrue(world.run(3, world.agreed))
-                self.assertEqual(Accepted(4), world.alive(2).holding.made(proposal("change-3", "tenant/3")))
+                self.assertEqual(AcceptedProposal(4), world.alive(2).holding.made(proposal("change-3", "tenant/3")))
 
     def test_a_machine_that_does_not_vote_follows_and_proposes(self) -> None:
         world = started(5, voters=(0, 1, 2))
@@ -214,7 +214,7 @@
         world = started(3)
         bad = Change(1, "some-change", "0" * 32, proposal("some-change").entries)
         machine = world.alive(0)
-        machine.asked_decided(Decided(bad, machine.holding.group), world.now)
+        machine.asked_decided(DecidedChange(bad, machine.holding.group), world.now)
         self.assertEqual(0, machine.holding.head)
         self.assertIn("otherwise", world.notes[-1][1])
 
@@ -241,7 +241,7 @@
         world = started(3)
         world.run(2)
         machine = world.alive(0)
-        ahead = Sign(1, "some-history", 7, voters=[0, 1, 2])
+        ahead = Heartbeat(1, "some-history", 7, voters=[0, 1, 2])
         before, machine.calls = machine.seen[1].held, []
         machine.answered(Call(1, machine.sign(), world.now), ahead, world.now)
         self.assertEqual((before, 7), (machine.seen[1].held, machine.seen[1].head))
@@ -252,19 +252,19 @@
         world = started(3)
         machine = world.alive(0)
         machine.calls = []
-        machine.asked_sign(Sign(2, "some-history", 7, voters=[0, 1, 2]), world.now)
+        machine.asked_sign(Heartbeat(2, "some-history", 7, voters=[0, 1, 2]), world.now)
         self.assertEqual([(2, Asked(1))], [(call.to, call.body) for call in machine.calls])
 
     def test_an_answer_to_an_earlier_sign_changes_nothing(self) -> None:
         world = started(3)
         machine = world.alive(0)
         old = Call(1, machine.sign(), world.now - 5)
-        machine.answered(old, Sign(1, "", 0, empty=True, voters=[0, 1, 2]), world.now)
+        machine.answered(old, Heartbeat(1, "", 0, empty=True, voters=[0, 1, 2]), world.now)
         self.assertFalse(machine.seen[1].empty)
 
 
 class Strangers(unittest.TestCase):
-    def hears(self, sign: Sign) -> tuple[World, Machine]:
+    def hears(self, sign: Heartbeat) -> tuple[World, Machine]:
         world = started(3)
         makes(world, 0, "change-1")
         world.run(1)
@@ -274,21 +274,23 @@
         return world, machine
 
     def test_another_history_is_not_followed_and_an_operator_is_told_once(self) -> None:
-        world, machine = self.hears(Sign(1, "another-one", 9, voters=[0, 1, 2]))
-        machine.answered(Call(1, machine.sign(), world.now), Sign(1, "another-one", 9, voters=[0, 1, 2]), world.now)
+        world, machine = self.hears(Heartbeat(1, "another-one", 9, voters=[0, 1, 2]))
+        machine.answered(
+            Call(1, machine.sign(), world.now), Heartbeat(1, "another-one", 9, voters=[0, 1, 2]), world.now
+        )
         self.assertEqual([], machine.calls)
         self.assertEqual(1, len([note for note in world.notes if "another-one" in note[2]]))
         change = machine.holding.change(proposal("change-2"))
         assert isinstance(change, Change)
-        machine.answered(Call(1, Asked(2), 0.0), Log("another-one", 9, [change]), world.now)
+        machine.answered(Call(1, Asked(2), 0.0), LogPage("another-one", 9, [change]), world.now)
         self.assertEqual(1, machine.holding.head)
-        machine.answered(Call(1, Asked(2), 0.0), Log("change-1", 9, [change]), world.now)
+        machine.answered(Call(1, Asked(2), 0.0), LogPage("change-1", 9, [change]), world.now)
         self.assertEqual(2, machine.holding.head)
 
     def test_other_voters_and_another_number_are_left_alone(self) -> None:
         for sign, word in (
-            (Sign(1, "change-1", 9, voters=[0, 1, 2, 3, 4]), "voters"),
-            (Sign(2, "change-1", 9, voters=[0, 1, 2]), "address"),
+            (Heartbeat(1, "change-1", 9, voters=[0, 1, 2, 3, 4]), "voters"),
+            (Heartbeat(2, "change-1", 9, voters=[0, 1, 2]), "address"),
         ):
             world, machine = self.hears(sign)
             self.assertEqual([], machine.calls)
@@ -301,7 +303,7 @@
         change = machine.holding.change(proposal("change-1"))
         assert isinstance(change, Change)
         self.assertEqual("abstains", machine.asked_accept(Accept(Ballot(1, 1), change, "other"), 0.0).word)
-        machine.asked_decided(Decided(change, "other"), 0.0)
+        machine.asked_decided(DecidedChange(change, "other"), 0.0)
         self.assertEqual(0, machine.holding.head)
 
 
@@ -316,7 +318,7 @@
         world.propose(5, proposal("in-the-smaller"))
         self.assertTrue(world.answered("in-the-smaller", 40))
         answer = world.answers["in-the-smaller"]
-        assert isinstance(answer, Refusal)
+        assert isinstance(answer, RejectedProposal)
         self.assertEqual("abstains", answer.why)
         self.assertIn("nothing was changed", answer.text)
         self.assertGreater(world.now - world.alive(6).heard, 20)
@@ -327,10 +329,10 @@
     def test_a_proposer_that_ends_behind_its_answer_leaves_no_change_unfinished(self) -> None:
         """Its answer went out, and no word to the others: they have accepted it and are to find out."""
         world = started(5)
-        world.dropped = lambda call: isinstance(call.body, Decided)
+        world.dropped = lambda call: isinstance(call.body, DecidedChange)
         world.propose(0, proposal("change-1"))
         self.assertTrue(world.answered("change-1", 1))
-        self.assertEqual(Accepted(1), world.answers["change-1"])
+        self.assertEqual(AcceptedProposal(1), world.answers["change-1"])
         world.kill(0)
         world.dropped = lambda call: False
         self.assertTrue(world.run(2.5, lambda: all(machine.holding.head == 1 for machine in world.up())))
@@ -358,8 +360,8 @@
         for number in (0, 3):
             world.propose(number, proposal("the-same"))
         world.run(5)
-        self.assertEqual(Accepted(1), world.answers["the-same"])
-        self.assertEqual(Accepted(1), makes(world, 1, "the-same"))
+        self.assertEqual(AcceptedProposal(1), world.answers["the-same"])
+        self.assertEqual(AcceptedProposal(1), makes(world, 1, "the-same"))
         self.assertEqual([1], list(world.decided))
 
     def test_no_more_than_so_many_wait(self) -> None:
@@ -368,7 +370,7 @@
         found = [world.alive(0).propose(proposal(f"change-{n}"), world.now) for n in range(QUEUE + 1)]
         self.assertIsInstance(found[-2], Proposer)
         last = found[-1]
-        assert isinstance(last, Refusal)
+        assert isinstance(last, RejectedProposal)
         self.assertEqual("overloaded", last.why)
 
     def test_signs_calls_and_fetches_that_nobody_answers_are_bounded(self) -> None:
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_machines.py
@@ -9,7 +9,7 @@
 
 
 from lanelead.configuration.commands import made
-from lanelead.protocols.configuration import Refusal
+from lanelead.protocols.configuration import RejectedProposal
 from tests.machines import proposal
 from tests.machinegroup import group
 from tests.town import live
@@ -84,7 +84,7 @@
             await machines.makes("without-two", 0)
             machines.signal(2, signal.SIGSTOP)
             answer = await made(machines.at(0, 1), proposal("without-three", "tenant/without-three"), 2.0)
-            assert isinstance(answer, Refusal)
+            assert isinstance(answer, RejectedProposal)
             self.assertIn(answer.why, ("unknown", "abstains"))
             machines.signal(2, signal.SIGCONT)
             await machines.makes("without-three", 1)
@@ -101,7 +101,7 @@
             machines.wires.cut([0], [1, 2])
             await machines.makes("both-ways", 2)
             alone = await made(machines.at(0), proposal("alone-here"), 3.0)
-            self.assertIsInstance(alone, Refusal)
+            self.assertIsInstance(alone, RejectedProposal)
             for number in (1, 2):
                 machines.wires.ways[number, 0].cut = machines.wires.ways[0, number].cut = False
                 machines.wires.ways[0, number].breaks = 150
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from lanelead.configuration.commands import ask, made
-from lanelead.protocols.configuration import Accepted, Entry, Proposal, Refusal
-from lanelead.protocols.machines import Status
+from lanelead.protocols.configuration import AcceptedProposal, Entry, Proposal, RejectedProposal
+from lanelead.protocols.machines import ReplicaStatus
 from lanelead.protocols.records import decode, encode
 from tests.machinegroup import Group, group
 from tests.platform import SETTINGS, Platform, Unit, free_port, platform
@@ -82,7 +82,7 @@
     async def publish(self, ident: str, entries: list[tuple[str, bytes]], *at: int) -> int:
         rows = [decode(encode({"key": key, "value": json.loads(value)}), Entry) for key, value in entries]
         answer = await made(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
-        assert isinstance(answer, Accepted), answer
+        assert isinstance(answer, AcceptedProposal), answer
         return answer.version
 
     async def versions(self, *machines: int) -> dict[int, int]:
@@ -91,7 +91,7 @@
         for number in machines or range(MACHINES):
             with contextlib.suppress(Exception):
                 _, body = await ask(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
-                for row in decode(body, Status).relays:
+                for row in decode(body, ReplicaStatus).relays:
                     found[row.relay] = max(found.get(row.relay, 0), row.version)
         return found
 
@@ -201,7 +201,7 @@
         async with fleet() as all_:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
             answer = await made(all_.machines.at(0), bad, 5.0)
-            assert isinstance(answer, Refusal)
+            assert isinstance(answer, RejectedProposal)
             self.assertEqual("malformed", answer.why)
             self.assertIn("tenant/bad", answer.text)
             rows = [
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -28,15 +28,15 @@
 )
 from lanelead.protocols.configuration import (
     Accept,
-    Accepted,
+    AcceptedProposal,
     Ballot,
     Change,
     Entry,
     Prepare,
     Proposal,
-    Refusal,
+    RejectedProposal,
 )
-from lanelead.protocols.machines import PAGES, Snapshot
+from lanelead.protocols.machines import SNAPSHOT_PAGES, SnapshotPage
 from tests.machines import proposal
 
 VOTERS = (0, 1, 2)
@@ -100,16 +100,16 @@
         self.assertEqual((3, "change-1", gone.digest), (again.head, again.history, again.document.digest))
         self.assertEqual(["tenant/b"], list(again.document.entries))
         self.assertEqual({"tenant/a": 3, "tenant/b": 2}, again.document.changed)
-        self.assertEqual(Accepted(1), again.made(proposal("change-1", "tenant/a")))
+        self.assertEqual(AcceptedProposal(1), again.made(proposal("change-1", "tenant/a")))
         self.assertIsNone(again.made(proposal("change-9")))
 
     def test_an_ident_used_for_something_else_is_told_of_and_not_taken_as_made(self) -> None:
         self.make(self.holding, proposal("change-1", "tenant/a"))
         answer = self.holding.made(proposal("change-1", "tenant/b"))
-        assert isinstance(answer, Refusal)
+        assert isinstance(answer, RejectedProposal)
         self.assertEqual("malformed", answer.why)
         unreadable = Proposal("change-1", [Entry("tenant/a", msgspec.Raw(b'"\\ud800"'))])
-        self.assertIsInstance(self.holding.made(unreadable), Refusal)
+        self.assertIsInstance(self.holding.made(unreadable), RejectedProposal)
         change = Change(2, "change-1", self.holding.document.after([Entry("tenant/a")]), [Entry("tenant/a")])
         with self.assertRaises(Unfit):
             self.holding.fits(change)
@@ -118,7 +118,7 @@
         self.make(self.holding, proposal("change-1", "tenant/a"))
         self.make(self.holding, proposal("change-2", "tenant/a"))
         answer = self.holding.change(proposal("change-3", "tenant/a", tenant_a=1))
-        assert isinstance(answer, Refusal)
+        assert isinstance(answer, RejectedProposal)
         self.assertEqual("stale", answer.why)
         self.assertIsInstance(self.holding.change(proposal("change-3", "tenant/a", tenant_a=2)), Change)
 
@@ -128,7 +128,7 @@
         large = proposal("change-3", "x/a", "y" * 20_000)
         for bad, word in ((unfit, "quota_per_s"), (twice, "twice"), (large, "20002 bytes")):
             answer = self.holding.change(bad)
-            assert isinstance(answer, Refusal)
+            assert isinstance(answer, RejectedProposal)
             self.assertEqual("malformed", answer.why)
             self.assertIn(word.replace("twice", "2 times"), answer.text)
 
@@ -177,14 +177,14 @@
         self.holding._prune()
         self.assertEqual({}, self.holding.document.changed)
         answer = self.holding.change(proposal("change-3", "tenant/a", tenant_a=1))
-        assert isinstance(answer, Refusal)
+        assert isinstance(answer, RejectedProposal)
         self.assertEqual("stale", answer.why)
 
 
 class Snapshots(Filed):
-    def pages(self, holding: Holding) -> list[Snapshot]:
+    def pages(self, holding: Holding) -> list[SnapshotPage]:
         found = [holding.snapshot(0, 0, 0.0)]
-        found += [holding.snapshot(holding.head, page, 1.0) for page in range(1, PAGES)]
+        found += [holding.snapshot(holding.head, page, 1.0) for page in range(1, SNAPSHOT_PAGES)]
         return [page for page in found if page is not None]
 
     def test_a_whole_document_passes_with_idents_and_versions_of_keys(self) -> None:
@@ -196,7 +196,7 @@
         other = Holding(Store(self.file.with_name("other")), VOTERS, Document, lambda: 0.0)
         self.assertTrue(other.install(pages))
         self.assertEqual((13, "change-0"), (other.head, other.history))
-        self.assertEqual(Accepted(1), other.made(proposal("change-0", "tenant/0")))
+        self.assertEqual(AcceptedProposal(1), other.made(proposal("change-0", "tenant/0")))
         self.assertEqual(13, other.document.changed["tenant/7"])
         self.make(other, proposal("change-x", "tenant/x"))
         self.assertEqual(self.holding.document.digest, other.document.digest)
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -14,7 +14,7 @@
 from lanelead.node import feeds
 from lanelead.node import service as services
 from lanelead.node.config import load
-from lanelead.protocols.platform import Line
+from lanelead.protocols.platform import RpcMessage
 from lanelead.protocols.records import Malformed, decode
 from tests.platform import NEWS, SETTINGS, Platform, Unit, answered, platform, told
 from tests.town import live
@@ -73,7 +73,7 @@
             place.turn(place.units[1], "leaving")
             await place.until(lambda: condition(place, "u1") == "draining")
             place.states["u1"], place.version = "active", 1
-            old = [writing.answer(200, (), place.list_of(place.units, bool(full)), keep=False) for full in (0, 1, 1)]
+            old = [writing.response(200, (), place.list_of(place.units, bool(full)), keep=False) for full in (0, 1, 1)]
             place.states["u1"], place.version = "leaving", 2
             place.spoil = list(old)
             with mock.patch.object(place.relay.driver, "listed", wraps=place.relay.driver.listed) as taken:
@@ -100,7 +100,7 @@
             place.states["u1"], place.version = "leaving", 10
             body = json.dumps(json.loads(place.list_of(place.units)), indent=2).encode()
             place.states["u1"], place.version = "active", 1
-            place.spoil = [writing.answer(200, (), body, keep=False)]
+            place.spoil = [writing.response(200, (), body, keep=False)]
             with mock.patch("lanelead.http.calls.BUFFER", 7):
                 place.turn(place.units[0], "active")
                 await place.until(lambda: condition(place, "u1") == "draining")
@@ -112,7 +112,7 @@
             place.states["u1"], place.version = "leaving", 10
             body = place.list_of(place.units).replace(b'"north"', b'"%s"' % (b"z" * 1_100_000))
             place.states["u1"], place.version = "active", 1
-            place.spoil = [writing.answer(200, (), body, keep=False)]
+            place.spoil = [writing.response(200, (), body, keep=False)]
             place.turn(place.units[0], "active")
             await place.until(lambda: condition(place, "u1") == "draining")
 
@@ -121,7 +121,7 @@
         async with platform(Unit("u0"), Unit("u1")) as place:
             await place.until(lambda: place.relay.state()["discovery"])
             place.states["u1"] = "leaving"
-            text = writing.answer(200, (), place.list_of(place.units), keep=False)
+            text = writing.response(200, (), place.list_of(place.units), keep=False)
             place.states["u1"] = "active"
             place.spoil = [text[:-40]]
             place.turn(place.units[0], "active")
@@ -163,7 +163,7 @@
             with mock.patch.object(old.relay.driver, "news", wraps=old.relay.driver.news) as news:
                 # In one breath: the new desk has spoken, and the earlier one says what was so before.
                 earlier, newest = list(old.relay._desk._running)
-                newest._line(decode(told(gone), Line))
+                newest._line(decode(told(gone), RpcMessage))
                 self.assertEqual(heard(old), (2, 0.0))
                 old.desks[0].write(told(TRIAL))
                 await old.until(lambda: earlier._sock is None)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -14,7 +14,7 @@
 from lanelead.node.service import Service
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
-from lanelead.protocols.platform import Endpoints, Refusal, listed
+from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.protocols.records import decode
 from tests.agent import agent, body, entry, move
 from tests.platform import Held, Platform, Unit, free_port, platform
@@ -234,12 +234,12 @@
 
     def test_what_was_refused_leaves_a_unit_as_it_was(self) -> None:
         at = {"id": "u1", "addr": "10.0.0.1:5432", "state": "active", "started_ms": 1_700_000_000_123.0}
-        (row,) = listed(decode(body(1, at), Endpoints)).units
-        refused: list[Refusal] = []
-        found = decode(body(2, at | {"weight": 0}, full=True), Endpoints)
-        self.assertEqual(listed(found, {"u1": row}.get, refused).units, [row])
+        (row,) = read_endpoint_list(decode(body(1, at), EndpointList)).units
+        refused: list[RejectedEntry] = []
+        found = decode(body(2, at | {"weight": 0}, full=True), EndpointList)
+        self.assertEqual(read_endpoint_list(found, {"u1": row}.get, refused).units, [row])
         self.assertEqual([entry.id for entry in refused], ["u1"])
-        self.assertEqual(listed(found).units, [])
+        self.assertEqual(read_endpoint_list(found).units, [])
 
     @live
     async def test_a_start_of_a_unit_is_kept_through_a_refusal(self) -> None:
@@ -325,7 +325,7 @@
         with mock.patch.object(services, "FIRST", 0.05):
             async with platform(Unit("u0"), known=False, silent=True) as place:
                 text = b'{"version":1,"full":1,"servers":[]}'
-                place.spoil = [writing.answer(200, (), text, keep=False)] * 3
+                place.spoil = [writing.response(200, (), text, keep=False)] * 3
                 place.answers.set()
                 await place.until(lambda: state(place, "units") == 1)
                 lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "list refused"]
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -204,7 +204,7 @@
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 version = 10
                 missed = [entry(place.units[1], state="leaving"), entry(place.units[0])]
-                text = writing.answer(200, (), body(99, *missed), keep=False)
+                text = writing.response(200, (), body(99, *missed), keep=False)
                 head = text.index(b"\r\n\r\n") + 4
                 for size in (1, head - 2, head, head + 1, len(text) - 1):
                     watch.part(text[:size])
@@ -217,7 +217,7 @@
     async def test_bytes_that_drip_are_silence_too(self) -> None:
         with mock.patch.object(feeds, "HOLD", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
-                text = writing.answer(200, (), body(11, *map(entry, place.units)) + b" " * 10_000, keep=False)
+                text = writing.response(200, (), body(11, *map(entry, place.units)) + b" " * 10_000, keep=False)
 
                 async def drip() -> None:
                     for place_in in range(len(text)):
--- a/tests/test_crossings_units.py
+++ b/tests/test_crossings_units.py
@@ -13,7 +13,7 @@
 from lanelead.decisions.interface import Fate, Unit as Known
 from lanelead.node.pools import Link
 from lanelead.pgwire.messages import READY, error, query
-from lanelead.protocols.platform import Endpoints, listed
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from tests.platform import Client, Hand, Held, Platform, Unit, good, platform, row, statement
 from tests.town import live
@@ -38,7 +38,7 @@
     """The relay is told of the first unit anew, at once."""
     found = json.loads(place.list_of(place.units[:1], full=False))
     found["servers"][0] |= fields
-    place.relay._listed(listed(decode(json.dumps(found).encode(), Endpoints)))
+    place.relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
 
 
 class Probes(unittest.TestCase):
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -29,9 +29,9 @@
     Vote,
 )
 from lanelead.decisions.rules import Relay
-from lanelead.http.answers import Answer
-from lanelead.http.asks import Ask
-from lanelead.protocols.records import Listed, NewsLine, Row
+from lanelead.http.answers import HttpResponse
+from lanelead.http.asks import HttpRequest
+from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
 from lanelead.relay.driver import Driver, Outcome, Ticket
 
 SECOND: Ticks = 10_000
@@ -42,8 +42,8 @@
 ]
 DUTIES = Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
 TRIAL = Trial((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
-ASK = Ask("GET", b"/", [], b"", True)
-ANSWER = Answer(200, [], b"ok", True)
+ASK = HttpRequest("GET", b"/", [], b"", True)
+ANSWER = HttpResponse(200, [], b"ok", True)
 
 
 class PaperHands:
@@ -95,19 +95,19 @@
         self.answers: list[tuple[Ticks, Ticket, Outcome]] = []
         self.tickets: list[Ticket] = []
         self.listed("full", *(self.row(number) for number in range(4)))
-        self.driver.news(NewsLine(1, 1, "released", 1.0, 0.0), False, Fate.DONE)
+        self.driver.news(RolloutMessage(1, 1, "released", 1.0, 0.0), False, Fate.DONE)
 
-    def row(self, number: int, build: int = 1, condition: str = "ready", age: Ticks | None = None) -> Row:
+    def row(self, number: int, build: int = 1, condition: str = "ready", age: Ticks | None = None) -> EndpointMessage:
         started = None if age is None else float((self.hands.now - age) / 10)
         zone = "north" if number % 2 else "south"
-        return Row(f"u{number}", "127.0.0.1", 1000 + number, zone, build, condition, started_ms=started)  # type: ignore[arg-type]
+        return EndpointMessage(f"u{number}", "127.0.0.1", 1000 + number, zone, build, condition, started_ms=started)  # type: ignore[arg-type]
 
-    def listed(self, coverage: str, *rows: Row) -> None:
-        self.driver.listed(Listed(coverage, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
+    def listed(self, coverage: str, *rows: EndpointMessage) -> None:
+        self.driver.listed(EndpointListMessage(coverage, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
 
     def ask(self, lane: Lane = LANES[0], left: Ticks = 2 * SECOND) -> Ticket:
         def replied(
-            ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Answer | None, come_back: Ticks
+            ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
         ) -> None:
             self.answers.append((self.hands.now, ticket, outcome))
 
@@ -198,7 +198,7 @@
         self.build += newer
         self.guarded = phase == "trial" and stage < TRIAL.guarded
         cap = {"trial": TRIAL.caps[stage], "released": 1.0, "reverting": 0.0}[phase]
-        self.stage.driver.news(NewsLine(self.build, stage, phase, cap, 0.0), False, Fate.DONE)  # type: ignore[arg-type]
+        self.stage.driver.news(RolloutMessage(self.build, stage, phase, cap, 0.0), False, Fate.DONE)  # type: ignore[arg-type]
 
     @rule(payload=st.binary(max_size=40))
     def heard(self, payload: bytes) -> None:
@@ -333,7 +333,7 @@
         stage = Stage()
         stage.listed("changes", stage.row(0, age=SECOND))
         first = stage.driver.places[stage.driver.door.unit("u0")].since
-        stage.driver.listed(Listed("full", 1, 0.0, [stage.row(0, age=SECOND)]), 37)
+        stage.driver.listed(EndpointListMessage("full", 1, 0.0, [stage.row(0, age=SECOND)]), 37)
         self.assertEqual(stage.driver.places[stage.driver.door.unit("u0")].since, first)
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -97,7 +97,7 @@
     async def told(self, enough: Callable[[int], bool]) -> None:
         """Returns once a hub tells this end of a pace, in ms, that is enough."""
         while True:
-            payload = datagrams.open_plain(await asyncio.get_running_loop().sock_recv(self.ear, 512)) or b""
+            payload = datagrams.decode_plain(await asyncio.get_running_loop().sock_recv(self.ear, 512)) or b""
             if len(payload) >= HEAD and payload[1] != UNTOLD and enough(payload[1] * STEP // 10):
                 return
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from lanelead.http import writing
-from lanelead.http.answers import AnswerReader, Progress
-from lanelead.http.asks import Ask, AskReader, Event, Expecting, Refusal, State
+from lanelead.http.answers import ResponseReader, Progress
+from lanelead.http.asks import HttpRequest, RequestReader, Event, ContinueExpected, RejectedRequest, State
 
 HOST = b"Host: a\r\n"
 
 
 def asks(data: bytes, cut: int = 0, head: int = 2000, body: int = 1000) -> list[Event]:
-    reader = AskReader(head, body)
+    reader = RequestReader(head, body)
     return [event for part in ((data[:cut], data[cut:]) if cut else (data,)) for event in reader.feed(part)]
 
 
@@ -26,7 +26,7 @@
         text += b"HEAD /c HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n"
         for cut in range(len(text)):
             found = asks(text, cut)
-            rows = [(e.method, e.target, e.body, e.keep) for e in found if isinstance(e, Ask)]
+            rows = [(e.method, e.target, e.body, e.keep) for e in found if isinstance(e, HttpRequest)]
             expected = [
                 ("POST", b"/a", b"abc", True),
                 ("PUT", b"/b", b"def", True),
@@ -56,7 +56,7 @@
         }
         for name, rest in cases.items():
             found = asks(b"POST / HTTP/1.1\r\n" + rest + hidden)
-            self.assertEqual([type(event) for event in found], [Refusal], name)
+            self.assertEqual([type(event) for event in found], [RejectedRequest], name)
             self.assertEqual(getattr(found[0], "status", 0), 400, name)
 
     def test_versions_bounds_and_expectations(self) -> None:
@@ -79,7 +79,7 @@
         self.assertEqual([getattr(event, "status", 0) for event in found], [413])
 
     def test_an_endless_field_is_cut_off(self) -> None:
-        reader, found = AskReader(1000, 1000), list[Event]()
+        reader, found = RequestReader(1000, 1000), list[Event]()
         reader.feed(b"GET / HTTP/1.1\r\nX: ")
         for _ in range(200):
             found += reader.feed(b"x" * 1000)
@@ -88,8 +88,8 @@
 
     def test_a_client_that_waits_for_100_continue_is_told_of_unless_its_body_came_along(self) -> None:
         head = b"POST / HTTP/1.1\r\n" + HOST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-        self.assertEqual([type(event) for event in asks(head + b"ab")], [Ask])
-        self.assertEqual([type(event) for event in asks(head + b"ab", len(head))], [Expecting, Ask])
+        self.assertEqual([type(event) for event in asks(head + b"ab")], [HttpRequest])
+        self.assertEqual([type(event) for event in asks(head + b"ab", len(head))], [ContinueExpected, HttpRequest])
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(
@@ -116,15 +116,15 @@
     )
     def test_no_bytes_bring_it_down_and_how_they_are_cut_changes_nothing(self, data: bytes, cut: int) -> None:
         def shown(found: list[Event]) -> list[object]:
-            rows = [event for event in found if not isinstance(event, Expecting)]
-            return [(e.method, e.target, e.headers, e.body) if isinstance(e, Ask) else type(e) for e in rows]
+            rows = [event for event in found if not isinstance(event, ContinueExpected)]
+            return [(e.method, e.target, e.headers, e.body) if isinstance(e, HttpRequest) else type(e) for e in rows]
 
         self.assertEqual(shown(asks(data)), shown(asks(data, cut)))
 
 
 class Answering(unittest.TestCase):
-    def read(self, data: bytes, head: bool = False, cut: int = 0) -> tuple[Progress, AnswerReader]:
-        reader, progress = AnswerReader(1000), Progress.WAITING
+    def read(self, data: bytes, head: bool = False, cut: int = 0) -> tuple[Progress, ResponseReader]:
+        reader, progress = ResponseReader(1000), Progress.WAITING
         reader.expect(head)
         for part in (data[:cut], data[cut:]) if cut else (data,):
             progress = reader.feed(part) if part and progress is Progress.WAITING else progress
@@ -168,7 +168,7 @@
             b"",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         ):
-            _, reader = self.read(text) if text else (None, AnswerReader(10))
+            _, reader = self.read(text) if text else (None, ResponseReader(10))
             self.assertEqual((reader.eof(), reader.answer), (Progress.BROKEN, None))
 
     def test_garbage_too_much_and_two_answers_to_one_request_are_broken(self) -> None:
@@ -182,11 +182,11 @@
             self.assertIs(self.read(text)[0], Progress.BROKEN, text[:30])
 
     def test_one_reader_serves_many_answers_of_a_kept_connection(self) -> None:
-        reader = AnswerReader(1000)
+        reader = ResponseReader(1000)
         for number in range(3):
             reader.expect(False)
             body = b"%d" % number
-            self.assertIs(reader.feed(writing.answer(200, (), body)), Progress.WHOLE)
+            self.assertIs(reader.feed(writing.response(200, (), body)), Progress.WHOLE)
             self.assertEqual(reader.answer and reader.answer.body, body)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
@@ -203,10 +203,10 @@
         sent = body if method in ("POST", "PUT") else b""
         fields = [(b"host", b"a"), (b"x-y", b"z")]
         (ask,) = asks(writing.request(method, b"/p?q", fields, sent))
-        assert isinstance(ask, Ask)
+        assert isinstance(ask, HttpRequest)
         self.assertEqual((ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z"))
-        reader = AnswerReader(1000)
-        self.assertIs(reader.feed(writing.answer(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
+        reader = ResponseReader(1000)
+        self.assertIs(reader.feed(writing.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
         self.assertEqual(reader.answer and reader.answer.body, b"" if status in (204, 304) else body)
 
     def test_fields_of_one_hop_and_those_that_connection_names_stay_behind(self) -> None:
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -7,7 +7,7 @@
 from unittest import mock
 from typing import Any
 
-from lanelead.configuration.kinds import ClassFigures, Tenant
+from lanelead.configuration.kinds import ClassValue, TenantValue
 from lanelead.decisions.interface import Lane, Member, Repeat, Scope
 from lanelead.node import service as services
 from lanelead.node.inforce import InForce, entries, without_figures
@@ -34,8 +34,8 @@
         old, sums = Member("a", 5.0, 0.1), list[float]()
         members, lanes = {"a": old}, dict[str, Lane]()
         here = InForce(members, lanes, sums.append)
-        self.assertEqual([], here.put(["tenant/b"], {"tenant/b": Tenant(7.0, 0.2)}))
-        here.put(["tenant/a"], {"tenant/a": Tenant(6.0, 0.3)})
+        self.assertEqual([], here.put(["tenant/b"], {"tenant/b": TenantValue(7.0, 0.2)}))
+        here.put(["tenant/a"], {"tenant/a": TenantValue(6.0, 0.3)})
         self.assertIs(members["a"], old)  # lookups under way hold it
         self.assertEqual((6.0, 0.3, 12.0, 13.0), (old.quota, old.share, *sums))
         here.put(["tenant/a", "tenant/none"], {})
@@ -44,7 +44,7 @@
     def test_a_class_takes_its_figures_and_one_that_nobody_named_is_given_back(self) -> None:
         lane = Lane("read", 8000, 15000, 1.0, 0.2, Repeat.PURE, Scope.ALL, 0, False, 0.0)
         here = InForce({}, {"read": lane}, lambda _: None)
-        figures = ClassFigures(400.0, 900.0, 2.0, 0.5)
+        figures = ClassValue(400.0, 900.0, 2.0, 0.5)
         self.assertEqual(["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures}))
         self.assertEqual((4000, 9000, 2.0, 0.5), (lane.expected_time, lane.outer_limit, lane.value, lane.late_value))
 
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from lanelead.decisions.interface import Fate, Lookup, Trip, Verdict, Vote
-from lanelead.protocols.records import Malformed, NewsLine
-from lanelead.protocols.steps import AppendAsk, Entry, LeaseAsk, Logged, Page
+from lanelead.protocols.records import Malformed, RolloutMessage
+from lanelead.protocols.steps import AppendRequest, LogEntry, LeaseRequest, LoggedEntry, MigrationLogPage
 from lanelead.settings.records import Demands, Need, Steps
 from lanelead.standins.stepstore import FaultyStore
 from lanelead.steps.join import Readiness
@@ -25,16 +25,16 @@
     step("end", "b", kind="contract"),
     builds=(Demands(1, [], ["end"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
 )
-TAKEN = Entry("plan", text=Goal(PLAN).body)
+TAKEN = LogEntry("plan", text=Goal(PLAN).body)
 
 
-def page(*entries: Entry, since: int = 0) -> Page:
-    rows = [Logged(since + n, 1, "r", 0.0, entry) for n, entry in enumerate(entries, 1)]
-    return Page(rows, since + len(rows))
+def page(*entries: LogEntry, since: int = 0) -> MigrationLogPage:
+    rows = [LoggedEntry(since + n, 1, "r", 0.0, entry) for n, entry in enumerate(entries, 1)]
+    return MigrationLogPage(rows, since + len(rows))
 
 
 class OnTheModule(unittest.TestCase):
-    def readiness(self, *entries: Entry) -> Readiness:
+    def readiness(self, *entries: LogEntry) -> Readiness:
         found = Readiness(SECOND, 0)
         found.hear(page(TAKEN, *entries).entries)
         return found
@@ -65,7 +65,7 @@
         readiness.sent(1, mine)
         readiness.sent(2, other)
         self.assertEqual(readiness.owes(0), 0)
-        readiness.hear(page(Entry("closing", "end"), since=5).entries)
+        readiness.hear(page(LogEntry("closing", "end"), since=5).entries)
         self.assertEqual((readiness.open(1), readiness.owes(0)), (False, 0))
         readiness.ended(mine, True)
         self.assertEqual(readiness.owes(0), 6)
@@ -73,7 +73,7 @@
         self.assertEqual(readiness.owes(0), 0)
 
     def test_a_trip_with_no_known_end_may_still_run_until_its_limit_and_the_grace(self) -> None:
-        readiness = self.readiness(*through("a", "b"), Entry("closing", "end"))
+        readiness = self.readiness(*through("a", "b"), LogEntry("closing", "end"))
         lost = self.trip(100)
         readiness.sent(1, lost)
         readiness.ended(lost, False)
@@ -82,13 +82,13 @@
 
     def test_a_relay_that_has_just_started_does_not_vouch_for_its_earlier_life(self) -> None:
         readiness = Readiness(SECOND, 5 * SECOND)
-        readiness.hear(page(TAKEN, *through("a", "b"), Entry("closing", "end")).entries)
+        readiness.hear(page(TAKEN, *through("a", "b"), LogEntry("closing", "end")).entries)
         self.assertEqual((readiness.owes(5 * SECOND - 1), readiness.owes(5 * SECOND)), (0, 6))
 
     def test_a_record_that_follows_no_rules_is_refused_and_what_came_before_stays(self) -> None:
         readiness = self.readiness(*through("a"))
         with self.assertRaises(Malformed):
-            readiness.hear(page(Entry("done", "b"), since=3).entries)
+            readiness.hear(page(LogEntry("done", "b"), since=3).entries)
         self.assertTrue(readiness.open(2))
         readiness.hear(page(TAKEN, *through("a")).entries)  # a stream that begins anew
         self.assertEqual(readiness.record.seq, 3)
@@ -101,7 +101,7 @@
         self.driver.readiness = Readiness(SECOND, 0)
         self.driver.steps(page(TAKEN))
         self.stage.listed("full", *(self.stage.row(n, build=1 + n % 2) for n in range(4)))
-        self.driver.news(NewsLine(2, 0, "trial", 1.0, 0.0), False, Fate.DONE)
+        self.driver.news(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, Fate.DONE)
 
     def builds(self, many: int = 40) -> set[int]:
         """The builds that lookups go to."""
@@ -132,7 +132,7 @@
         self.stage.ask()
         trip = self.stage.hands.sent[-1][1]
         self.assertIsNotNone(self.driver.still_meant(trip))
-        self.driver.steps(page(*through("a", "b"), Entry("closing", "end"), since=1))
+        self.driver.steps(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
         self.assertIsNone(self.driver.still_meant(trip))
 
     def test_a_vote_on_past_the_stage_waits_and_a_vote_back_does_not(self) -> None:
@@ -159,11 +159,11 @@
         with tempfile.TemporaryDirectory() as folder:
             store = FaultyStore(Ledger(Path(folder, "store.db")))
             port = await store.open(0)
-            token = store.ledger.lease(LeaseAsk("test", 60_000))
+            token = store.ledger.lease(LeaseRequest("test", 60_000))
 
-            def write(*entries: Entry) -> int:
+            def write(*entries: LogEntry) -> int:
                 for entry in entries:
-                    store.written(store.ledger.append(AppendAsk(token, store.ledger.last(), entry)))
+                    store.written(store.ledger.append(AppendRequest(token, store.ledger.last(), entry)))
                 return store.ledger.last()
 
             write(TAKEN)
@@ -179,7 +179,7 @@
 
                 await asyncio.sleep(0.3)
                 self.assertEqual(await bodies(30), {b"old"})
-                last = write(*through("a", "b"), Entry("closing", "end"))
+                last = write(*through("a", "b"), LogEntry("closing", "end"))
                 place.desk._change(2, 1, "released")
                 while b"new" not in (seen := await bodies(5)):
                     await asyncio.sleep(0.05)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -11,7 +11,7 @@
 
 from lanelead.days.commands import load
 from lanelead.days.judge import Finding, Verdict, judge
-from lanelead.protocols.steps import Entry
+from lanelead.protocols.steps import LogEntry
 from lanelead.settings.records import Overflow, StepsOfDay
 from lanelead.standins.capture import BadCapture
 from lanelead.steps.runner import Goal
@@ -347,14 +347,14 @@
 class OfSteps(Case):
     """A plan of two steps, of which build 2 needs the first, run through once."""
 
-    def town(self, *rest: tuple[float, Entry]) -> Papers:
+    def town(self, *rest: tuple[float, LogEntry]) -> Papers:
         papers = Papers()
         papers.day = msgspec.structs.replace(papers.day, steps=StepsOfDay(0, []))
         papers.up("d", 0.0, build=2)
         rows = [
-            (1.0, Entry("plan", text=Goal(ONE_AFTER_ANOTHER).body)),
-            (2.0, Entry("intent", "a")),
-            (3.0, Entry("done", "a")),
+            (1.0, LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).body)),
+            (2.0, LogEntry("intent", "a")),
+            (3.0, LogEntry("done", "a")),
             *rest,
         ]
         for seq, (t, entry) in enumerate(rows, 1):
@@ -383,8 +383,8 @@
             ((), lambda papers: self.effect(papers, 3.5)),
             ((), lambda papers: self.effect(papers, 1.5)),
             ((), lambda papers: self.effect(papers, 2.5, parts=2)),
-            (((4.0, Entry("done", "a")),), lambda papers: None),
-            (((4.0, Entry("intent", "b")),), lambda papers: None),
+            (((4.0, LogEntry("done", "a")),), lambda papers: None),
+            (((4.0, LogEntry("intent", "b")),), lambda papers: None),
         ):
             papers = self.town(*rest)
             act(papers)
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -115,7 +115,7 @@
             """Returns once a hub tells of trips at the silent units and of none at the other."""
             while True:
                 data = await asyncio.get_running_loop().sock_recv(relays.ear, 512)
-                payload = datagrams.open_plain(data)
+                payload = datagrams.decode_plain(data)
                 assert payload is not None and len(data) <= MESSAGE
                 marks.extend(short_marks(payload))
                 out = {
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from lanelead.protocols import datagrams
-from lanelead.protocols.platform import Endpoints, listed
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from tests.platform import NEWS, Unit, answered, good, platform, refused, row, statement, told
 from tests.town import live
@@ -243,7 +243,7 @@
             self.assertEqual(place.units[0].connections, 1)
             found = json.loads(place.list_of(place.units, full=False))
             found["servers"][0]["revision_no"] = 2
-            place.relay._listed(listed(decode(json.dumps(found).encode(), Endpoints)))
+            place.relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             self.assertIn("D", await client.ask("3a"))
             self.assertEqual(place.units[0].connections, 2)
             await place.until(lambda: place.units[0].ended == 1)
@@ -391,12 +391,12 @@
     @live
     async def test_letters_keep_their_length_and_strangers_are_dropped(self) -> None:
         for size in range(255):
-            data = datagrams.plain(bytes(size))
-            self.assertEqual((datagrams.open_plain(data), len(data) <= 256), (bytes(size), True))
-            self.assertIsNone(datagrams.open_plain(data[:-1] + bytes([data[-1] ^ 1])))
+            data = datagrams.encode_plain(bytes(size))
+            self.assertEqual((datagrams.decode_plain(data), len(data) <= 256), (bytes(size), True))
+            self.assertIsNone(datagrams.decode_plain(data[:-1] + bytes([data[-1] ^ 1])))
         with self.assertRaises(ValueError):
-            datagrams.plain(bytes(255))
+            datagrams.encode_plain(bytes(255))
         async with platform(Unit("u0")) as place:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.sendto(datagrams.plain(b""), ("127.0.0.1", place.letters))
+                stranger.sendto(datagrams.encode_plain(b""), ("127.0.0.1", place.letters))
                 await place.until(lambda: place.relay.state()["dropped"] == 1)
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from unittest import mock
 
-from lanelead.protocols.platform import Endpoints, listed
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from lanelead.pgwire import messages
 from tests.platform import Unit, good, platform
@@ -99,7 +99,7 @@
                             {"id": f"s{number}-{n}", "addr": f"127.0.0.1:{1 + n}", "state": state} for n in range(10)
                         ]
                         found = {"version": 2, "full": False, "servers": rows}
-                        relay._listed(listed(decode(json.dumps(found).encode(), Endpoints)))
+                        relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             for number in range(60):
                 client = await place.client()
                 await client.ask(f"{number:x}")
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -10,7 +10,7 @@
 from lanelead.pgwire import clients, messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Fault, Query, Startup, Terminate
 from lanelead.pgwire.messages import READY, message
-from lanelead.pgwire.units import Progress, UnitReader
+from lanelead.pgwire.units import Progress, ServerReader
 from tests.platform import row
 
 START = messages.startup("app", "shop")
@@ -20,8 +20,8 @@
 INSERT = b"INSERT INTO items (id, doc) VALUES ('ab12', '\\x9f03') RETURNING doc /* d=9.5,id=2f,c=file,r=1 */"
 
 
-def unit_reader() -> UnitReader:
-    reader = UnitReader(4096, b"vitals")
+def unit_reader() -> ServerReader:
+    reader = ServerReader(4096, b"vitals")
     assert reader.feed(messages.WELCOME) is Progress.READY
     reader.expect()
     return reader
@@ -79,7 +79,7 @@
             found = statements.read(SELECT.replace(b"c=read,", b"c=" + name.encode() + b","))
             self.assertEqual((found.lane, found.member), (name, "m"))
         for wrong in (b"a*/b", b"a/*b", b"a,b", b"a b", b"\xff\xfe", b"x" * 129):
-            with self.assertRaises(statements.Unreadable):
+            with self.assertRaises(statements.StatementError):
                 statements.read(SELECT.replace(b"c=read,", b"c=" + wrong + b","))
 
     def test_what_no_client_of_the_platform_sends(self) -> None:
@@ -99,14 +99,14 @@
             (b"id=1f", b"id="),
             (b" */", b" */;SELECT 1"),
         ):
-            with self.assertRaises(statements.Unreadable, msg=new):
+            with self.assertRaises(statements.StatementError, msg=new):
                 statements.read(SELECT.replace(old, new, 1))
-        with self.assertRaises(statements.Unreadable):
+        with self.assertRaises(statements.StatementError):
             statements.read(INSERT.replace(b"9f03", b"9f0"))
 
     @given(st.binary(max_size=200))
     def test_noise_is_never_a_statement(self, text: bytes) -> None:
-        with self.assertRaises(statements.Unreadable):
+        with self.assertRaises(statements.StatementError):
             statements.read(text)
 
 
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -13,9 +13,9 @@
 from lanelead.configuration.document import Document
 from lanelead.configuration.holding import Holding
 from lanelead.configuration.store import Store
-from lanelead.protocols.configuration import Accept, Accepted, Ballot, Change, Entry, Prepare, Proposal
-from lanelead.protocols.steps import AppendAsk, ApplyAsk, LeaseAsk, Span
-from lanelead.protocols.steps import Entry as Step
+from lanelead.protocols.configuration import Accept, AcceptedProposal, Ballot, Change, Entry, Prepare, Proposal
+from lanelead.protocols.steps import AppendRequest, ApplyRequest, LeaseRequest, BatchRange
+from lanelead.protocols.steps import LogEntry as Step
 from lanelead.store.ledger import Ledger
 
 PINNED = Path(__file__).parent / "pinned"
@@ -63,12 +63,12 @@
     ledger = Ledger(file, lambda: CLOCK)
     ledger.db.execute("CREATE TABLE offers (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
     ledger.db.execute("INSERT INTO offers (id) VALUES (1), (2), (3)")
-    token = ledger.lease(LeaseAsk("runner-1", 5000))
-    ledger.append(AppendAsk(token, 0, Step("plan", text="a plan")))
+    token = ledger.lease(LeaseRequest("runner-1", 5000))
+    ledger.append(AppendRequest(token, 0, Step("plan", text="a plan")))
     ledger.told(3)
-    ledger.append(AppendAsk(token, 1, Step("intent", "widen")))
+    ledger.append(AppendRequest(token, 1, Step("intent", "widen")))
     statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-    ledger.apply(ApplyAsk(token, 2, 0, (statement,), Span("offers", "id", 2)))
+    ledger.apply(ApplyRequest(token, 2, 0, (statement,), BatchRange("offers", "id", 2)))
     ledger.seen(3, 1)
     ledger.close()
 
@@ -99,7 +99,7 @@
             },
         )
         self.assertEqual(holding.document.changed, {"tenant/a": 3, "tenant/b": 2})
-        self.assertEqual(holding.made(proposal("change-2", "tenant/b", 2.0)), Accepted(2))
+        self.assertEqual(holding.made(proposal("change-2", "tenant/b", 2.0)), AcceptedProposal(2))
         self.assertEqual((holding.acceptor.promised, holding.acceptor.accepted), (Ballot(5, 1), Ballot(4, 2)))
         assert holding.acceptor.change is not None
         self.assertEqual(holding.acceptor.change.ident, "change-4")
@@ -140,12 +140,12 @@
 
     def test_the_file_is_written_on(self) -> None:
         ledger = self.open()
-        token = ledger.lease(LeaseAsk("runner-1", 5000))
+        token = ledger.lease(LeaseRequest("runner-1", 5000))
         self.assertEqual(token, 2)
         statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-        marks = ledger.apply(ApplyAsk(token, 2, 1, (statement,), Span("offers", "id", 2, 2)))
+        marks = ledger.apply(ApplyRequest(token, 2, 1, (statement,), BatchRange("offers", "id", 2, 2)))
         self.assertEqual((marks.parts, marks.finished, marks.rows), (2, True, 3))
-        self.assertEqual(ledger.append(AppendAsk(token, 2, Step("done", "widen"))).seq, 3)
+        self.assertEqual(ledger.append(AppendRequest(token, 2, Step("done", "widen"))).seq, 3)
         self.assertEqual([n for (n,) in ledger.db.execute("SELECT n FROM offers ORDER BY id")], [1, 1, 1])
 
     def test_what_is_written_today_is_what_was_written_then(self) -> None:
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -78,11 +78,11 @@
         "gossip": pack(gossip(ALONE), LANES),
         "gossip between units that share a short id": pack(gossip([*ALONE, *SAME_SHORT_ID]), LANES),
         "gossip of many endpoints": pack(gossip([f"unit-{number}" for number in range(150)]), LANES),
-        "datagram": [datagrams.seal(7, 11, b"payload"), datagrams.plain(b"payload")],
-        "membership datagram": [datagrams.seal(7, 11, b"payload", datagrams.CIRCLE)],
+        "datagram": [datagrams.encode_datagram(7, 11, b"payload"), datagrams.encode_plain(b"payload")],
+        "membership datagram": [datagrams.encode_datagram(7, 11, b"payload", datagrams.MEMBERSHIP_MAGIC)],
         "JSON-RPC": [
-            platform.asked(1, "Events.Watch"),
-            platform.asked(2, "Rollout.Judge", params),
+            platform.encode_call(1, "Events.Watch"),
+            platform.encode_call(2, "Rollout.Judge", params),
             *(platform.VERDICTS[verdict].encode() for verdict in Verdict),
         ],
         "PostgreSQL": [
@@ -98,10 +98,10 @@
         "HTTP": [
             writing.request("GET", b"/offers/1", headers, b""),
             writing.request("POST", b"/offers", headers, b"{}"),
-            writing.answer(200, headers, b"body"),
-            writing.answer(503, headers, b"body", keep=False),
-            writing.answer(200, headers, b"", head=True, length=b"12"),
-            writing.answer(204, headers, b""),
+            writing.response(200, headers, b"body"),
+            writing.response(503, headers, b"body", keep=False),
+            writing.response(200, headers, b"", head=True, length=b"12"),
+            writing.response(204, headers, b""),
             writing.CONTINUE,
         ],
     }
@@ -128,12 +128,12 @@
     def test_recorded_datagrams_are_opened(self) -> None:
         recorded = json.loads(RECORDED.read_text())["written"]
         sealed, plain = (bytes.fromhex(text) for text in recorded["datagram"])
-        opened = datagrams.open_(sealed, 8)
-        assert isinstance(opened, datagrams.Letter)
+        opened = datagrams.decode_datagram(sealed, 8)
+        assert isinstance(opened, datagrams.Datagram)
         self.assertEqual((opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False))
-        self.assertEqual(datagrams.open_plain(plain), b"payload")
-        member = datagrams.open_(bytes.fromhex(recorded["membership datagram"][0]), 8)
-        assert isinstance(member, datagrams.Letter)
+        self.assertEqual(datagrams.decode_plain(plain), b"payload")
+        member = datagrams.decode_datagram(bytes.fromhex(recorded["membership datagram"][0]), 8)
+        assert isinstance(member, datagrams.Datagram)
         self.assertTrue(member.circle)
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from lanelead.protocols.records import Row
+from lanelead.protocols.records import EndpointMessage
 from lanelead.standins.desk import Desk
 from lanelead.standins.roster import Roster
 from tests.town import SETTINGS, Client, ScriptedUnit, live, outside, says
@@ -47,7 +47,7 @@
     unit: ScriptedUnit, descriptors: int, folder: Path, roster: Roster, desk: Desk
 ) -> AsyncIterator[Process]:
     await unit.open()
-    roster.list_now(Row(unit.name, "127.0.0.1", unit.port, "north", 1, "ready"))
+    roster.list_now(EndpointMessage(unit.name, "127.0.0.1", unit.port, "north", 1, "ready"))
     (folder / "relay.cue").write_text(SETTINGS.replace(", MORE", "") % (roster.port, desk.port))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -16,7 +16,7 @@
 
 from lanelead.cli import main
 from lanelead.model.steps import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
-from lanelead.protocols.steps import Entry, Logged
+from lanelead.protocols.steps import LogEntry, LoggedEntry
 from lanelead.settings.records import Batch, Demands, Need, Step, Steps
 from lanelead.steps import runner
 from lanelead.steps.pace import Pace
@@ -46,16 +46,16 @@
 )
 
 
-def written(*entries: Entry, of: Steps = ONE_AFTER_ANOTHER) -> Record:
+def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> Record:
     record = Record()
     body = msgspec.json.encode(of).decode()
-    for seq, entry in enumerate((Entry("plan", text=body), *entries), 1):
-        record.add(Logged(seq, 1, "r", 0.0, entry))
+    for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
+        record.add(LoggedEntry(seq, 1, "r", 0.0, entry))
     return record
 
 
-def through(*names: str) -> list[Entry]:
-    return [entry for name in names for entry in (Entry("intent", name), Entry("done", name))]
+def through(*names: str) -> list[LogEntry]:
+    return [entry for name in names for entry in (LogEntry("intent", name), LogEntry("done", name))]
 
 
 class Plans(unittest.TestCase):
@@ -123,8 +123,8 @@
         self.assertTrue(record.ready(2, 1))
 
     def test_a_step_that_is_intended_or_failed_is_not_done(self) -> None:
-        for rest in ([], [Entry("failed", "a", parts=0, text="x")]):
-            self.assertFalse(written(Entry("intent", "a"), *rest).ready(2))
+        for rest in ([], [LogEntry("failed", "a", parts=0, text="x")]):
+            self.assertFalse(written(LogEntry("intent", "a"), *rest).ready(2))
 
     def test_a_build_that_no_plan_names_counts_as_its_neighbour(self) -> None:
         record = written()
@@ -135,37 +135,37 @@
         record = written(*through("a", "b", "c"))
         self.assertEqual(record.back_ends_with(1), "d")
         self.assertIsNone(record.back_ends_with(2))
-        record = written(*through("a", "b", "c"), Entry("closing", "d"))
+        record = written(*through("a", "b", "c"), LogEntry("closing", "d"))
         self.assertFalse(record.ready(1))
 
     def test_entries_that_break_a_rule_are_refused_and_change_nothing(self) -> None:
         body = msgspec.json.encode(ONE_AFTER_ANOTHER).decode()
         for before, entry, number in (
-            ([], Entry("plan", text=body), 1),
-            ([], Entry("plan", text=body.replace('"p"', '"q"')), 1),
-            ([Entry("intent", "a")], Entry("plan", text=body), 1),
-            ([Entry("intent", "a")], Entry("intent", "b"), 2),
-            ([], Entry("intent", "b"), 3),
-            (through("a", "b"), Entry("intent", "a", "undo"), 5),
-            (through("a", "b"), Entry("closing", "a", "undo"), 3),
-            (through("a", "b", "c"), Entry("intent", "d"), 5),
+            ([], LogEntry("plan", text=body), 1),
+            ([], LogEntry("plan", text=body.replace('"p"', '"q"')), 1),
+            ([LogEntry("intent", "a")], LogEntry("plan", text=body), 1),
+            ([LogEntry("intent", "a")], LogEntry("intent", "b"), 2),
+            ([], LogEntry("intent", "b"), 3),
+            (through("a", "b"), LogEntry("intent", "a", "undo"), 5),
+            (through("a", "b"), LogEntry("closing", "a", "undo"), 3),
+            (through("a", "b", "c"), LogEntry("intent", "d"), 5),
             (
-                [*through("a", "b", "c"), Entry("closing", "d"), Entry("intent", "d", closed=8)],
-                Entry("closing", "d", "undo"),
+                [*through("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", closed=8)],
+                LogEntry("closing", "d", "undo"),
                 4,
             ),
-            ([], Entry("done", "a"), 6),
-            (through("a"), Entry("done", "a"), 6),
-            ([], Entry("resumed", "a"), 6),
-            ([Entry("intent", "a"), Entry("failed", "a", parts=1)], Entry("dropped", "a"), 6),
+            ([], LogEntry("done", "a"), 6),
+            (through("a"), LogEntry("done", "a"), 6),
+            ([], LogEntry("resumed", "a"), 6),
+            ([LogEntry("intent", "a"), LogEntry("failed", "a", parts=1)], LogEntry("dropped", "a"), 6),
         ):
             record = written(*before)
             stands = [mark.stand for mark in record.marks.values()]
             with self.assertRaisesRegex(Broken, f"rule {number}"):
-                record.add(Logged(record.seq + 1, 1, "r", 0.0, entry))
+                record.add(LoggedEntry(record.seq + 1, 1, "r", 0.0, entry))
             self.assertEqual([mark.stand for mark in record.marks.values()], stands)
         with self.assertRaises(Broken):  # a gap
-            written().add(Logged(5, 1, "r", 0.0, Entry("intent", "a")))
+            written().add(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
 
 
 class Running(unittest.TestCase):
@@ -217,12 +217,14 @@
         self.assertEqual(shop.state(), {"a": 1, "b": 2, "c": 1})
 
     def test_a_half_done_step_is_undone_and_an_untouched_one_dropped(self) -> None:
-        body = Entry("plan", text=Goal(ONE_AFTER_ANOTHER).body)
-        half = Shop((body, *through("a"), Entry("intent", "b"), Entry("failed", "b", parts=1)), 1, ((2, 0), (4, 0)))
+        body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).body)
+        half = Shop(
+            (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts=1)), 1, ((2, 0), (4, 0))
+        )
         shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo", to="b"), half)
         self.assertEqual(folded(shop.entries).marks["b"].stand, Stand.WAITING)
         self.assertEqual(shop.state()["b"], 0)
-        none = Shop((body, Entry("intent", "a"), Entry("failed", "a")), 1)
+        none = Shop((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
         shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
         self.assertEqual((shop.entries[-1].kind, shop.had), ("dropped", ()))
 
--- a/tests/test_stepstore.py
+++ b/tests/test_stepstore.py
@@ -13,7 +13,7 @@
 
 from lanelead.cli import main
 from lanelead.days.fleet import free_ports
-from lanelead.protocols.steps import AppendAsk, ApplyAsk, Entry, LeaseAsk, Span
+from lanelead.protocols.steps import AppendRequest, ApplyRequest, LogEntry, LeaseRequest, BatchRange
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
 from lanelead.standins.interrupts import Apart, Filer, Trial, check, counted
@@ -38,10 +38,10 @@
         self.ledger.db.execute("CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
 
     def lease(self, runner: str = "one") -> int:
-        return self.ledger.lease(LeaseAsk(runner, 1000))
+        return self.ledger.lease(LeaseRequest(runner, 1000))
 
     def intent(self, token: int) -> int:
-        return self.ledger.append(AppendAsk(token, self.ledger.last(), Entry("intent", "s"))).seq
+        return self.ledger.append(AppendRequest(token, self.ledger.last(), LogEntry("intent", "s"))).seq
 
     def rows(self) -> list[int]:
         return [n for (n,) in self.ledger.db.execute("SELECT n FROM t ORDER BY id")]
@@ -62,8 +62,8 @@
         self.now = 2.0
         self.lease("two")
         for call in (
-            lambda: self.ledger.append(AppendAsk(token, 1, Entry("done", "s"))),
-            lambda: self.ledger.apply(ApplyAsk(token, intent, 0, ("INSERT INTO t (n) VALUES (1)",))),
+            lambda: self.ledger.append(AppendRequest(token, 1, LogEntry("done", "s"))),
+            lambda: self.ledger.apply(ApplyRequest(token, intent, 0, ("INSERT INTO t (n) VALUES (1)",))),
             lambda: self.ledger.renew(token),
             lambda: self.ledger.forget(token, 0),
         ):
@@ -75,13 +75,13 @@
         token = self.lease()
         self.intent(token)
         with self.denied("stands at 1"):
-            self.ledger.append(AppendAsk(token, 0, Entry("done", "s")))
+            self.ledger.append(AppendRequest(token, 0, LogEntry("done", "s")))
 
     def test_an_intent_waits_for_every_relay_that_was_told(self) -> None:
         token = self.lease()
         self.ledger.told(4)
-        closing = self.ledger.append(AppendAsk(token, 0, Entry("closing", "s"))).seq
-        ask = AppendAsk(token, closing, Entry("intent", "s", closed=closing))
+        closing = self.ledger.append(AppendRequest(token, 0, LogEntry("closing", "s"))).seq
+        ask = AppendRequest(token, closing, LogEntry("intent", "s", closed=closing))
         with self.denied(r"relays \[4\]"):
             self.ledger.append(ask)
         self.ledger.seen(4, closing + 100)  # no relay has seen what is not written
@@ -97,7 +97,9 @@
 
     def test_an_effect_and_its_mark_are_one(self) -> None:
         token = self.lease()
-        ask = ApplyAsk(token, self.intent(token), 0, ("INSERT INTO t (n) VALUES (1)", "INSERT INTO nowhere VALUES (1)"))
+        ask = ApplyRequest(
+            token, self.intent(token), 0, ("INSERT INTO t (n) VALUES (1)", "INSERT INTO nowhere VALUES (1)")
+        )
         with self.denied("nowhere"):
             self.ledger.apply(ask)
         self.assertEqual((self.rows(), self.ledger.marks(1).parts), ([], 0))
@@ -109,7 +111,7 @@
     def test_no_effect_without_an_intent(self) -> None:
         token = self.lease()
         with self.denied("entry 1 is none"):
-            self.ledger.apply(ApplyAsk(token, 1, 0, ("INSERT INTO t (n) VALUES (1)",)))
+            self.ledger.apply(ApplyRequest(token, 1, 0, ("INSERT INTO t (n) VALUES (1)",)))
 
     def test_statements_can_not_end_the_transaction_nor_touch_the_record(self) -> None:
         token = self.lease()
@@ -126,7 +128,7 @@
             "SELECT * FROM ll_marks",
         ):
             with self.assertRaises(Denied, msg=text) as caught:
-                self.ledger.apply(ApplyAsk(token, intent, 0, ("INSERT INTO t (n) VALUES (1)", text)))
+                self.ledger.apply(ApplyRequest(token, intent, 0, ("INSERT INTO t (n) VALUES (1)", text)))
             self.assertEqual(caught.exception.why, "failed")
         self.assertEqual((self.rows(), self.ledger.last()), ([], 1))
 
@@ -136,14 +138,14 @@
         intent, low, seen = self.intent(token), None, list[tuple[int | None, bool, int]]()
         for part in range(3):
             text = "UPDATE t SET n = n + 1 WHERE id > :low AND id <= :high"
-            marks = self.ledger.apply(ApplyAsk(token, intent, part, (text,), Span("t", "id", 2, low)))
+            marks = self.ledger.apply(ApplyRequest(token, intent, part, (text,), BatchRange("t", "id", 2, low)))
             low = marks.cursor
             seen.append((low, marks.finished, marks.rows))
         self.assertEqual(seen, [(1, False, 2), (9, False, 4), (40, True, 5)])
         self.assertEqual(self.rows(), [1] * 5)
         self.ledger.db.execute("DELETE FROM t")
         other = self.intent(token)
-        marks = self.ledger.apply(ApplyAsk(token, other, 0, (text,), Span("t", "id", 2, None)))
+        marks = self.ledger.apply(ApplyRequest(token, other, 0, (text,), BatchRange("t", "id", 2, None)))
         self.assertTrue(marks.finished)
 
     def test_all_is_there_after_the_process_ends_and_its_clock_starts_anew(self) -> None:
--- a/tests/town.py
+++ b/tests/town.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from lanelead.http import writing
-from lanelead.protocols.records import Row
+from lanelead.protocols.records import EndpointMessage
 from lanelead.relay.service import Service
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Relay
@@ -123,7 +123,7 @@
         while True:
             await unit.request(reader)
             await asyncio.sleep(wait)
-            writer.write(writing.answer(status, fields, body))
+            writer.write(writing.response(status, fields, body))
 
     return handler
 
@@ -170,7 +170,7 @@
         self.port = await ready
 
     def list_(self, unit: ScriptedUnit, condition: str, zone: str = "north", build: int = 1) -> None:
-        row = Row(unit.name, "127.0.0.1", unit.port, zone, build, condition)  # type: ignore[arg-type]
+        row = EndpointMessage(unit.name, "127.0.0.1", unit.port, zone, build, condition)  # type: ignore[arg-type]
         self.roster.list_now(row)
 
     async def close(self) -> None:
