--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -8,7 +8,7 @@
 
 from benchmarks.slopes.hollow_relay import NEWS, RATE, RELAYS, UNITS, Meter, Town
 from benchmarks.slopes.series import Series, processor_us, traced_mb
-from lanelead.decisions.interface import Condition, Coverage
+from lanelead.decisions.interface import EndpointStatus, UpdateScope
 
 SERVICES = (1, 10, 100, 300)
 OF_ONE = 26  # units of a service
@@ -42,11 +42,13 @@
 def change_us(town: Town) -> float:
     """One unit is told of as draining, then as ready again: of one such change."""
     unit, relay = town.units[len(town.units) // 2], town.relay
-    rows = [town.listing(unit, NEWS["build"], condition) for condition in (Condition.DRAINING, Condition.READY)]
+    rows = [
+        town.listing(unit, NEWS["build"], condition) for condition in (EndpointStatus.DRAINING, EndpointStatus.READY)
+    ]
 
     def both() -> None:
         for row in rows:
-            relay.roster(Coverage.CHANGES, [row])
+            relay.endpoints_updated(UpdateScope.DELTA, [row])
 
     return processor_us(both) / 2
 
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -25,13 +25,13 @@
 from typing import Any
 
 from benchmarks.slopes.sizes import Size, listing, settings
-from lanelead.decisions.interface import SECOND, Fate, Ticks, Trip, Unit, Vote
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.interface import SECOND, AttemptOutcome, Ticks, Attempt, Endpoint, CastVote
+from lanelead.decisions.rules import Balancer
 from lanelead.hosting.door import FORM, HEAD, LOAD, ROW
-from lanelead.hosting.opening import Opening, pairs_of
+from lanelead.hosting.opening import ParameterReader, pairs_of
 from lanelead.protocols import datagrams
 from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.relay.driver import Driver, Outcome, Ticket
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.relay.timing import EPOCH
 
 UDP_HEAD = 28  # bytes of the IPv4 and UDP heads of a datagram; counted nowhere unless said
@@ -56,45 +56,47 @@
     fleet: Fleet
     number: int
     share: float
-    driver: Driver = field(init=False)
-    decisions: Relay = field(init=False)
+    driver: DecisionDriver = field(init=False)
+    decisions: Balancer = field(init=False)
     costs: dict[str, Cost] = field(default_factory=dict)
     sent: Counter[str] = field(default_factory=Counter)  # letters, bytes
     came: Counter[str] = field(default_factory=Counter)
     parts: Counter[str] = field(default_factory=Counter)  # bytes that came, of sightings and of loads
-    outcomes: Counter[Outcome] = field(default_factory=Counter)
+    outcomes: Counter[RequestOutcome] = field(default_factory=Counter)
     asked: int = 0
     up: bool = True
     life: int = 0
     armed: Ticks | None = None
     wakes: int = 0
-    waiting: list[Trip] = field(default_factory=list)
+    waiting: list[Attempt] = field(default_factory=list)
     letters: list[tuple[int, bytes]] = field(default_factory=list)
-    connecting: dict[Trip, None] = field(default_factory=dict)
+    connecting: dict[Attempt, None] = field(default_factory=dict)
 
     # Hands
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self.waiting.append(trip)
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return self.connecting.pop(trip, 0) == 0
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         assert peer is not None  # `Circle` names each
         for payload in payloads:
             self.letters.append((peer, datagrams.encode_plain(payload)))
 
-    def probe(self, unit: Unit) -> None: ...
-    def close(self, unit: Unit) -> None: ...
-    def vote(self, vote: Vote) -> None: ...
-    def watch(self, on: bool) -> None: ...
-    def fetch(self) -> None: ...
-    def note(self, text: str) -> None: ...
+    def check_health(self, unit: Endpoint) -> None: ...
+    def close_idle_connections(self, unit: Endpoint) -> None: ...
+    def cast_vote(self, vote: CastVote) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
     # Clients
 
-    def reply(self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Any, back: Ticks) -> None:
+    def reply(
+        self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks
+    ) -> None:
         self.outcomes[outcome] += 1
 
     def us(self, *kinds: str) -> float:
@@ -160,35 +162,35 @@
         gc.disable()
         try:
             self._count(relay, "start", self._make, relay)
-            self._count(relay, "list", relay.driver.listed, EndpointListMessage("full", 1, 0.0, self.rows), 0)
-            self._count(relay, "news", relay.driver.news, NEWS, False, Fate.DONE)
+            self._count(relay, "list", relay.driver.endpoints_listed, EndpointListMessage("full", 1, 0.0, self.rows), 0)
+            self._count(relay, "news", relay.driver.rollout_read, NEWS, False, AttemptOutcome.SUCCEEDED)
         finally:
             if collecting:
                 gc.enable()
 
     def _make(self, relay: Hollow) -> None:
-        opening = Opening([*pairs_of(settings(self.size, relay.number))])
-        lanes, duties, allowance = opening.lanes(), opening.duties(), opening.allowance()
-        relay.decisions = Relay(
-            place=opening.place(),
+        opening = ParameterReader([*pairs_of(settings(self.size, relay.number))])
+        lanes, duties, allowance = opening.request_classes(), opening.service_limits(), opening.resource_quota()
+        relay.decisions = Balancer(
+            place=opening.position(),
             lanes=lanes,
-            members=opening.members(),
+            members=opening.tenants(),
             allowance=allowance,
             duties=duties,
-            trial=opening.trial(),
-            poll=opening.poll(),
-            tariff=opening.tariff(),
+            trial=opening.canary_limits(),
+            poll=opening.voting_rules(),
+            tariff=opening.prices(),
             chance=Random(f"relay {self.seed} {relay.number}"),
             now=self.now,
         )
-        relay.driver = Driver(
+        relay.driver = DecisionDriver(
             relay.decisions,
             relay,
             lambda: self.now,
             lanes,
             duties,
-            allowance.open_lookups,
-            allowance.longest_advice,
+            allowance.max_in_flight,
+            allowance.max_retry_after,
         )
 
     def restart_requests(self) -> None:
@@ -250,9 +252,9 @@
         elif kind == "answer":
             trip, fate, life = what
             relay.connecting.pop(trip, None)
-            gone = fate is Fate.DONE and not self._reaches(relay, trip)
-            if trip.fate is None and life == relay.life and not gone:
-                self._count(relay, "ended", relay.driver.ended, trip, fate, None, None)
+            gone = fate is AttemptOutcome.SUCCEEDED and not self._reaches(relay, trip)
+            if trip.outcome is None and life == relay.life and not gone:
+                self._count(relay, "ended", relay.driver.attempt_ended, trip, fate, None, None)
         elif kind == "letter":
             sender, data = what
             relay.came["letters"] += 1
@@ -262,7 +264,7 @@
             relay.parts["loads"] += len(data) - 2 - HEAD - seen
             self._count(relay, "heard", self._heard, relay, sender, data)
         elif kind == "list":
-            self._count(relay, "list", relay.driver.listed, what, 0)
+            self._count(relay, "list", relay.driver.endpoints_listed, what, 0)
         elif kind == "wake":
             relay.armed = None
             due = relay.driver._timers[0] if relay.driver._timers else (0, 0, 0)
@@ -271,12 +273,12 @@
     def _heard(self, relay: Hollow, sender: int, data: bytes) -> None:
         payload = datagrams.decode_plain(data)
         if payload is not None:
-            relay.driver.heard(sender, payload)
+            relay.driver.gossip_received(sender, payload)
 
     def _request(self, relay: Hollow) -> None:
-        lane = relay.driver.lanes["read" if self.chance.random() < 0.65 else "file"]
-        ticket = Ticket(f"{relay.number}-{relay.asked}", None, relay.reply)
-        self._count(relay, "take", relay.driver.take, ticket, lane, None, None, 39_000)
+        lane = relay.driver.request_classes["read" if self.chance.random() < 0.65 else "file"]
+        ticket = PendingRequest(f"{relay.number}-{relay.asked}", None, relay.reply)
+        self._count(relay, "take", relay.driver.receive, ticket, lane, None, None, 39_000)
 
     def _next_request(self, relay: Hollow) -> None:
         gap = self.chance.expovariate(self.size.rate * relay.share * self.crowd)
@@ -288,15 +290,15 @@
         """One event: counted with what a real process does after it, then its effects go into the heap."""
         before = time.thread_time_ns()
         what(*told)
-        goes: list[Trip] = []
+        goes: list[Attempt] = []
         while relay.waiting:
             trips, relay.waiting = relay.waiting, []
             for trip in trips:
-                if relay.driver.still_meant(trip) is None:
-                    relay.driver.ended(trip, Fate.UNSENT)
+                if relay.driver.destination_of(trip) is None:
+                    relay.driver.attempt_ended(trip, AttemptOutcome.NOT_SENT)
                 else:
                     goes.append(trip)
-        due = relay.driver.due()
+        due = relay.driver.next_timer()
         spent = time.thread_time_ns() - before
         cost = relay.costs.setdefault(kind, Cost())
         cost.events += 1
@@ -311,16 +313,16 @@
         relay.letters.clear()
         self.watching(kind, relay, goes)
 
-    def _set_out(self, relay: Hollow, trip: Trip) -> None:
+    def _set_out(self, relay: Hollow, trip: Attempt) -> None:
         if not self._reaches(relay, trip):
             relay.connecting[trip] = None
-            self.at(self.now + CONNECTING, "answer", relay.number, (trip, Fate.UNREACHABLE, relay.life))
+            self.at(self.now + CONNECTING, "answer", relay.number, (trip, AttemptOutcome.CONNECT_FAILED, relay.life))
             return
         took = exp(self._mu + self._sigma * self.chance.gauss(0, 1)) + self.size.link
-        self.at(self.now + max(1, int(took * 10)), "answer", relay.number, (trip, Fate.DONE, relay.life))
+        self.at(self.now + max(1, int(took * 10)), "answer", relay.number, (trip, AttemptOutcome.SUCCEEDED, relay.life))
 
-    def _reaches(self, relay: Hollow, trip: Trip) -> bool:
-        name = relay.driver.door.names.get(trip.unit)
+    def _reaches(self, relay: Hollow, trip: Attempt) -> bool:
+        name = relay.driver.registry.names.get(trip.endpoint)
         return name is not None and self.reach(relay.number, name)
 
     def _told(self, relay: Hollow, to: int, data: bytes) -> None:
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -14,29 +14,29 @@
 
 from lanelead.decisions.interface import (
     SECOND,
-    CallOff,
-    Condition,
-    Coverage,
-    Fate,
-    Lane,
-    Listing,
-    Load,
-    Lookup,
-    Member,
-    News,
-    Pace,
-    Phase,
-    Probe,
-    Send,
+    CancelAttempt,
+    EndpointStatus,
+    UpdateScope,
+    AttemptOutcome,
+    RequestClass,
+    EndpointRecord,
+    InFlightCount,
+    Request,
+    Tenant,
+    RolloutState,
+    FleetLatency,
+    RolloutPhase,
+    CheckHealth,
+    StartAttempt,
     Ticks,
-    Trip,
-    Unit,
-    Vote,
-    Wake,
+    Attempt,
+    Endpoint,
+    CastVote,
+    SetTimer,
 )
-from lanelead.decisions.rules import Relay
-from lanelead.hosting.opening import Opening, pairs_of
-from lanelead.relay.driver import Driver, Ticket
+from lanelead.decisions.rules import Balancer
+from lanelead.hosting.opening import ParameterReader, pairs_of
+from lanelead.relay.driver import DecisionDriver, PendingRequest
 
 UNITS = (26, 150, 780, 7800)
 RATE = 183  # lookups a second at one relay: its mean at the peak
@@ -127,21 +127,21 @@
     }
 
 
-def opening(told: dict[str, Any]) -> Opening:
-    return Opening([*pairs_of(told)])
+def opening(told: dict[str, Any]) -> ParameterReader:
+    return ParameterReader([*pairs_of(told)])
 
 
-def decisions(told: Opening, lanes: Sequence[Lane], members: Sequence[Member], now: Ticks) -> Relay:
+def decisions(told: ParameterReader, lanes: Sequence[RequestClass], members: Sequence[Tenant], now: Ticks) -> Balancer:
     """As the platform's relay makes them. Lanes and members are known by the objects given here."""
-    return Relay(
-        place=told.place(),
+    return Balancer(
+        place=told.position(),
         lanes=lanes,
         members=members,
-        allowance=told.allowance(),
-        duties=told.duties(),
-        trial=told.trial(),
-        poll=told.poll(),
-        tariff=told.tariff(),
+        allowance=told.resource_quota(),
+        duties=told.service_limits(),
+        trial=told.canary_limits(),
+        poll=told.voting_rules(),
+        tariff=told.prices(),
         chance=Random(7),
         now=now,
     )
@@ -150,31 +150,31 @@
 class Hands:
     """Does nothing of what it is asked to."""
 
-    def send(self, trip: Trip, ticket: Ticket) -> None: ...
-    def abandon(self, trip: Trip) -> bool:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None: ...
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return False
 
-    def probe(self, unit: Unit) -> None: ...
-    def close(self, unit: Unit) -> None: ...
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None: ...
-    def vote(self, vote: Vote) -> None: ...
-    def watch(self, on: bool) -> None: ...
-    def fetch(self) -> None: ...
-    def note(self, text: str) -> None: ...
+    def check_health(self, unit: Endpoint) -> None: ...
+    def close_idle_connections(self, unit: Endpoint) -> None: ...
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None: ...
+    def cast_vote(self, vote: CastVote) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
-def driver(told: Opening) -> Driver:
+def driver(told: ParameterReader) -> DecisionDriver:
     """A relay's driver with hollow hands, on a clock that stands still."""
     now: Ticks = 3600 * SECOND
-    allowance, lanes = told.allowance(), told.lanes()
-    return Driver(
-        decisions(told, lanes, told.members(), now),
+    allowance, lanes = told.resource_quota(), told.request_classes()
+    return DecisionDriver(
+        decisions(told, lanes, told.tenants(), now),
         Hands(),
         lambda: now,
         lanes,
-        told.duties(),
-        allowance.open_lookups,
-        allowance.longest_advice,
+        told.service_limits(),
+        allowance.max_in_flight,
+        allowance.max_retry_after,
     )
 
 
@@ -222,28 +222,30 @@
     ) -> None:
         self.now: Ticks = 3600 * SECOND
         told = opening(settings(probe=probe))
-        self.lanes, self.members, self.meter = told.lanes(), told.members(), meter or Meter()
+        self.lanes, self.members, self.meter = told.request_classes(), told.tenants(), meter or Meter()
         self.relay = decisions(told, self.lanes, self.members, self.now)
         self._gap, self._due, self._heap = SECOND / rate, float(self.now), list[tuple[Ticks, int, Any]]()
         self._chance, self._number, self._told = Random(11), 0, self.now
         self.sent = self.asked = 0
         marks = self._chance.sample(range(65536), units)  # one for each
-        self.units = [self.relay.meet(mark) for mark in marks]
+        self.units = [self.relay.new_endpoint(mark) for mark in marks]
         new = round(trial * units)
         rows = [
             self.listing(unit, NEWS["build"] if place >= new else NEWS["build"] + 1)
             for place, unit in enumerate(self.units)
         ]
-        self.relay.roster(Coverage.CACHED, rows)
-        build, phase, stage = NEWS["build"], Phase.RELEASED, NEWS["stage"]
+        self.relay.endpoints_updated(UpdateScope.CACHED, rows)
+        build, phase, stage = NEWS["build"], RolloutPhase.PROMOTED, NEWS["stage"]
         if new:
-            build, phase, stage = build + 1, Phase.TRIAL, 0
-        self.relay.news(News(build, stage, phase, 0.096 if new else 1.0, 60 * SECOND, False, Fate.DONE))
+            build, phase, stage = build + 1, RolloutPhase.CANARY, 0
+        self.relay.rollout_updated(
+            RolloutState(build, stage, phase, 0.096 if new else 1.0, 60 * SECOND, False, AttemptOutcome.SUCCEEDED)
+        )
         self._carry()
 
-    def listing(self, unit: Unit, build: int, condition: Condition = Condition.READY) -> Listing:
-        zone = ZONES[unit.mark % len(ZONES)]
-        return Listing(unit, zone, unit.mark % 60, "std", 1, build, 1.0, condition)
+    def listing(self, unit: Endpoint, build: int, condition: EndpointStatus = EndpointStatus.READY) -> EndpointRecord:
+        zone = ZONES[unit.short_id % len(ZONES)]
+        return EndpointRecord(unit, zone, unit.short_id % 60, "std", 1, build, 1.0, condition)
 
     def run(self, seconds: float, beats: bool = True) -> None:
         """Lets the clock go on; each call is counted under its own name."""
@@ -253,10 +255,10 @@
             while self._due <= end:
                 self._until(int(self._due))
                 lane, member = self._chance.choice(self.lanes), self._chance.choice(self.members)
-                lookup = Lookup(lane, member, None, self.now, self.now + lane.outer_limit)
+                lookup = Request(lane, member, None, self.now, self.now + lane.timeout)
                 self.asked += 1
                 meter.start()
-                self.relay.take(lookup)
+                self.relay.request_received(lookup)
                 meter.stop("take")
                 self._carry()
                 self._due += self._gap
@@ -274,44 +276,44 @@
 
     def _happen(self, what: Any) -> None:
         meter = self.meter
-        if isinstance(what, Trip):
-            if what.fate is None:
+        if isinstance(what, Attempt):
+            if what.outcome is None:
                 good = self._chance.randrange(FAULTY) > 0
-                fate = Fate.DONE if good else Fate.ERROR
+                fate = AttemptOutcome.SUCCEEDED if good else AttemptOutcome.ERROR
                 meter.start()
-                self.relay.ended(what, fate, good, self.now - what.sent, None)
+                self.relay.attempt_ended(what, fate, good, self.now - what.sent_at, None)
                 meter.stop("outcome")
-        elif isinstance(what, Unit):
+        elif isinstance(what, Endpoint):
             meter.start()
-            self.relay.probed(what, Fate.DONE, 10, {"waiting": 0.0, "rps": 14.0})
+            self.relay.health_checked(what, AttemptOutcome.SUCCEEDED, 10, {"waiting": 0.0, "rps": 14.0})
             meter.stop("probed")
         elif what is None:
             meter.start()
-            self.relay.wake(None)
+            self.relay.timer_fired(None)
             meter.stop("beat")
             if self.now >= self._told + SECOND * 4 // 5:
                 self._told = self.now
-                words = [Load(unit, 2) for unit in self._chance.sample(self.units, min(83, len(self.units)))]
+                words = [InFlightCount(unit, 2) for unit in self._chance.sample(self.units, min(83, len(self.units)))]
                 meter.start()
-                self.relay.heard(0, [*words, Pace(TOOK)])
+                self.relay.gossip_received(0, [*words, FleetLatency(TOOK)])
                 meter.stop("told")
-        elif not what.over:
+        elif not what.finished:
             meter.start()
-            self.relay.wake(what)
+            self.relay.timer_fired(what)
             meter.stop("woken")
         self._carry()
 
     def _carry(self) -> None:
-        acts, self.relay.acts = self.relay.acts, []
+        acts, self.relay.actions = self.relay.actions, []
         for act in acts:
             self._number += 1
             match act:
-                case Send(trip):
+                case StartAttempt(trip):
                     self.sent += 1
                     heappush(self._heap, (self.now + TOOK, self._number, trip))
-                case Wake(at, what):
+                case SetTimer(at, what):
                     heappush(self._heap, (at, self._number, what))
-                case Probe(unit):
+                case CheckHealth(unit):
                     heappush(self._heap, (self.now + 10, self._number, unit))
-                case CallOff(trip):
-                    trip.fate = Fate.CALLED_OFF
+                case CancelAttempt(trip):
+                    trip.outcome = AttemptOutcome.CANCELLED
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -15,8 +15,8 @@
 from benchmarks.slopes.fleet import SHARES, Fleet, Hollow
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
-from lanelead.decisions.interface import SECOND, Sighting
-from lanelead.hosting.door import pack
+from lanelead.decisions.interface import SECOND, OutcomeObservation
+from lanelead.hosting.door import encode_gossip
 from lanelead.relay.timing import EPOCH
 
 UNITS = 13  # a relay
@@ -114,10 +114,10 @@
         driver = fleet.relays[0].driver
         for second in range(SCORED if scored else 0):
             fleet.now = EPOCH + second * SECOND
-            for lane in driver.lanes.values():
-                seen = [Sighting(unit, lane, 1, 7, [0] * 5) for unit in driver.places]
-                for text in pack(seen, list(driver.lanes.values())):
-                    driver.heard(relays - 1, text)
+            for lane in driver.request_classes.values():
+                seen = [OutcomeObservation(unit, lane, 1, 7, [0] * 5) for unit in driver.destinations]
+                for text in encode_gossip(seen, list(driver.request_classes.values())):
+                    driver.gossip_received(relays - 1, text)
         return fleet
 
     return traced_mb(make)[0]
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -14,7 +14,7 @@
 from lanelead.node.feeds import LONGEST
 from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
-from lanelead.relay.driver import Driver
+from lanelead.relay.driver import DecisionDriver
 
 TENTH = 0.1
 STATES: tuple[Literal["leaving", "active"], ...] = ("leaving", "active")
@@ -50,21 +50,21 @@
     read_endpoint_list(decode(text, EndpointList, LONGEST))
 
 
-def taken_in(driver: Driver, texts: list[bytes]) -> float:
+def taken_in(driver: DecisionDriver, texts: list[bytes]) -> float:
     """Microseconds for one of the lists, which are taken in again and again, in turn."""
     lists = [read_endpoint_list(decode(text, EndpointList, LONGEST)) for text in texts]
 
     def all_of_them() -> None:
         for each in lists:
-            driver.listed(each, 0)
+            driver.endpoints_listed(each, 0)
 
     return processor_us(all_of_them) / len(lists)
 
 
-def filled(texts: list[bytes]) -> Driver:
+def filled(texts: list[bytes]) -> DecisionDriver:
     made = driver(opening(settings()))
     for text in texts:
-        made.listed(read_endpoint_list(decode(text, EndpointList, LONGEST)), 0)
+        made.endpoints_listed(read_endpoint_list(decode(text, EndpointList, LONGEST)), 0)
     return made
 
 
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -16,7 +16,7 @@
 from benchmarks.slopes.fleet import Fleet, Hollow
 from benchmarks.slopes.series import Series, resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, listing
-from lanelead.decisions.interface import SECOND, Fate
+from lanelead.decisions.interface import SECOND, AttemptOutcome
 from lanelead.protocols.records import EndpointListMessage
 
 SIZES, SMALL = ((8, 104), (40, 520), (200, 2600), (600, 7800)), ((8, 104), (40, 520))
@@ -40,7 +40,7 @@
         at = (self.fleet.now - self.start) // BIN
         for trip in goes:
             self.all[at] += 1
-            self.vain[at] += relay.driver.door.names.get(trip.unit) in self.lost
+            self.vain[at] += relay.driver.registry.names.get(trip.endpoint) in self.lost
 
     def until(self, part: float) -> float | None:
         """Seconds until attempts at lost units stay below that part of the share they begin with, for a
@@ -122,9 +122,9 @@
         "told": most(lambda relay: len(relay.decisions._out._told)),
         "others": most(lambda relay: len(relay.decisions._out._others)),
         "windows": most(lambda relay: len(relay.decisions._scoring.windows.all)),
-        "tickets": most(lambda relay: len(relay.driver.tickets)),
+        "tickets": most(lambda relay: len(relay.driver.pending)),
         "timers": most(lambda relay: len(relay.driver._timers)),
-        "places": most(lambda relay: len(relay.driver.places)),
+        "places": most(lambda relay: len(relay.driver.destinations)),
     }
 
 
@@ -137,9 +137,9 @@
     steady: dict[str, dict[str, float]] = {}
 
     def trips() -> tuple[int, int]:
-        counts = [relay.driver.counts for relay in fleet.relays]
-        vain = sum(count.fates.get(Fate.UNREACHABLE, 0) for count in counts)
-        return sum(count.trips for count in counts), vain
+        counts = [relay.driver.counters for relay in fleet.relays]
+        vain = sum(count.outcomes.get(AttemptOutcome.CONNECT_FAILED, 0) for count in counts)
+        return sum(count.attempts for count in counts), vain
 
     def span(name: str, seconds: float) -> None:
         fleet.reset()
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -19,7 +19,7 @@
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
 from lanelead.decisions.interface import SECOND
-from lanelead.hosting.opening import Opening, pairs_of
+from lanelead.hosting.opening import ParameterReader, pairs_of
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.records import decode
 from lanelead.relay.timing import EPOCH
@@ -55,7 +55,7 @@
     body = whole_list(units)
     size = Size(600, units, 0.0, whole=1)
     read = processor_us(lambda: read_endpoint_list(decode(body, EndpointList, 16 << 20)), rounds=3)
-    opening = processor_us(lambda: Opening([*pairs_of(settings(size, 0))]).lanes(), rounds=3)
+    opening = processor_us(lambda: ParameterReader([*pairs_of(settings(size, 0))]).request_classes(), rounds=3)
     fleet = Fleet(size, 1)
     relay = fleet.relays[0]
     taken = []
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -24,7 +24,7 @@
 from benchmarks.slopes.lists import endpoint
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from lanelead.decisions.interface import SECOND
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.node.config import load
 
 TENANTS = (100, 4900, 49000)
@@ -136,9 +136,9 @@
     return found
 
 
-def made(file: Path) -> Relay:
+def made(file: Path) -> Balancer:
     told = load(str(file)).opening
-    return decisions(told, told.lanes(), told.members(), 3600 * SECOND)
+    return decisions(told, told.request_classes(), told.tenants(), 3600 * SECOND)
 
 
 def by_tenants(sizes: tuple[int, ...], folder: Path) -> list[Series]:
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -18,30 +18,30 @@
 
 from lanelead.decisions.interface import (
     SECOND,
-    Act,
-    Allowance,
-    Control,
-    Duties,
-    Fate,
-    Lane,
-    Member,
-    News,
-    Place,
-    Repeat,
-    Scope,
-    Tariff,
+    Action,
+    ResourceQuota,
+    PromotionControl,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    Tenant,
+    RolloutState,
+    RelayPosition,
+    Idempotency,
+    DeduplicationScope,
+    Prices,
     Ticks,
-    Trip,
-    Unit,
-    Vote,
+    Attempt,
+    Endpoint,
+    CastVote,
 )
 from lanelead.decisions.rollout import Rollout
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.decisions.servers import Roster
 from lanelead.protocols.platform import VERDICTS, encode_call
 from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
-from lanelead.relay.driver import WORDS, Driver, Outcome, Ticket
-from lanelead.relay.driver import VERDICTS as SAID
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.settings.records import Poll, Trial
 from lanelead.standins.polling import Polling
 from tests.platform import answered, told
@@ -57,10 +57,10 @@
 AFTER = 8.0  # seconds after it: votes lapse after 6
 LONGEST = 40.0  # seconds of a release at the most: three times what a good build takes
 EPOCH: Ticks = 36_000_000
-LANE = Lane("read", 8000, 15_000, 1.0, 0.2, Repeat.PURE, Scope.ALL, 20_000, False, 0.0)
-ALLOWANCE = Allowance(3, 1000, 1, True, True, True, False, True, 20_000, 2500, 150_000)
-DUTIES = Duties(200, 20_000, 0.5, 20_000, 4.0, 10_000, False, 0, 50)
-TARIFF = Tariff(0.08, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1)
+LANE = RequestClass("read", 8000, 15_000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 20_000, False, 0.0)
+ALLOWANCE = ResourceQuota(3, 1000, 1, True, True, True, False, True, 20_000, 2500, 150_000)
+DUTIES = ServiceLimits(200, 20_000, 0.5, 20_000, 4.0, 10_000, False, 0, 50)
+TARIFF = Prices(0.08, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1)
 TRIAL = Trial([0.08, 0.6, 1.0], [0.096, 0.72, 1.0], 3.0, 3000.0, False, 0, False, False)
 
 
@@ -82,10 +82,10 @@
         self.chance = Random(f"{town.seed} hands {number}")
         self._timer: Ticks | None = None
         self._calls = 0
-        decisions = Relay(
-            place=Place(number, relays, "north"),
+        decisions = Balancer(
+            place=RelayPosition(number, relays, "north"),
             lanes=[LANE],
-            members=[Member("m", 1e6, 1.0)],
+            members=[Tenant("m", 1e6, 1.0)],
             allowance=ALLOWANCE,
             duties=DUTIES,
             trial=TRIAL.figures(),
@@ -94,10 +94,10 @@
             chance=chance,
             now=town.ticks(),
         )
-        self.driver = Driver(decisions, self, town.ticks, [LANE], DUTIES, 1000, 20_000)
+        self.driver = DecisionDriver(decisions, self, town.ticks, [LANE], DUTIES, 1000, 20_000)
 
     def after(self) -> None:
-        due = self.driver.due()
+        due = self.driver.next_timer()
         if due is not None and (self._timer is None or due < self._timer):
             self._timer = due
             self.town.at(due / SECOND, self._fire)
@@ -110,48 +110,48 @@
 
     def ask(self) -> None:
         """A client's request, and the next one after a while."""
-        ticket = Ticket("", None, _nothing)
-        self.driver.take(ticket, LANE, None, None, 14_000)
+        ticket = PendingRequest("", None, _nothing)
+        self.driver.receive(ticket, LANE, None, None, 14_000)
         self.after()
         self.town.later(self.chance.expovariate(ASKS), self.ask)
 
-    def hear(self, line: RolloutMessage, answer: bool = False, word: Fate = Fate.DONE) -> None:
-        self.driver.news(line, answer, word)
+    def hear(self, line: RolloutMessage, answer: bool = False, word: AttemptOutcome = AttemptOutcome.SUCCEEDED) -> None:
+        self.driver.rollout_read(line, answer, word)
         self.after()
 
     def listed(self, listed: EndpointListMessage) -> None:
-        self.driver.listed(listed, 0)
+        self.driver.endpoints_listed(listed, 0)
         self.after()
 
     # Hands
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self.town.later(self.chance.uniform(*TOOK), lambda: self._ended(trip))
 
-    def _ended(self, trip: Trip) -> None:
-        self.driver.ended(trip, Fate.DONE)
+    def _ended(self, trip: Attempt) -> None:
+        self.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED)
         self.after()
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         for payload in payloads:
             self.town.letter(self.number, peer, payload)
 
-    def vote(self, vote: Vote) -> None:
+    def cast_vote(self, vote: CastVote) -> None:
         self._calls += 1
         there, back = self.chance.uniform(*CALL) / 2, self.chance.uniform(*CALL) / 2
         self.town.later(there, lambda: self.town.cast(self, vote, self._calls, back))
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return True
 
-    def probe(self, unit: Unit) -> None: ...
-    def close(self, unit: Unit) -> None: ...
-    def watch(self, on: bool) -> None: ...
-    def fetch(self) -> None: ...
-    def note(self, text: str) -> None: ...
+    def check_health(self, unit: Endpoint) -> None: ...
+    def close_idle_connections(self, unit: Endpoint) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
-def _nothing(ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Any, back: Ticks) -> None:
+def _nothing(ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks) -> None:
     return
 
 
@@ -214,7 +214,7 @@
         self.began = self.now
         look = Rollout.look
 
-        def timed(rollout: Rollout, news: News, roster: Roster, now: Ticks) -> list[Act]:
+        def timed(rollout: Rollout, news: RolloutState, roster: Roster, now: Ticks) -> list[Action]:
             began = time.process_time_ns()
             acts = look(rollout, news, roster, now)
             self.look_s += (time.process_time_ns() - began) / 1e9
@@ -257,7 +257,7 @@
         self.news += len(told(_state(line)))
         seat.hear(line)
 
-    def cast(self, seat: Seat, vote: Vote, number: int, back: float) -> None:
+    def cast(self, seat: Seat, vote: CastVote, number: int, back: float) -> None:
         text = encode_call(
             number,
             "Rollout.Judge",
@@ -267,16 +267,16 @@
                 "verdict": VERDICTS[vote.verdict],
             },
         )
-        word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, SAID[vote.verdict]))  # type: ignore[arg-type]
+        word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict]))  # type: ignore[arg-type]
         assert line is not None
         size = len(text) + len(answered(number, _state(line)))
         self.casts.append(Cast(self.now - self.began, vote.stage, word, size))
-        fate = WORDS[word]
+        fate = VOTE_OUTCOMES[word]
         self.later(back, lambda: seat.hear(line, True, fate))
 
     def letter(self, sender: int, peer: int | None, payload: bytes) -> None:
         def come(seat: Seat) -> None:
-            seat.driver.heard(sender, payload)
+            seat.driver.gossip_received(sender, payload)
             seat.after()
 
         for number in range(len(self.seats)) if peer is None else [peer]:
@@ -316,6 +316,7 @@
 
 def poll_of(relays: int, count: bool) -> Poll:
     """As the site sets it (the first voice decides), or by the count of half of all relays."""
-    control = Control.BY_COUNT if count else Control.FIRST_VOICE
+    control = PromotionControl.VOTE_COUNT if count else PromotionControl.FIRST_VOTE
+    words = {control: word for word, control in PROMOTION_CONTROLS.items()}
     needed, back = (relays // 2 + 1, max(1, relays // 10)) if count else (1, 1)
-    return Poll(control.value, needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
+    return Poll(words[control], needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
--- a/lanelead/benchlink/__main__.py
+++ b/lanelead/benchlink/__main__.py
@@ -5,13 +5,13 @@
 import sys
 
 from lanelead.benchlink.host import serve
-from lanelead.hosting.opening import Malformed
+from lanelead.hosting.opening import ParameterError
 
 
 def main() -> int:
     try:
         serve(sys.stdin, sys.stdout)
-    except Malformed as fault:
+    except ParameterError as fault:
         print(f"lanelead: malformed input: {fault}", file=sys.stderr)
         return 2
     return 0
--- a/lanelead/benchlink/host.py
+++ b/lanelead/benchlink/host.py
@@ -8,35 +8,35 @@
 
 from lanelead.benchlink import wire
 from lanelead.benchlink.wire import millis
-from lanelead.hosting.door import Door, pack, unpack
+from lanelead.hosting.door import EndpointRegistry, encode_gossip, decode_gossip
 from lanelead.decisions.interface import (
-    BreakOff,
-    CallOff,
-    Close,
-    Condition,
-    Coverage,
+    FailRequest,
+    CancelAttempt,
+    CloseIdleConnections,
+    EndpointStatus,
+    UpdateScope,
     Decisions,
-    Fetch,
-    Listing,
-    Lookup,
-    News,
-    Note,
-    Phase,
-    Probe,
-    Send,
-    Shed,
-    Tally,
-    Tell,
+    PollEndpoints,
+    EndpointRecord,
+    Request,
+    RolloutState,
+    LogEvent,
+    RolloutPhase,
+    CheckHealth,
+    StartAttempt,
+    RejectRequest,
+    OutcomeTally,
+    SendGossip,
     Ticks,
-    Trip,
-    Unit,
-    Vote,
-    Wake,
-    Watch,
-    Word,
+    Attempt,
+    Endpoint,
+    CastVote,
+    SetTimer,
+    WatchEndpoints,
+    GossipEntry,
 )
-from lanelead.hosting.opening import Malformed, Opening, known, number, ticks, whole
-from lanelead.decisions.rules import Relay
+from lanelead.hosting.opening import ParameterError, ParameterReader, known, number, ticks, whole
+from lanelead.decisions.rules import Balancer
 
 Words = list[str]
 
@@ -45,46 +45,46 @@
     """One instance: its decisions, and the tables between the wire's ids and the objects."""
 
     def __init__(self, words: Words, now: Ticks) -> None:
-        opening = Opening(words[2:])
-        lanes, members = opening.lanes(), opening.members()
-        self.relay: Decisions = Relay(
-            place=opening.place(),
+        opening = ParameterReader(words[2:])
+        lanes, members = opening.request_classes(), opening.tenants()
+        self.relay: Decisions = Balancer(
+            place=opening.position(),
             lanes=lanes,
             members=members,
-            allowance=opening.allowance(),
-            duties=opening.duties(),
-            trial=opening.trial(),
-            poll=opening.poll(),
-            tariff=opening.tariff(),
+            allowance=opening.resource_quota(),
+            duties=opening.service_limits(),
+            trial=opening.canary_limits(),
+            poll=opening.voting_rules(),
+            tariff=opening.prices(),
             chance=Random(whole(words[1])),
             now=now,
         )
         self.lanes = {lane.name: lane for lane in lanes}
         self.members = {member.name: member for member in members}
         self.gauges = opening.words("loadReport.names")
-        self.door = Door(self.relay.meet)
-        self.gone: dict[Unit, Ticks] = {}  # units that share a mark and are gone, and when it is freed
-        self.memory = 2 * max((lane.outer_limit for lane in lanes), default=0)
-        self.lookups: dict[str, Lookup] = {}
-        self.lookup_ids: dict[Lookup, str] = {}
-        self.wakes: dict[int, Lookup | None] = {}
+        self.door = EndpointRegistry(self.relay.new_endpoint)
+        self.gone: dict[Endpoint, Ticks] = {}  # units that share a mark and are gone, and when it is freed
+        self.memory = 2 * max((lane.timeout for lane in lanes), default=0)
+        self.lookups: dict[str, Request] = {}
+        self.lookup_ids: dict[Request, str] = {}
+        self.wakes: dict[int, Request | None] = {}
         self.tag = 0
-        self.touched: list[Lookup] = []
+        self.touched: list[Request] = []
 
-    def trip(self, msg: str, shot: str) -> Trip | None:
+    def trip(self, msg: str, shot: str) -> Attempt | None:
         """The trip that an event speaks of, or none when its lookup is long forgotten."""
         lookup = self.lookups.get(wire.ident(msg))
         if lookup is None:
             return None
         place = whole(shot)
-        if not 0 <= place < len(lookup.trips):
-            raise Malformed(f"no trip {shot} of lookup {msg}")
-        return lookup.trips[place]
+        if not 0 <= place < len(lookup.attempts):
+            raise ParameterError(f"no trip {shot} of lookup {msg}")
+        return lookup.attempts[place]
 
     def forget(self) -> None:
         """Drops the lookups just touched that are over and have no trip out any more."""
         for lookup in self.touched:
-            if lookup.over and all(trip.fate for trip in lookup.trips):
+            if lookup.finished and all(trip.outcome for trip in lookup.attempts):
                 msg = self.lookup_ids.pop(lookup, None)
                 if msg is not None:
                     del self.lookups[msg]
@@ -97,24 +97,24 @@
         listings = []
         for _, zone, cell, since, kind, name, build, size, condition in entries:
             listings.append(
-                Listing(
-                    unit=self.door.unit(name),
+                EndpointRecord(
+                    endpoint=self.door.get_or_add(name),
                     zone=zone,
                     cell=int(number(cell)),
                     kind=kind,
-                    since=ticks(since),
+                    started_at=ticks(since),
                     build=int(number(build)),
-                    size=number(size, 1.0),
-                    condition=known(wire.CONDITIONS, condition),
+                    capacity=number(size, 1.0),
+                    status=known(wire.CONDITIONS, condition),
                 )
             )
-        self.relay.roster(coverage, listings)
+        self.relay.endpoints_updated(coverage, listings)
         self.free_marks()
 
     def free_marks(self) -> None:
         """Guards against units long gone that keep others' marks from being understood."""
-        for unit in self.door.marks.sharing():
-            if unit.condition is not Condition.GONE:
+        for unit in self.door.short_ids.sharing():
+            if unit.status is not EndpointStatus.REMOVED:
                 self.gone.pop(unit, None)
             elif self.gone.setdefault(unit, self.relay.now + self.memory) <= self.relay.now:
                 del self.gone[unit]
@@ -122,75 +122,75 @@
 
     def ask(self, words: Words) -> None:
         _, msg, lane, member, key, left, hint, again, write = words
-        lookup = Lookup(
-            lane=known(self.lanes, lane),
-            member=None if member in ("-", "0") else known(self.members, member),
+        lookup = Request(
+            request_class=known(self.lanes, lane),
+            tenant=None if member in ("-", "0") else known(self.members, member),
             key=None if key == "-" else key,
-            taken=self.relay.now,
-            due=self.relay.now + ticks(left),
+            received_at=self.relay.now,
+            deadline=self.relay.now + ticks(left),
             hint=None if hint == "-" else ticks(hint),
-            again=wire.flag(again),
-            write=wire.flag(write),
+            is_retry=wire.flag(again),
+            is_write=wire.flag(write),
         )
         self.lookups[wire.ident(msg)] = lookup
         self.lookup_ids[lookup] = msg
-        self.relay.take(lookup)
+        self.relay.request_received(lookup)
 
     def answer(self, words: Words) -> None:
         _, msg, name, shot, finished, outcome, took, gauge = words
         trip = self.trip(msg, shot)
         if trip is None:
             return
-        if self.door.names[trip.unit] != name:
-            raise Malformed(f"trip {shot} of lookup {msg} went to {self.door.names[trip.unit]}, not {name}")
+        if self.door.names[trip.endpoint] != name:
+            raise ParameterError(f"trip {shot} of lookup {msg} went to {self.door.names[trip.endpoint]}, not {name}")
         fate = known(wire.FATES, outcome)
         closed, load = wire.flag(finished), wire.report(gauge, self.gauges)
-        self.relay.ended(trip, fate, closed, ticks(took), load)
-        self.touched.append(trip.lookup)
+        self.relay.attempt_ended(trip, fate, closed, ticks(took), load)
+        self.touched.append(trip.request)
 
     def accepted(self, words: Words) -> None:
         trip = self.trip(words[1], words[3])
         if trip is not None:
-            self.relay.started(trip)
+            self.relay.response_started(trip)
 
     def client_left(self, words: Words) -> None:
         lookup = self.lookups.get(wire.ident(words[1]))
         if lookup is not None:
-            self.relay.left(lookup)
+            self.relay.client_left(lookup)
             self.touched.append(lookup)
 
     def heard(self, words: Words) -> None:
-        said = unpack(wire.octets(words[2]), self.door.marks, [*self.lanes.values()])
-        self.relay.heard(whole(words[1]), said)
+        said = decode_gossip(wire.octets(words[2]), self.door.short_ids, [*self.lanes.values()])
+        self.relay.gossip_received(whole(words[1]), said)
 
     def bad_answer(self, words: Words) -> None:
         lane = known(self.lanes, words[2])
-        self.relay.complaint(self.door.unit(words[1]), lane, ticks(words[3]))
+        self.relay.complaint_received(self.door.get_or_add(words[1]), lane, ticks(words[3]))
 
     def rollout_state(self, words: Words) -> None:
         _, image, tranche, course, code, outcome, exposure, age = words
-        phases = {str(phase.value): phase for phase in Phase}
-        self.relay.news(
-            News(
+        phases = {str(phase.value): phase for phase in RolloutPhase}
+        self.relay.rollout_updated(
+            RolloutState(
                 build=int(number(image)),
                 stage=int(number(tranche)),
-                phase=Phase.TRIAL if course == "-" else known(phases, course),
-                cap=number(exposure),
+                phase=RolloutPhase.CANARY if course == "-" else known(phases, course),
+                exposure_limit=number(exposure),
                 age=ticks(age),
-                answer=wire.flag(code),
-                word=known(wire.FATES, outcome),
+                answers_vote=wire.flag(code),
+                outcome=known(wire.FATES, outcome),
             )
         )
 
     def period_sums(self, words: Words) -> None:
         _, image, lost, lane, age, samples, took = words
-        self.relay.tally(
-            Tally(
+        self.relay.tally_received(
+            OutcomeTally(
                 build=whole(image),
-                lane=known(self.lanes, lane),
-                trips=whole(samples),
-                lost=whole(lost),
-                took=ticks(took),
+                request_class=known(self.lanes, lane),
+                attempts=whole(samples),
+                failures=whole(lost),
+                latency=ticks(took),
                 age=ticks(age),
             )
         )
@@ -198,14 +198,14 @@
     def probe_done(self, words: Words) -> None:
         _, name, outcome, took, gauge = words
         fate, load = known(wire.FATES, outcome), wire.report(gauge, self.gauges)
-        self.relay.probed(self.door.unit(name), fate, ticks(took), load)
+        self.relay.health_checked(self.door.get_or_add(name), fate, ticks(took), load)
 
     def elapsed(self, words: Words) -> None:
         tag = whole(words[1])
         if tag not in self.wakes:
-            raise Malformed(f"no timer {tag}")
+            raise ParameterError(f"no timer {tag}")
         lookup = self.wakes.pop(tag)
-        self.relay.wake(lookup)
+        self.relay.timer_fired(lookup)
         if lookup is not None:
             self.touched.append(lookup)
 
@@ -213,44 +213,44 @@
 
     def drain(self, lines: list[str]) -> None:
         """Writes down what the decisions want done, in order."""
-        acts = self.relay.acts
-        told: Sequence[Word] = ()  # many peers are told the same
+        acts = self.relay.actions
+        told: Sequence[GossipEntry] = ()  # many peers are told the same
         texts: list[str] = []
         for act in acts:
             match act:
-                case Send(trip):
-                    ids = self.lookup_ids[trip.lookup], self.door.names[trip.unit]
-                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {millis(trip.limit)}")
-                case Wake(at, lookup):
+                case StartAttempt(trip):
+                    ids = self.lookup_ids[trip.request], self.door.names[trip.endpoint]
+                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {millis(trip.timeout)}")
+                case SetTimer(at, lookup):
                     self.tag += 1
                     self.wakes[self.tag] = lookup
                     lines.append(f"AFTER {self.tag} {millis(at)}")
-                case Shed(lookup, come_back):
+                case RejectRequest(lookup, come_back):
                     lines.append(f"DENY {self.lookup_ids[lookup]} {millis(come_back)}")
                     self.touched.append(lookup)
-                case BreakOff(lookup):
+                case FailRequest(lookup):
                     lines.append(f"RESPOND_ERROR {self.lookup_ids[lookup]}")
                     self.touched.append(lookup)
-                case CallOff(trip):
-                    lookup_id = self.lookup_ids.get(trip.lookup)
+                case CancelAttempt(trip):
+                    lookup_id = self.lookup_ids.get(trip.request)
                     if lookup_id is not None:
                         lines.append(f"RETRACT {lookup_id} {trip.number}")
-                case Probe(unit):
+                case CheckHealth(unit):
                     lines.append(f"SAMPLE {self.door.names[unit]}")
-                case Close(unit):
+                case CloseIdleConnections(unit):
                     lines.append(f"FREE_LINKS {self.door.names[unit]}")
-                case Tell(peer, words):
+                case SendGossip(peer, words):
                     if words is not told:
-                        texts = [text.hex() for text in pack(words, [*self.lanes.values()])]
+                        texts = [text.hex() for text in encode_gossip(words, [*self.lanes.values()])]
                         told = words
                     lines += [f"WRITE_PEER {-1 if peer is None else peer} {text}" for text in texts]
-                case Vote(build, stage, verdict):
+                case CastVote(build, stage, verdict):
                     lines.append(f"SAY_SO {build} {verdict.value} {stage}")
-                case Watch(on):
+                case WatchEndpoints(on):
                     lines.append(f"STREAM_CHANGES {int(on)}")
-                case Fetch():
+                case PollEndpoints():
                     lines.append("READ_LIST")
-                case Note(text):
+                case LogEvent(text):
                     lines.append(f"REMARK {text}")
         acts.clear()
         self.forget()
@@ -281,7 +281,7 @@
         """One batch of lines, from TICK up to but without OVER_TO_YOU, answered by the reply's lines."""
         head = wire.split(lines[0])
         if head[0] != "TICK":
-            raise Malformed(f"a batch that begins with {head[0]}")
+            raise ParameterError(f"a batch that begins with {head[0]}")
         now, number = ticks(head[1]), whole(head[2])
         named: dict[str, list[str]] = {}
         name, place = "", 1
@@ -295,16 +295,16 @@
                 many = whole(words[2])
                 entries = [wire.split(line) for line in lines[place : place + many]]
                 if len(entries) != many or any(entry[0] != "ENTRY" for entry in entries):
-                    raise Malformed("a list shorter than it says")
+                    raise ParameterError("a list shorter than it says")
                 self.lists[whole(words[1])] = entries
                 place += many
             elif not name:
-                raise Malformed(f"{words[0]} for no instance")
+                raise ParameterError(f"{words[0]} for no instance")
             else:
                 try:
                     self.event(name, words, now)
-                except Malformed as fault:
-                    raise Malformed(f"{fault}, in {' '.join(words)[:300]!r}") from None
+                except ParameterError as fault:
+                    raise ParameterError(f"{fault}, in {' '.join(words)[:300]!r}") from None
         out = []
         for name in named:
             host = self.hosts.get(name)
@@ -323,20 +323,20 @@
             return
         host = self.hosts.get(name)
         if host is None:
-            raise Malformed(f"{words[0]} for {name}, which has not begun")
+            raise ParameterError(f"{words[0]} for {name}, which has not begun")
         host.relay.now = now
         if words[0] == "STOP":
             del self.hosts[name]
         elif words[0] == "DIRECTORY_UPDATE":
-            failed = known(wire.COVERAGES, words[1]) is Coverage.FAILED
+            failed = known(wire.COVERAGES, words[1]) is UpdateScope.FAILED
             place = 0 if failed else whole(words[3])
             if not failed and place not in self.lists:
-                raise Malformed(f"no list {place}")
+                raise ParameterError(f"no list {place}")
             host.roster(words, [] if failed else self.lists[place])
         elif words[0] in EVENTS:
             EVENTS[words[0]](host, words)
         else:
-            raise Malformed(f"{words[0]} out of place")
+            raise ParameterError(f"{words[0]} out of place")
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
@@ -346,7 +346,7 @@
     for line in source:
         if line.startswith("OVER_TO_YOU"):
             if not lines:
-                raise Malformed("a batch without its TICK")
+                raise ParameterError("a batch without its TICK")
             sink.write("\n".join(floor.batch(lines)) + "\n")
             sink.flush()
             lines = []
@@ -355,4 +355,4 @@
         else:
             lines.append(line)
     if lines:
-        raise Malformed("the input ends inside a batch")
+        raise ParameterError("the input ends inside a batch")
--- a/lanelead/benchlink/wire.py
+++ b/lanelead/benchlink/wire.py
@@ -5,22 +5,22 @@
 import re
 from collections.abc import Sequence
 
-from lanelead.decisions.interface import Condition, Coverage, Fate, Report, Ticks
-from lanelead.hosting.opening import Malformed, number
+from lanelead.decisions.interface import EndpointStatus, UpdateScope, AttemptOutcome, LoadReport, Ticks
+from lanelead.hosting.opening import ParameterError, number
 
 
 FATES = {
-    "success": Fate.DONE,
-    "failure": Fate.ERROR,
-    "overloaded": Fate.TURNED_AWAY,
-    "timed_out": Fate.TIMED_OUT,
-    "unreachable": Fate.UNREACHABLE,
-    "broken": Fate.CUT,
-    "withdrawn": Fate.CALLED_OFF,
-    "void": Fate.UNSENT,
+    "success": AttemptOutcome.SUCCEEDED,
+    "failure": AttemptOutcome.ERROR,
+    "overloaded": AttemptOutcome.REJECTED,
+    "timed_out": AttemptOutcome.TIMED_OUT,
+    "unreachable": AttemptOutcome.CONNECT_FAILED,
+    "broken": AttemptOutcome.RESET,
+    "withdrawn": AttemptOutcome.CANCELLED,
+    "void": AttemptOutcome.NOT_SENT,
 }
-CONDITIONS = {"1": Condition.READY, "2": Condition.DRAINING, "3": Condition.GONE}
-COVERAGES = {"4": Coverage.CHANGES, "2": Coverage.FULL, "0": Coverage.CACHED, "1": Coverage.FAILED}
+CONDITIONS = {"1": EndpointStatus.READY, "2": EndpointStatus.DRAINING, "3": EndpointStatus.REMOVED}
+COVERAGES = {"4": UpdateScope.DELTA, "2": UpdateScope.SNAPSHOT, "0": UpdateScope.CACHED, "1": UpdateScope.FAILED}
 FIELDS = {  # how many values each event carries
     "FOR": 1,
     "TICK": 2,
@@ -48,21 +48,21 @@
     parts = line.rstrip("\n").split(" ")
     if parts[0] == "BEGIN":
         if len(parts) < 2:
-            raise Malformed(f"BEGIN without a seed: {line!r}")
+            raise ParameterError(f"BEGIN without a seed: {line!r}")
     elif FIELDS.get(parts[0]) != len(parts) - 1:
-        raise Malformed(f"unknown message or wrong number of values: {line[:200]!r}")
+        raise ParameterError(f"unknown message or wrong number of values: {line[:200]!r}")
     return parts
 
 
 def flag(word: str) -> bool:
     if word not in ("0", "1", "-"):
-        raise Malformed(f"not a flag: {word!r}")
+        raise ParameterError(f"not a flag: {word!r}")
     return word == "1"
 
 
 def ident(word: str) -> str:
     if not ID.match(word):
-        raise Malformed(f"not an id: {word!r}")
+        raise ParameterError(f"not an id: {word!r}")
     return word
 
 
@@ -70,15 +70,15 @@
     try:
         return b"" if word == "-" else bytes.fromhex(word)
     except ValueError:
-        raise Malformed(f"not hex: {word!r}") from None
+        raise ParameterError(f"not hex: {word!r}") from None
 
 
-def report(word: str, names: Sequence[str]) -> Report | None:
+def report(word: str, names: Sequence[str]) -> LoadReport | None:
     if word == "-":
         return None
     values = word.split(",")
     if len(values) != len(names):
-        raise Malformed(f"a load report of {len(values)} values, not {len(names)}")
+        raise ParameterError(f"a load report of {len(values)} values, not {len(names)}")
     return {name: number(value) for name, value in zip(names, values, strict=True)}
 
 
--- a/lanelead/circle/letters.py
+++ b/lanelead/circle/letters.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lanelead.hosting.door import MESSAGE
+from lanelead.hosting.door import MAX_MESSAGE_BYTES
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
@@ -134,9 +134,9 @@
 
     Raises ValueError where the letter alone is too long: its own rows are the caller's to bound.
     """
-    room = MESSAGE - len(_encoder.encode(letter)) - 4  # the two lists' heads may grow by two bytes each
+    room = MAX_MESSAGE_BYTES - len(_encoder.encode(letter)) - 4  # the two lists' heads may grow by two bytes each
     if room < -4:
-        raise ValueError(f"{MESSAGE - 4 - room} bytes, of {MESSAGE} at most")
+        raise ValueError(f"{MAX_MESSAGE_BYTES - 4 - room} bytes, of {MAX_MESSAGE_BYTES} at most")
     taken: list[Row | Claim] = []
     for rumor in rumors:
         need = size(rumor)
--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -17,7 +17,7 @@
 from lanelead.http.calls import CallFailedError, call
 from lanelead.protocols.configuration import AcceptedProposal, AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.machines import ReplicaStatus
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 
 LIMIT = 30.0  # seconds for one answer: a machine ends a proposal before
 LOOK = 0.2  # seconds between two looks at who has a version in force
@@ -49,7 +49,7 @@
     for text in at:
         try:
             place(text)
-        except Malformed:
+        except MessageError:
             raise click.BadParameter(f"{text!r}: expected HOST:PORT") from None
     return list(at)
 
@@ -80,7 +80,7 @@
                 found = decode(body, RejectedProposal)
             except CallFailedError as fault:  # it may have been heard all the same
                 found = RejectedProposal("unknown", f"{each}: {fault}")
-            except Malformed as fault:
+            except MessageError as fault:
                 found = RejectedProposal("unknown", f"{each}: what came is no answer: {fault}")
             if found.why in ("malformed", "stale"):
                 return found
@@ -104,7 +104,7 @@
                 try:
                     found[each] = decode(answer[1], ReplicaStatus, LONGEST)
                     continue
-                except Malformed:
+                except MessageError:
                     pass
             elif isinstance(answer, BaseException) and not isinstance(answer, CallFailedError):
                 raise answer
@@ -140,7 +140,7 @@
 def entries_of(text: bytes) -> list[Entry]:
     """A JSON list of {key, value}, or an object of keys and values; null removes a key. Raises Malformed."""
     if len(text) > LONGEST:
-        raise Malformed(f"{len(text)} bytes, of {LONGEST} at most")
+        raise MessageError(f"{len(text)} bytes, of {LONGEST} at most")
     try:
         found: Any = msgspec.json.decode(text)
         if isinstance(found, dict):
@@ -151,7 +151,7 @@
         ]
         return msgspec.convert(rows, list[Entry])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, TypeError) as fault:
-        raise Malformed(f"not entries: {str(fault)[:200]}") from None
+        raise MessageError(f"not entries: {str(fault)[:200]}") from None
 
 
 @configuration.command()
@@ -184,7 +184,7 @@
         entries = entries_of(file.read(LONGEST + 1))
         proposal = Proposal(ident or f"p-{secrets.token_hex(12)}", entries, _expected(expect))
         decode(encode(proposal), Proposal, LONGEST)
-    except Malformed as fault:
+    except MessageError as fault:
         click.echo(str(fault), err=True)
         sys.exit(REFUSED)
     sys.exit(asyncio.run(_publish(where, proposal, patience, in_force)))
@@ -195,7 +195,7 @@
     for text in texts:
         key, _, version = text.rpartition("=")
         if not key or not version.isdecimal():
-            raise Malformed(f"--expect {text[:80]!r}: expected KEY=VERSION")
+            raise MessageError(f"--expect {text[:80]!r}: expected KEY=VERSION")
         found[key] = int(version)
     return found
 
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -46,7 +46,7 @@
     AcceptReply,
 )
 from lanelead.protocols.machines import SNAPSHOT_PAGES, DecidedChange, PeerStatus, SnapshotPage, ReplicaStatus
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 
 FIELDS = [(b"content-type", b"application/json")]
 STATUS = {"malformed": 400, "stale": 409, "unknown": 504, "overloaded": 503, "abstains": 503}
@@ -196,7 +196,7 @@
             said = await calls.call(self._loop, self._places[call.to], method, path, body, call.limit)
             if said.status == 200 and kind is not None:
                 answer = decode(said.body, kind, LONGEST)
-        except (calls.CallFailedError, Malformed, TimeoutError):
+        except (calls.CallFailedError, MessageError, TimeoutError):
             pass  # as if it had not answered: the rules ask again
         self.machine.answered(call, answer, self._now())
         self._turn()
@@ -240,7 +240,7 @@
             body = encode(self._call(ask, name, query))
         except Refused as fault:
             status, body = fault.status, encode(fault.refusal)
-        except (Malformed, Unfit, ValueError) as fault:  # the last: a target that is none
+        except (MessageError, Unfit, ValueError) as fault:  # the last: a target that is none
             status, body = 400, encode(RejectedProposal("malformed", str(fault)))
         except StoreFault as fault:
             status, body = 503, encode(RejectedProposal("abstains", f"{fault}; {fault.remedy}"))
@@ -317,7 +317,7 @@
     def _snapshot(self, query: dict[str, str]) -> msgspec.Struct:
         version, page = _whole(query, "version"), _whole(query, "page")
         if page >= SNAPSHOT_PAGES:
-            raise Malformed(f"page: {page}, of {SNAPSHOT_PAGES}")
+            raise MessageError(f"page: {page}, of {SNAPSHOT_PAGES}")
         found = self.machine.holding.snapshot(version, page, self._now())
         if found is None:
             raise Gone(f"no snapshot of version {version}")
@@ -376,7 +376,7 @@
 def _whole(query: dict[str, str], name: str) -> int:
     text = query.get(name, "")
     if not text.isdecimal() or len(text) > 15:
-        raise Malformed(f"{name}: {text[:40]!r}; must be a whole number")
+        raise MessageError(f"{name}: {text[:40]!r}; must be a whole number")
     return int(text)
 
 
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import Malformed
+from lanelead.protocols.records import MessageError
 from lanelead.settings.records import Address
 
 LONGEST = 1 << 20  # bytes of the file
@@ -140,7 +140,7 @@
 def _address(name: str, text: str) -> list[str]:
     try:
         parse_address(text)
-    except Malformed:
+    except MessageError:
         return [f"{name}: {text[:80]!r}; expected HOST:PORT"]
     return []
 
--- a/lanelead/decisions/choosing.py
+++ b/lanelead/decisions/choosing.py
@@ -6,13 +6,13 @@
 from typing import TypeAlias
 
 from lanelead.decisions.guards import Guards
-from lanelead.decisions.interface import SECOND, Figures, Lookup, Place, Ticks
-from lanelead.decisions.servers import Outstanding, Roster, Server, Traffic
+from lanelead.decisions.interface import SECOND, DecisionParameters, Request, RelayPosition, Ticks
+from lanelead.decisions.servers import Outstanding, Roster, EndpointState, Traffic
 from lanelead.decisions.zones import Pools
 
 SIGHT = 16  # servers looked at for one choice, at most
-Some: TypeAlias = Sequence[Server]
-Pair: TypeAlias = list[Server]
+Some: TypeAlias = Sequence[EndpointState]
+Pair: TypeAlias = list[EndpointState]
 
 
 class Choice:
@@ -24,40 +24,40 @@
         guards: Guards,
         out: Outstanding,
         traffic: Traffic,
-        figures: Figures,
+        figures: DecisionParameters,
         spared: Ticks,
-        place: Place,
+        place: RelayPosition,
         chance: Random,
     ) -> None:
         self._roster, self.guards, self.chance, self._out = roster, guards, chance, out
         self._traffic, self._figures, self._spared = traffic, figures, spared
-        self._place = place.number / place.relays
+        self._place = place.number / place.relay_count
 
-    def note(self, server: Server, strike: float, now: Ticks) -> None:  # sets aside, but never most units
+    def note(self, server: EndpointState, strike: float, now: Ticks) -> None:  # sets aside, but never most units
         server.trips.add(now, 1)
         server.strikes.add(now, strike)
         failing, ready = server.strikes.read(now) >= max(2.0, server.trips.read(now) / 2), self._roster.ready
         if failing and server.aside <= now and 2 * sum(other.aside > now for other in ready) < len(ready):
-            server.aside = now + int(2 * self._figures.longest * (1 + self.chance.random()))
+            server.aside = now + int(2 * self._figures.longest_objective * (1 + self.chance.random()))
 
-    def _room(self, server: Server, now: Ticks) -> bool:
+    def _room(self, server: EndpointState, now: Ticks) -> bool:
         """One more trip? Up to what it did in six tenths of the expected time: guards against long queues."""
-        target = self._figures.least // 2
+        target = self._figures.shortest_objective // 2
         return not server.out or len(server.out) < 1.2 * server.done.read(now) / (2 * SECOND) * target
 
-    def cost(self, server: Server, now: Ticks) -> float:  # the wait to expect there, as a rank
+    def cost(self, server: EndpointState, now: Ticks) -> float:  # the wait to expect there, as a rank
         trips = server.trips.read(now)
-        load = (1 + len(server.out) + self._out.at(server, now)) / server.size
+        load = (1 + len(server.out) + self._out.at(server, now)) / server.capacity
         load *= (1 + server.pace.read(now)) / (1 + trips)
         # A unit that has gone silent answers nothing at all: its oldest trip tells.
         oldest = next(iter(server.out), None)
-        silent = (now - oldest.sent) / oldest.lookup.lane.expected_time if oldest else 0.0
+        silent = (now - oldest.sent_at) / oldest.request.request_class.latency_objective if oldest else 0.0
         return load * (1 + 3 * server.strikes.read(now) / (1 + trips)) * (1 + silent)
 
-    def pair(self, cuts: Iterable[Pools], lookup: Lookup, lean: float, now: Ticks, asked: Some) -> Pair:
+    def pair(self, cuts: Iterable[Pools], lookup: Request, lean: float, now: Ticks, asked: Some) -> Pair:
         return next((two for groups in cuts if (two := self._among(groups, lookup, lean, now, asked))), [])
 
-    def _among(self, groups: Pools, lookup: Lookup, lean: float, now: Ticks, asked: Some) -> Pair:
+    def _among(self, groups: Pools, lookup: Request, lean: float, now: Ticks, asked: Some) -> Pair:
         allows, new = self.guards.exposure.allows, Pair()  # builds that were asked in vain come last
         pools = [some for build, some in groups.items() if some and allows(build, lookup, now)]
         pools.sort(key=lambda servers: any(server in servers for server in asked))
@@ -66,13 +66,13 @@
         old = self.two([server for servers in pools for server in servers], lookup, now, asked)
         return new if new and (not old or self.cost(new[0], now) <= self.cost(old[0], now) * lean) else old
 
-    def two(self, servers: Some, lookup: Lookup, now: Ticks, asked: Some) -> Pair:
+    def two(self, servers: Some, lookup: Request, now: Ticks, asked: Some) -> Pair:
         fresh, other = Pair(), Pair()
         seen = [*self._near(servers, now), *self.chance.sample(servers, min(SIGHT, len(servers)))]
         for server in dict.fromkeys(seen):
             free = server not in asked and self._room(server, now)
             if free and self.guards.open(server, lookup, now):
-                tried = server.aside > now or any(trip.unit is server for trip in lookup.trips)
+                tried = server.aside > now or any(trip.endpoint is server for trip in lookup.attempts)
                 (other if tried else fresh).append(server)
                 if len(fresh) == 2:
                     break
@@ -83,6 +83,6 @@
         come while one lasts. Units stand in one order for all, and the relays' parts go round."""
         lookups = self._traffic.taken.read(now) * self._spared / (4 * SECOND)
         part = max(4, ceil(lookups / 4 * len(servers) / max(1, len(self._roster.ready))))
-        start, order = int(self._place * len(servers)), sorted(servers, key=lambda server: server.mark)
+        start, order = int(self._place * len(servers)), sorted(servers, key=lambda server: server.short_id)
         near = [*order[start:], *order[:start]][:part] if self._spared else []
         return self.chance.sample(near, min(SIGHT, len(near)))
--- a/lanelead/decisions/figures.py
+++ b/lanelead/decisions/figures.py
@@ -13,13 +13,13 @@
 SECOND: Ticks = 10_000
 
 
-class Repeat(Enum):
-    PURE = "pure"
-    RECEIPTED = "receipted"
-    EFFECTFUL = "effectful"
+class Idempotency(Enum):
+    IDEMPOTENT = "idempotent"
+    KEYED = "keyed"
+    NON_IDEMPOTENT = "non-idempotent"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """The units that drop a repeat of a receipted lookup."""
 
     ALL = "all"
@@ -27,37 +27,37 @@
     CELL = "cell"
 
 
-class Control(Enum):
+class PromotionControl(Enum):
     """Who moves a stage on: one vote, a number of votes, or a clock."""
 
-    FIRST_VOICE = "first voice"
-    BY_COUNT = "by count"
-    AUTOMATIC = "automatic"
+    FIRST_VOTE = "first vote"
+    VOTE_COUNT = "vote count"
+    TIMER = "timer"
 
 
 @dataclass(eq=False)
-class Lane:
+class RequestClass:
     """A host may change times and values while lookups are under way, and says so by `Figures.retold`."""
 
     name: str
-    expected_time: Ticks
-    outer_limit: Ticks
+    latency_objective: Ticks
+    timeout: Ticks
     value: float
     late_value: float
-    repeat: Repeat
-    scope: Scope
-    memory: Ticks
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: Ticks
     streaming: bool
-    stretch: float
+    objective_stretch: float
 
     @property
-    def worth(self) -> float:
+    def priority_weight(self) -> float:
         """Of an answer in time, for the time it may take."""
-        return self.value / self.expected_time
+        return self.value / self.latency_objective
 
 
 @dataclass(eq=False)
-class Member:
+class Tenant:
     """The same."""
 
     name: str
@@ -65,112 +65,114 @@
     share: float
 
 
-class Figures:
+class DecisionParameters:
     """What is worked out from lanes and members, whose figures may change. `longest`, `least`: the lanes'
     expected times. `quotas`: of all members, lookups a second over all relays; `quota`: a relay's part."""
 
-    def __init__(self, lanes: Iterable[Lane], quotas: float, relays: int) -> None:
+    def __init__(self, lanes: Iterable[RequestClass], quotas: float, relays: int) -> None:
         self._lanes, self._relays = list(lanes), relays
-        self.retold(quotas)
+        self.update(quotas)
 
-    def retold(self, quotas: float) -> None:
-        times = [lane.expected_time for lane in self._lanes]
-        self.longest, self.least = max(times), min(times)
-        self.quotas, self.quota = quotas, quotas / self._relays
+    def update(self, quotas: float) -> None:
+        times = [lane.latency_objective for lane in self._lanes]
+        self.longest_objective, self.shortest_objective = max(times), min(times)
+        self.total_quota, self.relay_quota = quotas, quotas / self._relays
 
 
 @dataclass(frozen=True)
-class Place:
+class RelayPosition:
     """Where this relay stands among the others."""
 
     number: int
-    relays: int
+    relay_count: int
     zone: str
 
 
 @dataclass(frozen=True)
-class Allowance:
+class ResourceQuota:
     """What the deployment lets a relay do."""
 
-    trips: int
-    open_lookups: int
-    streams: int
-    calling_off: bool
-    probes: bool
-    peers: bool
-    second_copies: bool
-    retry_advice: bool
-    longest_advice: Ticks
-    connect_limit: Ticks
-    idle_limit: Ticks = 0  # an idle connection ends after this; 0 where that is not told
+    max_attempts: int
+    max_in_flight: int
+    max_streams: int
+    may_cancel: bool
+    health_checks: bool
+    gossip: bool
+    hedging: bool
+    advises_retry: bool
+    max_retry_after: Ticks
+    connect_timeout: Ticks
+    idle_timeout: Ticks = 0  # an idle connection ends after this; 0 where that is not told
 
 
 @dataclass(frozen=True)
-class Duties:
+class ServiceLimits:
     """The figures of the five rules that are not the rollout's."""
 
-    answer_slack: Ticks
+    response_slack: Ticks
     drain_grace: Ticks
-    cold_share: float
-    cold_time: Ticks
-    fall_multiple: float
-    fall_time: Ticks
+    slow_start_share: float
+    slow_start_time: Ticks
+    overload_multiple: float
+    overload_time: Ticks
     subscribe: bool
-    ask_within: Ticks
+    poll_within: Ticks
     tick: Ticks
 
 
 @dataclass(frozen=True)
-class Trial:
+class CanaryLimits:
     """How much may go to a build on trial."""
 
     shares: tuple[float, ...]
-    caps: tuple[float, ...]
-    free: float
+    exposure_limits: tuple[float, ...]
+    uncounted_attempts: float
     window: Ticks
-    by_lane: bool
-    guarded: int
-    keys_stay: bool
+    by_class: bool
+    guarded_stages: int
+    sticky_keys: bool
     in_place: bool  # each earlier machine drains once its successor runs
 
 
 @dataclass(frozen=True)
-class Poll:
+class VotingRules:
     """How votes decide."""
 
-    control: Control
-    on_votes: int
-    back_votes: int
+    control: PromotionControl
+    promote_votes: int
+    rollback_votes: int
     hold_votes: int
-    least_stage: Ticks
-    timer_stage: Ticks
-    answer_limit: Ticks
-    vote_life: Ticks
-    votes_a_second: float
+    min_stage_time: Ticks
+    automatic_stage_time: Ticks
+    vote_timeout: Ticks
+    vote_lifetime: Ticks
+    votes_per_second: float
     delay_price: float
     harm_price: float
     complaint_share: float
 
 
 @dataclass(frozen=True)
-class Tariff:
+class Prices:
     """Points of the result that each habit costs."""
 
-    probe: float
-    peer: float
+    health_check: float
+    gossip: float
     waste: float
-    late_fail: float
+    late_failure: float
     zone_crossing: float
     handshake: float
     connection: float
-    over_share: float  # what a lookup beyond its member's share is worth, as a part of the usual
+    over_quota_value: float  # what a lookup beyond its member's share is worth, as a part of the usual
 
 
 @dataclass(frozen=True)
-class Preference:
+class ZonePreference:
     """Which zones' units a relay prefers, tier after tier, and how traffic may spill. None: all are one."""
 
     tiers: tuple[tuple[str, ...], ...] = ()
-    most: float = 0.9  # of what a tier's units would do for this relay, the part that its strangers may have
-    grow: float = 1.0  # times the longest expected time, for spill to grow from none to all
-    shrink: float = 2.0  # times the warm-up, for it to shrink from all to none
+    max_foreign_load: float = (
+        0.9  # of what a tier's units would do for this relay, the part that its strangers may have
+    )
+    growth_time_factor: float = 1.0  # times the longest expected time, for spill to grow from none to all
+    shrink_time_factor: float = 2.0  # times the warm-up, for it to shrink from all to none
--- a/lanelead/decisions/guards.py
+++ b/lanelead/decisions/guards.py
@@ -5,139 +5,143 @@
 
 from lanelead.decisions.interface import (
     SECOND,
-    Allowance,
-    Condition,
-    Duties,
-    Fate,
-    Figures,
-    Lane,
-    Lookup,
-    News,
-    Phase,
-    Repeat,
-    Scope,
+    ResourceQuota,
+    EndpointStatus,
+    ServiceLimits,
+    AttemptOutcome,
+    DecisionParameters,
+    RequestClass,
+    Request,
+    RolloutState,
+    RolloutPhase,
+    Idempotency,
+    DeduplicationScope,
     Ticks,
-    Trial,
+    CanaryLimits,
 )
-from lanelead.decisions.servers import Roster, Server, Traffic, warmth
+from lanelead.decisions.servers import Roster, EndpointState, Traffic, warmth
 from lanelead.decisions.sums import Purse, Recent, turned
 
-NEVER_RAN = (Fate.TURNED_AWAY, Fate.UNREACHABLE, Fate.UNSENT)
+NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class Exposure:
-    def __init__(self, trial: Trial, many: bool, chance: Random) -> None:
+    def __init__(self, trial: CanaryLimits, many: bool, chance: Random) -> None:
         self._trial, self._many, self._chance = trial, many, chance
-        self._ledgers, self._keys = dict[tuple[int, Lane | None], Purse](), dict[str, int]()
+        self._ledgers, self._keys = dict[tuple[int, RequestClass | None], Purse](), dict[str, int]()
         self._seen = Recent(2 * trial.window)
-        self.news: News | None = None
+        self.news: RolloutState | None = None
 
-    def hear(self, news: News) -> None:
+    def hear(self, news: RolloutState) -> None:
         self.news = news
-        if news.phase in (Phase.REVERTING, Phase.WITHDRAWN):
+        if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
             self._keys.clear()
 
     def on_trial(self, build: int) -> bool:
         told = self.news  # the build last told of is on trial until its release, and any later one
-        return told is None or build > told.build - (told.phase is not Phase.RELEASED)
+        return told is None or build > told.build - (told.phase is not RolloutPhase.PROMOTED)
 
     def _cap(self, build: int) -> float:
         if self.news is None or build > self.news.build:  # not named yet: as in the first stage
-            return self._trial.caps[0] if self.news else 0.0
-        return self.news.cap if self.news.phase is Phase.TRIAL else 0.0
+            return self._trial.exposure_limits[0] if self.news else 0.0
+        return self.news.exposure_limit if self.news.phase is RolloutPhase.CANARY else 0.0
 
-    def _ledger(self, build: int, lane: Lane) -> Purse:
+    def _ledger(self, build: int, lane: RequestClass) -> Purse:
         """Guards against hundreds of relays that each use the free number: theirs goes unused."""
-        at = build, lane if self._trial.by_lane else None
+        at = build, lane if self._trial.by_class else None
         if at not in self._ledgers:
             held, depth = (self._chance.random(), 2.0) if self._many else (inf, inf)
             self._ledgers[at] = Purse(self._trial.window, held, depth)
         return self._ledgers[at]
 
-    def take(self, lookup: Lookup, groups: dict[int, list[Server]], now: Ticks) -> None:
+    def take(self, lookup: Request, groups: dict[int, list[EndpointState]], now: Ticks) -> None:
         """Earns a part of a trip at each build on trial, no more than its servers' share, or they fill up."""
         for build, servers in groups.items():
             if self.on_trial(build):
                 share = len(servers) / max(1, sum(map(len, groups.values())) - len(servers))
-                self._ledger(build, lookup.lane).gain(self._cap(build), share)
-        if self._trial.keys_stay and lookup.key is not None:
+                self._ledger(build, lookup.request_class).gain(self._cap(build), share)
+        if self._trial.sticky_keys and lookup.key is not None:
             self._seen.note(lookup.key, now)
 
-    def _tie(self, lookup: Lookup) -> int:  # the build that has answered its key: no earlier one may
+    def _tie(self, lookup: Request) -> int:  # the build that has answered its key: no earlier one may
         return self._keys.get(lookup.key or "", -1)
 
-    def _guards(self, build: int, lookup: Lookup) -> bool:
+    def _guards(self, build: int, lookup: Request) -> bool:
         stage = self.news.stage if self.news and build == self.news.build else 0
-        return stage < self._trial.guarded and lookup.lane.repeat is not Repeat.PURE
+        return stage < self._trial.guarded_stages and lookup.request_class.idempotency is not Idempotency.IDEMPOTENT
 
-    def hopeless(self, lookup: Lookup) -> bool:
+    def hopeless(self, lookup: Request) -> bool:
         return self.on_trial(self._tie(lookup)) and self._guards(self._tie(lookup), lookup)
 
-    def allows(self, build: int, lookup: Lookup, now: Ticks) -> bool:
+    def allows(self, build: int, lookup: Request, now: Ticks) -> bool:
         if not self.on_trial(build) or build < self._tie(lookup):
             return build >= self._tie(lookup)
         cap, need = self._cap(build), 1.0
         if cap <= 0 or self._guards(build, lookup):
             return False
-        if self._trial.keys_stay and lookup.key is not None and build != self._tie(lookup):
+        if self._trial.sticky_keys and lookup.key is not None and build != self._tie(lookup):
             # Popular keys would use up the cap of lookups that may go nowhere else: they come last.
             need, rare = 2.0, 2 * self._trial.window * (1 - cap)
-            if lookup.taken - self._seen.before(lookup.key) < rare:
+            if lookup.received_at - self._seen.before(lookup.key) < rare:
                 return False
-        purse = self._ledger(build, lookup.lane)
-        return min(self._trial.free + purse.least(now), purse.held) >= need
+        purse = self._ledger(build, lookup.request_class)
+        return min(self._trial.uncounted_attempts + purse.least(now), purse.held) >= need
 
-    def spend(self, build: int, lookup: Lookup, now: Ticks) -> None:
+    def spend(self, build: int, lookup: Request, now: Ticks) -> None:
         if self.on_trial(build):
-            self._ledger(build, lookup.lane).spend(now)
+            self._ledger(build, lookup.request_class).spend(now)
 
-    def done(self, build: int, lookup: Lookup) -> None:
-        if self._trial.keys_stay and lookup.key and (self.news is None or build >= self.news.build):
+    def done(self, build: int, lookup: Request) -> None:
+        if self._trial.sticky_keys and lookup.key and (self.news is None or build >= self.news.build):
             self._keys[lookup.key] = max(build, self._tie(lookup))
 
 
 class Guards:
     def __init__(
         self,
-        allowance: Allowance,
-        duties: Duties,
+        allowance: ResourceQuota,
+        duties: ServiceLimits,
         exposure: Exposure,
         roster: Roster,
         traffic: Traffic,
-        figures: Figures,
+        figures: DecisionParameters,
     ) -> None:
         self._allowance, self._duties, self.exposure = allowance, duties, exposure
         self._roster, self._traffic, self._figures = roster, traffic, figures
 
-    def permitted(self, server: Server, lookup: Lookup, now: Ticks) -> bool:  # again right before each trip
+    def permitted(self, server: EndpointState, lookup: Request, now: Ticks) -> bool:  # again right before each trip
         return self.open(server, lookup, now) and self.exposure.allows(server.build, lookup, now)
 
-    def open(self, server: Server, lookup: Lookup, now: Ticks) -> bool:
-        ready = server.condition is Condition.READY
+    def open(self, server: EndpointState, lookup: Request, now: Ticks) -> bool:
+        ready = server.status is EndpointStatus.READY
         return ready and self.repeatable(server, lookup, now) and self._cold_room(server, now)
 
-    def hopeful(self, lookup: Lookup, now: Ticks) -> bool:  # may a unit take it, now or in a while?
+    def hopeful(self, lookup: Request, now: Ticks) -> bool:  # may a unit take it, now or in a while?
         ready = () if self.exposure.hopeless(lookup) else self._roster.ready
         return any(self.repeatable(server, lookup, now) for server in ready)
 
-    def repeatable(self, server: Server, lookup: Lookup, now: Ticks) -> bool:
-        if lookup.over or len(lookup.trips) >= self._allowance.trips or now >= lookup.due:
+    def repeatable(self, server: EndpointState, lookup: Request, now: Ticks) -> bool:
+        if lookup.finished or len(lookup.attempts) >= self._allowance.max_attempts or now >= lookup.deadline:
             return False
-        lane, ran = lookup.lane, [trip for trip in lookup.trips if trip.fate not in NEVER_RAN]
-        if not self._allowance.second_copies and any(trip.fate is None for trip in ran):
+        lane, ran = lookup.request_class, [trip for trip in lookup.attempts if trip.outcome not in NEVER_RAN]
+        if not self._allowance.hedging and any(trip.outcome is None for trip in ran):
             return False
-        if lane.repeat is not Repeat.RECEIPTED or not ran:
-            return lane.repeat is Repeat.PURE or not ran
-        at, to = ran[0].unit, server
-        group = {Scope.ALL: True, Scope.ZONE: at.zone == to.zone, Scope.CELL: at.cell == to.cell}
-        return group[lane.scope] and now < ran[0].sent + lane.memory - self._duties.tick
-
-    def _cold_room(self, server: Server, now: Ticks) -> bool:
+        if lane.idempotency is not Idempotency.KEYED or not ran:
+            return lane.idempotency is Idempotency.IDEMPOTENT or not ran
+        at, to = ran[0].endpoint, server
+        group = {
+            DeduplicationScope.ALL: True,
+            DeduplicationScope.ZONE: at.zone == to.zone,
+            DeduplicationScope.CELL: at.cell == to.cell,
+        }
+        return group[lane.deduplication_scope] and now < ran[0].sent_at + lane.deduplication_window - self._duties.tick
+
+    def _cold_room(self, server: EndpointState, now: Ticks) -> bool:
         """One more to a cold unit? Each keeps to its part, rounded by lots that turn, or small ones idle."""
         warm, duties, traffic = warmth(server, self._duties, now), self._duties, self._traffic
-        sent = server.sent(now, duties.fall_time)
-        if warm >= 1 or duties.fall_time <= 0:
+        sent = server.sent(now, duties.overload_time)
+        if warm >= 1 or duties.overload_time <= 0:
             return True
-        usual = max(traffic.done.read(now) / 4, (self._figures.quota or traffic.taken.read(now) / 8) / 2)
-        budget = duties.fall_multiple / 2 * warm * usual * duties.fall_time / SECOND / len(self._roster.ready)
-        return sent + 1 <= budget + turned(server.lot, now / duties.fall_time)
+        usual = max(traffic.done.read(now) / 4, (self._figures.relay_quota or traffic.taken.read(now) / 8) / 2)
+        budget = duties.overload_multiple / 2 * warm * usual * duties.overload_time / SECOND / len(self._roster.ready)
+        return sent + 1 <= budget + turned(server.lot, now / duties.overload_time)
--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -13,63 +13,63 @@
 
 from lanelead.decisions.figures import (
     SECOND as SECOND,
-    Allowance as Allowance,
-    Control as Control,
-    Duties as Duties,
-    Figures as Figures,
-    Lane as Lane,
-    Member as Member,
-    Place as Place,
-    Poll as Poll,
-    Preference as Preference,
-    Repeat as Repeat,
-    Scope as Scope,
-    Tariff as Tariff,
+    ResourceQuota as ResourceQuota,
+    PromotionControl as PromotionControl,
+    ServiceLimits as ServiceLimits,
+    DecisionParameters as DecisionParameters,
+    RequestClass as RequestClass,
+    Tenant as Tenant,
+    RelayPosition as RelayPosition,
+    VotingRules as VotingRules,
+    ZonePreference as ZonePreference,
+    Idempotency as Idempotency,
+    DeduplicationScope as DeduplicationScope,
+    Prices as Prices,
     Ticks as Ticks,
-    Trial as Trial,
+    CanaryLimits as CanaryLimits,
 )
 
-LOADS = 83  # loads that one message between relays holds at the most
+MAX_IN_FLIGHT_COUNTS = 83  # loads that one message between relays holds at the most
 
 
-class Fate(Enum):
+class AttemptOutcome(Enum):
     """How a trip ended."""
 
-    DONE = "done"
+    SUCCEEDED = "succeeded"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "rejected"
     TIMED_OUT = "timed out"
-    UNREACHABLE = "unreachable"
-    CUT = "cut"
-    CALLED_OFF = "called off"
-    UNSENT = "unsent"
+    CONNECT_FAILED = "connect failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not sent"
 
 
-class Condition(Enum):
+class EndpointStatus(Enum):
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "removed"
 
 
-class Phase(Enum):
-    TRIAL = 0
-    REVERTING = 1
-    RELEASED = 2
-    WITHDRAWN = 3
+class RolloutPhase(Enum):
+    CANARY = 0
+    ROLLING_BACK = 1
+    PROMOTED = 2
+    ROLLED_BACK = 3
 
 
 class Verdict(Enum):
-    NONE = 0
-    ON = 1
+    ABSTAIN = 0
+    PROMOTE = 1
     HOLD = 2
-    BACK = 3
+    ROLL_BACK = 3
 
 
-class Coverage(Enum):
+class UpdateScope(Enum):
     """How much of the fleet a roster update speaks of."""
 
-    CHANGES = "changes"
-    FULL = "full"
+    DELTA = "changes"
+    SNAPSHOT = "full"
     CACHED = "cached"
     FAILED = "failed"
 
@@ -77,221 +77,238 @@
 # What passes through
 
 
-class Unit:
+class Endpoint:
     """One server, as the roster last told of it."""
 
-    __slots__ = ("build", "cell", "condition", "kind", "mark", "since", "size", "wide", "zone")
+    __slots__ = ("build", "capacity", "cell", "kind", "long_id", "short_id", "started_at", "status", "zone")
 
     def __init__(self, mark: int) -> None:
-        self.mark = mark  # the same number at every relay, for messages between relays
-        self.wide = 0  # the host's: what to call it where other units have the same mark; 0: none has
+        self.short_id = mark  # the same number at every relay, for messages between relays
+        self.long_id = 0  # the host's: what to call it where other units have the same mark; 0: none has
         self.zone = ""
         self.cell = 0
         self.kind = ""
-        self.since: Ticks = 0
+        self.started_at: Ticks = 0
         self.build = 0
-        self.size = 1.0
-        self.condition = Condition.GONE
+        self.capacity = 1.0
+        self.status = EndpointStatus.REMOVED
 
-    def update(self, told: Listing) -> None:
-        self.zone, self.cell, self.kind, self.condition = told.zone, told.cell, told.kind, told.condition
-        self.since, self.build, self.size = told.since, told.build, told.size
+    def update(self, told: EndpointRecord) -> None:
+        self.zone, self.cell, self.kind, self.status = told.zone, told.cell, told.kind, told.status
+        self.started_at, self.build, self.capacity = told.started_at, told.build, told.capacity
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
-    unit: Unit
+class EndpointRecord:
+    endpoint: Endpoint
     zone: str
     cell: int
     kind: str
-    since: Ticks
+    started_at: Ticks
     build: int
-    size: float
-    condition: Condition
+    capacity: float
+    status: EndpointStatus
 
 
 @dataclass(slots=True, eq=False)
-class Lookup:
-    lane: Lane
-    member: Member | None
+class Request:
+    request_class: RequestClass
+    tenant: Tenant | None
     key: str | None
-    taken: Ticks
-    due: Ticks  # when the client stops waiting
+    received_at: Ticks
+    deadline: Ticks  # when the client stops waiting
     hint: Ticks | None = None
-    again: bool = False
-    write: bool = False
-    trips: list[Trip] = field(default_factory=list)
-    over: bool = False
+    is_retry: bool = False
+    is_write: bool = False
+    attempts: list[Attempt] = field(default_factory=list)
+    finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Trip:
-    lookup: Lookup
-    unit: Unit
+class Attempt:
+    request: Request
+    endpoint: Endpoint
     number: int
-    sent: Ticks
-    limit: Ticks
-    fate: Fate | None = None
+    sent_at: Ticks
+    timeout: Ticks
+    outcome: AttemptOutcome | None = None
     streaming: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class RolloutState:
     """Where the newest build stands; `answer` is set when it answers a vote."""
 
     build: int
     stage: int
-    phase: Phase
-    cap: float
+    phase: RolloutPhase
+    exposure_limit: float
     age: Ticks
-    answer: bool
-    word: Fate
+    answers_vote: bool
+    outcome: AttemptOutcome
 
 
 @dataclass(slots=True, frozen=True)
-class Tally:
+class OutcomeTally:
     build: int
-    lane: Lane
-    trips: int
-    lost: int
-    took: Ticks
+    request_class: RequestClass
+    attempts: int
+    failures: int
+    latency: Ticks
     age: Ticks
 
 
 @dataclass(slots=True)
-class Sighting:
+class OutcomeObservation:
     """Outcomes at a unit that one relay tells another of, and how many were faults of each kind."""
 
-    unit: Unit
-    lane: Lane
+    endpoint: Endpoint
+    request_class: RequestClass
     build: int
     outcomes: int
     faults: list[int]
 
 
 @dataclass(slots=True, frozen=True)
-class Load:
+class InFlightCount:
     """Trips out at a unit: those of the relay that tells, or of all relays."""
 
-    unit: Unit
-    trips: int
+    endpoint: Endpoint
+    attempts: int
 
 
 @dataclass(slots=True, frozen=True)
-class Least:
+class InFlightBound:
     """Of loads that are told, some were left out or not understood: no other unit has more trips out."""
 
-    trips: int
+    attempts: int
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class FleetLatency:
     """How long trips take of late over the whole fleet: those out over those answered (Little's law)."""
 
-    took: Ticks
+    latency: Ticks
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class CompletionCount:
     """How many answers the relay that tells got in the last second."""
 
-    many: int
+    count: int
 
 
-Out = Load | Least  # what is out, whole: what a relay heard before from the same sender holds no more
-Word = Sighting | Out | Pace | Answered  # what relays tell each other
+InFlightEntry = (
+    InFlightCount | InFlightBound
+)  # what is out, whole: what a relay heard before from the same sender holds no more
+GossipEntry = OutcomeObservation | InFlightEntry | FleetLatency | CompletionCount  # what relays tell each other
 
 
 # Acts
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
-    trip: Trip
+class StartAttempt:
+    attempt: Attempt
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
-    trip: Trip
+class CancelAttempt:
+    attempt: Attempt
 
 
 @dataclass(slots=True, frozen=True)
-class Shed:
-    lookup: Lookup
-    come_back: Ticks
+class RejectRequest:
+    request: Request
+    retry_after: Ticks
 
 
 @dataclass(slots=True, frozen=True)
-class BreakOff:
-    lookup: Lookup
+class FailRequest:
+    request: Request
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     """Ask to be woken at a time; a lookup names the one to resume, none the relay itself."""
 
     at: Ticks
-    lookup: Lookup | None
+    request: Request | None
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
-    unit: Unit
+class CheckHealth:
+    endpoint: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
-    unit: Unit
+class CloseIdleConnections:
+    endpoint: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendGossip:
     peer: int | None  # none: all of them
-    words: Sequence[Word]
+    entries: Sequence[GossipEntry]
 
 
 @dataclass(slots=True, frozen=True)
-class Vote:
+class CastVote:
     build: int
     stage: int
     verdict: Verdict
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
-    on: bool
+class WatchEndpoints:
+    enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Fetch:
+class PollEndpoints:
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogEvent:
     text: str
 
 
-Act = Send | CallOff | Shed | BreakOff | Wake | Probe | Close | Tell | Vote | Watch | Fetch | Note
-Report = dict[str, float]
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | SendGossip
+    | CastVote
+    | WatchEndpoints
+    | PollEndpoints
+    | LogEvent
+)
+LoadReport = dict[str, float]
 
 
 class Decisions(Protocol):
     """What a host calls; after each call it carries out `acts` in order and empties it."""
 
     now: Ticks
-    acts: list[Act]
-    figures: Figures
-
-    def meet(self, mark: int) -> Unit: ...
-    def roster(self, coverage: Coverage, listings: Sequence[Listing]) -> None: ...
-    def take(self, lookup: Lookup) -> None: ...
-    def started(self, trip: Trip) -> None: ...
-    def ended(self, trip: Trip, fate: Fate, closed: bool, took: Ticks, report: Report | None) -> None: ...
-    def left(self, lookup: Lookup) -> None: ...
-    def wake(self, lookup: Lookup | None) -> None: ...
-    def news(self, news: News) -> None: ...
-    def heard(self, peer: int, words: Sequence[Word]) -> None: ...
-    def complaint(self, unit: Unit, lane: Lane, age: Ticks) -> None: ...
-    def tally(self, counted: Tally) -> None: ...
-    def probed(self, unit: Unit, fate: Fate, took: Ticks, report: Report | None) -> None: ...
+    actions: list[Action]
+    parameters: DecisionParameters
+
+    def new_endpoint(self, mark: int) -> Endpoint: ...
+    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None: ...
+    def request_received(self, lookup: Request) -> None: ...
+    def response_started(self, trip: Attempt) -> None: ...
+    def attempt_ended(
+        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
+    ) -> None: ...
+    def client_left(self, lookup: Request) -> None: ...
+    def timer_fired(self, lookup: Request | None) -> None: ...
+    def rollout_updated(self, news: RolloutState) -> None: ...
+    def gossip_received(self, peer: int, words: Sequence[GossipEntry]) -> None: ...
+    def complaint_received(self, unit: Endpoint, lane: RequestClass, age: Ticks) -> None: ...
+    def tally_received(self, counted: OutcomeTally) -> None: ...
+    def health_checked(self, unit: Endpoint, fate: AttemptOutcome, took: Ticks, report: LoadReport | None) -> None: ...
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -5,17 +5,17 @@
 
 from lanelead.decisions.interface import (
     SECOND,
-    Act,
-    Control,
-    Fate,
-    News,
-    Note,
-    Phase,
-    Poll,
+    Action,
+    PromotionControl,
+    AttemptOutcome,
+    RolloutState,
+    LogEvent,
+    RolloutPhase,
+    VotingRules,
     Ticks,
-    Trial,
+    CanaryLimits,
     Verdict,
-    Vote,
+    CastVote,
 )
 from lanelead.decisions.scoring import FULL, Scoring
 from lanelead.decisions.servers import Roster, Traffic
@@ -24,52 +24,52 @@
 
 
 class Ballot:  # this relay's one vote: when to cast it, and when again
-    def __init__(self, poll: Poll, chance: Random) -> None:
+    def __init__(self, poll: VotingRules, chance: Random) -> None:
         self._poll, self._chance = poll, chance
-        self._cast: Vote | None = None
+        self._cast: CastVote | None = None
         self._lapses, self._quiet = 0, 0  # when the vote must be cast again, and until when none may be
 
-    def hear(self, news: News, now: Ticks) -> None:
-        if news.answer and news.word is Fate.DONE:
+    def hear(self, news: RolloutState, now: Ticks) -> None:
+        if news.answers_vote and news.outcome is AttemptOutcome.SUCCEEDED:
             self._quiet = now
-        elif news.answer:  # it may be lost: cast again, after a random time, since all relays lost theirs
+        elif news.answers_vote:  # it may be lost: cast again, after a random time, since all relays lost theirs
             self._cast = None
-            self._quiet = now + int(self._poll.answer_limit * self._chance.uniform(0.1, 0.5))
+            self._quiet = now + int(self._poll.vote_timeout * self._chance.uniform(0.1, 0.5))
 
-    def cast(self, vote: Vote, now: Ticks) -> bool:  # due when new or about to lapse; 'back' waits not
+    def cast(self, vote: CastVote, now: Ticks) -> bool:  # due when new or about to lapse; 'back' waits not
         fresh = vote != self._cast
         due = self._quiet if fresh else max(self._quiet, self._lapses)
-        if now < due and not (fresh and vote.verdict is Verdict.BACK):
+        if now < due and not (fresh and vote.verdict is Verdict.ROLL_BACK):
             return False
-        self._cast, self._lapses = vote, now + self._poll.vote_life * 3 // 4
-        self._quiet = now + self._poll.answer_limit + SECOND
+        self._cast, self._lapses = vote, now + self._poll.vote_lifetime * 3 // 4
+        self._quiet = now + self._poll.vote_timeout + SECOND
         return True
 
-    def verdict(self, news: News, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
-        trial = news.phase is Phase.TRIAL
-        if (trial or news.phase is Phase.RELEASED) and (margin > 3 or (creep and ripe)):
-            return Verdict.BACK
-        if trial and self._poll.control is Control.AUTOMATIC:
-            return Verdict.HOLD if lately > 3 else Verdict.NONE if self._cast else None
-        return Verdict.ON if trial and ripe else None
+    def verdict(self, news: RolloutState, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
+        trial = news.phase is RolloutPhase.CANARY
+        if (trial or news.phase is RolloutPhase.PROMOTED) and (margin > 3 or (creep and ripe)):
+            return Verdict.ROLL_BACK
+        if trial and self._poll.control is PromotionControl.TIMER:
+            return Verdict.HOLD if lately > 3 else Verdict.ABSTAIN if self._cast else None
+        return Verdict.PROMOTE if trial and ripe else None
 
 
 class Rollout:
     """The build on trial as one relay sees it."""
 
     def __init__(
-        self, trial: Trial, poll: Poll, circle: Circle, scoring: Scoring, traffic: Traffic, chance: Random
+        self, trial: CanaryLimits, poll: VotingRules, circle: Circle, scoring: Scoring, traffic: Traffic, chance: Random
     ) -> None:
         self._trial, self._poll, self._circle, self._scoring = trial, poll, circle, scoring
         self._traffic, self.ballot = traffic, Ballot(poll, chance)
         self.margin, self._stage, self.told, self._doubt, self.due = 0.0, (-1, 0), 0, 0, 0
-        self._wait = min(5 * SECOND, 5 * poll.least_stage or 5 * SECOND)  # scaled as stages are
+        self._wait = min(5 * SECOND, 5 * poll.min_stage_time or 5 * SECOND)  # scaled as stages are
         self.calm, self.calm_rate = list[float](), 0.0  # slow answers at the end of each stage, from before
 
     def lean(self) -> float:  # delay has a price: all that the cap allows is used, unless in doubt
         return 1 + 2 * self._poll.delay_price if self.margin <= 1 else 1
 
-    def hear(self, news: News, now: Ticks) -> None:
+    def hear(self, news: RolloutState, now: Ticks) -> None:
         self.told = now - news.age
         if (news.build, news.stage) != self._stage:
             self._stage = news.build, news.stage
@@ -79,7 +79,7 @@
                 self.calm, self.calm_rate = self.calm[: news.stage], self._traffic.busy.read(now)
             self.calm += [faults / outcomes] if outcomes and len(self.calm) == news.stage else []
 
-    def look(self, news: News, roster: Roster, now: Ticks) -> list[Act]:
+    def look(self, news: RolloutState, roster: Roster, now: Ticks) -> list[Action]:
         ready, new = roster.ready, roster.groups.get(news.build)
         if not new:
             return []
@@ -90,18 +90,18 @@
         all_here = len(new) >= ceil(self._trial.shares[news.stage] * places - 1e-6)
         shut = 2 * sum(server.aside > now for server in new) >= len(new)
         self._doubt = now if self.margin > 1 else self._doubt
-        self.due = max(self.told, self._doubt, *(server.since for server in new)) + wait
+        self.due = max(self.told, self._doubt, *(server.started_at for server in new)) + wait
         # Guards against thin views that release what others doubt; where most must agree, watchers send back.
-        seen = self._poll.on_votes > self._circle.watchers or self._scoring.seen >= 10
+        seen = self._poll.promote_votes > self._circle.watchers or self._scoring.seen >= 10
         ripe = now >= self.due and seen and not shut and (all_here or now > self.told + 3 * wait)
         verdict = self.ballot.verdict(news, ripe, self.margin, lately, self.creeping(news, now))
-        if verdict and self.ballot.cast(vote := Vote(news.build, news.stage, verdict), now):
-            return [vote, Note(f"{verdict.name} on build {news.build}: margin {self.margin:.1f}")]
+        if verdict and self.ballot.cast(vote := CastVote(news.build, news.stage, verdict), now):
+            return [vote, LogEvent(f"{verdict.name} on build {news.build}: margin {self.margin:.1f}")]
         return []
 
-    def creeping(self, news: News, now: Ticks) -> bool:
+    def creeping(self, news: RolloutState, now: Ticks) -> bool:
         """Have most units, its own too, grown slower since stage 1, not busier? Other troubles mislead."""
-        released, busier = news.phase is Phase.RELEASED, self._traffic.busy.read(now) > 1.3 * self.calm_rate
+        released, busier = news.phase is RolloutPhase.PROMOTED, self._traffic.busy.read(now) > 1.3 * self.calm_rate
         few = self._trial.shares[news.stage] < 1 / 3 or len(self.calm) <= max(1, news.stage)
         if few or busier or (released and now - self.told > 10 * SECOND):
             return False
--- a/lanelead/decisions/scoring.py
+++ b/lanelead/decisions/scoring.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Sequence
 from enum import Enum
 
-from lanelead.decisions.interface import Condition, Fate, Lane, Ticks
-from lanelead.decisions.servers import Server
+from lanelead.decisions.interface import EndpointStatus, AttemptOutcome, RequestClass, Ticks
+from lanelead.decisions.servers import EndpointState
 from lanelead.decisions.sums import Window, Windows, filled, percentile, pooled, shares, tally, tamed, z_score
 
 FULL = 200  # outcomes in the fullest window that a deviation is taken for
@@ -19,17 +19,25 @@
     __hash__ = object.__hash__  # they are looked up for every outcome told
 
 
-FAULTS = dict.fromkeys((Fate.TURNED_AWAY, Fate.UNREACHABLE, Fate.CUT), Fault.SHUT)
-FAULTS |= {Fate.TIMED_OUT: Fault.SILENT, Fate.ERROR: Fault.BROKEN}
-STRIKES = {Fate.UNREACHABLE: 2.0, Fate.CUT: 1.0, Fate.ERROR: 1.0, Fate.TIMED_OUT: 1.0}
-HARD, MUTE = (Fault.BROKEN, Fault.WRONG), (Fate.UNREACHABLE, Fate.TIMED_OUT, Fate.CUT)
-View = Window[Server, Fault]
+FAULTS = dict.fromkeys((AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET), Fault.SHUT)
+FAULTS |= {AttemptOutcome.TIMED_OUT: Fault.SILENT, AttemptOutcome.ERROR: Fault.BROKEN}
+STRIKES = {
+    AttemptOutcome.CONNECT_FAILED: 2.0,
+    AttemptOutcome.RESET: 1.0,
+    AttemptOutcome.ERROR: 1.0,
+    AttemptOutcome.TIMED_OUT: 1.0,
+}
+HARD, MUTE = (
+    (Fault.BROKEN, Fault.WRONG),
+    (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET),
+)
+View = Window[EndpointState, Fault]
 
 
 class Scoring:
     def __init__(self, span: Ticks, scale: Ticks, fill: int, ripe: Ticks) -> None:
         self._span, self._scale, self._fill, self._ripe = span, scale, fill, ripe
-        self.windows, self._before = Windows[Server, Fault](4 * span), dict[Lane | None, View]()
+        self.windows, self._before = Windows[EndpointState, Fault](4 * span), dict[RequestClass | None, View]()
         self.stage_start: Ticks = 0
         self._trial, self.seen = 0, 0  # outcomes of the stage at the build on trial
 
@@ -37,7 +45,9 @@
         self._trial, self.stage_start, self.seen = trial, start, 0
         self._before = pooled(w for w in self._earlier(start - 2 * self._span) if w.start < start)
 
-    def record(self, server: Server, lane: Lane, faults: dict[Fault, int], now: Ticks, outcomes: int) -> None:
+    def record(
+        self, server: EndpointState, lane: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
+    ) -> None:
         # Coldness makes a server slow, but never wrong: only slowness goes unscored until it is ripe.
         ripe = now - server.listed >= self._ripe
         scored = {fault: many for fault, many in faults.items() if ripe or fault in HARD}
@@ -57,7 +67,7 @@
         z, decay = z_score(faults, outcomes, mean, FULL), self._scale / (gap + self._scale)
         return z * decay * percentile(faults / outcomes, among) * fault.value if z > 2 else 0.0
 
-    def read(self, servers: Sequence[Server], now: Ticks, span: Ticks = 0) -> tuple[float, float]:
+    def read(self, servers: Sequence[EndpointState], now: Ticks, span: Ticks = 0) -> tuple[float, float]:
         """The margin of the trial servers' mean score over the earlier ones', and that mean itself."""
         judged = dict.fromkeys(servers, 0.0)
         recent = self.windows.since(now - (span or self._span))
@@ -66,7 +76,7 @@
             return 0.0, 0.0
         base, ranks = self._before or pooled(self._earlier(now - 2 * self._span)), shares(every)
         for block in every:
-            gap = max(0, now - (block.server.since if block.build >= self._trial else self.stage_start))
+            gap = max(0, now - (block.server.started_at if block.build >= self._trial else self.stage_start))
             for fault, many in block.faults.items():
                 of_lane, among = base.get(block.lane), ranks[block.lane, fault]
                 judged[block.server] += self._score(many, block.outcomes, fault, of_lane, gap, among)
@@ -86,14 +96,14 @@
             for sign, new in ((1, True), (-1, False)):
                 side = {server: n for server, n in counts.items() if (server.build == self._trial) is new}
                 faults, many = tamed(side, len(side) - len(side) // 4 - (len(side) > 1))
-                starts = [server.since if new else self.stage_start for server in side] or [now]
+                starts = [server.started_at if new else self.stage_start for server in side] or [now]
                 gap = max(0, now - sum(starts) // len(starts))
                 total += sign * self._score(faults, many, fault, base, gap, parts)
         return total
 
     def slowness(self, now: Ticks, build: int = 0) -> tuple[int, int]:
         """Slow answers and outcomes lately from a build on; the worst quarter of servers as the next best."""
-        ready = (w for w in self.windows.since(now - self._span) if w.server.condition is Condition.READY)
+        ready = (w for w in self.windows.since(now - self._span) if w.server.status is EndpointStatus.READY)
         ripe = (w for w in ready if not build or w.start >= w.server.listed + self._ripe)  # as scored
         counts = tally((w for w in ripe if w.outcomes and w.build >= build), Fault.SLOW)
         return tamed(counts, len(counts) - len(counts) // 4)
--- a/lanelead/decisions/servers.py
+++ b/lanelead/decisions/servers.py
@@ -7,31 +7,31 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    LOADS,
-    Answered,
-    Condition,
-    Coverage,
-    Duties,
-    Lane,
-    Least,
-    Listing,
-    Load,
-    Member,
-    Out,
-    Pace,
-    Sighting,
+    MAX_IN_FLIGHT_COUNTS,
+    CompletionCount,
+    EndpointStatus,
+    UpdateScope,
+    ServiceLimits,
+    RequestClass,
+    InFlightBound,
+    EndpointRecord,
+    InFlightCount,
+    Tenant,
+    InFlightEntry,
+    FleetLatency,
+    OutcomeObservation,
     Ticks,
-    Trip,
-    Unit,
-    Word,
+    Attempt,
+    Endpoint,
+    GossipEntry,
 )
 from lanelead.decisions.sums import Fading
 
 
-class Server(Unit):
+class EndpointState(Endpoint):
     def __init__(self, mark: int, span: Ticks, done_span: Ticks, lot: float) -> None:
         super().__init__(mark)
-        self.out: dict[Trip, None] = {}  # trips without an end yet, oldest first
+        self.out: dict[Attempt, None] = {}  # trips without an end yet, oldest first
         self.listed, self.aside = 0, 0  # when it was, and until when it is set aside
         self.trips, self.strikes, self.pace = Fading(span), Fading(span), Fading(span)
         self.done, self.cold_sends = Fading(done_span), deque[Ticks]()
@@ -46,8 +46,8 @@
         return len(self.cold_sends)
 
 
-def mine(unit: Unit) -> Server:
-    assert isinstance(unit, Server)
+def state_of(unit: Endpoint) -> EndpointState:
+    assert isinstance(unit, EndpointState)
     return unit
 
 
@@ -55,21 +55,25 @@
     """The servers as last listed, and the ready ones: all, and by build, the newest first."""
 
     def __init__(self) -> None:
-        self.known, self.ready, self.groups = dict[Server, None](), list[Server](), dict[int, list[Server]]()
-
-    def apply(self, coverage: Coverage, listings: Iterable[Listing], now: Ticks) -> None:
-        if coverage is not Coverage.CHANGES:
+        self.known, self.ready, self.groups = (
+            dict[EndpointState, None](),
+            list[EndpointState](),
+            dict[int, list[EndpointState]](),
+        )
+
+    def apply(self, coverage: UpdateScope, listings: Iterable[EndpointRecord], now: Ticks) -> None:
+        if coverage is not UpdateScope.DELTA:
             for server in self.known:
-                server.condition = Condition.GONE
+                server.status = EndpointStatus.REMOVED
         for told in listings:
-            server = mine(told.unit)
-            if server not in self.known or (server.build, server.since) != (told.build, told.since):
-                server.listed, server.aside = told.since if coverage is Coverage.CACHED else now, 0
+            server = state_of(told.endpoint)
+            if server not in self.known or (server.build, server.started_at) != (told.build, told.started_at):
+                server.listed, server.aside = told.started_at if coverage is UpdateScope.CACHED else now, 0
                 server.mute = False
             server.update(told)
             self.known[server] = None
-        self.ready = [server for server in self.known if server.condition is Condition.READY]
-        self.known = {server: None for server in self.known if server.condition is not Condition.GONE}
+        self.ready = [server for server in self.known if server.status is EndpointStatus.READY]
+        self.known = {server: None for server in self.known if server.status is not EndpointStatus.REMOVED}
         builds = sorted({server.build for server in self.ready}, reverse=True)
         self.groups = {build: [server for server in self.ready if server.build == build] for build in builds}
 
@@ -83,15 +87,15 @@
         self.busy = Fading(span)  # trips that kept a unit busy, at all relays that tell
 
 
-def warmth(unit: Unit, duties: Duties, now: Ticks) -> float:
+def warmth(unit: Endpoint, duties: ServiceLimits, now: Ticks) -> float:
     """How much of its work a unit may be given, by how long ago it started: 1 once it is warm."""
-    age = now - unit.since
-    if unit.since <= 0 or age >= duties.cold_time:
+    age = now - unit.started_at
+    if unit.started_at <= 0 or age >= duties.slow_start_time:
         return 1.0
-    return duties.cold_share + (1 - duties.cold_share) * max(0, age) / max(1, duties.cold_time)
+    return duties.slow_start_share + (1 - duties.slow_start_share) * max(0, age) / max(1, duties.slow_start_time)
 
 
-class Fares(dict[tuple[Member | None, Lane], tuple[Fading, Fading]]):
+class Fares(dict[tuple[Tenant | None, RequestClass], tuple[Fading, Fading]]):
     """By member and lane, the lookups that ended and those that were timely: made once they come. Guards
     against state of each of many thousand members at each relay, most of which never ask there."""
 
@@ -99,7 +103,7 @@
         super().__init__()
         self._span = span
 
-    def __missing__(self, fare: tuple[Member | None, Lane]) -> tuple[Fading, Fading]:
+    def __missing__(self, fare: tuple[Tenant | None, RequestClass]) -> tuple[Fading, Fading]:
         self[fare] = made = Fading(self._span), Fading(self._span)
         return made
 
@@ -109,15 +113,15 @@
 
     def __init__(self, kinds: int) -> None:
         self._kinds = kinds
-        self._rows: dict[tuple[Server, Lane, int], Sighting] = {}
+        self._rows: dict[tuple[EndpointState, RequestClass, int], OutcomeObservation] = {}
 
-    def note(self, server: Server, lane: Lane, outcomes: int, faults: Sequence[int]) -> None:
+    def note(self, server: EndpointState, lane: RequestClass, outcomes: int, faults: Sequence[int]) -> None:
         at = server, lane, server.build
-        seen = self._rows.setdefault(at, Sighting(*at, 0, [0] * self._kinds))
+        seen = self._rows.setdefault(at, OutcomeObservation(*at, 0, [0] * self._kinds))
         seen.outcomes += outcomes
         seen.faults = [n + more for n, more in zip(seen.faults, faults, strict=True)]
 
-    def take(self) -> list[Sighting]:
+    def take(self) -> list[OutcomeObservation]:
         rows, self._rows = [*self._rows.values()], {}
         return rows
 
@@ -135,24 +139,24 @@
     def note(self, answers: int, now: Ticks) -> None:
         self._answers.add(now, answers)
 
-    def own(self, chance: Random, now: Ticks) -> Answered:
+    def own(self, chance: Random, now: Ticks) -> CompletionCount:
         """Parts of an answer go by lot: each of hundreds of relays has few."""
-        return Answered(int(self._answers.read(now) + chance.random()))
+        return CompletionCount(int(self._answers.read(now) + chance.random()))
 
-    def hear(self, peer: int, word: Word, now: Ticks) -> None:
-        if isinstance(word, Answered):
-            self._told[peer] = now, word.many
-        elif isinstance(word, Pace):
-            self._took, self._at = word.took, now
+    def hear(self, peer: int, word: GossipEntry, now: Ticks) -> None:
+        if isinstance(word, CompletionCount):
+            self._told[peer] = now, word.count
+        elif isinstance(word, FleetLatency):
+            self._took, self._at = word.latency, now
 
-    def measure(self, out: int, enough: int, now: Ticks) -> list[Pace]:
+    def measure(self, out: int, enough: int, now: Ticks) -> list[FleetLatency]:
         """Nothing before as many answers as are enough came in one span, and two spans have passed."""
         self._told = {peer: told for peer, told in self._told.items() if told[0] > now - self._span}
         answers = self._answers.read(now) + sum(many for _, many in self._told.values())
         if answers < enough or now < self._began + 2 * self._span:
             return []
         self._took, self._at = int(out / answers * self._span), now
-        return [Pace(self._took)]
+        return [FleetLatency(self._took)]
 
     def took(self, now: Ticks) -> Ticks | None:
         return self._took if self._at > now - self._span else None
@@ -163,43 +167,43 @@
 
     def __init__(self, span: Ticks) -> None:
         self._span = span  # what is older than this is not known any more
-        self._told = dict[int, tuple[Ticks, list[Load]]]()
-        self._said: list[Server] = []  # where this relay last said that it had trips out
-        self._others, self._at, self._rest = dict[Server, int](), -span, 0
+        self._told = dict[int, tuple[Ticks, list[InFlightCount]]]()
+        self._said: list[EndpointState] = []  # where this relay last said that it had trips out
+        self._others, self._at, self._rest = dict[EndpointState, int](), -span, 0
 
-    def own(self, servers: Iterable[Server]) -> list[Load]:
+    def own(self, servers: Iterable[EndpointState]) -> list[InFlightCount]:
         """What this relay has out. With nothing out any more it says so once: silence would leave the hubs
         with its last trips until those are too old."""
         busy = [server for server in servers if server.out]
-        loads = [Load(server, len(server.out)) for server in busy or self._said]
+        loads = [InFlightCount(server, len(server.out)) for server in busy or self._said]
         self._said = busy
         return loads
 
-    def hear(self, peer: int | None, said: Sequence[Out], now: Ticks) -> None:
+    def hear(self, peer: int | None, said: Sequence[InFlightEntry], now: Ticks) -> None:
         """All that a peer has out itself; none: all that all have out, this relay's trips among them."""
-        loads = [word for word in said if isinstance(word, Load)]
+        loads = [word for word in said if isinstance(word, InFlightCount)]
         if peer is not None:
             self._told[peer] = now, loads
         else:
-            self._at, rows = now, ((mine(load.unit), load.trips) for load in loads)
+            self._at, rows = now, ((state_of(load.endpoint), load.attempts) for load in loads)
             self._others = {server: trips - len(server.out) for server, trips in rows}
             # A full letter left out units with no more than the least it tells of; they are not idle.
-            full = loads[-1].trips if len(loads) >= LOADS else 0
-            self._rest = next((word.trips for word in said if isinstance(word, Least)), full)
+            full = loads[-1].attempts if len(loads) >= MAX_IN_FLIGHT_COUNTS else 0
+            self._rest = next((word.attempts for word in said if isinstance(word, InFlightBound)), full)
 
-    def add(self, own: Iterable[Load], now: Ticks) -> list[Load]:
+    def add(self, own: Iterable[InFlightCount], now: Ticks) -> list[InFlightCount]:
         """Adds up what the peers told, and gives what all relays have out with this one's own, most first."""
         self._told = {peer: told for peer, told in self._told.items() if told[0] > now - self._span}
         self._at, self._others, self._rest = now, {}, 0
         for _, loads in self._told.values():
             for load in loads:
-                server = mine(load.unit)
-                self._others[server] = self._others.get(server, 0) + load.trips
-        total = Counter[Unit](self._others)
-        total.update({load.unit: load.trips for load in own})
-        return [Load(unit, trips) for unit, trips in total.most_common()]
+                server = state_of(load.endpoint)
+                self._others[server] = self._others.get(server, 0) + load.attempts
+        total = Counter[Endpoint](self._others)
+        total.update({load.endpoint: load.attempts for load in own})
+        return [InFlightCount(unit, trips) for unit, trips in total.most_common()]
 
-    def at(self, server: Server, now: Ticks) -> int:
+    def at(self, server: EndpointState, now: Ticks) -> int:
         """The others' trips there at the most, 0 where nothing is known."""
         told = self._others.get(server, self._rest - len(server.out))
         return max(0, told) if self._at > now - self._span else 0
--- a/lanelead/decisions/sums.py
+++ b/lanelead/decisions/sums.py
@@ -11,9 +11,9 @@
 from math import exp, sqrt
 from typing import Generic, TypeVar
 
-from lanelead.decisions.interface import SECOND, Lane, Ticks, Unit
+from lanelead.decisions.interface import SECOND, RequestClass, Ticks, Endpoint
 
-S = TypeVar("S", bound=Unit)
+S = TypeVar("S", bound=Endpoint)
 F = TypeVar("F", bound=Enum)
 
 
@@ -118,7 +118,7 @@
     """The outcomes of one lane at one server in a second, or in a few of them that are counted together."""
 
     server: S
-    lane: Lane
+    lane: RequestClass
     build: int
     start: Ticks
     outcomes: int = 0
@@ -136,9 +136,9 @@
     def __init__(self, span: Ticks) -> None:
         self._span = span
         self.all: deque[Window[S, F]] = deque()  # the oldest first
-        self._open: dict[tuple[S, Lane], Window[S, F]] = {}
+        self._open: dict[tuple[S, RequestClass], Window[S, F]] = {}
 
-    def add(self, server: S, lane: Lane, outcomes: int, faults: Mapping[F, int], now: Ticks) -> None:
+    def add(self, server: S, lane: RequestClass, outcomes: int, faults: Mapping[F, int], now: Ticks) -> None:
         window, second = self._open.get((server, lane)), now - now % SECOND
         if window is None or (window.start, window.build) != (second, server.build):
             window = self._open[server, lane] = Window(server, lane, server.build, second)
@@ -156,7 +156,7 @@
 
 def filled(windows: Iterable[Window[S, F]], fill: int) -> list[Window[S, F]]:
     """As few windows as hold `fill` outcomes each, by server and lane, none of them without any."""
-    rows: dict[tuple[S, Lane], list[Window[S, F]]] = {}
+    rows: dict[tuple[S, RequestClass], list[Window[S, F]]] = {}
     for w in windows:
         row = rows.setdefault((w.server, w.lane), [])
         if not row or row[-1].outcomes >= fill:
@@ -165,7 +165,7 @@
     return [window for row in rows.values() for window in row if window.outcomes]
 
 
-def shares(windows: Sequence[Window[S, F]]) -> dict[tuple[Lane, F], list[float]]:
+def shares(windows: Sequence[Window[S, F]]) -> dict[tuple[RequestClass, F], list[float]]:
     """Of each kind of fault seen in a lane, its share of each of that lane's windows, in rising order."""
     seen = {(window.lane, fault): None for window in windows for fault in window.faults}
     return {
@@ -174,9 +174,9 @@
     }
 
 
-def pooled(windows: Iterable[Window[S, F]]) -> dict[Lane | None, Window[S, F]]:
+def pooled(windows: Iterable[Window[S, F]]) -> dict[RequestClass | None, Window[S, F]]:
     """All windows as one of each lane, and one of all lanes."""
-    base: dict[Lane | None, Window[S, F]] = {}
+    base: dict[RequestClass | None, Window[S, F]] = {}
     for w in windows:
         for lane in (w.lane, None):
             base.setdefault(lane, Window(w.server, w.lane, w.build, w.start)).add(w.outcomes, w.faults)
--- a/lanelead/decisions/telling.py
+++ b/lanelead/decisions/telling.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 from random import Random
 
-from lanelead.decisions.interface import Place, Tell, Word
+from lanelead.decisions.interface import RelayPosition, SendGossip, GossipEntry
 
 CIRCLE = 8  # relays that tell each other directly, at most
 
@@ -12,16 +12,18 @@
     """A small circle tells all. Else a drawn hub hears what was seen and tells watchers, who can send back;
     all hubs hear what is out, and tell all in turns. Guards against bytes by the square and lost hubs."""
 
-    def __init__(self, place: Place, back_votes: int, chance: Random) -> None:
-        self._number, self._relays, self._chance = place.number, place.relays, chance
-        self._hubs, self._beats = place.relays if place.relays <= CIRCLE else CIRCLE // 2, place.number
-        self.watchers = min(place.relays, max(self._hubs, back_votes * 5 // 4))
+    def __init__(self, place: RelayPosition, back_votes: int, chance: Random) -> None:
+        self._number, self._relays, self._chance = place.number, place.relay_count, chance
+        self._hubs, self._beats = place.relay_count if place.relay_count <= CIRCLE else CIRCLE // 2, place.number
+        self.watchers = min(place.relay_count, max(self._hubs, back_votes * 5 // 4))
         self.hub, self.watches = place.number < self._hubs, place.number < self.watchers
 
     def passes_on(self, sender: int) -> bool:
         return self.hub and sender >= self._hubs
 
-    def letters(self, seen: Sequence[Word], out: Sequence[Word], in_all: Sequence[Word]) -> Iterable[Tell]:
+    def letters(
+        self, seen: Sequence[GossipEntry], out: Sequence[GossipEntry], in_all: Sequence[GossipEntry]
+    ) -> Iterable[SendGossip]:
         both, self._beats = [*seen, *out], self._beats + 1
         if self.hub:
             letters = [(peer, both if peer < self._hubs else seen) for peer in range(self.watchers)]
@@ -29,4 +31,4 @@
         else:
             drawn = self._chance.randrange(self._hubs) if seen else -1
             letters = [(hub, both if hub == drawn else out) for hub in range(self._hubs)]
-        yield from (Tell(peer, said) for peer, said in letters if said and peer != self._number)
+        yield from (SendGossip(peer, said) for peer, said in letters if said and peer != self._number)
--- a/lanelead/decisions/zones.py
+++ b/lanelead/decisions/zones.py
@@ -4,47 +4,53 @@
 from math import exp
 from random import Random
 
-from lanelead.decisions.interface import Condition, Duties, Lookup, Preference, Repeat, Ticks
-from lanelead.decisions.servers import Server, Tier, warmth
+from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request, ZonePreference, Idempotency, Ticks
+from lanelead.decisions.servers import EndpointState, Tier, warmth
 
-ANYWHERE = Preference()
-Pools = dict[int, list[Server]]
+ANYWHERE = ZonePreference()
+Pools = dict[int, list[EndpointState]]
 
 
 class Spill:
-    def __init__(self, preference: Preference, duties: Duties, longest: Ticks, beat: Ticks, chance: Random) -> None:
+    def __init__(
+        self, preference: ZonePreference, duties: ServiceLimits, longest: Ticks, beat: Ticks, chance: Random
+    ) -> None:
         self._wants, self._duties, self._chance = preference, duties, chance
         self._longest, self._beat, self._rate, self._beats = longest, beat, 0.0, 0
         self.tiers = [Tier(2 * longest) for _ in preference.tiers]
         self._place = {zone: place for place, zones in enumerate(preference.tiers) for zone in zones}
-        self._draws = dict[Lookup, float]()
+        self._draws = dict[Request, float]()
 
-    def place(self, server: Server) -> int:  # zones that no tier names come with the last
+    def place(self, server: EndpointState) -> int:  # zones that no tier names come with the last
         return self._place.get(server.zone, len(self.tiers) - 1)
 
-    def note(self, server: Server, outcomes: int, bad: int, now: Ticks) -> None:
+    def note(self, server: EndpointState, outcomes: int, bad: int, now: Ticks) -> None:
         if self.tiers:
             tier = self.tiers[self.place(server)]
             tier.ended.add(now, outcomes)
             tier.bad.add(now, bad)
 
-    def troubled(self, server: Server) -> bool:  # guards against blaming a build for its lost or full zone
+    def troubled(self, server: EndpointState) -> bool:  # guards against blaming a build for its lost or full zone
         return bool(self.tiers) and self.tiers[self.place(server)].gone > 0.25
 
-    def left(self, lookup: Lookup) -> None:
+    def left(self, lookup: Request) -> None:
         self._draws.pop(lookup, None)
 
-    def beat(self, servers: Iterable[Server], taken: float, trial: bool, now: Ticks) -> None:
+    def beat(self, servers: Iterable[EndpointState], taken: float, trial: bool, now: Ticks) -> None:
         """Once a beat. `taken`: lookups, a sum over 4 s; `trial`: a build's machines may stand beside."""
         if not self.tiers:
             return
-        self._beats, steps = self._beats + 1, self._beat / max(1, self._duties.cold_time)
+        self._beats, steps = self._beats + 1, self._beat / max(1, self._duties.slow_start_time)
         sizes, silent = [0.0] * len(self.tiers), [0] * len(self.tiers)
         for server in servers:
-            if server.condition is Condition.READY:
+            if server.status is EndpointStatus.READY:
                 place = self.place(server)
-                sizes[place] += server.size * warmth(server, self._duties, now)
-                late = (trip for trip in server.out if now - trip.sent > trip.lookup.lane.expected_time // 2)
+                sizes[place] += server.capacity * warmth(server, self._duties, now)
+                late = (
+                    trip
+                    for trip in server.out
+                    if now - trip.sent_at > trip.request.request_class.latency_objective // 2
+                )
                 silent[place] += sum(1 for _ in late)
         troubled = any(tier.gone > 0 for tier in self.tiers)
         rate = taken / (4 * (1 - exp(-self._beats * self._beat / 40_000)))  # a sum that has just begun is low
@@ -64,11 +70,13 @@
         seen = max(0.0, (bad - 2) / ended - 0.1) / 0.4 if ended >= 4 else 0.0
         target, self_paced = max(listed, seen), self._chance.uniform(0.5, 1.5)
         if target > tier.gone:
-            tier.gone = min(target, tier.gone + self._beat / (self._wants.grow * self._longest) * self_paced)
+            tier.gone = min(
+                target, tier.gone + self._beat / (self._wants.growth_time_factor * self._longest) * self_paced
+            )
             if target > 0.5 and not tier.failing:  # it fails once more: trusted more slowly, up to a bound
                 tier.failing, tier.distrust = True, min(3.0, tier.distrust + 1)
         else:
-            fall = steps / (self._wants.shrink * max(1.0, tier.distrust)) * self_paced
+            fall = steps / (self._wants.shrink_time_factor * max(1.0, tier.distrust)) * self_paced
             tier.gone = max(target, tier.gone - fall)
             tier.failing = tier.failing and target > 0.3  # a zone that flaps is counted before it is all back
             if tier.gone < 0.1:
@@ -76,11 +84,11 @@
 
     def limit(self, place: int) -> float:  # trips a second that strangers may make at a tier
         home, tier = self.tiers[0], self.tiers[place]
-        return self._wants.most * self._rate * tier.present / home.full if home.full else self._rate
+        return self._wants.max_foreign_load * self._rate * tier.present / home.full if home.full else self._rate
 
     def _admit(self, place: int, tier: Tier, now: Ticks) -> None:
         ended, bad = tier.ended.read(now), tier.bad.read(now)
-        step = self._beat / (self._wants.grow * self._longest) * self._chance.uniform(0.5, 1.5)
+        step = self._beat / (self._wants.growth_time_factor * self._longest) * self._chance.uniform(0.5, 1.5)
         if ended >= 4 and bad > 0.1 * ended:
             tier.grant = max(0.05, tier.grant * (1 - step))
         elif any(before.gone > 0 for before in self.tiers[:place]):
@@ -92,14 +100,14 @@
         most = max(3.0, more * self._longest / self._beat / 2)
         tier.held = min(most, tier.held + more * self._chance.uniform(0.5, 1.5))
 
-    def _order(self, lookup: Lookup) -> list[list[int]]:  # the tiers that it may use now, the best first
+    def _order(self, lookup: Request) -> list[list[int]]:  # the tiers that it may use now, the best first
         draw = self._draws.setdefault(lookup, self._chance.random())
-        tried = {self._place.get(trip.unit.zone, len(self.tiers) - 1) for trip in lookup.trips}
-        if lookup.trips and lookup.lane.repeat is Repeat.RECEIPTED:
+        tried = {self._place.get(trip.endpoint.zone, len(self.tiers) - 1) for trip in lookup.attempts}
+        if lookup.attempts and lookup.request_class.idempotency is Idempotency.KEYED:
             return [sorted(tried)]  # its group may be the zone: a repeat never spills
         order, last = list[list[int]](), len(self.tiers) - 1
         for place, tier in enumerate(self.tiers):
-            risky = tier.gone > 0.9 and lookup.lane.repeat is not Repeat.PURE
+            risky = tier.gone > 0.9 and lookup.request_class.idempotency is not Idempotency.IDEMPOTENT
             allowed = (place == 0 or tier.held >= 1) and not risky and place not in tried
             if allowed and (draw >= tier.gone or place == last or order):
                 order.append([place])
@@ -108,11 +116,11 @@
             order.append([0])  # more than its part, but most of it is there, and full queues guard it
         return order or [sorted(tried)]
 
-    def spend(self, server: Server) -> None:
+    def spend(self, server: EndpointState) -> None:
         if self.tiers and (place := self.place(server)):
             self.tiers[place].held -= 1
 
-    def cuts(self, pools: Pools, lookup: Lookup) -> Iterator[Pools]:
+    def cuts(self, pools: Pools, lookup: Request) -> Iterator[Pools]:
         if len(self.tiers) < 2:
             yield pools
             return
--- a/lanelead/hosting/door.py
+++ b/lanelead/hosting/door.py
@@ -11,18 +11,18 @@
 from typing import Any
 
 from lanelead.decisions.interface import (
-    LOADS,
-    Answered,
-    Condition,
-    Lane,
-    Least,
-    Load,
-    Pace,
-    Sighting,
-    Unit,
-    Word,
+    MAX_IN_FLIGHT_COUNTS,
+    CompletionCount,
+    EndpointStatus,
+    RequestClass,
+    InFlightBound,
+    InFlightCount,
+    FleetLatency,
+    OutcomeObservation,
+    Endpoint,
+    GossipEntry,
 )
-from lanelead.hosting.marks import NAMELESS, SHORT, Marks, crc
+from lanelead.hosting.marks import NO_LONG_ID, SHORT_ID_MASK, ShortIds, long_id_of
 
 KINDS = 5  # kinds of fault in a sighting
 ROW = Struct(f">HHB{1 + KINDS}B")  # a sighting: unit mark, build, lane, outcomes, faults of each kind
@@ -30,52 +30,52 @@
 SHARED = 255  # in the lane's place of a row: it is no sighting but two loads, which earlier programs pass over
 LOADS_SHARED = Struct(">IBBIB")  # wide mark, trips out, SHARED in the place that ROW has for the lane, the same
 SEEN_SHARED = Struct(f">IHB{1 + KINDS}B")  # a sighting by its unit's wide mark, in messages of their own form
-MESSAGE = 256  # the most bytes of one message between relays
+MAX_MESSAGE_BYTES = 256  # the most bytes of one message between relays
 FORM, COUNT = 2, 5  # the messages' form, above the bits that count sightings: relays of two versions meet
 FORM_SHARED = 3  # of messages with sightings of units that share their mark
 HEAD, STEP = 3, 200  # bytes before the rows: form and count, the pace in steps of so many ticks, answers
-ROOM = MESSAGE - 2 - HEAD  # two bytes are the checksum's
+ROOM = MAX_MESSAGE_BYTES - 2 - HEAD  # two bytes are the checksum's
 UNTOLD = 255  # in place of pace or answers
 Seen = tuple[Any, ...]  # a unit, or none that is understood, then build, lane, outcomes and faults
 
 
-class Door:
+class EndpointRegistry:
     """The units by name and by mark. `meet` makes the decisions' own object for a unit first heard of."""
 
-    def __init__(self, meet: Callable[[int], Unit]) -> None:
+    def __init__(self, meet: Callable[[int], Endpoint]) -> None:
         self._meet = meet
-        self.units: dict[str, Unit] = {}
-        self.names: dict[Unit, str] = {}
-        self.marks = Marks()
-        self._retired: dict[Unit, None] = {}
+        self.by_name: dict[str, Endpoint] = {}
+        self.names: dict[Endpoint, str] = {}
+        self.short_ids = ShortIds()
+        self._retired: dict[Endpoint, None] = {}
 
-    def unit(self, name: str) -> Unit:
-        unit = self.units.get(name)
+    def get_or_add(self, name: str) -> Endpoint:
+        unit = self.by_name.get(name)
         if unit is None:
-            wide = crc(name)
-            self.units[name] = unit = self._meet(wide & SHORT)
+            wide = long_id_of(name)
+            self.by_name[name] = unit = self._meet(wide & SHORT_ID_MASK)
             self.names[unit] = name
-            self.marks.add(wide, unit)
+            self.short_ids.add(wide, unit)
         elif unit in self._retired:
             del self._retired[unit]
-            self.marks.add(crc(name), unit)
+            self.short_ids.add(long_id_of(name), unit)
         return unit
 
-    def forget(self, unit: Unit) -> None:
+    def forget(self, unit: Endpoint) -> None:
         """For a unit that is gone: one that comes back by this name is met anew."""
         name = self.names.pop(unit, None)
         if name is not None:
-            del self.units[name]
+            del self.by_name[name]
             self._retired.pop(unit, None)
-            self.marks.drop(unit)
+            self.short_ids.drop(unit)
 
-    def retire(self, unit: Unit) -> None:
+    def retire(self, unit: Endpoint) -> None:
         """For a unit gone for so long that no relay tells of it: its mark is free, its name stays its own."""
         self._retired[unit] = None
-        self.marks.drop(unit)
+        self.short_ids.drop(unit)
 
 
-def pack(words: Sequence[Word], lanes: Sequence[Lane]) -> list[bytes]:
+def encode_gossip(words: Sequence[GossipEntry], lanes: Sequence[RequestClass]) -> list[bytes]:
     """Sightings and loads as messages of the allowed length: their form and the number of rows in one byte,
     pace and answers in the next two, then the rows, then loads. The loads go whole into one message, since
     they say what is out and that there is no more: of more than fit, those that come first. Units that share
@@ -83,17 +83,17 @@
     sightings in messages of another form; where there are none, no byte is spent on this."""
     rows, wide_rows = list[bytes](), list[bytes]()
     for word in words:
-        if isinstance(word, Sighting) and word.unit.wide != NAMELESS:
+        if isinstance(word, OutcomeObservation) and word.endpoint.long_id != NO_LONG_ID:
             many = (min(number, 255) for number in (word.outcomes, *word.faults))
-            at = word.build, lanes.index(word.lane)
-            if word.unit.wide:
-                wide_rows.append(SEEN_SHARED.pack(word.unit.wide, *at, *many))
+            at = word.build, lanes.index(word.request_class)
+            if word.endpoint.long_id:
+                wide_rows.append(SEEN_SHARED.pack(word.endpoint.long_id, *at, *many))
             else:
-                rows.append(ROW.pack(word.unit.mark, *at, *many))
-    loads = [word for word in words if isinstance(word, Load) and word.unit.wide != NAMELESS]
+                rows.append(ROW.pack(word.endpoint.short_id, *at, *many))
+    loads = [word for word in words if isinstance(word, InFlightCount) and word.endpoint.long_id != NO_LONG_ID]
     shared, plain = _fitting(loads)
-    paces = [min(UNTOLD - 1, word.took // STEP) for word in words if isinstance(word, Pace)]
-    answers = [min(UNTOLD - 1, word.many) for word in words if isinstance(word, Answered)]
+    paces = [min(UNTOLD - 1, word.latency // STEP) for word in words if isinstance(word, FleetLatency)]
+    answers = [min(UNTOLD - 1, word.count) for word in words if isinstance(word, CompletionCount)]
     pace = bytes([*(paces[:1] or [UNTOLD]), *(answers[:1] or [UNTOLD])])
     step = ROOM // ROW.size
     parts, tail = [rows[place : place + step] for place in range(0, len(rows), step)], b""
@@ -106,32 +106,34 @@
     texts = [bytes([FORM << COUNT | len(some)]) + pace + b"".join(some) for some in parts]
     if tail:
         texts[-1] += tail
-    step = (MESSAGE - 2 - 1) // SEEN_SHARED.size
+    step = (MAX_MESSAGE_BYTES - 2 - 1) // SEEN_SHARED.size
     wide_parts = [wide_rows[place : place + step] for place in range(0, len(wide_rows), step)]
     return texts + [bytes([FORM_SHARED << COUNT | len(some)]) + b"".join(some) for some in wide_parts]
 
 
-def _fitting(loads: Sequence[Load]) -> tuple[list[bytes], list[bytes]]:
+def _fitting(loads: Sequence[InFlightCount]) -> tuple[list[bytes], list[bytes]]:
     """As many of the first loads as fit: rows for units that share their mark, and what follows the rows.
     Where some of those were told and others left out, a place in a row says under no mark what the others
     have at the most."""
-    told = loads[:LOADS]
-    shared = sum(load.unit.wide != 0 for load in told)
+    told = loads[:MAX_IN_FLIGHT_COUNTS]
+    shared = sum(load.endpoint.long_id != 0 for load in told)
     if shared and _size(shared, len(told) - shared) > ROOM:
         told = _first(told)
-    pairs = [(load.unit.wide, min(load.trips, 255)) for load in told if load.unit.wide]
-    pairs += [(0, min(loads[len(told)].trips, 255))] if shared and len(told) < len(loads) else []
+    pairs = [(load.endpoint.long_id, min(load.attempts, 255)) for load in told if load.endpoint.long_id]
+    pairs += [(0, min(loads[len(told)].attempts, 255))] if shared and len(told) < len(loads) else []
     pairs += [(0, 0)] * (len(pairs) % 2)
     twos = zip(pairs[::2], pairs[1::2], strict=True)
     rows = [LOADS_SHARED.pack(wide, SHARED, trips, *second) for (wide, trips), second in twos]
-    return rows, [LOAD.pack(load.unit.mark, min(load.trips, 255)) for load in told if not load.unit.wide]
+    return rows, [
+        LOAD.pack(load.endpoint.short_id, min(load.attempts, 255)) for load in told if not load.endpoint.long_id
+    ]
 
 
-def _first(loads: Sequence[Load]) -> Sequence[Load]:
+def _first(loads: Sequence[InFlightCount]) -> Sequence[InFlightCount]:
     """As many as leave a place for what the rest has."""
     shared = 0
     for many, load in enumerate(loads):
-        shared += load.unit.wide != 0
+        shared += load.endpoint.long_id != 0
         if _size(shared + 1, many + 1 - shared) > ROOM:
             return loads[:many]
     return loads
@@ -141,23 +143,23 @@
     return ROW.size * ((shared + 1) // 2) + LOAD.size * plain
 
 
-def unpack(text: bytes, units: Marks, lanes: Sequence[Lane]) -> list[Word]:
+def decode_gossip(text: bytes, units: ShortIds, lanes: Sequence[RequestClass]) -> list[GossipEntry]:
     """What a message says; rows of units, builds or lanes unknown to this relay are passed over and counted,
     and so is a message of another form: read as this one, it would say what nobody saw."""
     form, count = divmod(text[0], 1 << COUNT) if text else (FORM, 0)
-    if form == FORM_SHARED and len(text) == 1 + count * SEEN_SHARED.size <= MESSAGE:
+    if form == FORM_SHARED and len(text) == 1 + count * SEEN_SHARED.size <= MAX_MESSAGE_BYTES:
         wide = SEEN_SHARED.iter_unpack(text[1:])
-        return [*_sightings(((units.wide(mark), *row) for mark, *row in wide), units, lanes)]
+        return [*_sightings(((units.by_long_id(mark), *row) for mark, *row in wide), units, lanes)]
     end = HEAD + count * ROW.size
-    if form != FORM or not end <= len(text) <= MESSAGE:
-        units.passed_over["length" if form in (FORM, FORM_SHARED) else "form"] += 1
+    if form != FORM or not end <= len(text) <= MAX_MESSAGE_BYTES:
+        units.skipped["length" if form in (FORM, FORM_SHARED) else "form"] += 1
         return []
-    pace = [Pace(text[1] * STEP)] if text[1] != UNTOLD else []
-    answered = [Answered(text[2])] if text[2] != UNTOLD else []
-    seen, halves = list[Sighting](), list[tuple[int, int]]()
+    pace = [FleetLatency(text[1] * STEP)] if text[1] != UNTOLD else []
+    answered = [CompletionCount(text[2])] if text[2] != UNTOLD else []
+    seen, halves = list[OutcomeObservation](), list[tuple[int, int]]()
     if count:  # most letters have none: a hub hears thousands a second
         rows = ROW.iter_unpack(text[HEAD:end])
-        found = ((units.short(mark), *row) for mark, *row in rows if row[1] != SHARED)
+        found = ((units.by_short_id(mark), *row) for mark, *row in rows if row[1] != SHARED)
         seen += _sightings(found, units, lanes)
         for place in range(HEAD, end, ROW.size):
             first, kind, trips, *second = LOADS_SHARED.unpack_from(text, place)
@@ -166,30 +168,32 @@
     return [*seen, *_loads([*LOAD.iter_unpack(rest)], halves, units), *pace, *answered]
 
 
-def _sightings(rows: Iterable[Seen], units: Marks, lanes: Sequence[Lane]) -> Iterator[Sighting]:
+def _sightings(rows: Iterable[Seen], units: ShortIds, lanes: Sequence[RequestClass]) -> Iterator[OutcomeObservation]:
     for unit, build, lane, outcomes, *faults in rows:
         if unit is not None:
-            if unit.build == build and lane < len(lanes) and unit.condition is Condition.READY:
-                yield Sighting(unit, lanes[lane], build, outcomes, faults)
+            if unit.build == build and lane < len(lanes) and unit.status is EndpointStatus.READY:
+                yield OutcomeObservation(unit, lanes[lane], build, outcomes, faults)
             else:
-                units.passed_over["other"] += 1
+                units.skipped["other"] += 1
 
 
-def _loads(plain: list[tuple[int, int]], shared: list[tuple[int, int]], units: Marks) -> list[Word]:
+def _loads(plain: list[tuple[int, int]], shared: list[tuple[int, int]], units: ShortIds) -> list[GossipEntry]:
     """What is out, from rows by mark and by wide mark. A full letter stays one though rows of it are passed
     over: units that it leaves out are not idle. One of which nothing is understood says that much."""
-    marks, alone = dict(plain), units.alone
+    marks, alone = dict(plain), units.unique
     if len(marks) < len(plain):  # an earlier program tells so of two units as one
         many = Counter(mark for mark, _ in plain)
         marks = {mark: trips for mark, trips in plain if many[mark] == 1}
-        units.passed_over["doubled"] += len(plain) - len(marks)
-    found: list[Word] = [Load(unit, trips) for mark, trips in marks.items() if (unit := alone.get(mark))]
+        units.skipped["doubled"] += len(plain) - len(marks)
+    found: list[GossipEntry] = [
+        InFlightCount(unit, trips) for mark, trips in marks.items() if (unit := alone.get(mark))
+    ]
     if len(found) < len(marks):
-        units.miss(mark for mark in marks if mark not in alone)
-    found += [Load(unit, trips) for wide, trips in shared if wide and (unit := units.wide(wide))]
+        units.count_unknown(mark for mark in marks if mark not in alone)
+    found += [InFlightCount(unit, trips) for wide, trips in shared if wide and (unit := units.by_long_id(wide))]
     if shared or len(found) < len(plain):
         least = [trips for wide, trips in shared if not wide and trips]
-        least += [plain[-1][1]] if len(plain) >= LOADS else []
+        least += [plain[-1][1]] if len(plain) >= MAX_IN_FLIGHT_COUNTS else []
         if least or not found:
-            found.append(Least(least[0] if least else 0))
+            found.append(InFlightBound(least[0] if least else 0))
     return found
--- a/lanelead/hosting/marks.py
+++ b/lanelead/hosting/marks.py
@@ -19,18 +19,18 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from lanelead.decisions.interface import Unit
+from lanelead.decisions.interface import Endpoint
 
-NAMELESS = -1  # in place of a wide mark: it is not told of
-SHORT = 0xFFFF
+NO_LONG_ID = -1  # in place of a wide mark: it is not told of
+SHORT_ID_MASK = 0xFFFF
 
 
-def crc(name: str) -> int:
+def long_id_of(name: str) -> int:
     """A unit's wide mark; its low 16 bits are its mark."""
     return zlib.crc32(name.encode())
 
 
-class Marks:
+class ShortIds:
     """Units by mark and by wide mark; keeps `Unit.wide` as that of those that share their mark, else 0.
 
     `passed_over` counts the rows and letters that were not understood, by reason: 'form', 'length', 'doubled'
@@ -39,57 +39,57 @@
     """
 
     def __init__(self) -> None:
-        self.alone: dict[int, Unit] = {}  # by mark, where no other has it
-        self._shared: dict[int, list[Unit]] = {}  # by mark, where several have it
-        self._wides: dict[Unit, int] = {}
-        self.passed_over = Counter[str]()
+        self.unique: dict[int, Endpoint] = {}  # by mark, where no other has it
+        self._shared: dict[int, list[Endpoint]] = {}  # by mark, where several have it
+        self._wides: dict[Endpoint, int] = {}
+        self.skipped = Counter[str]()
 
     def __len__(self) -> int:
         return len(self._wides)
 
-    def add(self, wide: int, unit: Unit) -> None:
+    def add(self, wide: int, unit: Endpoint) -> None:
         self._wides[unit] = wide
-        self._set(wide & SHORT, [*self._all(wide & SHORT), unit])
+        self._set(wide & SHORT_ID_MASK, [*self._all(wide & SHORT_ID_MASK), unit])
 
-    def drop(self, unit: Unit) -> None:
+    def drop(self, unit: Endpoint) -> None:
         """From now on nothing is told of the unit, and its mark may be another's alone."""
         wide = self._wides.pop(unit, None)
         if wide is not None:
-            self._set(wide & SHORT, [other for other in self._all(wide & SHORT) if other is not unit])
-        unit.wide = NAMELESS
+            self._set(wide & SHORT_ID_MASK, [other for other in self._all(wide & SHORT_ID_MASK) if other is not unit])
+        unit.long_id = NO_LONG_ID
 
-    def _all(self, mark: int) -> list[Unit]:
-        return [self.alone[mark]] if mark in self.alone else self._shared.get(mark, [])
+    def _all(self, mark: int) -> list[Endpoint]:
+        return [self.unique[mark]] if mark in self.unique else self._shared.get(mark, [])
 
-    def _set(self, mark: int, units: list[Unit]) -> None:
-        self.alone.pop(mark, None)
+    def _set(self, mark: int, units: list[Endpoint]) -> None:
+        self.unique.pop(mark, None)
         self._shared.pop(mark, None)
         if len(units) == 1:
-            self.alone[mark], units[0].wide = units[0], 0
+            self.unique[mark], units[0].long_id = units[0], 0
         elif units:
             self._shared[mark] = units
             wides = [self._wides[unit] for unit in units]
             for unit, wide in zip(units, wides, strict=True):
-                unit.wide = wide if wide and wides.count(wide) == 1 else NAMELESS
+                unit.long_id = wide if wide and wides.count(wide) == 1 else NO_LONG_ID
 
-    def sharing(self) -> list[Unit]:
+    def sharing(self) -> list[Endpoint]:
         """The units that share their mark."""
         return [unit for units in self._shared.values() for unit in units]
 
-    def wide(self, wide: int) -> Unit | None:
+    def by_long_id(self, wide: int) -> Endpoint | None:
         """The only unit of this wide mark, whether it shares its mark here or not."""
-        units = [unit for unit in self._all(wide & SHORT) if self._wides[unit] == wide]
+        units = [unit for unit in self._all(wide & SHORT_ID_MASK) if self._wides[unit] == wide]
         return units[0] if len(units) == 1 else self._pass_over(bool(units))
 
-    def short(self, mark: int) -> Unit | None:
+    def by_short_id(self, mark: int) -> Endpoint | None:
         """The only unit of this mark."""
-        return self.alone.get(mark) or self._pass_over(mark in self._shared)
+        return self.unique.get(mark) or self._pass_over(mark in self._shared)
 
-    def miss(self, marks: Iterable[int]) -> None:
+    def count_unknown(self, marks: Iterable[int]) -> None:
         """Counts marks that no unit has alone."""
         for mark in marks:
             self._pass_over(mark in self._shared)
 
-    def _pass_over(self, shared: bool) -> Unit | None:
-        self.passed_over["shared" if shared else "unknown"] += 1
+    def _pass_over(self, shared: bool) -> Endpoint | None:
+        self.skipped["shared" if shared else "unknown"] += 1
         return None
--- a/lanelead/hosting/opening.py
+++ b/lanelead/hosting/opening.py
@@ -10,42 +10,42 @@
 from typing import Any, TypeVar
 
 from lanelead.decisions.interface import (
-    Allowance,
-    Control,
-    Duties,
-    Lane,
-    Member,
-    Place,
-    Poll,
-    Repeat,
-    Scope,
-    Tariff,
+    ResourceQuota,
+    PromotionControl,
+    ServiceLimits,
+    RequestClass,
+    Tenant,
+    RelayPosition,
+    VotingRules,
+    Idempotency,
+    DeduplicationScope,
+    Prices,
     Ticks,
-    Trial,
+    CanaryLimits,
 )
 
 T = TypeVar("T")
 
 
-class Malformed(Exception):
+class ParameterError(Exception):
     """The input does not follow the wire's form."""
 
 
 REPEATS = {
-    "read_like": Repeat.PURE,
-    "idempotency_key": Repeat.RECEIPTED,
-    "non_idempotent": Repeat.EFFECTFUL,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 CONTROLS = {
-    "first_voice": Control.FIRST_VOICE,
-    "by_count": Control.BY_COUNT,
-    "automatic": Control.AUTOMATIC,
+    "first_voice": PromotionControl.FIRST_VOTE,
+    "by_count": PromotionControl.VOTE_COUNT,
+    "automatic": PromotionControl.TIMER,
 }
 
 
 def known(table: Mapping[str, T], word: str) -> T:
     if word not in table:
-        raise Malformed(f"unknown word {word!r}")
+        raise ParameterError(f"unknown word {word!r}")
     return table[word]
 
 
@@ -53,7 +53,7 @@
     try:
         return int(word)
     except ValueError:
-        raise Malformed(f"not a whole number: {word!r}") from None
+        raise ParameterError(f"not a whole number: {word!r}") from None
 
 
 def number(word: str, absent: float = 0.0) -> float:
@@ -62,9 +62,9 @@
     try:
         value = float(word)
     except ValueError:
-        raise Malformed(f"not a number: {word!r}") from None
+        raise ParameterError(f"not a number: {word!r}") from None
     if not math.isfinite(value):
-        raise Malformed(f"not a finite number: {word!r}")
+        raise ParameterError(f"not a finite number: {word!r}")
     return value
 
 
@@ -96,7 +96,7 @@
         yield f"{path}={word_of(nested)}"
 
 
-class Opening:
+class ParameterReader:
     """Pairs of path and value, read by path; what this project does not know is skipped."""
 
     def __init__(self, words: Sequence[str]) -> None:
@@ -104,7 +104,7 @@
         for word in words:
             path, mark, value = word.partition("=")
             if not mark:
-                raise Malformed(f"not a pair: {word!r}")
+                raise ParameterError(f"not a pair: {word!r}")
             self._pairs[path] = value
 
     def word(self, path: str, absent: str = "-") -> str:
@@ -131,96 +131,98 @@
     def many(self, path: str, read: Callable[[str], T]) -> list[T]:
         return [read(f"{path}.{place}.") for place in range(self.whole(f"{path}.count"))]
 
-    def lane(self, at: str) -> Lane:
-        return Lane(
+    def request_class(self, at: str) -> RequestClass:
+        return RequestClass(
             name=self.word(at + "name"),
-            expected_time=self.ticks(at + "aimMs"),
-            outer_limit=self.ticks(at + "deadlineMs"),
+            latency_objective=self.ticks(at + "aimMs"),
+            timeout=self.ticks(at + "deadlineMs"),
             value=self.number(at + "credit", 1.0),
             late_value=self.number(at + "lateWorth"),
-            repeat=known(REPEATS, self.word(at + "repeat")),
-            scope=known({scope.value: scope for scope in Scope}, self.word(at + "group", "all")),
-            memory=self.ticks(at + "windowMs"),
+            idempotency=known(REPEATS, self.word(at + "repeat")),
+            deduplication_scope=known(
+                {scope.value: scope for scope in DeduplicationScope}, self.word(at + "group", "all")
+            ),
+            deduplication_window=self.ticks(at + "windowMs"),
             streaming=self.flag(at + "streaming"),
-            stretch=self.number(at + "aimStretch"),
+            objective_stretch=self.number(at + "aimStretch"),
         )
 
-    def lanes(self) -> list[Lane]:
-        return self.many("requestClasses", self.lane)
+    def request_classes(self) -> list[RequestClass]:
+        return self.many("requestClasses", self.request_class)
 
-    def members(self) -> list[Member]:
-        def member(at: str) -> Member:
-            return Member(self.word(at + "name"), self.number(at + "quotaPerS"), self.number(at + "share"))
+    def tenants(self) -> list[Tenant]:
+        def member(at: str) -> Tenant:
+            return Tenant(self.word(at + "name"), self.number(at + "quotaPerS"), self.number(at + "share"))
 
         return self.many("accounts", member)
 
-    def place(self) -> Place:
-        return Place(self.whole("me"), self.whole("instances", 1), self.word("zone"))
-
-    def allowance(self) -> Allowance:
-        return Allowance(
-            trips=self.whole("allowed.attemptsCap", 1),
-            open_lookups=self.whole("allowed.openCap"),
-            streams=self.whole("allowed.maxStreams", 1),
-            calling_off=self.flag("allowed.mayCancel"),
-            probes=self.flag("allowed.probes"),
-            peers=self.flag("allowed.peers"),
-            second_copies=self.flag("allowed.secondCopies"),
-            retry_advice=self.flag("allowed.retryAfter"),
-            longest_advice=self.ticks("allowed.maxRetryAfterMs"),
-            connect_limit=self.ticks("allowed.connectTimeoutMs"),
-            idle_limit=self.ticks("allowed.connIdleMs"),
+    def position(self) -> RelayPosition:
+        return RelayPosition(self.whole("me"), self.whole("instances", 1), self.word("zone"))
+
+    def resource_quota(self) -> ResourceQuota:
+        return ResourceQuota(
+            max_attempts=self.whole("allowed.attemptsCap", 1),
+            max_in_flight=self.whole("allowed.openCap"),
+            max_streams=self.whole("allowed.maxStreams", 1),
+            may_cancel=self.flag("allowed.mayCancel"),
+            health_checks=self.flag("allowed.probes"),
+            gossip=self.flag("allowed.peers"),
+            hedging=self.flag("allowed.secondCopies"),
+            advises_retry=self.flag("allowed.retryAfter"),
+            max_retry_after=self.ticks("allowed.maxRetryAfterMs"),
+            connect_timeout=self.ticks("allowed.connectTimeoutMs"),
+            idle_timeout=self.ticks("allowed.connIdleMs"),
         )
 
-    def duties(self) -> Duties:
-        return Duties(
-            answer_slack=self.ticks("contract.answerSlackMs"),
+    def service_limits(self) -> ServiceLimits:
+        return ServiceLimits(
+            response_slack=self.ticks("contract.answerSlackMs"),
             drain_grace=self.ticks("contract.drainGraceMs"),
-            cold_share=self.number("contract.coldFrom", 1.0),
-            cold_time=self.ticks("contract.coldMs"),
-            fall_multiple=self.number("contract.fallMultiple", 1.0),
-            fall_time=self.ticks("contract.fallMs"),
+            slow_start_share=self.number("contract.coldFrom", 1.0),
+            slow_start_time=self.ticks("contract.coldMs"),
+            overload_multiple=self.number("contract.fallMultiple", 1.0),
+            overload_time=self.ticks("contract.fallMs"),
             subscribe=self.word("discovery") == "subscribe",
-            ask_within=self.ticks("contract.askWithinMs"),
+            poll_within=self.ticks("contract.askWithinMs"),
             tick=self.ticks("tickMs"),
         )
 
-    def trial(self) -> Trial:
-        return Trial(
+    def canary_limits(self) -> CanaryLimits:
+        return CanaryLimits(
             shares=self.numbers("familyInfo.shares") or (1.0,),
-            caps=self.numbers("familyInfo.mostShares") or (1.0,),
-            free=self.number("familyInfo.uncounted"),
+            exposure_limits=self.numbers("familyInfo.mostShares") or (1.0,),
+            uncounted_attempts=self.number("familyInfo.uncounted"),
             window=self.ticks("familyInfo.countedOverMs"),
-            by_lane=self.word("familyInfo.capScope") == "each_class",
-            guarded=self.whole("familyInfo.guardedStages"),
-            keys_stay=self.flag("familyInfo.keysStay"),
+            by_class=self.word("familyInfo.capScope") == "each_class",
+            guarded_stages=self.whole("familyInfo.guardedStages"),
+            sticky_keys=self.flag("familyInfo.keysStay"),
             in_place=self.word("familyInfo.swap") == "replace",
         )
 
-    def poll(self) -> Poll:
-        return Poll(
+    def voting_rules(self) -> VotingRules:
+        return VotingRules(
             control=known(CONTROLS, self.word("familyInfo.decidedBy", "first_voice")),
-            on_votes=self.whole("familyInfo.onVotes"),
-            back_votes=self.whole("familyInfo.noesNeeded"),
+            promote_votes=self.whole("familyInfo.onVotes"),
+            rollback_votes=self.whole("familyInfo.noesNeeded"),
             hold_votes=self.whole("familyInfo.toPause"),
-            least_stage=self.ticks("familyInfo.minDwellMs"),
-            timer_stage=self.ticks("familyInfo.autoAfterMs"),
-            answer_limit=self.ticks("familyInfo.apiTimeoutMs"),
-            vote_life=self.ticks("familyInfo.voteTtlMs"),
-            votes_a_second=self.number("familyInfo.voteAllowance"),
+            min_stage_time=self.ticks("familyInfo.minDwellMs"),
+            automatic_stage_time=self.ticks("familyInfo.autoAfterMs"),
+            vote_timeout=self.ticks("familyInfo.apiTimeoutMs"),
+            vote_lifetime=self.ticks("familyInfo.voteTtlMs"),
+            votes_per_second=self.number("familyInfo.voteAllowance"),
             delay_price=self.number("familyInfo.delayPrice"),
             harm_price=self.number("familyInfo.harmPrice"),
             complaint_share=self.number("familyInfo.complaintShare"),
         )
 
-    def tariff(self) -> Tariff:
-        return Tariff(
-            probe=self.number("prices.probe"),
-            peer=self.number("prices.peer"),
+    def prices(self) -> Prices:
+        return Prices(
+            health_check=self.number("prices.probe"),
+            gossip=self.number("prices.peer"),
             waste=self.number("prices.waste"),
-            late_fail=self.number("prices.lateFail"),
+            late_failure=self.number("prices.lateFail"),
             zone_crossing=self.number("prices.crossZone"),
             handshake=self.number("prices.handshake"),
             connection=self.number("prices.connection"),
-            over_share=self.number("overShareWorth", 1.0),
+            over_quota_value=self.number("overShareWorth", 1.0),
         )
--- a/lanelead/http/calls.py
+++ b/lanelead/http/calls.py
@@ -10,7 +10,7 @@
 
 from lanelead.http import writing
 from lanelead.http.answers import HttpResponse, ResponseReader, Progress
-from lanelead.protocols.records import LineSplitter, Malformed
+from lanelead.protocols.records import LineSplitter, MessageError
 from lanelead.settings.records import Address
 
 BUFFER = 16384
@@ -105,7 +105,7 @@
         raise CallFailedError(f"silent for {silence:g} s") from None
     except OSError as fault:
         raise CallFailedError(str(fault)) from None
-    except (httptools.HttpParserError, Malformed) as fault:
+    except (httptools.HttpParserError, MessageError) as fault:
         raise CallFailedError(str(fault)) from None
     finally:
         if sock is not None:
--- a/lanelead/model/baselines.py
+++ b/lanelead/model/baselines.py
@@ -13,17 +13,28 @@
 from typing import Any
 
 from lanelead.decisions.choosing import Choice, Pair, Some
-from lanelead.decisions.interface import SECOND, Fate, Lookup, News, Phase, Poll, Report, Ticks, Trip, Verdict
+from lanelead.decisions.interface import (
+    SECOND,
+    AttemptOutcome,
+    Request,
+    RolloutState,
+    RolloutPhase,
+    VotingRules,
+    LoadReport,
+    Ticks,
+    Attempt,
+    Verdict,
+)
 from lanelead.decisions.rollout import Ballot
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import Server, mine
+from lanelead.decisions.servers import EndpointState, state_of
 
 
 class _Ranked(Choice):
     """Relays whose two choices are exchanged: `rank` orders the units that may be had."""
 
-    def two(self, servers: Some, lookup: Lookup, now: Ticks, asked: Some) -> Pair:
+    def two(self, servers: Some, lookup: Request, now: Ticks, asked: Some) -> Pair:
         fit = [
             server
             for server in servers
@@ -31,22 +42,22 @@
         ]
         return self.rank(fit, now)[:2] if fit else []
 
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         raise NotImplementedError
 
 
 class _Anyone(_Ranked):
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         return self.chance.sample(fit, min(2, len(fit)))
 
 
 class _LeastOfTwo(_Ranked):
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         return sorted(self.chance.sample(fit, min(2, len(fit))), key=lambda server: len(server.out))
 
 
 class _LeastOfAll(_Ranked):
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         least = min(len(server.out) for server in fit)
         return [self.chance.choice([server for server in fit if len(server.out) == least])]
 
@@ -54,7 +65,7 @@
 class _RoundRobin(_Ranked):
     _turn = 0
 
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         self._turn += 1
         return [fit[self._turn % len(fit)]]
 
@@ -64,62 +75,64 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self._peaks = dict[Server, tuple[float, Ticks]]()
+        self._peaks = dict[EndpointState, tuple[float, Ticks]]()
 
-    def _peak(self, server: Server, now: Ticks) -> float:
+    def _peak(self, server: EndpointState, now: Ticks) -> float:
         cost, at = self._peaks.get(server, (0.0, now))
         return cost * exp((at - now) / self.DECAY)
 
-    def took(self, server: Server, took: Ticks, now: Ticks) -> None:
+    def took(self, server: EndpointState, took: Ticks, now: Ticks) -> None:
         before = self._peak(server, now)
         weight = exp(-(now - self._peaks.get(server, (0, now))[1]) / self.DECAY)
         cost = took if took > before else before * weight + took * (1 - weight)
         self._peaks[server] = cost, now
 
-    def rank(self, fit: list[Server], now: Ticks) -> list[Server]:
+    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
         two = self.chance.sample(fit, min(2, len(fit)))
         return sorted(two, key=lambda server: (1 + self._peak(server, now)) * (1 + len(server.out)))
 
 
-class Anyone(Relay):
+class Anyone(Balancer):
     chooses = _Anyone
 
 
-class LeastOfTwo(Relay):
+class LeastOfTwo(Balancer):
     chooses = _LeastOfTwo
 
 
-class LeastOfAll(Relay):
+class LeastOfAll(Balancer):
     chooses = _LeastOfAll
 
 
-class RoundRobin(Relay):
+class RoundRobin(Balancer):
     chooses = _RoundRobin
 
 
-class PeakEwma(Relay):
+class PeakEwma(Balancer):
     chooses = Peaks
 
-    def ended(self, trip: Trip, fate: Fate, closed: bool, took: Ticks, report: Report | None) -> None:
+    def attempt_ended(
+        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
+    ) -> None:
         assert isinstance(self._choice, Peaks)
-        self._choice.took(mine(trip.unit), took, self.now)
-        super().ended(trip, fate, closed, took, report)
+        self._choice.took(state_of(trip.endpoint), took, self.now)
+        super().attempt_ended(trip, fate, closed, took, report)
 
 
-class _Voter(Relay):
+class _Voter(Balancer):
     """Relays whose verdict is exchanged."""
 
     def __init__(self, **given: Any) -> None:
         super().__init__(**given)
         self._rollout.ballot = _Exchanged(self, given["poll"])
 
-    def judged(self, news: News, ripe: bool) -> Verdict | None:
+    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
         raise NotImplementedError
 
     def aged(self) -> bool:
         return self.now - self._rollout.told > 5 * SECOND
 
-    def errors(self, news: News) -> tuple[int, int]:
+    def errors(self, news: RolloutState) -> tuple[int, int]:
         """Errors and outcomes seen at the build on trial in this stage's windows."""
         windows = [w for w in self._scoring.windows.since(self._rollout.told) if w.build == news.build]
         bad = (Fault.BROKEN, Fault.SILENT)
@@ -127,29 +140,29 @@
 
 
 class _Exchanged(Ballot):
-    def __init__(self, relay: _Voter, poll: Poll) -> None:
+    def __init__(self, relay: _Voter, poll: VotingRules) -> None:
         super().__init__(poll, relay._chance)
         self._relay = relay
 
-    def verdict(self, news: News, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
+    def verdict(self, news: RolloutState, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
         return self._relay.judged(news, ripe)
 
 
 class ByClock(_Voter):
     """On after a while, whatever is seen; never back."""
 
-    def judged(self, news: News, ripe: bool) -> Verdict | None:
-        return Verdict.ON if news.phase is Phase.TRIAL and self.aged() else None
+    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
+        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and self.aged() else None
 
 
 class ErrorLimit(_Voter):
     """Back at over 5 errors of 100, of 20 outcomes or more; on after a while."""
 
-    def judged(self, news: News, ripe: bool) -> Verdict | None:
+    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
         errors, outcomes = self.errors(news)
         if outcomes >= 20 and errors > 0.05 * outcomes:
-            return Verdict.BACK
-        return Verdict.ON if news.phase is Phase.TRIAL and self.aged() else None
+            return Verdict.ROLL_BACK
+        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and self.aged() else None
 
 
 class Sequential(_Voter):
@@ -157,18 +170,18 @@
 
     GOOD, BAD, RISK = 0.005, 0.05, 0.01
 
-    def judged(self, news: News, ripe: bool) -> Verdict | None:
+    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
         errors, outcomes = self.errors(news)
         weight = errors * log(self.BAD / self.GOOD)
         weight += (outcomes - errors) * log((1 - self.BAD) / (1 - self.GOOD))
         if weight >= log((1 - self.RISK) / self.RISK):
-            return Verdict.BACK
+            return Verdict.ROLL_BACK
         good = weight <= log(self.RISK / (1 - self.RISK))
-        return Verdict.ON if news.phase is Phase.TRIAL and good else None
+        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and good else None
 
 
-POLICIES: dict[str, type[Relay]] = {
-    "lanelead": Relay,
+POLICIES: dict[str, type[Balancer]] = {
+    "lanelead": Balancer,
     "random": Anyone,
     "least of two": LeastOfTwo,
     "least of all": LeastOfAll,
--- a/lanelead/model/policies.py
+++ b/lanelead/model/policies.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from lanelead.decisions.interface import Condition, Duties, Lookup
-from lanelead.decisions.servers import Server
+from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request
+from lanelead.decisions.servers import EndpointState
 from lanelead.decisions.zones import Pools
 
 Tiers = tuple[tuple[str, ...], ...]
@@ -15,34 +15,34 @@
 class NoSpill:
     """A lookup stays in its own zone, whatever happens."""
 
-    def __init__(self, tiers: Tiers, duties: Duties, chance: Random) -> None:
+    def __init__(self, tiers: Tiers, duties: ServiceLimits, chance: Random) -> None:
         self._tiers, self._chance = tiers, chance
         self._place = {zone: place for place, zones in enumerate(tiers) for zone in zones}
         self.health = [1.0] * len(tiers)
         self._full = [0] * len(tiers)
 
-    def place(self, server: Server) -> int:
+    def place(self, server: EndpointState) -> int:
         return self._place.get(server.zone, len(self._tiers) - 1)
 
-    def note(self, server: Server, outcomes: int, bad: int, now: int) -> None: ...
-    def left(self, lookup: Lookup) -> None: ...
-    def spend(self, server: Server) -> None: ...
+    def note(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
+    def left(self, lookup: Request) -> None: ...
+    def spend(self, server: EndpointState) -> None: ...
 
-    def troubled(self, server: Server) -> bool:
+    def troubled(self, server: EndpointState) -> bool:
         return False
 
-    def beat(self, servers: Iterable[Server], rate: float, trial: bool, now: int) -> None:
+    def beat(self, servers: Iterable[EndpointState], rate: float, trial: bool, now: int) -> None:
         here = [0] * len(self._tiers)
         for server in servers:
             # Healthy: listed, and not set aside by the relay's own outlier rule.
-            here[self.place(server)] += server.condition is Condition.READY and server.aside <= now
+            here[self.place(server)] += server.status is EndpointStatus.READY and server.aside <= now
         self._full = [max(full, many) for full, many in zip(self._full, here, strict=True)]
         self.health = [many / full if full else 0.0 for many, full in zip(here, self._full, strict=True)]
 
-    def choose(self, lookup: Lookup) -> list[int]:
+    def choose(self, lookup: Request) -> list[int]:
         return [0]
 
-    def cuts(self, pools: Pools, lookup: Lookup) -> Iterator[Pools]:
+    def cuts(self, pools: Pools, lookup: Request) -> Iterator[Pools]:
         open_ = self.choose(lookup)
         yield {build: [s for s in some if self.place(s) in open_] for build, some in pools.items()}
 
@@ -50,7 +50,7 @@
 class AllAtOnce(NoSpill):
     """The first tier that has any healthy unit takes all."""
 
-    def choose(self, lookup: Lookup) -> list[int]:
+    def choose(self, lookup: Request) -> list[int]:
         return [next((place for place, health in enumerate(self.health) if health > 0), 0)]
 
 
@@ -59,7 +59,7 @@
     total of one, in proportion; a level whose healthy share is under a half is in panic, and all its listed
     units are used (Envoy's documentation, 'Priority levels' and 'Panic threshold')."""
 
-    def choose(self, lookup: Lookup) -> list[int]:
+    def choose(self, lookup: Request) -> list[int]:
         scores = [min(1.0, 1.4 * health) for health in self.health]
         total = min(1.0, sum(scores))
         if total <= 0:
--- a/lanelead/model/town.py
+++ b/lanelead/model/town.py
@@ -18,23 +18,24 @@
 
 from lanelead.decisions.interface import (
     Decisions,
-    Fate,
-    Member,
-    Place,
-    Preference,
-    Repeat,
+    AttemptOutcome,
+    Tenant,
+    RelayPosition,
+    ZonePreference,
+    Idempotency,
     Ticks,
-    Trip,
-    Unit,
-    Vote,
+    Attempt,
+    Endpoint,
+    CastVote,
 )
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.decisions.zones import ANYWHERE
 from lanelead.http.answers import HttpResponse
 from lanelead.http.asks import HttpRequest
 from lanelead.model.core import Clock, Story, stream
 from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
-from lanelead.relay.driver import VERDICTS, WORDS, Driver, Outcome, Ticket
+from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.settings import records
 from lanelead.standins.demand import Demand, Op
 from lanelead.standins.engine import Build, Engine, Life
@@ -72,7 +73,7 @@
     """A trip as its unit has it."""
 
     host: Host
-    trip: Trip
+    trip: Attempt
     op: Op
     ident: str
     lane: str
@@ -114,7 +115,7 @@
 
     def heard(self, job: Job) -> None:
         if not self.up or "refuse" in self._faults:
-            job.host.reply(self, job, Fate.UNREACHABLE)
+            job.host.reply(self, job, AttemptOutcome.CONNECT_FAILED)
             return
         self.whenever(lambda: self._heard(job))
 
@@ -128,7 +129,7 @@
             op=job.op.ident,
             lane=job.lane,
             relay=job.host.number,
-            key=job.op.ident if job.trip.lookup.lane.repeat is Repeat.RECEIPTED else "",
+            key=job.op.ident if job.trip.request.request_class.idempotency is Idempotency.KEYED else "",
             work=job.work,
             build=self.life.build.number,
             warmth=round(warmth, 4),
@@ -138,11 +139,11 @@
             return
         if len(self._waiting) >= self.life.waiting_room:
             self.note("turned_away", id=job.ident, op=job.op.ident)
-            job.host.reply(self, job, Fate.TURNED_AWAY)
+            job.host.reply(self, job, AttemptOutcome.REJECTED)
         elif self._hit("cut"):
             if self._chance.random() < 0.5:
                 self._effect(job)
-            job.host.reply(self, job, Fate.CUT)
+            job.host.reply(self, job, AttemptOutcome.RESET)
         elif self._busy < self.life.cores:
             self._begin(job)
         else:
@@ -151,7 +152,7 @@
     def _begin(self, job: Job) -> None:
         if self._clock() > job.due:
             self.note("expired", id=job.ident, op=job.op.ident)
-            job.host.reply(self, job, Fate.TURNED_AWAY)
+            job.host.reply(self, job, AttemptOutcome.REJECTED)
             return
         self._busy += 1
         self._running[job] = None
@@ -180,15 +181,15 @@
             if self._chance.random() < 0.5:
                 self._effect(job)
             self.note("erred", id=job.ident, op=job.op.ident)
-            job.host.reply(self, job, Fate.ERROR)
+            job.host.reply(self, job, AttemptOutcome.ERROR)
             return
         self._effect(job)
         if self._hit("cut_answer"):
-            job.host.reply(self, job, Fate.CUT)
+            job.host.reply(self, job, AttemptOutcome.RESET)
             return
         build = self.life.build
         wrong = build.bad == "wrong" and self._chance.random() < build.strength
-        job.host.reply(self, job, Fate.DONE, wrong, 0.9 if self._hit("trickle") else 0.0)
+        job.host.reply(self, job, AttemptOutcome.SUCCEEDED, wrong, 0.9 if self._hit("trickle") else 0.0)
 
     def report(self) -> dict[str, float]:
         if "false_reports" in self._faults:
@@ -204,7 +205,7 @@
         self._kept.clear()
         self.idle.clear()
         for job in jobs:
-            job.host.reply(self, job, Fate.CUT)
+            job.host.reply(self, job, AttemptOutcome.RESET)
 
     def fault(self, kind: str, size: float) -> None:
         self._faults[kind] = {"size": size}
@@ -226,19 +227,19 @@
         self.up, self.frozen = True, False
         self._kept: list[Callable[[], None]] = []
         self._armed: Ticks | None = None
-        self.out: dict[Trip, bool] = {}  # trips under way, and whether a byte was written
+        self.out: dict[Attempt, bool] = {}  # trips under way, and whether a byte was written
         self.asked: dict[Asked, None] = {}
         self.lanes = [lane.figures() for lane in service.lanes]
         self.by_lane = {lane.name: lane for lane in self.lanes}
-        self.members = {row.name: Member(row.name, row.quota, row.share) for row in service.members}
+        self.members = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
         duties = service.duties.figures(False)
         preference = ANYWHERE
         if day.spill is not None:
             others = tuple(zone for zone in day.units.zones if zone != self.zone)
             tiers = ((self.zone,), *([others] if others else []))
-            preference = Preference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
+            preference = ZonePreference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
         decisions = make(
-            place=Place(number, day.relays, self.zone),
+            place=RelayPosition(number, day.relays, self.zone),
             lanes=self.lanes,
             members=list(self.members.values()),
             allowance=service.allowance.figures(True),
@@ -250,7 +251,7 @@
             now=self.clock(),
             preference=preference,
         )
-        self.driver = Driver(
+        self.driver = DecisionDriver(
             decisions,
             self,
             self.clock,
@@ -271,7 +272,7 @@
             self._kept.append(call)
             return
         call()
-        due = self.driver.due()
+        due = self.driver.next_timer()
         if due is not None and (self._armed is None or due < self._armed):
             self._armed = due
             # Timers of the loop on sockets fire a moment late too.
@@ -290,38 +291,44 @@
 
     # Hands
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self.out[trip] = False
         self.town.clock.later(0.0, self._write, trip, ticket)
 
-    def _write(self, trip: Trip, ticket: Ticket) -> None:
-        machine = self.town.by_unit(self, trip.unit)
+    def _write(self, trip: Attempt, ticket: PendingRequest) -> None:
+        machine = self.town.by_unit(self, trip.endpoint)
         hop = self.town.hop(self, machine)
         if machine.idle.get(self.number, 0) > 0:
             machine.idle[self.number] -= 1
             self._go(trip, ticket, machine)
         elif not machine.up or "refuse" in machine._faults:
-            self.town.clock.later(2 * hop, lambda: self.whenever(lambda: self._ended(trip, Fate.UNREACHABLE)))
+            self.town.clock.later(
+                2 * hop, lambda: self.whenever(lambda: self._ended(trip, AttemptOutcome.CONNECT_FAILED))
+            )
         elif machine.stopped:  # the kernel takes the connection, though nobody reads
             self._go(trip, ticket, machine)
         else:
             self.town.clock.later(2 * hop, self._go, trip, ticket, machine)
 
-    def _go(self, trip: Trip, ticket: Ticket, machine: Machine) -> None:
-        if trip.fate is not None or not self.up:
+    def _go(self, trip: Attempt, ticket: PendingRequest, machine: Machine) -> None:
+        if trip.outcome is not None or not self.up:
             return
-        if self.driver.still_meant(trip) is None:
-            self.whenever(lambda: self._ended(trip, Fate.UNSENT))
+        if self.driver.destination_of(trip) is None:
+            self.whenever(lambda: self._ended(trip, AttemptOutcome.NOT_SENT))
             return
         self.out[trip] = True
-        hop, op = self.town.hop(self, machine), self.town.ops[ticket.ident]
-        due = (trip.sent + trip.limit) / 10_000
-        job = Job(self, trip, op, ticket.ident, op.lane, op.work, ticket.ident in self.town.bad, due)
+        hop, op = self.town.hop(self, machine), self.town.ops[ticket.id]
+        due = (trip.sent_at + trip.timeout) / 10_000
+        job = Job(self, trip, op, ticket.id, op.lane, op.work, ticket.id in self.town.bad, due)
         self.town.clock.later(hop, machine.heard, job)
 
-    def reply(self, machine: Machine, job: Job, fate: Fate, wrong: bool = False, slow: float = 0.0) -> None:
+    def reply(self, machine: Machine, job: Job, fate: AttemptOutcome, wrong: bool = False, slow: float = 0.0) -> None:
         """The unit's end of a trip, on its way back."""
-        report = machine.report() if fate in (Fate.DONE, Fate.ERROR, Fate.TURNED_AWAY) else None
+        report = (
+            machine.report()
+            if fate in (AttemptOutcome.SUCCEEDED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
+            else None
+        )
 
         def come() -> None:
             if report is not None:
@@ -332,47 +339,47 @@
 
         self.town.clock.later(slow + self.town.hop(self, machine), lambda: self.whenever(come))
 
-    def _ended(self, trip: Trip, fate: Fate, report: dict[str, float] | None = None) -> None:
+    def _ended(self, trip: Attempt, fate: AttemptOutcome, report: dict[str, float] | None = None) -> None:
         if self.out.pop(trip, None) is not None:
-            self.driver.ended(trip, fate, ANSWER, report)
+            self.driver.attempt_ended(trip, fate, ANSWER, report)
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return self.out.pop(trip, False)
 
-    def probe(self, unit: Unit) -> None:
+    def check_health(self, unit: Endpoint) -> None:
         machine, began = self.town.by_unit(self, unit), self.clock()
 
         def heard() -> None:
             if machine.up and "refuse" not in machine._faults:
                 machine.whenever(answer)
             else:
-                back(Fate.UNREACHABLE, None)
+                back(AttemptOutcome.CONNECT_FAILED, None)
 
         def answer() -> None:
             if not machine.fallen and "mute" not in machine._faults:
-                back(Fate.DONE, machine.report())
+                back(AttemptOutcome.SUCCEEDED, machine.report())
 
-        def back(fate: Fate, report: dict[str, float] | None) -> None:
+        def back(fate: AttemptOutcome, report: dict[str, float] | None) -> None:
             def come() -> None:
-                self.driver.probed(unit, fate, self.clock() - began, report)
+                self.driver.health_checked(unit, fate, self.clock() - began, report)
 
             self.town.clock.later(self.town.hop(self, machine), lambda: self.whenever(come))
 
         self.town.clock.later(self.town.hop(self, machine), heard)
 
-    def close(self, unit: Unit) -> None:
+    def close_idle_connections(self, unit: Endpoint) -> None:
         self.town.by_unit(self, unit).idle.pop(self.number, None)
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         for payload in payloads:
             self.town.post(self, peer, payload)
 
-    def vote(self, vote: Vote) -> None:
+    def cast_vote(self, vote: CastVote) -> None:
         self.town.clock.later(self.town.hop_mean, self.town.voted, self, vote)
 
-    def watch(self, on: bool) -> None: ...
-    def fetch(self) -> None: ...
-    def note(self, text: str) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
 class Desk(Polling):
@@ -395,7 +402,7 @@
         if not self.away and host.up:
             line = self.line()
             self.told(host.number, line)
-            host.whenever(lambda: host.driver.news(line, False, Fate.DONE))
+            host.whenever(lambda: host.driver.rollout_read(line, False, AttemptOutcome.SUCCEEDED))
 
     def go(self) -> Story:
         since = 0.0
@@ -463,7 +470,7 @@
         self,
         day: records.Day,
         seed: int,
-        make: Make = Relay,
+        make: Make = Balancer,
         silent: bool = False,
         hop: float = 2e-4,
         far: float | None = None,
@@ -528,15 +535,15 @@
         self._list(host, "full", list(self._rows.values()))
         line = self.desk.line()
         self.desk.told(number, line)
-        host.whenever(lambda: host.driver.news(line, False, Fate.DONE))
+        host.whenever(lambda: host.driver.rollout_read(line, False, AttemptOutcome.SUCCEEDED))
         return host
 
     def hop(self, host: Host, machine: Machine) -> float:
         mean = self.hop_mean if host.zone == machine.zone else self._far
         return mean * self._net.uniform(0.7, 1.5)
 
-    def by_unit(self, host: Host, unit: Unit) -> Machine:
-        return self.machines[host.driver.door.names[unit]]
+    def by_unit(self, host: Host, unit: Endpoint) -> Machine:
+        return self.machines[host.driver.registry.names[unit]]
 
     # Clients
 
@@ -581,7 +588,7 @@
             nth=op.tries,
         )
         asked = Asked(self, host, op, ident, self.clock.now, left)
-        ticket = Ticket(ident, ASK, asked.replied)
+        ticket = PendingRequest(ident, ASK, asked.replied)
         asked.ticket = ticket
         lane, member = host.by_lane[op.lane], host.members.get(op.member or "")
         self.counts.asked += 1
@@ -589,7 +596,7 @@
         op.first = op.first or self.clock.now
         ticks = int(left * 10_000)
         wait = self.hop_mean
-        self.clock.later(wait, lambda: host.whenever(lambda: host.driver.take(ticket, lane, member, op.key, ticks)))
+        self.clock.later(wait, lambda: host.whenever(lambda: host.driver.receive(ticket, lane, member, op.key, ticks)))
         host.asked[asked] = None
         if (after := self.demand.leaves(left)) is not None:
             self.clock.later(after, asked.leave)
@@ -613,7 +620,7 @@
             lane = host.by_lane[op.lane]
 
             def say() -> None:
-                host.driver.complaint(unit, lane, 10_000)
+                host.driver.complaint_received(unit, lane, 10_000)
 
             self.clock.later(1.0, host.whenever, say)
 
@@ -702,7 +709,7 @@
     def _list(self, host: Host, coverage: str, rows: list[EndpointMessage]) -> None:
         self.book.note("roster", "told", relay=host.number, coverage=coverage, units=msgspec.to_builtins(rows))
         listed = EndpointListMessage(coverage, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
-        host.whenever(lambda: host.driver.listed(listed, 0))
+        host.whenever(lambda: host.driver.endpoints_listed(listed, 0))
 
     def of(self, build: int) -> list[Machine]:
         mine = (m for m in self.machines.values() if m.life.build.number == build)
@@ -792,21 +799,21 @@
 
     # Desk and peers
 
-    def voted(self, host: Host, vote: Vote) -> None:
+    def voted(self, host: Host, vote: CastVote) -> None:
         poll = self.day.service.poll
 
-        def back(line: RolloutMessage | None, word: Fate, wait: float) -> None:
-            self.clock.later(wait, lambda: host.whenever(lambda: host.driver.news(line, True, word)))
+        def back(line: RolloutMessage | None, word: AttemptOutcome, wait: float) -> None:
+            self.clock.later(wait, lambda: host.whenever(lambda: host.driver.rollout_read(line, True, word)))
 
         if self.desk.away:
-            back(None, Fate.ERROR, self.hop_mean)
+            back(None, AttemptOutcome.ERROR, self.hop_mean)
             return
-        asked = VoteRequest(host.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
+        asked = VoteRequest(host.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict])  # type: ignore[arg-type]
         word, line = self.desk.vote(asked)
         if line is None:
-            back(None, Fate.TIMED_OUT, poll.answer_limit_ms / 1000)
+            back(None, AttemptOutcome.TIMED_OUT, poll.answer_limit_ms / 1000)
         else:
-            back(line, WORDS[word], self.hop_mean)
+            back(line, VOTE_OUTCOMES[word], self.hop_mean)
 
     def post(self, sender: Host, peer: int | None, payload: bytes) -> None:
         others = self.hosts if peer is None else [self.hosts[peer]]
@@ -817,7 +824,7 @@
 
     @staticmethod
     def _deliver(other: Host, sender: int, payload: bytes) -> None:
-        other.whenever(lambda: other.driver.heard(sender, payload))
+        other.whenever(lambda: other.driver.gossip_received(sender, payload))
 
     # Events
 
@@ -940,7 +947,7 @@
     ident: str
     began: float
     left: float
-    ticket: Ticket | None = None
+    ticket: PendingRequest | None = None
     over: bool = False
 
     def _close(self, what: str, **facts: Any) -> bool:
@@ -963,28 +970,37 @@
         return True
 
     def replied(
-        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
+        self,
+        ticket: PendingRequest,
+        outcome: RequestOutcome,
+        trip: Attempt | None,
+        answer: HttpResponse | None,
+        come_back: Ticks,
     ) -> None:
         self.town.clock.later(self.town.hop_mean, self._answered, outcome, trip, come_back)
 
-    def _answered(self, outcome: Outcome, trip: Trip | None, come_back: Ticks) -> None:
+    def _answered(self, outcome: RequestOutcome, trip: Attempt | None, come_back: Ticks) -> None:
         town, host = self.town, self.host
-        status = {Outcome.DONE: 200, Outcome.SHED: 503, Outcome.BROKEN_OFF: 502}[outcome]
-        unit = host.driver.door.names[trip.unit] if trip is not None and outcome is Outcome.DONE else ""
+        status = {RequestOutcome.SUCCEEDED: 200, RequestOutcome.REJECTED: 503, RequestOutcome.FAILED: 502}[outcome]
+        unit = (
+            host.driver.registry.names[trip.endpoint]
+            if trip is not None and outcome is RequestOutcome.SUCCEEDED
+            else ""
+        )
         build = str(town.machines[unit].life.build.number) if unit else ""
-        wrong = self.ident in town.wrong and outcome is Outcome.DONE
+        wrong = self.ident in town.wrong and outcome is RequestOutcome.SUCCEEDED
         told = self._close("answer", status=status, outcome=outcome.value, unit=unit, build=build, wrong=wrong)
         if not told:
             return
         counts = town.counts
-        if outcome is Outcome.DONE:
+        if outcome is RequestOutcome.SUCCEEDED:
             counts.done += 1
             counts.times.append(town.clock.now - self.began)
             lane = town.demand.lanes[self.op.lane]
             timely = town.clock.now - self.op.first <= lane.expected_time_ms / 1000
             worth = 0.0 if wrong else lane.value * (1.0 if timely else lane.late_value)
             counts.had_value[self.op.ident] = max(worth, counts.had_value.get(self.op.ident, 0.0))
-        elif outcome is Outcome.SHED:
+        elif outcome is RequestOutcome.REJECTED:
             counts.shed += 1
         else:
             counts.broken_off += 1
@@ -996,7 +1012,7 @@
     def leave(self) -> None:
         if self._close("gone", why="left") and self.ticket is not None:
             ticket = self.ticket
-            self.host.whenever(lambda: self.host.driver.left(ticket))
+            self.host.whenever(lambda: self.host.driver.client_left(ticket))
 
     def silent(self) -> None:
         if self._close("gone", why="silent"):
