--- a/lanelead/model/world.py
+++ b/lanelead/model/world.py
@@ -16,41 +16,41 @@
 from typing import Any
 
 from lanelead.decisions.interface import (
-    Allowance,
-    Answered,
-    BreakOff,
-    CallOff,
-    Condition,
-    Control,
-    Coverage,
-    Duties,
-    Fate,
-    Lane,
-    Least,
-    Listing,
-    Load,
-    Lookup,
-    News,
-    Pace,
-    Phase,
-    Place,
-    Poll,
-    Preference,
-    Repeat,
-    Scope,
-    Send,
-    Shed,
-    Sighting,
-    Tariff,
-    Tell,
+    ResourceQuota,
+    CompletionCount,
+    FailRequest,
+    CancelAttempt,
+    EndpointStatus,
+    PromotionControl,
+    UpdateScope,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    InFlightBound,
+    EndpointRecord,
+    InFlightCount,
+    Request,
+    RolloutState,
+    FleetLatency,
+    RolloutPhase,
+    RelayPosition,
+    VotingRules,
+    ZonePreference,
+    Idempotency,
+    DeduplicationScope,
+    StartAttempt,
+    RejectRequest,
+    OutcomeObservation,
+    Prices,
+    SendGossip,
     Ticks,
-    Trial,
-    Trip,
-    Unit,
-    Wake,
-    Word,
+    CanaryLimits,
+    Attempt,
+    Endpoint,
+    SetTimer,
+    GossipEntry,
 )
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.model.machines import Machine, Plan
 
 SECOND: Ticks = 10_000
@@ -68,74 +68,74 @@
             # A relay's own zone comes first, whatever the order of the others.
             tiers = ((zone,), *(tuple(z for z in tier if z != zone) for tier in plan.preference))
             tiers = tuple(tier for tier in tiers if tier)
-        self.relay = Relay(
-            Place(number, plan.relays, zone),
+        self.relay = Balancer(
+            RelayPosition(number, plan.relays, zone),
             world.lanes,
             [],
-            Allowance(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
+            ResourceQuota(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
             world.duties,
             world.trial,
             world.poll,
-            Tariff(0, 0, 0, 0, 0, 0, 0, 1),
+            Prices(0, 0, 0, 0, 0, 0, 0, 1),
             Random(world.seed * 7919 + number),
             START,
-            Preference(tiers),
+            ZonePreference(tiers),
         )
         if world.policy is not None:
             self.relay._spill = world.policy(tiers, world.duties, Random(world.seed * 31 + number))
-        self.units: dict[Machine, Unit] = {}
-        self.machines: dict[Unit, Machine] = {}
-        self.out: dict[Trip, tuple[Machine, int]] = {}
+        self.units: dict[Machine, Endpoint] = {}
+        self.machines: dict[Endpoint, Machine] = {}
+        self.out: dict[Attempt, tuple[Machine, int]] = {}
         self.relay.now = START
 
-    def listed(self, coverage: Coverage, rows: list[tuple[Machine, Condition, Ticks]]) -> None:
+    def listed(self, coverage: UpdateScope, rows: list[tuple[Machine, EndpointStatus, Ticks]]) -> None:
         listings = []
         for machine, condition, since in rows:
             if machine not in self.units:
-                unit = self.units[machine] = self.relay.meet(int(machine.name[1:]))
+                unit = self.units[machine] = self.relay.new_endpoint(int(machine.name[1:]))
                 self.machines[unit] = machine
-            listings.append(Listing(self.units[machine], machine.zone, 0, "std", since, 1, 1.0, condition))
+            listings.append(EndpointRecord(self.units[machine], machine.zone, 0, "std", since, 1, 1.0, condition))
         self.relay.now = self.world.now
-        self.relay.roster(coverage, listings)
+        self.relay.endpoints_updated(coverage, listings)
         self.carry()
 
     def carry(self) -> None:
         world, relay = self.world, self.relay
-        while relay.acts:
-            acts, relay.acts = relay.acts, []
+        while relay.actions:
+            acts, relay.actions = relay.actions, []
             for act in acts:
                 match act:
-                    case Send(trip):
+                    case StartAttempt(trip):
                         world.send(self, trip)
-                    case Wake(at, lookup):
+                    case SetTimer(at, lookup):
                         world.at(max(at, world.now), lambda lookup=lookup: self.wake(lookup))  # type: ignore[misc]
-                    case Shed(lookup, _):
+                    case RejectRequest(lookup, _):
                         world.finish(lookup, "shed")
-                    case BreakOff(lookup):
+                    case FailRequest(lookup):
                         world.finish(lookup, "broken off")
-                    case CallOff(trip):
+                    case CancelAttempt(trip):
                         if self.out.pop(trip, None) is not None:
-                            world.at(world.now, lambda trip=trip: self.ended(trip, Fate.CALLED_OFF))  # type: ignore[misc]
-                    case Tell(peer, words):
+                            world.at(world.now, lambda trip=trip: self.ended(trip, AttemptOutcome.CANCELLED))  # type: ignore[misc]
+                    case SendGossip(peer, words):
                         world.tell(self, peer, words)
 
-    def wake(self, lookup: Lookup | None) -> None:
+    def wake(self, lookup: Request | None) -> None:
         self.relay.now = self.world.now
-        self.relay.wake(lookup)
+        self.relay.timer_fired(lookup)
         self.carry()
 
-    def ended(self, trip: Trip, fate: Fate) -> None:
-        if trip.fate is not None:
+    def ended(self, trip: Attempt, fate: AttemptOutcome) -> None:
+        if trip.outcome is not None:
             return
         self.relay.now = now = self.world.now
-        done = fate is Fate.DONE
-        if done and not trip.lookup.over:
-            self.world.finish(trip.lookup, "done")
-        self.relay.ended(trip, fate, done, now - trip.sent, None)
+        done = fate is AttemptOutcome.SUCCEEDED
+        if done and not trip.request.finished:
+            self.world.finish(trip.request, "done")
+        self.relay.attempt_ended(trip, fate, done, now - trip.sent_at, None)
         self.carry()
 
 
-Policy = Callable[[tuple[tuple[str, ...], ...], Duties, Random], Any]
+Policy = Callable[[tuple[tuple[str, ...], ...], ServiceLimits, Random], Any]
 
 
 class World:
@@ -150,13 +150,19 @@
         ms = SECOND // 1000
         expected, limit = int(plan.expected * SECOND), int(plan.limit * SECOND)
         self.lanes = [
-            Lane("status", expected, limit, 1.0, 0.2, Repeat.PURE, Scope.ALL, 0, False, 0.0),
-            Lane("submit", expected, limit, 3.0, 0.2, Repeat.EFFECTFUL, Scope.ALL, 0, False, 0.0),
+            RequestClass(
+                "status", expected, limit, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+            ),
+            RequestClass(
+                "submit", expected, limit, 3.0, 0.2, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+            ),
         ]
         cold = int(plan.cold * SECOND)
-        self.duties = Duties(20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms)
-        self.trial = Trial((0.1, 1.0), (0.12, 1.0), 3.0, 3 * SECOND, False, 0, False, False)
-        self.poll = Poll(Control.FIRST_VOICE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.35, 6.0, 0.0)
+        self.duties = ServiceLimits(20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms)
+        self.trial = CanaryLimits((0.1, 1.0), (0.12, 1.0), 3.0, 3 * SECOND, False, 0, False, False)
+        self.poll = VotingRules(
+            PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.35, 6.0, 0.0
+        )
         self.machines = [
             Machine(f"u{n}", plan.zones[n % len(plan.zones)], fleet.uniform(0.9, 1.1)) for n in range(plan.units)
         ]
@@ -167,7 +173,7 @@
         self.capacity = sum(m.speed for m in self.machines) * plan.cores / plan.work  # lookups a second
         self.rate = plan.load * self.capacity
         self.rows: list[tuple[float, float, str, float, bool]] = []  # asked at, value, end, earned, in time
-        self._asked: dict[Lookup, Ticks] = {}
+        self._asked: dict[Request, Ticks] = {}
         self.sends: dict[tuple[str, str], list[int]] = {}  # by the second: from a relay's zone to a unit's
         self.series: list[dict[str, float]] = []
 
@@ -180,8 +186,10 @@
     def run(self) -> World:
         plan = self.plan
         for host in self.hosts:
-            host.listed(Coverage.CACHED, [(machine, Condition.READY, 0) for machine in self.machines])
-            host.relay.news(News(1, 1, Phase.RELEASED, 1.0, 0, False, Fate.DONE))
+            host.listed(UpdateScope.CACHED, [(machine, EndpointStatus.READY, 0) for machine in self.machines])
+            host.relay.rollout_updated(
+                RolloutState(1, 1, RolloutPhase.PROMOTED, 1.0, 0, False, AttemptOutcome.SUCCEEDED)
+            )
             host.carry()
             self._next(host)
         for second, what, zone, part in plan.events:
@@ -202,19 +210,19 @@
     def _ask(self, host: Host) -> None:
         self._next(host)
         lane = self.lanes[self._arrivals.random() < self.plan.effectful]
-        lookup = Lookup(lane, None, None, self.now, self.now + int(self.plan.limit * SECOND))
+        lookup = Request(lane, None, None, self.now, self.now + int(self.plan.limit * SECOND))
         self._asked[lookup] = self.now
         host.relay.now = self.now
-        host.relay.take(lookup)
+        host.relay.request_received(lookup)
         host.carry()
 
-    def finish(self, lookup: Lookup, end: str) -> None:
+    def finish(self, lookup: Request, end: str) -> None:
         asked = self._asked.pop(lookup, None)
         if asked is None:
             return
-        timely = end == "done" and self.now - asked <= lookup.lane.expected_time
-        share = 1.0 if timely else lookup.lane.late_value if end == "done" else 0.0
-        value = lookup.lane.value
+        timely = end == "done" and self.now - asked <= lookup.request_class.latency_objective
+        share = 1.0 if timely else lookup.request_class.late_value if end == "done" else 0.0
+        value = lookup.request_class.value
         self.rows.append(((asked - START) / SECOND, value, end, value * share, timely))
 
     # Units
@@ -223,32 +231,32 @@
         base = 2 if host.zone == machine.zone else 20
         return max(1, int(base * self._net.uniform(0.7, 1.5)))
 
-    def send(self, host: Host, trip: Trip) -> None:
-        machine = host.machines[trip.unit]
+    def send(self, host: Host, trip: Attempt) -> None:
+        machine = host.machines[trip.endpoint]
         host.out[trip] = (machine, machine.life)
         second = (self.now - START) // SECOND
         counts = self.sends.setdefault((host.zone, machine.zone), [0] * (int(self.plan.seconds) + 10))
         counts[min(second, len(counts) - 1)] += 1
-        self.at(trip.sent + trip.limit, lambda: self._time_out(host, trip))
+        self.at(trip.sent_at + trip.timeout, lambda: self._time_out(host, trip))
         work = self._work.gammavariate(2.0, self.plan.work / 2)
         self.at(self.now + self._latency(host, machine), lambda: self._arrive(host, trip, machine, work))
 
-    def _time_out(self, host: Host, trip: Trip) -> None:
+    def _time_out(self, host: Host, trip: Attempt) -> None:
         if host.out.pop(trip, None) is not None:
-            host.ended(trip, Fate.TIMED_OUT)
+            host.ended(trip, AttemptOutcome.TIMED_OUT)
 
-    def _reply(self, host: Host, trip: Trip, machine: Machine, fate: Fate) -> None:
+    def _reply(self, host: Host, trip: Attempt, machine: Machine, fate: AttemptOutcome) -> None:
         def come() -> None:
             if host.out.pop(trip, None) is not None:
                 host.ended(trip, fate)
 
         self.at(self.now + self._latency(host, machine), come)
 
-    def _arrive(self, host: Host, trip: Trip, machine: Machine, work: float) -> None:
+    def _arrive(self, host: Host, trip: Attempt, machine: Machine, work: float) -> None:
         if machine.silent:
             return
         if not machine.up:
-            self._reply(host, trip, machine, Fate.UNREACHABLE)
+            self._reply(host, trip, machine, AttemptOutcome.CONNECT_FAILED)
             return
         self._weigh(machine, work)
         if machine.fallen:
@@ -258,7 +266,7 @@
         elif len(machine.waiting) < self.plan.waiting_room:
             machine.waiting.append((host, trip, work))
         else:
-            self._reply(host, trip, machine, Fate.TURNED_AWAY)
+            self._reply(host, trip, machine, AttemptOutcome.REJECTED)
 
     def warmth(self, machine: Machine) -> float:
         age = (self.now - machine.since) / SECOND
@@ -279,17 +287,17 @@
         if machine.sent > may:
             machine.fallen = True
 
-    def _begin(self, host: Host, trip: Trip, machine: Machine, work: float) -> None:
+    def _begin(self, host: Host, trip: Attempt, machine: Machine, work: float) -> None:
         machine.busy += 1
         life, pace = machine.life, machine.speed * self.warmth(machine) / machine.slow
         self.at(self.now + max(1, int(work / pace * SECOND)), lambda: self._end(host, trip, machine, life))
 
-    def _end(self, host: Host, trip: Trip, machine: Machine, life: int) -> None:
+    def _end(self, host: Host, trip: Attempt, machine: Machine, life: int) -> None:
         if machine.life != life:
             return
         machine.busy -= 1
         if not machine.silent and not machine.fallen:
-            self._reply(host, trip, machine, Fate.DONE)
+            self._reply(host, trip, machine, AttemptOutcome.SUCCEEDED)
         while machine.waiting and machine.busy < self.plan.cores:
             other, waiting, work = machine.waiting.popleft()
             if waiting in other.out:  # whose time has passed is not begun
@@ -313,7 +321,7 @@
                 machine.fallen, machine.sent = False, 0.0
                 machine.recent.clear()
             late = 8.0 if what == "silent" else 0.0
-            condition = Condition.READY if what == "back" else Condition.GONE
+            condition = EndpointStatus.READY if what == "back" else EndpointStatus.REMOVED
             self._spread(machine, condition, late, machine.life)
 
     def _cut(self, machine: Machine, silent: bool) -> None:
@@ -325,38 +333,40 @@
         for host in self.hosts:
             for trip, (where, _) in list(host.out.items()):
                 if where is machine:
-                    self._reply(host, trip, machine, Fate.CUT)
+                    self._reply(host, trip, machine, AttemptOutcome.RESET)
 
-    def _spread(self, machine: Machine, condition: Condition, late: float, life: int) -> None:
+    def _spread(self, machine: Machine, condition: EndpointStatus, late: float, life: int) -> None:
         """Each relay hears of it at its own moment."""
         for host in self.hosts:
             delay = int((late + self._net.uniform(*self.plan.told)) * SECOND)
 
             def tell(host: Host = host) -> None:
                 if machine.life == life:
-                    host.listed(Coverage.CHANGES, [(machine, condition, machine.since)])
+                    host.listed(UpdateScope.DELTA, [(machine, condition, machine.since)])
 
             self.at(self.now + delay, tell)
 
-    def tell(self, host: Host, peer: int | None, words: Sequence[Word]) -> None:
+    def tell(self, host: Host, peer: int | None, words: Sequence[GossipEntry]) -> None:
         for other in self.hosts:
             if other is host or (peer is not None and other.number != peer) or self._net.random() < 0.02:
                 continue
             self.at(self.now + 50, lambda other=other: self._heard(other, host, words))  # type: ignore[misc]
 
-    def _heard(self, other: Host, host: Host, words: Sequence[Word]) -> None:
-        theirs = list[Word]()
+    def _heard(self, other: Host, host: Host, words: Sequence[GossipEntry]) -> None:
+        theirs = list[GossipEntry]()
         for word in words:
-            if isinstance(word, Pace | Answered | Least):
+            if isinstance(word, FleetLatency | CompletionCount | InFlightBound):
                 theirs.append(word)
-            elif (machine := host.machines.get(word.unit)) in other.units:
+            elif (machine := host.machines.get(word.endpoint)) in other.units:
                 unit = other.units[machine]
-                if isinstance(word, Load):
-                    theirs.append(Load(unit, word.trips))
+                if isinstance(word, InFlightCount):
+                    theirs.append(InFlightCount(unit, word.attempts))
                 else:
-                    theirs.append(Sighting(unit, word.lane, word.build, word.outcomes, list(word.faults)))
+                    theirs.append(
+                        OutcomeObservation(unit, word.request_class, word.build, word.outcomes, list(word.faults))
+                    )
         other.relay.now = self.now
-        other.relay.heard(host.number, theirs)
+        other.relay.gossip_received(host.number, theirs)
         other.carry()
 
     # Figures
--- a/lanelead/node/checks.py
+++ b/lanelead/node/checks.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
-from lanelead.hosting.opening import Malformed as Unread
-from lanelead.hosting.opening import Opening
-from lanelead.protocols.records import Malformed
+from lanelead.hosting.opening import ParameterError as Unread
+from lanelead.hosting.opening import ParameterReader
+from lanelead.protocols.records import MessageError
 
 # Fields by path, with the least that each may be, and whether it may be just that. Under `requestClasses.N.`
 # and `accounts.N.` for each class and each account.
@@ -48,17 +48,17 @@
 )
 
 
-def check(opening: Opening) -> None:
+def check(opening: ParameterReader) -> None:
     """Raises Malformed, which names the field and what to do."""
     try:
         _check(opening)
     except Unread as fault:
-        raise Malformed(f"settings: {fault}") from None
+        raise MessageError(f"settings: {fault}") from None
 
 
-def _check(opening: Opening) -> None:
+def _check(opening: ParameterReader) -> None:
     if not opening.whole("requestClasses.count"):
-        raise Malformed("settings.requestClasses: none; name at least one class")
+        raise MessageError("settings.requestClasses: none; name at least one class")
     for path in NEEDED_ONCE:
         _needed(opening, path)
     for path, (least, itself) in ONCE.items():
@@ -71,29 +71,36 @@
         for field, (least, itself) in CLASS.items():
             _least(opening, at + field, least, itself)
         if (name := opening.word(at + "name")) in names:
-            raise Malformed(f"settings.{at}name: {name} is there twice; give each class a name of its own")
+            raise MessageError(f"settings.{at}name: {name} is there twice; give each class a name of its own")
         names.add(name)
     for number in range(opening.whole("accounts.count")):
         for field, (least, itself) in ACCOUNT.items():
             _least(opening, f"accounts.{number}.{field}", least, itself)
     if opening.number("me") >= opening.number("instances"):
-        raise Malformed("settings.me: must be under settings.instances; number the relays from 0")
+        raise MessageError("settings.me: must be under settings.instances; number the relays from 0")
     shares, caps = opening.numbers("familyInfo.shares"), opening.numbers("familyInfo.mostShares")
     if len(shares) != len(caps) or any(not 0 <= share <= 1 for share in (*shares, *caps)):
-        raise Malformed("settings.familyInfo.mostShares: as many as shares, each from 0 to 1")
-    for read in (opening.lanes, opening.members, opening.duties, opening.trial, opening.poll, opening.tariff):
+        raise MessageError("settings.familyInfo.mostShares: as many as shares, each from 0 to 1")
+    for read in (
+        opening.request_classes,
+        opening.tenants,
+        opening.service_limits,
+        opening.canary_limits,
+        opening.voting_rules,
+        opening.prices,
+    ):
         read()
 
 
-def _needed(opening: Opening, path: str) -> None:
+def _needed(opening: ParameterReader, path: str) -> None:
     if opening.word(path) == "-":
-        raise Malformed(f"settings.{path}: missing; name it, there is no default that is safe")
+        raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
 
 
-def _least(opening: Opening, path: str, least: float, itself: bool) -> None:
+def _least(opening: ParameterReader, path: str, least: float, itself: bool) -> None:
     try:
         value = opening.number(path, least if itself else 1.0)
     except Unread as fault:
-        raise Malformed(f"settings.{path}: {fault}") from None
+        raise MessageError(f"settings.{path}: {fault}") from None
     if value < least or (value == least and not itself):
-        raise Malformed(f"settings.{path}: {value:g}; must be {'at least' if itself else 'over'} {least:g}")
+        raise MessageError(f"settings.{path}: {value:g}; must be {'at least' if itself else 'over'} {least:g}")
--- a/lanelead/node/client.py
+++ b/lanelead/node/client.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from lanelead.decisions.interface import Member, Ticks, Trip
+from lanelead.decisions.interface import Tenant, Ticks, Attempt
 from lanelead.node.reports import still
 from lanelead.pgwire import messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
 from lanelead.pgwire.units import QueryResult
-from lanelead.relay.driver import Driver, Outcome, Ticket
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
 
 BUFFER = 32768  # bytes read at once
 AT_ONCE = 64  # commands of one read: of more, none is taken
@@ -37,8 +37,8 @@
     """What a connection needs of the front that took it in."""
 
     loop: asyncio.AbstractEventLoop
-    driver: Driver
-    members: Mapping[str, Member]
+    driver: DecisionDriver
+    members: Mapping[str, Tenant]
     longest: int
     early: Ticks
     open: dict[str, None]  # ids of lookups without an answer yet
@@ -50,7 +50,7 @@
     refused: int
     end: float | None  # when all has to be answered, once the relay is told to stop
 
-    def refusal(self, outcome: Outcome, back: Ticks) -> bytes: ...
+    def refusal(self, outcome: RequestOutcome, back: Ticks) -> bytes: ...
 
 
 class Slot:
@@ -58,7 +58,7 @@
 
     __slots__ = ("due", "size", "text", "ticket")
 
-    def __init__(self, ticket: Ticket | None, text: bytes | None, due: float = math.inf, size: int = 0) -> None:
+    def __init__(self, ticket: PendingRequest | None, text: bytes | None, due: float = math.inf, size: int = 0) -> None:
         self.ticket, self.text, self.due = ticket, text, due  # when it is owed, on the loop's clock
         self.size = size  # bytes of its command
 
@@ -176,7 +176,7 @@
         front = self.front
         try:
             statement = statements.read(text)
-            lane = front.driver.lanes.get(statement.lane)
+            lane = front.driver.request_classes.get(statement.lane)
             if lane is None:
                 raise statements.StatementError("no such class")
             if statement.ident in front.open:
@@ -188,23 +188,23 @@
         self._has_asked()
         if self.closing and self.slots:  # the relay stops, and this came behind what was taken in time
             front.refused += 1
-            self._say(front.refusal(Outcome.SHED, 0))
+            self._say(front.refusal(RequestOutcome.REJECTED, 0))
             return
         # Guards against one connection that holds all that the relay may: it is told so, command by command,
         # since whoever writes its requests one behind another is owed an answer to each.
         if len(self.slots) >= PIPELINED or (self.held and self.held + len(text) > MOST_HELD):
             front.refused += 1
-            self._say(front.refusal(Outcome.SHED, 0))
+            self._say(front.refusal(RequestOutcome.REJECTED, 0))
             return
-        ticket = Ticket(statement.ident, statement, self._replied)
+        ticket = PendingRequest(statement.ident, statement, self._replied)
         front.open[statement.ident] = None
-        left = min(int(statement.left_ms * 10), lane.outer_limit) - front.early
+        left = min(int(statement.left_ms * 10), lane.timeout) - front.early
         if front.end is not None:
             left = min(left, int((front.end - front.loop.time()) * 10_000))
         self.held += len(text)
         self.slots.append(Slot(ticket, None, front.loop.time() + left / 10_000, len(text)))
         member = front.members.get(statement.member) if statement.member else None
-        front.driver.take(ticket, lane, member, statement.key, left, statement.again, statement.write)
+        front.driver.receive(ticket, lane, member, statement.key, left, statement.again, statement.write)
 
     def _has_asked(self) -> None:
         self.asked = True
@@ -225,12 +225,14 @@
 
     # Answers
 
-    def _replied(self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: Any, back: Ticks) -> None:
-        self.front.open.pop(ticket.ident, None)
+    def _replied(
+        self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks
+    ) -> None:
+        self.front.open.pop(ticket.id, None)
         slot = next((slot for slot in self.slots if slot.ticket is ticket), None)
         if slot is None:
             return
-        if outcome is Outcome.DONE:
+        if outcome is RequestOutcome.SUCCEEDED:
             assert isinstance(answer, QueryResult)
             slot.text = answer.raw + messages.READY
         else:
@@ -352,11 +354,11 @@
             if slot.ticket is not None and slot.text is None and slot.due <= by
         ]
         for slot, ticket in late:
-            self.front.open.pop(ticket.ident, None)
-            slot.text = self.front.refusal(Outcome.BROKEN_OFF, 0)
+            self.front.open.pop(ticket.id, None)
+            slot.text = self.front.refusal(RequestOutcome.FAILED, 0)
         self.flush()
         for _, ticket in late:  # by the loop: what fails there must not keep others from their answers
-            self.front.loop.call_soon(self.front.driver.left, ticket)
+            self.front.loop.call_soon(self.front.driver.client_left, ticket)
         return len(late)
 
     def gone(self) -> None:
@@ -365,8 +367,8 @@
         self.close()
         for slot in slots:
             if slot.ticket is not None and slot.text is None:
-                self.front.open.pop(slot.ticket.ident, None)
-                self.front.driver.left(slot.ticket)
+                self.front.open.pop(slot.ticket.id, None)
+                self.front.driver.client_left(slot.ticket)
 
     def close(self) -> None:
         if self.sock.fileno() < 0:
--- a/lanelead/node/config.py
+++ b/lanelead/node/config.py
@@ -9,10 +9,10 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.hosting.opening import Opening, pairs_of
+from lanelead.hosting.opening import ParameterReader, pairs_of
 from lanelead.node.checks import check
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
-from lanelead.protocols.records import Malformed, decode
+from lanelead.protocols.records import MessageError, decode
 
 
 LONGEST = 16 << 20  # bytes of the file, which holds the last list of units
@@ -61,8 +61,8 @@
     configuration: Following | None = None
 
     @property
-    def opening(self) -> Opening:
-        return Opening([*pairs_of(self.settings)])
+    def opening(self) -> ParameterReader:
+        return ParameterReader([*pairs_of(self.settings)])
 
 
 def load(path: str) -> Config:
@@ -70,7 +70,7 @@
     try:
         config = decode(Path(path).read_bytes(), Config, LONGEST)
     except OSError as fault:
-        raise Malformed(f"cannot read {path}: {fault.strerror}") from None
+        raise MessageError(f"cannot read {path}: {fault.strerror}") from None
     for name, text in (("listen", config.listen), ("discovery", config.discovery)):
         _address(name, text)
     _address("platform.address", config.platform.address)
@@ -83,26 +83,26 @@
     try:
         int(config.seed, 16)
     except ValueError:
-        raise Malformed(f"seed: {config.seed[:40]!r}; must be a hexadecimal number") from None
+        raise MessageError(f"seed: {config.seed[:40]!r}; must be a hexadecimal number") from None
     try:
         opening = config.opening
     except RecursionError:
-        raise Malformed("settings: nested too deep") from None
+        raise MessageError("settings: nested too deep") from None
     check(opening)
     stages = max(1, len(opening.numbers("familyInfo.shares")))
     if config.platform.news.stage >= stages:
-        raise Malformed(f"platform.news.stage: {config.platform.news.stage}, of {stages} in the settings")
+        raise MessageError(f"platform.news.stage: {config.platform.news.stage}, of {stages} in the settings")
     return config
 
 
 def _address(name: str, text: str) -> None:
     try:
         parse_address(text)
-    except Malformed:
-        raise Malformed(f"{name}: {text[:80]!r}; must be an address and a port") from None
+    except MessageError:
+        raise MessageError(f"{name}: {text[:80]!r}; must be an address and a port") from None
 
 
 def path() -> str:
     if not (found := os.environ.get("NODE_CONFIG", "")):
-        raise Malformed("NODE_CONFIG is not set")
+        raise MessageError("NODE_CONFIG is not set")
     return found
--- a/lanelead/node/configuration.py
+++ b/lanelead/node/configuration.py
@@ -20,7 +20,7 @@
 from lanelead.node.config import Following
 from lanelead.protocols.configuration import Buckets, WatchLine, DigestTree
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 from lanelead.settings.records import Address
 
 LONGEST = 4 << 20  # bytes of an answer
@@ -46,7 +46,7 @@
         try:
             document.load(entries)
         except Refused as fault:
-            raise Malformed(f"configuration: {fault}") from None
+            raise MessageError(f"configuration: {fault}") from None
         self.values = Values()
         self.values.take(document, list(document.entries))
         here = Place(following.zone, following.region)
@@ -128,7 +128,7 @@
             async for text in stream(self._loop, self._sources[source], path, 2 * SILENCE):
                 self.follower.line(source, decode(text, WatchLine, LONGEST), self._loop.time())
                 self._woken.set()
-        except (CallFailedError, Malformed, TimeoutError) as fault:
+        except (CallFailedError, MessageError, TimeoutError) as fault:
             reason = str(fault)
         self.follower.ended(source, reason, self._loop.time())
 
@@ -136,7 +136,7 @@
         try:
             answer = await self._ask(source, b"/configuration/outline")
             outline = decode(answer, DigestTree, LONGEST)
-        except (CallFailedError, Malformed, TimeoutError):
+        except (CallFailedError, MessageError, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
             self.follower.outlined(source, outline, self._loop.time())
@@ -146,7 +146,7 @@
         try:
             answer = await self._ask(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
             buckets = decode(answer, Buckets, LONGEST)
-        except (CallFailedError, Malformed, TimeoutError):
+        except (CallFailedError, MessageError, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
             self.follower.bucketed(source, buckets, len(answer), self._loop.time())
--- a/lanelead/node/desk.py
+++ b/lanelead/node/desk.py
@@ -9,17 +9,17 @@
 from random import Random
 from typing import Any
 
-from lanelead.decisions.interface import Fate, Vote
+from lanelead.decisions.interface import AttemptOutcome, CastVote
 from lanelead.http.calls import connect
 from lanelead.protocols.platform import VERDICTS, ERROR_OUTCOMES, RpcMessage, parse_address, encode_call, decode_stage
-from lanelead.protocols.records import LineSplitter, Malformed, RolloutMessage, decode
+from lanelead.protocols.records import LineSplitter, MessageError, RolloutMessage, decode
 from lanelead.settings.records import Address
 
 SIGNS = 1.0  # seconds between the platform's signs of life
 SILENCE = 2.5 * SIGNS
 PAUSE = 0.2  # before a connection is tried again, with a random part
 LONGEST = 65536  # bytes of one line
-Heard = Callable[[RolloutMessage | None, bool, Fate], None]
+Heard = Callable[[RolloutMessage | None, bool, AttemptOutcome], None]
 
 
 class Desk:
@@ -42,7 +42,7 @@
         self.spoke: Callable[[], None] = lambda: None
         self.up = self._over = False
 
-    def vote(self, vote: Vote) -> None:
+    def vote(self, vote: CastVote) -> None:
         params = {"build": vote.build, "stage": vote.stage, "verdict": VERDICTS[vote.verdict]}
         text = encode_call(self._number + 1, "Rollout.Judge", params)
         try:
@@ -50,7 +50,7 @@
                 raise OSError("not connected, or not taken whole")
         except OSError as fault:  # its last byte was not written: it never counted
             self._log.info("vote not cast", reason=str(fault))
-            self._loop.call_soon(self._heard, None, True, Fate.UNREACHABLE)
+            self._loop.call_soon(self._heard, None, True, AttemptOutcome.CONNECT_FAILED)
             self._end()
             return
         self._number += 1
@@ -61,7 +61,7 @@
     def _late(self, number: int) -> None:
         if self._votes.pop(number, None) is not None:
             self._log.info("vote without an answer")
-            self._heard(None, True, Fate.TIMED_OUT)
+            self._heard(None, True, AttemptOutcome.TIMED_OUT)
 
     def _end(self) -> None:
         """The connection is of no more use; the task that reads it finds that out."""
@@ -80,7 +80,7 @@
             timer.cancel()
         for _ in votes:
             try:
-                self._heard(None, True, Fate.TIMED_OUT)
+                self._heard(None, True, AttemptOutcome.TIMED_OUT)
             except Exception:
                 self._log.exception("a vote's end could not be taken in")
 
@@ -88,7 +88,7 @@
         while not self._over:
             try:
                 await self._watch()
-            except (OSError, Malformed, TimeoutError) as fault:
+            except (OSError, MessageError, TimeoutError) as fault:
                 if self.up:
                     self._log.warning(
                         "feed down",
@@ -131,16 +131,16 @@
         if line.method == "stage":
             news = decode_stage(line.params).line()
             self.spoke()
-            self._heard(news, False, Fate.DONE)
+            self._heard(news, False, AttemptOutcome.SUCCEEDED)
         elif line.method is not None:  # ping, and what later platforms may tell
             return
         elif line.id is not None and (timer := self._votes.get(line.id)) is not None:
             if line.error is not None:
-                news, word = None, ERROR_OUTCOMES.get(line.error.message, Fate.ERROR)
+                news, word = None, ERROR_OUTCOMES.get(line.error.message, AttemptOutcome.ERROR)
             else:
-                news, word = decode_stage(line.result).line(), Fate.DONE
+                news, word = decode_stage(line.result).line(), AttemptOutcome.SUCCEEDED
             timer.cancel()
             del self._votes[line.id]
             self._heard(news, True, word)
         elif line.id is None or not 0 < line.id <= self._number:
-            raise Malformed("an answer to no call")
+            raise MessageError("an answer to no call")
--- a/lanelead/node/feeds.py
+++ b/lanelead/node/feeds.py
@@ -9,7 +9,7 @@
 
 from lanelead.http.calls import CallFailedError, call
 from lanelead.protocols.platform import EndpointList, parse_address
-from lanelead.protocols.records import EndpointListMessage, Malformed, decode
+from lanelead.protocols.records import EndpointListMessage, MessageError, decode
 from lanelead.settings.records import Address
 
 HOLD = 2.0  # seconds a watch may wait; far inside the time after which a change counts as told
@@ -27,7 +27,7 @@
         self.version, self.refused = version, 0
 
 
-class Older(Malformed):
+class Older(MessageError):
     """A list of an older version than the one that is known."""
 
 
@@ -62,7 +62,7 @@
             try:
                 await self._next()
                 continue
-            except (CallFailedError, Malformed, TimeoutError) as fault:
+            except (CallFailedError, MessageError, TimeoutError) as fault:
                 if self.up:
                     self._log.warning(
                         "feed down",
@@ -87,7 +87,7 @@
             raise CallFailedError(f"status {answer.status}")
         found = decode(answer.body, EndpointList, LONGEST)
         if self._whole and not found.full:
-            raise Malformed("changes, where the whole list was asked for")
+            raise MessageError("changes, where the whole list was asked for")
         if found.version < held.version:
             self._doubt(found)
         if self._over:
@@ -105,7 +105,7 @@
         on, and that only looks silent; and against old copies with silence between them."""
         if not isinstance(fault, Older):
             self._doubted = None
-        if not isinstance(fault, Malformed):
+        if not isinstance(fault, MessageError):
             return
         self._held.refused += 1
         if (now := self._loop.time()) >= self._quiet:
--- a/lanelead/node/front.py
+++ b/lanelead/node/front.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from lanelead.decisions.interface import Member, Ticks
+from lanelead.decisions.interface import Tenant, Ticks
 from lanelead.node.client import BUFFER, LEAVING, LINGER, REFUSED, Client
 from lanelead.node.reports import still
 from lanelead.pgwire import messages
-from lanelead.relay.driver import Driver, Outcome
+from lanelead.relay.driver import DecisionDriver, RequestOutcome
 
 SILENCE = 2.0  # seconds for a client to ask for something, or to end what it began
 IDLE = 10.0  # seconds after which a connection that asks nothing more is closed
@@ -38,8 +38,8 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        driver: Driver,
-        members: Mapping[str, Member],
+        driver: DecisionDriver,
+        members: Mapping[str, Tenant],
         most: int,
         longest: int,
         early: Ticks,
@@ -58,8 +58,8 @@
         self._sheds: dict[Ticks, bytes] = {}
         self._broken_off = messages.error("58000", "broken off: whether it ran is not known") + messages.READY
 
-    def refusal(self, outcome: Outcome, back: Ticks) -> bytes:
-        if outcome is Outcome.BROKEN_OFF:
+    def refusal(self, outcome: RequestOutcome, back: Ticks) -> bytes:
+        if outcome is RequestOutcome.FAILED:
             return self._broken_off
         if back not in self._sheds:
             if len(self._sheds) > 1000:
--- a/lanelead/node/inforce.py
+++ b/lanelead/node/inforce.py
@@ -11,7 +11,7 @@
 from lanelead.configuration.document import Document
 from lanelead.configuration.kinds import ClassValue, TenantValue, InvalidValueError, EntryValue, split
 from lanelead.configuration.kinds import AppliedValues as Values
-from lanelead.decisions.interface import Lane, Member
+from lanelead.decisions.interface import RequestClass, Tenant
 
 TENANTS, CLASSES = "accounts", "requestClasses"  # where a file has them
 FIGURES = {"aimMs": "aim_ms", "deadlineMs": "deadline_ms", "credit": "credit", "lateWorth": "late_worth"}
@@ -52,7 +52,9 @@
 class InForce:
     """`members` and `lanes` are the relay's own tables, by name; `retold` hears the sum of all quotas."""
 
-    def __init__(self, members: dict[str, Member], lanes: Mapping[str, Lane], retold: Callable[[float], None]) -> None:
+    def __init__(
+        self, members: dict[str, Tenant], lanes: Mapping[str, RequestClass], retold: Callable[[float], None]
+    ) -> None:
         self._members, self._lanes, self._retold = members, lanes, retold
 
     def put(self, keys: Iterable[str], values: Mapping[str, EntryValue]) -> list[str]:
@@ -68,7 +70,7 @@
                 unknown.append(key)
             elif isinstance(value, ClassValue):
                 lane = self._lanes[name]
-                lane.expected_time, lane.outer_limit = int(value.aim_ms * 10), int(value.deadline_ms * 10)
+                lane.latency_objective, lane.timeout = int(value.aim_ms * 10), int(value.deadline_ms * 10)
                 lane.value, lane.late_value = value.credit, value.late_worth
         self._retold(sum(member.quota for member in self._members.values()))
         return unknown
@@ -79,4 +81,4 @@
         elif (member := self._members.get(name)) is not None:
             member.quota, member.share = value.quota_per_s, value.share
         else:
-            self._members[name] = Member(name, value.quota_per_s, value.share)
+            self._members[name] = Tenant(name, value.quota_per_s, value.share)
--- a/lanelead/node/links.py
+++ b/lanelead/node/links.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from lanelead.decisions.interface import Fate, Report, Ticks, Trip, Unit
+from lanelead.decisions.interface import AttemptOutcome, LoadReport, Ticks, Attempt, Endpoint
 from lanelead.node.pools import REST, Link, Pools
 from lanelead.node.reports import report_of, still
 from lanelead.pgwire import messages
 from lanelead.pgwire.statements import Statement
 from lanelead.pgwire.units import QueryResult, Progress
-from lanelead.relay.driver import Driver, Ticket
+from lanelead.relay.driver import DecisionDriver, PendingRequest
 
 BUFFER = 65536  # bytes read at once
 STARTUP = messages.startup("app", "shop")
@@ -38,22 +38,22 @@
     ) -> None:
         super().__init__(loop, connect_limit, idle_limit, most, longest, log)
         self._names = names
-        self.driver: Driver
+        self.driver: DecisionDriver
         self.after: Callable[[], None] = lambda: None
-        self.waiting: list[Trip] = []  # trips to set out
-        self._probes: list[Unit] = []  # and units to probe
-        self._out: dict[Trip, tuple[Ticket, Link | None]] = {}
+        self.waiting: list[Attempt] = []  # trips to set out
+        self._probes: list[Endpoint] = []  # and units to probe
+        self._out: dict[Attempt, tuple[PendingRequest, Link | None]] = {}
         self.reused = self.spoilt = 0
         self.refused = self.unwelcome = 0  # connections that were refused, and that never came up
 
     # Trips
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def send(self, trip: Attempt, ticket: PendingRequest) -> None:
         """Notes a trip; `set_out` sends it."""
         self._out[trip] = ticket, None
         self.waiting.append(trip)
 
-    def probe(self, unit: Unit) -> None:
+    def probe(self, unit: Endpoint) -> None:
         """Notes a probe; `set_out` sends it."""
         self._probes.append(unit)
 
@@ -67,7 +67,7 @@
             for unit in units:
                 self._probe(unit)
 
-    def abandon(self, trip: Trip) -> bool:
+    def abandon(self, trip: Attempt) -> bool:
         """Waits no longer for it; says whether it may have run."""
         _, link = self._out.pop(trip, (None, None))
         if link is None:
@@ -77,27 +77,27 @@
             self._end(link)
         return link.asked
 
-    def go(self, trip: Trip) -> None:
+    def go(self, trip: Attempt) -> None:
         entry = self._out.get(trip)
         if entry is None:  # given up in the same breath
             return
-        place = self.driver.still_meant(trip)
+        place = self.driver.destination_of(trip)
         if place is None:
-            self._ended(trip, Fate.UNSENT, None)
+            self._ended(trip, AttemptOutcome.NOT_SENT, None)
             return
-        pool = self._pool(trip.unit, place)
+        pool = self._pool(trip.endpoint, place)
         link = self._idle(pool)
         if link is not None:
             self.reused += 1
         elif (link := self._open(pool)) is None:
-            self._ended(trip, Fate.UNSENT, None)
+            self._ended(trip, AttemptOutcome.NOT_SENT, None)
             return
         link.trip, self._out[trip] = trip, (entry[0], link)
         if link.connected:
-            self._ask(link, self._text(trip, entry[0].ask))
+            self._ask(link, self._text(trip, entry[0].message))
 
-    def _text(self, trip: Trip, statement: Statement) -> bytes:
-        left = trip.sent + trip.limit - self.driver.decisions.now
+    def _text(self, trip: Attempt, statement: Statement) -> bytes:
+        left = trip.sent_at + trip.timeout - self.driver.decisions.now
         return messages.query(statement.text(max(1, left // 10)))
 
     def _ask(self, link: Link, text: bytes) -> None:
@@ -133,10 +133,10 @@
             link.asked, link.writing = True, False
             self._loop.remove_writer(link.sock)
 
-    def _ended(self, trip: Trip, fate: Fate, answer: QueryResult | None) -> None:
+    def _ended(self, trip: Attempt, fate: AttemptOutcome, answer: QueryResult | None) -> None:
         if self._out.pop(trip, None) is not None:
             report = report_of(answer.report, self._names) if answer else None
-            self.driver.ended(trip, fate, answer, report)
+            self.driver.attempt_ended(trip, fate, answer, report)
 
     # What comes back
 
@@ -178,11 +178,11 @@
             link.timer = None
         trip = link.trip
         if trip is not None:
-            if self.driver.still_meant(trip) != link.pool.place:
+            if self.driver.destination_of(trip) != link.pool.place:
                 link.trip = None
-                self._ended(trip, Fate.UNSENT, None)
+                self._ended(trip, AttemptOutcome.NOT_SENT, None)
             else:
-                self._ask(link, self._text(trip, self._out[trip][0].ask))
+                self._ask(link, self._text(trip, self._out[trip][0].message))
                 return
         elif link.probe is not None:
             self._ask(link, PROBE)
@@ -202,15 +202,15 @@
             self._end(link)
         if trip is not None:
             if answer.code is None:
-                fate = Fate.DONE
+                fate = AttemptOutcome.SUCCEEDED
             elif answer.code == TURNED_AWAY:
-                fate = Fate.TURNED_AWAY
+                fate = AttemptOutcome.REJECTED
             else:
-                fate = Fate.ERROR
+                fate = AttemptOutcome.ERROR
             self._ended(trip, fate, answer)
         if probe is not None:
             report = report_of(answer.value, self._names) if answer.code is None else None
-            self._probed(probe, Fate.DONE if answer.code is None else Fate.ERROR, link, report)
+            self._probed(probe, AttemptOutcome.SUCCEEDED if answer.code is None else AttemptOutcome.ERROR, link, report)
 
     def _broken(self, link: Link, reason: str) -> None:
         """The connection is of no more use. What was asked whole on it may have run."""
@@ -219,9 +219,9 @@
         asked = link.asked
         self._end(link)
         if trip is not None:
-            self._ended(trip, Fate.CUT if asked else Fate.UNREACHABLE, None)
+            self._ended(trip, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
         if probe is not None:
-            self._probed(probe, Fate.CUT if asked else Fate.UNREACHABLE, link, None)
+            self._probed(probe, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, link, None)
 
     def _up(self, link: Link) -> None:
         self._loop.remove_writer(link.sock)
@@ -260,8 +260,8 @@
 
     # Probes
 
-    def _probe(self, unit: Unit) -> None:
-        place = self.driver.places.get(unit)
+    def _probe(self, unit: Endpoint) -> None:
+        place = self.driver.destinations.get(unit)
         if place is None:
             self._loop.call_soon(self._unprobed, unit)
             return
@@ -280,17 +280,17 @@
         if (unit := link.probe) is not None:
             link.probe = None
             self._end(link)
-            self._probed(unit, Fate.TIMED_OUT, link, None)
+            self._probed(unit, AttemptOutcome.TIMED_OUT, link, None)
             self.after()
 
-    def _unprobed(self, unit: Unit) -> None:
-        self.driver.probed(unit, Fate.UNREACHABLE, 0, None)
+    def _unprobed(self, unit: Endpoint) -> None:
+        self.driver.health_checked(unit, AttemptOutcome.CONNECT_FAILED, 0, None)
         self.after()
 
-    def _probed(self, unit: Unit, fate: Fate, link: Link, report: Report | None) -> None:
+    def _probed(self, unit: Endpoint, fate: AttemptOutcome, link: Link, report: LoadReport | None) -> None:
         # Guards against the timer of this probe ending a later one on the same connection.
         if link.late is not None:
             link.late.cancel()
             link.late = None
         took: Ticks = max(0, int((self._loop.time() - link.began) * 10_000))
-        self.driver.probed(unit, fate, took, report)
+        self.driver.health_checked(unit, fate, took, report)
--- a/lanelead/node/lists.py
+++ b/lanelead/node/lists.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from lanelead.decisions.interface import Condition, Ticks
+from lanelead.decisions.interface import EndpointStatus, Ticks
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.protocols.records import EndpointListMessage, EndpointMessage
-from lanelead.relay.driver import Driver
+from lanelead.relay.driver import DecisionDriver
 
 NAMED = 5  # refused entries that one line of the log names
 
@@ -15,7 +15,7 @@
 class Lists:
     """`offset`: what Unix time lacks of the driver's clock, in ticks; `refused`: entries so far."""
 
-    def __init__(self, driver: Driver, offset: Ticks, log: Any) -> None:
+    def __init__(self, driver: DecisionDriver, offset: Ticks, log: Any) -> None:
         self._driver, self._offset, self._log = driver, offset, log
         self.refused = 0
 
@@ -36,20 +36,20 @@
 
     def _last(self, name: str) -> EndpointMessage | None:
         """A unit as it was told of last; None where it is not known, or gone."""
-        unit = self._driver.door.units.get(name)
-        place = self._driver.places.get(unit) if unit is not None else None
-        if unit is None or place is None or unit.condition is Condition.GONE:
+        unit = self._driver.registry.by_name.get(name)
+        place = self._driver.destinations.get(unit) if unit is not None else None
+        if unit is None or place is None or unit.status is EndpointStatus.REMOVED:
             return None
-        started = (place.since - self._offset) / 10 if place.since else None
+        started = (place.started_at - self._offset) / 10 if place.started_at else None
         return EndpointMessage(
             name,
             place.host,
             place.port,
             unit.zone,
             unit.build,
-            "ready" if unit.condition is Condition.READY else "draining",
+            "ready" if unit.status is EndpointStatus.READY else "draining",
             unit.cell,
             unit.kind,
             started,
-            unit.size,
+            unit.capacity,
         )
--- a/lanelead/node/main.py
+++ b/lanelead/node/main.py
@@ -11,7 +11,7 @@
 from lanelead.logs import logger
 from lanelead.node.config import load, path
 from lanelead.node.service import Service
-from lanelead.protocols.records import Malformed
+from lanelead.protocols.records import MessageError
 
 HELD = {signal.SIGHUP, signal.SIGTERM}
 
@@ -23,7 +23,7 @@
     try:
         where = path()
         config = load(where)
-    except Malformed as fault:
+    except MessageError as fault:
         print(f"lanelead: configuration: {fault}", file=sys.stderr)
         raise SystemExit(2) from None
     log = logger(form)
--- a/lanelead/node/pools.py
+++ b/lanelead/node/pools.py
@@ -11,7 +11,7 @@
 import socket
 from typing import Any
 
-from lanelead.decisions.interface import Condition, Trip, Unit
+from lanelead.decisions.interface import EndpointStatus, Attempt, Endpoint
 from lanelead.node.reports import still
 from lanelead.pgwire.units import ServerReader
 from lanelead.relay.driver import Destination
@@ -42,8 +42,8 @@
 
     def __init__(self, sock: socket.socket, pool: Pool, longest: int) -> None:
         self.sock, self.pool, self.reader = sock, pool, ServerReader(longest, b"vitals")
-        self.trip: Trip | None = None  # that goes, or is to go, over it
-        self.probe: Unit | None = None
+        self.trip: Attempt | None = None  # that goes, or is to go, over it
+        self.probe: Endpoint | None = None
         self.connected = False  # the unit has welcomed it
         self.asked = False  # the question's last byte was handed over
         self.rest = memoryview(b"")  # of the question, where the kernel took only a part
@@ -80,7 +80,7 @@
         self._loop, self._log = loop, log
         self._connect_limit, self._idle_limit, self._most = connect_limit, idle_limit * WEAR, most
         self._longest = longest
-        self._pools: dict[Unit, Pool] = {}
+        self._pools: dict[Endpoint, Pool] = {}
         self.links: dict[Link, None] = {}
         self.opened = self.short = 0
 
@@ -90,7 +90,7 @@
     def _never_came_up(self, link: Link) -> None:
         raise NotImplementedError
 
-    def _pool(self, unit: Unit, place: Destination) -> Pool:
+    def _pool(self, unit: Endpoint, place: Destination) -> Pool:
         pool = self._pools.get(unit)
         if pool is None or pool.place != place:
             if pool is not None:
@@ -162,7 +162,7 @@
         for link in list(pool.idle):
             self._end(link)
 
-    def close_idle(self, unit: Unit) -> None:
+    def close_idle(self, unit: Endpoint) -> None:
         if (pool := self._pools.get(unit)) is not None:
             self._empty(pool)
 
@@ -172,7 +172,7 @@
         for unit, pool in list(self._pools.items()):
             while pool.idle and pool.idle[0].since < now - self._idle_limit:
                 self._end(pool.idle[0])
-            if unit.condition is Condition.GONE:
+            if unit.status is EndpointStatus.REMOVED:
                 self._empty(pool)
                 pool.left = True
                 del self._pools[unit]
--- a/lanelead/node/reports.py
+++ b/lanelead/node/reports.py
@@ -5,14 +5,14 @@
 import math
 import socket
 
-from lanelead.decisions.interface import Report
+from lanelead.decisions.interface import LoadReport
 
 
-def report_of(text: bytes | None, names: frozenset[str]) -> Report | None:
+def report_of(text: bytes | None, names: frozenset[str]) -> LoadReport | None:
     """The figures that the settings name; None where there is no report that can be read."""
     if not text or not names:
         return None
-    found: Report = {}
+    found: LoadReport = {}
     for pair in text.split(b","):
         name, mark, word = pair.partition(b"=")
         try:
--- a/lanelead/node/service.py
+++ b/lanelead/node/service.py
@@ -12,8 +12,8 @@
 from msgspec.structs import replace
 
 from lanelead.configuration.kinds import EntryValue
-from lanelead.decisions.interface import Fate, Trip, Unit, Vote
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.interface import AttemptOutcome, Attempt, Endpoint, CastVote
+from lanelead.decisions.rules import Balancer
 from lanelead.node import config as configuration
 from lanelead.node.config import Config, Following
 from lanelead.node.desk import Desk
@@ -26,8 +26,8 @@
 from lanelead.node.lists import Lists
 from lanelead.node.pauses import Pauses
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import EndpointListMessage, Malformed, RolloutMessage
-from lanelead.relay.driver import Driver, Ticket
+from lanelead.protocols.records import EndpointListMessage, MessageError, RolloutMessage
+from lanelead.relay.driver import DecisionDriver, PendingRequest
 from lanelead.relay.timing import Clock
 
 if TYPE_CHECKING:
@@ -57,12 +57,12 @@
 
     def _build(self, config: Config) -> None:
         opening = config.opening
-        lanes, duties, allowance = opening.lanes(), opening.duties(), opening.allowance()
-        members, poll, place = opening.members(), opening.poll(), opening.place()
-        self._answer_limit, trial = poll.answer_limit / 10_000, opening.trial()
+        lanes, duties, allowance = opening.request_classes(), opening.service_limits(), opening.resource_quota()
+        members, poll, place = opening.tenants(), opening.voting_rules(), opening.position()
+        self._answer_limit, trial = poll.vote_timeout / 10_000, opening.canary_limits()
         self._stages = len(trial.shares)
-        self._clock = Clock(self._loop, lambda: self.driver.due(), self._tick)
-        decisions = Relay(
+        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
+        decisions = Balancer(
             place=place,
             lanes=lanes,
             members=members,
@@ -70,15 +70,15 @@
             duties=duties,
             trial=trial,
             poll=poll,
-            tariff=opening.tariff(),
+            tariff=opening.prices(),
             chance=Random(int(config.seed, 16)),
             now=self._clock.now(),
         )
-        self.driver = Driver(
-            decisions, self, self._clock.now, lanes, duties, allowance.open_lookups, allowance.longest_advice
+        self.driver = DecisionDriver(
+            decisions, self, self._clock.now, lanes, duties, allowance.max_in_flight, allowance.max_retry_after
         )
         tenants = {member.name: member for member in members}
-        self._in_force = InForce(tenants, self.driver.lanes, decisions.figures.retold)
+        self._in_force = InForce(tenants, self.driver.request_classes, decisions.parameters.update)
         self._following: Feed | None = None
         room = max(8, config.limits.sockets - SPARE)
         clients = int(room * CLIENTS)
@@ -86,7 +86,7 @@
         idle = opening.ticks("allowed.connIdleMs") / 10_000 or 10.0
         self.links = Links(
             self._loop,
-            allowance.connect_limit / 10_000,
+            allowance.connect_timeout / 10_000,
             idle,
             room - clients,
             VALUE + 8192,
@@ -100,7 +100,7 @@
             tenants,
             clients,
             2 * VALUE + 4096,
-            duties.answer_slack,
+            duties.response_slack,
             self._log,
         )
         self.front.after = self.links.after = self.after
@@ -110,10 +110,12 @@
         if config.known.servers:
             self._listed(self._lists.read(config.known))
         self._held = Held(config.known.version)
-        self.driver.news(config.platform.news.line(), False, Fate.DONE)
+        self.driver.rollout_read(config.platform.news.line(), False, AttemptOutcome.SUCCEEDED)
         self._discovery: Succession[Discovery] = Succession(self._task)
         self._desk: Succession[Desk] = Succession(self._task)
-        self._letters = Letters(self._loop, place.number, config.peers, self.driver.heard, self.after, self._log)
+        self._letters = Letters(
+            self._loop, place.number, config.peers, self.driver.gossip_received, self.after, self._log
+        )
         told = ("instances", "familyInfo", "contract", "allowed", "requestClasses")
         self._log.info("told", **{name: config.settings.get(name) for name in told}, limits=str(config.limits))
 
@@ -142,18 +144,18 @@
         )
 
     def _listed(self, found: EndpointListMessage) -> None:
-        self.driver.listed(found, self._offset)
+        self.driver.endpoints_listed(found, self._offset)
         self._knows.set()
         self.after()
 
-    def _news(self, line: RolloutMessage | None, answer: bool, word: Fate) -> None:
+    def _news(self, line: RolloutMessage | None, answer: bool, word: AttemptOutcome) -> None:
         if line is not None and line.stage >= self._stages:
             if line.phase == "trial":
-                raise Malformed(f"news of stage {line.stage}, of {self._stages} in the settings")
+                raise MessageError(f"news of stage {line.stage}, of {self._stages} in the settings")
             # Guards against a released build that would pass for one on trial: its units, which may be all
             # there are, would get the first stage's share. Off trial the stage says nothing more.
             line = replace(line, stage=self._stages - 1)
-        self.driver.news(line, answer, word)
+        self.driver.rollout_read(line, answer, word)
         self.after()
 
     # Running
@@ -193,7 +195,7 @@
 
         self._following = Feed(
             self._loop,
-            config.opening.place().number,
+            config.opening.position().number,
             following,
             entries(config.settings),
             self._put,
@@ -232,8 +234,8 @@
         self.after()
         sweeper = self._task(self._sweep())
         await self._stop.wait()
-        self._log.info("draining", open=len(self.driver.tickets))
-        longest = max(lane.outer_limit for lane in self.driver.lanes.values()) / 10_000
+        self._log.info("draining", open=len(self.driver.pending))
+        longest = max(lane.timeout for lane in self.driver.request_classes.values()) / 10_000
         await self.front.drain(LINGER, min(longest, KILLED))
         sweeper.cancel()
 
@@ -279,17 +281,17 @@
                 self._pauses.anew()
 
     def state(self) -> dict[str, Any]:
-        counts, links, front = self.driver.counts, self.links, self.front
+        counts, links, front = self.driver.counters, self.links, self.front
         return {
-            "taken": counts.taken,
-            "done": counts.done,
-            "shed": counts.shed,
-            "broken_off": counts.broken_off,
-            "left": counts.left,
-            "at_the_door": counts.at_the_door,
-            "trips": counts.trips,
-            "fates": {fate.value: many for fate, many in counts.fates.items()},
-            "open": len(self.driver.tickets),
+            "taken": counts.received,
+            "done": counts.succeeded,
+            "shed": counts.rejected,
+            "broken_off": counts.failed,
+            "left": counts.abandoned,
+            "at_the_door": counts.over_limit,
+            "trips": counts.attempts,
+            "fates": {fate.value: many for fate, many in counts.outcomes.items()},
+            "open": len(self.driver.pending),
             "clients": len(front.clients),
             "unreadable": front.unreadable,
             "condemned": front.condemned,
@@ -297,7 +299,7 @@
             "turned_off": front.turned_off,
             "refused_clients": front.refused,
             "overdue": front.overdue,
-            "units": len(self.driver.places),
+            "units": len(self.driver.destinations),
             "links": len(links.links),
             "opened": links.opened,
             "reused": links.reused,
@@ -309,7 +311,7 @@
             "refused_entries": self._lists.refused,
             "dropped": self._letters.dropped,
             **({"configuration": self._following.follower.state} if self._following is not None else {}),
-            "passed_over": dict(self.driver.door.marks.passed_over),
+            "passed_over": dict(self.driver.registry.short_ids.skipped),
             "discovery": self._discovery.newest.up,
             "desk": self._desk.newest.up,
             **self._pauses.state(),
@@ -323,7 +325,7 @@
             return
         try:
             config = configuration.load(self._path)
-        except Malformed as fault:
+        except MessageError as fault:
             self._log.error(
                 "configuration not read anew: all stays as it was",
                 reason=str(fault),
@@ -359,27 +361,27 @@
 
     # Hands
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self.links.send(trip, ticket)
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return self.links.abandon(trip)
 
-    def probe(self, unit: Unit) -> None:
+    def check_health(self, unit: Endpoint) -> None:
         self.links.probe(unit)
 
-    def close(self, unit: Unit) -> None:
+    def close_idle_connections(self, unit: Endpoint) -> None:
         self.links.close_idle(unit)
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         self._letters.tell(peer, payloads)
 
-    def vote(self, vote: Vote) -> None:
+    def cast_vote(self, vote: CastVote) -> None:
         self._desk.newest.vote(vote)
 
-    def watch(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
 
-    def fetch(self) -> None: ...
+    def poll_endpoints(self) -> None: ...
 
-    def note(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         self._log.info("note", text=text)
--- a/lanelead/protocols/datagrams.py
+++ b/lanelead/protocols/datagrams.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 from struct import Struct
 
-from lanelead.hosting.door import MESSAGE
+from lanelead.hosting.door import MAX_MESSAGE_BYTES
 
 HEAD = Struct(">4sHHI")  # magic with version, sender, length of the payload, count of the sender's datagrams
 GOSSIP_MAGIC = b"LLP1"
 MEMBERSHIP_MAGIC = b"LLM1"  # what members of a circle write to each other
 TAIL = Struct(">I")
 SHORT = Struct(">H")
-LARGEST = HEAD.size + MESSAGE + TAIL.size
+LARGEST = HEAD.size + MAX_MESSAGE_BYTES + TAIL.size
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,8 +29,8 @@
 
 
 def encode_datagram(sender: int, count: int, payload: bytes, magic: bytes = GOSSIP_MAGIC) -> bytes:
-    if len(payload) > MESSAGE:
-        raise ValueError(f"{len(payload)} bytes, of {MESSAGE} at most")
+    if len(payload) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"{len(payload)} bytes, of {MAX_MESSAGE_BYTES} at most")
     body = HEAD.pack(magic, sender, len(payload), count & 0xFFFFFFFF) + payload
     return body + TAIL.pack(zlib.crc32(body))
 
@@ -55,14 +55,14 @@
     """For networks that know the sender by its address, and where 256 bytes bound a datagram with all that
     is in it: the payload and half of its CRC-32."""
     data = payload + SHORT.pack(zlib.crc32(payload) & 0xFFFF)
-    if len(data) > MESSAGE:
-        raise ValueError(f"{len(data)} bytes, of {MESSAGE} at most")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"{len(data)} bytes, of {MAX_MESSAGE_BYTES} at most")
     return data
 
 
 def decode_plain(data: bytes) -> bytes | None:
     """The payload, or None where the datagram is not whole."""
-    if not SHORT.size <= len(data) <= MESSAGE:
+    if not SHORT.size <= len(data) <= MAX_MESSAGE_BYTES:
         return None
     payload = data[: -SHORT.size]
     return payload if SHORT.unpack(data[-SHORT.size :])[0] == zlib.crc32(payload) & 0xFFFF else None
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -12,11 +12,11 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.decisions.interface import Fate, Verdict
+from lanelead.decisions.interface import AttemptOutcome, Verdict
 from lanelead.protocols.records import (
     BuildNumber,
     EndpointListMessage,
-    Malformed,
+    MessageError,
     RolloutMessage,
     NonNegativeFloat,
     EndpointMessage,
@@ -26,11 +26,14 @@
 
 PHASES = {"testing": "trial", "recalling": "reverting", "live": "released", "recalled": "withdrawn"}
 STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
-VERDICTS = {Verdict.NONE: "abstain", Verdict.ON: "promote", Verdict.HOLD: "pause", Verdict.BACK: "abort"}
+VERDICTS = {Verdict.ABSTAIN: "abstain", Verdict.PROMOTE: "promote", Verdict.HOLD: "pause", Verdict.ROLL_BACK: "abort"}
 # A host that can't be one raises other errors than OSError when connected to, which nobody catches.
 LABEL = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
 ADDRESS = rf"^{LABEL}(\.{LABEL})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
-ERROR_OUTCOMES = {"too_many_calls": Fate.TURNED_AWAY, "out_of_date": Fate.UNSENT}  # any other error: it did not count
+ERROR_OUTCOMES = {
+    "too_many_calls": AttemptOutcome.REJECTED,
+    "out_of_date": AttemptOutcome.NOT_SENT,
+}  # any other error: it did not count
 
 
 class StageMessage(msgspec.Struct, frozen=True):
@@ -96,7 +99,7 @@
 def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Malformed(f"not an address: {text[:80]!r}")
+        raise MessageError(f"not an address: {text[:80]!r}")
     return host.strip("[]"), int(port)
 
 
@@ -124,7 +127,7 @@
     try:
         text = bytes(raw)
         label = decode(text, EndpointLabel, len(text))
-    except Malformed:
+    except MessageError:
         return "", False
     return label.id if isinstance(label.id, str) else "", label.state in ("leaving", "left")
 
@@ -148,7 +151,7 @@
     for raw in found.servers:
         try:
             row = _row(raw)
-        except Malformed as fault:
+        except MessageError as fault:
             name, leaves, reason = *_label(raw), str(fault)
             if not name:
                 refusals.append(RejectedEntry("", reason))
--- a/lanelead/protocols/records.py
+++ b/lanelead/protocols/records.py
@@ -15,7 +15,7 @@
 MAX_LINE_BYTES = 1 << 20  # bytes of one line
 
 
-class Malformed(Exception):
+class MessageError(Exception):
     """What came is not such a record; the text says which field and why."""
 
 
@@ -81,11 +81,11 @@
 def decode(data: bytes, kind: type[T], longest: int = MAX_LINE_BYTES) -> T:
     """Raises Malformed, with the field and what was expected of it."""
     if len(data) > longest:
-        raise Malformed(f"{len(data)} bytes, of {longest} at most")
+        raise MessageError(f"{len(data)} bytes, of {longest} at most")
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise Malformed(str(fault)[:300]) from None
+        raise MessageError(str(fault)[:300]) from None
 
 
 encode = msgspec.json.encode
@@ -100,5 +100,5 @@
     def feed(self, data: bytes) -> list[bytes]:
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > self._longest:
-            raise Malformed(f"a line of over {self._longest} bytes")
+            raise MessageError(f"a line of over {self._longest} bytes")
         return [line for line in lines if line.strip()]
--- a/lanelead/relay/gate.py
+++ b/lanelead/relay/gate.py
@@ -21,12 +21,12 @@
 
 import netaddr
 
-from lanelead.decisions.interface import Lane, Member, Ticks, Trip
+from lanelead.decisions.interface import Idempotency, RequestClass, Tenant, Ticks, Attempt
 from lanelead.http import writing
 from lanelead.http.answers import HttpResponse
 from lanelead.http.asks import HttpRequest, RequestReader, RejectedRequest, State
-from lanelead.protocols.records import Complaint, Malformed, decode, encode
-from lanelead.relay.driver import Driver, Outcome, Ticket
+from lanelead.protocols.records import Complaint, MessageError, decode, encode
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.relay.links import OURS
 from lanelead.settings import records
 
@@ -49,7 +49,7 @@
     def __init__(self, ask: HttpRequest | None) -> None:
         self.ask = ask
         self.text: bytes | None = None  # the answer, once there is one
-        self.ticket: Ticket | None = None
+        self.ticket: PendingRequest | None = None
         self.due: Ticks = 0
         self.waits: Callable[[], None] | None = None  # takes the lookup, when those ahead are answered
         self.close = False
@@ -64,12 +64,12 @@
 class Reception:
     """Tells what lane, member, key and time a request has. Made once from the settings."""
 
-    def __init__(self, service: records.Service, driver: Driver, members: Sequence[Member]) -> None:
+    def __init__(self, service: records.Service, driver: DecisionDriver, members: Sequence[Tenant]) -> None:
         names = service.headers
         self._member, self._key, self._left, self._lookup = (
             name.lower().encode() for name in (names.member, names.key, names.left, names.lookup)
         )
-        rows = [(lane.prefix.encode(), lane.methods, driver.lanes[lane.name]) for lane in service.lanes]
+        rows = [(lane.prefix.encode(), lane.methods, driver.request_classes[lane.name]) for lane in service.lanes]
         rows.sort(key=lambda row: -len(row[0]))  # the longest prefix that fits holds
         self._lanes = [(prefix, frozenset(methods), lane) for prefix, methods, lane in rows]
         self._early = records.ticks(service.duties.early_ms)
@@ -79,7 +79,7 @@
         self._spans = spans
         self._number = itertools.count(1)
 
-    def lane(self, ask: HttpRequest) -> Lane:
+    def lane(self, ask: HttpRequest) -> RequestClass:
         path, fitting = ask.target.partition(b"?")[0], False
         for prefix, methods, lane in self._lanes:
             if path.startswith(prefix):
@@ -88,14 +88,14 @@
                 fitting = True
         raise Refused(405 if fitting else 404, "no lane takes this method here" if fitting else "no such lane")
 
-    def member_at(self, address: str) -> Member | None:
+    def member_at(self, address: str) -> Tenant | None:
         """By the client's address, the narrowest network first."""
         if not self._spans:
             return None
         ip = netaddr.IPAddress(address)
         return next((self.members[name] for span, name in self._spans if ip in span), None)
 
-    def member(self, ask: HttpRequest, by_address: Member | None) -> Member | None:
+    def member(self, ask: HttpRequest, by_address: Tenant | None) -> Tenant | None:
         raw = ask.header(self._member)
         return by_address if raw is None else self.members.get(raw.decode("latin-1"), by_address)
 
@@ -103,9 +103,9 @@
         raw = ask.header(self._key)
         return None if raw is None else raw.decode("latin-1")
 
-    def left(self, ask: HttpRequest, lane: Lane) -> Ticks:
+    def left(self, ask: HttpRequest, lane: RequestClass) -> Ticks:
         """The time to the final answer; earlier than the client's own by what the way back may take."""
-        raw, most = ask.header(self._left), lane.outer_limit
+        raw, most = ask.header(self._left), lane.timeout
         if raw is not None:
             if not DIGITS.match(raw):
                 raise Refused(400, f"{self._left.decode()} takes milliseconds, as digits")
@@ -200,12 +200,12 @@
         try:
             lane = reception.lane(ask)
             left = reception.left(ask, lane)
-            if lane.repeat.value == "receipted" and ask.header(b"idempotency-key") is None:
+            if lane.idempotency is Idempotency.KEYED and ask.header(b"idempotency-key") is None:
                 raise Refused(400, "this lane takes an Idempotency-Key")
         except Refused as refused:
             self._say(slot, refused.status, refused.text)
             return
-        ticket = slot.ticket = Ticket(reception.ident(ask), ask, self._replied)
+        ticket = slot.ticket = PendingRequest(reception.ident(ask), ask, self._replied)
         member, key = reception.member(ask, self._member), reception.key(ask)
         now = self._gate.clock()
         slot.due = now + left
@@ -213,7 +213,7 @@
 
         def take() -> None:
             slot.waits = None
-            self._gate.driver.take(ticket, lane, member, key, due - self._gate.clock())
+            self._gate.driver.receive(ticket, lane, member, key, due - self._gate.clock())
 
         ahead = [other.due for other in self.slots if other is not slot and other.text is None]
         if ahead and max(ahead) > due:
@@ -227,12 +227,12 @@
         if ask.target == b"/.lanelead/complaint" and ask.method == "POST":
             try:
                 told = decode(ask.body, Complaint)
-                lane = gate.driver.lanes.get(told.lane)
+                lane = gate.driver.request_classes.get(told.lane)
                 if lane is None:
-                    raise Malformed(f"no lane {told.lane!r}")
-                if not gate.driver.complaint(told.unit, lane, int(told.age_ms * 10)):
-                    raise Malformed(f"no unit {told.unit!r} was ever listed")
-            except Malformed as fault:
+                    raise MessageError(f"no lane {told.lane!r}")
+                if not gate.driver.complaint_received(told.unit, lane, int(told.age_ms * 10)):
+                    raise MessageError(f"no unit {told.unit!r} was ever listed")
+            except MessageError as fault:
                 self._say(slot, 400, str(fault))
                 return
             self._fill(slot, writing.response(204, (), b"", not slot.close))
@@ -262,26 +262,31 @@
         self._fill(slot, writing.response(status, fields, body, not slot.close, head, b"%d" % len(body)))
 
     def _replied(
-        self, ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
+        self,
+        ticket: PendingRequest,
+        outcome: RequestOutcome,
+        trip: Attempt | None,
+        answer: HttpResponse | None,
+        come_back: Ticks,
     ) -> None:
         slot = next((slot for slot in self.slots if slot.ticket is ticket), None)
         if slot is None:
             return
         self._gate.told(ticket, outcome, trip)
-        head, keep = ticket.ask.method == "HEAD", not slot.close
-        ident = (b"x-request-id", ticket.ident.encode("latin-1"))
+        head, keep = ticket.message.method == "HEAD", not slot.close
+        ident = (b"x-request-id", ticket.id.encode("latin-1"))
         word = (b"lanelead-outcome", outcome.value.encode())
-        if outcome is Outcome.DONE and answer is not None and trip is not None:
+        if outcome is RequestOutcome.SUCCEEDED and answer is not None and trip is not None:
             fields = writing.passed_on(answer.headers, ANSWERED)
             fields += (
                 ident,
                 word,
-                (b"lanelead-unit", self._gate.driver.door.names[trip.unit].encode()),
-                (b"lanelead-build", b"%d" % trip.unit.build),
+                (b"lanelead-unit", self._gate.driver.registry.names[trip.endpoint].encode()),
+                (b"lanelead-build", b"%d" % trip.endpoint.build),
             )
             length = answer.header(b"content-length")
             text = writing.response(answer.status, fields, answer.body, keep, head, length)
-        elif outcome is Outcome.SHED:
+        elif outcome is RequestOutcome.REJECTED:
             seconds = max(1, -(-come_back // 10_000))
             fields = [
                 *PLAIN,
@@ -292,7 +297,7 @@
             ]
             text = writing.response(503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46")
         else:
-            status = 504 if ticket.late else 502
+            status = 504 if ticket.timed_out else 502
             fields = [*PLAIN, ident, word]
             text = writing.response(status, fields, b"broken off: it may have been done\n", keep, head, b"34")
         self._fill(slot, text)
@@ -343,7 +348,7 @@
         slots, self.slots = list(self.slots), deque()
         for slot in slots:
             if slot.ticket is not None:
-                self._gate.driver.left(slot.ticket)
+                self._gate.driver.client_left(slot.ticket)
         self._room.set()
         self._gate.after()
 
@@ -378,11 +383,11 @@
         self,
         loop: asyncio.AbstractEventLoop,
         service: records.Service,
-        driver: Driver,
+        driver: DecisionDriver,
         clock: Callable[[], Ticks],
         state: Callable[[], Mapping[str, Any]],
         log: Any,
-        members: Sequence[Member],
+        members: Sequence[Tenant],
     ) -> None:
         self.loop, self.driver, self.clock, self.state, self._log = loop, driver, clock, state, log
         self.allowance, self.reception = service.allowance, Reception(service, driver, members)
@@ -464,15 +469,15 @@
         self.malformed += 1
         self._log.info("refused", status=status, reason=reason)
 
-    def told(self, ticket: Ticket, outcome: Outcome, trip: Trip | None) -> None:
-        if outcome is Outcome.DONE:
+    def told(self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None) -> None:
+        if outcome is RequestOutcome.SUCCEEDED:
             return
         trips = [
-            (self.driver.door.names[row.unit], row.fate.value if row.fate else "out")
-            for row in (ticket.lookup.trips if ticket.lookup else ())
+            (self.driver.registry.names[row.endpoint], row.outcome.value if row.outcome else "out")
+            for row in (ticket.request.attempts if ticket.request else ())
         ]
-        lane = ticket.lookup.lane.name if ticket.lookup else None
-        self._log.info("answered", lookup=ticket.ident, outcome=outcome.value, lane=lane, trips=trips)
+        lane = ticket.request.request_class.name if ticket.request else None
+        self._log.info("answered", lookup=ticket.id, outcome=outcome.value, lane=lane, trips=trips)
 
     def sweep(self) -> None:
         """Ends connections whose client has moved no byte for the idle limit while it was its turn."""
--- a/lanelead/relay/links.py
+++ b/lanelead/relay/links.py
@@ -16,11 +16,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from lanelead.decisions.interface import Fate, Ticks, Trip, Unit
+from lanelead.decisions.interface import AttemptOutcome, Ticks, Attempt, Endpoint
 from lanelead.http import writing
 from lanelead.http.answers import HttpResponse, ResponseReader, Progress
-from lanelead.protocols.records import LoadMessage, Malformed, decode
-from lanelead.relay.driver import Destination, Driver, Ticket
+from lanelead.protocols.records import LoadMessage, MessageError, decode
+from lanelead.relay.driver import Destination, DecisionDriver, PendingRequest
 from lanelead.relay.reports import LOAD, figures, report_of
 
 TURNED_AWAY = b"lanelead-turned-away"
@@ -48,7 +48,7 @@
     def __init__(self, sock: socket.socket, pool: Pool, buffer: bytearray, answer_bytes: int) -> None:
         self.sock, self.pool, self.buffer = sock, pool, buffer
         self.reader = ResponseReader(answer_bytes)
-        self.trip: Trip | None = None  # whose answer is awaited
+        self.trip: Attempt | None = None  # whose answer is awaited
         self.answer: asyncio.Future[HttpResponse | None] | None = None  # a probe's
         self.sending = self.dead = False
         self.idle_since = 0.0
@@ -70,7 +70,7 @@
 
     __slots__ = ("link", "task", "ticket", "written")
 
-    def __init__(self, ticket: Ticket) -> None:
+    def __init__(self, ticket: PendingRequest) -> None:
         self.ticket = ticket
         self.task: asyncio.Task[None] | None = None  # opens a connection for it
         self.link: Link | None = None
@@ -92,24 +92,24 @@
         self._loop, self._number, self._log = loop, b"%d" % number, log
         self._connect_limit, self._idle_limit, self._most = connect_limit, idle_limit, most
         self._answer_bytes, self._reports = answer_bytes, reports
-        self.driver: Driver | None = None
-        self._pools: dict[Unit, Pool] = {}
-        self._out: dict[Trip, Out] = {}
+        self.driver: DecisionDriver | None = None
+        self._pools: dict[Endpoint, Pool] = {}
+        self._out: dict[Attempt, Out] = {}
         self._spare: list[bytearray] = []
         self._listeners: set[asyncio.Task[None]] = set()
-        self.waiting: list[Trip] = []  # trips to set out
-        self._probes: dict[Unit, asyncio.Task[None]] = {}
+        self.waiting: list[Attempt] = []  # trips to set out
+        self._probes: dict[Endpoint, asyncio.Task[None]] = {}
         self.after: Callable[[], None] = lambda: None  # called when the driver has been told something
         self.opened = self.reused = 0
 
     # Trips
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def send(self, trip: Attempt, ticket: PendingRequest) -> None:
         """Notes a trip; `go` sets it out."""
         self._out[trip] = Out(ticket)
         self.waiting.append(trip)
 
-    def abandon(self, trip: Trip) -> bool:
+    def abandon(self, trip: Attempt) -> bool:
         out = self._out.pop(trip, None)
         if out is None:
             return False
@@ -120,32 +120,32 @@
             self._kill(out.link)
         return out.written
 
-    async def go(self, trip: Trip) -> None:
+    async def go(self, trip: Attempt) -> None:
         driver, out = self.driver, self._out.get(trip)
         assert driver is not None
         if out is None:  # given up in the same breath
             return
-        place = driver.still_meant(trip)
+        place = driver.destination_of(trip)
         if place is None:
-            self._end(trip, Fate.UNSENT, None)
+            self._end(trip, AttemptOutcome.NOT_SENT, None)
             self.after()
             return
-        pool = self._pool(trip.unit, place)
+        pool = self._pool(trip.endpoint, place)
         link = self._idle(pool)
         if link is None:
             out.task = self._loop.create_task(self._set_out(trip, out, pool))
         else:
             await self._write(link, trip, out)
 
-    async def _set_out(self, trip: Trip, out: Out, pool: Pool) -> None:
+    async def _set_out(self, trip: Attempt, out: Out, pool: Pool) -> None:
         """The same for a trip that needs another connection."""
-        driver, fate = self.driver, Fate.UNREACHABLE
+        driver, fate = self.driver, AttemptOutcome.CONNECT_FAILED
         assert driver is not None
         try:
             link = await self._open(pool)
-            if link is not None and driver.still_meant(trip) != pool.place:
+            if link is not None and driver.destination_of(trip) != pool.place:
                 self._keep(link)
-                link, fate = None, Fate.UNSENT
+                link, fate = None, AttemptOutcome.NOT_SENT
             out.task = None
             if link is not None:
                 await self._write(link, trip, out)
@@ -156,9 +156,9 @@
         self._end(trip, fate, None)
         self.after()
 
-    async def _write(self, link: Link, trip: Trip, out: Out) -> None:
+    async def _write(self, link: Link, trip: Attempt, out: Out) -> None:
         link.trip, out.link = trip, link
-        link.reader.expect(out.ticket.ask.method == "HEAD")
+        link.reader.expect(out.ticket.message.method == "HEAD")
         text = self._text(trip, out.ticket)
         out.written = link.sending = True  # from here on it may have run
         try:
@@ -168,11 +168,11 @@
         finally:
             link.sending = False
 
-    def _end(self, trip: Trip, fate: Fate, answer: HttpResponse | None) -> None:
+    def _end(self, trip: Attempt, fate: AttemptOutcome, answer: HttpResponse | None) -> None:
         if self._out.pop(trip, None) is not None:
             assert self.driver is not None
             report = None if answer is None else report_of(answer, self._reports)
-            self.driver.ended(trip, fate, answer, report)
+            self.driver.attempt_ended(trip, fate, answer, report)
 
     async def _listen(self, link: Link) -> None:
         """Reads all that comes on a connection, answers and what nobody asked for, until it ends."""
@@ -221,11 +221,11 @@
         if trip is None:
             return
         if answer is None:
-            fate = Fate.CUT
+            fate = AttemptOutcome.RESET
         elif answer.header(TURNED_AWAY) is not None:
-            fate = Fate.TURNED_AWAY
+            fate = AttemptOutcome.REJECTED
         else:
-            fate = Fate.ERROR if answer.status >= 500 else Fate.DONE
+            fate = AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.SUCCEEDED
         self._end(trip, fate, answer)
 
     def _broken(self, link: Link) -> None:
@@ -234,17 +234,17 @@
             self._answered(link, None, False)
             self.after()
 
-    def _text(self, trip: Trip, ticket: Ticket) -> bytes:
-        ask, left = ticket.ask, trip.sent + trip.limit - self._driver_now()
+    def _text(self, trip: Attempt, ticket: PendingRequest) -> bytes:
+        ask, left = ticket.message, trip.sent_at + trip.timeout - self._driver_now()
         headers = writing.passed_on(ask.headers, OURS)
         headers += (
             (b"lanelead-relay", self._number),
             (b"lanelead-trip", b"%d" % trip.number),
-            (b"lanelead-lane", trip.lookup.lane.name.encode()),
+            (b"lanelead-lane", trip.request.request_class.name.encode()),
             (b"lanelead-left", b"%d" % max(0, left // 10)),
         )
         if ask.header(b"x-request-id") is None:
-            headers.append((b"x-request-id", ticket.ident.encode("latin-1")))
+            headers.append((b"x-request-id", ticket.id.encode("latin-1")))
         return writing.request(ask.method, ask.target, headers, ask.body)
 
     def _driver_now(self) -> Ticks:
@@ -253,7 +253,7 @@
 
     # Pools
 
-    def _pool(self, unit: Unit, place: Destination) -> Pool:
+    def _pool(self, unit: Endpoint, place: Destination) -> Pool:
         pool = self._pools.get(unit)
         if pool is None or pool.place != place:
             if pool is not None:
@@ -323,7 +323,7 @@
         for link in idle:
             self._kill(link)
 
-    def close_idle(self, unit: Unit) -> None:
+    def close_idle(self, unit: Endpoint) -> None:
         if (pool := self._pools.get(unit)) is not None:
             self._empty(pool)
 
@@ -337,16 +337,16 @@
 
     # Probes
 
-    def probe(self, unit: Unit) -> None:
+    def probe(self, unit: Endpoint) -> None:
         """One at a time for each unit: a second one while the first is out would tell nothing more."""
         if unit not in self._probes:
             self._probes[unit] = self._loop.create_task(self._probe(unit))
 
-    async def _probe(self, unit: Unit) -> None:
+    async def _probe(self, unit: Endpoint) -> None:
         driver = self.driver
         assert driver is not None
-        began, fate, report = self._loop.time(), Fate.UNREACHABLE, None
-        place, link = driver.places.get(unit), None
+        began, fate, report = self._loop.time(), AttemptOutcome.CONNECT_FAILED, None
+        place, link = driver.destinations.get(unit), None
         try:
             if place is None:
                 return
@@ -354,7 +354,7 @@
             link = self._idle(pool) or await self._open(pool)
             if link is None:
                 return
-            fate = Fate.TIMED_OUT
+            fate = AttemptOutcome.TIMED_OUT
             link.reader.expect(False)
             link.answer = self._loop.create_future()
             text = writing.request("GET", b"/.lanelead/load", [(b"host", place.host.encode())], b"")
@@ -363,21 +363,21 @@
                 answer = await link.answer
             link = None  # it has been kept, or ended, by whoever read the answer
             if answer is None:
-                fate = Fate.CUT
+                fate = AttemptOutcome.RESET
             elif answer.status != 200:
-                fate = Fate.ERROR
+                fate = AttemptOutcome.ERROR
             else:
-                report, fate = figures(decode(answer.body, LoadMessage), self._reports), Fate.DONE
+                report, fate = figures(decode(answer.body, LoadMessage), self._reports), AttemptOutcome.SUCCEEDED
         except (OSError, TimeoutError):
             pass
-        except Malformed:
-            fate = Fate.ERROR
+        except MessageError:
+            fate = AttemptOutcome.ERROR
         finally:
             self._probes.pop(unit, None)
             if link is not None:
                 link.answer = None
                 self._kill(link)
-            driver.probed(unit, fate, int((self._loop.time() - began) * 10_000), report)
+            driver.health_checked(unit, fate, int((self._loop.time() - began) * 10_000), report)
             self.after()
 
     async def shut(self) -> None:
--- a/lanelead/relay/reports.py
+++ b/lanelead/relay/reports.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from lanelead.decisions.interface import Report
+from lanelead.decisions.interface import LoadReport
 from lanelead.http.answers import HttpResponse
-from lanelead.protocols.records import LoadMessage, Malformed, decode
+from lanelead.protocols.records import LoadMessage, MessageError, decode
 
 LOAD = b"lanelead-load"
 
 
-def report_of(answer: HttpResponse, names: frozenset[str]) -> Report | None:
+def report_of(answer: HttpResponse, names: frozenset[str]) -> LoadReport | None:
     """The load report in an answer, of the figures that the settings name; None where there is none to
     trust."""
     raw = answer.header(LOAD)
@@ -17,10 +17,10 @@
         return None
     try:
         return figures(decode(raw, LoadMessage), names)
-    except Malformed:
+    except MessageError:
         return None
 
 
-def figures(load: LoadMessage, names: frozenset[str]) -> Report:
+def figures(load: LoadMessage, names: frozenset[str]) -> LoadReport:
     pairs = ((name, getattr(load, name)) for name in load.__struct_fields__ if name in names)
     return {name: value for name, value in pairs if value is not None}
--- a/lanelead/relay/service.py
+++ b/lanelead/relay/service.py
@@ -9,14 +9,24 @@
 from random import Random
 from typing import Any
 
-from lanelead.decisions.interface import Decisions, Duties, Fate, Lane, Member, Ticks, Trip, Unit, Vote
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.interface import (
+    Decisions,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    Tenant,
+    Ticks,
+    Attempt,
+    Endpoint,
+    CastVote,
+)
+from lanelead.decisions.rules import Balancer
 from lanelead.decisions.zones import ANYWHERE
 from lanelead.http.calls import CallFailedError, call, stream
 from lanelead.protocols import datagrams
 from lanelead.protocols.records import (
     EndpointListMessage,
-    Malformed,
+    MessageError,
     RolloutMessage,
     VoteResponse,
     VoteRequest,
@@ -25,7 +35,8 @@
 )
 from lanelead.protocols.steps import MigrationLogPage, AcknowledgeRequest
 from lanelead.relay.circle import Circle
-from lanelead.relay.driver import VERDICTS, WORDS, Driver, Ticket
+from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
+from lanelead.relay.driver import DecisionDriver, PendingRequest
 from lanelead.relay.gate import Gate
 from lanelead.relay.links import Links
 from lanelead.relay.timing import Clock
@@ -44,7 +55,7 @@
         self._stop = asyncio.Event()
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._feeds: dict[str, asyncio.Task[None]] = {}
-        self._clock = Clock(self._loop, lambda: self.driver.due(), self._tick)
+        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
         self.clock = self._clock.now
         self._sent = 0
         self._offset: Ticks | None = None
@@ -54,7 +65,7 @@
         self._knows = asyncio.Event()  # the roster has been heard
         self._udp: socket.socket | None = None
         self._links: Links
-        self.driver: Driver
+        self.driver: DecisionDriver
         self.gate: Gate
         self.circle: Circle | None = None
 
@@ -63,7 +74,7 @@
         allowance = service.allowance
         lanes = [lane.figures() for lane in service.lanes]
         duties = service.duties.figures(settings.discovery == "subscribe")
-        members = [Member(row.name, row.quota, row.share) for row in service.members]
+        members = [Tenant(row.name, row.quota, row.share) for row in service.members]
         self._links = Links(
             self._loop,
             settings.number,
@@ -74,7 +85,7 @@
             frozenset(settings.reports),
             self._log,
         )
-        decisions: Decisions = Relay(
+        decisions: Decisions = Balancer(
             place=records.place(settings),
             lanes=lanes,
             members=members,
@@ -89,7 +100,7 @@
         )
         if self._seam is not None:
             decisions = self._seam(decisions)
-        self.driver = Driver(
+        self.driver = DecisionDriver(
             decisions,
             self,
             self.clock,
@@ -103,12 +114,12 @@
         self.gate = Gate(self._loop, service, self.driver, self.clock, self.state, self._log, members)
         self.gate.after = self._links.after = self._after
 
-    def _readiness(self, lanes: Sequence[Lane], duties: Duties) -> Readiness | None:
+    def _readiness(self, lanes: Sequence[RequestClass], duties: ServiceLimits) -> Readiness | None:
         if self._settings.steps is None:
             return None
         # What a unit has begun by a trip's outer limit it ends within some expected times.
-        grace = duties.answer_slack + 2 * max(lane.expected_time for lane in lanes)
-        longest = max(lane.outer_limit for lane in lanes)
+        grace = duties.response_slack + 2 * max(lane.latency_objective for lane in lanes)
+        longest = max(lane.timeout for lane in lanes)
         return Readiness(grace, self.clock() + longest + grace)
 
     async def run(self, ready: Callable[[str, int], None] = lambda host, port: None) -> None:
@@ -117,7 +128,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._signalled)
         if self._settings.discovery == "automatic":
-            self.watch(True)
+            self.watch_endpoints(True)
         self._feed("desk", self._desk())
         if self._settings.steps is not None:
             self._up["steps"] = False
@@ -145,7 +156,7 @@
         await self._stop.wait()
         if self.circle is not None:
             self.circle.leave()
-        self._log.info("draining", open=len(self.driver.tickets))
+        self._log.info("draining", open=len(self.driver.pending))
         longest = max(lane.outer_limit_ms for lane in self._settings.service.lanes) / 1000
         await self.gate.drain(longest + 1)
         sweeper.cancel()
@@ -207,20 +218,20 @@
             self.gate.sweep()
 
     def state(self) -> dict[str, Any]:
-        counts = self.driver.counts
+        counts = self.driver.counters
         return {
-            "taken": counts.taken,
-            "done": counts.done,
-            "shed": counts.shed,
-            "broken_off": counts.broken_off,
-            "left": counts.left,
-            "at_the_door": counts.at_the_door,
-            "withheld": counts.withheld,
-            "trips": counts.trips,
-            "fates": {fate.value: many for fate, many in counts.fates.items()},
-            "open": len(self.driver.tickets),
+            "taken": counts.received,
+            "done": counts.succeeded,
+            "shed": counts.rejected,
+            "broken_off": counts.failed,
+            "left": counts.abandoned,
+            "at_the_door": counts.over_limit,
+            "withheld": counts.withheld_votes,
+            "trips": counts.attempts,
+            "fates": {fate.value: many for fate, many in counts.outcomes.items()},
+            "open": len(self.driver.pending),
             "clients": len(self.gate.connections),
-            "units": len(self.driver.places),
+            "units": len(self.driver.destinations),
             "opened": self._links.opened,
             "reused": self._links.reused,
             "dropped": dict(self._dropped),
@@ -231,19 +242,19 @@
 
     # Hands
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self._links.send(trip, ticket)
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return self._links.abandon(trip)
 
-    def probe(self, unit: Unit) -> None:
+    def check_health(self, unit: Endpoint) -> None:
         self._links.probe(unit)
 
-    def close(self, unit: Unit) -> None:
+    def close_idle_connections(self, unit: Endpoint) -> None:
         self._links.close_idle(unit)
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         if self._udp is None or self._settings.peers is None:
             return
         for other in self._settings.peers.others:
@@ -258,19 +269,19 @@
                 except OSError:  # a full buffer, or nobody there: such messages may be lost
                     self._drop("not sent")
 
-    def vote(self, vote: Vote) -> None:
+    def cast_vote(self, vote: CastVote) -> None:
         self._task(self._vote(vote))
 
-    def watch(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         if on:
             self._feed("roster", self._roster())
         elif (task := self._feeds.pop("roster", None)) is not None:
             task.cancel()
 
-    def fetch(self) -> None:
+    def poll_endpoints(self) -> None:
         self._task(self._fetch())
 
-    def note(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         self._log.info("note", text=text)
 
     # Feeds
@@ -299,7 +310,7 @@
                         self._up[name] = True
                         self._log.info("feed up", feed=name)
                     self._after()
-            except (CallFailedError, Malformed) as fault:
+            except (CallFailedError, MessageError) as fault:
                 if self._up[name]:
                     self._log.warning("feed down: going on with what is known", feed=name, reason=str(fault))
                 self._up[name] = False
@@ -311,7 +322,7 @@
                 return
 
     def _roster_failed(self) -> None:
-        self.driver.roster_failed()
+        self.driver.endpoint_poll_failed()
         self._after()
 
     async def _roster(self) -> None:
@@ -319,7 +330,7 @@
             listed = decode(line, EndpointListMessage)
             if self._offset is None:
                 self._offset = self.clock() - int(listed.clock_ms * 10)
-            self.driver.listed(listed, self._offset)
+            self.driver.endpoints_listed(listed, self._offset)
             self._knows.set()
 
         await self._follow(
@@ -328,7 +339,7 @@
 
     async def _desk(self) -> None:
         def heard(line: bytes) -> None:
-            self.driver.news(decode(line, RolloutMessage), False, Fate.DONE)
+            self.driver.rollout_read(decode(line, RolloutMessage), False, AttemptOutcome.SUCCEEDED)
 
         path = b"/news?relay=%d" % self._settings.number
         await self._follow("desk", lambda: path, self._settings.desk, heard)
@@ -341,7 +352,9 @@
         def path() -> bytes:
             return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
 
-        await self._follow("steps", path, feed, lambda line: self.driver.steps(decode(line, MigrationLogPage)))
+        await self._follow(
+            "steps", path, feed, lambda line: self.driver.migrations_read(decode(line, MigrationLogPage))
+        )
 
     async def _vouch(self, feed: records.Feed) -> None:
         """Tells the store that a closing is seen, once nothing is out that it forbids."""
@@ -366,19 +379,19 @@
         try:
             answer = await call(self._loop, feed.address, "GET", b"/roster", b"", feed.silence_ms / 1000)
             listed = decode(answer.body, EndpointListMessage)
-        except (CallFailedError, TimeoutError, Malformed) as fault:
+        except (CallFailedError, TimeoutError, MessageError) as fault:
             self._log.warning("roster not fetched", reason=str(fault))
             await asyncio.sleep(feed.least_wait_ms / 1000)
             self._roster_failed()
             return
-        self.driver.listed(listed, self.clock() - int(listed.clock_ms * 10))
+        self.driver.endpoints_listed(listed, self.clock() - int(listed.clock_ms * 10))
         self._knows.set()
         self._after()
 
-    async def _vote(self, vote: Vote) -> None:
+    async def _vote(self, vote: CastVote) -> None:
         poll = self._settings.service.poll
-        asked = VoteRequest(self._settings.number, vote.build, vote.stage, VERDICTS[vote.verdict])  # type: ignore[arg-type]
-        line, word = None, Fate.ERROR
+        asked = VoteRequest(self._settings.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict])  # type: ignore[arg-type]
+        line, word = None, AttemptOutcome.ERROR
         try:
             answer = await call(
                 self._loop,
@@ -391,13 +404,13 @@
             if answer.status != 200:
                 raise CallFailedError(f"status {answer.status}")
             told = decode(answer.body, VoteResponse)
-            line, word = told.news, WORDS[told.word]
+            line, word = told.news, VOTE_OUTCOMES[told.word]
         except TimeoutError:
-            word = Fate.TIMED_OUT
-        except (CallFailedError, Malformed) as fault:
+            word = AttemptOutcome.TIMED_OUT
+        except (CallFailedError, MessageError) as fault:
             self._log.warning("vote not cast", reason=str(fault))
         self._log.info("vote", build=vote.build, stage=vote.stage, verdict=asked.verdict, word=word.value)
-        self.driver.news(line, True, word)
+        self.driver.rollout_read(line, True, word)
         self._after()
 
     # Peers
@@ -430,5 +443,5 @@
             elif letter.sender not in self._known:
                 self._drop("sender")
             else:
-                self.driver.heard(letter.sender, letter.payload)
+                self.driver.gossip_received(letter.sender, letter.payload)
         self._after()
--- a/lanelead/settings/records.py
+++ b/lanelead/settings/records.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from lanelead.decisions import interface
-from lanelead.decisions.interface import Control, Repeat, Scope, Ticks
+from lanelead.decisions.interface import Ticks
+from lanelead.protocols.vocabulary import DEDUPLICATION_SCOPES, IDEMPOTENCY_KINDS, PROMOTION_CONTROLS
 
 
 def ticks(ms: float) -> Ticks:
@@ -35,15 +36,15 @@
     scope: str
     memory_ms: float
 
-    def figures(self) -> interface.Lane:
-        return interface.Lane(
+    def figures(self) -> interface.RequestClass:
+        return interface.RequestClass(
             self.name,
             ticks(self.expected_time_ms),
             ticks(self.outer_limit_ms),
             self.value,
             self.late_value,
-            Repeat(self.repeat),
-            Scope(self.scope),
+            IDEMPOTENCY_KINDS[self.repeat],
+            DEDUPLICATION_SCOPES[self.scope],
             ticks(self.memory_ms),
             False,
             0.0,
@@ -81,8 +82,8 @@
     idle_limit_ms: float
     unit_connections: int
 
-    def figures(self, peers: bool) -> interface.Allowance:
-        return interface.Allowance(
+    def figures(self, peers: bool) -> interface.ResourceQuota:
+        return interface.ResourceQuota(
             self.trips,
             self.open_lookups,
             1,
@@ -107,8 +108,8 @@
     fall_ms: float
     tick_ms: float
 
-    def figures(self, subscribe: bool) -> interface.Duties:
-        return interface.Duties(
+    def figures(self, subscribe: bool) -> interface.ServiceLimits:
+        return interface.ServiceLimits(
             ticks(self.answer_slack_ms),
             ticks(self.drain_grace_ms),
             self.cold_share,
@@ -131,8 +132,8 @@
     keys_stay: bool
     in_place: bool
 
-    def figures(self) -> interface.Trial:
-        return interface.Trial(
+    def figures(self) -> interface.CanaryLimits:
+        return interface.CanaryLimits(
             tuple(self.shares),
             tuple(self.caps),
             self.free,
@@ -158,9 +159,9 @@
     harm_price: float
     complaint_share: float
 
-    def figures(self) -> interface.Poll:
-        return interface.Poll(
-            Control(self.control),
+    def figures(self) -> interface.VotingRules:
+        return interface.VotingRules(
+            PROMOTION_CONTROLS[self.control],
             self.on_votes,
             self.back_votes,
             self.hold_votes,
@@ -226,8 +227,8 @@
     grow: float
     shrink: float
 
-    def figures(self) -> interface.Preference:
-        return interface.Preference(tuple(map(tuple, self.tiers)), self.most, self.grow, self.shrink)
+    def figures(self) -> interface.ZonePreference:
+        return interface.ZonePreference(tuple(map(tuple, self.tiers)), self.most, self.grow, self.shrink)
 
 
 class Overflow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -355,11 +356,11 @@
     steps: StepsOfDay | None = None
 
 
-TARIFF = interface.Tariff(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0)  # prices are the bench's: none here
+TARIFF = interface.Prices(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0)  # prices are the bench's: none here
 
 
-def place(relay: Relay) -> interface.Place:
-    return interface.Place(relay.number, relay.relays, relay.zone)
+def place(relay: Relay) -> interface.RelayPosition:
+    return interface.RelayPosition(relay.number, relay.relays, relay.zone)
 
 
 # Steps
--- a/lanelead/standins/desk.py
+++ b/lanelead/standins/desk.py
@@ -10,7 +10,7 @@
 from lanelead.http import writing
 from lanelead.http.asks import HttpRequest
 from lanelead.http.serving import STREAM, ServerConnection, chunk
-from lanelead.protocols.records import Malformed, VoteResponse, VoteRequest, decode, encode
+from lanelead.protocols.records import MessageError, VoteResponse, VoteRequest, decode, encode
 from lanelead.settings.records import Poll, Trial
 from lanelead.standins.capture import Tap, clock
 from lanelead.standins.polling import Polling
@@ -83,7 +83,7 @@
         elif path == b"/votes" and ask.method == "POST":
             try:
                 vote = decode(ask.body, VoteRequest)
-            except Malformed as fault:
+            except MessageError as fault:
                 caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
                 return
             word, line = self.vote(vote)
--- a/lanelead/standins/interrupts.py
+++ b/lanelead/standins/interrupts.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from lanelead.decisions.interface import Lane, Lookup, Repeat, Scope, Ticks, Trip
+from lanelead.decisions.interface import RequestClass, Request, Idempotency, DeduplicationScope, Ticks, Attempt
 from lanelead.http.calls import CallFailedError, call, stream
 from lanelead.protocols.records import decode
 from lanelead.protocols.steps import LogEntry, LoggedEntry, MigrationLogPage, AcknowledgeRequest, SchemaCheck
@@ -363,8 +363,8 @@
                         self._readiness.seen = owed
 
     async def _file(self, demands: Demands) -> None:
-        lookup = Lookup(LANE, None, None, self._clock(), self._clock() + 10_000)
-        trip = Trip(lookup, None, 0, self._clock(), 10_000)  # type: ignore[arg-type]
+        lookup = Request(LANE, None, None, self._clock(), self._clock() + 10_000)
+        trip = Attempt(lookup, None, 0, self._clock(), 10_000)  # type: ignore[arg-type]
         self._readiness.sent(demands.build, trip)
         known = False
         try:
@@ -380,7 +380,7 @@
             self._readiness.ended(trip, known)
 
 
-LANE = Lane("file", 5_000, 10_000, 1.0, 0.0, Repeat.EFFECTFUL, Scope.ALL, 0, False, 0.0)
+LANE = RequestClass("file", 5_000, 10_000, 1.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
 
 
 def main() -> None:
--- a/lanelead/standins/saboteur.py
+++ b/lanelead/standins/saboteur.py
@@ -11,20 +11,20 @@
 from typing import Any
 
 from lanelead.decisions.interface import (
-    BreakOff,
-    Condition,
-    Coverage,
+    FailRequest,
+    EndpointStatus,
+    UpdateScope,
     Decisions,
-    Fate,
-    Listing,
-    News,
-    Phase,
-    Repeat,
-    Report,
-    Send,
-    Shed,
-    Trip,
-    Unit,
+    AttemptOutcome,
+    EndpointRecord,
+    RolloutState,
+    RolloutPhase,
+    Idempotency,
+    LoadReport,
+    StartAttempt,
+    RejectRequest,
+    Attempt,
+    Endpoint,
 )
 from lanelead.relay.main import run
 from lanelead.settings.read import read
@@ -49,9 +49,9 @@
     """Loses the final answer of lookups that it gives up on."""
 
     @property
-    def acts(self) -> list[Any]:
-        acts = self._decisions.acts
-        kept = [act for act in acts if not isinstance(act, Shed | BreakOff)]
+    def actions(self) -> list[Any]:
+        acts = self._decisions.actions
+        kept = [act for act in acts if not isinstance(act, RejectRequest | FailRequest)]
         if len(kept) != len(acts):
             acts[:] = kept
         return acts  # type: ignore[no-any-return]
@@ -63,17 +63,23 @@
 class Effects(Seam):
     """Sends an effectful lookup again after an error, whether it ran or not."""
 
-    def ended(self, trip: Trip, fate: Fate, closed: bool, took: int, report: Report | None) -> None:
-        told = Fate.TURNED_AWAY if fate is Fate.ERROR and trip.lookup.lane.repeat is Repeat.EFFECTFUL else fate
-        self._decisions.ended(trip, told, closed, took, report)
+    def attempt_ended(
+        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+    ) -> None:
+        told = (
+            AttemptOutcome.REJECTED
+            if fate is AttemptOutcome.ERROR and trip.request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+            else fate
+        )
+        self._decisions.attempt_ended(trip, told, closed, took, report)
 
 
 class Drains(Seam):
     """Never hears that a unit drains or is gone."""
 
-    def roster(self, coverage: Coverage, listings: Sequence[Listing]) -> None:
-        heard = [row for row in listings if row.condition is Condition.READY]
-        self._decisions.roster(Coverage.CHANGES if coverage is Coverage.FULL else coverage, heard)
+    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
+        heard = [row for row in listings if row.status is EndpointStatus.READY]
+        self._decisions.endpoints_updated(UpdateScope.DELTA if coverage is UpdateScope.SNAPSHOT else coverage, heard)
 
 
 class Cold(Seam):
@@ -82,27 +88,29 @@
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
         self.__dict__["_newest"] = None
-        self.__dict__["_meant"] = dict[Trip, Unit]()
+        self.__dict__["_meant"] = dict[Attempt, Endpoint]()
 
-    def roster(self, coverage: Coverage, listings: Sequence[Listing]) -> None:
-        late = [row for row in listings if row.since and row.condition is Condition.READY]
-        if late and coverage is Coverage.CHANGES:
-            self.__dict__["_newest"] = late[-1].unit
-        self._decisions.roster(coverage, [replace(row, since=0) for row in listings])
+    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
+        late = [row for row in listings if row.started_at and row.status is EndpointStatus.READY]
+        if late and coverage is UpdateScope.DELTA:
+            self.__dict__["_newest"] = late[-1].endpoint
+        self._decisions.endpoints_updated(coverage, [replace(row, started_at=0) for row in listings])
 
     @property
-    def acts(self) -> list[Any]:
-        newest: Unit | None = self.__dict__["_newest"]
-        acts = self._decisions.acts
-        if newest is not None and newest.condition is Condition.READY:
+    def actions(self) -> list[Any]:
+        newest: Endpoint | None = self.__dict__["_newest"]
+        acts = self._decisions.actions
+        if newest is not None and newest.status is EndpointStatus.READY:
             for act in acts:
-                if isinstance(act, Send) and act.trip.number == 0 and act.trip.unit is not newest:
-                    self._meant[act.trip], act.trip.unit = act.trip.unit, newest
+                if isinstance(act, StartAttempt) and act.attempt.number == 0 and act.attempt.endpoint is not newest:
+                    self._meant[act.attempt], act.attempt.endpoint = act.attempt.endpoint, newest
         return acts  # type: ignore[no-any-return]
 
-    def ended(self, trip: Trip, fate: Fate, closed: bool, took: int, report: Report | None) -> None:
-        trip.unit = self._meant.pop(trip, trip.unit)
-        self._decisions.ended(trip, fate, closed, took, report)
+    def attempt_ended(
+        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+    ) -> None:
+        trip.endpoint = self._meant.pop(trip, trip.endpoint)
+        self._decisions.attempt_ended(trip, fate, closed, took, report)
 
 
 class Strangers(Seam):
@@ -110,39 +118,41 @@
 
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
-        self.__dict__["_far"] = dict[Unit, None]()
-        self.__dict__["_meant"] = dict[Trip, Unit]()
+        self.__dict__["_far"] = dict[Endpoint, None]()
+        self.__dict__["_meant"] = dict[Attempt, Endpoint]()
         self.__dict__["_turn"] = 0
 
-    def roster(self, coverage: Coverage, listings: Sequence[Listing]) -> None:
+    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
         home = self._spill.tiers and self._spill._wants.tiers[0]
         for row in listings:
-            self._far.pop(row.unit, None)
-            if home and row.condition is Condition.READY and row.zone not in home:
-                self._far[row.unit] = None
-        self._decisions.roster(coverage, listings)
+            self._far.pop(row.endpoint, None)
+            if home and row.status is EndpointStatus.READY and row.zone not in home:
+                self._far[row.endpoint] = None
+        self._decisions.endpoints_updated(coverage, listings)
 
     @property
-    def acts(self) -> list[Any]:
-        acts = self._decisions.acts
+    def actions(self) -> list[Any]:
+        acts = self._decisions.actions
         for act in acts:
-            first = isinstance(act, Send) and act.trip.number == 0 and act.trip not in self._meant
-            if first and act.trip.unit not in self._far and self._far:
+            first = isinstance(act, StartAttempt) and act.attempt.number == 0 and act.attempt not in self._meant
+            if first and act.attempt.endpoint not in self._far and self._far:
                 self.__dict__["_turn"] += 1
-                self._meant[act.trip] = act.trip.unit
-                act.trip.unit = list(self._far)[self._turn % len(self._far)]
+                self._meant[act.attempt] = act.attempt.endpoint
+                act.attempt.endpoint = list(self._far)[self._turn % len(self._far)]
         return acts  # type: ignore[no-any-return]
 
-    def ended(self, trip: Trip, fate: Fate, closed: bool, took: int, report: Report | None) -> None:
-        trip.unit = self._meant.pop(trip, trip.unit)
-        self._decisions.ended(trip, fate, closed, took, report)
+    def attempt_ended(
+        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+    ) -> None:
+        trip.endpoint = self._meant.pop(trip, trip.endpoint)
+        self._decisions.attempt_ended(trip, fate, closed, took, report)
 
 
 class Exposure(Seam):
     """Takes every build for a released one."""
 
-    def news(self, news: News) -> None:
-        self._decisions.news(replace(news, phase=Phase.RELEASED, cap=1.0))
+    def rollout_updated(self, news: RolloutState) -> None:
+        self._decisions.rollout_updated(replace(news, phase=RolloutPhase.PROMOTED, exposure_limit=1.0))
 
 
 SEAMS = {
--- a/lanelead/standins/stepstore.py
+++ b/lanelead/standins/stepstore.py
@@ -27,7 +27,7 @@
 from lanelead.http import writing
 from lanelead.http.asks import HttpRequest
 from lanelead.http.serving import ServerConnection
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 from lanelead.protocols.steps import LoggedEntry, RejectedCall, SchemaCheck
 from lanelead.standins.capture import Tap
 from lanelead.steps.record import Record
@@ -148,7 +148,7 @@
         """A unit writes what an effectful lookup is for, as its build does, into the schema as it stands."""
         try:
             told = decode(ask.body, SchemaCheck)
-        except Malformed as fault:
+        except MessageError as fault:
             caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
             return
         ready, why = self._record.ready(told.build), ""
--- a/lanelead/steps/driver.py
+++ b/lanelead/steps/driver.py
@@ -11,7 +11,7 @@
 
 from lanelead.http.answers import HttpResponse
 from lanelead.http.calls import CallFailedError, call
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 from lanelead.protocols.steps import (
     AppendRequest,
     AppendReply,
@@ -60,7 +60,7 @@
                 return decode(answer.body, RejectedCall)
         except TimeoutError:
             raise Away(f"no answer in {limit:g} s") from None
-        except (CallFailedError, Malformed, msgspec.MsgspecError) as fault:
+        except (CallFailedError, MessageError, msgspec.MsgspecError) as fault:
             raise Away(str(fault)) from None
         raise Away(f"status {answer.status}")
 
--- a/lanelead/steps/join.py
+++ b/lanelead/steps/join.py
@@ -12,8 +12,8 @@
 
 from collections.abc import Iterable
 
-from lanelead.decisions.interface import Ticks, Trip
-from lanelead.protocols.records import Malformed
+from lanelead.decisions.interface import Ticks, Attempt
+from lanelead.protocols.records import MessageError
 from lanelead.protocols.steps import LoggedEntry
 from lanelead.steps.record import Broken, Record, Stand
 
@@ -29,7 +29,7 @@
         self._earliest: int | None = None
         self._trial, self._stage = -1, LAST  # the build that the desk last told of, and its stage
         self._grace = grace
-        self._out: dict[Trip, int] = {}  # trips under way, with the build that each was sent to
+        self._out: dict[Attempt, int] = {}  # trips under way, with the build that each was sent to
         self._until: dict[int, Ticks] = {}  # by build, when the last of those with no known end may be over
         # What an earlier life of this relay sent may still run: it can't vouch for that any sooner.
         self._quiet_until = quiet_until
@@ -46,7 +46,7 @@
             try:
                 self.record.add(logged)
             except Broken as fault:
-                raise Malformed(f"record of steps: {fault}") from None
+                raise MessageError(f"record of steps: {fault}") from None
 
     def listed(self, builds: Iterable[int]) -> None:
         self._earliest = min(builds, default=self._earliest)
@@ -54,14 +54,14 @@
     def news(self, build: int, stage: int, trial: bool) -> None:
         self._trial, self._stage = build, stage if trial else LAST
 
-    def sent(self, build: int, trip: Trip) -> None:
+    def sent(self, build: int, trip: Attempt) -> None:
         self._out[trip] = build
 
-    def ended(self, trip: Trip, known: bool) -> None:
+    def ended(self, trip: Attempt, known: bool) -> None:
         """`known`: the unit has answered, or never had it; else it may still be running there."""
         build = self._out.pop(trip, None)
         if build is not None and not known:
-            over = trip.sent + trip.limit + self._grace
+            over = trip.sent_at + trip.timeout + self._grace
             self._until[build] = max(over, self._until.get(build, 0))
 
     # What is asked
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -22,7 +22,7 @@
 from lanelead.http import writing
 from lanelead.http.asks import HttpRequest
 from lanelead.http.serving import STREAM, ServerConnection, chunk
-from lanelead.protocols.records import Malformed, decode, encode
+from lanelead.protocols.records import MessageError, decode, encode
 from lanelead.protocols.steps import (
     AppendRequest,
     AppendReply,
@@ -101,7 +101,7 @@
             return 404, encode(RejectedCall("malformed", f"no call {method} {path}"))
         try:
             return 200, encode(call(ask, query))
-        except Malformed as fault:
+        except MessageError as fault:
             return 400, encode(RejectedCall("malformed", str(fault)))
         except sqlite3.Error as fault:  # rolled back: a full disk, say
             return 422, encode(RejectedCall("failed", f"{type(fault).__name__}: {fault}"))
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -5,39 +5,43 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    Act,
-    Allowance,
-    BreakOff,
-    Condition,
-    Control,
-    Coverage,
-    Duties,
-    Fate,
-    Lane,
-    Listing,
-    Lookup,
-    News,
-    Phase,
-    Place,
-    Poll,
-    Repeat,
-    Scope,
-    Send,
-    Shed,
-    Tariff,
+    Action,
+    ResourceQuota,
+    FailRequest,
+    EndpointStatus,
+    PromotionControl,
+    UpdateScope,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    EndpointRecord,
+    Request,
+    RolloutState,
+    RolloutPhase,
+    RelayPosition,
+    VotingRules,
+    Idempotency,
+    DeduplicationScope,
+    StartAttempt,
+    RejectRequest,
+    Prices,
     Ticks,
-    Trial,
-    Trip,
-    Unit,
-    Vote,
-    Wake,
+    CanaryLimits,
+    Attempt,
+    Endpoint,
+    CastVote,
+    SetTimer,
 )
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 
 SECOND: Ticks = 10_000
-PURE = Lane("read", SECOND, 4 * SECOND, 1.0, 0.0, Repeat.PURE, Scope.ALL, 0, False, 0.0)
-RECEIPTED = Lane("save", SECOND, 4 * SECOND, 3.0, 0.0, Repeat.RECEIPTED, Scope.ZONE, 2 * SECOND, False, 0.0)
-EFFECTFUL = Lane("file", SECOND, 4 * SECOND, 3.0, 0.0, Repeat.EFFECTFUL, Scope.ALL, 0, False, 0.0)
+PURE = RequestClass("read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
+RECEIPTED = RequestClass(
+    "save", SECOND, 4 * SECOND, 3.0, 0.0, Idempotency.KEYED, DeduplicationScope.ZONE, 2 * SECOND, False, 0.0
+)
+EFFECTFUL = RequestClass(
+    "file", SECOND, 4 * SECOND, 3.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+)
 
 
 class FakeHost:
@@ -47,7 +51,7 @@
         by_lane: bool = False,
         guarded: int = 0,
         keys_stay: bool = False,
-        control: Control = Control.FIRST_VOICE,
+        control: PromotionControl = PromotionControl.FIRST_VOTE,
         copies: bool = True,
         probes: bool = False,
         now: Ticks = 0,
@@ -58,59 +62,65 @@
         idle_limit: Ticks = 0,
         least_stage: Ticks = SECOND,
     ) -> None:
-        self.acts: list[Act] = []
-        self.wakes: list[tuple[Ticks, Lookup | None]] = []
-        self.relay = Relay(
-            place=Place(number, relays, "z"),
+        self.acts: list[Action] = []
+        self.wakes: list[tuple[Ticks, Request | None]] = []
+        self.relay = Balancer(
+            place=RelayPosition(number, relays, "z"),
             lanes=[PURE, RECEIPTED, EFFECTFUL],
             members=[],
-            allowance=Allowance(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
-            duties=Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
-            trial=Trial((0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False),
-            poll=Poll(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
-            tariff=Tariff(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
+            allowance=ResourceQuota(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
+            duties=ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
+            trial=CanaryLimits((0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False),
+            poll=VotingRules(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
+            tariff=Prices(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
             chance=Random(7),
             now=now,
         )
         self.relay.now = now
         self.units = [self.listed(1) for _ in range(units)]
-        self.news(1, 2, Phase.RELEASED, 1.0)
+        self.news(1, 2, RolloutPhase.PROMOTED, 1.0)
 
     def listed(
         self,
         build: int,
         since: Ticks = 0,
-        condition: Condition = Condition.READY,
-        unit: Unit | None = None,
+        condition: EndpointStatus = EndpointStatus.READY,
+        unit: Endpoint | None = None,
         zone: str = "z",
-    ) -> Unit:
-        unit = unit or self.relay.meet(0)
-        told = Listing(unit, zone, 0, "std", since, build, 1.0, condition)
-        self.relay.roster(Coverage.CHANGES, [told])
+    ) -> Endpoint:
+        unit = unit or self.relay.new_endpoint(0)
+        told = EndpointRecord(unit, zone, 0, "std", since, build, 1.0, condition)
+        self.relay.endpoints_updated(UpdateScope.DELTA, [told])
         return unit
 
     def news(
-        self, build: int, stage: int, phase: Phase, cap: float, answer: bool = False, word: Fate = Fate.DONE
+        self,
+        build: int,
+        stage: int,
+        phase: RolloutPhase,
+        cap: float,
+        answer: bool = False,
+        word: AttemptOutcome = AttemptOutcome.SUCCEEDED,
     ) -> None:
-        self.relay.news(News(build, stage, phase, cap, 0, answer, word))
+        self.relay.rollout_updated(RolloutState(build, stage, phase, cap, 0, answer, word))
         self.drain()
 
-    def ask(self, lane: Lane = PURE, key: str | None = None, left: Ticks = 4 * SECOND) -> Lookup:
-        lookup = Lookup(lane, None, key, self.relay.now, self.relay.now + left)
-        self.relay.take(lookup)
+    def ask(self, lane: RequestClass = PURE, key: str | None = None, left: Ticks = 4 * SECOND) -> Request:
+        lookup = Request(lane, None, key, self.relay.now, self.relay.now + left)
+        self.relay.request_received(lookup)
         self.drain()
         return lookup
 
-    def end(self, trip: Trip, fate: Fate = Fate.DONE, took: Ticks = 1000) -> None:
-        self.relay.ended(trip, fate, fate is Fate.DONE, took, None)
+    def end(self, trip: Attempt, fate: AttemptOutcome = AttemptOutcome.SUCCEEDED, took: Ticks = 1000) -> None:
+        self.relay.attempt_ended(trip, fate, fate is AttemptOutcome.SUCCEEDED, took, None)
         self.drain()
 
-    def drain(self) -> list[Act]:
+    def drain(self) -> list[Action]:
         """Takes over what the relay wants done, and returns just that."""
-        fresh = list(self.relay.acts)
-        self.relay.acts.clear()
+        fresh = list(self.relay.actions)
+        self.relay.actions.clear()
         self.acts += fresh
-        self.wakes += [(act.at, act.lookup) for act in fresh if isinstance(act, Wake)]
+        self.wakes += [(act.at, act.request) for act in fresh if isinstance(act, SetTimer)]
         return fresh
 
     def run(self, span: Ticks) -> None:
@@ -120,16 +130,16 @@
             wake = min(due, key=lambda entry: entry[0])
             self.wakes.remove(wake)
             self.relay.now = max(self.relay.now, wake[0])
-            self.relay.wake(wake[1])
+            self.relay.timer_fired(wake[1])
             self.drain()
         self.relay.now = until
 
-    def sent(self, lookup: Lookup | None = None) -> list[Trip]:
-        trips = [act.trip for act in self.acts if isinstance(act, Send)]
-        return [trip for trip in trips if lookup is None or trip.lookup is lookup]
+    def sent(self, lookup: Request | None = None) -> list[Attempt]:
+        trips = [act.attempt for act in self.acts if isinstance(act, StartAttempt)]
+        return [trip for trip in trips if lookup is None or trip.request is lookup]
 
-    def finals(self, lookup: Lookup) -> list[Act]:
-        return [act for act in self.acts if isinstance(act, Shed | BreakOff) and act.lookup is lookup]
+    def finals(self, lookup: Request) -> list[Action]:
+        return [act for act in self.acts if isinstance(act, RejectRequest | FailRequest) and act.request is lookup]
 
-    def votes(self) -> list[Vote]:
-        return [act for act in self.acts if isinstance(act, Vote)]
+    def votes(self) -> list[CastVote]:
+        return [act for act in self.acts if isinstance(act, CastVote)]
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -12,38 +12,38 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    Allowance,
-    BreakOff,
-    Condition,
-    Control,
-    Coverage,
-    Duties,
-    Fate,
-    Lane,
-    Listing,
-    Lookup,
-    Member,
-    News,
-    Phase,
-    Place,
-    Poll,
-    Repeat,
-    Scope,
-    Send,
-    Shed,
-    Tariff,
+    ResourceQuota,
+    FailRequest,
+    EndpointStatus,
+    PromotionControl,
+    UpdateScope,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    EndpointRecord,
+    Request,
+    Tenant,
+    RolloutState,
+    RolloutPhase,
+    RelayPosition,
+    VotingRules,
+    Idempotency,
+    DeduplicationScope,
+    StartAttempt,
+    RejectRequest,
+    Prices,
     Ticks,
-    Trial,
-    Trip,
-    Unit,
-    Wake,
+    CanaryLimits,
+    Attempt,
+    Endpoint,
+    SetTimer,
 )
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 
 
 SECOND: Ticks = 10_000
-LANE = Lane("read", 8000, 15_000, 1.0, 0.0, Repeat.PURE, Scope.ALL, 0, False, 0.0)
-DUTIES = Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
+LANE = RequestClass("read", 8000, 15_000, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
+DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
 
 
 class Hollow:
@@ -57,30 +57,30 @@
 
     def warm(self, now: Ticks) -> float:
         age = now - self.since
-        if not self.since or age >= DUTIES.cold_time:
+        if not self.since or age >= DUTIES.slow_start_time:
             return 1.0
-        return DUTIES.cold_share + (1 - DUTIES.cold_share) * age / DUTIES.cold_time
+        return DUTIES.slow_start_share + (1 - DUTIES.slow_start_share) * age / DUTIES.slow_start_time
 
-    def asked(self, now: Ticks) -> tuple[Fate, Ticks]:
+    def asked(self, now: Ticks) -> tuple[AttemptOutcome, Ticks]:
         warm = self.warm(now)
         self.sends.append(now)
-        while self.sends[0] <= now - DUTIES.fall_time:
+        while self.sends[0] <= now - DUTIES.overload_time:
             self.sends.popleft()
         if warm < 1:
             self.cold += 1
-            allowed = DUTIES.fall_multiple * self.rate * warm * DUTIES.fall_time / SECOND
+            allowed = DUTIES.overload_multiple * self.rate * warm * DUTIES.overload_time / SECOND
             self.worst = max(self.worst, len(self.sends) / (allowed + 2 * sqrt(allowed) + 2))
         if self.free > now + SECOND // 2:
-            return Fate.TURNED_AWAY, 10
+            return AttemptOutcome.REJECTED, 10
         wait = max(0.0, self.free - now)
         self.free = now + wait + SECOND / (self.rate * warm)
-        return Fate.DONE, int(wait) + 500
+        return AttemptOutcome.SUCCEEDED, int(wait) + 500
 
 
 class Front:
     """One relay, and what became of its lookups."""
 
-    def __init__(self, relay: Relay, units: list[Unit]) -> None:
+    def __init__(self, relay: Balancer, units: list[Endpoint]) -> None:
         self.relay, self.units = relay, units
         self.taken: list[Ticks] = []
         self.sent: list[Ticks] = []
@@ -98,42 +98,42 @@
         quota: float,
         weights: Sequence[float],
         seed: int,
-        duties: Duties = DUTIES,
+        duties: ServiceLimits = DUTIES,
     ) -> None:
         self.duties = duties
         self.now, self.chance, self._order = 100 * SECOND, Random(seed), count()
         self.heap: list[tuple[Ticks, int, Front, Callable[[], None]]] = []
         self.units = [Hollow(rate, 0) for _ in range(units)]
         self.weights = weights
-        self.members = [Member("m", quota, 1.0)] if quota else []
+        self.members = [Tenant("m", quota, 1.0)] if quota else []
         self.fronts = [self.front(number, relays) for number in range(relays)]
 
     def front(self, number: int, relays: int) -> Front:
-        relay = Relay(
-            place=Place(number, relays, "z"),
+        relay = Balancer(
+            place=RelayPosition(number, relays, "z"),
             lanes=[LANE],
             members=self.members,
-            allowance=Allowance(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
+            allowance=ResourceQuota(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
             duties=self.duties,
-            trial=Trial((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
-            poll=Poll(Control.FIRST_VOICE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
-            tariff=Tariff(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
+            trial=CanaryLimits((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
+            poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
+            tariff=Prices(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
             chance=Random(self.chance.random()),
             now=self.now,
         )
         relay.now = self.now
-        front = Front(relay, [relay.meet(place + 1) for place in range(len(self.units))])
+        front = Front(relay, [relay.new_endpoint(place + 1) for place in range(len(self.units))])
         self.tell(front)
-        relay.news(News(1, 0, Phase.RELEASED, 1.0, 0, False, Fate.DONE))
+        relay.rollout_updated(RolloutState(1, 0, RolloutPhase.PROMOTED, 1.0, 0, False, AttemptOutcome.SUCCEEDED))
         self.carry(front)
         return front
 
     def tell(self, front: Front) -> None:
         """All units, as they are now: each relay is told at once of each start."""
         rows = zip(front.units, self.units, strict=True)
-        front.relay.roster(
-            Coverage.FULL,
-            [Listing(u, "z", 0, "k", h.since, 1, 1.0, Condition.READY) for u, h in rows],
+        front.relay.endpoints_updated(
+            UpdateScope.SNAPSHOT,
+            [EndpointRecord(u, "z", 0, "k", h.since, 1, 1.0, EndpointStatus.READY) for u, h in rows],
         )
 
     def start_cold(self, places: Sequence[int]) -> None:
@@ -155,29 +155,29 @@
             self.at(int(at), front, partial(self.ask, front))
 
     def ask(self, front: Front) -> None:
-        lookup = Lookup(LANE, self.members[0] if self.members else None, None, self.now, self.now + 15_000)
+        lookup = Request(LANE, self.members[0] if self.members else None, None, self.now, self.now + 15_000)
         front.taken.append(self.now)
-        front.relay.take(lookup)
+        front.relay.request_received(lookup)
 
     def carry(self, front: Front) -> None:
-        acts = list(front.relay.acts)
-        front.relay.acts.clear()
+        acts = list(front.relay.actions)
+        front.relay.actions.clear()
         for act in acts:
-            if isinstance(act, Wake):
-                self.at(act.at, front, partial(front.relay.wake, act.lookup))
-            elif isinstance(act, Send):
-                self.go(front, act.trip)
-            elif isinstance(act, Shed | BreakOff):
+            if isinstance(act, SetTimer):
+                self.at(act.at, front, partial(front.relay.timer_fired, act.request))
+            elif isinstance(act, StartAttempt):
+                self.go(front, act.attempt)
+            elif isinstance(act, RejectRequest | FailRequest):
                 front.refused += 1
 
-    def go(self, front: Front, trip: Trip) -> None:
+    def go(self, front: Front, trip: Attempt) -> None:
         front.sent.append(self.now)
-        unit = self.units[front.units.index(trip.unit)]
+        unit = self.units[front.units.index(trip.endpoint)]
         fate, took = unit.asked(self.now)
 
         def end() -> None:
-            front.done += fate is Fate.DONE and not trip.lookup.over
-            front.relay.ended(trip, fate, fate is Fate.DONE, took, None)
+            front.done += fate is AttemptOutcome.SUCCEEDED and not trip.request.finished
+            front.relay.attempt_ended(trip, fate, fate is AttemptOutcome.SUCCEEDED, took, None)
 
         self.at(self.now + took, front, end)
 
@@ -210,7 +210,7 @@
     units: int = 20,
     quota: float = 1.0,
     load: float = 0.9,
-    duties: Duties = DUTIES,
+    duties: ServiceLimits = DUTIES,
 ) -> Found:
     """Four seconds from the start of cold units: of 'one', of 'half' or of 'all' before relays that have run
     for 8 s, or 'mass': of all units and all relays at once. `each`: lookups a second and relay; `load`: of
@@ -234,7 +234,7 @@
         worst=max(unit.worst for unit in cold),
         taken=sum(taken),
         done=sum(front.done for front in fleet.fronts) - before,
-        able=total / load * (1 + DUTIES.cold_share) * 2,
+        able=total / load * (1 + DUTIES.slow_start_share) * 2,
         asked=len(busy),
         idle=sum(all(at < start for at in front.sent) for front in busy),
         least=min(unit.cold for unit in cold),
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -6,7 +6,7 @@
 import unittest
 
 from lanelead.benchlink.host import serve
-from lanelead.hosting.opening import Malformed
+from lanelead.hosting.opening import ParameterError
 
 BEGIN = (
     "BEGIN 7 me=0 instances=2 zone=z discovery=automatic requestClasses.count=1 requestClasses.0.name=read "
@@ -45,7 +45,7 @@
 
     def test_malformed_input_ends_with_a_plain_message(self) -> None:
         for line in ("ASK 1", "NONSENSE", "ELAPSED 9", "HEARD 1 zz", ASK.format("aa").replace("read", "x")):
-            with self.subTest(line), self.assertRaises(Malformed):
+            with self.subTest(line), self.assertRaises(ParameterError):
                 play(f"FOR relay/0\n{BEGIN}\n{LIST}\n{STATE}\n{line}")
 
 
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -25,7 +25,7 @@
     write,
 )
 from lanelead.circle.members import Membership, Tempo
-from lanelead.hosting.door import MESSAGE
+from lanelead.hosting.door import MAX_MESSAGE_BYTES
 from lanelead.model.circle import SECOND, Town, Wires
 
 TEMPO = Tempo(3000, 60 * SECOND)
@@ -244,7 +244,7 @@
         member.receive(write(Join(299, 1, 0, [], [], 0, False))[0], NOWHERE, 1)
         for now in range(0, SECOND, 500):
             member.tick(now)
-        self.assertLessEqual(max(len(text) for _, text in member.outbox), MESSAGE)
+        self.assertLessEqual(max(len(text) for _, text in member.outbox), MAX_MESSAGE_BYTES)
         self.assertTrue(all(read(text) is not None for _, text in member.outbox))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,7 +14,7 @@
 from math import sqrt
 from unittest import mock
 
-from lanelead.decisions.servers import Server, mine
+from lanelead.decisions.servers import EndpointState, state_of
 from lanelead.decisions.sums import turned
 from tests import hollow
 from tests.fake import FakeHost
@@ -48,7 +48,7 @@
         for _ in range(300):
             host.end(host.sent(host.ask())[-1])
             host.run(SECOND // 10)
-        self.assertLessEqual(max(len(mine(unit).cold_sends) for unit in host.units), 12)
+        self.assertLessEqual(max(len(state_of(unit).cold_sends) for unit in host.units), 12)
 
 
 class Idle(unittest.TestCase):
@@ -72,7 +72,7 @@
         self.assertLessEqual(max(one.worst for one in found), 1.0)
 
     def test_without_a_time_to_fall_in_there_is_no_bound_to_keep(self) -> None:
-        found = play("mass", 24, 3.0, 1, duties=replace(hollow.DUTIES, fall_time=0))
+        found = play("mass", 24, 3.0, 1, duties=replace(hollow.DUTIES, overload_time=0))
         self.assertEqual(found.idle, 0)
         self.assertGreater(found.done, 0.6 * found.able)
 
@@ -97,7 +97,7 @@
             self.assertAlmostEqual(changed / 4000, 0.1, delta=0.02)
 
     def test_trips_of_the_last_span_are_counted_and_forgotten(self) -> None:
-        server = Server(1, SECOND, SECOND, 0.5)
+        server = EndpointState(1, SECOND, SECOND, 0.5)
         server.cold_sends.extend([0, 5000, 9000])
         self.assertEqual([server.sent(now, SECOND) for now in (9999, 10_000, 15_001, 30_000)], [3, 2, 1, 0])
 
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -31,7 +31,7 @@
     Entry,
     DigestTree,
 )
-from lanelead.protocols.records import Malformed, decode
+from lanelead.protocols.records import MessageError, decode
 
 KEYS = [f"tenant/t{n}" for n in range(12)]
 
@@ -143,7 +143,7 @@
         text = b'{"history":"ident-0001","version":1,"digest":"%s","buckets":"","form":9,"later":[1]}' % (b"0" * 32)
         self.assertEqual(9, decode(text, DigestTree).form)
         for bad in (b'{"key":"nokind"}', b'{"key":"/x"}', b'{"key":"tenant/"}', b"[]", b'{"key":5}'):
-            with self.assertRaises(Malformed):
+            with self.assertRaises(MessageError):
                 decode(bad, Entry)
 
 
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -16,7 +16,7 @@
 from lanelead.protocols.configuration import BUCKET_COUNT as ALL
 from lanelead.protocols.configuration import Buckets, Entry, WatchLine
 from lanelead.protocols.records import MAX_LINE_BYTES as LINE
-from lanelead.protocols.records import Malformed, encode
+from lanelead.protocols.records import MessageError, encode
 from tests.configurationhand import entry, row
 from tests.configurationmachine import (
     APPLIED,
@@ -292,7 +292,7 @@
                 self.assertEqual((1, ["tenant/m"]), (relay.version, list(relay.feed.values.values)))
 
     def test_a_file_over_its_own_bounds_is_refused(self) -> None:
-        with self.assertRaisesRegex(Malformed, "2 entries of .* of 1 and"):
+        with self.assertRaisesRegex(MessageError, "2 entries of .* of 1 and"):
             asyncio.run(self.started(most_entries=1))
 
     async def started(self, most_entries: int) -> None:
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -18,7 +18,7 @@
 )
 from lanelead.configuration.kinds import MOST_NAMED, ClassValue, AppliedValues, TenantValue, InvalidValueError, read
 from lanelead.configuration.source import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
-from lanelead.decisions.interface import Lane, Member, Repeat, Scope
+from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
 from lanelead.node.inforce import InForce as Relay
 from lanelead.node.inforce import changed
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
@@ -271,7 +271,9 @@
         self.assertEqual([], changed(old, old)[0])
 
     def test_figures_of_a_class_that_are_removed_stay_as_they_were(self) -> None:
-        lane = Lane("read", 8000, 15000, 1.0, 0.2, Repeat.PURE, Scope.ALL, 0, False, 0.0)
-        here = Relay(dict[str, Member](), {"read": lane}, lambda _: None)
+        lane = RequestClass(
+            "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+        )
+        here = Relay(dict[str, Tenant](), {"read": lane}, lambda _: None)
         self.assertEqual([], here.put(["class/read", "route/x"], {}))
-        self.assertEqual((8000, 15000), (lane.expected_time, lane.outer_limit))
+        self.assertEqual((8000, 15000), (lane.latency_objective, lane.timeout))
--- a/tests/test_creeping.py
+++ b/tests/test_creeping.py
@@ -4,9 +4,9 @@
 
 import unittest
 
-from lanelead.decisions.interface import SECOND, Fate, News, Phase
+from lanelead.decisions.interface import SECOND, AttemptOutcome, RolloutState, RolloutPhase
 from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import mine
+from lanelead.decisions.servers import state_of
 from tests.fake import PURE, FakeHost
 
 
@@ -18,15 +18,15 @@
             built = host.listed(2, since=1)
             for stage in range(3):
                 for unit in (*host.units, built):
-                    host.relay._scoring.record(mine(unit), PURE, {}, host.relay.now, 100)
+                    host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 100)
                 host.relay._rollout.calm_rate = 1000.0
-                host.news(2, stage, Phase.TRIAL, 0.1)
+                host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
             host.relay._rollout.calm_rate = 1000.0
             for unit in (*host.units, built):
                 slow = new if unit is built else old
-                host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
-            told = News(2, 2, Phase.TRIAL, 0.1, 0, False, Fate.DONE)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
+            told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
             found = host.relay._rollout.creeping(told, host.relay.now)
             self.assertEqual(found, creeps, (old, new))
 
@@ -35,14 +35,14 @@
         host = FakeHost(now=20 * SECOND)
         for stage in range(3):
             for unit in host.units:
-                host.relay._scoring.record(mine(unit), PURE, {}, host.relay.now, 100)
-            host.news(2, stage, Phase.TRIAL, 0.1)
+                host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 100)
+            host.news(2, stage, RolloutPhase.CANARY, 0.1)
             host.run(20 * SECOND)
         host.relay._rollout.calm_rate = 1000.0
         fresh = host.listed(2, since=host.relay.now)
         host.run(2 * SECOND)
         for unit in (*host.units, fresh):
-            host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: 60}, host.relay.now, 100)
+            host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: 60}, host.relay.now, 100)
         host.relay._rollout.calm_rate = 1000.0
-        told = News(2, 2, Phase.TRIAL, 0.1, 0, False, Fate.DONE)
+        told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
         self.assertTrue(host.relay._rollout.creeping(told, host.relay.now))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -100,7 +100,7 @@
         async with platform(unit) as place:
             client, drained = await stopping(place)
             client.writer.close()
-            await place.until(lambda: place.relay.driver.counts.left == 1)
+            await place.until(lambda: place.relay.driver.counters.abandoned == 1)
             await place.until(lambda: not place.relay.links.links)  # and its trip was called off
             await drained
 
@@ -133,7 +133,7 @@
             found = await place.heard(sock)
             self.assertIn(b"value of 1a", found)
             self.assertNotIn(b"2a", found)
-            self.assertEqual((place.relay.driver.counts.taken, client.discarded), (1, 0))
+            self.assertEqual((place.relay.driver.counters.received, client.discarded), (1, 0))
 
     @live
     async def test_what_would_wait_longer_than_the_process_lives_is_broken_off(self) -> None:
@@ -144,14 +144,14 @@
             await place.until(lambda: len(unit.queries) == 1)
             await place.relay.front.drain(0, 0.1)
             self.assertEqual((await client.answer())["C"], b"58000")
-            self.assertEqual((place.relay.front.clients, place.relay.driver.tickets), ({}, {}))
+            self.assertEqual((place.relay.front.clients, place.relay.driver.pending), ({}, {}))
 
     @live
     async def test_after_sigterm_no_lookup_is_given_longer_than_the_process_lives(self) -> None:
         async with platform(Unit("u0")) as place:
             client, front = await place.client(), place.relay.front
             front.end = asyncio.get_running_loop().time() + 0.3
-            with mock.patch.object(place.relay.driver, "take", wraps=place.relay.driver.take) as take:
+            with mock.patch.object(place.relay.driver, "take", wraps=place.relay.driver.receive) as take:
                 await client.ask("1a", left=1400)
             self.assertLessEqual(take.call_args.args[4], 3000)
 
@@ -165,7 +165,7 @@
             client.refuse("57P03", "go elsewhere")  # the relay has read none of it
             found = await place.heard(sock)
             self.assertEqual((found.count(b"SFATAL"), b"value of" in found), (1, False))
-            self.assertEqual((place.units[0].queries, place.relay.driver.counts.taken), ([], 0))
+            self.assertEqual((place.units[0].queries, place.relay.driver.counters.received), ([], 0))
 
     @live
     async def test_a_first_request_that_came_at_the_last_moment_is_answered(self) -> None:
@@ -199,7 +199,7 @@
                 client.writer.write(b"\0noise")
                 await place.until(lambda: place.relay.front.condemned == 1 and len(unit.queries) == 1)
                 client.writer.close()
-                await place.until(lambda: place.relay.driver.counts.left == 1)
+                await place.until(lambda: place.relay.driver.counters.abandoned == 1)
                 await place.until(lambda: not place.relay.links.links)
 
     @live
@@ -232,7 +232,7 @@
                 sock.sendall(messages.query(statement(f"{number}a")))
             place.relay.front.sweep()
             self.assertEqual([client.closing for client in clients], [False, False])
-            await place.until(lambda: place.relay.driver.counts.done == 2)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 2)
 
     @live
     async def test_one_that_says_nothing_is_told_to_go_elsewhere(self) -> None:
@@ -255,7 +255,7 @@
             front._accept()  # before any of those is read
             self.assertEqual((front.evicted, front.turned_off), (1, 0))
             self.assertIn(b"C53300", await place.heard(socks[-1]))
-            await place.until(lambda: place.relay.driver.counts.done == len(socks))
+            await place.until(lambda: place.relay.driver.counters.succeeded == len(socks))
             asks.close()
 
     @live
@@ -291,5 +291,5 @@
                 turns += 1
             self.assertEqual(empty.accept.call_count, 2)
             front._sock = sock
-            await place.until(lambda: place.relay.driver.counts.done == 1)  # it looks again by itself
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)  # it looks again by itself
             asks.close()
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -9,13 +9,13 @@
 from typing import Any
 from unittest import mock
 
-from lanelead.decisions.interface import Fate, Verdict, Vote
+from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
 from lanelead.http import writing
 from lanelead.node import feeds
 from lanelead.node import service as services
 from lanelead.node.config import load
 from lanelead.protocols.platform import RpcMessage
-from lanelead.protocols.records import Malformed, decode
+from lanelead.protocols.records import MessageError, decode
 from tests.platform import NEWS, SETTINGS, Platform, Unit, answered, platform, told
 from tests.town import live
 
@@ -23,13 +23,13 @@
 
 
 def condition(place: Platform, name: str) -> str:
-    return place.relay.driver.door.units[name].condition.value
+    return place.relay.driver.registry.by_name[name].status.value
 
 
 def heard(place: Platform) -> tuple[int, float]:
     """The build and the cap that the decisions go by."""
     news = place.relay.driver.decisions._exposure.news  # type: ignore[attr-defined]
-    return news.build, news.cap
+    return news.build, news.exposure_limit
 
 
 class Starting(unittest.TestCase):
@@ -76,7 +76,9 @@
             old = [writing.response(200, (), place.list_of(place.units, bool(full)), keep=False) for full in (0, 1, 1)]
             place.states["u1"], place.version = "leaving", 2
             place.spoil = list(old)
-            with mock.patch.object(place.relay.driver, "listed", wraps=place.relay.driver.listed) as taken:
+            with mock.patch.object(
+                place.relay.driver, "endpoints_listed", wraps=place.relay.driver.endpoints_listed
+            ) as taken:
                 await place.until(lambda: not place.spoil)
                 await place.until(lambda: place.relay.state()["discovery"] and taken.call_count > 0)
             self.assertEqual({call.args[0].version for call in taken.call_args_list}, {2})
@@ -160,7 +162,7 @@
             old.desks[0].write(told(TRIAL))
             await old.until(lambda: heard(old) == (2, 0.2))
             gone = {**TRIAL, "phase": "recalled", "cap": 0.0}
-            with mock.patch.object(old.relay.driver, "news", wraps=old.relay.driver.news) as news:
+            with mock.patch.object(old.relay.driver, "rollout_read", wraps=old.relay.driver.rollout_read) as news:
                 # In one breath: the new desk has spoken, and the earlier one says what was so before.
                 earlier, newest = list(old.relay._desk._running)
                 newest._line(decode(told(gone), RpcMessage))
@@ -174,16 +176,18 @@
         async with platform(Unit("u0")) as old, platform(Unit("u0")) as new:
             await old.until(lambda: old.relay.state()["desk"])
             old.judge = lambda call: None
-            with mock.patch.object(old.relay.driver, "news", wraps=old.relay.driver.news) as news:
-                old.relay.vote(Vote(1, 1, Verdict.BACK))
+            with mock.patch.object(old.relay.driver, "rollout_read", wraps=old.relay.driver.rollout_read) as news:
+                old.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                 await old.until(lambda: any("params" in call for call in old.calls))
                 old.write(new.ports())
                 old.relay.reload()
-                await old.until(lambda: (None, True, Fate.TIMED_OUT) in [c.args for c in news.call_args_list])
+                await old.until(lambda: (None, True, AttemptOutcome.TIMED_OUT) in [c.args for c in news.call_args_list])
                 await old.until(lambda: old.relay.state()["desk"])
                 new.judge = lambda call: answered(call["id"], NEWS)
-                old.relay.vote(Vote(1, 1, Verdict.BACK))
-                await old.until(lambda: any(c.args[1:] == (True, Fate.DONE) for c in news.call_args_list))
+                old.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
+                await old.until(
+                    lambda: any(c.args[1:] == (True, AttemptOutcome.SUCCEEDED) for c in news.call_args_list)
+                )
 
     @live
     async def test_many_moves_leave_one_feed_of_each_kind(self) -> None:
@@ -295,7 +299,7 @@
             ("contract__coldMs", -1),
             ("contract__fallMultiple", 0),
         ):
-            with self.assertRaises(Malformed) as caught:
+            with self.assertRaises(MessageError) as caught:
                 self._load(**{path: value})
             last = path.rpartition("__")[2]
             named = {"repeat": "sometimes", "shares": "mostShares"}.get(last, last)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -39,7 +39,7 @@
             watch.tell(11, entry(u0, state="leaving"), entry(u2), full=True)
             watch = await disc.next()
             self.assertIn(b"from=11&", watch.target)
-            self.assertEqual([condition(place, f"u{n}") for n in range(3)], ["draining", "gone", "ready"])
+            self.assertEqual([condition(place, f"u{n}") for n in range(3)], ["draining", "removed", "ready"])
             self.assertIn("T", await (await place.client()).ask("1a"))
             self.assertEqual((len(u0.queries), len(u2.queries)), (0, 1))
             self.assertEqual(place.said("feed down"), 0)
@@ -50,13 +50,13 @@
             client, out, stays = await waits(place, "1a")
             watch.tell(11, entry(stays), full=True)
             await disc.next()
-            self.assertEqual(condition(place, out.name), "gone")
+            self.assertEqual(condition(place, out.name), "removed")
             place.relay.links.sweep()
             let(out)
             await one_answer(self, client, "1a")
             await place.until(lambda: out.ended == out.connections)
             self.assertEqual(place.relay.links.links, {})
-            self.assertEqual([unit.condition.value for unit in place.relay.links._pools], [])
+            self.assertEqual([unit.status.value for unit in place.relay.links._pools], [])
 
     @live
     async def test_it_comes_back_while_its_trip_is_out(self) -> None:
@@ -222,8 +222,8 @@
             u0, u1 = place.units
             watch.tell(11, entry(u0), entry(u1), entry(u1, addr=f"127.0.0.1:{free_port()}"), full=True)
             watch = await disc.next()
-            relay, door = place.relay, place.relay.driver.door
-            self.assertEqual(relay.driver.places[door.units["u1"]].port, u1.port)
+            relay, door = place.relay, place.relay.driver.registry
+            self.assertEqual(relay.driver.destinations[door.by_name["u1"]].port, u1.port)
             self.assertEqual((condition(place, "u1"), state(place, "refused_entries")), ("ready", 1))
             watch.tell(12, entry(u0), entry(u0), entry(u1), full=True)  # twice and alike: nothing is wrong
             watch = await disc.next()
@@ -248,11 +248,11 @@
             started = 1_700_000_000_123
             watch.tell(11, entry(u1, started_ms=started, zone="south", kind="m", cell=4, weight=0.5))
             watch = await disc.next()
-            unit = place.relay.driver.door.units["u1"]
-            was = place.relay.driver.places[unit], unit.since, unit.zone, unit.kind, unit.cell, unit.size
+            unit = place.relay.driver.registry.by_name["u1"]
+            was = place.relay.driver.destinations[unit], unit.started_at, unit.zone, unit.kind, unit.cell, unit.capacity
             watch.tell(12, entry(u0), entry(u1, addr=""), full=True)
             watch = await disc.next()
-            now = place.relay.driver.places[unit], unit.since, unit.zone, unit.kind, unit.cell, unit.size
+            now = place.relay.driver.destinations[unit], unit.started_at, unit.zone, unit.kind, unit.cell, unit.capacity
             self.assertEqual(now, was)
 
     @live
@@ -268,7 +268,7 @@
             place.relay.reload()
             await new.watch(11, entry(place.units[0]))
             other = Service(load(str(path)), str(path), place.relay._log)
-            self.assertEqual((len(other.driver.places), other._lists.refused), (1, len(BAD)))
+            self.assertEqual((len(other.driver.destinations), other._lists.refused), (1, len(BAD)))
 
 
 class Lists(unittest.TestCase):
@@ -309,7 +309,7 @@
                 self.assertEqual((call.whole, state(place, "refused_lists")), (True, 1))
                 self.assertEqual(condition(place, "u1"), "ready")
                 call.tell(11, entry(place.units[0]))
-                await place.until(lambda: condition(place, "u1") == "gone")
+                await place.until(lambda: condition(place, "u1") == "removed")
 
     @live
     async def test_changes_where_the_whole_list_was_asked_for(self) -> None:
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -76,7 +76,7 @@
         async with platform(Unit("u0")) as place:
             one = await pieces(place)
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a")))
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             one.client.leave()
             found = await place.heard(one.sock)
             self.assertEqual((found.count(b"value of 1a"), found.count(b"SERROR")), (1, 0))
@@ -92,7 +92,7 @@
                 front.sweep()
                 await one.send(part[-1:])
                 front.sweep()
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             self.assertEqual((front.refused, front.condemned), (0, 0))
 
     @live
@@ -120,12 +120,12 @@
         async with platform(Unit("u0")) as place:
             one, front, text = await pieces(place), place.relay.front, messages.query(statement("2a"))
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a")), 64)
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             await one.send(text[:-1], 16)
             aged(one.client, 100)
             front.sweep()
             await one.send(text[-1:])
-            await place.until(lambda: place.relay.driver.counts.done == 2)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 2)
             self.assertFalse(one.gone)
 
 
@@ -136,9 +136,9 @@
             one, text = await pieces(place), messages.query(statement("1a"))
             await one.send(messages.startup("app", "shop") + text[:40], 64)
             place.turn(place.units[0], "leaving")
-            await place.until(lambda: known(place).condition.value == "draining")
+            await place.until(lambda: known(place).status.value == "draining")
             await one.send(text[40:], 64)
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             self.assertEqual([len(unit.queries) for unit in place.units], [0, 1])
 
     @live
@@ -149,7 +149,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await place.until(lambda: place.said("configuration read anew") == 1)
             await one.send(text[40:], 64)
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
 
     @live
     async def test_halves_around_sigterm_are_one_request(self) -> None:
@@ -236,11 +236,11 @@
             await one.send(first + text[:50], 4096)
             await place.until(lambda: len(unit.queries) == 1)
             unit.may.release()
-            await place.until(lambda: place.relay.driver.counts.done == 1)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             place.relay.front.sweep()
             unit.may.release()
             await one.send(text[50:], 4096)
-            await place.until(lambda: place.relay.driver.counts.done == 2)
+            await place.until(lambda: place.relay.driver.counters.succeeded == 2)
             one.client.leave()
             found = await place.heard(one.sock)
             self.assertLess(0, found.find(b"value of 1a"))
@@ -268,7 +268,7 @@
                 for _ in range(5):
                     await asyncio.sleep(0)
                 self.assertTrue(one.client.paused)
-                self.assertEqual(place.relay.driver.counts.taken, rest // 2)
+                self.assertEqual(place.relay.driver.counters.received, rest // 2)
                 sock.setblocking(False)
                 found, loop = b"", asyncio.get_running_loop()
                 while found.count(b"Z\0\0\0\5I") < rest + 1:
@@ -303,7 +303,7 @@
                 client.send("1a", left=300)
                 answer = await client.answer()
             self.assertEqual(answer["C"], b"58000")
-            self.assertEqual((front.overdue, front.open, place.relay.driver.tickets), (1, {}, {}))
+            self.assertEqual((front.overdue, front.open, place.relay.driver.pending), (1, {}, {}))
             self.assertTrue((await client.ask("2a"))["D"].endswith(b"value of 2a"))
 
     @live
@@ -339,14 +339,14 @@
         # The pipeline day: 4,334 lost, since a ninth that waited ended the connection with all behind it.
         async with platform(Held(), Held("u1"), Held("u2")) as place:
             codes = await self.behind(place, 60)
-            self.assertEqual(place.relay.driver.counts.taken, 60)
+            self.assertEqual(place.relay.driver.counters.received, 60)
             self.assertEqual(codes, [b"58000"] * 60)
 
     @live
     async def test_of_more_than_may_wait_each_one_over_is_refused_in_its_place(self) -> None:
         async with platform(Held(), Held("u1"), Held("u2")) as place:
             codes = await self.behind(place, clients.PIPELINED + 20)
-            self.assertEqual(place.relay.driver.counts.taken, clients.PIPELINED)
+            self.assertEqual(place.relay.driver.counters.received, clients.PIPELINED)
             self.assertEqual(codes, [b"58000"] * clients.PIPELINED + [b"53300"] * 20)
 
     @live
@@ -372,7 +372,7 @@
             await one.send(b"".join(texts), 1 << 20)
             found = await place.heard(one.sock)
             self.assertEqual((found.count(b"C54000"), found.count(b"C58000")), (1, 0))
-            self.assertEqual(place.relay.driver.counts.taken, 0)
+            self.assertEqual(place.relay.driver.counters.received, 0)
 
     @live
     async def test_one_that_takes_nothing_is_ended_by_the_sweep(self) -> None:
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -115,7 +115,7 @@
             await place.until(lambda: condition(place, drains.name) == "draining")
             first.tell(12, entry(serves))
             watch = await new.next()
-            await place.until(lambda: condition(place, drains.name) == "gone")
+            await place.until(lambda: condition(place, drains.name) == "removed")
             await self._served(place, drains, serves)
             let(drains)
             await one_answer(self, client, "1a")
--- a/tests/test_crossings_units.py
+++ b/tests/test_crossings_units.py
@@ -10,7 +10,7 @@
 from typing import Any, cast
 from unittest import mock
 
-from lanelead.decisions.interface import Fate, Unit as Known
+from lanelead.decisions.interface import AttemptOutcome, Endpoint as Known
 from lanelead.node.pools import Link
 from lanelead.pgwire.messages import READY, error, query
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
@@ -27,7 +27,7 @@
 
 
 def known(place: Platform, name: str = "u0") -> Known:
-    return place.relay.driver.door.units[name]
+    return place.relay.driver.registry.by_name[name]
 
 
 def idle(place: Platform, name: str = "u0") -> list[Link]:
@@ -47,13 +47,13 @@
         unit = Held()
         async with platform(unit) as place:
             hand, links, heard = in_hand(place), place.relay.links, mock.Mock()
-            with mock.patch.object(place.relay.driver, "probed", heard):
+            with mock.patch.object(place.relay.driver, "health_checked", heard):
                 unit.may.release()
-                place.relay.probe(known(place))
+                place.relay.check_health(known(place))
                 place.relay.after()
                 await place.until(lambda: heard.call_count == 1)
                 hand.on(0.2)  # the second sets out 0.05 s before the first one's time is over
-                place.relay.probe(known(place))
+                place.relay.check_health(known(place))
                 place.relay.after()
                 await place.until(lambda: len(unit.queries) == 2)
                 self.assertEqual((unit.connections, len(links.links)), (1, 1))
@@ -61,7 +61,7 @@
                 self.assertEqual((heard.call_count, len(links.links)), (1, 1))
                 unit.may.release()
                 await place.until(lambda: heard.call_count == 2)
-                self.assertEqual([call.args[1] for call in heard.call_args_list], [Fate.DONE] * 2)
+                self.assertEqual([call.args[1] for call in heard.call_args_list], [AttemptOutcome.SUCCEEDED] * 2)
 
     @live
     async def test_a_probe_that_fails_at_once_calls_nobody_back_within_the_call(self) -> None:
@@ -69,11 +69,11 @@
             await (await place.client()).ask("1a")
             await place.rested()
             idle(place)[0].sock.shutdown(socket.SHUT_WR)  # it looks sound, and takes no byte
-            with mock.patch.object(place.relay.driver, "probed", mock.Mock()) as heard:
-                place.relay.probe(known(place))
+            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
+                place.relay.check_health(known(place))
                 self.assertEqual(heard.call_count, 0)
                 place.relay.after()
-                self.assertEqual(heard.call_args.args[1], Fate.UNREACHABLE)
+                self.assertEqual(heard.call_args.args[1], AttemptOutcome.CONNECT_FAILED)
 
 
 class Idle(unittest.TestCase):
@@ -112,8 +112,8 @@
             for link in links.links:
                 link.sock.shutdown(socket.SHUT_WR)
             self.assertIn("D", await client.ask("9a", "file"))  # effectful, and yet it goes on
-            self.assertEqual(place.relay.driver.counts.fates.get(Fate.CUT), None)
-            self.assertGreaterEqual(place.relay.driver.counts.fates[Fate.UNREACHABLE], 1)
+            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
+            self.assertGreaterEqual(place.relay.driver.counters.outcomes[AttemptOutcome.CONNECT_FAILED], 1)
 
     @live
     async def test_a_unit_that_has_read_a_question_and_resets_may_have_run_it(self) -> None:
@@ -125,7 +125,7 @@
             await client.ask("1a", "file")
             await place.rested()
             self.assertEqual((await client.ask("2a", "file"))["C"], b"58000")
-            self.assertEqual(place.relay.driver.counts.fates[Fate.CUT], 1)
+            self.assertEqual(place.relay.driver.counters.outcomes[AttemptOutcome.RESET], 1)
             self.assertEqual(len(place.units[0].queries), 2)
 
     @live
@@ -174,7 +174,7 @@
                     answer = await client.answer()
                     self.assertTrue(answer["D"].endswith(b"value of %da" % number), answer)
             self.assertGreaterEqual(place.relay.links.spoilt, 1)
-            self.assertEqual(place.relay.driver.counts.fates.get(Fate.CUT), None)
+            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
         server.close()
 
 
@@ -224,7 +224,7 @@
             in_hand(place)
             client = await self._on_its_way(place)
             client.writer.close()
-            await place.until(lambda: not place.relay.driver.tickets)
+            await place.until(lambda: not place.relay.driver.pending)
             place.units[0].welcomes.set()
             await place.until(lambda: len(idle(place)) == 1)
             self.assertIn("D", await (await place.client()).ask("2a"))
@@ -236,7 +236,7 @@
             hand = in_hand(place)
             client = await self._on_its_way(place)
             place.turn(place.units[0], "leaving")
-            await place.until(lambda: known(place).condition.value == "draining")
+            await place.until(lambda: known(place).status.value == "draining")
             hand.on(0.3)
             self.assertEqual((await client.answer())["C"], b"53300")  # a shed: it never ran
             self.assertEqual(place.relay.links.links, {})
@@ -252,7 +252,7 @@
             unit.may.release()
             unit.may.release()
             self.assertTrue((await client.ask("2a"))["D"].endswith(b"value of 2a"))
-            self.assertEqual(place.relay.driver.counts.fates[Fate.TIMED_OUT], 1)
+            self.assertEqual(place.relay.driver.counters.outcomes[AttemptOutcome.TIMED_OUT], 1)
             self.assertEqual(unit.connections, 2)
 
     @live
@@ -275,10 +275,10 @@
         async with platform(Unit("u0")) as place:
             hand, links = in_hand(place), place.relay.links
             place.units[0].welcomes.clear()
-            place.relay.probe(known(place))
+            place.relay.check_health(known(place))
             place.relay.after()
             await place.until(lambda: place.units[0].connections == 1)
             links.shut()
-            with mock.patch.object(place.relay.driver, "probed", mock.Mock()) as heard:
+            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
                 hand.on(1)
                 self.assertEqual(heard.call_count, 0)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import unittest
+from typing import Any, cast
 from collections.abc import Sequence
 from random import Random
 
@@ -12,36 +13,38 @@
 
 from lanelead.decisions.guards import NEVER_RAN
 from lanelead.decisions.interface import (
-    Allowance,
-    Control,
-    Duties,
-    Fate,
-    Lane,
-    Place,
-    Poll,
-    Repeat,
-    Scope,
-    Tariff,
+    ResourceQuota,
+    PromotionControl,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    RelayPosition,
+    VotingRules,
+    Idempotency,
+    DeduplicationScope,
+    Prices,
     Ticks,
-    Trial,
-    Trip,
-    Unit,
-    Vote,
+    CanaryLimits,
+    Attempt,
+    Endpoint,
+    CastVote,
 )
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.http.answers import HttpResponse
 from lanelead.http.asks import HttpRequest
 from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.relay.driver import Driver, Outcome, Ticket
+from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
 
 SECOND: Ticks = 10_000
 LANES = [
-    Lane("read", SECOND, 2 * SECOND, 1.0, 0.0, Repeat.PURE, Scope.ALL, 0, False, 0.0),
-    Lane("save", SECOND, 2 * SECOND, 2.0, 0.0, Repeat.RECEIPTED, Scope.ZONE, SECOND, False, 0.0),
-    Lane("file", SECOND, 2 * SECOND, 3.0, 0.0, Repeat.EFFECTFUL, Scope.ALL, 0, False, 0.0),
+    RequestClass("read", SECOND, 2 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0),
+    RequestClass("save", SECOND, 2 * SECOND, 2.0, 0.0, Idempotency.KEYED, DeduplicationScope.ZONE, SECOND, False, 0.0),
+    RequestClass(
+        "file", SECOND, 2 * SECOND, 3.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+    ),
 ]
-DUTIES = Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
-TRIAL = Trial((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
+DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
+TRIAL = CanaryLimits((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
 ASK = HttpRequest("GET", b"/", [], b"", True)
 ANSWER = HttpResponse(200, [], b"ok", True)
 
@@ -49,29 +52,29 @@
 class PaperHands:
     def __init__(self, now: Ticks = 0) -> None:
         self.now = now
-        self.sent: list[tuple[Ticks, Trip]] = []
-        self.out: dict[Trip, bool] = {}  # with whether a byte was written
-        self.votes: list[Vote] = []
+        self.sent: list[tuple[Ticks, Attempt]] = []
+        self.out: dict[Attempt, bool] = {}  # with whether a byte was written
+        self.votes: list[CastVote] = []
         self.told: list[bytes] = []
 
-    def send(self, trip: Trip, ticket: Ticket) -> None:
+    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
         self.sent.append((self.now, trip))
         self.out[trip] = True
 
-    def abandon(self, trip: Trip) -> bool:
+    def cancel_attempt(self, trip: Attempt) -> bool:
         return self.out.pop(trip, False)
 
-    def probe(self, unit: Unit) -> None: ...
-    def close(self, unit: Unit) -> None: ...
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def check_health(self, unit: Endpoint) -> None: ...
+    def close_idle_connections(self, unit: Endpoint) -> None: ...
+    def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         self.told += payloads
 
-    def vote(self, vote: Vote) -> None:
+    def cast_vote(self, vote: CastVote) -> None:
         self.votes.append(vote)
 
-    def watch(self, on: bool) -> None: ...
-    def fetch(self) -> None: ...
-    def note(self, text: str) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
 class Stage:
@@ -79,23 +82,23 @@
 
     def __init__(self, open_lookups: int = 1000, start: Ticks = 100 * SECOND) -> None:
         self.hands = PaperHands(start)
-        relay = Relay(
-            place=Place(0, 3, "north"),
+        relay = Balancer(
+            place=RelayPosition(0, 3, "north"),
             lanes=LANES,
             members=[],
             duties=DUTIES,
             trial=TRIAL,
-            allowance=Allowance(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
-            poll=Poll(Control.FIRST_VOICE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0),
-            tariff=Tariff(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
+            allowance=ResourceQuota(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
+            poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0),
+            tariff=Prices(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
             chance=Random(1),
             now=start,
         )
-        self.driver = Driver(relay, self.hands, lambda: self.hands.now, LANES, DUTIES, open_lookups, SECOND)
-        self.answers: list[tuple[Ticks, Ticket, Outcome]] = []
-        self.tickets: list[Ticket] = []
+        self.driver = DecisionDriver(relay, self.hands, lambda: self.hands.now, LANES, DUTIES, open_lookups, SECOND)
+        self.answers: list[tuple[Ticks, PendingRequest, RequestOutcome]] = []
+        self.tickets: list[PendingRequest] = []
         self.listed("full", *(self.row(number) for number in range(4)))
-        self.driver.news(RolloutMessage(1, 1, "released", 1.0, 0.0), False, Fate.DONE)
+        self.driver.rollout_read(RolloutMessage(1, 1, "released", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
     def row(self, number: int, build: int = 1, condition: str = "ready", age: Ticks | None = None) -> EndpointMessage:
         started = None if age is None else float((self.hands.now - age) / 10)
@@ -103,33 +106,37 @@
         return EndpointMessage(f"u{number}", "127.0.0.1", 1000 + number, zone, build, condition, started_ms=started)  # type: ignore[arg-type]
 
     def listed(self, coverage: str, *rows: EndpointMessage) -> None:
-        self.driver.listed(EndpointListMessage(coverage, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
+        self.driver.endpoints_listed(EndpointListMessage(coverage, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
 
-    def ask(self, lane: Lane = LANES[0], left: Ticks = 2 * SECOND) -> Ticket:
+    def ask(self, lane: RequestClass = LANES[0], left: Ticks = 2 * SECOND) -> PendingRequest:
         def replied(
-            ticket: Ticket, outcome: Outcome, trip: Trip | None, answer: HttpResponse | None, come_back: Ticks
+            ticket: PendingRequest,
+            outcome: RequestOutcome,
+            trip: Attempt | None,
+            answer: HttpResponse | None,
+            come_back: Ticks,
         ) -> None:
             self.answers.append((self.hands.now, ticket, outcome))
 
-        ticket = Ticket(f"t{len(self.tickets)}", ASK, replied)
+        ticket = PendingRequest(f"t{len(self.tickets)}", ASK, replied)
         self.tickets.append(ticket)
-        self.driver.take(ticket, lane, None, None, left)
+        self.driver.receive(ticket, lane, None, None, left)
         return ticket
 
-    def end(self, trip: Trip, fate: Fate) -> None:
+    def end(self, trip: Attempt, fate: AttemptOutcome) -> None:
         if self.hands.out.pop(trip, None) is not None:
-            self.driver.ended(trip, fate, ANSWER if fate is Fate.DONE else None)
+            self.driver.attempt_ended(trip, fate, ANSWER if fate is AttemptOutcome.SUCCEEDED else None)
 
     def run(self, span: Ticks) -> None:
         until = self.hands.now + span
-        while (due := self.driver.due()) is not None and due <= until:
+        while (due := self.driver.next_timer()) is not None and due <= until:
             self.hands.now = max(self.hands.now, due)
             self.driver.tick()
         self.hands.now = until
         self.driver.tick()
 
-    def trips(self, ticket: Ticket) -> list[Trip]:
-        return [trip for _, trip in self.hands.sent if trip.lookup is ticket.lookup]
+    def trips(self, ticket: PendingRequest) -> list[Attempt]:
+        return [trip for _, trip in self.hands.sent if trip.request is ticket.request]
 
 
 class AnyOrder(RuleBasedStateMachine):
@@ -147,15 +154,17 @@
         self.checked = 0
 
     @rule(lane=st.sampled_from(LANES), left=st.integers(1, 2 * SECOND))
-    def ask(self, lane: Lane, left: Ticks) -> None:
+    def ask(self, lane: RequestClass, left: Ticks) -> None:
         self.taken.append(self.stage.hands.now)
         self.stage.ask(lane, left)
 
-    @rule(place=st.integers(0, 30), fate=st.sampled_from([f for f in Fate if f is not Fate.CALLED_OFF]))
-    def end(self, place: int, fate: Fate) -> None:
+    @rule(
+        place=st.integers(0, 30), fate=st.sampled_from([f for f in AttemptOutcome if f is not AttemptOutcome.CANCELLED])
+    )
+    def end(self, place: int, fate: AttemptOutcome) -> None:
         out = list(self.stage.hands.out)
         if out:
-            self.done += fate is Fate.DONE
+            self.done += fate is AttemptOutcome.SUCCEEDED
             self.stage.end(out[place % len(out)], fate)
 
     @rule(span=st.sampled_from([1, 50, 1000, SECOND, 3 * SECOND]))
@@ -173,8 +182,8 @@
         open_ = [ticket for ticket in self.stage.tickets if not ticket.answered]
         if open_:
             ticket = open_[place % len(open_)]
-            self.left.add(ticket.ident)
-            self.stage.driver.left(ticket)
+            self.left.add(ticket.id)
+            self.stage.driver.client_left(ticket)
 
     @rule(number=st.integers(0, 5), what=st.sampled_from(["draining", "gone", "ready", "cold", "new build"]))
     def list_(self, number: int, what: str) -> None:
@@ -196,59 +205,63 @@
     )
     def news(self, phase: str, stage: int, newer: bool) -> None:
         self.build += newer
-        self.guarded = phase == "trial" and stage < TRIAL.guarded
-        cap = {"trial": TRIAL.caps[stage], "released": 1.0, "reverting": 0.0}[phase]
-        self.stage.driver.news(RolloutMessage(self.build, stage, phase, cap, 0.0), False, Fate.DONE)  # type: ignore[arg-type]
+        self.guarded = phase == "trial" and stage < TRIAL.guarded_stages
+        cap = {"trial": TRIAL.exposure_limits[stage], "released": 1.0, "reverting": 0.0}[phase]
+        self.stage.driver.rollout_read(
+            RolloutMessage(self.build, stage, cast(Any, phase), cap, 0.0), False, AttemptOutcome.SUCCEEDED
+        )
 
     @rule(payload=st.binary(max_size=40))
     def heard(self, payload: bytes) -> None:
-        self.stage.driver.heard(1, payload)
+        self.stage.driver.gossip_received(1, payload)
 
     @invariant()
     def answers_are_one_each_and_in_time(self) -> None:
         counts: dict[str, int] = {}
         for _, ticket, _ in self.stage.answers:
-            counts[ticket.ident] = counts.get(ticket.ident, 0) + 1
-            assert ticket.ident not in self.left or not ticket.lookup
+            counts[ticket.id] = counts.get(ticket.id, 0) + 1
+            assert ticket.id not in self.left or not ticket.request
         assert all(many == 1 for many in counts.values())
         for ticket in self.stage.tickets:
-            if ticket.lookup is not None and self.stage.hands.now > ticket.lookup.due:
+            if ticket.request is not None and self.stage.hands.now > ticket.request.deadline:
                 assert ticket.answered, "no answer by its outer limit"
 
     @invariant()
     def effects_are_never_doubled(self) -> None:
-        shed = {ticket for _, ticket, outcome in self.stage.answers if outcome is Outcome.SHED}
+        shed = {ticket for _, ticket, outcome in self.stage.answers if outcome is RequestOutcome.REJECTED}
         for ticket in self.stage.tickets:
-            if ticket.lookup is None:
+            if ticket.request is None:
                 continue
-            lane, trips = ticket.lookup.lane, ticket.lookup.trips
-            ran = [trip for trip in trips if trip.fate not in NEVER_RAN]
-            if lane.repeat is not Repeat.PURE:
+            lane, trips = ticket.request.request_class, ticket.request.attempts
+            ran = [trip for trip in trips if trip.outcome not in NEVER_RAN]
+            if lane.idempotency is not Idempotency.IDEMPOTENT:
                 assert ticket not in shed or not ran, "shed, though it may have run"
-            if lane.repeat is Repeat.EFFECTFUL:
+            if lane.idempotency is Idempotency.NON_IDEMPOTENT:
                 assert not ran or trips[-1] is ran[0], "sent again, though it may have run"
-            if lane.repeat is Repeat.RECEIPTED and ran:
+            if lane.idempotency is Idempotency.KEYED and ran:
                 for trip in trips[trips.index(ran[0]) + 1 :]:
-                    assert trip.unit.zone == ran[0].unit.zone
-                    assert trip.sent <= ran[0].sent + lane.memory
+                    assert trip.endpoint.zone == ran[0].endpoint.zone
+                    assert trip.sent_at <= ran[0].sent_at + lane.deduplication_window
 
     @invariant()
     def drains_exposure_and_cold_units_are_kept(self) -> None:
         sent = self.stage.hands.sent
         for at, trip in sent[self.checked :]:
-            name, now = self.stage.driver.door.names[trip.unit], at
+            name, now = self.stage.driver.registry.names[trip.endpoint], at
             assert name not in self.drained, "sent to a unit that drains or is gone"
             born = self.born.get(name)
-            if born is not None and now - born < DUTIES.cold_time:
-                lately = sum(1 for when, other in sent if other.unit is trip.unit and when > now - DUTIES.fall_time)
-                assert lately <= 2 + DUTIES.fall_multiple * self.done / 4, "a cold unit was sent too much"
-            if trip.unit.build > 1:
-                mine = [when for when, other in sent if other.unit.build == trip.unit.build]
+            if born is not None and now - born < DUTIES.slow_start_time:
+                lately = sum(
+                    1 for when, other in sent if other.endpoint is trip.endpoint and when > now - DUTIES.overload_time
+                )
+                assert lately <= 2 + DUTIES.overload_multiple * self.done / 4, "a cold unit was sent too much"
+            if trip.endpoint.build > 1:
+                mine = [when for when, other in sent if other.endpoint.build == trip.endpoint.build]
                 many = sum(1 for when in mine if when > now - TRIAL.window)
                 have = sum(1 for when in self.taken if when > now - TRIAL.window)
-                assert many <= TRIAL.free + have or trip.unit.build < self.build, "over the cap of 1"
-                if self.guarded and trip.unit.build == self.build:
-                    assert trip.lookup.lane.repeat is Repeat.PURE, "a guarded stage"
+                assert many <= TRIAL.uncounted_attempts + have or trip.endpoint.build < self.build, "over the cap of 1"
+                if self.guarded and trip.endpoint.build == self.build:
+                    assert trip.request.request_class.idempotency is Idempotency.IDEMPOTENT, "a guarded stage"
         self.checked = len(sent)
 
 
@@ -264,12 +277,12 @@
             @rule(place=st.integers(0, 30))
             def error_told_as_turned_away(self, place: int) -> None:
                 for trip in list(self.stage.hands.out):
-                    lane = trip.lookup.lane
-                    if lane.repeat is Repeat.EFFECTFUL and not trip.lookup.over:
+                    lane = trip.request.request_class
+                    if lane.idempotency is Idempotency.NON_IDEMPOTENT and not trip.request.finished:
                         self.stage.hands.out.pop(trip)
-                        trip.fate = None
-                        self.stage.driver.decisions.ended(trip, Fate.TURNED_AWAY, False, 1, None)
-                        trip.fate = Fate.ERROR
+                        trip.outcome = None
+                        self.stage.driver.decisions.attempt_ended(trip, AttemptOutcome.REJECTED, False, 1, None)
+                        trip.outcome = AttemptOutcome.ERROR
                         self.stage.driver._carry()
                         return
 
@@ -291,50 +304,50 @@
         ticket = stage.ask(LANES[2])
         (trip,) = stage.trips(ticket)
         stage.run(2 * SECOND)
-        self.assertIs(trip.fate, Fate.TIMED_OUT)
-        stage.driver.ended(trip, Fate.DONE, ANSWER)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [Outcome.BROKEN_OFF])
+        self.assertIs(trip.outcome, AttemptOutcome.TIMED_OUT)
+        stage.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED, ANSWER)
+        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
 
     def test_a_trip_that_wrote_no_byte_by_its_limit_never_ran(self) -> None:
         stage = Stage()
         ticket = stage.ask(LANES[2])
         stage.hands.out[stage.trips(ticket)[0]] = False
         stage.run(2 * SECOND)
-        self.assertIs(stage.trips(ticket)[0].fate, Fate.UNREACHABLE)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [Outcome.SHED])
+        self.assertIs(stage.trips(ticket)[0].outcome, AttemptOutcome.CONNECT_FAILED)
+        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.REJECTED])
 
     def test_a_relay_that_stood_still_passes_on_no_answer_that_is_too_late(self) -> None:
         stage = Stage()
         ticket = stage.ask(LANES[0])
         (trip,) = stage.trips(ticket)
         stage.hands.now += 5 * SECOND
-        stage.end(trip, Fate.DONE)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [Outcome.BROKEN_OFF])
+        stage.end(trip, AttemptOutcome.SUCCEEDED)
+        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
 
     def test_beyond_the_allowance_it_is_shed_at_the_door(self) -> None:
         stage = Stage(open_lookups=2)
         for _ in range(3):
             stage.ask(LANES[0])
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [Outcome.SHED])
-        self.assertEqual((stage.driver.counts.at_the_door, stage.driver.counts.taken), (1, 2))
+        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.REJECTED])
+        self.assertEqual((stage.driver.counters.over_limit, stage.driver.counters.received), (1, 2))
 
     def test_a_drain_or_another_life_told_while_a_trip_waits_for_a_connection(self) -> None:
         for change in ({"condition": "draining"}, {"build": 2}, {"age": 0}):
             stage = Stage()
             ticket = stage.ask(LANES[0])
             (trip,) = stage.trips(ticket)
-            place = stage.driver.still_meant(trip)
+            place = stage.driver.destination_of(trip)
             self.assertIsNotNone(place)
-            number = int(stage.driver.door.names[trip.unit][1:])
+            number = int(stage.driver.registry.names[trip.endpoint][1:])
             stage.listed("changes", stage.row(number, **change))
-            self.assertNotEqual(stage.driver.still_meant(trip), place, change)
+            self.assertNotEqual(stage.driver.destination_of(trip), place, change)
 
     def test_a_unit_keeps_its_time_of_start_over_streams_with_other_clocks(self) -> None:
         stage = Stage()
         stage.listed("changes", stage.row(0, age=SECOND))
-        first = stage.driver.places[stage.driver.door.unit("u0")].since
-        stage.driver.listed(EndpointListMessage("full", 1, 0.0, [stage.row(0, age=SECOND)]), 37)
-        self.assertEqual(stage.driver.places[stage.driver.door.unit("u0")].since, first)
+        first = stage.driver.destinations[stage.driver.registry.get_or_add("u0")].started_at
+        stage.driver.endpoints_listed(EndpointListMessage("full", 1, 0.0, [stage.row(0, age=SECOND)]), 37)
+        self.assertEqual(stage.driver.destinations[stage.driver.registry.get_or_add("u0")].started_at, first)
 
 
 if __name__ == "__main__":
