--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -9,7 +9,7 @@
 
 from benchmarks.slopes.fleet import Fleet, Hollow
 from benchmarks.slopes.sizes import Size
-from lanelead.relay.driver import Outcome
+from lanelead.relay.driver import RequestOutcome
 
 SIZE = Size(12, 36, 20.0)
 SECONDS = 4.0
@@ -53,9 +53,9 @@
         fleet.run(5.0)
         for relay in fleet.relays:
             self.assertEqual(relay.asked, relay.outcomes.total())
-            self.assertEqual(0, len(relay.driver.tickets))
+            self.assertEqual(0, len(relay.driver.pending))
         self.assertGreater(sum(relay.asked for relay in fleet.relays), 500)
-        self.assertEqual({Outcome.DONE}, {what for relay in fleet.relays for what in relay.outcomes})
+        self.assertEqual({RequestOutcome.SUCCEEDED}, {what for relay in fleet.relays for what in relay.outcomes})
 
     def test_bytes_counted_are_those_of_the_letters(self) -> None:
         fleet = Fleet(SIZE, 4)
@@ -90,7 +90,7 @@
         fleet.start(relay)
         fleet.run(1.0)
         self.assertGreater(relay.asked, asked)
-        self.assertGreater(relay.outcomes[Outcome.DONE], 0)
+        self.assertGreater(relay.outcomes[RequestOutcome.SUCCEEDED], 0)
 
     def test_attempts_at_units_that_are_not_reached_end_unreachable(self) -> None:
         fleet = Fleet(SIZE, 7)
@@ -99,9 +99,9 @@
         fates = Counter[Any]()
         fleet.run(SECONDS)
         for relay in fleet.relays:
-            fates += Counter(relay.driver.counts.fates)
-        self.assertEqual({"done", "unreachable"}, {fate.value for fate, many in fates.items() if many})
-        answered = sum(relay.outcomes[Outcome.DONE] for relay in fleet.relays)
+            fates += Counter(relay.driver.counters.outcomes)
+        self.assertEqual({"succeeded", "connect failed"}, {fate.value for fate, many in fates.items() if many})
+        answered = sum(relay.outcomes[RequestOutcome.SUCCEEDED] for relay in fleet.relays)
         self.assertGreater(answered, 0.9 * sum(relay.asked for relay in fleet.relays))
 
     def test_a_relay_is_woken_only_when_something_is_due(self) -> None:
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from lanelead.configuration.kinds import ClassValue, TenantValue
-from lanelead.decisions.interface import Lane, Member, Repeat, Scope
+from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
 from lanelead.node import service as services
 from lanelead.node.inforce import InForce, entries, without_figures
 from tests.platform import SETTINGS, Platform, Unit, platform
@@ -31,8 +31,8 @@
         self.assertNotIn("aimMs", without_figures(SETTINGS)[0])
 
     def test_tenants_come_change_and_go_and_the_sum_is_told(self) -> None:
-        old, sums = Member("a", 5.0, 0.1), list[float]()
-        members, lanes = {"a": old}, dict[str, Lane]()
+        old, sums = Tenant("a", 5.0, 0.1), list[float]()
+        members, lanes = {"a": old}, dict[str, RequestClass]()
         here = InForce(members, lanes, sums.append)
         self.assertEqual([], here.put(["tenant/b"], {"tenant/b": TenantValue(7.0, 0.2)}))
         here.put(["tenant/a"], {"tenant/a": TenantValue(6.0, 0.3)})
@@ -42,11 +42,13 @@
         self.assertEqual((["b"], 7.0), (list(members), sums[-1]))
 
     def test_a_class_takes_its_figures_and_one_that_nobody_named_is_given_back(self) -> None:
-        lane = Lane("read", 8000, 15000, 1.0, 0.2, Repeat.PURE, Scope.ALL, 0, False, 0.0)
+        lane = RequestClass(
+            "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+        )
         here = InForce({}, {"read": lane}, lambda _: None)
         figures = ClassValue(400.0, 900.0, 2.0, 0.5)
         self.assertEqual(["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures}))
-        self.assertEqual((4000, 9000, 2.0, 0.5), (lane.expected_time, lane.outer_limit, lane.value, lane.late_value))
+        self.assertEqual((4000, 9000, 2.0, 0.5), (lane.latency_objective, lane.timeout, lane.value, lane.late_value))
 
 
 class Hangup(unittest.TestCase):
@@ -63,8 +65,11 @@
             rewritten(place, accounts=accounts, requestClasses=classes, instances=5)
             relay.reload()
             self.assertEqual(["m", "n"], list(relay.front.members))
-            figures = relay.driver.decisions.figures
-            self.assertEqual((48.0, 24.0, 3000, 8000), (figures.quotas, figures.quota, figures.least, figures.longest))
+            figures = relay.driver.decisions.parameters
+            self.assertEqual(
+                (48.0, 24.0, 3000, 8000),
+                (figures.total_quota, figures.relay_quota, figures.shortest_objective, figures.longest_objective),
+            )
             (told,) = [call.kwargs for call in place.log.calls if call.args and "read anew" in str(call.args[0])] or [
                 call.kwargs for call in place.log.calls if call.kwargs.get("event") == "configuration read anew"
             ]
@@ -79,7 +84,7 @@
         async with platform(Unit("u0")) as place:
             rewritten(place, accounts=[{"name": "m", "quotaPerS": 30.0, "share": 7.0}])
             place.relay.reload()
-            self.assertEqual(100.0, place.relay.driver.decisions.figures.quotas)
+            self.assertEqual(100.0, place.relay.driver.decisions.parameters.total_quota)
 
 
 class Sweeps(unittest.TestCase):
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -7,8 +7,8 @@
 import unittest
 from pathlib import Path
 
-from lanelead.decisions.interface import Fate, Lookup, Trip, Verdict, Vote
-from lanelead.protocols.records import Malformed, RolloutMessage
+from lanelead.decisions.interface import AttemptOutcome, Request, Attempt, Verdict, CastVote
+from lanelead.protocols.records import MessageError, RolloutMessage
 from lanelead.protocols.steps import AppendRequest, LogEntry, LeaseRequest, LoggedEntry, MigrationLogPage
 from lanelead.settings.records import Demands, Need, Steps
 from lanelead.standins.stepstore import FaultyStore
@@ -39,9 +39,9 @@
         found.hear(page(TAKEN, *entries).entries)
         return found
 
-    def trip(self, sent: int = 0) -> Trip:
-        lookup = Lookup(LANES[0], None, None, sent, sent + 2 * SECOND)
-        return Trip(lookup, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
+    def trip(self, sent: int = 0) -> Attempt:
+        lookup = Request(LANES[0], None, None, sent, sent + 2 * SECOND)
+        return Attempt(lookup, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
 
     def test_before_the_record_is_heard_only_the_earliest_listed_build_is_there(self) -> None:
         readiness = Readiness(SECOND, 0)
@@ -87,7 +87,7 @@
 
     def test_a_record_that_follows_no_rules_is_refused_and_what_came_before_stays(self) -> None:
         readiness = self.readiness(*through("a"))
-        with self.assertRaises(Malformed):
+        with self.assertRaises(MessageError):
             readiness.hear(page(LogEntry("done", "b"), since=3).entries)
         self.assertTrue(readiness.open(2))
         readiness.hear(page(TAKEN, *through("a")).entries)  # a stream that begins anew
@@ -99,9 +99,9 @@
         self.stage = Stage()
         self.driver = self.stage.driver
         self.driver.readiness = Readiness(SECOND, 0)
-        self.driver.steps(page(TAKEN))
+        self.driver.migrations_read(page(TAKEN))
         self.stage.listed("full", *(self.stage.row(n, build=1 + n % 2) for n in range(4)))
-        self.driver.news(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, Fate.DONE)
+        self.driver.rollout_read(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
     def builds(self, many: int = 40) -> set[int]:
         """The builds that lookups go to."""
@@ -111,44 +111,44 @@
             self.driver.tick()
             self.stage.ask()
             for _, trip in self.stage.hands.sent[before:]:
-                if trip.fate is None:
-                    self.driver.ended(trip, Fate.DONE, ANSWER)
-        return {self.driver.places[trip.unit].build for _, trip in self.stage.hands.sent[before:]}
+                if trip.outcome is None:
+                    self.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED, ANSWER)
+        return {self.driver.destinations[trip.endpoint].build for _, trip in self.stage.hands.sent[before:]}
 
     def test_a_build_has_no_trip_until_its_step_is_done_and_then_has_some(self) -> None:
         self.assertEqual(self.builds(), {1})
-        self.driver.steps(page(*through("a"), since=1))
+        self.driver.migrations_read(page(*through("a"), since=1))
         self.stage.run(30 * SECOND)  # what the earlier build did lately is forgotten
         self.assertIn(2, self.builds())
 
     def test_a_record_that_has_become_shorter_is_refused_and_what_was_known_stays(self) -> None:
-        self.driver.steps(page(*through("a"), since=1))
-        with self.assertRaisesRegex(Malformed, "1 entries, of which 3 were read"):
-            self.driver.steps(page(TAKEN))
+        self.driver.migrations_read(page(*through("a"), since=1))
+        with self.assertRaisesRegex(MessageError, "1 entries, of which 3 were read"):
+            self.driver.migrations_read(page(TAKEN))
         self.stage.run(30 * SECOND)
         self.assertIn(2, self.builds())
 
     def test_a_trip_that_was_chosen_before_a_closing_is_not_written_after_it(self) -> None:
         self.stage.ask()
         trip = self.stage.hands.sent[-1][1]
-        self.assertIsNotNone(self.driver.still_meant(trip))
-        self.driver.steps(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
-        self.assertIsNone(self.driver.still_meant(trip))
+        self.assertIsNotNone(self.driver.destination_of(trip))
+        self.driver.migrations_read(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
+        self.assertIsNone(self.driver.destination_of(trip))
 
     def test_a_vote_on_past_the_stage_waits_and_a_vote_back_does_not(self) -> None:
-        self.driver.steps(page(*through("a"), since=1))
-        self.driver.decisions.acts += [Vote(2, 0, Verdict.ON), Vote(2, 0, Verdict.BACK)]
+        self.driver.migrations_read(page(*through("a"), since=1))
+        self.driver.decisions.actions += [CastVote(2, 0, Verdict.PROMOTE), CastVote(2, 0, Verdict.ROLL_BACK)]
         self.driver._carry()
-        self.assertEqual([vote.verdict for vote in self.stage.hands.votes], [Verdict.BACK])
-        self.assertEqual(self.driver.counts.withheld, 1)
-        self.driver.steps(page(*through("b"), since=3))
-        self.driver.decisions.acts.append(Vote(2, 0, Verdict.ON))
+        self.assertEqual([vote.verdict for vote in self.stage.hands.votes], [Verdict.ROLL_BACK])
+        self.assertEqual(self.driver.counters.withheld_votes, 1)
+        self.driver.migrations_read(page(*through("b"), since=3))
+        self.driver.decisions.actions.append(CastVote(2, 0, Verdict.PROMOTE))
         self.driver._carry()
-        self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.ON)
+        self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.PROMOTE)
 
     def test_a_unit_that_drains_stays_draining_whatever_its_build_may(self) -> None:
         self.stage.listed("changes", *(self.stage.row(n, build=2, condition="draining") for n in (1, 3)))
-        self.driver.steps(page(*through("a"), since=1))
+        self.driver.migrations_read(page(*through("a"), since=1))
         self.stage.run(30 * SECOND)
         self.assertEqual(self.builds(), {1})
 
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -12,18 +12,26 @@
 
 from lanelead.benchlink.host import Floor
 from lanelead.decisions.interface import (
-    LOADS,
-    Answered,
-    Condition,
-    Least,
-    Load,
-    Pace,
-    Sighting,
-    Word,
+    MAX_IN_FLIGHT_COUNTS,
+    CompletionCount,
+    EndpointStatus,
+    InFlightBound,
+    InFlightCount,
+    FleetLatency,
+    OutcomeObservation,
+    GossipEntry,
 )
-from lanelead.decisions.servers import Outstanding, Server
-from lanelead.hosting.door import FORM, FORM_SHARED, MESSAGE, SHARED, Door, pack, unpack
-from lanelead.hosting.marks import NAMELESS, crc
+from lanelead.decisions.servers import Outstanding, EndpointState
+from lanelead.hosting.door import (
+    FORM,
+    FORM_SHARED,
+    MAX_MESSAGE_BYTES,
+    SHARED,
+    EndpointRegistry,
+    encode_gossip,
+    decode_gossip,
+)
+from lanelead.hosting.marks import NO_LONG_ID, long_id_of
 from tests.fake import PURE, SECOND
 from tests.test_benchlink import BEGIN
 
@@ -57,43 +65,45 @@
     return found
 
 
-def door(*names: str) -> Door:
-    found = Door(lambda mark: Server(mark, SECOND, SECOND, 0.0))
+def door(*names: str) -> EndpointRegistry:
+    found = EndpointRegistry(lambda mark: EndpointState(mark, SECOND, SECOND, 0.0))
     for name in names:
-        unit = found.unit(name)
-        unit.build, unit.condition = 7, Condition.READY
+        unit = found.get_or_add(name)
+        unit.build, unit.status = 7, EndpointStatus.READY
     return found
 
 
-def letters(teller: Door, loads: Mapping[str, int], seen: Mapping[str, int] | None = None) -> list[bytes]:
-    words: list[Word] = [Sighting(teller.units[name], PURE, 7, many, FAULTS) for name, many in (seen or {}).items()]
-    return pack([*words, *(Load(teller.units[name], many) for name, many in loads.items())], [PURE])
+def letters(teller: EndpointRegistry, loads: Mapping[str, int], seen: Mapping[str, int] | None = None) -> list[bytes]:
+    words: list[GossipEntry] = [
+        OutcomeObservation(teller.by_name[name], PURE, 7, many, FAULTS) for name, many in (seen or {}).items()
+    ]
+    return encode_gossip([*words, *(InFlightCount(teller.by_name[name], many) for name, many in loads.items())], [PURE])
 
 
-def read(hearer: Door, texts: Sequence[bytes]) -> dict[str, list[int]]:
+def read(hearer: EndpointRegistry, texts: Sequence[bytes]) -> dict[str, list[int]]:
     """Outcomes seen and trips out in rising order, by the units' names; '': what no other has more of."""
     found = dict[str, list[int]]()
     for text in texts:
-        for word in unpack(text, hearer.marks, [PURE]):
-            if isinstance(word, Sighting | Load):
-                many = word.outcomes if isinstance(word, Sighting) else word.trips
-                found.setdefault(hearer.names[word.unit], []).append(many)
-            elif isinstance(word, Least):
-                found.setdefault("", []).append(word.trips)
+        for word in decode_gossip(text, hearer.short_ids, [PURE]):
+            if isinstance(word, OutcomeObservation | InFlightCount):
+                many = word.outcomes if isinstance(word, OutcomeObservation) else word.attempts
+                found.setdefault(hearer.names[word.endpoint], []).append(many)
+            elif isinstance(word, InFlightBound):
+                found.setdefault("", []).append(word.attempts)
     return {name: sorted(numbers) for name, numbers in found.items()}
 
 
 class Names(unittest.TestCase):
     def test_the_names_of_these_tests_share_what_they_are_to_share(self) -> None:
-        self.assertEqual(crc(A) & 0xFFFF, crc(B) & 0xFFFF)
-        self.assertNotEqual(crc(A), crc(B))
-        self.assertEqual(*map(crc, TWINS))
-        self.assertEqual(crc(TWINS[0]) & 0xFFFF, crc(THIRD) & 0xFFFF)
-        self.assertNotEqual(crc(TWINS[0]), crc(THIRD))
-        self.assertNotIn(crc(C) & 0xFFFF, (crc(A) & 0xFFFF, crc(TWINS[0]) & 0xFFFF))
+        self.assertEqual(long_id_of(A) & 0xFFFF, long_id_of(B) & 0xFFFF)
+        self.assertNotEqual(long_id_of(A), long_id_of(B))
+        self.assertEqual(*map(long_id_of, TWINS))
+        self.assertEqual(long_id_of(TWINS[0]) & 0xFFFF, long_id_of(THIRD) & 0xFFFF)
+        self.assertNotEqual(long_id_of(TWINS[0]), long_id_of(THIRD))
+        self.assertNotIn(long_id_of(C) & 0xFFFF, (long_id_of(A) & 0xFFFF, long_id_of(TWINS[0]) & 0xFFFF))
 
     def test_numbered_names_share_marks_by_hundreds_and_wide_marks_never(self) -> None:
-        wides = [crc(f"unit-{number:04}") for number in range(10_000)]
+        wides = [long_id_of(f"unit-{number:04}") for number in range(10_000)]
         self.assertEqual(10_000, len(set(wides)))
         self.assertLess(len({wide & 0xFFFF for wide in wides}), 9_500)
 
@@ -101,15 +111,19 @@
 class Telling(unittest.TestCase):
     def test_not_a_byte_of_a_letter_changes_where_no_mark_is_shared(self) -> None:
         names, digest = [f"s-{number}" for number in range(150)], hashlib.sha256()
-        units = [door(*names).units[name] for name in names]
+        units = [door(*names).by_name[name] for name in names]
         for some in range(151):
-            seen = [Sighting(unit, PURE, 7, 3, FAULTS) for unit in units[:some]]
-            wholes: list[list[Word]] = [
-                [*(Load(unit, 3) for unit in units[:some]), Answered(3)],
-                [*seen, *(Load(unit, place) for place, unit in enumerate(units[:some])), Pace(400 * some)],
-                [Sighting(unit, PURE, 7, some, FAULTS) for unit in units[:some]],
+            seen = [OutcomeObservation(unit, PURE, 7, 3, FAULTS) for unit in units[:some]]
+            wholes: list[list[GossipEntry]] = [
+                [*(InFlightCount(unit, 3) for unit in units[:some]), CompletionCount(3)],
+                [
+                    *seen,
+                    *(InFlightCount(unit, place) for place, unit in enumerate(units[:some])),
+                    FleetLatency(400 * some),
+                ],
+                [OutcomeObservation(unit, PURE, 7, some, FAULTS) for unit in units[:some]],
             ]
-            for text in (text for words in wholes for text in pack(words, [PURE])):
+            for text in (text for words in wholes for text in encode_gossip(words, [PURE])):
                 digest.update(bytes([len(text)]) + text)
         self.assertEqual(DIGEST, digest.hexdigest())
 
@@ -122,20 +136,20 @@
                 for name, many in (*some.items(), *loads.items()):
                     told[name] = sorted([*told[name], many])
                 self.assertEqual(told, read(door(A, B, C), texts))
-                self.assertLessEqual(max(map(len, texts)), MESSAGE - 2)
+                self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
 
     def test_units_of_one_wide_mark_are_not_told_of_at_all(self) -> None:
         teller = door(*TWINS, C)
         texts = letters(teller, {TWINS[0]: 6, C: 5, TWINS[1]: 7}, {TWINS[0]: 3, TWINS[1]: 4, C: 5})
         self.assertEqual({C: [5, 5]}, read(door(*TWINS, C), texts))
         self.assertEqual({C: [5, 5]}, read(door(TWINS[0], C), texts))
-        self.assertEqual([NAMELESS] * 2, [teller.units[name].wide for name in TWINS])
+        self.assertEqual([NO_LONG_ID] * 2, [teller.by_name[name].long_id for name in TWINS])
 
     def test_a_wide_mark_that_two_have_is_understood_where_one_of_them_is_known(self) -> None:
         texts = letters(door(TWINS[0], THIRD), {TWINS[0]: 6, THIRD: 5}, {TWINS[0]: 3})
         both = door(*TWINS, THIRD)
         self.assertEqual({THIRD: [5]}, read(both, texts))
-        self.assertEqual({"shared": 2}, both.marks.passed_over)
+        self.assertEqual({"shared": 2}, both.short_ids.skipped)
         self.assertEqual({TWINS[0]: [3, 6], THIRD: [5]}, read(door(TWINS[0], THIRD), texts))
 
     def test_loads_beside_many_sightings_come_whole_in_letters_of_the_allowed_length(self) -> None:
@@ -144,7 +158,7 @@
         for many in range(48):
             for loads in ({A: 6}, {A: 6, B: 7}, {A: 6, B: 7, names[0]: 8, names[1]: 9}):
                 texts = letters(teller, loads, dict.fromkeys(names[:many], 3))
-                self.assertLessEqual(max(map(len, texts)), MESSAGE - 2)
+                self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
                 rows = [*((name, 3) for name in names[:many]), *loads.items()]
                 told = {name: sorted(number for at, number in rows if at == name) for name, _ in rows}
                 self.assertEqual(told, read(door(A, B, *names), texts))
@@ -153,11 +167,11 @@
     def test_sightings_of_many_such_units_are_told_in_letters_of_the_allowed_length(self) -> None:
         names = [f"unit-{number:04}" for number in range(10_000)]
         teller = door(*names)
-        shared = [unit for unit in teller.marks.sharing() if unit.wide > 0][:60]
-        texts = pack([Sighting(unit, PURE, 7, 3, FAULTS) for unit in shared], [PURE])
+        shared = [unit for unit in teller.short_ids.sharing() if unit.long_id > 0][:60]
+        texts = encode_gossip([OutcomeObservation(unit, PURE, 7, 3, FAULTS) for unit in shared], [PURE])
         self.assertEqual({teller.names[unit]: [3] for unit in shared}, read(door(*names), texts))
         self.assertEqual([FORM_SHARED] * 4, [text[0] >> 5 for text in texts])
-        self.assertLessEqual(max(map(len, texts)), MESSAGE - 2)
+        self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
 
 
 class Full(unittest.TestCase):
@@ -174,12 +188,12 @@
                 loads = {name: 200 - at for at, name in enumerate(names)}
                 texts = letters(teller, loads)
                 self.assertEqual(1, len(texts))
-                self.assertLessEqual(len(texts[0]), MESSAGE - 2)
+                self.assertLessEqual(len(texts[0]), MAX_MESSAGE_BYTES - 2)
                 found = read(hearer, texts)
                 least = found.pop("")
                 self.assertEqual({name: [loads[name]] for name in names[: len(found)]}, found)
                 self.assertEqual([200 - len(found)], least)
-                self.assertGreaterEqual(len(found), LOADS - 6)
+                self.assertGreaterEqual(len(found), MAX_IN_FLIGHT_COUNTS - 6)
 
     def test_as_long_as_all_fit_none_is_left_out(self) -> None:
         hearer, teller = door(A, B, *self.names), door(A, B, *self.names)
@@ -192,7 +206,7 @@
                 self.assertEqual((whole, not whole), (len(found) == many, full is not None), (many, pair))
 
     def test_a_shared_mark_past_the_last_that_fits_changes_no_byte(self) -> None:
-        loads = {name: 3 for name in [*self.names[:LOADS], A, B]}
+        loads = {name: 3 for name in [*self.names[:MAX_IN_FLIGHT_COUNTS], A, B]}
         plain = {name: 3 for name in self.names}
         texts = letters(door(A, B, *self.names), loads)
         self.assertEqual(letters(door(*self.names), plain), texts)
@@ -202,8 +216,12 @@
         loads = {name: 200 - at for at, name in enumerate([A, B, *self.names])}
         known = Outstanding(SECOND)
         (text,) = letters(teller, loads)
-        known.hear(None, [w for w in unpack(text, hearer.marks, [PURE]) if isinstance(w, Load | Least)], 0)
-        at = [known.at(unit, 1) for unit in hearer.units.values() if isinstance(unit, Server)]
+        known.hear(
+            None,
+            [w for w in decode_gossip(text, hearer.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
+            0,
+        )
+        at = [known.at(unit, 1) for unit in hearer.by_name.values() if isinstance(unit, EndpointState)]
         told = len(read(hearer, [text])) - 1
         self.assertEqual([200 - place for place in range(told)] + [200 - told] * (122 - told), at)
 
@@ -212,14 +230,18 @@
         loads = {name: 200 - at for at, name in enumerate([A, *self.names])}
         (text,) = letters(door(A, *self.names), loads)
         found = read(door(A, B, *self.names), [text])
-        self.assertEqual((LOADS - 1, [200 - LOADS + 1]), (len(found) - 1, found[""]))
+        self.assertEqual((MAX_IN_FLIGHT_COUNTS - 1, [200 - MAX_IN_FLIGHT_COUNTS + 1]), (len(found) - 1, found[""]))
         self.assertEqual({}, {name: found[name] for name in (A, B) if name in found})
 
     def test_a_letter_of_which_nothing_is_understood_ends_what_was_told_before(self) -> None:
         known, hub = Outstanding(SECOND), door(A, B, C)
         for loads in ({C: 5}, {A: 6}):
             (text,) = letters(door(A, C), loads)
-            known.hear(9, [w for w in unpack(text, hub.marks, [PURE]) if isinstance(w, Load | Least)], 0)
+            known.hear(
+                9,
+                [w for w in decode_gossip(text, hub.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
+                0,
+            )
         self.assertEqual([], known.add([], 1))
 
 
@@ -230,7 +252,7 @@
         names = [f"s-{number}" for number in range(120)]
         teller = door(A, B, C, *names)
         for known in ([A], [B], [A, B], [B, A]):
-            units = {crc(name) & 0xFFFF: name for name in [*known, C, *names]}  # the last met has the mark
+            units = {long_id_of(name) & 0xFFFF: name for name in [*known, C, *names]}  # the last met has the mark
             for loads in ({A: 6, B: 7, C: 5}, {A: 1, **dict.fromkeys(names, 9), C: 5}, {B: 7}):
                 for seen in ({}, {A: 3, B: 9, C: 4}, dict.fromkeys([A, *names[:23], C], 3)):
                     for text in letters(teller, loads, seen):
@@ -243,9 +265,9 @@
         for text in (BOTH, FIRST):
             hearer = door(A, B, C)
             self.assertEqual({C: [4, 5]}, read(hearer, [text]))
-            self.assertGreater(hearer.marks.passed_over["shared"], 0)
-        self.assertIn(Pace(8000), unpack(FIRST, door(A, B).marks, [PURE]))
-        self.assertIn(Answered(4), unpack(BOTH, door(A, B).marks, [PURE]))
+            self.assertGreater(hearer.short_ids.skipped["shared"], 0)
+        self.assertIn(FleetLatency(8000), decode_gossip(FIRST, door(A, B).short_ids, [PURE]))
+        self.assertIn(CompletionCount(4), decode_gossip(BOTH, door(A, B).short_ids, [PURE]))
 
     def test_a_relay_that_knows_one_reads_it_as_before_where_one_was_told_of(self) -> None:
         self.assertEqual({A: [3, 6], C: [4, 5]}, read(door(A, C), [FIRST]))
@@ -256,10 +278,10 @@
         self.assertEqual([5], found[C][-1:])
         self.assertNotIn(6, found[A])
         self.assertNotIn(7, found[A])
-        self.assertEqual(2, hearer.marks.passed_over["doubled"])
+        self.assertEqual(2, hearer.short_ids.skipped["doubled"])
 
     def test_the_fixtures_are_read_by_an_earlier_relay_as_they_were(self) -> None:
-        units = {crc(name) & 0xFFFF: name for name in (A, B, C)}
+        units = {long_id_of(name) & 0xFFFF: name for name in (A, B, C)}
         self.assertEqual(
             {B: [(3, *FAULTS), (9, *FAULTS), (6,), (7,)], C: [(4, *FAULTS), (5,)]}, earlier(BOTH, units, 7, 1)
         )
@@ -273,53 +295,55 @@
             hearer = door(known, C)
             texts = letters(door(A, B, C), {A: 6, B: 7, C: 5}, {A: 3, B: 9})
             self.assertEqual({known: told, C: [5]}, read(hearer, texts))
-            self.assertEqual({"unknown": 2}, hearer.marks.passed_over)
+            self.assertEqual({"unknown": 2}, hearer.short_ids.skipped)
 
     def test_a_teller_that_knows_only_one_is_not_understood_where_both_are_known(self) -> None:
         hearer = door(A, B, C)
         self.assertEqual({C: [5]}, read(hearer, letters(door(A, C), {A: 6, C: 5}, {A: 3})))
-        self.assertEqual({"shared": 2}, hearer.marks.passed_over)
+        self.assertEqual({"shared": 2}, hearer.short_ids.skipped)
 
     def test_a_unit_that_is_gone_leaves_the_other_its_mark(self) -> None:
         for gone, stays in ((A, B), (B, A)):
             teller, hearer = door(A, B), door(A, B)
             for each in (teller, hearer):
-                lost = each.units[gone]
+                lost = each.by_name[gone]
                 each.forget(lost)
-                self.assertNotIn(gone, each.units)
+                self.assertNotIn(gone, each.by_name)
             (text,) = letters(teller, {stays: 6})
             self.assertEqual((2 << 5, {stays: [6]}), (text[0], read(hearer, [text])))
             # What is still known of the one that is gone is told under no name.
-            self.assertEqual([], pack([Load(lost, 9), Sighting(lost, PURE, 7, 9, FAULTS)], [PURE]))
-            self.assertEqual(1, len(hearer.marks))
+            self.assertEqual(
+                [], encode_gossip([InFlightCount(lost, 9), OutcomeObservation(lost, PURE, 7, 9, FAULTS)], [PURE])
+            )
+            self.assertEqual(1, len(hearer.short_ids))
 
     def test_a_unit_whose_mark_was_freed_and_that_is_forgotten_leaves_nothing(self) -> None:
         teller = door(A, B)
-        lost = teller.units[A]
+        lost = teller.by_name[A]
         teller.retire(lost)
         teller.forget(lost)
-        self.assertEqual(({}, 1), (teller._retired, len(teller.marks)))
+        self.assertEqual(({}, 1), (teller._retired, len(teller.short_ids)))
 
     def test_a_unit_met_anew_shares_its_mark_again(self) -> None:
         teller = door(A, B)
-        teller.forget(teller.units[B])
-        teller.forget(teller.units[A])
-        self.assertEqual((0, {}), (len(teller.marks), teller.marks.alone))
+        teller.forget(teller.by_name[B])
+        teller.forget(teller.by_name[A])
+        self.assertEqual((0, {}), (len(teller.short_ids), teller.short_ids.unique))
         for name in (B, A):
-            unit = teller.unit(name)
-            unit.build, unit.condition = 7, Condition.READY
+            unit = teller.get_or_add(name)
+            unit.build, unit.status = 7, EndpointStatus.READY
         self.assertEqual({A: [3, 6], B: [7]}, read(door(A, B), letters(teller, {A: 6, B: 7}, {A: 3})))
 
     def test_a_sighting_of_another_build_class_or_state_is_counted_and_passed_over(self) -> None:
         texts = letters(door(A, B, C), {}, {A: 3, C: 4})
         for spoil in ("build", "condition", "lanes"):
             hearer = door(A, B, C)
-            for unit in hearer.units.values():
+            for unit in hearer.by_name.values():
                 unit.build = 8 if spoil == "build" else 7
-                unit.condition = Condition.DRAINING if spoil == "condition" else Condition.READY
+                unit.status = EndpointStatus.DRAINING if spoil == "condition" else EndpointStatus.READY
             lanes = [] if spoil == "lanes" else [PURE]
-            self.assertEqual([], [word for text in texts for word in unpack(text, hearer.marks, lanes)])
-            self.assertEqual({"other": 2}, hearer.marks.passed_over)
+            self.assertEqual([], [word for text in texts for word in decode_gossip(text, hearer.short_ids, lanes)])
+            self.assertEqual({"other": 2}, hearer.short_ids.skipped)
 
     def test_the_bench_frees_the_mark_of_a_unit_long_gone_and_takes_it_back(self) -> None:
         floor, state = Floor(), "ROLLOUT_STATE 1 1 2 0 success 1.0 10.0"
@@ -332,21 +356,23 @@
 
         play(5, A, B)
         host = floor.hosts["relay/0"]
-        a, b = host.door.units[A], host.door.units[B]
-        self.assertEqual((crc(A), crc(B)), (a.wide, b.wide))
+        a, b = host.door.by_name[A], host.door.by_name[B]
+        self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play(100, B)
         play(8000, B)  # the longest limit is 4 s: others may still tell of A
-        self.assertEqual((crc(A), crc(B)), (a.wide, b.wide))
+        self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play(8200, B)
-        self.assertEqual((NAMELESS, 0, b), (a.wide, b.wide, host.door.marks.short(crc(A) & 0xFFFF)))
-        self.assertEqual((a, {}), (host.door.units[A], host.gone))
+        self.assertEqual(
+            (NO_LONG_ID, 0, b), (a.long_id, b.long_id, host.door.short_ids.by_short_id(long_id_of(A) & 0xFFFF))
+        )
+        self.assertEqual((a, {}), (host.door.by_name[A], host.gone))
         play(8300, A, B)
-        self.assertEqual((crc(A), crc(B)), (a.wide, b.wide))
+        self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play(8400, B)
         play(16000, A, B)
         play(16500, B)  # gone once more: it is kept as long again
         play(16600, B)
-        self.assertEqual((crc(A), crc(B)), (a.wide, b.wide))
+        self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
 
 
 class Spoilt(unittest.TestCase):
@@ -358,35 +384,35 @@
             (seen + b"\0", "length"),
             (bytes([seen[0] + 1]) + seen[1:], "length"),
             (loads[:13], "length"),
-            (loads + bytes(MESSAGE), "length"),
+            (loads + bytes(MAX_MESSAGE_BYTES), "length"),
             (bytes([5 << 5]) + loads[1:], "form"),
             (seen + bytes(13 * 20), "length"),
             (bytes([FORM_SHARED << 5 | 20]) + bytes(260), "length"),
         ):
             hearer = door(A, B, C)
-            self.assertEqual([], unpack(text, hearer.marks, [PURE]))
-            self.assertEqual({reason: 1}, hearer.marks.passed_over)
+            self.assertEqual([], decode_gossip(text, hearer.short_ids, [PURE]))
+            self.assertEqual({reason: 1}, hearer.short_ids.skipped)
             self.assertEqual({A: [3, 6], B: [7, 9], C: [4, 5]}, read(hearer, good))
 
     def test_a_place_without_a_mark_says_nothing_of_any_unit(self) -> None:
         row = Struct(">IBBIB").pack(0, SHARED, 0, 0, 0)
         hearer = door(A, B, C)
-        said = unpack(bytes([FORM << 5 | 1, 255, 255]) + row, hearer.marks, [PURE])
-        self.assertEqual(([Least(0)], {}), (said, hearer.marks.passed_over))
+        said = decode_gossip(bytes([FORM << 5 | 1, 255, 255]) + row, hearer.short_ids, [PURE])
+        self.assertEqual(([InFlightBound(0)], {}), (said, hearer.short_ids.skipped))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
     def test_no_letter_breaks_a_relay_or_names_a_unit_that_is_not_there(self, data: st.DataObject) -> None:
         form = data.draw(st.sampled_from([FORM, FORM_SHARED, 0, 7]))
         body = data.draw(st.binary(max_size=300))
-        marks = [crc(name).to_bytes(4, "big") for name in (A, B, C, *TWINS)]
+        marks = [long_id_of(name).to_bytes(4, "big") for name in (A, B, C, *TWINS)]
         for place in data.draw(st.lists(st.integers(0, 60), max_size=5)):
             mark = data.draw(st.sampled_from(marks))
             body = body[:place] + data.draw(st.sampled_from([mark, mark[2:]])) + body[place + 4 :]
         hearer = door(A, B, C, *TWINS)
-        for word in unpack(bytes([form << 5 | data.draw(st.integers(0, 31))]) + body, hearer.marks, [PURE]):
-            if isinstance(word, Sighting | Load):
-                self.assertIn(hearer.names[word.unit], (A, B, C))
+        for word in decode_gossip(bytes([form << 5 | data.draw(st.integers(0, 31))]) + body, hearer.short_ids, [PURE]):
+            if isinstance(word, OutcomeObservation | InFlightCount):
+                self.assertIn(hearer.names[word.endpoint], (A, B, C))
 
 
 if __name__ == "__main__":
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -7,18 +7,27 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    LOADS,
+    MAX_IN_FLIGHT_COUNTS,
     SECOND,
-    Least,
-    Load,
-    Phase,
-    Sighting,
+    InFlightBound,
+    InFlightCount,
+    RolloutPhase,
+    OutcomeObservation,
     Ticks,
     Verdict,
 )
-from lanelead.decisions.servers import Outstanding, Server, mine
-from lanelead.hosting.door import FORM, LOAD, MESSAGE, ROW, SHARED, Door, pack, unpack
-from lanelead.hosting.marks import crc
+from lanelead.decisions.servers import Outstanding, EndpointState, state_of
+from lanelead.hosting.door import (
+    FORM,
+    LOAD,
+    MAX_MESSAGE_BYTES,
+    ROW,
+    SHARED,
+    EndpointRegistry,
+    encode_gossip,
+    decode_gossip,
+)
+from lanelead.hosting.marks import long_id_of
 from lanelead.protocols import datagrams
 from tests.fake import EFFECTFUL, PURE, FakeHost
 from tests.platform import Held, Unit
@@ -33,21 +42,21 @@
         out = {name: Outstanding(SECOND) for name in doors}
 
         def tell(sender: int | None, text: bytes, hearer: str, now: Ticks) -> None:
-            said = unpack(text, doors[hearer].marks, [PURE])
-            out[hearer].hear(sender, [word for word in said if isinstance(word, Load | Least)], now)
+            said = decode_gossip(text, doors[hearer].short_ids, [PURE])
+            out[hearer].hear(sender, [word for word in said if isinstance(word, InFlightCount | InFlightBound)], now)
 
         def at(hearer: str, now: Ticks) -> dict[str, int]:
-            known = doors[hearer].units.items()
-            return {name: out[hearer].at(unit, now) for name, unit in known if isinstance(unit, Server)}
+            known = doors[hearer].by_name.items()
+            return {name: out[hearer].at(unit, now) for name, unit in known if isinstance(unit, EndpointState)}
 
         for now in range(0, 10 * SECOND, SECOND // 5):
             for sender, (name, loads) in enumerate((("first", {A: 6, C: 1}), ("second", {B: 2}))):
                 (text,) = letters(doors[name], loads)
                 tell(sender, text, "hub", now)
-            total = out["hub"].add([Load(doors["hub"].units[B], 1)], now)
-            self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.unit]: load.trips for load in total})
+            total = out["hub"].add([InFlightCount(doors["hub"].by_name[B], 1)], now)
+            self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.endpoint]: load.attempts for load in total})
             self.assertEqual({A: 6, B: 2, C: 1}, at("hub", now))
-            (text,) = pack(total, [PURE])
+            (text,) = encode_gossip(total, [PURE])
             for name in ("first", "second", "one"):
                 tell(None, text, name, now)
             self.assertEqual([{A: 6, B: 3, C: 1}] * 2, [at(name, now) for name in ("first", "second")])
@@ -56,25 +65,27 @@
     def votes(self, trial: str, other: str) -> list[Verdict]:
         """A relay saw good answers of the one unit on trial, and hears from another of errors there."""
         host = FakeHost(units=0, now=20 * SECOND)
-        home, abroad = Door(host.relay.meet), door(trial, other)
-        for unit in [host.listed(1, unit=home.unit(name)) for name in ("s-1", "s-2", "s-3")]:
-            host.relay._scoring.record(mine(unit), EFFECTFUL, {}, host.relay.now, 30)
+        home, abroad = EndpointRegistry(host.relay.new_endpoint), door(trial, other)
+        for unit in [host.listed(1, unit=home.get_or_add(name)) for name in ("s-1", "s-2", "s-3")]:
+            host.relay._scoring.record(state_of(unit), EFFECTFUL, {}, host.relay.now, 30)
         host.run(SECOND)
-        host.news(2, 0, Phase.TRIAL, 0.5)
-        unit = host.listed(2, since=host.relay.now, unit=home.unit(trial))
-        host.listed(1, unit=home.unit(other))
-        host.relay._scoring.record(mine(unit), EFFECTFUL, {}, host.relay.now, 10)
-        abroad.units[trial].build = 2
+        host.news(2, 0, RolloutPhase.CANARY, 0.5)
+        unit = host.listed(2, since=host.relay.now, unit=home.get_or_add(trial))
+        host.listed(1, unit=home.get_or_add(other))
+        host.relay._scoring.record(state_of(unit), EFFECTFUL, {}, host.relay.now, 10)
+        abroad.by_name[trial].build = 2
         for _ in range(30):
-            for text in pack([Sighting(abroad.units[trial], EFFECTFUL, 2, 6, [2, 0, 0, 0, 0])], [EFFECTFUL]):
-                host.relay.heard(1, unpack(text, home.marks, [EFFECTFUL]))
+            for text in encode_gossip(
+                [OutcomeObservation(abroad.by_name[trial], EFFECTFUL, 2, 6, [2, 0, 0, 0, 0])], [EFFECTFUL]
+            ):
+                host.relay.gossip_received(1, decode_gossip(text, home.short_ids, [EFFECTFUL]))
             host.run(SECOND // 5)
         return [vote.verdict for vote in host.votes()]
 
     def test_a_bad_build_is_sent_back_though_its_unit_shares_its_mark(self) -> None:
         # The sightings were taken as the other unit's, of an earlier build, and dropped: it voted 'on'.
         alone, shared = self.votes(A, C), self.votes(A, B)
-        self.assertEqual([Verdict.BACK], alone[:1])
+        self.assertEqual([Verdict.ROLL_BACK], alone[:1])
         self.assertEqual(alone, shared)
 
     def test_drawn_fleets_are_told_of_right_or_not_at_all(self) -> None:
@@ -88,11 +99,11 @@
                     some = chance.sample(names, min(units, 100))
                     loads = {name: 200 - place for place, name in enumerate(some)}
                     found = read(hearer, letters(teller, loads))
-                    least = found.pop("", [200 - LOADS + 1])[0]
+                    least = found.pop("", [200 - MAX_IN_FLIGHT_COUNTS + 1])[0]
                     self.assertEqual({name: [loads[name]] for name in found}, found)
-                    left = [name for name in some if name not in found and teller.units[name].wide >= 0]
+                    left = [name for name in some if name not in found and teller.by_name[name].long_id >= 0]
                     self.assertLessEqual(max(loads[name] for name in left), least)
-                    self.assertGreater(len(found), LOADS - 24)
+                    self.assertGreater(len(found), MAX_IN_FLIGHT_COUNTS - 24)
 
 
 def short_marks(text: bytes) -> list[int]:
@@ -116,12 +127,12 @@
             while True:
                 data = await asyncio.get_running_loop().sock_recv(relays.ear, 512)
                 payload = datagrams.decode_plain(data)
-                assert payload is not None and len(data) <= MESSAGE
+                assert payload is not None and len(data) <= MAX_MESSAGE_BYTES
                 marks.extend(short_marks(payload))
                 out = {
-                    ear.names[word.unit]: word.trips
-                    for word in unpack(payload, ear.marks, [])
-                    if isinstance(word, Load)
+                    ear.names[word.endpoint]: word.attempts
+                    for word in decode_gossip(payload, ear.short_ids, [])
+                    if isinstance(word, InFlightCount)
                 }
                 if out.get(A) and out.get(C) and not out.get(B):
                     return
@@ -132,8 +143,8 @@
             await told(relays)
             asks.cancel()
             await asyncio.gather(asks, return_exceptions=True)
-        self.assertNotIn(crc(A) & 0xFFFF, marks)
-        self.assertIn(crc(C) & 0xFFFF, marks)
+        self.assertNotIn(long_id_of(A) & 0xFFFF, marks)
+        self.assertIn(long_id_of(C) & 0xFFFF, marks)
 
 
 if __name__ == "__main__":
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -19,7 +19,7 @@
 from lanelead.model.baselines import POLICIES, LeastOfAll, LeastOfTwo
 from lanelead.model.core import Clock, stream
 from lanelead.model.town import Town
-from lanelead.decisions.rules import Relay
+from lanelead.decisions.rules import Balancer
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Day
 from lanelead.standins.saboteur import SEAMS
@@ -68,7 +68,7 @@
         for seam in ("answers", "effects", "drains", "cold", "exposure"):
             day = load("bad-day")
             day = msgspec.structs.replace(day, seconds=30.0, events=[e for e in day.events if e.at < 28])
-            found = judged(Town(day, 1, lambda seam=seam, **given: SEAMS[seam](Relay(**given))).run())
+            found = judged(Town(day, 1, lambda seam=seam, **given: SEAMS[seam](Balancer(**given))).run())
             self.assertGreater(found.rules[seam].broken, 0, seam)
 
     def test_every_policy_keeps_the_rules(self) -> None:
@@ -108,7 +108,7 @@
 class Queues(unittest.TestCase):
     """Exponential work and arrivals, one relay, no limits that bind: the known results hold."""
 
-    def wait(self, cores: int, load: float, policy: type[Relay], units: int = 1) -> float:
+    def wait(self, cores: int, load: float, policy: type[Balancer], units: int = 1) -> float:
         """The mean time of a lookup over its mean work."""
         day = short()
         lanes = [
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 import unittest
 from unittest import mock
 
-from lanelead.decisions.interface import Fate, Verdict, Vote
+from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
 from lanelead.node import front
 from lanelead.node.reports import report_of
 from lanelead.pgwire import messages
@@ -94,7 +94,7 @@
             self.assertEqual((await (await place.client()).ask("1a"))["C"], b"42601")  # open
             client.writer.close()
             await place.until(lambda: not place.relay.front.open)
-            self.assertEqual(place.relay.driver.tickets, {})
+            self.assertEqual(place.relay.driver.pending, {})
 
 
 class Fates(unittest.TestCase):
@@ -106,17 +106,17 @@
             client = await place.client()
             for number in range(6):
                 self.assertIn("D", await client.ask(str(number), "file"))
-            self.assertEqual(place.relay.driver.counts.fates.get(Fate.TURNED_AWAY), 1)
+            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.REJECTED), 1)
 
     @live
     async def test_an_error_and_a_reset_may_have_run(self) -> None:
-        for script, fate in ((says(WRONG).script, Fate.ERROR), (cuts, Fate.CUT)):
+        for script, fate in ((says(WRONG).script, AttemptOutcome.ERROR), (cuts, AttemptOutcome.RESET)):
             async with platform(Unit("u0", script)) as place:
                 client = await place.client()
                 answer = await client.ask("1a", "file")
                 self.assertEqual(answer["C"], b"58000")
                 self.assertEqual(len(place.units[0].queries), 1)
-                self.assertEqual(place.relay.driver.counts.fates, {fate: 1})
+                self.assertEqual(place.relay.driver.counters.outcomes, {fate: 1})
 
     @live
     async def test_a_pure_one_is_tried_elsewhere(self) -> None:
@@ -133,7 +133,9 @@
             client = await place.client()
             for number in range(4):
                 self.assertIn("D", await client.ask(str(number), "file"))
-            self.assertLessEqual(set(place.relay.driver.counts.fates), {Fate.DONE, Fate.UNREACHABLE})
+            self.assertLessEqual(
+                set(place.relay.driver.counters.outcomes), {AttemptOutcome.SUCCEEDED, AttemptOutcome.CONNECT_FAILED}
+            )
         with socket.socket() as deaf:  # connections come up, and nothing is ever said
             deaf.bind(("127.0.0.1", 0))
             deaf.listen(8)
@@ -141,7 +143,7 @@
             async with platform(unit, Unit("u1")) as place:
                 unit.port = deaf.getsockname()[1]
                 place.turn(unit, "active")
-                await place.until(lambda: any(p.port == unit.port for p in place.relay.driver.places.values()))
+                await place.until(lambda: any(p.port == unit.port for p in place.relay.driver.destinations.values()))
                 client = await place.client()
                 for number in range(6):
                     self.assertIn("D", await client.ask(str(number), "file"))
@@ -153,7 +155,7 @@
             client = await place.client()
             answer = await client.ask("1a", "file", left=300)
             self.assertEqual(answer["C"], b"58000")
-            self.assertEqual(place.relay.driver.counts.fates, {Fate.TIMED_OUT: 1})
+            self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.TIMED_OUT: 1})
             self.assertEqual(len(place.relay.links.links), 0)
 
 
@@ -173,7 +175,7 @@
         async with platform(says(row(b"value")[:-20])) as place:
             client = await place.client()
             self.assertEqual((await client.ask("1a", "file", left=1400))["C"], b"58000")
-            self.assertEqual(place.relay.driver.counts.fates, {Fate.CUT: 1})
+            self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.RESET: 1})
 
     @live
     async def test_an_answer_that_waits_unread_has_not_stopped(self) -> None:
@@ -220,15 +222,15 @@
     @live
     async def test_what_a_probe_tells(self) -> None:
         for answer, fate, report in (
-            (row(b"waiting=3,cpu=0.5") + READY, Fate.DONE, {"waiting": 3.0, "cpu": 0.5}),
-            (messages.error("57P03", "not now") + READY, Fate.ERROR, None),
-            (b"\0noise", Fate.CUT, None),
-            (b"", Fate.TIMED_OUT, None),
+            (row(b"waiting=3,cpu=0.5") + READY, AttemptOutcome.SUCCEEDED, {"waiting": 3.0, "cpu": 0.5}),
+            (messages.error("57P03", "not now") + READY, AttemptOutcome.ERROR, None),
+            (b"\0noise", AttemptOutcome.RESET, None),
+            (b"", AttemptOutcome.TIMED_OUT, None),
         ):
             async with platform(says(answer)) as place:
                 driver, heard = place.relay.driver, mock.Mock()
                 with mock.patch.object(driver, "probed", heard):
-                    place.relay.probe(driver.door.units["u0"])
+                    place.relay.check_health(driver.registry.by_name["u0"])
                     await place.until(lambda heard=heard: heard.called)  # type: ignore[misc]
                 self.assertEqual((heard.call_args.args[1], heard.call_args.args[3]), (fate, report))
                 self.assertEqual(place.units[0].queries, [b"SHOW vitals"])
@@ -307,7 +309,7 @@
                 client.writer.write(b"\0noise")
                 self.assertEqual((await client.answer())["C"], b"58000")
                 self.assertEqual((await client.answer())["C"], b"08P01")
-                self.assertEqual((place.relay.driver.tickets, place.relay.front.open), ({}, {}))
+                self.assertEqual((place.relay.driver.pending, place.relay.front.open), ({}, {}))
 
     @live
     async def test_a_crowd_that_says_nothing_leaves_room_for_those_who_ask(self) -> None:
@@ -341,20 +343,22 @@
     async def test_what_came_of_a_vote(self) -> None:
         async with platform(Unit("u0")) as place:
             await place.until(lambda: place.relay.state()["desk"])
-            heard: list[tuple[bool, Fate]] = []
+            heard: list[tuple[bool, AttemptOutcome]] = []
             decisions = place.relay.driver.decisions
             for answer, fate in (
-                (lambda call: answered(call["id"], NEWS), Fate.DONE),
-                (lambda call: refused(call["id"], "too_many_calls"), Fate.TURNED_AWAY),
-                (lambda call: refused(call["id"], "out_of_date"), Fate.UNSENT),
-                (lambda call: refused(call["id"], "unavailable"), Fate.ERROR),
-                (lambda call: None, Fate.TIMED_OUT),
-                (lambda call: b'{"jsonrpc":"2.0","id":\xff noise\n', Fate.TIMED_OUT),
+                (lambda call: answered(call["id"], NEWS), AttemptOutcome.SUCCEEDED),
+                (lambda call: refused(call["id"], "too_many_calls"), AttemptOutcome.REJECTED),
+                (lambda call: refused(call["id"], "out_of_date"), AttemptOutcome.NOT_SENT),
+                (lambda call: refused(call["id"], "unavailable"), AttemptOutcome.ERROR),
+                (lambda call: None, AttemptOutcome.TIMED_OUT),
+                (lambda call: b'{"jsonrpc":"2.0","id":\xff noise\n', AttemptOutcome.TIMED_OUT),
             ):
-                with mock.patch.object(decisions, "news", lambda news: heard.append((news.answer, news.word))):
+                with mock.patch.object(
+                    decisions, "rollout_updated", lambda news: heard.append((news.answers_vote, news.outcome))
+                ):
                     place.judge = answer
                     await place.until(lambda: place.relay.state()["desk"])
-                    place.relay.vote(Vote(1, 1, Verdict.BACK))
+                    place.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                     await place.until(lambda: any(answer for answer, _ in heard))
                 self.assertIn((True, fate), heard)
                 heard.clear()
@@ -370,7 +374,7 @@
             exposure = place.relay.driver.decisions._exposure  # type: ignore[attr-defined]
             await place.until(lambda: exposure.news.build == 2)
             place.desks[0].write(told({**news, "phase": "recalling", "cap": 0.0}))
-            await place.until(lambda: exposure.news.cap == 0.0)
+            await place.until(lambda: exposure.news.exposure_limit == 0.0)
 
     @live
     async def test_a_fault_of_ours_on_one_line_or_list_ends_no_feed(self) -> None:
@@ -386,7 +390,7 @@
                 await place.until(lambda: place.said("the desk's connection failed") > 0)
                 await place.until(lambda: place.said("a list could not be taken in") > 0)
             await place.until(lambda: place.relay.state()["desk"] and place.relay.state()["discovery"])
-            await place.until(lambda: driver.door.units["u1"].condition.value == "draining")
+            await place.until(lambda: driver.registry.by_name["u1"].status.value == "draining")
 
     @live
     async def test_letters_keep_their_length_and_strangers_are_dropped(self) -> None:
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -64,8 +64,8 @@
             await old.until(lambda: len(new.desks) >= 2 and old.relay.state()["desk"])
             await old.until(
                 lambda: any(
-                    unit.mark and unit.condition.value == "ready"
-                    for name, unit in old.relay.driver.door.units.items()
+                    unit.short_id and unit.status.value == "ready"
+                    for name, unit in old.relay.driver.registry.by_name.items()
                     if name == "u1"
                 )
             )
@@ -111,11 +111,11 @@
             sizes = [
                 len(table)
                 for table in (
-                    driver.places,
-                    driver.door.units,
-                    driver.door.names,
-                    driver.door.marks,
-                    driver.tickets,
+                    driver.destinations,
+                    driver.registry.by_name,
+                    driver.registry.names,
+                    driver.registry.short_ids,
+                    driver.pending,
                     relay.links._pools,
                     relay.links._out,
                     relay.links.links,
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -7,57 +7,57 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    LOADS,
-    Answered,
-    Close,
-    Condition,
-    Fate,
-    Lane,
-    Load,
-    Pace,
-    Probe,
-    Shed,
-    Sighting,
-    Tell,
-    Unit,
-    Word,
+    MAX_IN_FLIGHT_COUNTS,
+    CompletionCount,
+    CloseIdleConnections,
+    EndpointStatus,
+    AttemptOutcome,
+    RequestClass,
+    InFlightCount,
+    FleetLatency,
+    CheckHealth,
+    RejectRequest,
+    OutcomeObservation,
+    SendGossip,
+    Endpoint,
+    GossipEntry,
 )
-from lanelead.decisions.servers import Outstanding, Server, mine
-from lanelead.hosting.door import MESSAGE, Door, pack, unpack
+from lanelead.decisions.servers import Outstanding, EndpointState, state_of
+from lanelead.hosting.door import MAX_MESSAGE_BYTES, EndpointRegistry, encode_gossip, decode_gossip
 from tests.fake import EFFECTFUL, PURE, SECOND, FakeHost
 
 DEAR = 0.08
 
 
-def told(host: FakeHost) -> list[Tell]:
+def told(host: FakeHost) -> list[SendGossip]:
     host.acts.clear()
     host.run(SECOND // 2)
-    return [act for act in host.acts if isinstance(act, Tell)]
+    return [act for act in host.acts if isinstance(act, SendGossip)]
 
 
 class Choices(unittest.TestCase):
     def test_where_probes_are_dear_none_is_sent_and_the_unit_with_least_out_is_taken(self) -> None:
         host = FakeHost(units=2, probes=True, relays=100, number=50, probe_price=DEAR)
         for _ in range(6):
-            host.relay.heard(0, [Load(host.units[0], 4)])
-            self.assertIs(host.sent(host.ask())[0].unit, host.units[1])
+            host.relay.gossip_received(0, [InFlightCount(host.units[0], 4)])
+            self.assertIs(host.sent(host.ask())[0].endpoint, host.units[1])
             host.end(host.sent()[-1])
-        self.assertFalse([act for act in host.acts if isinstance(act, Probe)])
+        self.assertFalse([act for act in host.acts if isinstance(act, CheckHealth)])
 
     def test_cheap_probes_are_sent_and_nothing_is_told(self) -> None:
         host = FakeHost(probes=True, relays=100, number=50, probe_price=0.01)
         host.ask()
-        self.assertTrue([act for act in host.acts if isinstance(act, Probe)])
+        self.assertTrue([act for act in host.acts if isinstance(act, CheckHealth)])
         self.assertEqual([], told(host))
 
     def test_what_was_told_long_ago_is_not_known_any_more(self) -> None:
         host = FakeHost(units=2, probes=True, relays=100, number=50, probe_price=DEAR)
-        host.relay.heard(0, [Load(host.units[0], 200)])
+        host.relay.gossip_received(0, [InFlightCount(host.units[0], 200)])
         host.run(2 * SECOND)
-        went = set[Unit]()
+        went = set[Endpoint]()
         for _ in range(30):
             lookup = host.ask()
-            went.add(host.sent(lookup)[0].unit)
+            went.add(host.sent(lookup)[0].endpoint)
             host.end(host.sent(lookup)[0])
         self.assertIn(host.units[0], went)
 
@@ -74,12 +74,12 @@
             idle_limit=15 * SECOND,
         )
 
-    def goes(self, host: FakeHost, lookups: int = 200) -> set[Unit]:
+    def goes(self, host: FakeHost, lookups: int = 200) -> set[Endpoint]:
         for _ in range(lookups):
             trip = host.sent(host.ask())[-1]
             host.run(SECOND // 2)
             host.end(trip)
-        return {trip.unit for trip in host.sent()}
+        return {trip.endpoint for trip in host.sent()}
 
     def test_a_relay_keeps_to_units_that_it_comes_back_to_before_their_connections_end(self) -> None:
         # The fleet's days: 3,984 connections for 3,985 trips, since each relay went to each of 100 units.
@@ -103,9 +103,9 @@
                     idle_limit=15 * SECOND,
                 )
                 for mark, unit in enumerate(host.units):
-                    unit.mark = mark
-                near = host.relay._choice._near([mine(unit) for unit in host.units], 0)
-                counts[-1].update(unit.mark for unit in near)
+                    unit.short_id = mark
+                near = host.relay._choice._near([state_of(unit) for unit in host.units], 0)
+                counts[-1].update(unit.short_id for unit in near)
                 self.assertEqual(4, len(near))
         self.assertLessEqual(max(counts[0].values()) - min(counts[0][mark] for mark in range(100)), 1)
         moved = sum((counts[0] - counts[1]).values())
@@ -131,20 +131,20 @@
         near = self.goes(host, 10)
         for unit in host.units:
             if unit in near:
-                host.listed(1, condition=Condition.DRAINING, unit=unit)
+                host.listed(1, condition=EndpointStatus.DRAINING, unit=unit)
         host.acts.clear()
         self.assertFalse(near & self.goes(host, 10))
 
     def test_lost_trips_end_no_connection_to_other_units_that_would_cost_more_anew(self) -> None:
         # zone+mass: for 20 s after a lost zone, 37 of 4,746 trips found a connection that was kept.
         for price, kept in ((0.0, False), (DEAR, True)):
-            host, lost = self.host(price), set[Unit]()
+            host, lost = self.host(price), set[Endpoint]()
             host.acts.clear()
-            for fate in [*[Fate.DONE] * 9, *[Fate.CUT] * 4, *[Fate.DONE] * 9]:
+            for fate in [*[AttemptOutcome.SUCCEEDED] * 9, *[AttemptOutcome.RESET] * 4, *[AttemptOutcome.SUCCEEDED] * 9]:
                 trip = host.sent(host.ask(EFFECTFUL))[-1]
-                lost |= {trip.unit} if fate is Fate.CUT else set()
+                lost |= {trip.endpoint} if fate is AttemptOutcome.RESET else set()
                 host.end(trip, fate)
-            closed = {act.unit for act in host.acts if isinstance(act, Close)}
+            closed = {act.endpoint for act in host.acts if isinstance(act, CloseIdleConnections)}
             self.assertEqual(kept, closed <= lost)
 
 
@@ -155,17 +155,17 @@
     def test_a_hub_tells_how_long_trips_take_once_it_has_heard_enough(self) -> None:
         # Added up from outcomes, of which lost letters take some, it was a third too slow on quiet days.
         host, chance = self.host(0), Random(3)
-        unit, heard = host.units[0], list[Word]()
+        unit, heard = host.units[0], list[GossipEntry]()
         for _ in range(80):  # 100 answers a second, 200 trips out: 2 s; three letters of ten are lost
             host.run(SECOND // 20)
             for peer in range(40, 44):
                 if chance.random() > 0.3:
-                    host.relay.heard(peer, [Load(unit, 50), Answered(25)])
-            heard += [word for act in host.acts if isinstance(act, Tell) for word in act.words]
+                    host.relay.gossip_received(peer, [InFlightCount(unit, 50), CompletionCount(25)])
+            heard += [word for act in host.acts if isinstance(act, SendGossip) for word in act.entries]
             host.acts.clear()
             if host.relay.now < 2 * SECOND:
-                self.assertFalse([word for word in heard if isinstance(word, Pace)])
-        paces = [word.took for word in heard if isinstance(word, Pace)]
+                self.assertFalse([word for word in heard if isinstance(word, FleetLatency)])
+        paces = [word.latency for word in heard if isinstance(word, FleetLatency)]
         self.assertAlmostEqual(2, paces[-1] / SECOND, delta=0.2)
 
     def test_where_nothing_is_told_of_trips_no_pace_is_either(self) -> None:
@@ -173,16 +173,16 @@
         host = FakeHost(probes=True, relays=100, number=0, probe_price=0.01)
         for _ in range(60):
             host.run(SECOND // 20)
-            host.relay.heard(40, [Sighting(host.units[0], PURE, 1, 7, [0] * 5)])
-        self.assertFalse([act for act in host.acts if isinstance(act, Tell) and Pace(0) in act.words])
+            host.relay.gossip_received(40, [OutcomeObservation(host.units[0], PURE, 1, 7, [0] * 5)])
+        self.assertFalse([act for act in host.acts if isinstance(act, SendGossip) and FleetLatency(0) in act.entries])
 
-    def answers(self, host: FakeHost, took: int | None) -> dict[Lane, float]:
+    def answers(self, host: FakeHost, took: int | None) -> dict[RequestClass, float]:
         """The part of each lane's lookups that is sent, with a pace told all along."""
         sent, many = dict.fromkeys((PURE, EFFECTFUL), 0), 60
         for _ in range(many):
             for lane in sent:
                 host.run(SECOND // 20)
-                host.relay.heard(0, [] if took is None else [Pace(took)])
+                host.relay.gossip_received(0, [] if took is None else [FleetLatency(took)])
                 if trips := host.sent(host.ask(lane)):
                     sent[lane] += 1
                     host.end(trips[0])
@@ -201,7 +201,7 @@
             sent = self.answers(host, took)
             self.assertAlmostEqual(pure, sent[PURE], delta=0.25, msg=took)
             self.assertAlmostEqual(effectful, sent[EFFECTFUL], delta=0.25, msg=took)
-            times = [act.come_back for act in host.acts if isinstance(act, Shed)]
+            times = [act.retry_after for act in host.acts if isinstance(act, RejectRequest)]
             self.assertEqual(len(times) > 10, len(set(times)) > 10)
             self.assertTrue(all(0 < time <= SECOND for time in times))
 
@@ -211,7 +211,7 @@
             for _ in range(fates):
                 lookup = host.ask(EFFECTFUL)
                 for trip in host.sent(lookup):
-                    host.end(trip, Fate.TIMED_OUT, took=2 * SECOND)
+                    host.end(trip, AttemptOutcome.TIMED_OUT, took=2 * SECOND)
             lookups = [host.ask(EFFECTFUL) for _ in range(20)]
             self.assertEqual(thinned, any(host.finals(lookup) for lookup in lookups))
 
@@ -222,18 +222,20 @@
         trip = host.sent(host.ask())[0]
         tells = told(host)
         self.assertEqual({0, 1, 2, 3}, {tell.peer for tell in tells})
-        self.assertTrue(all(list(tell.words) == [Load(trip.unit, 1), Answered(0)] for tell in tells))
+        self.assertTrue(
+            all(list(tell.entries) == [InFlightCount(trip.endpoint, 1), CompletionCount(0)] for tell in tells)
+        )
 
     def test_a_hub_adds_up_and_tells_each_relay_in_its_turn(self) -> None:
         host = FakeHost(probes=True, relays=100, number=0, probe_price=DEAR)
         busy, other = host.units[:2]
         reached = set[int | None]()
         for _ in range(4):
-            host.relay.heard(40, [Load(busy, 2)])
-            host.relay.heard(41, [Load(busy, 1), Load(other, 1)])
+            host.relay.gossip_received(40, [InFlightCount(busy, 2)])
+            host.relay.gossip_received(41, [InFlightCount(busy, 1), InFlightCount(other, 1)])
             for tell in told(host):
                 reached.add(tell.peer)
-                self.assertEqual([Load(busy, 3), Load(other, 1)], tell.words)
+                self.assertEqual([InFlightCount(busy, 3), InFlightCount(other, 1)], tell.entries)
         self.assertEqual(set(range(4, 100)), reached)
 
     def test_a_relay_with_nothing_out_any_more_says_so_once(self) -> None:
@@ -242,81 +244,90 @@
         told(host)
         host.end(trip)
         for hubs in ([0, 1, 2, 3], []):
-            words = [(tell.peer, word) for tell in told(host) for word in tell.words]
-            loads = [(peer, word) for peer, word in words if isinstance(word, Load)]
-            self.assertEqual([(hub, Load(trip.unit, 0)) for hub in hubs], loads)
+            words = [(tell.peer, word) for tell in told(host) for word in tell.entries]
+            loads = [(peer, word) for peer, word in words if isinstance(word, InFlightCount)]
+            self.assertEqual([(hub, InFlightCount(trip.endpoint, 0)) for hub in hubs], loads)
 
     def test_each_beat_of_the_hubs_reaches_every_relay(self) -> None:
         hubs = [FakeHost(probes=True, relays=100, number=n, probe_price=DEAR) for n in range(4)]
         for _ in range(4):
             reached = list[int | None]()
             for host in hubs:
-                host.relay.heard(40, [Load(host.units[0], 2)])
+                host.relay.gossip_received(40, [InFlightCount(host.units[0], 2)])
                 reached += [tell.peer for tell in told(host)]
             self.assertEqual(list(range(4, 100)), sorted(peer for peer in reached if peer is not None))
 
     def test_a_hub_tells_of_units_where_it_alone_has_trips(self) -> None:
         host = FakeHost(probes=True, relays=100, number=0, probe_price=DEAR)
         trip = host.sent(host.ask())[0]
-        words = [word for tell in told(host) if tell.peer not in range(4) for word in tell.words]
-        self.assertIn(Load(trip.unit, 1), words)
+        words = [word for tell in told(host) if tell.peer not in range(4) for word in tell.entries]
+        self.assertIn(InFlightCount(trip.endpoint, 1), words)
 
     def test_what_a_dead_relay_had_out_is_forgotten_by_the_hubs(self) -> None:
         host = FakeHost(probes=True, relays=100, number=0, probe_price=DEAR)
-        host.relay.heard(40, [Load(host.units[0], 9)])
+        host.relay.gossip_received(40, [InFlightCount(host.units[0], 9)])
         told(host)
         host.run(SECOND)
         self.assertEqual([], told(host))
 
     def test_its_own_trips_are_not_counted_twice(self) -> None:
-        units = [Server(mark, SECOND, SECOND, 0.0) for mark in range(2)]
+        units = [EndpointState(mark, SECOND, SECOND, 0.0) for mark in range(2)]
         known = Outstanding(SECOND)
         host = FakeHost(units=1)
         units[0].out[host.sent(host.ask(PURE))[0]] = None
-        known.hear(None, [Load(units[0], 3)], 0)
+        known.hear(None, [InFlightCount(units[0], 3)], 0)
         self.assertEqual((2, 0), tuple(known.at(unit, 1) for unit in units))
 
     def test_units_that_a_full_letter_leaves_out_are_not_taken_as_idle(self) -> None:
-        units = [Server(mark, SECOND, SECOND, 0.0) for mark in range(LOADS + 1)]
+        units = [EndpointState(mark, SECOND, SECOND, 0.0) for mark in range(MAX_IN_FLIGHT_COUNTS + 1)]
         known = Outstanding(SECOND)
-        for many, least in ((LOADS, 3), (LOADS - 1, 0)):
-            known.hear(None, [Load(unit, 3 + (unit is units[0])) for unit in units[:many]], 0)
+        for many, least in ((MAX_IN_FLIGHT_COUNTS, 3), (MAX_IN_FLIGHT_COUNTS - 1, 0)):
+            known.hear(None, [InFlightCount(unit, 3 + (unit is units[0])) for unit in units[:many]], 0)
             self.assertEqual((4, least), (known.at(units[0], 1), known.at(units[-1], 1)))
 
 
 class Letters(unittest.TestCase):
     def setUp(self) -> None:
-        self.door = Door(lambda mark: Server(mark, SECOND, SECOND, 0.0))
-        self.units = [self.door.unit(f"s-{number}") for number in range(120)]
+        self.door = EndpointRegistry(lambda mark: EndpointState(mark, SECOND, SECOND, 0.0))
+        self.units = [self.door.get_or_add(f"s-{number}") for number in range(120)]
         for unit in self.units:
-            unit.build, unit.condition = 7, Condition.READY
+            unit.build, unit.status = 7, EndpointStatus.READY
 
-    def read(self, texts: list[bytes]) -> list[Word]:
-        return [word for text in texts for word in unpack(text, self.door.marks, [PURE])]
+    def read(self, texts: list[bytes]) -> list[GossipEntry]:
+        return [word for text in texts for word in decode_gossip(text, self.door.short_ids, [PURE])]
 
     def test_sightings_and_loads_come_through_whole_and_no_letter_is_too_long(self) -> None:
         for many in (0, 1, 22, 23, 24, 47):
-            seen = [Sighting(unit, PURE, 7, 3, [0, 1, 0, 0, 2]) for unit in self.units[:many]]
-            loads = [Load(unit, 2) for unit in self.units[:30]]
-            words: list[Word] = [*seen, *loads, Pace(8_000), Answered(7)]
-            texts = pack(words, [PURE])
+            seen = [OutcomeObservation(unit, PURE, 7, 3, [0, 1, 0, 0, 2]) for unit in self.units[:many]]
+            loads = [InFlightCount(unit, 2) for unit in self.units[:30]]
+            words: list[GossipEntry] = [*seen, *loads, FleetLatency(8_000), CompletionCount(7)]
+            texts = encode_gossip(words, [PURE])
             found = self.read(texts)
-            self.assertEqual(words[:-2], [word for word in found if not isinstance(word, Pace | Answered)])
-            self.assertEqual({Pace(8_000), Answered(7)}, {w for w in found if isinstance(w, Pace | Answered)})
-            self.assertLessEqual(max(map(len, texts)), MESSAGE - 2)
+            self.assertEqual(
+                words[:-2], [word for word in found if not isinstance(word, FleetLatency | CompletionCount)]
+            )
+            self.assertEqual(
+                {FleetLatency(8_000), CompletionCount(7)},
+                {w for w in found if isinstance(w, FleetLatency | CompletionCount)},
+            )
+            self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
 
     def test_a_letter_of_another_version_says_nothing(self) -> None:
-        text = pack([Sighting(self.units[0], PURE, 7, 3, [0] * 5), Load(self.units[1], 2)], [PURE])[0]
+        text = encode_gossip(
+            [OutcomeObservation(self.units[0], PURE, 7, 3, [0] * 5), InFlightCount(self.units[1], 2)], [PURE]
+        )[0]
         before = bytes([1]) + text[1:]  # as relays wrote it that named no version
         self.assertEqual(([], 2), (self.read([before]), len(self.read([text]))))
 
     def test_of_more_loads_than_one_letter_holds_the_first_are_told(self) -> None:
-        texts = pack([Load(unit, 300) for unit in self.units], [PURE])
+        texts = encode_gossip([InFlightCount(unit, 300) for unit in self.units], [PURE])
         self.assertEqual(1, len(texts))
-        self.assertEqual([Load(unit, 255) for unit in self.units[:LOADS]], self.read(texts))
+        self.assertEqual([InFlightCount(unit, 255) for unit in self.units[:MAX_IN_FLIGHT_COUNTS]], self.read(texts))
 
     def test_a_letter_that_is_cut_or_foreign_is_read_as_far_as_it_makes_sense(self) -> None:
-        whole = pack([Sighting(self.units[0], PURE, 7, 1, [0] * 5), Load(self.units[1], 2)], [PURE])[0]
+        whole = encode_gossip(
+            [OutcomeObservation(self.units[0], PURE, 7, 1, [0] * 5), InFlightCount(self.units[1], 2)], [PURE]
+        )[0]
         for end in range(len(whole)):
             self.assertLessEqual(len(self.read([whole[:end]])), 1)
         self.assertEqual([], self.read([b"\xff" + b"x" * 200]))
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 
 from lanelead.decisions.interface import (
-    Answered,
-    Condition,
-    Least,
-    Load,
-    Pace,
-    Sighting,
+    CompletionCount,
+    EndpointStatus,
+    InFlightBound,
+    InFlightCount,
+    FleetLatency,
+    OutcomeObservation,
     Verdict,
-    Word,
+    GossipEntry,
 )
-from lanelead.decisions.servers import Server
-from lanelead.hosting.door import Door, pack, unpack
+from lanelead.decisions.servers import EndpointState
+from lanelead.hosting.door import EndpointRegistry, encode_gossip, decode_gossip
 from lanelead.http import writing
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams, platform
@@ -33,40 +33,40 @@
 SAME_SHORT_ID = ["u0", "u5578"]  # their names' CRC-32 have the same low 16 bits
 
 
-def known(names: list[str]) -> Door:
+def known(names: list[str]) -> EndpointRegistry:
     """A relay's table of units, ready and of build 7."""
-    found = Door(lambda mark: Server(mark, SECOND, SECOND, 0.0))
+    found = EndpointRegistry(lambda mark: EndpointState(mark, SECOND, SECOND, 0.0))
     for name in names:
-        unit = found.unit(name)
-        unit.build, unit.condition = 7, Condition.READY
+        unit = found.get_or_add(name)
+        unit.build, unit.status = 7, EndpointStatus.READY
     return found
 
 
-def gossip(names: list[str]) -> list[Word]:
-    units = known(names).units.values()
-    found: list[Word] = []
+def gossip(names: list[str]) -> list[GossipEntry]:
+    units = known(names).by_name.values()
+    found: list[GossipEntry] = []
     for number, unit in enumerate(units):
-        found.append(Sighting(unit, LANES[number % 3], 7, 3 + number, [0, 1, number, 0, 2]))
-        found.append(Load(unit, 9 + number))
-    return [*found, Pace(8200), Answered(14)]
+        found.append(OutcomeObservation(unit, LANES[number % 3], 7, 3 + number, [0, 1, number, 0, 2]))
+        found.append(InFlightCount(unit, 9 + number))
+    return [*found, FleetLatency(8200), CompletionCount(14)]
 
 
-def described(words: list[Word], door: Door) -> list[list[object]]:
+def described(words: list[GossipEntry], door: EndpointRegistry) -> list[list[object]]:
     """What a relay understood, in words of no type."""
     found: list[list[object]] = []
     for word in words:
         match word:
-            case Sighting():
-                lane = LANES.index(word.lane)
-                found.append(["seen", door.names[word.unit], lane, word.build, word.outcomes, word.faults])
-            case Load():
-                found.append(["load", door.names[word.unit], word.trips])
-            case Least():
-                found.append(["least", word.trips])
-            case Pace():
-                found.append(["pace", word.took])
-            case Answered():
-                found.append(["answered", word.many])
+            case OutcomeObservation():
+                lane = LANES.index(word.request_class)
+                found.append(["seen", door.names[word.endpoint], lane, word.build, word.outcomes, word.faults])
+            case InFlightCount():
+                found.append(["load", door.names[word.endpoint], word.attempts])
+            case InFlightBound():
+                found.append(["least", word.attempts])
+            case FleetLatency():
+                found.append(["pace", word.latency])
+            case CompletionCount():
+                found.append(["answered", word.count])
     return found
 
 
@@ -75,9 +75,9 @@
     headers = [(b"content-type", b"application/json"), (b"x-request-id", b"r1")]
     params = {"build": 3, "stage": 1, "verdict": "promote"}
     found: dict[str, list[bytes]] = {
-        "gossip": pack(gossip(ALONE), LANES),
-        "gossip between units that share a short id": pack(gossip([*ALONE, *SAME_SHORT_ID]), LANES),
-        "gossip of many endpoints": pack(gossip([f"unit-{number}" for number in range(150)]), LANES),
+        "gossip": encode_gossip(gossip(ALONE), LANES),
+        "gossip between units that share a short id": encode_gossip(gossip([*ALONE, *SAME_SHORT_ID]), LANES),
+        "gossip of many endpoints": encode_gossip(gossip([f"unit-{number}" for number in range(150)]), LANES),
         "datagram": [datagrams.encode_datagram(7, 11, b"payload"), datagrams.encode_plain(b"payload")],
         "membership datagram": [datagrams.encode_datagram(7, 11, b"payload", datagrams.MEMBERSHIP_MAGIC)],
         "JSON-RPC": [
@@ -141,4 +141,4 @@
     """What a relay that knows all the units of a recording reads in one of its messages."""
     many = [f"unit-{number}" for number in range(150)]
     door = known(many if "many" in name else [*ALONE, *SAME_SHORT_ID] if "share" in name else ALONE)
-    return described(unpack(text, door.marks, LANES), door)
+    return described(decode_gossip(text, door.short_ids, LANES), door)
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -15,7 +15,7 @@
     LineSplitter,
     EndpointListMessage,
     LoadMessage,
-    Malformed,
+    MessageError,
     RolloutMessage,
     EndpointMessage,
     VoteResponse,
@@ -54,7 +54,7 @@
             (b'{"relay":0,"build":70000,"stage":0,"verdict":"on"}', VoteRequest, "build"),
         ]
         for text, kind, field in cases:
-            with self.assertRaises(Malformed) as caught:
+            with self.assertRaises(MessageError) as caught:
                 decode(text, kind)
             self.assertIn(field, str(caught.exception))
 
@@ -72,7 +72,7 @@
     def test_no_bytes_bring_it_down(self, data: bytes, kind: Any) -> None:
         try:
             decode(data, kind)
-        except Malformed as fault:
+        except MessageError as fault:
             self.assertTrue(str(fault))
 
     @settings(max_examples=100, deadline=None, derandomize=True)
@@ -88,7 +88,7 @@
 
     def test_an_endless_line_is_refused(self) -> None:
         lines = LineSplitter()
-        with self.assertRaises(Malformed):
+        with self.assertRaises(MessageError):
             for _ in range(20):
                 lines.feed(b"x" * 100_000)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import contextlib
 import unittest
 
-from lanelead.decisions.interface import Condition
+from lanelead.decisions.interface import EndpointStatus
 from lanelead.http import writing
 from tests.town import Client, Handler, ScriptedUnit, live, resets, says, state_of, town
 
@@ -24,7 +24,7 @@
                     unit.shut()
                 client = await Client.to(place)
                 status, told, _ = await client.ask(method, "/x", b"b" if method != "GET" else b"", **fields)
-                if unit.requests or "unreachable" in state_of(place)["fates"]:
+                if unit.requests or "connect failed" in state_of(place)["fates"]:
                     return status, told["lanelead-outcome"], len(good.requests)
         raise AssertionError("the bad unit was never chosen")
 
@@ -136,7 +136,7 @@
             client.reset()
             while not state_of(place)["left"]:
                 await asyncio.sleep(0.01)
-            self.assertEqual(state_of(place)["fates"], {"called off": 1})
+            self.assertEqual(state_of(place)["fates"], {"cancelled": 1})
 
     @live
     async def test_a_half_closed_client_still_gets_its_answer(self) -> None:
@@ -268,7 +268,7 @@
             client = await Client.to(place)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
             place.list_(unit, "draining")
-            while place.relay.driver.door.unit("u").condition is Condition.READY:
+            while place.relay.driver.registry.get_or_add("u").status is EndpointStatus.READY:
                 await asyncio.sleep(0.01)
             status, told, _ = await client.ask("GET", "/")
             self.assertEqual((status, told["lanelead-outcome"]), (503, "shed"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,22 +5,22 @@
 import unittest
 
 from lanelead.decisions.interface import (
-    BreakOff,
-    Close,
-    Condition,
-    Control,
-    Fate,
-    Lane,
-    News,
-    Phase,
-    Probe,
-    Send,
-    Shed,
-    Sighting,
+    FailRequest,
+    CloseIdleConnections,
+    EndpointStatus,
+    PromotionControl,
+    AttemptOutcome,
+    RequestClass,
+    RolloutState,
+    RolloutPhase,
+    CheckHealth,
+    StartAttempt,
+    RejectRequest,
+    OutcomeObservation,
     Verdict,
 )
 from lanelead.decisions.scoring import FULL, Fault, Scoring, View
-from lanelead.decisions.servers import Server, mine
+from lanelead.decisions.servers import EndpointState, state_of
 from lanelead.decisions.sums import Windows, z_score
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
@@ -30,16 +30,16 @@
         host = FakeHost()
         lookup = host.ask(EFFECTFUL)
         (trip,) = host.sent(lookup)
-        self.assertLessEqual(trip.sent + trip.limit, lookup.due)
-        host.relay.now = lookup.due
-        host.end(trip, Fate.TIMED_OUT)
+        self.assertLessEqual(trip.sent_at + trip.timeout, lookup.deadline)
+        host.relay.now = lookup.deadline
+        host.end(trip, AttemptOutcome.TIMED_OUT)
         host.run(SECOND)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [BreakOff])
+        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
 
     def test_no_trip_after_the_client_left(self) -> None:
         host = FakeHost()
         lookup = host.ask(PURE)
-        host.relay.left(lookup)
+        host.relay.client_left(lookup)
         host.run(4 * SECOND)
         self.assertEqual((len(host.sent(lookup)), host.finals(lookup)), (1, []))
 
@@ -50,50 +50,50 @@
                 host.end(host.sent(host.ask(PURE))[0])
             lookup = host.ask(PURE)
             if begun:
-                host.relay.started(host.sent(lookup)[0])
+                host.relay.response_started(host.sent(lookup)[0])
             host.run(SECOND)
             self.assertEqual(len(host.sent(lookup)), trips)
 
     def test_an_empty_roster_sheds_at_once(self) -> None:
         host = FakeHost(units=0)
-        self.assertEqual([type(act) for act in host.finals(host.ask(PURE))], [Shed])
+        self.assertEqual([type(act) for act in host.finals(host.ask(PURE))], [RejectRequest])
 
 
 class Repeats(unittest.TestCase):
     def test_an_effectful_lookup_that_may_have_run_gets_no_second_trip_and_no_shed(self) -> None:
         host = FakeHost()
         lookup = host.ask(EFFECTFUL)
-        host.end(host.sent(lookup)[0], Fate.ERROR)
+        host.end(host.sent(lookup)[0], AttemptOutcome.ERROR)
         self.assertEqual(len(host.sent(lookup)), 1)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [BreakOff])
+        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
 
     def test_an_effectful_lookup_that_was_turned_away_goes_elsewhere(self) -> None:
         host = FakeHost()
         lookup = host.ask(EFFECTFUL)
-        host.end(host.sent(lookup)[0], Fate.TURNED_AWAY)
-        self.assertEqual(len({trip.unit for trip in host.sent(lookup)}), 2)
+        host.end(host.sent(lookup)[0], AttemptOutcome.REJECTED)
+        self.assertEqual(len({trip.endpoint for trip in host.sent(lookup)}), 2)
 
     def test_a_receipted_lookup_stays_in_its_group_and_within_its_memory(self) -> None:
         host = FakeHost(units=1)
         host.listed(1, zone="y")
         lookup = host.ask(RECEIPTED)
         first = host.sent(lookup)[0]
-        host.end(first, Fate.ERROR)
-        self.assertEqual({trip.unit for trip in host.sent(lookup)}, {first.unit})
+        host.end(first, AttemptOutcome.ERROR)
+        self.assertEqual({trip.endpoint for trip in host.sent(lookup)}, {first.endpoint})
         host.relay.now += 2 * SECOND
-        host.end(host.sent(lookup)[1], Fate.ERROR)
+        host.end(host.sent(lookup)[1], AttemptOutcome.ERROR)
         self.assertEqual(len(host.sent(lookup)), 2)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [BreakOff])
+        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
 
 
 class Drains(unittest.TestCase):
     def test_nothing_goes_to_a_unit_told_of_as_draining(self) -> None:
         host = FakeHost(units=2)
-        host.listed(1, condition=Condition.DRAINING, unit=host.units[0])
+        host.listed(1, condition=EndpointStatus.DRAINING, unit=host.units[0])
         for _ in range(20):
             for trip in host.sent(host.ask()):
                 host.end(trip)
-        self.assertEqual({trip.unit for trip in host.sent()}, {host.units[1]})
+        self.assertEqual({trip.endpoint for trip in host.sent()}, {host.units[1]})
 
 
 class ColdUnits(unittest.TestCase):
@@ -102,14 +102,18 @@
         cold = host.listed(1, since=host.relay.now)
         for _ in range(40):
             host.ask()
-        self.assertLessEqual(sum(trip.unit is cold for trip in host.sent()), 8)
+        self.assertLessEqual(sum(trip.endpoint is cold for trip in host.sent()), 8)
 
 
 class Exposed(unittest.TestCase):
-    def worst(self, host: FakeHost, build: int, lane: Lane, free: float, cap: float) -> float:
+    def worst(self, host: FakeHost, build: int, lane: RequestClass, free: float, cap: float) -> float:
         """The most by which any window of trips at the build went over."""
-        trips = [trip.sent for trip in host.sent() if trip.unit.build == build and trip.lookup.lane is lane]
-        taken = [trip.lookup.taken for trip in host.sent() if trip.number == 0 and trip.lookup.lane is lane]
+        trips = [
+            trip.sent_at for trip in host.sent() if trip.endpoint.build == build and trip.request.request_class is lane
+        ]
+        taken = [
+            trip.request.received_at for trip in host.sent() if trip.number == 0 and trip.request.request_class is lane
+        ]
         over = []
         for end in trips:
             start = end - 4 * SECOND
@@ -129,40 +133,40 @@
         host = FakeHost(by_lane=True, guarded=1, keys_stay=True)
         for _ in range(4):
             host.listed(2)
-        host.news(2, 0, Phase.TRIAL, 0.1)
+        host.news(2, 0, RolloutPhase.CANARY, 0.1)
         self.play(host, 8)
         self.assertLessEqual(self.worst(host, 2, PURE, 3, 0.1), 0)
-        self.assertFalse([t for t in host.sent() if t.unit.build == 2 and t.lookup.lane is EFFECTFUL])
+        self.assertFalse([t for t in host.sent() if t.endpoint.build == 2 and t.request.request_class is EFFECTFUL])
 
     def test_a_build_without_news_counts_as_in_the_first_stage_and_cap_0_closes(self) -> None:
         host = FakeHost()
         for _ in range(4):
             host.listed(2)
         self.play(host, 8)
-        self.assertTrue([trip for trip in host.sent() if trip.unit.build == 2])
-        host.news(2, 0, Phase.REVERTING, 0.0)
+        self.assertTrue([trip for trip in host.sent() if trip.endpoint.build == 2])
+        host.news(2, 0, RolloutPhase.ROLLING_BACK, 0.0)
         host.acts.clear()
         self.play(host, 8)
-        self.assertFalse([trip for trip in host.sent() if trip.unit.build == 2])
+        self.assertFalse([trip for trip in host.sent() if trip.endpoint.build == 2])
 
     def test_a_key_that_the_new_build_answered_goes_to_no_earlier_one(self) -> None:
         host = FakeHost(units=1, keys_stay=True)
         host.listed(2)
-        host.news(2, 2, Phase.TRIAL, 1.0)
+        host.news(2, 2, RolloutPhase.CANARY, 1.0)
         for _ in range(30):
             host.run(SECOND)
             for trip in host.sent(host.ask(PURE, key="k")):
                 host.end(trip)
-        builds = [act.trip.unit.build for act in host.acts if isinstance(act, Send)]
+        builds = [act.attempt.endpoint.build for act in host.acts if isinstance(act, StartAttempt)]
         self.assertNotIn(1, builds[builds.index(2) :])
 
     def test_a_key_answered_since_the_release_goes_to_no_earlier_unit_that_comes_back(self) -> None:
         # Incident i241f08: earlier units came back after a release, and took keys that the new build had.
         host = FakeHost(units=0, keys_stay=True)
         new = host.listed(2)
-        host.news(2, 2, Phase.RELEASED, 1.0)
+        host.news(2, 2, RolloutPhase.PROMOTED, 1.0)
         host.end(host.sent(host.ask(PURE, key="k"))[0])
-        host.listed(2, unit=new, condition=Condition.DRAINING)
+        host.listed(2, unit=new, condition=EndpointStatus.DRAINING)
         host.listed(1)
         self.assertEqual(host.sent(host.ask(PURE, key="k")), [])
 
@@ -170,100 +174,100 @@
 class Voting(unittest.TestCase):
     def test_on_comes_5_s_after_the_newest_start_and_is_cast_again_when_lost(self) -> None:
         host = FakeHost(now=20 * SECOND)
-        host.news(2, 0, Phase.TRIAL, 0.1)
+        host.news(2, 0, RolloutPhase.CANARY, 0.1)
         unit = host.listed(2, since=host.relay.now)
-        host.relay._scoring.record(mine(unit), PURE, {}, host.relay.now, 10)
+        host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 10)
         host.run(5 * SECOND - 1)
         self.assertEqual(host.votes(), [])
         host.run(1)  # not at the next beat: late votes add up over the stages
-        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.ON])
-        host.news(2, 0, Phase.TRIAL, 0.1, answer=True, word=Fate.TIMED_OUT)
+        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.PROMOTE])
+        host.news(2, 0, RolloutPhase.CANARY, 0.1, answer=True, word=AttemptOutcome.TIMED_OUT)
         host.run(2 * SECOND)
-        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.ON] * 2)
+        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.PROMOTE] * 2)
 
     def test_the_wait_is_scaled_as_the_least_stage_is_and_never_longer_than_5_s(self) -> None:
         # The fleet days: stages of 0.8 s in place of 1 s, and a good build was taken off before its release.
         for least, wait in ((SECOND * 8 // 10, 4 * SECOND), (3 * SECOND, 5 * SECOND), (0, 5 * SECOND)):
             host = FakeHost(now=20 * SECOND, least_stage=least)
-            host.news(2, 0, Phase.TRIAL, 0.1)
-            host.relay._scoring.record(mine(host.listed(2, since=host.relay.now)), PURE, {}, host.relay.now, 10)
+            host.news(2, 0, RolloutPhase.CANARY, 0.1)
+            host.relay._scoring.record(state_of(host.listed(2, since=host.relay.now)), PURE, {}, host.relay.now, 10)
             host.run(wait - 1)
             self.assertEqual(host.votes(), [])
             host.run(1)
-            self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.ON])
+            self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.PROMOTE])
 
     def trial(self, faults: dict[int, int], servers: int = 4, wait: int = 2) -> list[Verdict]:
         """Plays a trial in which servers fail as many of ten trips as told, and returns the votes."""
         host = FakeHost(now=20 * SECOND)
         lane = PURE
         for unit in host.units:
-            host.relay._scoring.record(mine(unit), lane, {}, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), lane, {}, host.relay.now, 10)
         host.run(SECOND)
-        host.news(2, 1, Phase.TRIAL, 0.5)
+        host.news(2, 1, RolloutPhase.CANARY, 0.5)
         new = [host.listed(2, since=host.relay.now) for _ in range(servers)]
         host.run(wait * SECOND)
         for place, unit in enumerate(new):
             broken = {Fault.BROKEN: faults.get(place, 0)}
-            host.relay._scoring.record(mine(unit), lane, broken, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), lane, broken, host.relay.now, 10)
         host.run(6 * SECOND)
         return [vote.verdict for vote in host.votes()]
 
     def test_a_build_that_errs_goes_back_and_a_sound_one_on(self) -> None:
-        self.assertEqual(self.trial({0: 5, 1: 5, 2: 5, 3: 5})[:1], [Verdict.BACK])
-        self.assertEqual(self.trial({})[:1], [Verdict.ON])
+        self.assertEqual(self.trial({0: 5, 1: 5, 2: 5, 3: 5})[:1], [Verdict.ROLL_BACK])
+        self.assertEqual(self.trial({})[:1], [Verdict.PROMOTE])
 
     def test_errors_on_one_machine_are_not_the_builds(self) -> None:
         # rough-1 of athens-balancing: a good build went back for fast errors on single machines.
-        self.assertNotIn(Verdict.BACK, self.trial({0: 10}))
+        self.assertNotIn(Verdict.ROLL_BACK, self.trial({0: 10}))
 
     def test_faults_spread_thinly_are_seen_in_the_whole(self) -> None:
         # rough-2 of sicilia-stazioni: one or two errors a server, under every floor, on a build that errs.
-        self.assertEqual(self.trial({place: 2 for place in range(8)}, servers=8)[:1], [Verdict.BACK])
+        self.assertEqual(self.trial({place: 2 for place in range(8)}, servers=8)[:1], [Verdict.ROLL_BACK])
 
     def test_a_clock_is_held_while_the_last_3_s_score(self) -> None:
-        host = FakeHost(control=Control.AUTOMATIC, now=20 * SECOND)
+        host = FakeHost(control=PromotionControl.TIMER, now=20 * SECOND)
         for unit in host.units:
-            host.relay._scoring.record(mine(unit), PURE, {}, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 10)
         host.run(SECOND)
-        host.news(2, 0, Phase.TRIAL, 0.1)
+        host.news(2, 0, RolloutPhase.CANARY, 0.1)
         unit = host.listed(2, since=host.relay.now)
         host.run(6 * SECOND)
         self.assertEqual(host.votes(), [])
         ballot = host.relay._rollout.ballot
-        told = News(2, 0, Phase.TRIAL, 0.1, 0, False, Fate.DONE)
+        told = RolloutState(2, 0, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
         self.assertEqual(ballot.verdict(told, True, 0.0, 3.1, False), Verdict.HOLD)
         self.assertEqual((ballot.verdict(told, True, 0.0, 2.9, False), unit.build), (None, 2))
 
     def test_peers_outcomes_count_and_a_restarted_relay_votes_on_them(self) -> None:
         host = FakeHost(now=20 * SECOND)
         for unit in host.units:
-            host.relay._scoring.record(mine(unit), PURE, {}, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 10)
         host.run(SECOND)
-        host.news(2, 0, Phase.TRIAL, 0.1)
+        host.news(2, 0, RolloutPhase.CANARY, 0.1)
         unit = host.listed(2, since=host.relay.now)
-        host.relay.heard(1, [Sighting(unit, PURE, 2, 10, [6, 0, 0, 0, 0])])
+        host.relay.gossip_received(1, [OutcomeObservation(unit, PURE, 2, 10, [6, 0, 0, 0, 0])])
         host.run(SECOND)
-        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.BACK])
+        self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.ROLL_BACK])
 
     def test_a_fleet_that_slows_stage_by_stage_sends_the_build_back(self) -> None:
         # big-1 of athens-balancing: a build that slows all servers; iaace09: a slow day that is nobody's.
-        for shares, verdict in (((0, 5, 20, 60), Verdict.BACK), ((0, 40, 40, 40), Verdict.ON)):
+        for shares, verdict in (((0, 5, 20, 60), Verdict.ROLL_BACK), ((0, 40, 40, 40), Verdict.PROMOTE)):
             host = FakeHost(now=20 * SECOND)
             for stage, slow in enumerate(shares[:3]):
                 for unit in host.units:
-                    host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
+                    host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
                 host.relay._rollout.calm_rate = 1.0
-                host.news(2, stage, Phase.TRIAL, 0.1)
+                host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
             for unit in host.units:
-                host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: shares[3]}, host.relay.now, 100)
-            told = News(2, 2, Phase.TRIAL, 0.1, 0, False, Fate.DONE)
-            self.assertEqual(host.relay._rollout.creeping(told, host.relay.now), verdict is Verdict.BACK)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: shares[3]}, host.relay.now, 100)
+            told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
+            self.assertEqual(host.relay._rollout.creeping(told, host.relay.now), verdict is Verdict.ROLL_BACK)
 
     def test_units_that_are_gone_are_forgotten_by_the_windows(self) -> None:
-        windows = Windows[Server, Fault](SECOND)
+        windows = Windows[EndpointState, Fault](SECOND)
         for number in range(100):
-            windows.add(mine(FakeHost(units=1).units[0]), PURE, 1, {}, number * SECOND)
+            windows.add(state_of(FakeHost(units=1).units[0]), PURE, 1, {}, number * SECOND)
         self.assertLessEqual(len(windows._open), 2)
 
     def test_it_goes_back_in_the_first_stage_that_has_a_third_of_the_units(self) -> None:
@@ -272,15 +276,15 @@
             host = FakeHost(now=20 * SECOND)
             for stage in (0, 1):
                 for unit in host.units:
-                    host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: first}, host.relay.now, 100)
+                    host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: first}, host.relay.now, 100)
                 host.relay._rollout.calm_rate = 1.0
-                host.news(2, stage, Phase.TRIAL, 0.1)
+                host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
             host.relay._rollout.calm_rate = 1000.0
             for unit in host.units:
-                host.relay._scoring.record(mine(unit), PURE, {Fault.SLOW: last}, host.relay.now, 100)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: last}, host.relay.now, 100)
             for stage in (0, 1):
-                told = News(2, stage, Phase.TRIAL, 0.1, 0, False, Fate.DONE)
+                told = RolloutState(2, stage, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
                 creeps = host.relay._rollout.creeping(told, host.relay.now)
                 self.assertEqual(creeps, slows and stage == 1, (first, last, stage))
 
@@ -292,7 +296,7 @@
 
     def test_score_is_z_times_decay_times_percentile_times_weight(self) -> None:
         scoring = Scoring(5 * SECOND, 3 * SECOND, fill=10, ripe=5 * SECOND)
-        base = View(mine(FakeHost(units=1).units[0]), PURE, 1, 0, 100, {Fault.SLOW: 1, Fault.BROKEN: 1})
+        base = View(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 100, {Fault.SLOW: 1, Fault.BROKEN: 1})
         z, hard = (0.4 - 2 / 101) / 0.1, (0.4 - 1 / 101) / 0.1
         score = scoring._score(4, 10, Fault.SLOW, base, 3 * SECOND, [0.0, 0.0, 0.0, 0.4])
         self.assertAlmostEqual(score, z * 0.5 * 0.875)
@@ -302,7 +306,7 @@
     def test_a_thin_baseline_without_faults_proves_little(self) -> None:
         # Incident ie7ab45 and rough-1 of sicilia-stazioni: 18 late of 729, against 0 of 37.
         scoring = Scoring(5 * SECOND, 3 * SECOND, fill=10, ripe=5 * SECOND)
-        base = View(mine(FakeHost(units=1).units[0]), PURE, 1, 0, 37)
+        base = View(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 37)
         self.assertEqual(scoring._score(18, 729, Fault.SLOW, base, 0, [0.0, 1.0]), 0.0)
 
 
@@ -324,43 +328,43 @@
         # Incident i160e63: hundreds of relays that saw no queue drove a full fleet into answers all too late.
         host = FakeHost(probes=True, relays=100)
         lookup = host.ask(PURE)
-        asked = [act.unit for act in host.acts if isinstance(act, Probe)]
+        asked = [act.endpoint for act in host.acts if isinstance(act, CheckHealth)]
         self.assertEqual((len(set(asked)), host.sent(lookup)), (2, []))
         host.run(20)
-        host.relay.probed(asked[1], Fate.DONE, 20, {"waiting": 0.0})
+        host.relay.health_checked(asked[1], AttemptOutcome.SUCCEEDED, 20, {"waiting": 0.0})
         host.drain()
-        self.assertEqual([trip.unit for trip in host.sent(lookup)], [asked[1]])
+        self.assertEqual([trip.endpoint for trip in host.sent(lookup)], [asked[1]])
 
     def test_builds_asked_in_vain_come_last(self) -> None:
         # big-2 of athens-balancing, grown: all asked the same few trial servers again, and shed two of three.
         host = FakeHost(probes=True, relays=100)
         new = [host.listed(2) for _ in range(4)]
-        host.news(2, 1, Phase.TRIAL, 1.0)
+        host.news(2, 1, RolloutPhase.CANARY, 1.0)
         for _ in range(3):
             host.ask(PURE)
         host.run(SECOND)
         host.acts.clear()
         lookup = host.ask(PURE)
         host.run(SECOND // 6)
-        asked = [act.unit for act in host.acts if isinstance(act, Probe)]
+        asked = [act.endpoint for act in host.acts if isinstance(act, CheckHealth)]
         self.assertEqual([unit in new for unit in asked], [True, True, False, False])
-        self.assertEqual([type(act) for act in host.finals(lookup)], [Shed])
+        self.assertEqual([type(act) for act in host.finals(lookup)], [RejectRequest])
 
     def test_no_connection_is_kept_while_some_are_lost(self) -> None:
         # big-1 of kortfjell-prod, grown: few connections granted; big-2 of sicilia-stazioni: dropped unseen.
-        for fate, closes in ((Fate.DONE, 0), (Fate.UNREACHABLE, 2)):
+        for fate, closes in ((AttemptOutcome.SUCCEEDED, 0), (AttemptOutcome.CONNECT_FAILED, 2)):
             host = FakeHost()
             first = host.sent(host.ask(PURE))[0]
             host.end(first, fate)
-            for trip in [trip for trip in host.sent() if trip.fate is None]:
+            for trip in [trip for trip in host.sent() if trip.outcome is None]:
                 host.end(trip)
-            self.assertEqual(sum(isinstance(act, Close) for act in host.acts), closes)
+            self.assertEqual(sum(isinstance(act, CloseIdleConnections) for act in host.acts), closes)
 
     def test_quick_errors_make_no_fleet_busier(self) -> None:
         # A fresh day of sicilia-stazioni, grown: lookups that err anywhere hid a build that slows all.
         host = FakeHost()
         for faults, trips in (({}, 10), ({Fault.BROKEN: 10}, 10), ({Fault.SLOW: 10}, 20)):
-            host.relay._count(mine(host.units[0]), PURE, faults, 10, False)
+            host.relay._count(state_of(host.units[0]), PURE, faults, 10, False)
             self.assertEqual(host.relay._traffic.busy.read(0), trips)
 
     def test_a_client_in_haste_is_no_fault_of_a_server(self) -> None:
@@ -368,7 +372,7 @@
         for took, silent in ((SECOND // 4, 0), (SECOND, 1)):
             host = FakeHost()
             host.run(6 * SECOND)
-            host.end(host.sent(host.ask(PURE, left=took))[0], Fate.TIMED_OUT, took)
+            host.end(host.sent(host.ask(PURE, left=took))[0], AttemptOutcome.TIMED_OUT, took)
             windows = host.relay._scoring.windows.all
             self.assertEqual(sum(Fault.SILENT in window.faults for window in windows), silent)
 
@@ -386,11 +390,11 @@
         host = FakeHost(units=4)
         for _ in range(40):
             for trip in host.sent(host.ask(EFFECTFUL)):
-                host.end(trip, Fate.ERROR)
-        aside = [unit for unit in host.units if mine(unit).aside > host.relay.now]
+                host.end(trip, AttemptOutcome.ERROR)
+        aside = [unit for unit in host.units if state_of(unit).aside > host.relay.now]
         self.assertEqual(len(aside), 2)
         host.run(4 * SECOND)
-        self.assertFalse([unit for unit in host.units if mine(unit).aside > host.relay.now])
+        self.assertFalse([unit for unit in host.units if state_of(unit).aside > host.relay.now])
 
 
 if __name__ == "__main__":
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -54,7 +54,7 @@
     def test_defaults_are_filled_in_and_the_record_is_typed(self) -> None:
         record = relay()
         self.assertEqual((record.service.allowance.trips, record.listen.host), (3, "127.0.0.1"))
-        self.assertEqual(record.service.lanes[0].figures().expected_time, 1000)
+        self.assertEqual(record.service.lanes[0].figures().latency_objective, 1000)
 
     def test_every_fault_is_told_at_once_with_line_column_field_and_what_was_expected(self) -> None:
         text = GOOD.replace("relays: 3", 'relays: "x"').replace("number: 0", "number: -1")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,44 +8,44 @@
 from random import Random
 
 from lanelead.decisions.interface import (
-    Condition,
-    Duties,
-    Fate,
-    Lane,
-    Listing,
-    Lookup,
-    Preference,
-    Repeat,
-    Scope,
+    EndpointStatus,
+    ServiceLimits,
+    AttemptOutcome,
+    RequestClass,
+    EndpointRecord,
+    Request,
+    ZonePreference,
+    Idempotency,
+    DeduplicationScope,
     Ticks,
-    Trip,
-    Unit,
+    Attempt,
+    Endpoint,
 )
 from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import Server, mine
+from lanelead.decisions.servers import EndpointState, state_of
 from lanelead.decisions.zones import Spill
 from lanelead.model.machines import Plan
 from lanelead.model.policies import AllAtOnce, HealthShare, NoSpill
 from lanelead.model.world import World
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
-DUTIES = Duties(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
+DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
 BEAT: Ticks = SECOND // 5
 
 
 class Town:
     """Spill alone, fed by hand: two zones of four units each, ten lookups a second."""
 
-    def __init__(self, preference: Preference = Preference((("a",), ("b",)))) -> None:  # noqa: B008
+    def __init__(self, preference: ZonePreference = ZonePreference((("a",), ("b",)))) -> None:  # noqa: B008
         self.spill = Spill(preference, DUTIES, SECOND, BEAT, Random(3))
         self.now: Ticks = 1000 * SECOND
         self.begun = self.now
         self.units = {zone: [self.unit(zone) for _ in range(4)] for zone in "ab"}
         self.run(10)
 
-    def unit(self, zone: str, since: Ticks = 0) -> Server:
-        server = Server(0, SECOND, SECOND, 0.5)
-        server.update(Listing(server, zone, 0, "std", since, 1, 1.0, Condition.READY))
+    def unit(self, zone: str, since: Ticks = 0) -> EndpointState:
+        server = EndpointState(0, SECOND, SECOND, 0.5)
+        server.update(EndpointRecord(server, zone, 0, "std", since, 1, 1.0, EndpointStatus.READY))
         return server
 
     def run(self, seconds: float, bad: str = "") -> None:
@@ -61,13 +61,13 @@
     def gone(self) -> float:
         return self.spill.tiers[0].gone
 
-    def lookup(self, lane: Lane = PURE, tried: Unit | None = None) -> Lookup:
-        found = Lookup(lane, None, None, self.now, self.now + SECOND)
+    def lookup(self, lane: RequestClass = PURE, tried: Endpoint | None = None) -> Request:
+        found = Request(lane, None, None, self.now, self.now + SECOND)
         if tried is not None:
-            found.trips.append(Trip(found, tried, 0, self.now, SECOND, Fate.TIMED_OUT))
+            found.attempts.append(Attempt(found, tried, 0, self.now, SECOND, AttemptOutcome.TIMED_OUT))
         return found
 
-    def first(self, lane: Lane = PURE, tried: Unit | None = None) -> list[int]:
+    def first(self, lane: RequestClass = PURE, tried: Endpoint | None = None) -> list[int]:
         return self.spill._order(self.lookup(lane, tried))[0]
 
 
@@ -115,7 +115,7 @@
         for server in town.units["a"]:
             for _ in range(3):
                 lookup = town.lookup()
-                server.out[Trip(lookup, server, 0, town.now, SECOND)] = None
+                server.out[Attempt(lookup, server, 0, town.now, SECOND)] = None
         town.run(3)
         self.assertGreater(town.gone(), 0.4)
 
@@ -169,7 +169,7 @@
         self.back(town)
         for _ in range(20):
             town.run(0.2)
-            age = (town.now - town.units["a"][0].since) / DUTIES.cold_time
+            age = (town.now - town.units["a"][0].started_at) / DUTIES.slow_start_time
             self.assertGreaterEqual(town.gone(), 1 - (0.4 + 0.6 * age) - 1e-9)
         town.run(12)
         self.assertEqual(town.gone(), 0.0)
@@ -224,7 +224,7 @@
 
     def test_a_relay_that_starts_anew_while_its_zone_is_lost_goes_to_the_next_tier_by_measure(self) -> None:
         town = Town()
-        town.spill = Spill(Preference((("a",), ("b",))), DUTIES, SECOND, BEAT, Random(8))
+        town.spill = Spill(ZonePreference((("a",), ("b",))), DUTIES, SECOND, BEAT, Random(8))
         town.begun = town.now
         town.units["a"].clear()
         town.run(2)
@@ -267,16 +267,22 @@
     def test_a_bad_build_is_seen_in_a_troubled_tier_and_slowness_there_is_not_its_fault(self) -> None:
         host = FakeHost(units=4)
         relay = host.relay
-        relay._spill = Spill(Preference((("z",), ("y",))), DUTIES, SECOND, BEAT, Random(1))
+        relay._spill = Spill(ZonePreference((("z",), ("y",))), DUTIES, SECOND, BEAT, Random(1))
         relay._spill.tiers[0].gone = 0.8
-        relay._count(mine(host.units[0]), PURE, {Fault.SLOW: 3, Fault.BROKEN: 2}, 10, False)
+        relay._count(state_of(host.units[0]), PURE, {Fault.SLOW: 3, Fault.BROKEN: 2}, 10, False)
         self.assertEqual(relay._scoring.windows.all[-1].faults, {Fault.BROKEN: 2})
         self.assertGreater(relay._spill.tiers[0].bad.read(relay.now), 0)
 
     def test_without_tiers_all_units_are_one(self) -> None:
-        spill = Spill(Preference(), DUTIES, SECOND, BEAT, Random(1))
-        pools = {1: [Server(0, SECOND, SECOND, 0.5)]}
-        lookup = Lookup(Lane("r", 1, 2, 1.0, 0.0, Repeat.PURE, Scope.ALL, 0, False, 0.0), None, None, 0, 1)
+        spill = Spill(ZonePreference(), DUTIES, SECOND, BEAT, Random(1))
+        pools = {1: [EndpointState(0, SECOND, SECOND, 0.5)]}
+        lookup = Request(
+            RequestClass("r", 1, 2, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0),
+            None,
+            None,
+            0,
+            1,
+        )
         self.assertIs(next(spill.cuts(pools, lookup)), pools)
         spill.beat(pools[1], 1.0, False, 0)
         self.assertFalse(spill.troubled(pools[1][0]))
