--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -16,9 +16,9 @@
 
 import click
 
-from lanelead.days.commands import load
-from lanelead.days.judge import Capture, judge
-from lanelead.model.town import Town
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.verifier import Capture, judge
+from lanelead.testbed.simulation.fleet import Town
 
 SCRIPTS = (
     "crash",
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,11 +17,11 @@
 
 import click
 
-from lanelead.circle.letters import DEAD, Ask
-from lanelead.circle.members import Membership, Tempo
-from lanelead.circle.records import BEATS, HELPERS, Suspicion
+from lanelead.membership.messages import DEAD, Ask
+from lanelead.membership.member import Membership, Tempo
+from lanelead.membership.member_state import BEATS, HELPERS, Suspicion
 from lanelead.decisions.interface import Ticks
-from lanelead.model.circle import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 TEMPO = Tempo(3000, 600 * SECOND)
 
--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -14,9 +14,9 @@
 import click
 import msgspec
 
-from lanelead.days.commands import load
-from lanelead.model.core import Clock
-from lanelead.model.town import Town
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.simulation.clock import Clock
+from lanelead.testbed.simulation.fleet import Town
 from lanelead.settings.records import Day
 
 
@@ -50,16 +50,16 @@
 
 
 def heap(timers: int) -> float:
-    clock, chance, left = Clock(), Random(1), timers
+    clock, rng, left = Clock(), Random(1), timers
 
     def tick() -> None:
         nonlocal left
         left -= 1
         if left > 0:
-            clock.later(chance.random(), tick)
+            clock.later(rng.random(), tick)
 
     for _ in range(1000):
-        clock.later(chance.random(), tick)
+        clock.later(rng.random(), tick)
     began = time.perf_counter()
     clock.run(float(timers))
     return clock.done / (time.perf_counter() - began)
@@ -68,12 +68,12 @@
 def with_simpy(timers: int) -> float:
     import simpy
 
-    world, chance, left, done = simpy.Environment(), Random(1), timers, 0
+    world, rng, left, done = simpy.Environment(), Random(1), timers, 0
 
     def story() -> Any:
         nonlocal left, done
         while left > 0:
-            yield world.timeout(chance.random())
+            yield world.timeout(rng.random())
             left -= 1
             done += 1
 
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -27,17 +27,17 @@
 import msgspec
 import uvloop
 
-from lanelead.days.commands import load
-from lanelead.days.fleet import Process, free_ports
-from lanelead.http import writing
-from lanelead.http.answers import ResponseReader, Progress
-from lanelead.http.asks import HttpRequest, RequestReader
-from lanelead.http.serving import ServerConnection
-from lanelead.protocols.records import EndpointMessage
-from lanelead.standins.desk import Desk
-from lanelead.standins.roster import Roster
-
-ANSWER = writing.response(200, [(b"content-type", b"text/plain")], b"x" * 100)
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.processes import Process, free_ports
+from lanelead.http import serialization
+from lanelead.http.responses import ResponseReader, Progress
+from lanelead.http.requests import HttpRequest, RequestReader
+from lanelead.http.server import ServerConnection
+from lanelead.protocols.feeds import EndpointMessage
+from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import Roster
+
+ANSWER = serialization.response(200, [(b"content-type", b"text/plain")], b"x" * 100)
 FIELDS = [
     (b"host", b"relay"),
     (b"lanelead-left", b"1500"),
@@ -107,13 +107,15 @@
             await loop.sock_connect(sock, ("127.0.0.1", port))
         view = memoryview(buffer)
         reader.expect(False)
-        await loop.sock_sendall(sock, writing.request(ask.method, ask.target, writing.passed_on(ask.headers), ask.body))
+        await loop.sock_sendall(
+            sock, serialization.request(ask.method, ask.target, serialization.passed_on(ask.headers), ask.body)
+        )
         while reader.feed(view[: await loop.sock_recv_into(sock, buffer)]) is Progress.WAITING:
             pass
         self._idle[port].append((sock, reader, buffer))
         answer = reader.answer
         assert answer is not None
-        return writing.response(answer.status, writing.passed_on(answer.headers), answer.body)
+        return serialization.response(answer.status, serialization.passed_on(answer.headers), answer.body)
 
 
 # The generator
@@ -144,7 +146,7 @@
 
     def __init__(self, port: int, connections: int, seconds: float, rate: float) -> None:
         self._port, self._many, self._seconds, self._rate = port, connections, seconds, rate
-        self._text = writing.request("GET", b"/offers/1", FIELDS, b"")
+        self._text = serialization.request("GET", b"/offers/1", FIELDS, b"")
         self.times: list[float] = []
         self.bad = self.late = 0
         self._end = 0.0
@@ -163,8 +165,8 @@
                 asker.ask(self._text, time.perf_counter())
             await asyncio.sleep(self._seconds)
         else:
-            self._idle, chance, at = askers, random.Random(1), begin
-            while (at := at + chance.expovariate(self._rate)) < self._end:
+            self._idle, rng, at = askers, random.Random(1), begin
+            while (at := at + rng.expovariate(self._rate)) < self._end:
                 if (wait := at - time.perf_counter()) > 0:
                     await asyncio.sleep(wait)
                 if self._idle:  # timed from when it was meant, so that a stall is not left out
@@ -243,8 +245,8 @@
         trial, poll = day.service.trial, day.service.poll
         desk = Desk(self._folder, 0, trial, poll, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None)
         await desk.open()
-        allowance = msgspec.structs.replace(day.service.allowance, open_connections=4000)
-        service = msgspec.structs.replace(day.service, allowance=allowance)
+        quota = msgspec.structs.replace(day.service.allowance, open_connections=4000)
+        service = msgspec.structs.replace(day.service, allowance=quota)
         settings = {
             "relay": {
                 "number": 0,
@@ -334,7 +336,7 @@
             where = "parsing and writing"
         elif file.endswith("driver.py") or file.endswith("door.py"):
             where = "driver"
-        elif "lanelead/relay" in file:
+        elif "lanelead/http_relay" in file:
             where = "gate and links"
         elif "lanelead/decisions" in file or file.endswith("random.py"):
             where = "decisions"
--- a/benchmarks/slopes/configuration.py
+++ b/benchmarks/slopes/configuration.py
@@ -25,8 +25,8 @@
 
 from benchmarks.slopes.moving import Fleet, Node, fleet, until
 from benchmarks.slopes.series import Series, processor_us
-from lanelead.node.config import load
-from lanelead.node.service import Service
+from lanelead.postgres_relay.config import load
+from lanelead.postgres_relay.service import Service
 from tests.platform import NEWS, SETTINGS
 
 SUBJECT = "configuration"
@@ -77,7 +77,7 @@
 # A change of the two fields that SIGHUP takes
 
 
-async def move(place: Fleet, restarting: list[Node], cut: list[Node], chance: Random) -> dict[str, Any]:
+async def move(place: Fleet, restarting: list[Node], cut: list[Node], rng: Random) -> dict[str, Any]:
     """Discovery and the desk move. Seconds from the change until each relay has heard of both new ones, by
     kind of relay; those cut off from their return; and how many the signal itself ended, as it came before
     the process had set its handlers."""
@@ -103,7 +103,7 @@
                 return
             killed += 1
 
-    restarts = [asyncio.create_task(restart(node, chance.uniform(0, 1.5))) for node in restarting]
+    restarts = [asyncio.create_task(restart(node, rng.uniform(0, 1.5))) for node in restarting]
     await asyncio.sleep(1.5 if restarting else 0)
     load_at, began = os.getloadavg()[0], time.time()
     for node in place.nodes:
@@ -134,8 +134,8 @@
 
 
 async def moves(place: Fleet, found: Found) -> None:
-    many, chance = len(place.nodes), Random(37)
-    quiet = [await move(place, [], [], chance) for _ in range(ROUNDS)]
+    many, rng = len(place.nodes), Random(37)
+    quiet = [await move(place, [], [], rng) for _ in range(ROUNDS)]
     found.add("move.median", many, median(median(round_["steady"]) for round_ in quiet))
     found.add("move.last", many, median(round_["steady"][-1] for round_ in quiet))
     found.add("move.carried", many, median(round_["carried"] for round_ in quiet))
@@ -145,7 +145,7 @@
     for turn in range(ROUNDS):
         restarting = place.nodes[turn :: round(1 / WAVE)]
         cut = [node for node in place.nodes if node.zone == turn % 4 and node not in restarting]
-        rough.append(await move(place, restarting, cut, chance))
+        rough.append(await move(place, restarting, cut, rng))
     found.add("move.rough.steady.last", many, median(round_["steady"][-1] for round_ in rough))
     found.add("move.rough.restarting.last", many, median(round_["restarting"][-1] for round_ in rough))
     found.add("move.rough.cut.last", many, median(round_["cut"][-1] for round_ in rough))
--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from benchmarks.slopes.series import Series, processor_us, traced_mb
-from lanelead.configuration.acts import Place
+from lanelead.configuration.actions import Place
 from lanelead.configuration.document import Document
-from lanelead.configuration.kinds import AppliedValues
-from lanelead.model.configuration import Fleet
+from lanelead.configuration.value_types import AppliedValues
+from lanelead.testbed.simulation.configuration import Fleet
 from lanelead.protocols.configuration import Change, Entry
-from lanelead.protocols.records import decode, encode
+from lanelead.protocols.feeds import decode, encode
 
 SUBJECT = "distribution"
 ZONES = [("a", "one"), ("b", "one"), ("c", "two"), ("d", "two")]
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -26,13 +26,13 @@
 
 from benchmarks.slopes.sizes import Size, listing, settings
 from lanelead.decisions.interface import SECOND, AttemptOutcome, Ticks, Attempt, Endpoint, CastVote
-from lanelead.decisions.rules import Balancer
-from lanelead.hosting.door import FORM, HEAD, LOAD, ROW
-from lanelead.hosting.opening import ParameterReader, pairs_of
+from lanelead.decisions.balancer import Balancer
+from lanelead.runtime.endpoint_registry import FORM, HEAD, LOAD, ROW
+from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 from lanelead.protocols import datagrams
-from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
-from lanelead.relay.timing import EPOCH
+from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.runtime.timers import EPOCH
 
 UDP_HEAD = 28  # bytes of the IPv4 and UDP heads of a datagram; counted nowhere unless said
 CONNECTING: Ticks = 2500  # an attempt at a unit that is silent: the limit for connecting
@@ -74,11 +74,11 @@
 
     # Hands
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self.waiting.append(trip)
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self.waiting.append(attempt)
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
-        return self.connecting.pop(trip, 0) == 0
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        return self.connecting.pop(attempt, 0) == 0
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         assert peer is not None  # `Circle` names each
@@ -95,7 +95,7 @@
     # Clients
 
     def reply(
-        self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks
+        self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, back: Ticks
     ) -> None:
         self.outcomes[outcome] += 1
 
@@ -170,27 +170,27 @@
 
     def _make(self, relay: Hollow) -> None:
         opening = ParameterReader([*pairs_of(settings(self.size, relay.number))])
-        lanes, duties, allowance = opening.request_classes(), opening.service_limits(), opening.resource_quota()
+        request_classes, limits, quota = opening.request_classes(), opening.service_limits(), opening.resource_quota()
         relay.decisions = Balancer(
             place=opening.position(),
-            lanes=lanes,
-            members=opening.tenants(),
-            allowance=allowance,
-            duties=duties,
+            request_classes=request_classes,
+            tenants=opening.tenants(),
+            quota=quota,
+            limits=limits,
             trial=opening.canary_limits(),
             poll=opening.voting_rules(),
-            tariff=opening.prices(),
-            chance=Random(f"relay {self.seed} {relay.number}"),
+            prices=opening.prices(),
+            rng=Random(f"relay {self.seed} {relay.number}"),
             now=self.now,
         )
         relay.driver = DecisionDriver(
             relay.decisions,
             relay,
             lambda: self.now,
-            lanes,
-            duties,
-            allowance.max_in_flight,
-            allowance.max_retry_after,
+            request_classes,
+            limits,
+            quota.max_in_flight,
+            quota.max_retry_after,
         )
 
     def restart_requests(self) -> None:
@@ -250,11 +250,11 @@
             relay.asked += 1
             self._request(relay)
         elif kind == "answer":
-            trip, fate, life = what
-            relay.connecting.pop(trip, None)
-            gone = fate is AttemptOutcome.SUCCEEDED and not self._reaches(relay, trip)
-            if trip.outcome is None and life == relay.life and not gone:
-                self._count(relay, "ended", relay.driver.attempt_ended, trip, fate, None, None)
+            attempt, outcome, life = what
+            relay.connecting.pop(attempt, None)
+            gone = outcome is AttemptOutcome.SUCCEEDED and not self._reaches(relay, attempt)
+            if attempt.outcome is None and life == relay.life and not gone:
+                self._count(relay, "ended", relay.driver.attempt_ended, attempt, outcome, None, None)
         elif kind == "letter":
             sender, data = what
             relay.came["letters"] += 1
@@ -276,9 +276,9 @@
             relay.driver.gossip_received(sender, payload)
 
     def _request(self, relay: Hollow) -> None:
-        lane = relay.driver.request_classes["read" if self.chance.random() < 0.65 else "file"]
-        ticket = PendingRequest(f"{relay.number}-{relay.asked}", None, relay.reply)
-        self._count(relay, "take", relay.driver.receive, ticket, lane, None, None, 39_000)
+        request_class = relay.driver.request_classes["read" if self.chance.random() < 0.65 else "file"]
+        pending = PendingRequest(f"{relay.number}-{relay.asked}", None, relay.reply)
+        self._count(relay, "take", relay.driver.receive, pending, request_class, None, None, 39_000)
 
     def _next_request(self, relay: Hollow) -> None:
         gap = self.chance.expovariate(self.size.rate * relay.share * self.crowd)
@@ -292,12 +292,12 @@
         what(*told)
         goes: list[Attempt] = []
         while relay.waiting:
-            trips, relay.waiting = relay.waiting, []
-            for trip in trips:
-                if relay.driver.destination_of(trip) is None:
-                    relay.driver.attempt_ended(trip, AttemptOutcome.NOT_SENT)
+            attempts, relay.waiting = relay.waiting, []
+            for attempt in attempts:
+                if relay.driver.destination_of(attempt) is None:
+                    relay.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
                 else:
-                    goes.append(trip)
+                    goes.append(attempt)
         due = relay.driver.next_timer()
         spent = time.thread_time_ns() - before
         cost = relay.costs.setdefault(kind, Cost())
@@ -306,23 +306,25 @@
         if due is not None and (relay.armed is None or due < relay.armed):
             relay.armed, relay.wakes = due, relay.wakes + 1
             self.at(max(self.now, due) + LATE, "wake", relay.number, relay.wakes)
-        for trip in goes:
-            self._set_out(relay, trip)
+        for attempt in goes:
+            self._set_out(relay, attempt)
         for to, data in relay.letters:
             self._told(relay, to, data)
         relay.letters.clear()
         self.watching(kind, relay, goes)
 
-    def _set_out(self, relay: Hollow, trip: Attempt) -> None:
-        if not self._reaches(relay, trip):
-            relay.connecting[trip] = None
-            self.at(self.now + CONNECTING, "answer", relay.number, (trip, AttemptOutcome.CONNECT_FAILED, relay.life))
+    def _set_out(self, relay: Hollow, attempt: Attempt) -> None:
+        if not self._reaches(relay, attempt):
+            relay.connecting[attempt] = None
+            self.at(self.now + CONNECTING, "answer", relay.number, (attempt, AttemptOutcome.CONNECT_FAILED, relay.life))
             return
         took = exp(self._mu + self._sigma * self.chance.gauss(0, 1)) + self.size.link
-        self.at(self.now + max(1, int(took * 10)), "answer", relay.number, (trip, AttemptOutcome.SUCCEEDED, relay.life))
+        self.at(
+            self.now + max(1, int(took * 10)), "answer", relay.number, (attempt, AttemptOutcome.SUCCEEDED, relay.life)
+        )
 
-    def _reaches(self, relay: Hollow, trip: Attempt) -> bool:
-        name = relay.driver.registry.names.get(trip.endpoint)
+    def _reaches(self, relay: Hollow, attempt: Attempt) -> bool:
+        name = relay.driver.registry.names.get(attempt.endpoint)
         return name is not None and self.reach(relay.number, name)
 
     def _told(self, relay: Hollow, to: int, data: bytes) -> None:
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -25,7 +25,7 @@
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND
 from lanelead.protocols.platform import EndpointList
-from lanelead.protocols.records import decode
+from lanelead.protocols.feeds import decode
 
 UNITS, RATE, CLIENTS = 13, 5.0, 3
 SIZES, SMALL = (30, 150), (15,)
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -17,9 +17,9 @@
 
 from benchmarks.slopes.hollow_relay import NEWS
 from benchmarks.slopes.lists import body, endpoint
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
 from lanelead.pgwire.messages import READY, WELCOME, message
 
 HOLD = 2.0  # seconds that discovery holds a watch
@@ -89,8 +89,10 @@
 
 
 def discovery(size: int, port: int) -> Any:
-    whole = writing.response(200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False)
-    nothing = writing.response(200, (), body(1, False, []), keep=False)
+    whole = serialization.response(
+        200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False
+    )
+    nothing = serialization.response(200, (), body(1, False, []), keep=False)
 
     def say(caller: ServerConnection, text: bytes) -> None:
         caller.write(text)
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -34,9 +34,9 @@
     CastVote,
     SetTimer,
 )
-from lanelead.decisions.rules import Balancer
-from lanelead.hosting.opening import ParameterReader, pairs_of
-from lanelead.relay.driver import DecisionDriver, PendingRequest
+from lanelead.decisions.balancer import Balancer
+from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
+from lanelead.runtime.driver import DecisionDriver, PendingRequest
 
 UNITS = (26, 150, 780, 7800)
 RATE = 183  # lookups a second at one relay: its mean at the peak
@@ -131,18 +131,20 @@
     return ParameterReader([*pairs_of(told)])
 
 
-def decisions(told: ParameterReader, lanes: Sequence[RequestClass], members: Sequence[Tenant], now: Ticks) -> Balancer:
+def decisions(
+    told: ParameterReader, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant], now: Ticks
+) -> Balancer:
     """As the platform's relay makes them. Lanes and members are known by the objects given here."""
     return Balancer(
         place=told.position(),
-        lanes=lanes,
-        members=members,
-        allowance=told.resource_quota(),
-        duties=told.service_limits(),
+        request_classes=request_classes,
+        tenants=tenants,
+        quota=told.resource_quota(),
+        limits=told.service_limits(),
         trial=told.canary_limits(),
         poll=told.voting_rules(),
-        tariff=told.prices(),
-        chance=Random(7),
+        prices=told.prices(),
+        rng=Random(7),
         now=now,
     )
 
@@ -150,8 +152,8 @@
 class Hands:
     """Does nothing of what it is asked to."""
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None: ...
-    def cancel_attempt(self, trip: Attempt) -> bool:
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None: ...
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         return False
 
     def check_health(self, unit: Endpoint) -> None: ...
@@ -166,15 +168,15 @@
 def driver(told: ParameterReader) -> DecisionDriver:
     """A relay's driver with hollow hands, on a clock that stands still."""
     now: Ticks = 3600 * SECOND
-    allowance, lanes = told.resource_quota(), told.request_classes()
+    quota, request_classes = told.resource_quota(), told.request_classes()
     return DecisionDriver(
-        decisions(told, lanes, told.tenants(), now),
+        decisions(told, request_classes, told.tenants(), now),
         Hands(),
         lambda: now,
-        lanes,
+        request_classes,
         told.service_limits(),
-        allowance.max_in_flight,
-        allowance.max_retry_after,
+        quota.max_in_flight,
+        quota.max_retry_after,
     )
 
 
@@ -254,11 +256,11 @@
         try:
             while self._due <= end:
                 self._until(int(self._due))
-                lane, member = self._chance.choice(self.lanes), self._chance.choice(self.members)
-                lookup = Request(lane, member, None, self.now, self.now + lane.timeout)
+                request_class, tenant = self._chance.choice(self.lanes), self._chance.choice(self.members)
+                request = Request(request_class, tenant, None, self.now, self.now + request_class.timeout)
                 self.asked += 1
                 meter.start()
-                self.relay.request_received(lookup)
+                self.relay.request_received(request)
                 meter.stop("take")
                 self._carry()
                 self._due += self._gap
@@ -279,9 +281,9 @@
         if isinstance(what, Attempt):
             if what.outcome is None:
                 good = self._chance.randrange(FAULTY) > 0
-                fate = AttemptOutcome.SUCCEEDED if good else AttemptOutcome.ERROR
+                outcome = AttemptOutcome.SUCCEEDED if good else AttemptOutcome.ERROR
                 meter.start()
-                self.relay.attempt_ended(what, fate, good, self.now - what.sent_at, None)
+                self.relay.attempt_ended(what, outcome, good, self.now - what.sent_at, None)
                 meter.stop("outcome")
         elif isinstance(what, Endpoint):
             meter.start()
@@ -304,16 +306,16 @@
         self._carry()
 
     def _carry(self) -> None:
-        acts, self.relay.actions = self.relay.actions, []
-        for act in acts:
+        actions, self.relay.actions = self.relay.actions, []
+        for action in actions:
             self._number += 1
-            match act:
-                case StartAttempt(trip):
+            match action:
+                case StartAttempt(attempt):
                     self.sent += 1
-                    heappush(self._heap, (self.now + TOOK, self._number, trip))
+                    heappush(self._heap, (self.now + TOOK, self._number, attempt))
                 case SetTimer(at, what):
                     heappush(self._heap, (at, self._number, what))
                 case CheckHealth(unit):
                     heappush(self._heap, (self.now + 10, self._number, unit))
-                case CancelAttempt(trip):
-                    trip.outcome = AttemptOutcome.CANCELLED
+                case CancelAttempt(attempt):
+                    attempt.outcome = AttemptOutcome.CANCELLED
--- a/benchmarks/slopes/latency.py
+++ b/benchmarks/slopes/latency.py
@@ -117,11 +117,11 @@
         return [float(np.percentile(some, part)) if some else float("nan") for some in found]
 
 
-async def drive(targets: list[Target], rate: float, seconds: float, chance: Random) -> tuple[float, float]:
+async def drive(targets: list[Target], rate: float, seconds: float, rng: Random) -> tuple[float, float]:
     """Asks each at its own drawn times, and says when it began, and how late a request was handed over in 1
     of 100, ms."""
     begin, late = time.perf_counter(), list[float]()
-    dues = sorted((at, place) for place in range(len(targets)) for at in drawn(rate, seconds, chance))
+    dues = sorted((at, place) for place in range(len(targets)) for at in drawn(rate, seconds, rng))
     for at, place in dues:
         if (wait := begin + at - time.perf_counter()) > 0:
             await asyncio.sleep(wait)
@@ -131,9 +131,9 @@
     return begin, float(np.percentile(late, 99)) * 1000
 
 
-def drawn(rate: float, seconds: float, chance: Random) -> list[float]:
+def drawn(rate: float, seconds: float, rng: Random) -> list[float]:
     found, at = list[float](), 0.0
-    while (at := at + chance.expovariate(rate)) < seconds:
+    while (at := at + rng.expovariate(rate)) < seconds:
         found.append(at)
     return found
 
@@ -177,7 +177,7 @@
     nodes, quiet, found = dict[int, Node](), dict[int, float](), dict[tuple[float, int], Found]()
     targets = {0: Target(ports.units, "127.1.0.1")}
     warm, window, still = (2.0, 3.0, 1.0) if hasty else (WARM, WINDOW, QUIET)
-    chance = Random(f"{small} {large}")
+    rng = Random(f"{small} {large}")
     try:
         for units in (small, large):
             nodes[units], port = await asyncio.to_thread(node, units, ports, folder)
@@ -189,11 +189,11 @@
         for target in targets.values():
             await target.open()
         for rate in RATES:
-            await drive([*targets.values()], rate, warm, chance)
+            await drive([*targets.values()], rate, warm, rng)
             for target in targets.values():
                 target.clear()
             before = {units: spent_s(one.pid) for units, one in nodes.items()}
-            begin, late = await drive([*targets.values()], rate, window, chance)
+            begin, late = await drive([*targets.values()], rate, window, rng)
             many = max(1, round(window / SLICE))
             parts = {
                 units: (target.slices(begin, many, 50), target.slices(begin, many, 99))
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -10,11 +10,11 @@
 
 from benchmarks.slopes.hollow_relay import NEWS, UNITS, ZONES, driver, opening, settings
 from benchmarks.slopes.series import Series, processor_us, traced_mb
-from lanelead.http import writing
-from lanelead.node.feeds import LONGEST
+from lanelead.http import serialization
+from lanelead.postgres_relay.discovery_client import LONGEST
 from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
-from lanelead.protocols.records import decode
-from lanelead.relay.driver import DecisionDriver
+from lanelead.protocols.feeds import decode
+from lanelead.runtime.driver import DecisionDriver
 
 TENTH = 0.1
 STATES: tuple[Literal["leaving", "active"], ...] = ("leaving", "active")
@@ -43,7 +43,7 @@
 
 def answer(text: bytes) -> int:
     """Bytes of discovery's answer, as HTTP."""
-    return len(writing.response(200, (), text, keep=False))
+    return len(serialization.response(200, (), text, keep=False))
 
 
 def decoded(text: bytes) -> None:
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -17,7 +17,7 @@
 from benchmarks.slopes.series import Series, resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, listing
 from lanelead.decisions.interface import SECOND, AttemptOutcome
-from lanelead.protocols.records import EndpointListMessage
+from lanelead.protocols.feeds import EndpointListMessage
 
 SIZES, SMALL = ((8, 104), (40, 520), (200, 2600), (600, 7800)), ((8, 104), (40, 520))
 RATE, WHOLE, WARM, TOLD, AFTER = 183.0, 17, 4.0, 10, 13  # `TOLD`: the second that discovery tells
@@ -38,9 +38,9 @@
 
     def seen(self, kind: str, relay: Hollow, goes: Any) -> None:
         at = (self.fleet.now - self.start) // BIN
-        for trip in goes:
+        for attempt in goes:
             self.all[at] += 1
-            self.vain[at] += relay.driver.registry.names.get(trip.endpoint) in self.lost
+            self.vain[at] += relay.driver.registry.names.get(attempt.endpoint) in self.lost
 
     def until(self, part: float) -> float | None:
         """Seconds until attempts at lost units stay below that part of the share they begin with, for a
--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -1,6 +1,6 @@
 """Who is there: what the circle costs a member, how soon a loss is known to all, and what a cut leaves.
 
-The members are those that relays run (lanelead/circle); wires and the clock are the model's, so that waiting
+The members are those that relays run (lanelead/membership); wires and the clock are the model's, so that waiting
 times are virtual and one seed gives one result, while processor time is counted of the members' own calls.
 """
 
@@ -14,10 +14,10 @@
 
 from benchmarks.membership import TEMPO
 from benchmarks.slopes.series import Series, traced_mb
-from lanelead.circle.letters import Row
-from lanelead.circle.members import Address, Membership
+from lanelead.membership.messages import Row
+from lanelead.membership.member import Address, Membership
 from lanelead.decisions.interface import Ticks
-from lanelead.model.circle import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 SUBJECT = "membership"
 SIZES = (8, 40, 200, 600)
--- a/benchmarks/slopes/moving.py
+++ b/benchmarks/slopes/moving.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
 from lanelead.pgwire import messages
 from tests.platform import NEWS, SETTINGS, Client, Platform, Unit, answered, good, told
 
@@ -56,7 +56,7 @@
             self._say(caller, self.known())
 
     def _say(self, caller: ServerConnection, body: bytes) -> None:
-        caller.write(writing.response(200, (), body, keep=False))
+        caller.write(serialization.response(200, (), body, keep=False))
         caller.close()
 
     def known(self) -> bytes:
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -24,9 +24,9 @@
 
 from benchmarks.slopes.series import resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY, message
 
@@ -46,9 +46,9 @@
     """Below the range that the kernel draws ports from: others' connections must not get one of these while
     its relay starts."""
     found: list[int] = []
-    chance = Random(f"ports {os.getpid()} {kind}")
+    rng = Random(f"ports {os.getpid()} {kind}")
     while len(found) < many:
-        port = chance.randrange(11_000, 32_000)
+        port = rng.randrange(11_000, 32_000)
         with socket.socket(socket.AF_INET, kind) as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
             if port not in found:
@@ -155,9 +155,9 @@
             return
         site = self._site
         site.asked[self._relay] += 1
-        lane = "read" if site.chance.random() < 0.65 else "file"
+        request_class = "read" if site.chance.random() < 0.65 else "file"
         ident = f"{self._relay}-{site.asked[self._relay]}-{id(self) % 9973}"
-        text = f"SELECT doc FROM items WHERE id = 'ab12' /* id={ident},c={lane},t=m,d=3900 */"
+        text = f"SELECT doc FROM items WHERE id = 'ab12' /* id={ident},c={request_class},t=m,d=3900 */"
         self._transport.write(messages.query(text.encode()))
 
 
@@ -233,14 +233,14 @@
 
     def _list(self, caller: ServerConnection, ask: HttpRequest) -> None:
         if b"from=" not in ask.target:
-            caller.write(writing.response(200, (), self._whole, keep=False))
+            caller.write(serialization.response(200, (), self._whole, keep=False))
             caller.close()
         else:
             self.loop.call_later(1.9, self._nothing_new, caller)
 
     def _nothing_new(self, caller: ServerConnection) -> None:
         body = b'{"version":1,"full":false,"servers":[]}'
-        caller.write(writing.response(200, (), body, keep=False))
+        caller.write(serialization.response(200, (), body, keep=False))
         caller.close()
 
     # Relays
--- a/benchmarks/slopes/sizes.py
+++ b/benchmarks/slopes/sizes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lanelead.protocols.records import EndpointMessage
+from lanelead.protocols.feeds import EndpointMessage
 
 ZONES = 4  # of two regions: zones 0 and 1, 2 and 3
 
@@ -31,7 +31,7 @@
 
 
 def settings(size: Size, number: int) -> dict[str, Any]:
-    lane = {
+    request_class = {
         "aimMs": 1200.0,
         "deadlineMs": 4000.0,
         "credit": 1.0,
@@ -48,8 +48,8 @@
         "tickMs": 5.0,
         "discovery": "automatic",
         "requestClasses": [
-            {**lane, "name": "read", "repeat": "read_like"},
-            {**lane, "name": "file", "repeat": "non_idempotent"},
+            {**request_class, "name": "read", "repeat": "read_like"},
+            {**request_class, "name": "file", "repeat": "non_idempotent"},
         ],
         "accounts": [{"name": "m", "quotaPerS": size.rate * size.relays * 1.2, "share": 1.0}],
         "allowed": {
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -24,8 +24,8 @@
 from benchmarks.slopes.lists import endpoint
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from lanelead.decisions.interface import SECOND
-from lanelead.decisions.rules import Balancer
-from lanelead.node.config import load
+from lanelead.decisions.balancer import Balancer
+from lanelead.postgres_relay.config import load
 
 TENANTS = (100, 4900, 49000)
 ROUTES = (160, 1600, 16000)
@@ -161,7 +161,7 @@
         "reload.resident": f"0.3 s after the reload; {process}",
         "reload.peak": f"the most ever, start and reload in it; {process}",
         "file.bytes": f"the file, {UNITS} units' list in it",
-        "load.cpu": "the file read and checked again, in this process (lanelead.node.config.load)",
+        "load.cpu": "the file read and checked again, in this process (lanelead.postgres_relay.config.load)",
         "state.memory": "traced; the decisions made from the file, no tenant has asked yet",
         "file.memory": "traced; the file as read, which a relay keeps beside its decisions",
     }
@@ -173,7 +173,7 @@
 
 
 def routes(many: int) -> bytes:
-    chance = Random(5)
+    rng = Random(5)
     classes = "status", "search", "submit"
     rows = [
         Route(
@@ -181,7 +181,7 @@
             f"{place % 4000}.shop.example",
             f"/v1/part-{place % 97}/",
             f"offers-{place % 300:03d}",
-            chance.choice(classes),
+            rng.choice(classes),
             1500.0,
         )
         for place in range(many)
--- a/benchmarks/slopes/votes.py
+++ b/benchmarks/slopes/votes.py
@@ -11,7 +11,7 @@
 from benchmarks.slopes.moving import PING
 from benchmarks.slopes.series import Series
 from benchmarks.slopes.voting import AFTER, TRIAL, Bucket, Release, poll_of
-from lanelead.standins.polling import Polling
+from lanelead.testbed.emulators.vote_counting import Polling
 
 SUBJECT = "votes"
 SIZES = (8, 40, 200, 600)
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -1,7 +1,7 @@
 """A release at many relays in virtual time: who votes when, what the desk gets, and what looking costs.
 
 Each relay is the driver and the decisions that `run` uses, before the stand-in desk's own rules
-(lanelead/standins/polling.py); sockets, units and clients are hollow. One seed gives one result, but for
+(lanelead/testbed/emulators/vote_counting.py); sockets, units and clients are hollow. One seed gives one result, but for
 processor time.
 """
 
@@ -36,14 +36,14 @@
     CastVote,
 )
 from lanelead.decisions.rollout import Rollout
-from lanelead.decisions.rules import Balancer
-from lanelead.decisions.servers import Roster
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.endpoint_state import Roster
 from lanelead.protocols.platform import VERDICTS, encode_call
-from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.settings.records import Poll, Trial
-from lanelead.standins.polling import Polling
+from lanelead.testbed.emulators.vote_counting import Polling
 from tests.platform import answered, told
 
 UNITS = 26  # of the earlier build
@@ -78,20 +78,20 @@
 
     def __init__(self, town: Release, number: int, relays: int, poll: Poll) -> None:
         self.town, self.number = town, number
-        chance = Random(f"{town.seed} relay {number}")
+        rng = Random(f"{town.seed} relay {number}")
         self.chance = Random(f"{town.seed} hands {number}")
         self._timer: Ticks | None = None
         self._calls = 0
         decisions = Balancer(
             place=RelayPosition(number, relays, "north"),
-            lanes=[LANE],
-            members=[Tenant("m", 1e6, 1.0)],
-            allowance=ALLOWANCE,
-            duties=DUTIES,
+            request_classes=[LANE],
+            tenants=[Tenant("m", 1e6, 1.0)],
+            quota=ALLOWANCE,
+            limits=DUTIES,
             trial=TRIAL.figures(),
             poll=poll.figures(),
-            tariff=TARIFF,
-            chance=chance,
+            prices=TARIFF,
+            rng=rng,
             now=town.ticks(),
         )
         self.driver = DecisionDriver(decisions, self, town.ticks, [LANE], DUTIES, 1000, 20_000)
@@ -110,8 +110,8 @@
 
     def ask(self) -> None:
         """A client's request, and the next one after a while."""
-        ticket = PendingRequest("", None, _nothing)
-        self.driver.receive(ticket, LANE, None, None, 14_000)
+        pending = PendingRequest("", None, _nothing)
+        self.driver.receive(pending, LANE, None, None, 14_000)
         self.after()
         self.town.later(self.chance.expovariate(ASKS), self.ask)
 
@@ -125,11 +125,11 @@
 
     # Hands
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self.town.later(self.chance.uniform(*TOOK), lambda: self._ended(trip))
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self.town.later(self.chance.uniform(*TOOK), lambda: self._ended(attempt))
 
-    def _ended(self, trip: Attempt) -> None:
-        self.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED)
+    def _ended(self, attempt: Attempt) -> None:
+        self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED)
         self.after()
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
@@ -141,7 +141,7 @@
         there, back = self.chance.uniform(*CALL) / 2, self.chance.uniform(*CALL) / 2
         self.town.later(there, lambda: self.town.cast(self, vote, self._calls, back))
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         return True
 
     def check_health(self, unit: Endpoint) -> None: ...
@@ -151,7 +151,9 @@
     def log_event(self, text: str) -> None: ...
 
 
-def _nothing(ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks) -> None:
+def _nothing(
+    pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, back: Ticks
+) -> None:
     return
 
 
@@ -216,10 +218,10 @@
 
         def timed(rollout: Rollout, news: RolloutState, roster: Roster, now: Ticks) -> list[Action]:
             began = time.process_time_ns()
-            acts = look(rollout, news, roster, now)
+            actions = look(rollout, news, roster, now)
             self.look_s += (time.process_time_ns() - began) / 1e9
             self.looks += 1
-            return acts
+            return actions
 
         with patch.object(Rollout, "look", timed):
             self.desk.offer(2)
@@ -271,8 +273,8 @@
         assert line is not None
         size = len(text) + len(answered(number, _state(line)))
         self.casts.append(Cast(self.now - self.began, vote.stage, word, size))
-        fate = VOTE_OUTCOMES[word]
-        self.later(back, lambda: seat.hear(line, True, fate))
+        outcome = VOTE_OUTCOMES[word]
+        self.later(back, lambda: seat.hear(line, True, outcome))
 
     def letter(self, sender: int, peer: int | None, payload: bytes) -> None:
         def come(seat: Seat) -> None:
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -1,6 +1,6 @@
 """Discovery's side in virtual time: watches that end at a change or when their time is up, and their bytes.
 
-A relay's watch is `lanelead/node/feeds.py`'s: one call after the other, each on a connection of its own, held
+A watch is `postgres_relay/discovery_client.py`'s: one call after the other, each on a connection of its own, held
 for two seconds at most. Bytes are those of HTTP: what the relay's own caller writes, caught on loopback, and
 the answer as our stand-in writes it; TCP's heads and handshakes are not in them.
 """
@@ -21,10 +21,10 @@
 import msgspec
 import structlog
 
-from lanelead.http import writing
-from lanelead.node.feeds import HOLD, Discovery, Held
+from lanelead.http import serialization
+from lanelead.postgres_relay.discovery_client import HOLD, Discovery, Held
 from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
-from lanelead.protocols.records import EndpointListMessage, encode
+from lanelead.protocols.feeds import EndpointListMessage, encode
 
 CALL = 0.001  # seconds from an answer to the relay's next watch, over a network of one zone
 
@@ -46,7 +46,7 @@
         for number in range(changed)
     ]
     body = encode(EndpointList(1_234_567, full, [msgspec.Raw(encode(point)) for point in points]))
-    return writing.response(200, ((b"content-type", b"application/json"),), body, keep=False)
+    return serialization.response(200, ((b"content-type", b"application/json"),), body, keep=False)
 
 
 class Ear:
@@ -127,7 +127,7 @@
 def play(relays: int, seconds: float, changes: Sequence[float], asked: int, seed: int = 37) -> Watched:
     """`changes`: when a unit changed, in rising order, in seconds. `asked`: bytes of one request. Each relay
     begins at a moment of its own within the first hold."""
-    chance = Random(f"watching {seed}")
+    rng = Random(f"watching {seed}")
     sizes = [len(answer(many)) for many in range(3)]
 
     def size(many: int) -> int:
@@ -136,7 +136,7 @@
     watches = total = 0
     begun, moved = Counter[int](), Counter[int]()
     for _ in range(relays):
-        at, known = chance.uniform(0, HOLD), 0
+        at, known = rng.uniform(0, HOLD), 0
         while at < seconds:
             watches += 1
             begun[int(at)] += 1
@@ -154,6 +154,6 @@
 
 def drawn(events: int, each: int, seconds: float, gap: float, seed: int = 37) -> list[float]:
     """When units change: so many events at random moments, each of so many changes `gap` seconds apart."""
-    chance = Random(f"changes {seed}")
-    starts = [chance.uniform(0, seconds) for _ in range(events)]
+    rng = Random(f"changes {seed}")
+    starts = [rng.uniform(0, seconds) for _ in range(events)]
     return sorted(at + gap * place for at in starts for place in range(each))
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -24,11 +24,11 @@
 import click
 import msgspec
 
-from lanelead.days.fleet import free_ports
-from lanelead.days.play import plan_file
+from lanelead.testbed.scenarios.processes import free_ports
+from lanelead.testbed.scenarios.runner import plan_file
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
-from lanelead.standins.interrupts import Apart, Filer, Trial, check, counted
+from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
 
 
 def trial(folder: str) -> Trial:
@@ -74,7 +74,7 @@
     args = [
         sys.executable,
         "-m",
-        "lanelead.standins.interrupts",
+        "lanelead.testbed.emulators.crash_injection",
         str(file),
         str(place.port),
         str(number),
--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -14,9 +14,9 @@
 
 import click
 
-from lanelead.model.steps import ALL, Found, Guards, search
+from lanelead.testbed.simulation.migrations import ALL, Found, Guards, search
 from lanelead.settings.records import Batch, Demands, Need, Step, Steps
-from lanelead.steps.runner import Goal
+from lanelead.migrations.runner import Goal
 
 
 def plan(many: int) -> Steps:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -15,9 +15,9 @@
 import click
 import msgspec
 
-from lanelead.days.commands import load
-from lanelead.model.baselines import POLICIES
-from lanelead.model.town import Town
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.simulation.baselines import POLICIES
+from lanelead.testbed.simulation.fleet import Town
 from lanelead.settings.records import Day, Offer
 
 KINDS = ("errors", "lane", "slow", "load", "late", "wrong", "shared")
@@ -25,10 +25,10 @@
 
 
 def day(number: int, relays: int, rate: float) -> Day:
-    base, chance = load("bad-day"), Random(f"build {number}")
+    base, rng = load("bad-day"), Random(f"build {number}")
     bad = KINDS[number // 2 % len(KINDS)] if number % 2 else None
     offer = Offer(
-        at=3.0, strength=chance.uniform(0.1, 0.8), speed=1.0, bad=bad, lane="offer-submit" if bad == "lane" else None
+        at=3.0, strength=rng.uniform(0.1, 0.8), speed=1.0, bad=bad, lane="offer-submit" if bad == "lane" else None
     )
     poll = msgspec.structs.replace(base.service.poll, complaint_share=0.5)
     return msgspec.structs.replace(
--- a/lanelead/cli.py
+++ b/lanelead/cli.py
@@ -10,14 +10,14 @@
 from lanelead import VERSION
 
 ELSEWHERE = {  # commands by name, and where they stand
-    "day": "lanelead.days.commands",
-    "steps": "lanelead.steps.commands",
-    "store": "lanelead.steps.commands",
-    "model": "lanelead.experiments.commands",
-    "experiment": "lanelead.experiments.commands",
-    "circle": "lanelead.circle.commands",
+    "day": "lanelead.testbed.scenarios.commands",
+    "steps": "lanelead.migrations.commands",
+    "store": "lanelead.migrations.commands",
+    "model": "lanelead.testbed.experiments.commands",
+    "experiment": "lanelead.testbed.experiments.commands",
+    "circle": "lanelead.membership.commands",
     "configuration": "lanelead.configuration.commands",
-    "load": "lanelead.load.commands",
+    "load": "lanelead.testbed.load.commands",
 }
 
 
@@ -67,7 +67,7 @@
 @click.option("--console", is_flag=True, help="Logs for people rather than JSON lines.")
 def relay(settings: str, console: bool) -> None:
     """Runs a relay until SIGTERM; it then drains and exits with 0."""
-    from lanelead.relay.main import run
+    from lanelead.http_relay.main import run
     from lanelead.settings.cue import Unfit
     from lanelead.settings.read import read
     from lanelead.settings.records import Relay
@@ -87,6 +87,6 @@
 @click.option("--console", is_flag=True, help="Logs for people rather than JSON lines.")
 def node(console: bool) -> None:
     """Runs the relay that the platform's NODE_CONFIG describes, until SIGTERM."""
-    from lanelead.node.main import run
+    from lanelead.postgres_relay.main import run
 
     run("console" if console else "json")
--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -127,13 +127,13 @@
         voters: Sequence[int],
         proposal: Proposal,
         holder: Holder,
-        chance: Random,
+        rng: Random,
         now: float,
         finishes: Change | None = None,
     ) -> None:
         self.finishes = finishes
         self._number, self._voters, self.proposal = number, voters, proposal
-        self._holder, self._chance = holder, chance
+        self._holder, self._chance = holder, rng
         self._many = len(voters) // 2 + 1
         self._version = -1  # that the tries are for
         self._tries, self._number_seen = 0, 0
--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from lanelead.configuration.settings import Unfit, place, read
-from lanelead.http.calls import CallFailedError, call
+from lanelead.http.client import CallFailedError, call
 from lanelead.protocols.configuration import AcceptedProposal, AppliedVersion, Entry, Proposal, RejectedProposal
-from lanelead.protocols.machines import ReplicaStatus
-from lanelead.protocols.records import MessageError, decode, encode
+from lanelead.protocols.configuration_replicas import ReplicaStatus
+from lanelead.protocols.feeds import MessageError, decode, encode
 
 LIMIT = 30.0  # seconds for one answer: a machine ends a proposal before
 LOOK = 0.2  # seconds between two looks at who has a version in force
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lanelead.configuration.acts import Act, AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
+from lanelead.configuration.actions import Act, AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document, Refused, TooLarge, bucket_of, sums_of
 from lanelead.protocols.configuration import AppliedVersion, Buckets, WatchLine, DigestTree
 
@@ -78,15 +78,15 @@
         sources: Sequence[Place],
         document: Document,
         rate: float,
-        chance: Random,
+        rng: Random,
         now: float,
     ) -> None:
         self.document, self.history, self.acts = document, "", list[Act]()
         self.refused: list[str] = []  # keys that the relay could not take; the host writes them
         self.refusals = 0
         self.repairs = self.lines = 0
-        self._number, self._place, self._rate, self._chance = number, place, rate, chance
-        self._known = [_Known(source, chance.random()) for source in sources]
+        self._number, self._place, self._rate, self._chance = number, place, rate, rng
+        self._known = [_Known(source, rng.random()) for source in sources]
         self._order = sorted(range(len(sources)), key=lambda n: (self._rank(n), self._known[n].lot))
         self._current: int | None = None
         self._trial: tuple[int, float] | None = None  # one that may be better, and since when it is asked
--- a/lanelead/configuration/letters.py
+++ b/lanelead/configuration/messages.py
@@ -6,7 +6,7 @@
 
 from lanelead.configuration.agreement import LONGEST, Proposer
 from lanelead.protocols.configuration import Accept, Prepare, Heartbeat
-from lanelead.protocols.machines import DecidedChange, SnapshotPage
+from lanelead.protocols.configuration_replicas import DecidedChange, SnapshotPage
 
 NEVER = -1e6  # seconds before its start
 
--- a/lanelead/configuration/machine.py
+++ b/lanelead/configuration/replica.py
@@ -29,8 +29,8 @@
 from random import Random
 
 from lanelead.configuration.agreement import LONGEST, Proposer, Unfit
-from lanelead.configuration.holding import Holding, Strange
-from lanelead.configuration.letters import NEVER, Asked, Call, Seen
+from lanelead.configuration.replica_state import Holding, Strange
+from lanelead.configuration.messages import NEVER, Asked, Call, Seen
 from lanelead.configuration.store import StoreFault
 from lanelead.protocols.configuration import (
     Accept,
@@ -43,7 +43,7 @@
     Heartbeat,
     AcceptReply,
 )
-from lanelead.protocols.machines import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
+from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
 
 SIGNS = 0.5  # seconds
 OUT = 12  # signs to one machine without an answer yet, at the most
@@ -62,7 +62,7 @@
         voters: Sequence[int],
         others: Sequence[int],
         holding: Holding,
-        chance: Random,
+        rng: Random,
         now: float,
         told: Callable[[str, str], None] = lambda text, remedy: None,
     ) -> None:
@@ -70,7 +70,7 @@
         self.seen = {other: Seen() for other in others}
         self.calls: list[Call] = []
         self.fault = ""  # of the store, at its last try
-        self._chance, self._told, self._started = chance, told, now
+        self._chance, self._told, self._started = rng, told, now
         self._many = len(self.voters) // 2 + 1
         self._waiting: deque[Proposer] = deque()
         self._next_sign = now
--- a/lanelead/configuration/holding.py
+++ b/lanelead/configuration/replica_state.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from lanelead.configuration import kinds
+from lanelead.configuration import value_types
 from lanelead.configuration.agreement import Acceptor, Unfit
 from lanelead.configuration.document import GONE, Document, Refused, canonical
-from lanelead.configuration.source import KEPT, Source
+from lanelead.configuration.publisher import KEPT, Source
 from lanelead.configuration.store import IDENTS, Corrupt, Store
 from lanelead.protocols.configuration import (
     BUCKET_COUNT,
@@ -19,7 +19,7 @@
     Proposal,
     RejectedProposal,
 )
-from lanelead.protocols.machines import SNAPSHOT_PAGES, CompletedProposal, SnapshotPage
+from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, CompletedProposal, SnapshotPage
 
 A_PAGE = BUCKET_COUNT // SNAPSHOT_PAGES  # buckets of one page of a snapshot
 PRUNED = 256  # versions between two prunings of keys that are gone
@@ -117,9 +117,9 @@
         try:
             for entry in proposal.entries:
                 if (value := canonical(entry.value)) != GONE:
-                    kinds.read(entry.key, value)
+                    value_types.read(entry.key, value)
             digest = self.document.after(proposal.entries)
-        except (Refused, kinds.InvalidValueError) as fault:
+        except (Refused, value_types.InvalidValueError) as fault:
             return RejectedProposal("malformed", str(fault))
         return Change(self.head + 1, proposal.ident, digest, proposal.entries, self._wall() * 1000)
 
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -24,15 +24,16 @@
 
 from lanelead.configuration.agreement import Proposer, Unfit
 from lanelead.configuration.document import Document
-from lanelead.configuration.holding import Holding
-from lanelead.configuration.letters import Asked, Call
-from lanelead.configuration.machine import Machine
+from lanelead.configuration.replica_state import Holding
+from lanelead.configuration.messages import Asked, Call
+from lanelead.configuration.replica import Machine
 from lanelead.configuration.settings import Settings, place
-from lanelead.configuration.source import SIGN, Gone
+from lanelead.configuration.publisher import SIGN, Gone
 from lanelead.configuration.store import Store, StoreFault
-from lanelead.http import calls, writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import STREAM, ServerConnection, chunk
+from lanelead.http import client
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import STREAM, ServerConnection, chunk
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -45,8 +46,14 @@
     Heartbeat,
     AcceptReply,
 )
-from lanelead.protocols.machines import SNAPSHOT_PAGES, DecidedChange, PeerStatus, SnapshotPage, ReplicaStatus
-from lanelead.protocols.records import MessageError, decode, encode
+from lanelead.protocols.configuration_replicas import (
+    SNAPSHOT_PAGES,
+    DecidedChange,
+    PeerStatus,
+    SnapshotPage,
+    ReplicaStatus,
+)
+from lanelead.protocols.feeds import MessageError, decode, encode
 
 FIELDS = [(b"content-type", b"application/json")]
 STATUS = {"malformed": 400, "stale": 409, "unknown": 504, "overloaded": 503, "abstains": 503}
@@ -76,16 +83,14 @@
 
 
 class Service:
-    def __init__(self, settings: Settings, store: Store, log: Any, chance: Random) -> None:
+    def __init__(self, settings: Settings, store: Store, log: Any, rng: Random) -> None:
         self._settings, self._store, self._log = settings, store, log
         self._loop = asyncio.get_running_loop()
         bounds = settings.bounds
         holding = Holding(store, settings.voters, lambda: Document(bounds.entries, bounds.document_bytes), time.time)
         others = [row.number for row in settings.machines if row.number != settings.machine]
         self._places = {row.number: place(row.address) for row in settings.machines}
-        self.machine = Machine(
-            settings.machine, settings.voters, others, holding, chance, self._loop.time(), self._note
-        )
+        self.machine = Machine(settings.machine, settings.voters, others, holding, rng, self._loop.time(), self._note)
         self._callers: dict[ServerConnection, float] = {}  # with when each last asked
         self._watchers: dict[ServerConnection, Watcher] = {}
         self._pending: dict[ServerConnection, tuple[Proposer, HttpRequest]] = {}
@@ -193,10 +198,10 @@
             path, body = b"/configuration/" + name, encode(call.body)
         answer: Any = None
         try:
-            said = await calls.call(self._loop, self._places[call.to], method, path, body, call.limit)
+            said = await client.call(self._loop, self._places[call.to], method, path, body, call.limit)
             if said.status == 200 and kind is not None:
                 answer = decode(said.body, kind, LONGEST)
-        except (calls.CallFailedError, MessageError, TimeoutError):
+        except (client.CallFailedError, MessageError, TimeoutError):
             pass  # as if it had not answered: the rules ask again
         self.machine.answered(call, answer, self._now())
         self._turn()
@@ -206,7 +211,7 @@
     def _met(self, caller: ServerConnection) -> None:
         if len(self._callers) >= self._settings.bounds.connections:
             text = encode(RejectedProposal("overloaded", "too many connections: raise bounds.connections"))
-            caller.write(writing.response(503, FIELDS, text, False))
+            caller.write(serialization.response(503, FIELDS, text, False))
             caller.close()
             return
         self._callers[caller] = self._now()
@@ -257,7 +262,7 @@
         raise Refused(RejectedProposal("malformed", f"no call {ask.method} /configuration/{name[:80]}"), 404)
 
     def _answer(self, caller: ServerConnection, ask: HttpRequest, status: int, body: bytes) -> None:
-        caller.write(writing.response(status, FIELDS, body, ask.keep))
+        caller.write(serialization.response(status, FIELDS, body, ask.keep))
         if not ask.keep:
             caller.close()
 
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import MessageError
+from lanelead.protocols.feeds import MessageError
 from lanelead.settings.records import Address
 
 LONGEST = 1 << 20  # bytes of the file
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from lanelead.protocols.configuration import Ballot, Change
-from lanelead.protocols.machines import CompletedProposal
+from lanelead.protocols.configuration_replicas import CompletedProposal
 
 IDENTS = 10_000  # of changes made last, kept to make none twice
 LOG, LOG_SECONDS = 20_000, 86_400.0
--- a/lanelead/decisions/scoring.py
+++ b/lanelead/decisions/build_scoring.py
@@ -4,8 +4,8 @@
 from enum import Enum
 
 from lanelead.decisions.interface import EndpointStatus, AttemptOutcome, RequestClass, Ticks
-from lanelead.decisions.servers import EndpointState
-from lanelead.decisions.sums import Window, Windows, filled, percentile, pooled, shares, tally, tamed, z_score
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.counters import Window, Windows, filled, percentile, pooled, shares, tally, tamed, z_score
 
 FULL = 200  # outcomes in the fullest window that a deviation is taken for
 
@@ -46,12 +46,12 @@
         self._before = pooled(w for w in self._earlier(start - 2 * self._span) if w.start < start)
 
     def record(
-        self, server: EndpointState, lane: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
+        self, server: EndpointState, request_class: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
     ) -> None:
         # Coldness makes a server slow, but never wrong: only slowness goes unscored until it is ripe.
         ripe = now - server.listed >= self._ripe
         scored = {fault: many for fault, many in faults.items() if ripe or fault in HARD}
-        self.windows.add(server, lane, outcomes, scored, now)
+        self.windows.add(server, request_class, outcomes, scored, now)
         self.seen += outcomes if server.build >= self._trial else 0
 
     def _earlier(self, start: Ticks) -> Iterable[View]:
--- a/lanelead/decisions/sums.py
+++ b/lanelead/decisions/counters.py
@@ -138,10 +138,10 @@
         self.all: deque[Window[S, F]] = deque()  # the oldest first
         self._open: dict[tuple[S, RequestClass], Window[S, F]] = {}
 
-    def add(self, server: S, lane: RequestClass, outcomes: int, faults: Mapping[F, int], now: Ticks) -> None:
-        window, second = self._open.get((server, lane)), now - now % SECOND
+    def add(self, server: S, request_class: RequestClass, outcomes: int, faults: Mapping[F, int], now: Ticks) -> None:
+        window, second = self._open.get((server, request_class)), now - now % SECOND
         if window is None or (window.start, window.build) != (second, server.build):
-            window = self._open[server, lane] = Window(server, lane, server.build, second)
+            window = self._open[server, request_class] = Window(server, request_class, server.build, second)
             self.all.append(window)
         window.add(outcomes, faults)
         while self.all[0].start < now - self._span:
@@ -169,8 +169,8 @@
     """Of each kind of fault seen in a lane, its share of each of that lane's windows, in rising order."""
     seen = {(window.lane, fault): None for window in windows for fault in window.faults}
     return {
-        (lane, fault): sorted(w.faults.get(fault, 0) / w.outcomes for w in windows if w.lane is lane)
-        for lane, fault in seen
+        (request_class, fault): sorted(w.faults.get(fault, 0) / w.outcomes for w in windows if w.lane is request_class)
+        for request_class, fault in seen
     }
 
 
@@ -178,8 +178,8 @@
     """All windows as one of each lane, and one of all lanes."""
     base: dict[RequestClass | None, Window[S, F]] = {}
     for w in windows:
-        for lane in (w.lane, None):
-            base.setdefault(lane, Window(w.server, w.lane, w.build, w.start)).add(w.outcomes, w.faults)
+        for request_class in (w.lane, None):
+            base.setdefault(request_class, Window(w.server, w.lane, w.build, w.start)).add(w.outcomes, w.faults)
     return base
 
 
--- a/lanelead/decisions/choosing.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -5,10 +5,10 @@
 from random import Random
 from typing import TypeAlias
 
-from lanelead.decisions.guards import Guards
+from lanelead.decisions.admission import Guards
 from lanelead.decisions.interface import SECOND, DecisionParameters, Request, RelayPosition, Ticks
-from lanelead.decisions.servers import Outstanding, Roster, EndpointState, Traffic
-from lanelead.decisions.zones import Pools
+from lanelead.decisions.endpoint_state import Outstanding, Roster, EndpointState, Traffic
+from lanelead.decisions.zone_spillover import Pools
 
 SIGHT = 16  # servers looked at for one choice, at most
 Some: TypeAlias = Sequence[EndpointState]
@@ -27,9 +27,9 @@
         figures: DecisionParameters,
         spared: Ticks,
         place: RelayPosition,
-        chance: Random,
+        rng: Random,
     ) -> None:
-        self._roster, self.guards, self.chance, self._out = roster, guards, chance, out
+        self._roster, self.guards, self.chance, self._out = roster, guards, rng, out
         self._traffic, self._figures, self._spared = traffic, figures, spared
         self._place = place.number / place.relay_count
 
@@ -46,33 +46,33 @@
         return not server.out or len(server.out) < 1.2 * server.done.read(now) / (2 * SECOND) * target
 
     def cost(self, server: EndpointState, now: Ticks) -> float:  # the wait to expect there, as a rank
-        trips = server.trips.read(now)
+        attempts = server.trips.read(now)
         load = (1 + len(server.out) + self._out.at(server, now)) / server.capacity
-        load *= (1 + server.pace.read(now)) / (1 + trips)
+        load *= (1 + server.pace.read(now)) / (1 + attempts)
         # A unit that has gone silent answers nothing at all: its oldest trip tells.
         oldest = next(iter(server.out), None)
         silent = (now - oldest.sent_at) / oldest.request.request_class.latency_objective if oldest else 0.0
-        return load * (1 + 3 * server.strikes.read(now) / (1 + trips)) * (1 + silent)
+        return load * (1 + 3 * server.strikes.read(now) / (1 + attempts)) * (1 + silent)
 
-    def pair(self, cuts: Iterable[Pools], lookup: Request, lean: float, now: Ticks, asked: Some) -> Pair:
-        return next((two for groups in cuts if (two := self._among(groups, lookup, lean, now, asked))), [])
+    def pair(self, cuts: Iterable[Pools], request: Request, lean: float, now: Ticks, asked: Some) -> Pair:
+        return next((two for groups in cuts if (two := self._among(groups, request, lean, now, asked))), [])
 
-    def _among(self, groups: Pools, lookup: Request, lean: float, now: Ticks, asked: Some) -> Pair:
+    def _among(self, groups: Pools, request: Request, lean: float, now: Ticks, asked: Some) -> Pair:
         allows, new = self.guards.exposure.allows, Pair()  # builds that were asked in vain come last
-        pools = [some for build, some in groups.items() if some and allows(build, lookup, now)]
+        pools = [some for build, some in groups.items() if some and allows(build, request, now)]
         pools.sort(key=lambda servers: any(server in servers for server in asked))
         while pools and not new:
-            new = self.two(pools.pop(0), lookup, now, asked)
-        old = self.two([server for servers in pools for server in servers], lookup, now, asked)
+            new = self.two(pools.pop(0), request, now, asked)
+        old = self.two([server for servers in pools for server in servers], request, now, asked)
         return new if new and (not old or self.cost(new[0], now) <= self.cost(old[0], now) * lean) else old
 
-    def two(self, servers: Some, lookup: Request, now: Ticks, asked: Some) -> Pair:
+    def two(self, servers: Some, request: Request, now: Ticks, asked: Some) -> Pair:
         fresh, other = Pair(), Pair()
         seen = [*self._near(servers, now), *self.chance.sample(servers, min(SIGHT, len(servers)))]
         for server in dict.fromkeys(seen):
             free = server not in asked and self._room(server, now)
-            if free and self.guards.open(server, lookup, now):
-                tried = server.aside > now or any(trip.endpoint is server for trip in lookup.attempts)
+            if free and self.guards.open(server, request, now):
+                tried = server.aside > now or any(attempt.endpoint is server for attempt in request.attempts)
                 (other if tried else fresh).append(server)
                 if len(fresh) == 2:
                     break
@@ -81,8 +81,8 @@
     def _near(self, servers: Some, now: Ticks) -> Pair:
         """Guards against connections that are used once: a part of the units, a quarter as many as lookups
         come while one lasts. Units stand in one order for all, and the relays' parts go round."""
-        lookups = self._traffic.taken.read(now) * self._spared / (4 * SECOND)
-        part = max(4, ceil(lookups / 4 * len(servers) / max(1, len(self._roster.ready))))
+        requests = self._traffic.taken.read(now) * self._spared / (4 * SECOND)
+        part = max(4, ceil(requests / 4 * len(servers) / max(1, len(self._roster.ready))))
         start, order = int(self._place * len(servers)), sorted(servers, key=lambda server: server.short_id)
         near = [*order[start:], *order[:start]][:part] if self._spared else []
         return self.chance.sample(near, min(SIGHT, len(near)))
--- a/lanelead/decisions/servers.py
+++ b/lanelead/decisions/endpoint_state.py
@@ -25,7 +25,7 @@
     Endpoint,
     GossipEntry,
 )
-from lanelead.decisions.sums import Fading
+from lanelead.decisions.counters import Fading
 
 
 class EndpointState(Endpoint):
@@ -61,14 +61,14 @@
             dict[int, list[EndpointState]](),
         )
 
-    def apply(self, coverage: UpdateScope, listings: Iterable[EndpointRecord], now: Ticks) -> None:
-        if coverage is not UpdateScope.DELTA:
+    def apply(self, update_scope: UpdateScope, records: Iterable[EndpointRecord], now: Ticks) -> None:
+        if update_scope is not UpdateScope.DELTA:
             for server in self.known:
                 server.status = EndpointStatus.REMOVED
-        for told in listings:
+        for told in records:
             server = state_of(told.endpoint)
             if server not in self.known or (server.build, server.started_at) != (told.build, told.started_at):
-                server.listed, server.aside = told.started_at if coverage is UpdateScope.CACHED else now, 0
+                server.listed, server.aside = told.started_at if update_scope is UpdateScope.CACHED else now, 0
                 server.mute = False
             server.update(told)
             self.known[server] = None
@@ -87,12 +87,12 @@
         self.busy = Fading(span)  # trips that kept a unit busy, at all relays that tell
 
 
-def warmth(unit: Endpoint, duties: ServiceLimits, now: Ticks) -> float:
+def warmth(unit: Endpoint, limits: ServiceLimits, now: Ticks) -> float:
     """How much of its work a unit may be given, by how long ago it started: 1 once it is warm."""
     age = now - unit.started_at
-    if unit.started_at <= 0 or age >= duties.slow_start_time:
+    if unit.started_at <= 0 or age >= limits.slow_start_time:
         return 1.0
-    return duties.slow_start_share + (1 - duties.slow_start_share) * max(0, age) / max(1, duties.slow_start_time)
+    return limits.slow_start_share + (1 - limits.slow_start_share) * max(0, age) / max(1, limits.slow_start_time)
 
 
 class Fares(dict[tuple[Tenant | None, RequestClass], tuple[Fading, Fading]]):
@@ -115,8 +115,8 @@
         self._kinds = kinds
         self._rows: dict[tuple[EndpointState, RequestClass, int], OutcomeObservation] = {}
 
-    def note(self, server: EndpointState, lane: RequestClass, outcomes: int, faults: Sequence[int]) -> None:
-        at = server, lane, server.build
+    def note(self, server: EndpointState, request_class: RequestClass, outcomes: int, faults: Sequence[int]) -> None:
+        at = server, request_class, server.build
         seen = self._rows.setdefault(at, OutcomeObservation(*at, 0, [0] * self._kinds))
         seen.outcomes += outcomes
         seen.faults = [n + more for n, more in zip(seen.faults, faults, strict=True)]
@@ -139,9 +139,9 @@
     def note(self, answers: int, now: Ticks) -> None:
         self._answers.add(now, answers)
 
-    def own(self, chance: Random, now: Ticks) -> CompletionCount:
+    def own(self, rng: Random, now: Ticks) -> CompletionCount:
         """Parts of an answer go by lot: each of hundreds of relays has few."""
-        return CompletionCount(int(self._answers.read(now) + chance.random()))
+        return CompletionCount(int(self._answers.read(now) + rng.random()))
 
     def hear(self, peer: int, word: GossipEntry, now: Ticks) -> None:
         if isinstance(word, CompletionCount):
@@ -186,7 +186,7 @@
             self._told[peer] = now, loads
         else:
             self._at, rows = now, ((state_of(load.endpoint), load.attempts) for load in loads)
-            self._others = {server: trips - len(server.out) for server, trips in rows}
+            self._others = {server: attempts - len(server.out) for server, attempts in rows}
             # A full letter left out units with no more than the least it tells of; they are not idle.
             full = loads[-1].attempts if len(loads) >= MAX_IN_FLIGHT_COUNTS else 0
             self._rest = next((word.attempts for word in said if isinstance(word, InFlightBound)), full)
@@ -201,7 +201,7 @@
                 self._others[server] = self._others.get(server, 0) + load.attempts
         total = Counter[Endpoint](self._others)
         total.update({load.endpoint: load.attempts for load in own})
-        return [InFlightCount(unit, trips) for unit, trips in total.most_common()]
+        return [InFlightCount(unit, attempts) for unit, attempts in total.most_common()]
 
     def at(self, server: EndpointState, now: Ticks) -> int:
         """The others' trips there at the most, 0 where nothing is known."""
--- a/lanelead/decisions/telling.py
+++ b/lanelead/decisions/gossip.py
@@ -12,8 +12,8 @@
     """A small circle tells all. Else a drawn hub hears what was seen and tells watchers, who can send back;
     all hubs hear what is out, and tell all in turns. Guards against bytes by the square and lost hubs."""
 
-    def __init__(self, place: RelayPosition, back_votes: int, chance: Random) -> None:
-        self._number, self._relays, self._chance = place.number, place.relay_count, chance
+    def __init__(self, place: RelayPosition, back_votes: int, rng: Random) -> None:
+        self._number, self._relays, self._chance = place.number, place.relay_count, rng
         self._hubs, self._beats = place.relay_count if place.relay_count <= CIRCLE else CIRCLE // 2, place.number
         self.watchers = min(place.relay_count, max(self._hubs, back_votes * 5 // 4))
         self.hub, self.watches = place.number < self._hubs, place.number < self.watchers
--- a/lanelead/decisions/figures.py
+++ b/lanelead/decisions/parameters.py
@@ -69,12 +69,12 @@
     """What is worked out from lanes and members, whose figures may change. `longest`, `least`: the lanes'
     expected times. `quotas`: of all members, lookups a second over all relays; `quota`: a relay's part."""
 
-    def __init__(self, lanes: Iterable[RequestClass], quotas: float, relays: int) -> None:
-        self._lanes, self._relays = list(lanes), relays
+    def __init__(self, request_classes: Iterable[RequestClass], quotas: float, relays: int) -> None:
+        self._lanes, self._relays = list(request_classes), relays
         self.update(quotas)
 
     def update(self, quotas: float) -> None:
-        times = [lane.latency_objective for lane in self._lanes]
+        times = [request_class.latency_objective for request_class in self._lanes]
         self.longest_objective, self.shortest_objective = max(times), min(times)
         self.total_quota, self.relay_quota = quotas, quotas / self._relays
 
--- a/lanelead/decisions/journeys.py
+++ b/lanelead/decisions/request_scheduling.py
@@ -10,46 +10,46 @@
 from typing import TypeAlias
 
 from lanelead.decisions.interface import Action, Request, Ticks, Attempt, SetTimer
-from lanelead.decisions.servers import EndpointState
+from lanelead.decisions.endpoint_state import EndpointState
 
 Journey: TypeAlias = Generator[EndpointState | Ticks, Attempt | None, None]
 
 
 class Journeys:
-    def __init__(self, send: Callable[[Request, EndpointState], None], act: Callable[[Action], None]) -> None:
-        self._send, self._act = send, act
+    def __init__(self, send: Callable[[Request, EndpointState], None], action: Callable[[Action], None]) -> None:
+        self._send, self._act = send, action
         self._on, self._resume = dict[Request, Journey](), dict[Request, Ticks]()
         self.waiting: dict[Request, float] = {}  # those that wait for room, with their worth
         self.asking: dict[Request, None] = {}  # those that wait for a probe
 
-    def begin(self, lookup: Request, journey: Journey) -> None:
-        self._on[lookup] = journey
-        self.go_on(lookup)
+    def begin(self, request: Request, journey: Journey) -> None:
+        self._on[request] = journey
+        self.go_on(request)
 
     def worthiest(self, most: int) -> list[Request]:
-        return sorted(self.waiting, key=lambda lookup: -self.waiting[lookup])[:most]
+        return sorted(self.waiting, key=lambda request: -self.waiting[request])[:most]
 
-    def hold(self, lookup: Request) -> None:
+    def hold(self, request: Request) -> None:
         """It waits for its trip alone from now on."""
-        self._resume.pop(lookup, None)
+        self._resume.pop(request, None)
 
-    def due(self, lookup: Request, now: Ticks) -> bool:
-        return not lookup.finished and self._resume.get(lookup, now + 1) <= now
+    def due(self, request: Request, now: Ticks) -> bool:
+        return not request.finished and self._resume.get(request, now + 1) <= now
 
-    def go_on(self, lookup: Request, trip: Attempt | None = None) -> None:
+    def go_on(self, request: Request, attempt: Attempt | None = None) -> None:
         for table in (self._resume, self.waiting, self.asking):
-            table.pop(lookup, None)
+            table.pop(request, None)
         try:
-            want = self._on[lookup].send(trip)
+            want = self._on[request].send(attempt)
             while isinstance(want, EndpointState):
-                self._send(lookup, want)
-                want = next(self._on[lookup])
+                self._send(request, want)
+                want = next(self._on[request])
         except StopIteration:
             return
-        if want < lookup.deadline:
-            self._resume[lookup] = want
-            self._act(SetTimer(want, lookup))
+        if want < request.deadline:
+            self._resume[request] = want
+            self._act(SetTimer(want, request))
 
-    def end(self, lookup: Request) -> None:
+    def end(self, request: Request) -> None:
         for table in (self._on, self._resume, self.waiting, self.asking):
-            table.pop(lookup, None)
+            table.pop(request, None)
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -17,15 +17,15 @@
     Verdict,
     CastVote,
 )
-from lanelead.decisions.scoring import FULL, Scoring
-from lanelead.decisions.servers import Roster, Traffic
-from lanelead.decisions.sums import z_score
-from lanelead.decisions.telling import Circle
+from lanelead.decisions.build_scoring import FULL, Scoring
+from lanelead.decisions.endpoint_state import Roster, Traffic
+from lanelead.decisions.counters import z_score
+from lanelead.decisions.gossip import Circle
 
 
 class Ballot:  # this relay's one vote: when to cast it, and when again
-    def __init__(self, poll: VotingRules, chance: Random) -> None:
-        self._poll, self._chance = poll, chance
+    def __init__(self, poll: VotingRules, rng: Random) -> None:
+        self._poll, self._chance = poll, rng
         self._cast: CastVote | None = None
         self._lapses, self._quiet = 0, 0  # when the vote must be cast again, and until when none may be
 
@@ -58,10 +58,10 @@
     """The build on trial as one relay sees it."""
 
     def __init__(
-        self, trial: CanaryLimits, poll: VotingRules, circle: Circle, scoring: Scoring, traffic: Traffic, chance: Random
+        self, trial: CanaryLimits, poll: VotingRules, circle: Circle, scoring: Scoring, traffic: Traffic, rng: Random
     ) -> None:
         self._trial, self._poll, self._circle, self._scoring = trial, poll, circle, scoring
-        self._traffic, self.ballot = traffic, Ballot(poll, chance)
+        self._traffic, self.ballot = traffic, Ballot(poll, rng)
         self.margin, self._stage, self.told, self._doubt, self.due = 0.0, (-1, 0), 0, 0, 0
         self._wait = min(5 * SECOND, 5 * poll.min_stage_time or 5 * SECOND)  # scaled as stages are
         self.calm, self.calm_rate = list[float](), 0.0  # slow answers at the end of each stage, from before
--- a/lanelead/decisions/zones.py
+++ b/lanelead/decisions/zone_spillover.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request, ZonePreference, Idempotency, Ticks
-from lanelead.decisions.servers import EndpointState, Tier, warmth
+from lanelead.decisions.endpoint_state import EndpointState, Tier, warmth
 
 ANYWHERE = ZonePreference()
 Pools = dict[int, list[EndpointState]]
@@ -13,9 +13,9 @@
 
 class Spill:
     def __init__(
-        self, preference: ZonePreference, duties: ServiceLimits, longest: Ticks, beat: Ticks, chance: Random
+        self, preference: ZonePreference, limits: ServiceLimits, longest: Ticks, beat: Ticks, rng: Random
     ) -> None:
-        self._wants, self._duties, self._chance = preference, duties, chance
+        self._wants, self._duties, self._chance = preference, limits, rng
         self._longest, self._beat, self._rate, self._beats = longest, beat, 0.0, 0
         self.tiers = [Tier(2 * longest) for _ in preference.tiers]
         self._place = {zone: place for place, zones in enumerate(preference.tiers) for zone in zones}
@@ -33,8 +33,8 @@
     def troubled(self, server: EndpointState) -> bool:  # guards against blaming a build for its lost or full zone
         return bool(self.tiers) and self.tiers[self.place(server)].gone > 0.25
 
-    def left(self, lookup: Request) -> None:
-        self._draws.pop(lookup, None)
+    def left(self, request: Request) -> None:
+        self._draws.pop(request, None)
 
     def beat(self, servers: Iterable[EndpointState], taken: float, trial: bool, now: Ticks) -> None:
         """Once a beat. `taken`: lookups, a sum over 4 s; `trial`: a build's machines may stand beside."""
@@ -47,9 +47,9 @@
                 place = self.place(server)
                 sizes[place] += server.capacity * warmth(server, self._duties, now)
                 late = (
-                    trip
-                    for trip in server.out
-                    if now - trip.sent_at > trip.request.request_class.latency_objective // 2
+                    attempt
+                    for attempt in server.out
+                    if now - attempt.sent_at > attempt.request.request_class.latency_objective // 2
                 )
                 silent[place] += sum(1 for _ in late)
         troubled = any(tier.gone > 0 for tier in self.tiers)
@@ -100,14 +100,14 @@
         most = max(3.0, more * self._longest / self._beat / 2)
         tier.held = min(most, tier.held + more * self._chance.uniform(0.5, 1.5))
 
-    def _order(self, lookup: Request) -> list[list[int]]:  # the tiers that it may use now, the best first
-        draw = self._draws.setdefault(lookup, self._chance.random())
-        tried = {self._place.get(trip.endpoint.zone, len(self.tiers) - 1) for trip in lookup.attempts}
-        if lookup.attempts and lookup.request_class.idempotency is Idempotency.KEYED:
+    def _order(self, request: Request) -> list[list[int]]:  # the tiers that it may use now, the best first
+        draw = self._draws.setdefault(request, self._chance.random())
+        tried = {self._place.get(attempt.endpoint.zone, len(self.tiers) - 1) for attempt in request.attempts}
+        if request.attempts and request.request_class.idempotency is Idempotency.KEYED:
             return [sorted(tried)]  # its group may be the zone: a repeat never spills
         order, last = list[list[int]](), len(self.tiers) - 1
         for place, tier in enumerate(self.tiers):
-            risky = tier.gone > 0.9 and lookup.request_class.idempotency is not Idempotency.IDEMPOTENT
+            risky = tier.gone > 0.9 and request.request_class.idempotency is not Idempotency.IDEMPOTENT
             allowed = (place == 0 or tier.held >= 1) and not risky and place not in tried
             if allowed and (draw >= tier.gone or place == last or order):
                 order.append([place])
@@ -120,9 +120,9 @@
         if self.tiers and (place := self.place(server)):
             self.tiers[place].held -= 1
 
-    def cuts(self, pools: Pools, lookup: Request) -> Iterator[Pools]:
+    def cuts(self, pools: Pools, request: Request) -> Iterator[Pools]:
         if len(self.tiers) < 2:
             yield pools
             return
-        for places in self._order(lookup):
+        for places in self._order(request):
             yield {build: [s for s in some if self.place(s) in places] for build, some in pools.items()}
--- a/lanelead/http/calls.py
+++ b/lanelead/http/client.py
@@ -8,9 +8,9 @@
 
 import httptools
 
-from lanelead.http import writing
-from lanelead.http.answers import HttpResponse, ResponseReader, Progress
-from lanelead.protocols.records import LineSplitter, MessageError
+from lanelead.http import serialization
+from lanelead.http.responses import HttpResponse, ResponseReader, Progress
+from lanelead.protocols.feeds import LineSplitter, MessageError
 from lanelead.settings.records import Address
 
 BUFFER = 16384
@@ -42,7 +42,7 @@
             sock = await connect(loop, address)
             fields = [(b"host", address.host.encode()), (b"connection", b"close")]
             fields += [(b"content-type", b"application/json")] * bool(body)
-            await loop.sock_sendall(sock, writing.request(method, path, fields, body))
+            await loop.sock_sendall(sock, serialization.request(method, path, fields, body))
             reader, buffer = ResponseReader(16 << 20), bytearray(BUFFER)
             view = memoryview(buffer)
             while True:
@@ -84,7 +84,7 @@
         async with asyncio.timeout(silence):
             sock = await connect(loop, address)
             fields = [(b"host", address.host.encode()), (b"accept", b"application/x-ndjson")]
-            await loop.sock_sendall(sock, writing.request("GET", path, fields, b""))
+            await loop.sock_sendall(sock, serialization.request("GET", path, fields, b""))
         reader, lines, buffer = _Streamed(), LineSplitter(), bytearray(BUFFER)
         view = memoryview(buffer)
         while True:
--- a/lanelead/http/answers.py
+++ b/lanelead/http/responses.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from lanelead.http.asks import Headers
+from lanelead.http.requests import Headers
 
 
 class Progress(Enum):
--- a/lanelead/http/writing.py
+++ b/lanelead/http/serialization.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from http import HTTPStatus
 
-from lanelead.http.asks import Headers
+from lanelead.http.requests import Headers
 
 HOP = frozenset(
     (
--- a/lanelead/http/serving.py
+++ b/lanelead/http/server.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest, RequestReader, ContinueExpected, RejectedRequest
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest, RequestReader, ContinueExpected, RejectedRequest
 
 
 class ServerConnection(asyncio.Protocol):
@@ -43,9 +43,9 @@
                 case HttpRequest():
                     self._heard(self, event)
                 case ContinueExpected():
-                    self.write(writing.CONTINUE)
+                    self.write(serialization.CONTINUE)
                 case RejectedRequest(status, reason):
-                    self.write(writing.response(status, (), reason.encode(), keep=False))
+                    self.write(serialization.response(status, (), reason.encode(), keep=False))
                     self._refused = True
                     if self._linger:
                         asyncio.get_running_loop().call_later(self._linger, self.close)
--- a/lanelead/relay/gate.py
+++ b/lanelead/http_relay/client_listener.py
@@ -22,12 +22,12 @@
 import netaddr
 
 from lanelead.decisions.interface import Idempotency, RequestClass, Tenant, Ticks, Attempt
-from lanelead.http import writing
-from lanelead.http.answers import HttpResponse
-from lanelead.http.asks import HttpRequest, RequestReader, RejectedRequest, State
-from lanelead.protocols.records import Complaint, MessageError, decode, encode
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
-from lanelead.relay.links import OURS
+from lanelead.http import serialization
+from lanelead.http.responses import HttpResponse
+from lanelead.http.requests import HttpRequest, RequestReader, RejectedRequest, State
+from lanelead.protocols.feeds import Complaint, MessageError, decode, encode
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.http_relay.upstream_requests import OURS
 from lanelead.settings import records
 
 BUFFER = 8192  # bytes read at once
@@ -64,16 +64,19 @@
 class Reception:
     """Tells what lane, member, key and time a request has. Made once from the settings."""
 
-    def __init__(self, service: records.Service, driver: DecisionDriver, members: Sequence[Tenant]) -> None:
+    def __init__(self, service: records.Service, driver: DecisionDriver, tenants: Sequence[Tenant]) -> None:
         names = service.headers
         self._member, self._key, self._left, self._lookup = (
             name.lower().encode() for name in (names.member, names.key, names.left, names.lookup)
         )
-        rows = [(lane.prefix.encode(), lane.methods, driver.request_classes[lane.name]) for lane in service.lanes]
+        rows = [
+            (request_class.prefix.encode(), request_class.methods, driver.request_classes[request_class.name])
+            for request_class in service.lanes
+        ]
         rows.sort(key=lambda row: -len(row[0]))  # the longest prefix that fits holds
-        self._lanes = [(prefix, frozenset(methods), lane) for prefix, methods, lane in rows]
+        self._lanes = [(prefix, frozenset(methods), request_class) for prefix, methods, request_class in rows]
         self._early = records.ticks(service.duties.early_ms)
-        self.members = {member.name: member for member in members}  # the decisions know these very objects
+        self.members = {tenant.name: tenant for tenant in tenants}  # the decisions know these very objects
         spans = [(netaddr.IPNetwork(text), row.name) for row in service.members for text in row.networks]
         spans.sort(key=lambda pair: -pair[0].prefixlen)
         self._spans = spans
@@ -81,10 +84,10 @@
 
     def lane(self, ask: HttpRequest) -> RequestClass:
         path, fitting = ask.target.partition(b"?")[0], False
-        for prefix, methods, lane in self._lanes:
+        for prefix, methods, request_class in self._lanes:
             if path.startswith(prefix):
                 if ask.method in methods:
-                    return lane
+                    return request_class
                 fitting = True
         raise Refused(405 if fitting else 404, "no lane takes this method here" if fitting else "no such lane")
 
@@ -103,9 +106,9 @@
         raw = ask.header(self._key)
         return None if raw is None else raw.decode("latin-1")
 
-    def left(self, ask: HttpRequest, lane: RequestClass) -> Ticks:
+    def left(self, ask: HttpRequest, request_class: RequestClass) -> Ticks:
         """The time to the final answer; earlier than the client's own by what the way back may take."""
-        raw, most = ask.header(self._left), lane.timeout
+        raw, most = ask.header(self._left), request_class.timeout
         if raw is not None:
             if not DIGITS.match(raw):
                 raise Refused(400, f"{self._left.decode()} takes milliseconds, as digits")
@@ -172,7 +175,7 @@
                         gate.refused(event.status, event.reason)
                         self._say(self._slot(None), event.status, event.reason, close=True)
                     elif self.quiet and not self._closing:
-                        await self._loop.sock_sendall(self._sock, writing.CONTINUE)
+                        await self._loop.sock_sendall(self._sock, serialization.CONTINUE)
                 gate.after()
         except OSError:  # reset: the client is gone, and no answer is owed
             self._gone()
@@ -198,22 +201,22 @@
             return
         reception = self._gate.reception
         try:
-            lane = reception.lane(ask)
-            left = reception.left(ask, lane)
-            if lane.idempotency is Idempotency.KEYED and ask.header(b"idempotency-key") is None:
+            request_class = reception.lane(ask)
+            left = reception.left(ask, request_class)
+            if request_class.idempotency is Idempotency.KEYED and ask.header(b"idempotency-key") is None:
                 raise Refused(400, "this lane takes an Idempotency-Key")
         except Refused as refused:
             self._say(slot, refused.status, refused.text)
             return
-        ticket = slot.ticket = PendingRequest(reception.ident(ask), ask, self._replied)
-        member, key = reception.member(ask, self._member), reception.key(ask)
+        pending = slot.ticket = PendingRequest(reception.ident(ask), ask, self._replied)
+        tenant, key = reception.member(ask, self._member), reception.key(ask)
         now = self._gate.clock()
         slot.due = now + left
         due = slot.due
 
         def take() -> None:
             slot.waits = None
-            self._gate.driver.receive(ticket, lane, member, key, due - self._gate.clock())
+            self._gate.driver.receive(pending, request_class, tenant, key, due - self._gate.clock())
 
         ahead = [other.due for other in self.slots if other is not slot and other.text is None]
         if ahead and max(ahead) > due:
@@ -227,18 +230,18 @@
         if ask.target == b"/.lanelead/complaint" and ask.method == "POST":
             try:
                 told = decode(ask.body, Complaint)
-                lane = gate.driver.request_classes.get(told.lane)
-                if lane is None:
+                request_class = gate.driver.request_classes.get(told.lane)
+                if request_class is None:
                     raise MessageError(f"no lane {told.lane!r}")
-                if not gate.driver.complaint_received(told.unit, lane, int(told.age_ms * 10)):
+                if not gate.driver.complaint_received(told.unit, request_class, int(told.age_ms * 10)):
                     raise MessageError(f"no unit {told.unit!r} was ever listed")
             except MessageError as fault:
                 self._say(slot, 400, str(fault))
                 return
-            self._fill(slot, writing.response(204, (), b"", not slot.close))
+            self._fill(slot, serialization.response(204, (), b"", not slot.close))
         elif ask.target == b"/.lanelead/state" and ask.method in ("GET", "HEAD"):
             body = encode(gate.state())
-            text = writing.response(
+            text = serialization.response(
                 200,
                 ((b"content-type", b"application/json"),),
                 body,
@@ -259,47 +262,49 @@
         head = slot.ask is not None and slot.ask.method == "HEAD"
         body = (text + "\n").encode()
         fields = (*PLAIN, (b"lanelead-outcome", b"not-a-lookup"))
-        self._fill(slot, writing.response(status, fields, body, not slot.close, head, b"%d" % len(body)))
+        self._fill(slot, serialization.response(status, fields, body, not slot.close, head, b"%d" % len(body)))
 
     def _replied(
         self,
-        ticket: PendingRequest,
+        pending: PendingRequest,
         outcome: RequestOutcome,
-        trip: Attempt | None,
+        attempt: Attempt | None,
         answer: HttpResponse | None,
-        come_back: Ticks,
+        retry_after: Ticks,
     ) -> None:
-        slot = next((slot for slot in self.slots if slot.ticket is ticket), None)
+        slot = next((slot for slot in self.slots if slot.ticket is pending), None)
         if slot is None:
             return
-        self._gate.told(ticket, outcome, trip)
-        head, keep = ticket.message.method == "HEAD", not slot.close
-        ident = (b"x-request-id", ticket.id.encode("latin-1"))
+        self._gate.told(pending, outcome, attempt)
+        head, keep = pending.message.method == "HEAD", not slot.close
+        ident = (b"x-request-id", pending.id.encode("latin-1"))
         word = (b"lanelead-outcome", outcome.value.encode())
-        if outcome is RequestOutcome.SUCCEEDED and answer is not None and trip is not None:
-            fields = writing.passed_on(answer.headers, ANSWERED)
+        if outcome is RequestOutcome.SUCCEEDED and answer is not None and attempt is not None:
+            fields = serialization.passed_on(answer.headers, ANSWERED)
             fields += (
                 ident,
                 word,
-                (b"lanelead-unit", self._gate.driver.registry.names[trip.endpoint].encode()),
-                (b"lanelead-build", b"%d" % trip.endpoint.build),
+                (b"lanelead-unit", self._gate.driver.registry.names[attempt.endpoint].encode()),
+                (b"lanelead-build", b"%d" % attempt.endpoint.build),
             )
             length = answer.header(b"content-length")
-            text = writing.response(answer.status, fields, answer.body, keep, head, length)
+            text = serialization.response(answer.status, fields, answer.body, keep, head, length)
         elif outcome is RequestOutcome.REJECTED:
-            seconds = max(1, -(-come_back // 10_000))
+            seconds = max(1, -(-retry_after // 10_000))
             fields = [
                 *PLAIN,
                 ident,
                 word,
                 (b"retry-after", b"%d" % seconds),
-                (b"lanelead-come-back", b"%d" % (come_back // 10)),
+                (b"lanelead-come-back", b"%d" % (retry_after // 10)),
             ]
-            text = writing.response(503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46")
+            text = serialization.response(
+                503, fields, b"shed: nothing was done; it may be asked again\n", keep, head, b"46"
+            )
         else:
-            status = 504 if ticket.timed_out else 502
+            status = 504 if pending.timed_out else 502
             fields = [*PLAIN, ident, word]
-            text = writing.response(status, fields, b"broken off: it may have been done\n", keep, head, b"34")
+            text = serialization.response(status, fields, b"broken off: it may have been done\n", keep, head, b"34")
         self._fill(slot, text)
 
     def _fill(self, slot: Slot, text: bytes) -> None:
@@ -387,10 +392,10 @@
         clock: Callable[[], Ticks],
         state: Callable[[], Mapping[str, Any]],
         log: Any,
-        members: Sequence[Tenant],
+        tenants: Sequence[Tenant],
     ) -> None:
         self.loop, self.driver, self.clock, self.state, self._log = loop, driver, clock, state, log
-        self.allowance, self.reception = service.allowance, Reception(service, driver, members)
+        self.allowance, self.reception = service.allowance, Reception(service, driver, tenants)
         self.connections: dict[Connection, None] = {}
         self._spare: list[bytearray] = []
         self.draining = False
@@ -437,7 +442,7 @@
                 self.turned_off += 1
                 fields = (*PLAIN, (b"lanelead-outcome", b"shed"), (b"retry-after", b"1"))
                 with contextlib.suppress(OSError):
-                    conn.send(writing.response(503, fields, b"shed: too many connections\n", keep=False))
+                    conn.send(serialization.response(503, fields, b"shed: too many connections\n", keep=False))
                 conn.close()
                 continue
             conn.setblocking(False)
@@ -469,15 +474,15 @@
         self.malformed += 1
         self._log.info("refused", status=status, reason=reason)
 
-    def told(self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None) -> None:
+    def told(self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None) -> None:
         if outcome is RequestOutcome.SUCCEEDED:
             return
-        trips = [
+        attempts = [
             (self.driver.registry.names[row.endpoint], row.outcome.value if row.outcome else "out")
-            for row in (ticket.request.attempts if ticket.request else ())
+            for row in (pending.request.attempts if pending.request else ())
         ]
-        lane = ticket.request.request_class.name if ticket.request else None
-        self._log.info("answered", lookup=ticket.id, outcome=outcome.value, lane=lane, trips=trips)
+        request_class = pending.request.request_class.name if pending.request else None
+        self._log.info("answered", lookup=pending.id, outcome=outcome.value, lane=request_class, trips=attempts)
 
     def sweep(self) -> None:
         """Ends connections whose client has moved no byte for the idle limit while it was its turn."""
--- a/lanelead/relay/reports.py
+++ b/lanelead/http_relay/load_reports.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from lanelead.decisions.interface import LoadReport
-from lanelead.http.answers import HttpResponse
-from lanelead.protocols.records import LoadMessage, MessageError, decode
+from lanelead.http.responses import HttpResponse
+from lanelead.protocols.feeds import LoadMessage, MessageError, decode
 
 LOAD = b"lanelead-load"
 
--- a/lanelead/relay/circle.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -9,15 +9,15 @@
 from random import Random
 from typing import Any
 
-from lanelead.circle.letters import ALIVE, STATES, Row
-from lanelead.circle.members import Address, Membership, Tempo
+from lanelead.membership.messages import ALIVE, STATES, Row
+from lanelead.membership.member import Address, Membership, Tempo
 from lanelead.decisions.interface import Ticks
 from lanelead.protocols import datagrams
 from lanelead.settings import records
 
 
 class Circle:
-    """Decides nothing: the members' own module does, lanelead/circle/members.py."""
+    """Decides nothing: the members' own module does, lanelead/membership/member.py."""
 
     def __init__(
         self,
--- a/lanelead/relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -20,11 +20,11 @@
     Endpoint,
     CastVote,
 )
-from lanelead.decisions.rules import Balancer
-from lanelead.decisions.zones import ANYWHERE
-from lanelead.http.calls import CallFailedError, call, stream
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.zone_spillover import ANYWHERE
+from lanelead.http.client import CallFailedError, call, stream
 from lanelead.protocols import datagrams
-from lanelead.protocols.records import (
+from lanelead.protocols.feeds import (
     EndpointListMessage,
     MessageError,
     RolloutMessage,
@@ -33,15 +33,15 @@
     decode,
     encode,
 )
-from lanelead.protocols.steps import MigrationLogPage, AcknowledgeRequest
-from lanelead.relay.circle import Circle
+from lanelead.protocols.migrations import MigrationLogPage, AcknowledgeRequest
+from lanelead.http_relay.membership_transport import Circle
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.relay.driver import DecisionDriver, PendingRequest
-from lanelead.relay.gate import Gate
-from lanelead.relay.links import Links
-from lanelead.relay.timing import Clock
+from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.http_relay.client_listener import Gate
+from lanelead.http_relay.upstream_requests import Links
+from lanelead.runtime.timers import Clock
 from lanelead.settings import records
-from lanelead.steps.join import Readiness
+from lanelead.migrations.readiness import Readiness
 
 Seam = Callable[[Decisions], Decisions]  # for tests only: takes a guard out, from outside the decisions
 
@@ -71,30 +71,30 @@
 
     def _build(self) -> None:
         settings, service = self._settings, self._settings.service
-        allowance = service.allowance
-        lanes = [lane.figures() for lane in service.lanes]
-        duties = service.duties.figures(settings.discovery == "subscribe")
-        members = [Tenant(row.name, row.quota, row.share) for row in service.members]
+        quota = service.allowance
+        request_classes = [request_class.figures() for request_class in service.lanes]
+        limits = service.duties.figures(settings.discovery == "subscribe")
+        tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
         self._links = Links(
             self._loop,
             settings.number,
-            allowance.connect_limit_ms / 1000,
-            allowance.idle_limit_ms / 1000,
-            allowance.unit_connections,
-            4 * allowance.body_bytes + 65536,
+            quota.connect_limit_ms / 1000,
+            quota.idle_limit_ms / 1000,
+            quota.unit_connections,
+            4 * quota.body_bytes + 65536,
             frozenset(settings.reports),
             self._log,
         )
         decisions: Decisions = Balancer(
             place=records.place(settings),
-            lanes=lanes,
-            members=members,
-            allowance=allowance.figures(settings.peers is not None),
-            duties=duties,
+            request_classes=request_classes,
+            tenants=tenants,
+            quota=quota.figures(settings.peers is not None),
+            limits=limits,
             trial=service.trial.figures(),
             poll=service.poll.figures(),
-            tariff=records.TARIFF,
-            chance=Random(settings.seed * 65537 + settings.number),
+            prices=records.TARIFF,
+            rng=Random(settings.seed * 65537 + settings.number),
             now=self.clock(),
             preference=ANYWHERE if settings.spill is None else settings.spill.figures(),
         )
@@ -104,22 +104,22 @@
             decisions,
             self,
             self.clock,
-            lanes,
-            duties,
-            allowance.open_lookups,
-            records.ticks(allowance.longest_advice_ms),
-            self._readiness(lanes, duties),
+            request_classes,
+            limits,
+            quota.open_lookups,
+            records.ticks(quota.longest_advice_ms),
+            self._readiness(request_classes, limits),
         )
         self._links.driver = self.driver
-        self.gate = Gate(self._loop, service, self.driver, self.clock, self.state, self._log, members)
+        self.gate = Gate(self._loop, service, self.driver, self.clock, self.state, self._log, tenants)
         self.gate.after = self._links.after = self._after
 
-    def _readiness(self, lanes: Sequence[RequestClass], duties: ServiceLimits) -> Readiness | None:
+    def _readiness(self, request_classes: Sequence[RequestClass], limits: ServiceLimits) -> Readiness | None:
         if self._settings.steps is None:
             return None
         # What a unit has begun by a trip's outer limit it ends within some expected times.
-        grace = duties.response_slack + 2 * max(lane.latency_objective for lane in lanes)
-        longest = max(lane.timeout for lane in lanes)
+        grace = limits.response_slack + 2 * max(request_class.latency_objective for request_class in request_classes)
+        longest = max(request_class.timeout for request_class in request_classes)
         return Readiness(grace, self.clock() + longest + grace)
 
     async def run(self, ready: Callable[[str, int], None] = lambda host, port: None) -> None:
@@ -157,7 +157,7 @@
         if self.circle is not None:
             self.circle.leave()
         self._log.info("draining", open=len(self.driver.pending))
-        longest = max(lane.outer_limit_ms for lane in self._settings.service.lanes) / 1000
+        longest = max(request_class.outer_limit_ms for request_class in self._settings.service.lanes) / 1000
         await self.gate.drain(longest + 1)
         sweeper.cancel()
         await self._links.shut()
@@ -196,11 +196,11 @@
         task of its own. Guards against one that stalls, a client that reads nothing or a unit that takes a
         large body slowly, holding up whoever made it ready: a connection that others already use again."""
         self._clock.arm()
-        trips, ready = self._links.waiting, self.gate.ready
-        if trips:
+        attempts, ready = self._links.waiting, self.gate.ready
+        if attempts:
             self._links.waiting = []
-            for trip in trips:
-                self._task(self._links.go(trip))
+            for attempt in attempts:
+                self._task(self._links.go(attempt))
         if ready:
             connections = list(ready)
             ready.clear()
@@ -228,7 +228,7 @@
             "at_the_door": counts.over_limit,
             "withheld": counts.withheld_votes,
             "trips": counts.attempts,
-            "fates": {fate.value: many for fate, many in counts.outcomes.items()},
+            "fates": {outcome.value: many for outcome, many in counts.outcomes.items()},
             "open": len(self.driver.pending),
             "clients": len(self.gate.connections),
             "units": len(self.driver.destinations),
@@ -242,11 +242,11 @@
 
     # Hands
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self._links.send(trip, ticket)
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self._links.send(attempt, pending)
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
-        return self._links.abandon(trip)
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        return self._links.abandon(attempt)
 
     def check_health(self, unit: Endpoint) -> None:
         self._links.probe(unit)
--- a/lanelead/relay/links.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -17,14 +17,14 @@
 from typing import Any
 
 from lanelead.decisions.interface import AttemptOutcome, Ticks, Attempt, Endpoint
-from lanelead.http import writing
-from lanelead.http.answers import HttpResponse, ResponseReader, Progress
-from lanelead.protocols.records import LoadMessage, MessageError, decode
-from lanelead.relay.driver import Destination, DecisionDriver, PendingRequest
-from lanelead.relay.reports import LOAD, figures, report_of
+from lanelead.http import serialization
+from lanelead.http.responses import HttpResponse, ResponseReader, Progress
+from lanelead.protocols.feeds import LoadMessage, MessageError, decode
+from lanelead.runtime.driver import Destination, DecisionDriver, PendingRequest
+from lanelead.http_relay.load_reports import LOAD, figures, report_of
 
 TURNED_AWAY = b"lanelead-turned-away"
-OURS = writing.own(
+OURS = serialization.own(
     b"lanelead-relay",
     b"lanelead-trip",
     b"lanelead-lane",
@@ -70,8 +70,8 @@
 
     __slots__ = ("link", "task", "ticket", "written")
 
-    def __init__(self, ticket: PendingRequest) -> None:
-        self.ticket = ticket
+    def __init__(self, pending: PendingRequest) -> None:
+        self.ticket = pending
         self.task: asyncio.Task[None] | None = None  # opens a connection for it
         self.link: Link | None = None
         self.written = False
@@ -104,13 +104,13 @@
 
     # Trips
 
-    def send(self, trip: Attempt, ticket: PendingRequest) -> None:
+    def send(self, attempt: Attempt, pending: PendingRequest) -> None:
         """Notes a trip; `go` sets it out."""
-        self._out[trip] = Out(ticket)
-        self.waiting.append(trip)
+        self._out[attempt] = Out(pending)
+        self.waiting.append(attempt)
 
-    def abandon(self, trip: Attempt) -> bool:
-        out = self._out.pop(trip, None)
+    def abandon(self, attempt: Attempt) -> bool:
+        out = self._out.pop(attempt, None)
         if out is None:
             return False
         if out.task is not None:
@@ -120,46 +120,46 @@
             self._kill(out.link)
         return out.written
 
-    async def go(self, trip: Attempt) -> None:
-        driver, out = self.driver, self._out.get(trip)
+    async def go(self, attempt: Attempt) -> None:
+        driver, out = self.driver, self._out.get(attempt)
         assert driver is not None
         if out is None:  # given up in the same breath
             return
-        place = driver.destination_of(trip)
+        place = driver.destination_of(attempt)
         if place is None:
-            self._end(trip, AttemptOutcome.NOT_SENT, None)
+            self._end(attempt, AttemptOutcome.NOT_SENT, None)
             self.after()
             return
-        pool = self._pool(trip.endpoint, place)
+        pool = self._pool(attempt.endpoint, place)
         link = self._idle(pool)
         if link is None:
-            out.task = self._loop.create_task(self._set_out(trip, out, pool))
+            out.task = self._loop.create_task(self._set_out(attempt, out, pool))
         else:
-            await self._write(link, trip, out)
+            await self._write(link, attempt, out)
 
-    async def _set_out(self, trip: Attempt, out: Out, pool: Pool) -> None:
+    async def _set_out(self, attempt: Attempt, out: Out, pool: Pool) -> None:
         """The same for a trip that needs another connection."""
-        driver, fate = self.driver, AttemptOutcome.CONNECT_FAILED
+        driver, outcome = self.driver, AttemptOutcome.CONNECT_FAILED
         assert driver is not None
         try:
             link = await self._open(pool)
-            if link is not None and driver.destination_of(trip) != pool.place:
+            if link is not None and driver.destination_of(attempt) != pool.place:
                 self._keep(link)
-                link, fate = None, AttemptOutcome.NOT_SENT
+                link, outcome = None, AttemptOutcome.NOT_SENT
             out.task = None
             if link is not None:
-                await self._write(link, trip, out)
+                await self._write(link, attempt, out)
                 return
         except Exception:
             # Guards against a fault of ours on one trip that would leave its lookup without an end.
             self._log.exception("a trip failed")
-        self._end(trip, fate, None)
+        self._end(attempt, outcome, None)
         self.after()
 
-    async def _write(self, link: Link, trip: Attempt, out: Out) -> None:
-        link.trip, out.link = trip, link
+    async def _write(self, link: Link, attempt: Attempt, out: Out) -> None:
+        link.trip, out.link = attempt, link
         link.reader.expect(out.ticket.message.method == "HEAD")
-        text = self._text(trip, out.ticket)
+        text = self._text(attempt, out.ticket)
         out.written = link.sending = True  # from here on it may have run
         try:
             await self._loop.sock_sendall(link.sock, text)
@@ -168,11 +168,11 @@
         finally:
             link.sending = False
 
-    def _end(self, trip: Attempt, fate: AttemptOutcome, answer: HttpResponse | None) -> None:
-        if self._out.pop(trip, None) is not None:
+    def _end(self, attempt: Attempt, outcome: AttemptOutcome, answer: HttpResponse | None) -> None:
+        if self._out.pop(attempt, None) is not None:
             assert self.driver is not None
             report = None if answer is None else report_of(answer, self._reports)
-            self.driver.attempt_ended(trip, fate, answer, report)
+            self.driver.attempt_ended(attempt, outcome, answer, report)
 
     async def _listen(self, link: Link) -> None:
         """Reads all that comes on a connection, answers and what nobody asked for, until it ends."""
@@ -209,7 +209,7 @@
                 pool.free.set()
 
     def _answered(self, link: Link, answer: HttpResponse | None, open_: bool) -> None:
-        trip, link.trip = link.trip, None
+        attempt, link.trip = link.trip, None
         probe, link.answer = link.answer, None
         # An answer that came before its request was written whole leaves a connection nobody can use again.
         if answer is not None and answer.keep and open_ and not link.sending and not link.pool.left:
@@ -218,15 +218,15 @@
             self._kill(link)
         if probe is not None and not probe.done():
             probe.set_result(answer)
-        if trip is None:
+        if attempt is None:
             return
         if answer is None:
-            fate = AttemptOutcome.RESET
+            outcome = AttemptOutcome.RESET
         elif answer.header(TURNED_AWAY) is not None:
-            fate = AttemptOutcome.REJECTED
+            outcome = AttemptOutcome.REJECTED
         else:
-            fate = AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.SUCCEEDED
-        self._end(trip, fate, answer)
+            outcome = AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.SUCCEEDED
+        self._end(attempt, outcome, answer)
 
     def _broken(self, link: Link) -> None:
         """The connection failed: what was out on it may have run."""
@@ -234,18 +234,18 @@
             self._answered(link, None, False)
             self.after()
 
-    def _text(self, trip: Attempt, ticket: PendingRequest) -> bytes:
-        ask, left = ticket.message, trip.sent_at + trip.timeout - self._driver_now()
-        headers = writing.passed_on(ask.headers, OURS)
+    def _text(self, attempt: Attempt, pending: PendingRequest) -> bytes:
+        ask, left = pending.message, attempt.sent_at + attempt.timeout - self._driver_now()
+        headers = serialization.passed_on(ask.headers, OURS)
         headers += (
             (b"lanelead-relay", self._number),
-            (b"lanelead-trip", b"%d" % trip.number),
-            (b"lanelead-lane", trip.request.request_class.name.encode()),
+            (b"lanelead-trip", b"%d" % attempt.number),
+            (b"lanelead-lane", attempt.request.request_class.name.encode()),
             (b"lanelead-left", b"%d" % max(0, left // 10)),
         )
         if ask.header(b"x-request-id") is None:
-            headers.append((b"x-request-id", ticket.id.encode("latin-1")))
-        return writing.request(ask.method, ask.target, headers, ask.body)
+            headers.append((b"x-request-id", pending.id.encode("latin-1")))
+        return serialization.request(ask.method, ask.target, headers, ask.body)
 
     def _driver_now(self) -> Ticks:
         assert self.driver is not None
@@ -345,7 +345,7 @@
     async def _probe(self, unit: Endpoint) -> None:
         driver = self.driver
         assert driver is not None
-        began, fate, report = self._loop.time(), AttemptOutcome.CONNECT_FAILED, None
+        began, outcome, report = self._loop.time(), AttemptOutcome.CONNECT_FAILED, None
         place, link = driver.destinations.get(unit), None
         try:
             if place is None:
@@ -354,36 +354,36 @@
             link = self._idle(pool) or await self._open(pool)
             if link is None:
                 return
-            fate = AttemptOutcome.TIMED_OUT
+            outcome = AttemptOutcome.TIMED_OUT
             link.reader.expect(False)
             link.answer = self._loop.create_future()
-            text = writing.request("GET", b"/.lanelead/load", [(b"host", place.host.encode())], b"")
+            text = serialization.request("GET", b"/.lanelead/load", [(b"host", place.host.encode())], b"")
             async with asyncio.timeout(self._connect_limit):
                 await self._loop.sock_sendall(link.sock, text)
                 answer = await link.answer
             link = None  # it has been kept, or ended, by whoever read the answer
             if answer is None:
-                fate = AttemptOutcome.RESET
+                outcome = AttemptOutcome.RESET
             elif answer.status != 200:
-                fate = AttemptOutcome.ERROR
+                outcome = AttemptOutcome.ERROR
             else:
-                report, fate = figures(decode(answer.body, LoadMessage), self._reports), AttemptOutcome.SUCCEEDED
+                report, outcome = figures(decode(answer.body, LoadMessage), self._reports), AttemptOutcome.SUCCEEDED
         except (OSError, TimeoutError):
             pass
         except MessageError:
-            fate = AttemptOutcome.ERROR
+            outcome = AttemptOutcome.ERROR
         finally:
             self._probes.pop(unit, None)
             if link is not None:
                 link.answer = None
                 self._kill(link)
-            driver.health_checked(unit, fate, int((self._loop.time() - began) * 10_000), report)
+            driver.health_checked(unit, outcome, int((self._loop.time() - began) * 10_000), report)
             self.after()
 
     async def shut(self) -> None:
         """Ends all that is out; for the end of the process."""
-        for trip in list(self._out):
-            self.abandon(trip)
+        for attempt in list(self._out):
+            self.abandon(attempt)
         for task in self._probes.values():
             task.cancel()
         await asyncio.gather(*self._probes.values(), return_exceptions=True)
--- a/lanelead/circle/tables.py
+++ b/lanelead/membership/anti_entropy.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from lanelead.circle.letters import DEAD, Join, Ping, Row, Table, write
-from lanelead.circle.records import BEATS, PAGES, UNHEARD, Address
-from lanelead.circle.rows import Rows
+from lanelead.membership.messages import DEAD, Join, Ping, Row, Table, write
+from lanelead.membership.member_state import BEATS, PAGES, UNHEARD, Address
+from lanelead.membership.member_table import Rows
 
 
 class Tables(Rows):
--- a/lanelead/circle/commands.py
+++ b/lanelead/membership/commands.py
@@ -11,7 +11,7 @@
 
 import click
 
-from lanelead.circle.letters import STATES, Join, Row, Table, read, write
+from lanelead.membership.messages import STATES, Join, Row, Table, read, write
 from lanelead.protocols import datagrams
 
 GUEST = 65535  # the sender's number of one that's no member
--- a/lanelead/circle/members.py
+++ b/lanelead/membership/member.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from lanelead.circle.letters import (
+from lanelead.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
@@ -40,8 +40,8 @@
     Table,
     read,
 )
-from lanelead.circle.records import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
-from lanelead.circle.tables import Tables
+from lanelead.membership.member_state import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
+from lanelead.membership.anti_entropy import Tables
 from lanelead.decisions.interface import Ticks
 
 __all__ = ["Address", "Change", "Membership", "Tempo"]
--- a/lanelead/circle/records.py
+++ b/lanelead/membership/member_state.py
@@ -8,7 +8,7 @@
 from struct import Struct
 from typing import NamedTuple
 
-from lanelead.circle.letters import Claim, Row
+from lanelead.membership.messages import Claim, Row
 from lanelead.decisions.interface import Ticks
 
 HASHED = Struct(">HQI")
--- a/lanelead/circle/rows.py
+++ b/lanelead/membership/member_table.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from lanelead.circle.letters import ALIVE, DEAD, LEFT, SUSPECT, AnyLetter, Claim, Ping, Row, write
-from lanelead.circle.records import (
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, AnyLetter, Claim, Ping, Row, write
+from lanelead.membership.member_state import (
     BEATS,
     CALLED,
     ENOUGH,
@@ -35,11 +35,11 @@
         own: Row,
         tempo: Tempo,
         seeds: Sequence[Address],
-        chance: Random,
+        rng: Random,
         now: Ticks,
         known: Sequence[Row] = (),
     ) -> None:
-        self.own, self._tempo, self._chance, self.now = own, tempo, chance, now
+        self.own, self._tempo, self._chance, self.now = own, tempo, rng, now
         self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
         self.rows: dict[int, Row] = {own.number: own, **{row.number: row for row in known}}
         self.addresses: dict[int, Address] = {}  # as settings name them, which stand above what is told
@@ -55,8 +55,8 @@
         self._ring: list[int] = []
         self._probing: Probing | None = None
         self._helping: dict[int, Probing] = {}
-        self._seq = chance.randrange(1 << 31)
-        self._beat_at = now + int(chance.random() * tempo.period / BEATS)
+        self._seq = rng.randrange(1 << 31)
+        self._beat_at = now + int(rng.random() * tempo.period / BEATS)
         self._beat = 0
         self._changed = now
         self._digest = 0
--- a/lanelead/circle/letters.py
+++ b/lanelead/membership/messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lanelead.hosting.door import MAX_MESSAGE_BYTES
+from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
--- a/lanelead/steps/commands.py
+++ b/lanelead/migrations/commands.py
@@ -14,15 +14,15 @@
 from tqdm import tqdm
 
 from lanelead.logs import logger
-from lanelead.protocols.steps import EffectProgress
+from lanelead.protocols.migrations import EffectProgress
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import spotted
 from lanelead.settings.records import Address, Steps
-from lanelead.steps.driver import Away, Client, Conductor
-from lanelead.steps.plan import check as check_plans
-from lanelead.steps.plan import ordered
-from lanelead.steps.record import Broken, Record, Stand
-from lanelead.steps.runner import Goal, Stop
+from lanelead.migrations.executor import Away, Client, Conductor
+from lanelead.migrations.plan import check as check_plans
+from lanelead.migrations.plan import ordered
+from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.runner import Goal, Stop
 
 
 def load(files: tuple[str, ...]) -> list[Steps]:
--- a/lanelead/steps/driver.py
+++ b/lanelead/migrations/executor.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from lanelead.http.answers import HttpResponse
-from lanelead.http.calls import CallFailedError, call
-from lanelead.protocols.records import MessageError, decode, encode
-from lanelead.protocols.steps import (
+from lanelead.http.responses import HttpResponse
+from lanelead.http.client import CallFailedError, call
+from lanelead.protocols.feeds import MessageError, decode, encode
+from lanelead.protocols.migrations import (
     AppendRequest,
     AppendReply,
     ForgetRequest,
@@ -23,12 +23,12 @@
     MigrationLogPage,
     RejectedCall,
 )
-from lanelead.protocols.steps import UnacknowledgedRelays as UnseenAnswer
+from lanelead.protocols.migrations import UnacknowledgedRelays as UnseenAnswer
 from lanelead.settings.records import Address
-from lanelead.steps import runner
-from lanelead.steps.pace import Pace
-from lanelead.steps.record import Broken, Record
-from lanelead.steps.runner import Goal, Reply, Runner, Want
+from lanelead.migrations import runner
+from lanelead.migrations.backoff import Pace
+from lanelead.migrations.migration_log import Broken, Record
+from lanelead.migrations.runner import Goal, Reply, Runner, Want
 
 T = TypeVar("T", bound=msgspec.Struct)
 CALL = 5.0  # seconds for a call that has no limit of its own
--- a/lanelead/steps/record.py
+++ b/lanelead/migrations/migration_log.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from lanelead.protocols.steps import LogEntry, LoggedEntry, Direction
+from lanelead.protocols.migrations import LogEntry, LoggedEntry, Direction
 from lanelead.settings.records import Demands, Step, Steps
-from lanelead.steps.plan import ordered
+from lanelead.migrations.plan import ordered
 
 
 class Broken(Exception):
--- a/lanelead/steps/join.py
+++ b/lanelead/migrations/readiness.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable
 
 from lanelead.decisions.interface import Ticks, Attempt
-from lanelead.protocols.records import MessageError
-from lanelead.protocols.steps import LoggedEntry
-from lanelead.steps.record import Broken, Record, Stand
+from lanelead.protocols.feeds import MessageError
+from lanelead.protocols.migrations import LoggedEntry
+from lanelead.migrations.migration_log import Broken, Record, Stand
 
 LAST = 1 << 30  # past every stage: all needs of a build that is released
 
@@ -54,14 +54,14 @@
     def news(self, build: int, stage: int, trial: bool) -> None:
         self._trial, self._stage = build, stage if trial else LAST
 
-    def sent(self, build: int, trip: Attempt) -> None:
-        self._out[trip] = build
+    def sent(self, build: int, attempt: Attempt) -> None:
+        self._out[attempt] = build
 
-    def ended(self, trip: Attempt, known: bool) -> None:
+    def ended(self, attempt: Attempt, known: bool) -> None:
         """`known`: the unit has answered, or never had it; else it may still be running there."""
-        build = self._out.pop(trip, None)
+        build = self._out.pop(attempt, None)
         if build is not None and not known:
-            over = trip.sent_at + trip.timeout + self._grace
+            over = attempt.sent_at + attempt.timeout + self._grace
             self._until[build] = max(over, self._until.get(build, 0))
 
     # What is asked
--- a/lanelead/steps/runner.py
+++ b/lanelead/migrations/runner.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from lanelead.protocols.steps import ApplyRequest, LogEntry, EffectProgress, BatchRange, Direction
+from lanelead.protocols.migrations import ApplyRequest, LogEntry, EffectProgress, BatchRange, Direction
 from lanelead.settings.records import Steps
-from lanelead.steps.record import Mark, Record, Stand
+from lanelead.migrations.migration_log import Mark, Record, Stand
 
 TRIES = 4  # for one intent whose outcome stays unknown, before it is written as failed
 
--- a/lanelead/pgwire/statements.py
+++ b/lanelead/pgwire/statements.py
@@ -63,14 +63,14 @@
     if not MILLISECONDS.match(words.get(b"d", b"")) or not float(words[b"d"]) > 0:
         raise StatementError("d is no positive number of milliseconds")
     try:
-        ident, lane = words[b"id"].decode(), words[b"c"].decode()
-        member = words[b"t"].decode() if b"t" in words else None
+        ident, request_class = words[b"id"].decode(), words[b"c"].decode()
+        tenant = words[b"t"].decode() if b"t" in words else None
     except UnicodeDecodeError:
         raise StatementError("a name is not UTF-8") from None
     return Statement(
         ident=ident,
-        lane=lane,
-        member=member,
+        lane=request_class,
+        member=tenant,
         key=(found or insert).decode(),
         left_ms=float(words[b"d"]),
         again=words.get(b"r") == b"1",
--- a/lanelead/node/inforce.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.kinds import ClassValue, TenantValue, InvalidValueError, EntryValue, split
-from lanelead.configuration.kinds import AppliedValues as Values
+from lanelead.configuration.value_types import ClassValue, TenantValue, InvalidValueError, EntryValue, split
+from lanelead.configuration.value_types import AppliedValues as Values
 from lanelead.decisions.interface import RequestClass, Tenant
 
 TENANTS, CLASSES = "accounts", "requestClasses"  # where a file has them
@@ -53,9 +53,9 @@
     """`members` and `lanes` are the relay's own tables, by name; `retold` hears the sum of all quotas."""
 
     def __init__(
-        self, members: dict[str, Tenant], lanes: Mapping[str, RequestClass], retold: Callable[[float], None]
+        self, tenants: dict[str, Tenant], request_classes: Mapping[str, RequestClass], retold: Callable[[float], None]
     ) -> None:
-        self._members, self._lanes, self._retold = members, lanes, retold
+        self._members, self._lanes, self._retold = tenants, request_classes, retold
 
     def put(self, keys: Iterable[str], values: Mapping[str, EntryValue]) -> list[str]:
         """Puts these keys' values in force; gives those that name no class of the settings. A lookup under
@@ -69,16 +69,19 @@
             elif kind == "class" and name not in self._lanes:
                 unknown.append(key)
             elif isinstance(value, ClassValue):
-                lane = self._lanes[name]
-                lane.latency_objective, lane.timeout = int(value.aim_ms * 10), int(value.deadline_ms * 10)
-                lane.value, lane.late_value = value.credit, value.late_worth
-        self._retold(sum(member.quota for member in self._members.values()))
+                request_class = self._lanes[name]
+                request_class.latency_objective, request_class.timeout = (
+                    int(value.aim_ms * 10),
+                    int(value.deadline_ms * 10),
+                )
+                request_class.value, request_class.late_value = value.credit, value.late_worth
+        self._retold(sum(tenant.quota for tenant in self._members.values()))
         return unknown
 
     def _tenant(self, name: str, value: EntryValue | None) -> None:
         if not isinstance(value, TenantValue):
             self._members.pop(name, None)
-        elif (member := self._members.get(name)) is not None:
-            member.quota, member.share = value.quota_per_s, value.share
+        elif (tenant := self._members.get(name)) is not None:
+            tenant.quota, tenant.share = value.quota_per_s, value.share
         else:
             self._members[name] = Tenant(name, value.quota_per_s, value.share)
--- a/lanelead/node/client.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -16,11 +16,11 @@
 from typing import Any, Protocol
 
 from lanelead.decisions.interface import Tenant, Ticks, Attempt
-from lanelead.node.reports import still
+from lanelead.postgres_relay.load_reports import still
 from lanelead.pgwire import messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
-from lanelead.pgwire.units import QueryResult
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.pgwire.servers import QueryResult
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 
 BUFFER = 32768  # bytes read at once
 AT_ONCE = 64  # commands of one read: of more, none is taken
@@ -58,8 +58,10 @@
 
     __slots__ = ("due", "size", "text", "ticket")
 
-    def __init__(self, ticket: PendingRequest | None, text: bytes | None, due: float = math.inf, size: int = 0) -> None:
-        self.ticket, self.text, self.due = ticket, text, due  # when it is owed, on the loop's clock
+    def __init__(
+        self, pending: PendingRequest | None, text: bytes | None, due: float = math.inf, size: int = 0
+    ) -> None:
+        self.ticket, self.text, self.due = pending, text, due  # when it is owed, on the loop's clock
         self.size = size  # bytes of its command
 
 
@@ -176,8 +178,8 @@
         front = self.front
         try:
             statement = statements.read(text)
-            lane = front.driver.request_classes.get(statement.lane)
-            if lane is None:
+            request_class = front.driver.request_classes.get(statement.lane)
+            if request_class is None:
                 raise statements.StatementError("no such class")
             if statement.ident in front.open:
                 raise statements.StatementError("a request with this id is open")
@@ -196,15 +198,15 @@
             front.refused += 1
             self._say(front.refusal(RequestOutcome.REJECTED, 0))
             return
-        ticket = PendingRequest(statement.ident, statement, self._replied)
+        pending = PendingRequest(statement.ident, statement, self._replied)
         front.open[statement.ident] = None
-        left = min(int(statement.left_ms * 10), lane.timeout) - front.early
+        left = min(int(statement.left_ms * 10), request_class.timeout) - front.early
         if front.end is not None:
             left = min(left, int((front.end - front.loop.time()) * 10_000))
         self.held += len(text)
-        self.slots.append(Slot(ticket, None, front.loop.time() + left / 10_000, len(text)))
-        member = front.members.get(statement.member) if statement.member else None
-        front.driver.receive(ticket, lane, member, statement.key, left, statement.again, statement.write)
+        self.slots.append(Slot(pending, None, front.loop.time() + left / 10_000, len(text)))
+        tenant = front.members.get(statement.member) if statement.member else None
+        front.driver.receive(pending, request_class, tenant, statement.key, left, statement.again, statement.write)
 
     def _has_asked(self) -> None:
         self.asked = True
@@ -226,10 +228,10 @@
     # Answers
 
     def _replied(
-        self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, back: Ticks
+        self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, back: Ticks
     ) -> None:
-        self.front.open.pop(ticket.id, None)
-        slot = next((slot for slot in self.slots if slot.ticket is ticket), None)
+        self.front.open.pop(pending.id, None)
+        slot = next((slot for slot in self.slots if slot.ticket is pending), None)
         if slot is None:
             return
         if outcome is RequestOutcome.SUCCEEDED:
@@ -353,12 +355,12 @@
             for slot in self.slots
             if slot.ticket is not None and slot.text is None and slot.due <= by
         ]
-        for slot, ticket in late:
-            self.front.open.pop(ticket.id, None)
+        for slot, pending in late:
+            self.front.open.pop(pending.id, None)
             slot.text = self.front.refusal(RequestOutcome.FAILED, 0)
         self.flush()
-        for _, ticket in late:  # by the loop: what fails there must not keep others from their answers
-            self.front.loop.call_soon(self.front.driver.client_left, ticket)
+        for _, pending in late:  # by the loop: what fails there must not keep others from their answers
+            self.front.loop.call_soon(self.front.driver.client_left, pending)
         return len(late)
 
     def gone(self) -> None:
--- a/lanelead/node/front.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 from lanelead.decisions.interface import Tenant, Ticks
-from lanelead.node.client import BUFFER, LEAVING, LINGER, REFUSED, Client
-from lanelead.node.reports import still
+from lanelead.postgres_relay.client_connection import BUFFER, LEAVING, LINGER, REFUSED, Client
+from lanelead.postgres_relay.load_reports import still
 from lanelead.pgwire import messages
-from lanelead.relay.driver import DecisionDriver, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome
 
 SILENCE = 2.0  # seconds for a client to ask for something, or to end what it began
 IDLE = 10.0  # seconds after which a connection that asks nothing more is closed
@@ -39,13 +39,13 @@
         self,
         loop: asyncio.AbstractEventLoop,
         driver: DecisionDriver,
-        members: Mapping[str, Tenant],
+        tenants: Mapping[str, Tenant],
         most: int,
         longest: int,
         early: Ticks,
         log: Any,
     ) -> None:
-        self.loop, self.driver, self.members = loop, driver, members
+        self.loop, self.driver, self.members = loop, driver, tenants
         self._most, self.longest, self.early, self._log = most, longest, early, log
         self.clients: dict[Client, None] = {}
         self.unasked: dict[Client, None] = {}  # those that never asked, the oldest first
--- a/lanelead/node/configuration.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -11,16 +11,16 @@
 from random import Random
 from typing import Any
 
-from lanelead.configuration.acts import AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
+from lanelead.configuration.actions import AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document, Refused
 from lanelead.configuration.follower import ANSWER, SILENCE, Follower
-from lanelead.configuration.kinds import AppliedValues as Values
-from lanelead.configuration.kinds import EntryValue
-from lanelead.http.calls import CallFailedError, call, stream
-from lanelead.node.config import Following
+from lanelead.configuration.value_types import AppliedValues as Values
+from lanelead.configuration.value_types import EntryValue
+from lanelead.http.client import CallFailedError, call, stream
+from lanelead.postgres_relay.config import Following
 from lanelead.protocols.configuration import Buckets, WatchLine, DigestTree
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import MessageError, decode, encode
+from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.settings.records import Address
 
 LONGEST = 4 << 20  # bytes of an answer
@@ -36,7 +36,7 @@
         following: Following,
         entries: Sequence[tuple[str, bytes]],
         changed: Callable[[Sequence[str], Mapping[str, EntryValue]], None],
-        chance: Random,
+        rng: Random,
         log: Any,
     ) -> None:
         self._loop, self._changed, self._log = loop, changed, log
@@ -50,7 +50,7 @@
         self.values = Values()
         self.values.take(document, list(document.entries))
         here = Place(following.zone, following.region)
-        self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, chance, loop.time())
+        self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, rng, loop.time())
         self._tasks: dict[asyncio.Task[None], int | None] = {}  # what runs, and of which source's watch
         self._woken = asyncio.Event()
 
@@ -72,9 +72,9 @@
 
     def _carry(self) -> None:
         while self.follower.acts:
-            acts, self.follower.acts = self.follower.acts, []
-            for act in acts:
-                match act:
+            actions, self.follower.acts = self.follower.acts, []
+            for action in actions:
+                match action:
                     case Watch(source, since, digest):
                         self._start(self._watch(source, since, digest), source)
                     case Leave(source):
--- a/lanelead/node/feeds.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import Any
 
-from lanelead.http.calls import CallFailedError, call
+from lanelead.http.client import CallFailedError, call
 from lanelead.protocols.platform import EndpointList, parse_address
-from lanelead.protocols.records import EndpointListMessage, MessageError, decode
+from lanelead.protocols.feeds import EndpointListMessage, MessageError, decode
 from lanelead.settings.records import Address
 
 HOLD = 2.0  # seconds a watch may wait; far inside the time after which a change counts as told
@@ -41,12 +41,12 @@
         held: Held,
         read: Callable[[EndpointList], EndpointListMessage],
         heard: Callable[[EndpointListMessage], None],
-        chance: Random,
+        rng: Random,
         log: Any,
     ) -> None:
         self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
         self._held, self._read, self._whole = held, read, True
-        self._chance, self._log = chance, log
+        self._chance, self._log = rng, log
         # Since when older versions only have come, without a break. Each feed has its own: an earlier
         # discovery that goes on until this one is believed would end the doubt with each of its answers.
         self._doubted: float | None = None
--- a/lanelead/node/lists.py
+++ b/lanelead/postgres_relay/endpoint_list_decoder.py
@@ -6,8 +6,8 @@
 
 from lanelead.decisions.interface import EndpointStatus, Ticks
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
-from lanelead.protocols.records import EndpointListMessage, EndpointMessage
-from lanelead.relay.driver import DecisionDriver
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage
+from lanelead.runtime.driver import DecisionDriver
 
 NAMED = 5  # refused entries that one line of the log names
 
--- a/lanelead/node/main.py
+++ b/lanelead/postgres_relay/main.py
@@ -9,9 +9,9 @@
 import uvloop
 
 from lanelead.logs import logger
-from lanelead.node.config import load, path
-from lanelead.node.service import Service
-from lanelead.protocols.records import MessageError
+from lanelead.postgres_relay.config import load, path
+from lanelead.postgres_relay.service import Service
+from lanelead.protocols.feeds import MessageError
 
 HELD = {signal.SIGHUP, signal.SIGTERM}
 
--- a/lanelead/node/desk.py
+++ b/lanelead/postgres_relay/rollout_client.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from lanelead.decisions.interface import AttemptOutcome, CastVote
-from lanelead.http.calls import connect
+from lanelead.http.client import connect
 from lanelead.protocols.platform import VERDICTS, ERROR_OUTCOMES, RpcMessage, parse_address, encode_call, decode_stage
-from lanelead.protocols.records import LineSplitter, MessageError, RolloutMessage, decode
+from lanelead.protocols.feeds import LineSplitter, MessageError, RolloutMessage, decode
 from lanelead.settings.records import Address
 
 SIGNS = 1.0  # seconds between the platform's signs of life
@@ -31,11 +31,11 @@
         where: str,
         heard: Heard,
         answer_limit: float,
-        chance: Random,
+        rng: Random,
         log: Any,
     ) -> None:
         self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
-        self._limit, self._chance, self._log = answer_limit, chance, log
+        self._limit, self._chance, self._log = answer_limit, rng, log
         self._sock: socket.socket | None = None
         self._number = 0
         self._votes: dict[int, asyncio.TimerHandle] = {}
--- a/lanelead/node/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -11,27 +11,27 @@
 
 from msgspec.structs import replace
 
-from lanelead.configuration.kinds import EntryValue
+from lanelead.configuration.value_types import EntryValue
 from lanelead.decisions.interface import AttemptOutcome, Attempt, Endpoint, CastVote
-from lanelead.decisions.rules import Balancer
-from lanelead.node import config as configuration
-from lanelead.node.config import Config, Following
-from lanelead.node.desk import Desk
-from lanelead.node.feeds import Discovery, Held
-from lanelead.node.front import Front
-from lanelead.node.handover import Succession
-from lanelead.node.inforce import CLASSES, TENANTS, InForce, changed, entries, without_figures
-from lanelead.node.letters import Letters
-from lanelead.node.links import Links
-from lanelead.node.lists import Lists
-from lanelead.node.pauses import Pauses
+from lanelead.decisions.balancer import Balancer
+from lanelead.postgres_relay import config as configuration
+from lanelead.postgres_relay.config import Config, Following
+from lanelead.postgres_relay.rollout_client import Desk
+from lanelead.postgres_relay.discovery_client import Discovery, Held
+from lanelead.postgres_relay.client_listener import Front
+from lanelead.postgres_relay.feed_handover import Succession
+from lanelead.postgres_relay.applied_configuration import CLASSES, TENANTS, InForce, changed, entries, without_figures
+from lanelead.postgres_relay.gossip_transport import Letters
+from lanelead.postgres_relay.upstream_requests import Links
+from lanelead.postgres_relay.endpoint_list_decoder import Lists
+from lanelead.postgres_relay.event_loop_monitor import Pauses
 from lanelead.protocols.platform import parse_address
-from lanelead.protocols.records import EndpointListMessage, MessageError, RolloutMessage
-from lanelead.relay.driver import DecisionDriver, PendingRequest
-from lanelead.relay.timing import Clock
+from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
+from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.runtime.timers import Clock
 
 if TYPE_CHECKING:
-    from lanelead.node.configuration import Feed
+    from lanelead.postgres_relay.configuration_client import Feed
 
 SPARE = 24  # descriptors for listening, feeds, letters, the log and the interpreter
 CLIENTS = 0.5  # of the other descriptors; the rest go to units
@@ -57,27 +57,27 @@
 
     def _build(self, config: Config) -> None:
         opening = config.opening
-        lanes, duties, allowance = opening.request_classes(), opening.service_limits(), opening.resource_quota()
+        request_classes, limits, quota = opening.request_classes(), opening.service_limits(), opening.resource_quota()
         members, poll, place = opening.tenants(), opening.voting_rules(), opening.position()
         self._answer_limit, trial = poll.vote_timeout / 10_000, opening.canary_limits()
         self._stages = len(trial.shares)
         self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
         decisions = Balancer(
             place=place,
-            lanes=lanes,
-            members=members,
-            allowance=allowance,
-            duties=duties,
+            request_classes=request_classes,
+            tenants=members,
+            quota=quota,
+            limits=limits,
             trial=trial,
             poll=poll,
-            tariff=opening.prices(),
-            chance=Random(int(config.seed, 16)),
+            prices=opening.prices(),
+            rng=Random(int(config.seed, 16)),
             now=self._clock.now(),
         )
         self.driver = DecisionDriver(
-            decisions, self, self._clock.now, lanes, duties, allowance.max_in_flight, allowance.max_retry_after
+            decisions, self, self._clock.now, request_classes, limits, quota.max_in_flight, quota.max_retry_after
         )
-        tenants = {member.name: member for member in members}
+        tenants = {tenant.name: tenant for tenant in members}
         self._in_force = InForce(tenants, self.driver.request_classes, decisions.parameters.update)
         self._following: Feed | None = None
         room = max(8, config.limits.sockets - SPARE)
@@ -86,7 +86,7 @@
         idle = opening.ticks("allowed.connIdleMs") / 10_000 or 10.0
         self.links = Links(
             self._loop,
-            allowance.connect_timeout / 10_000,
+            quota.connect_timeout / 10_000,
             idle,
             room - clients,
             VALUE + 8192,
@@ -100,7 +100,7 @@
             tenants,
             clients,
             2 * VALUE + 4096,
-            duties.response_slack,
+            limits.response_slack,
             self._log,
         )
         self.front.after = self.links.after = self.after
@@ -191,7 +191,7 @@
 
     def _follow(self, config: Config, following: Following) -> None:
         """Begins to follow the configuration: only here is its code imported."""
-        from lanelead.node.configuration import Feed
+        from lanelead.postgres_relay.configuration_client import Feed
 
         self._following = Feed(
             self._loop,
@@ -235,7 +235,7 @@
         sweeper = self._task(self._sweep())
         await self._stop.wait()
         self._log.info("draining", open=len(self.driver.pending))
-        longest = max(lane.timeout for lane in self.driver.request_classes.values()) / 10_000
+        longest = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
         await self.front.drain(LINGER, min(longest, KILLED))
         sweeper.cancel()
 
@@ -290,7 +290,7 @@
             "left": counts.abandoned,
             "at_the_door": counts.over_limit,
             "trips": counts.attempts,
-            "fates": {fate.value: many for fate, many in counts.outcomes.items()},
+            "fates": {outcome.value: many for outcome, many in counts.outcomes.items()},
             "open": len(self.driver.pending),
             "clients": len(front.clients),
             "unreadable": front.unreadable,
@@ -361,11 +361,11 @@
 
     # Hands
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self.links.send(trip, ticket)
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self.links.send(attempt, pending)
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
-        return self.links.abandon(trip)
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        return self.links.abandon(attempt)
 
     def check_health(self, unit: Endpoint) -> None:
         self.links.probe(unit)
--- a/lanelead/node/links.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from lanelead.decisions.interface import AttemptOutcome, LoadReport, Ticks, Attempt, Endpoint
-from lanelead.node.pools import REST, Link, Pools
-from lanelead.node.reports import report_of, still
+from lanelead.postgres_relay.connection_pool import REST, Link, Pools
+from lanelead.postgres_relay.load_reports import report_of, still
 from lanelead.pgwire import messages
 from lanelead.pgwire.statements import Statement
-from lanelead.pgwire.units import QueryResult, Progress
-from lanelead.relay.driver import DecisionDriver, PendingRequest
+from lanelead.pgwire.servers import QueryResult, Progress
+from lanelead.runtime.driver import DecisionDriver, PendingRequest
 
 BUFFER = 65536  # bytes read at once
 STARTUP = messages.startup("app", "shop")
@@ -48,10 +48,10 @@
 
     # Trips
 
-    def send(self, trip: Attempt, ticket: PendingRequest) -> None:
+    def send(self, attempt: Attempt, pending: PendingRequest) -> None:
         """Notes a trip; `set_out` sends it."""
-        self._out[trip] = ticket, None
-        self.waiting.append(trip)
+        self._out[attempt] = pending, None
+        self.waiting.append(attempt)
 
     def probe(self, unit: Endpoint) -> None:
         """Notes a probe; `set_out` sends it."""
@@ -60,16 +60,16 @@
     def set_out(self) -> None:
         """Sends what was noted. Not from within a call of the driver's: what fails at once is told to it."""
         while self.waiting or self._probes:
-            trips, self.waiting = self.waiting, []
+            attempts, self.waiting = self.waiting, []
             units, self._probes = self._probes, []
-            for trip in trips:
-                self.go(trip)
+            for attempt in attempts:
+                self.go(attempt)
             for unit in units:
                 self._probe(unit)
 
-    def abandon(self, trip: Attempt) -> bool:
+    def abandon(self, attempt: Attempt) -> bool:
         """Waits no longer for it; says whether it may have run."""
-        _, link = self._out.pop(trip, (None, None))
+        _, link = self._out.pop(attempt, (None, None))
         if link is None:
             return False
         link.trip = None
@@ -77,27 +77,27 @@
             self._end(link)
         return link.asked
 
-    def go(self, trip: Attempt) -> None:
-        entry = self._out.get(trip)
+    def go(self, attempt: Attempt) -> None:
+        entry = self._out.get(attempt)
         if entry is None:  # given up in the same breath
             return
-        place = self.driver.destination_of(trip)
+        place = self.driver.destination_of(attempt)
         if place is None:
-            self._ended(trip, AttemptOutcome.NOT_SENT, None)
+            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
             return
-        pool = self._pool(trip.endpoint, place)
+        pool = self._pool(attempt.endpoint, place)
         link = self._idle(pool)
         if link is not None:
             self.reused += 1
         elif (link := self._open(pool)) is None:
-            self._ended(trip, AttemptOutcome.NOT_SENT, None)
+            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
             return
-        link.trip, self._out[trip] = trip, (entry[0], link)
+        link.trip, self._out[attempt] = attempt, (entry[0], link)
         if link.connected:
-            self._ask(link, self._text(trip, entry[0].message))
+            self._ask(link, self._text(attempt, entry[0].message))
 
-    def _text(self, trip: Attempt, statement: Statement) -> bytes:
-        left = trip.sent_at + trip.timeout - self.driver.decisions.now
+    def _text(self, attempt: Attempt, statement: Statement) -> bytes:
+        left = attempt.sent_at + attempt.timeout - self.driver.decisions.now
         return messages.query(statement.text(max(1, left // 10)))
 
     def _ask(self, link: Link, text: bytes) -> None:
@@ -133,10 +133,10 @@
             link.asked, link.writing = True, False
             self._loop.remove_writer(link.sock)
 
-    def _ended(self, trip: Attempt, fate: AttemptOutcome, answer: QueryResult | None) -> None:
-        if self._out.pop(trip, None) is not None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, answer: QueryResult | None) -> None:
+        if self._out.pop(attempt, None) is not None:
             report = report_of(answer.report, self._names) if answer else None
-            self.driver.attempt_ended(trip, fate, answer, report)
+            self.driver.attempt_ended(attempt, outcome, answer, report)
 
     # What comes back
 
@@ -176,13 +176,13 @@
         if link.timer is not None:
             link.timer.cancel()
             link.timer = None
-        trip = link.trip
-        if trip is not None:
-            if self.driver.destination_of(trip) != link.pool.place:
+        attempt = link.trip
+        if attempt is not None:
+            if self.driver.destination_of(attempt) != link.pool.place:
                 link.trip = None
-                self._ended(trip, AttemptOutcome.NOT_SENT, None)
+                self._ended(attempt, AttemptOutcome.NOT_SENT, None)
             else:
-                self._ask(link, self._text(trip, self._out[trip][0].message))
+                self._ask(link, self._text(attempt, self._out[attempt][0].message))
                 return
         elif link.probe is not None:
             self._ask(link, PROBE)
@@ -192,7 +192,7 @@
     def _answered(self, link: Link) -> None:
         answer = link.reader.answer
         assert answer is not None
-        trip, link.trip = link.trip, None
+        attempt, link.trip = link.trip, None
         probe, link.probe = link.probe, None
         whole, link.asked = link.asked, False
         link.rested = self._loop.time() + REST
@@ -200,26 +200,26 @@
             self._keep(link)
         else:
             self._end(link)
-        if trip is not None:
+        if attempt is not None:
             if answer.code is None:
-                fate = AttemptOutcome.SUCCEEDED
+                outcome = AttemptOutcome.SUCCEEDED
             elif answer.code == TURNED_AWAY:
-                fate = AttemptOutcome.REJECTED
+                outcome = AttemptOutcome.REJECTED
             else:
-                fate = AttemptOutcome.ERROR
-            self._ended(trip, fate, answer)
+                outcome = AttemptOutcome.ERROR
+            self._ended(attempt, outcome, answer)
         if probe is not None:
             report = report_of(answer.value, self._names) if answer.code is None else None
             self._probed(probe, AttemptOutcome.SUCCEEDED if answer.code is None else AttemptOutcome.ERROR, link, report)
 
     def _broken(self, link: Link, reason: str) -> None:
         """The connection is of no more use. What was asked whole on it may have run."""
-        trip, link.trip = link.trip, None
+        attempt, link.trip = link.trip, None
         probe, link.probe = link.probe, None
         asked = link.asked
         self._end(link)
-        if trip is not None:
-            self._ended(trip, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
+        if attempt is not None:
+            self._ended(attempt, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
         if probe is not None:
             self._probed(probe, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, link, None)
 
@@ -287,10 +287,10 @@
         self.driver.health_checked(unit, AttemptOutcome.CONNECT_FAILED, 0, None)
         self.after()
 
-    def _probed(self, unit: Endpoint, fate: AttemptOutcome, link: Link, report: LoadReport | None) -> None:
+    def _probed(self, unit: Endpoint, outcome: AttemptOutcome, link: Link, report: LoadReport | None) -> None:
         # Guards against the timer of this probe ending a later one on the same connection.
         if link.late is not None:
             link.late.cancel()
             link.late = None
         took: Ticks = max(0, int((self._loop.time() - link.began) * 10_000))
-        self.driver.health_checked(unit, fate, took, report)
+        self.driver.health_checked(unit, outcome, took, report)
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.records import NonNegativeFloat, NonNegativeInt
+from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
 FORMAT_VERSION = 1  # of these records; a field that an earlier form lacks has a default here
 MAX_CHANGE_ENTRIES = 1000  # of one change, at most
--- a/lanelead/protocols/machines.py
+++ b/lanelead/protocols/configuration_replicas.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from lanelead.protocols.configuration import FORMAT_VERSION, AppliedVersion, Change, Digest, Entry, Ident
-from lanelead.protocols.records import NonNegativeFloat, NonNegativeInt
+from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
 SNAPSHOT_PAGES = 16  # of a snapshot, each with as many buckets
 
--- a/lanelead/protocols/datagrams.py
+++ b/lanelead/protocols/datagrams.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from struct import Struct
 
-from lanelead.hosting.door import MAX_MESSAGE_BYTES
+from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
 
 HEAD = Struct(">4sHHI")  # magic with version, sender, length of the payload, count of the sender's datagrams
 GOSSIP_MAGIC = b"LLP1"
--- a/lanelead/protocols/steps.py
+++ b/lanelead/protocols/migrations.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.records import NonNegativeFloat, NonNegativeInt
+from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
 Direction = Literal["apply", "undo"]
 EntryKind = Literal["plan", "closing", "intent", "done", "failed", "resumed", "dropped"]
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from lanelead.decisions.interface import AttemptOutcome, Verdict
-from lanelead.protocols.records import (
+from lanelead.protocols.feeds import (
     BuildNumber,
     EndpointListMessage,
     MessageError,
--- a/lanelead/relay/driver.py
+++ b/lanelead/runtime/driver.py
@@ -46,11 +46,11 @@
     WatchEndpoints,
     GossipEntry,
 )
-from lanelead.hosting.door import EndpointRegistry, encode_gossip, decode_gossip
-from lanelead.protocols.records import EndpointListMessage, MessageError, RolloutMessage
+from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
 from lanelead.protocols.vocabulary import ENDPOINT_STATUSES, ROLLOUT_PHASES
-from lanelead.protocols.steps import MigrationLogPage
-from lanelead.steps.join import Readiness
+from lanelead.protocols.migrations import MigrationLogPage
+from lanelead.migrations.readiness import Readiness
 
 
 class RequestOutcome(Enum):
@@ -87,8 +87,8 @@
 class HostOperations(Protocol):
     """What the driver has done for it. None of these may call the driver back before it returns."""
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None: ...
-    def cancel_attempt(self, trip: Attempt) -> bool:
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None: ...
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Waits no longer for a trip; says whether it may have run, by what was written of it."""
         ...
 
@@ -122,15 +122,15 @@
         decisions: Decisions,
         hands: HostOperations,
         clock: Callable[[], Ticks],
-        lanes: Sequence[RequestClass],
-        duties: ServiceLimits,
+        request_classes: Sequence[RequestClass],
+        limits: ServiceLimits,
         open_lookups: int,
         longest_advice: Ticks,
         readiness: Readiness | None = None,
     ) -> None:
         self.decisions, self._hands, self._clock = decisions, hands, clock
-        self.request_classes = {lane.name: lane for lane in lanes}
-        self._order, self._duties = list(lanes), duties
+        self.request_classes = {request_class.name: request_class for request_class in request_classes}
+        self._order, self._duties = list(request_classes), limits
         self._most_open, self._advice = open_lookups, longest_advice
         self.readiness = readiness  # None: no steps are run, and every build that is listed is there
         self._listings: dict[Endpoint, EndpointRecord] = {}  # as the roster told them, where steps are run
@@ -138,7 +138,7 @@
         self.registry = EndpointRegistry(decisions.new_endpoint)
         self.destinations: dict[Endpoint, Destination] = {}
         self._gone: dict[Endpoint, Ticks] = {}  # units that are gone, and until when they are kept in mind
-        self._memory = 2 * max((lane.timeout for lane in lanes), default=0)
+        self._memory = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.pending: dict[Request, PendingRequest] = {}
         self.counters = DriverCounters()
         self._timers: list[tuple[Ticks, int, Request | Attempt | None]] = []
@@ -154,9 +154,9 @@
 
     def receive(
         self,
-        ticket: PendingRequest,
-        lane: RequestClass,
-        member: Tenant | None,
+        pending: PendingRequest,
+        request_class: RequestClass,
+        tenant: Tenant | None,
         key: str | None,
         left: Ticks,
         again: bool = False,
@@ -167,63 +167,63 @@
         now = self._now()
         if len(self.pending) >= self._most_open or left <= 0:
             self.counters.over_limit += 1
-            ticket.answered = True
-            ticket.reply(ticket, RequestOutcome.REJECTED, None, None, self._advice)
+            pending.answered = True
+            pending.reply(pending, RequestOutcome.REJECTED, None, None, self._advice)
             return
-        lookup = Request(lane, member, key, now, now + left, None, again, write)
-        ticket.request, self.pending[lookup] = lookup, ticket
+        request = Request(request_class, tenant, key, now, now + left, None, again, write)
+        pending.request, self.pending[request] = request, pending
         self.counters.received += 1
-        self.decisions.request_received(lookup)
+        self.decisions.request_received(request)
         self._carry()
 
-    def client_left(self, ticket: PendingRequest) -> None:
+    def client_left(self, pending: PendingRequest) -> None:
         """The client has gone: no answer is owed."""
-        if ticket.answered or ticket.request is None:
+        if pending.answered or pending.request is None:
             return
-        ticket.answered = True
+        pending.answered = True
         self.counters.abandoned += 1
         self._now()
-        self.pending.pop(ticket.request, None)
-        self.decisions.client_left(ticket.request)
+        self.pending.pop(pending.request, None)
+        self.decisions.client_left(pending.request)
         self._carry()
 
     def attempt_ended(
-        self, trip: Attempt, fate: AttemptOutcome, answer: Any = None, report: LoadReport | None = None
+        self, attempt: Attempt, outcome: AttemptOutcome, answer: Any = None, report: LoadReport | None = None
     ) -> None:
         """How a trip ended. Only the first word on it counts."""
-        if trip.outcome is not None:
+        if attempt.outcome is not None:
             return
-        now, lookup = self._now(), trip.request
-        ticket = self.pending.get(lookup)
+        now, request = self._now(), attempt.request
+        pending = self.pending.get(request)
         # Guards against a relay that stood still: what it finds on its sockets then is too late for the
         # client.
         if (
-            fate is AttemptOutcome.SUCCEEDED
-            and ticket
-            and not lookup.finished
-            and now > lookup.deadline + self._duties.response_slack
+            outcome is AttemptOutcome.SUCCEEDED
+            and pending
+            and not request.finished
+            and now > request.deadline + self._duties.response_slack
         ):
-            fate = AttemptOutcome.TIMED_OUT
-        closed = fate is AttemptOutcome.SUCCEEDED
-        if ticket is not None:
-            ticket.timed_out = fate is AttemptOutcome.TIMED_OUT
-            if closed and not ticket.answered:
-                self._answer(ticket, RequestOutcome.SUCCEEDED, trip, answer, 0)
-        self.counters.outcomes[fate] = self.counters.outcomes.get(fate, 0) + 1
-        self._known(trip, fate)
-        self.decisions.attempt_ended(trip, fate, closed, now - trip.sent_at, report)
+            outcome = AttemptOutcome.TIMED_OUT
+        closed = outcome is AttemptOutcome.SUCCEEDED
+        if pending is not None:
+            pending.timed_out = outcome is AttemptOutcome.TIMED_OUT
+            if closed and not pending.answered:
+                self._answer(pending, RequestOutcome.SUCCEEDED, attempt, answer, 0)
+        self.counters.outcomes[outcome] = self.counters.outcomes.get(outcome, 0) + 1
+        self._known(attempt, outcome)
+        self.decisions.attempt_ended(attempt, outcome, closed, now - attempt.sent_at, report)
         self._carry()
 
-    def health_checked(self, unit: Endpoint, fate: AttemptOutcome, took: Ticks, report: LoadReport | None) -> None:
+    def health_checked(self, unit: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None) -> None:
         self._now()
-        self.decisions.health_checked(unit, fate, took, report)
+        self.decisions.health_checked(unit, outcome, took, report)
         self._carry()
 
     def endpoints_listed(self, listed: EndpointListMessage, offset: Ticks) -> None:
         """The roster's word. `offset` is what its clock lacks of ours, fixed for as long as one stream
         lasts."""
         self._now()
-        listings = []
+        records = []
         for row in listed.units:
             unit = self.registry.get_or_add(row.unit)
             since = 0
@@ -235,13 +235,13 @@
                     since = old.started_at
             self.destinations[unit] = Destination(row.host, row.port, row.build, since)
             condition = ENDPOINT_STATUSES[row.condition]
-            listings.append(EndpointRecord(unit, row.zone, row.cell, row.kind, since, row.build, row.size, condition))
-        coverage = UpdateScope.SNAPSHOT if listed.coverage == "full" else UpdateScope.DELTA
+            records.append(EndpointRecord(unit, row.zone, row.cell, row.kind, since, row.build, row.size, condition))
+        update_scope = UpdateScope.SNAPSHOT if listed.coverage == "full" else UpdateScope.DELTA
         if not self._listed:
-            coverage, self._listed = UpdateScope.CACHED, True
+            update_scope, self._listed = UpdateScope.CACHED, True
         if self.readiness is not None:
-            listings = self._withhold(coverage, listings)
-        self.decisions.endpoints_updated(coverage, listings)
+            records = self._withhold(update_scope, records)
+        self.decisions.endpoints_updated(update_scope, records)
         self._carry()
         self._forget()
 
@@ -258,25 +258,25 @@
             del self._gone[unit], self.destinations[unit]
             self.registry.forget(unit)
 
-    def _withhold(self, coverage: UpdateScope, listings: list[EndpointRecord]) -> list[EndpointRecord]:
+    def _withhold(self, update_scope: UpdateScope, records: list[EndpointRecord]) -> list[EndpointRecord]:
         """The same, with units of builds that may have no traffic told as draining: they count as not
         there."""
         assert self.readiness is not None
-        if coverage is not UpdateScope.DELTA:
+        if update_scope is not UpdateScope.DELTA:
             self._listings.clear()
-        for listing in listings:
-            if listing.status is EndpointStatus.REMOVED:
-                self._listings.pop(listing.endpoint, None)
+        for record in records:
+            if record.status is EndpointStatus.REMOVED:
+                self._listings.pop(record.endpoint, None)
             else:
-                self._listings[listing.endpoint] = listing
-        self.readiness.listed(listing.build for listing in self._listings.values())
-        return [self._as_ready(listing) for listing in listings]
+                self._listings[record.endpoint] = record
+        self.readiness.listed(record.build for record in self._listings.values())
+        return [self._as_ready(record) for record in records]
 
-    def _as_ready(self, listing: EndpointRecord) -> EndpointRecord:
+    def _as_ready(self, record: EndpointRecord) -> EndpointRecord:
         assert self.readiness is not None
-        if listing.status is not EndpointStatus.READY or self.readiness.open(listing.build):
-            return listing
-        return replace(listing, status=EndpointStatus.DRAINING)
+        if record.status is not EndpointStatus.READY or self.readiness.open(record.build):
+            return record
+        return replace(record, status=EndpointStatus.DRAINING)
 
     def migrations_read(self, page: MigrationLogPage) -> None:
         """The record of steps has grown. Raises Malformed where it follows no rules."""
@@ -291,9 +291,9 @@
     def _relist(self) -> None:
         """Tells the decisions of units whose build may have traffic now, or may not any more."""
         changed = []
-        for listing in self._listings.values():
-            told = self._as_ready(listing)
-            if told.status is not listing.endpoint.status:
+        for record in self._listings.values():
+            told = self._as_ready(record)
+            if told.status is not record.endpoint.status:
                 changed.append(told)
         if changed:
             self.decisions.endpoints_updated(UpdateScope.DELTA, changed)
@@ -322,37 +322,37 @@
         self.decisions.gossip_received(peer, decode_gossip(payload, self.registry.short_ids, self._order))
         self._carry()
 
-    def complaint_received(self, name: str, lane: RequestClass, age: Ticks) -> bool:
+    def complaint_received(self, name: str, request_class: RequestClass, age: Ticks) -> bool:
         """A client found an answer wrong; false where the unit was never listed."""
         if name not in self.registry.by_name:
             return False
         self._now()
-        self.decisions.complaint_received(self.registry.by_name[name], lane, age)
+        self.decisions.complaint_received(self.registry.by_name[name], request_class, age)
         self._carry()
         return True
 
-    def destination_of(self, trip: Attempt) -> Destination | None:
+    def destination_of(self, attempt: Attempt) -> Destination | None:
         """Where a trip may go, asked right before its first byte: nowhere once its unit drains, is gone, or
         is another life than the one that was chosen. Guards rules 3 to 5 while a trip waits for a
         connection."""
-        place = self.destinations.get(trip.endpoint)
-        if place is None or trip.endpoint.status is not EndpointStatus.READY or trip.request.finished:
+        place = self.destinations.get(attempt.endpoint)
+        if place is None or attempt.endpoint.status is not EndpointStatus.READY or attempt.request.finished:
             return None
         if self.readiness is not None and not self.readiness.open(place.build):
             return None
         return place
 
-    def _known(self, trip: Attempt, fate: AttemptOutcome) -> None:
+    def _known(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """A trip's end, for the steps: one that may still run at its unit holds a closing up."""
         if self.readiness is not None:
-            known = fate in (
+            known = outcome in (
                 AttemptOutcome.SUCCEEDED,
                 AttemptOutcome.ERROR,
                 AttemptOutcome.REJECTED,
                 AttemptOutcome.CONNECT_FAILED,
                 AttemptOutcome.NOT_SENT,
             )
-            self.readiness.ended(trip, known)
+            self.readiness.ended(attempt, known)
 
     def tick(self) -> None:
         """Handles all timers that have fallen due."""
@@ -387,13 +387,13 @@
         heappush(self._timers, (when, self._number, what))
 
     def _answer(
-        self, ticket: PendingRequest, outcome: RequestOutcome, trip: Attempt | None, answer: Any, come_back: Ticks
+        self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, retry_after: Ticks
     ) -> None:
-        if ticket.answered:  # exactly one final answer, whoever asks for another
+        if pending.answered:  # exactly one final answer, whoever asks for another
             return
-        ticket.answered = True
-        if ticket.request is not None:
-            self.pending.pop(ticket.request, None)
+        pending.answered = True
+        if pending.request is not None:
+            self.pending.pop(pending.request, None)
         match outcome:
             case RequestOutcome.SUCCEEDED:
                 self.counters.succeeded += 1
@@ -401,7 +401,7 @@
                 self.counters.rejected += 1
             case RequestOutcome.FAILED:
                 self.counters.failed += 1
-        ticket.reply(ticket, outcome, trip, answer, come_back)
+        pending.reply(pending, outcome, attempt, answer, retry_after)
 
     def _carry(self) -> None:
         """Carries out what the decisions want, in order, until nothing is left."""
@@ -411,12 +411,12 @@
         decisions = self.decisions
         try:
             while decisions.actions or self._soon or self._unsaid:
-                acts, decisions.actions = decisions.actions, []
-                for act in acts:
-                    self._do(act)
+                actions, decisions.actions = decisions.actions, []
+                for action in actions:
+                    self._do(action)
                 if not decisions.actions and self._soon:
-                    trip, fate = self._soon.popleft()
-                    self._stop(trip, fate)
+                    attempt, outcome = self._soon.popleft()
+                    self._stop(attempt, outcome)
                 elif not decisions.actions and self._unsaid:
                     self._unsaid -= 1
                     decisions.rollout_updated(
@@ -425,50 +425,50 @@
         finally:
             self._carrying = False
 
-    def _stop(self, trip: Attempt, fate: AttemptOutcome) -> None:
-        if trip.outcome is not None:
+    def _stop(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        if attempt.outcome is not None:
             return
-        if not self._hands.cancel_attempt(trip):  # too little was written: it never ran
-            fate = AttemptOutcome.CONNECT_FAILED if fate is AttemptOutcome.TIMED_OUT else fate
-        ticket = self.pending.get(trip.request)
-        if ticket is not None:
-            ticket.timed_out = fate is AttemptOutcome.TIMED_OUT
-        self.counters.outcomes[fate] = self.counters.outcomes.get(fate, 0) + 1
-        self._known(trip, fate)
-        self.decisions.attempt_ended(trip, fate, False, self.decisions.now - trip.sent_at, None)
-
-    def _do(self, act: Action) -> None:
-        kind = type(act)  # the two most frequent kinds first: this runs several times a lookup
+        if not self._hands.cancel_attempt(attempt):  # too little was written: it never ran
+            outcome = AttemptOutcome.CONNECT_FAILED if outcome is AttemptOutcome.TIMED_OUT else outcome
+        pending = self.pending.get(attempt.request)
+        if pending is not None:
+            pending.timed_out = outcome is AttemptOutcome.TIMED_OUT
+        self.counters.outcomes[outcome] = self.counters.outcomes.get(outcome, 0) + 1
+        self._known(attempt, outcome)
+        self.decisions.attempt_ended(attempt, outcome, False, self.decisions.now - attempt.sent_at, None)
+
+    def _do(self, action: Action) -> None:
+        kind = type(action)  # the two most frequent kinds first: this runs several times a lookup
         if kind is SetTimer:
-            assert isinstance(act, SetTimer)
-            self._at(act.at, act.request)
+            assert isinstance(action, SetTimer)
+            self._at(action.at, action.request)
         elif kind is StartAttempt:
-            assert isinstance(act, StartAttempt)
-            self._send(act.attempt)
+            assert isinstance(action, StartAttempt)
+            self._send(action.attempt)
         else:
-            self._do_rest(act)
+            self._do_rest(action)
 
-    def _send(self, trip: Attempt) -> None:
-        ticket = self.pending.get(trip.request)
-        if ticket is None:  # its client has gone in the same breath
-            self._soon.append((trip, AttemptOutcome.NOT_SENT))
+    def _send(self, attempt: Attempt) -> None:
+        pending = self.pending.get(attempt.request)
+        if pending is None:  # its client has gone in the same breath
+            self._soon.append((attempt, AttemptOutcome.NOT_SENT))
             return
         self.counters.attempts += 1
-        self._at(trip.sent_at + trip.timeout, trip)
-        if self.readiness is not None and (place := self.destinations.get(trip.endpoint)) is not None:
-            self.readiness.sent(place.build, trip)
-        self._hands.start_attempt(trip, ticket)
-
-    def _do_rest(self, act: Action) -> None:
-        match act:
-            case RejectRequest(lookup, come_back):
-                if (ticket := self.pending.get(lookup)) is not None:
-                    self._answer(ticket, RequestOutcome.REJECTED, None, None, come_back)
-            case FailRequest(lookup):
-                if (ticket := self.pending.get(lookup)) is not None:
-                    self._answer(ticket, RequestOutcome.FAILED, None, None, 0)
-            case CancelAttempt(trip):
-                self._soon.append((trip, AttemptOutcome.CANCELLED))
+        self._at(attempt.sent_at + attempt.timeout, attempt)
+        if self.readiness is not None and (place := self.destinations.get(attempt.endpoint)) is not None:
+            self.readiness.sent(place.build, attempt)
+        self._hands.start_attempt(attempt, pending)
+
+    def _do_rest(self, action: Action) -> None:
+        match action:
+            case RejectRequest(request, retry_after):
+                if (pending := self.pending.get(request)) is not None:
+                    self._answer(pending, RequestOutcome.REJECTED, None, None, retry_after)
+            case FailRequest(request):
+                if (pending := self.pending.get(request)) is not None:
+                    self._answer(pending, RequestOutcome.FAILED, None, None, 0)
+            case CancelAttempt(attempt):
+                self._soon.append((attempt, AttemptOutcome.CANCELLED))
             case CheckHealth(unit):
                 self._hands.check_health(unit)
             case CloseIdleConnections(unit):
@@ -476,7 +476,7 @@
             case SendGossip(peer, words):
                 self._tell(peer, words)
             case CastVote():
-                self._vote(act)
+                self._vote(action)
             case WatchEndpoints(on):
                 self._hands.watch_endpoints(on)
             case PollEndpoints():
--- a/lanelead/hosting/door.py
+++ b/lanelead/runtime/endpoint_registry.py
@@ -22,7 +22,7 @@
     Endpoint,
     GossipEntry,
 )
-from lanelead.hosting.marks import NO_LONG_ID, SHORT_ID_MASK, ShortIds, long_id_of
+from lanelead.runtime.short_ids import NO_LONG_ID, SHORT_ID_MASK, ShortIds, long_id_of
 
 KINDS = 5  # kinds of fault in a sighting
 ROW = Struct(f">HHB{1 + KINDS}B")  # a sighting: unit mark, build, lane, outcomes, faults of each kind
@@ -75,7 +75,7 @@
         self.short_ids.drop(unit)
 
 
-def encode_gossip(words: Sequence[GossipEntry], lanes: Sequence[RequestClass]) -> list[bytes]:
+def encode_gossip(words: Sequence[GossipEntry], request_classes: Sequence[RequestClass]) -> list[bytes]:
     """Sightings and loads as messages of the allowed length: their form and the number of rows in one byte,
     pace and answers in the next two, then the rows, then loads. The loads go whole into one message, since
     they say what is out and that there is no more: of more than fit, those that come first. Units that share
@@ -85,7 +85,7 @@
     for word in words:
         if isinstance(word, OutcomeObservation) and word.endpoint.long_id != NO_LONG_ID:
             many = (min(number, 255) for number in (word.outcomes, *word.faults))
-            at = word.build, lanes.index(word.request_class)
+            at = word.build, request_classes.index(word.request_class)
             if word.endpoint.long_id:
                 wide_rows.append(SEEN_SHARED.pack(word.endpoint.long_id, *at, *many))
             else:
@@ -123,7 +123,7 @@
     pairs += [(0, min(loads[len(told)].attempts, 255))] if shared and len(told) < len(loads) else []
     pairs += [(0, 0)] * (len(pairs) % 2)
     twos = zip(pairs[::2], pairs[1::2], strict=True)
-    rows = [LOADS_SHARED.pack(wide, SHARED, trips, *second) for (wide, trips), second in twos]
+    rows = [LOADS_SHARED.pack(wide, SHARED, attempts, *second) for (wide, attempts), second in twos]
     return rows, [
         LOAD.pack(load.endpoint.short_id, min(load.attempts, 255)) for load in told if not load.endpoint.long_id
     ]
@@ -143,13 +143,13 @@
     return ROW.size * ((shared + 1) // 2) + LOAD.size * plain
 
 
-def decode_gossip(text: bytes, units: ShortIds, lanes: Sequence[RequestClass]) -> list[GossipEntry]:
+def decode_gossip(text: bytes, units: ShortIds, request_classes: Sequence[RequestClass]) -> list[GossipEntry]:
     """What a message says; rows of units, builds or lanes unknown to this relay are passed over and counted,
     and so is a message of another form: read as this one, it would say what nobody saw."""
     form, count = divmod(text[0], 1 << COUNT) if text else (FORM, 0)
     if form == FORM_SHARED and len(text) == 1 + count * SEEN_SHARED.size <= MAX_MESSAGE_BYTES:
         wide = SEEN_SHARED.iter_unpack(text[1:])
-        return [*_sightings(((units.by_long_id(mark), *row) for mark, *row in wide), units, lanes)]
+        return [*_sightings(((units.by_long_id(mark), *row) for mark, *row in wide), units, request_classes)]
     end = HEAD + count * ROW.size
     if form != FORM or not end <= len(text) <= MAX_MESSAGE_BYTES:
         units.skipped["length" if form in (FORM, FORM_SHARED) else "form"] += 1
@@ -160,19 +160,21 @@
     if count:  # most letters have none: a hub hears thousands a second
         rows = ROW.iter_unpack(text[HEAD:end])
         found = ((units.by_short_id(mark), *row) for mark, *row in rows if row[1] != SHARED)
-        seen += _sightings(found, units, lanes)
+        seen += _sightings(found, units, request_classes)
         for place in range(HEAD, end, ROW.size):
-            first, kind, trips, *second = LOADS_SHARED.unpack_from(text, place)
-            halves += [(first, trips), (second[0], second[1])] if kind == SHARED else []
+            first, kind, attempts, *second = LOADS_SHARED.unpack_from(text, place)
+            halves += [(first, attempts), (second[0], second[1])] if kind == SHARED else []
     rest = text[end : len(text) - (len(text) - end) % LOAD.size]
     return [*seen, *_loads([*LOAD.iter_unpack(rest)], halves, units), *pace, *answered]
 
 
-def _sightings(rows: Iterable[Seen], units: ShortIds, lanes: Sequence[RequestClass]) -> Iterator[OutcomeObservation]:
-    for unit, build, lane, outcomes, *faults in rows:
+def _sightings(
+    rows: Iterable[Seen], units: ShortIds, request_classes: Sequence[RequestClass]
+) -> Iterator[OutcomeObservation]:
+    for unit, build, request_class, outcomes, *faults in rows:
         if unit is not None:
-            if unit.build == build and lane < len(lanes) and unit.status is EndpointStatus.READY:
-                yield OutcomeObservation(unit, lanes[lane], build, outcomes, faults)
+            if unit.build == build and request_class < len(request_classes) and unit.status is EndpointStatus.READY:
+                yield OutcomeObservation(unit, request_classes[request_class], build, outcomes, faults)
             else:
                 units.skipped["other"] += 1
 
@@ -183,16 +185,16 @@
     marks, alone = dict(plain), units.unique
     if len(marks) < len(plain):  # an earlier program tells so of two units as one
         many = Counter(mark for mark, _ in plain)
-        marks = {mark: trips for mark, trips in plain if many[mark] == 1}
+        marks = {mark: attempts for mark, attempts in plain if many[mark] == 1}
         units.skipped["doubled"] += len(plain) - len(marks)
     found: list[GossipEntry] = [
-        InFlightCount(unit, trips) for mark, trips in marks.items() if (unit := alone.get(mark))
+        InFlightCount(unit, attempts) for mark, attempts in marks.items() if (unit := alone.get(mark))
     ]
     if len(found) < len(marks):
         units.count_unknown(mark for mark in marks if mark not in alone)
-    found += [InFlightCount(unit, trips) for wide, trips in shared if wide and (unit := units.by_long_id(wide))]
+    found += [InFlightCount(unit, attempts) for wide, attempts in shared if wide and (unit := units.by_long_id(wide))]
     if shared or len(found) < len(plain):
-        least = [trips for wide, trips in shared if not wide and trips]
+        least = [attempts for wide, attempts in shared if not wide and attempts]
         least += [plain[-1][1]] if len(plain) >= MAX_IN_FLIGHT_COUNTS else []
         if least or not found:
             found.append(InFlightBound(least[0] if least else 0))
