--- a/lanelead/settings/cue.py
+++ b/lanelead/settings/cue.py
@@ -113,8 +113,8 @@
             return " & ".join(([kind] if kind else []) + [f"{op}{json.dumps(edge)}" for op, edge in bounds])
         case Choice(_, branches):
             return " | ".join(dict.fromkeys(show(branch, depth - 1) for branch, _ in branches))
-        case Struct(_, members):
-            return "a struct" + (f" of {', '.join(members)}" if members and depth > 1 else "")
+        case Struct(_, tenants):
+            return "a struct" + (f" of {', '.join(tenants)}" if tenants and depth > 1 else "")
         case Row(_, _, rest):
             return f"a list of {show(rest, depth - 1)}" if rest else "a list"
     return "anything"
@@ -205,20 +205,20 @@
         }
 
     @staticmethod
-    def label(member: Tree[Token]) -> str:
-        label = member.children[0]
+    def label(tenant: Tree[Token]) -> str:
+        label = tenant.children[0]
         assert isinstance(label, Tree)
         text = str(label.children[0])
         return QUOTED + str(json.loads(text)) if text.startswith('"') else text
 
     def _scope(self, tree: Tree[Token], outer: Scope | None) -> Scope:
         fields: dict[str, list[Tree[Token]]] = {}
-        for member in tree.children:
-            if isinstance(member, Tree) and member.data == "field":
-                label = self.label(member)
+        for tenant in tree.children:
+            if isinstance(tenant, Tree) and tenant.data == "field":
+                label = self.label(tenant)
                 plain_ = label.removeprefix(QUOTED)
                 key = label if plain_.startswith(("#", "_")) else plain_
-                fields.setdefault(key, []).append(member)
+                fields.setdefault(key, []).append(tenant)
         return Scope(fields, outer)
 
     def _named(self, name: str, scope: Scope, trees: Sequence[Tree[Token]], where: str) -> Value:
@@ -236,18 +236,18 @@
         return close(value) if name[0] == "#" else value
 
     def _struct(self, tree: Tree[Token], outer: Scope | None, where: str) -> Struct:
-        scope, members = self._scope(tree, outer), dict[str, Member]()
+        scope, tenants = self._scope(tree, outer), dict[str, Member]()
         others: Value | None = None
         last: Tree[Token] | Token | None = None
-        for member in tree.children:
-            if isinstance(member, Tree):
-                if isinstance(last, Tree) and last.meta.end_line == member.meta.line:
-                    self._blame(member, where, "two fields on one line", "a comma or a new line between")
-                if member.data == "pattern":
-                    others = self._value(member.children[1], scope, where)
-                elif member.data == "rest":
-                    others = Any_(self._spot(member))
-            last = member
+        for tenant in tree.children:
+            if isinstance(tenant, Tree):
+                if isinstance(last, Tree) and last.meta.end_line == tenant.meta.line:
+                    self._blame(tenant, where, "two fields on one line", "a comma or a new line between")
+                if tenant.data == "pattern":
+                    others = self._value(tenant.children[1], scope, where)
+                elif tenant.data == "rest":
+                    others = Any_(self._spot(tenant))
+            last = tenant
         for label, trees in scope.fields.items():
             if label.startswith(("#", "_")):  # a definition, or hidden; never so where it is quoted
                 continue
@@ -255,8 +255,8 @@
             at = f"{where}.{name}" if where else name
             value = self._named(label, scope, trees, at)
             optional = all(any(mark == "?" for mark in tree.children[1:-1]) for tree in trees)
-            members[name] = Member(value, optional, self._spot(trees[0]))
-        return Struct(self._spot(tree), members, others)
+            tenants[name] = Member(value, optional, self._spot(trees[0]))
+        return Struct(self._spot(tree), tenants, others)
 
     def _number(self, token: Token) -> int | float:
         text = token.replace("_", "")
@@ -355,8 +355,8 @@
 def close(value: Value) -> Value:
     """The same, with each struct in it closed."""
     match value:
-        case Struct(spot, members, others):
-            inner = {name: replace(member, value=close(member.value)) for name, member in members.items()}
+        case Struct(spot, tenants, others):
+            inner = {name: replace(tenant, value=close(tenant.value)) for name, tenant in tenants.items()}
             return Struct(spot, inner, others and close(others), True)
         case Row(spot, items, rest):
             return Row(spot, tuple(map(close, items)), rest and close(rest))
@@ -441,25 +441,25 @@
 
 
 def _join(a: Struct, b: Struct, where: str, faults: list[Fault]) -> Struct:
-    members = dict[str, Member]()
+    tenants = dict[str, Member]()
     for name in dict.fromkeys([*a.members, *b.members]):
         at = f"{where}.{name}" if where else name
         mine, theirs = a.members.get(name), b.members.get(name)
         if mine and theirs:
             value = unify(mine.value, theirs.value, at, faults)
-            members[name] = Member(value, mine.optional and theirs.optional, theirs.spot)
+            tenants[name] = Member(value, mine.optional and theirs.optional, theirs.spot)
             continue
         have, other = (mine, b) if mine else (theirs, a)
         assert have is not None
         if other.others is not None:
-            members[name] = replace(have, value=unify(other.others, have.value, at, faults))
+            tenants[name] = replace(have, value=unify(other.others, have.value, at, faults))
         elif other.closed:
             known = ", ".join(other.members) or "none at all"
             faults.append(Fault(have.spot, at, "an unknown field", f"one of {known}"))
         else:
-            members[name] = have
+            tenants[name] = have
     others = a.others if b.others is None else b.others
-    return Struct(b.spot, members, others, a.closed or b.closed)
+    return Struct(b.spot, tenants, others, a.closed or b.closed)
 
 
 def _align(a: Row, b: Row, where: str, faults: list[Fault]) -> Row:
@@ -484,16 +484,16 @@
     match value:
         case Atom(_, atom):
             return atom
-        case Struct(_, members):
+        case Struct(_, tenants):
             result = {}
-            for name, member in members.items():
+            for name, tenant in tenants.items():
                 at = f"{where}.{name}" if where else name
-                if member.optional:  # named by our definitions only: the file left it out
+                if tenant.optional:  # named by our definitions only: the file left it out
                     continue
-                if isinstance(member.value, Limits | Any_):
-                    faults.append(Fault(value.spot, at, "nothing", show(member.value)))
+                if isinstance(tenant.value, Limits | Any_):
+                    faults.append(Fault(value.spot, at, "nothing", show(tenant.value)))
                     continue
-                result[name] = plain(member.value, at, faults, spots)
+                result[name] = plain(tenant.value, at, faults, spots)
             return result
         case Row(_, items):
             return [plain(item, f"{where}[{place}]", faults, spots) for place, item in enumerate(items)]
@@ -511,8 +511,8 @@
     match value:
         case Atom():
             return True
-        case Struct(_, members):
-            return all(member.optional or _concrete(member.value) for member in members.values())
+        case Struct(_, tenants):
+            return all(tenant.optional or _concrete(tenant.value) for tenant in tenants.values())
         case Row(_, items):
             return all(map(_concrete, items))
         case Choice(_, branches):
--- a/lanelead/settings/read.py
+++ b/lanelead/settings/read.py
@@ -106,20 +106,23 @@
     def blame(path: str, found: str, expected: str) -> None:
         faults.append(Fault(spots.get(path, spots[at]), path, found, expected))
 
-    rows = {"lanes": [lane.name for lane in service.lanes], "members": [row.name for row in service.members]}
+    rows = {
+        "lanes": [request_class.name for request_class in service.lanes],
+        "members": [row.name for row in service.members],
+    }
     for kind, names in rows.items():
         for place, name in enumerate(names):
             if name in names[:place]:
                 blame(f"{at}.{kind}[{place}].name", f"{name!r} again", "a name used once")
-    for place, lane in enumerate(service.lanes):
+    for place, request_class in enumerate(service.lanes):
         path = f"{at}.lanes[{place}]"
-        if lane.expected_time_ms > lane.outer_limit_ms:
-            blame(f"{path}.expected_time_ms", str(lane.expected_time_ms), "no more than outer_limit_ms")
-        if lane.repeat == "receipted" and not lane.memory_ms:
+        if request_class.expected_time_ms > request_class.outer_limit_ms:
+            blame(f"{path}.expected_time_ms", str(request_class.expected_time_ms), "no more than outer_limit_ms")
+        if request_class.repeat == "receipted" and not request_class.memory_ms:
             blame(f"{path}.memory_ms", "none", "how long units remember the lane's receipts")
     spans = list[tuple[netaddr.IPNetwork, str]]()
-    for place, member in enumerate(service.members):
-        for number, text in enumerate(member.networks):
+    for place, tenant in enumerate(service.members):
+        for number, text in enumerate(tenant.networks):
             path = f"{at}.members[{place}].networks[{number}]"
             try:
                 span = netaddr.IPNetwork(text)
@@ -128,7 +131,7 @@
                 continue
             if any(span == other for other, _ in spans):
                 blame(path, f"{text} again", "a network named once")
-            spans.append((span, member.name))
+            spans.append((span, tenant.name))
     trial = service.trial
     if len(trial.shares) != len(trial.caps):
         blame(f"{at}.trial.caps", f"{len(trial.caps)} caps", f"{len(trial.shares)}, one a stage")
@@ -192,8 +195,8 @@
 
 def _day(record: Day, spots: dict[str, Spot]) -> list[Fault]:
     faults = []
-    lanes = {lane.name for lane in record.service.lanes}
-    members = {member.name for member in record.service.members}
+    request_classes = {request_class.name for request_class in record.service.lanes}
+    tenants = {tenant.name for tenant in record.service.members}
 
     def blame(path: str, found: str, expected: str) -> None:
         faults.append(Fault(spots.get(path, spots["day"]), path, found, expected))
@@ -202,12 +205,12 @@
     named = [(f"day.clients.work[{place}].lane", work.lane) for place, work in enumerate(record.clients.work)]
     named += [(f"day.desk.offers[{n}].lane", offer.lane) for n, offer in enumerate(record.desk.offers)]
     named += [(f"day.events[{place}].lane", event.lane) for place, event in enumerate(record.events)]
-    for path, lane in named:
-        if lane is not None and lane not in lanes:
-            blame(path, repr(lane), f"a lane of the service: {', '.join(sorted(lanes))}")
+    for path, request_class in named:
+        if request_class is not None and request_class not in request_classes:
+            blame(path, repr(request_class), f"a lane of the service: {', '.join(sorted(request_classes))}")
     for place, event in enumerate(record.events):
         path = f"day.events[{place}]"
-        if event.member is not None and event.member not in members:
+        if event.member is not None and event.member not in tenants:
             blame(f"{path}.member", repr(event.member), "a member of the service")
         if event.relay is not None and event.relay >= record.relays:
             blame(f"{path}.relay", str(event.relay), f"less than {record.relays}")
--- a/lanelead/benchlink/__main__.py
+++ b/lanelead/simulator_adapter/__main__.py
@@ -1,11 +1,11 @@
-"""Run as `python -m lanelead.benchlink`: batches come on standard input, replies go to standard output."""
+"""Run as `python -m lanelead.simulator_adapter`: batches come on standard input, replies go to standard output."""
 
 from __future__ import annotations
 
 import sys
 
-from lanelead.benchlink.host import serve
-from lanelead.hosting.opening import ParameterError
+from lanelead.simulator_adapter.host import serve
+from lanelead.runtime.parameter_reader import ParameterError
 
 
 def main() -> int:
--- a/lanelead/benchlink/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -6,9 +6,9 @@
 from random import Random
 from typing import TextIO
 
-from lanelead.benchlink import wire
-from lanelead.benchlink.wire import millis
-from lanelead.hosting.door import EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.simulator_adapter import wire
+from lanelead.simulator_adapter.wire import millis
+from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
 from lanelead.decisions.interface import (
     FailRequest,
     CancelAttempt,
@@ -35,8 +35,8 @@
     WatchEndpoints,
     GossipEntry,
 )
-from lanelead.hosting.opening import ParameterError, ParameterReader, known, number, ticks, whole
-from lanelead.decisions.rules import Balancer
+from lanelead.runtime.parameter_reader import ParameterError, ParameterReader, known, number, ticks, whole
+from lanelead.decisions.balancer import Balancer
 
 Words = list[str]
 
@@ -46,25 +46,25 @@
 
     def __init__(self, words: Words, now: Ticks) -> None:
         opening = ParameterReader(words[2:])
-        lanes, members = opening.request_classes(), opening.tenants()
+        request_classes, tenants = opening.request_classes(), opening.tenants()
         self.relay: Decisions = Balancer(
             place=opening.position(),
-            lanes=lanes,
-            members=members,
-            allowance=opening.resource_quota(),
-            duties=opening.service_limits(),
+            request_classes=request_classes,
+            tenants=tenants,
+            quota=opening.resource_quota(),
+            limits=opening.service_limits(),
             trial=opening.canary_limits(),
             poll=opening.voting_rules(),
-            tariff=opening.prices(),
-            chance=Random(whole(words[1])),
+            prices=opening.prices(),
+            rng=Random(whole(words[1])),
             now=now,
         )
-        self.lanes = {lane.name: lane for lane in lanes}
-        self.members = {member.name: member for member in members}
+        self.lanes = {request_class.name: request_class for request_class in request_classes}
+        self.members = {tenant.name: tenant for tenant in tenants}
         self.gauges = opening.words("loadReport.names")
         self.door = EndpointRegistry(self.relay.new_endpoint)
         self.gone: dict[Endpoint, Ticks] = {}  # units that share a mark and are gone, and when it is freed
-        self.memory = 2 * max((lane.timeout for lane in lanes), default=0)
+        self.memory = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.lookups: dict[str, Request] = {}
         self.lookup_ids: dict[Request, str] = {}
         self.wakes: dict[int, Request | None] = {}
@@ -73,19 +73,19 @@
 
     def trip(self, msg: str, shot: str) -> Attempt | None:
         """The trip that an event speaks of, or none when its lookup is long forgotten."""
-        lookup = self.lookups.get(wire.ident(msg))
-        if lookup is None:
+        request = self.lookups.get(wire.ident(msg))
+        if request is None:
             return None
         place = whole(shot)
-        if not 0 <= place < len(lookup.attempts):
+        if not 0 <= place < len(request.attempts):
             raise ParameterError(f"no trip {shot} of lookup {msg}")
-        return lookup.attempts[place]
+        return request.attempts[place]
 
     def forget(self) -> None:
         """Drops the lookups just touched that are over and have no trip out any more."""
-        for lookup in self.touched:
-            if lookup.finished and all(trip.outcome for trip in lookup.attempts):
-                msg = self.lookup_ids.pop(lookup, None)
+        for request in self.touched:
+            if request.finished and all(attempt.outcome for attempt in request.attempts):
+                msg = self.lookup_ids.pop(request, None)
                 if msg is not None:
                     del self.lookups[msg]
         self.touched.clear()
@@ -93,10 +93,10 @@
     # Events
 
     def roster(self, words: Words, entries: list[Words]) -> None:
-        coverage = known(wire.COVERAGES, words[1])
-        listings = []
+        update_scope = known(wire.COVERAGES, words[1])
+        records = []
         for _, zone, cell, since, kind, name, build, size, condition in entries:
-            listings.append(
+            records.append(
                 EndpointRecord(
                     endpoint=self.door.get_or_add(name),
                     zone=zone,
@@ -108,7 +108,7 @@
                     status=known(wire.CONDITIONS, condition),
                 )
             )
-        self.relay.endpoints_updated(coverage, listings)
+        self.relay.endpoints_updated(update_scope, records)
         self.free_marks()
 
     def free_marks(self) -> None:
@@ -121,10 +121,10 @@
                 self.door.retire(unit)
 
     def ask(self, words: Words) -> None:
-        _, msg, lane, member, key, left, hint, again, write = words
-        lookup = Request(
-            request_class=known(self.lanes, lane),
-            tenant=None if member in ("-", "0") else known(self.members, member),
+        _, msg, request_class, tenant, key, left, hint, again, write = words
+        request = Request(
+            request_class=known(self.lanes, request_class),
+            tenant=None if tenant in ("-", "0") else known(self.members, tenant),
             key=None if key == "-" else key,
             received_at=self.relay.now,
             deadline=self.relay.now + ticks(left),
@@ -132,40 +132,40 @@
             is_retry=wire.flag(again),
             is_write=wire.flag(write),
         )
-        self.lookups[wire.ident(msg)] = lookup
-        self.lookup_ids[lookup] = msg
-        self.relay.request_received(lookup)
+        self.lookups[wire.ident(msg)] = request
+        self.lookup_ids[request] = msg
+        self.relay.request_received(request)
 
     def answer(self, words: Words) -> None:
         _, msg, name, shot, finished, outcome, took, gauge = words
-        trip = self.trip(msg, shot)
-        if trip is None:
+        attempt = self.trip(msg, shot)
+        if attempt is None:
             return
-        if self.door.names[trip.endpoint] != name:
-            raise ParameterError(f"trip {shot} of lookup {msg} went to {self.door.names[trip.endpoint]}, not {name}")
+        if self.door.names[attempt.endpoint] != name:
+            raise ParameterError(f"trip {shot} of lookup {msg} went to {self.door.names[attempt.endpoint]}, not {name}")
         fate = known(wire.FATES, outcome)
         closed, load = wire.flag(finished), wire.report(gauge, self.gauges)
-        self.relay.attempt_ended(trip, fate, closed, ticks(took), load)
-        self.touched.append(trip.request)
+        self.relay.attempt_ended(attempt, fate, closed, ticks(took), load)
+        self.touched.append(attempt.request)
 
     def accepted(self, words: Words) -> None:
-        trip = self.trip(words[1], words[3])
-        if trip is not None:
-            self.relay.response_started(trip)
+        attempt = self.trip(words[1], words[3])
+        if attempt is not None:
+            self.relay.response_started(attempt)
 
     def client_left(self, words: Words) -> None:
-        lookup = self.lookups.get(wire.ident(words[1]))
-        if lookup is not None:
-            self.relay.client_left(lookup)
-            self.touched.append(lookup)
+        request = self.lookups.get(wire.ident(words[1]))
+        if request is not None:
+            self.relay.client_left(request)
+            self.touched.append(request)
 
     def heard(self, words: Words) -> None:
         said = decode_gossip(wire.octets(words[2]), self.door.short_ids, [*self.lanes.values()])
         self.relay.gossip_received(whole(words[1]), said)
 
     def bad_answer(self, words: Words) -> None:
-        lane = known(self.lanes, words[2])
-        self.relay.complaint_received(self.door.get_or_add(words[1]), lane, ticks(words[3]))
+        request_class = known(self.lanes, words[2])
+        self.relay.complaint_received(self.door.get_or_add(words[1]), request_class, ticks(words[3]))
 
     def rollout_state(self, words: Words) -> None:
         _, image, tranche, course, code, outcome, exposure, age = words
@@ -183,11 +183,11 @@
         )
 
     def period_sums(self, words: Words) -> None:
-        _, image, lost, lane, age, samples, took = words
+        _, image, lost, request_class, age, samples, took = words
         self.relay.tally_received(
             OutcomeTally(
                 build=whole(image),
-                request_class=known(self.lanes, lane),
+                request_class=known(self.lanes, request_class),
                 attempts=whole(samples),
                 failures=whole(lost),
                 latency=ticks(took),
@@ -204,37 +204,37 @@
         tag = whole(words[1])
         if tag not in self.wakes:
             raise ParameterError(f"no timer {tag}")
-        lookup = self.wakes.pop(tag)
-        self.relay.timer_fired(lookup)
-        if lookup is not None:
-            self.touched.append(lookup)
+        request = self.wakes.pop(tag)
+        self.relay.timer_fired(request)
+        if request is not None:
+            self.touched.append(request)
 
     # Acts
 
     def drain(self, lines: list[str]) -> None:
         """Writes down what the decisions want done, in order."""
-        acts = self.relay.actions
+        actions = self.relay.actions
         told: Sequence[GossipEntry] = ()  # many peers are told the same
         texts: list[str] = []
-        for act in acts:
-            match act:
-                case StartAttempt(trip):
-                    ids = self.lookup_ids[trip.request], self.door.names[trip.endpoint]
-                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {millis(trip.timeout)}")
-                case SetTimer(at, lookup):
+        for action in actions:
+            match action:
+                case StartAttempt(attempt):
+                    ids = self.lookup_ids[attempt.request], self.door.names[attempt.endpoint]
+                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {millis(attempt.timeout)}")
+                case SetTimer(at, request):
                     self.tag += 1
-                    self.wakes[self.tag] = lookup
+                    self.wakes[self.tag] = request
                     lines.append(f"AFTER {self.tag} {millis(at)}")
-                case RejectRequest(lookup, come_back):
-                    lines.append(f"DENY {self.lookup_ids[lookup]} {millis(come_back)}")
-                    self.touched.append(lookup)
-                case FailRequest(lookup):
-                    lines.append(f"RESPOND_ERROR {self.lookup_ids[lookup]}")
-                    self.touched.append(lookup)
-                case CancelAttempt(trip):
-                    lookup_id = self.lookup_ids.get(trip.request)
+                case RejectRequest(request, retry_after):
+                    lines.append(f"DENY {self.lookup_ids[request]} {millis(retry_after)}")
+                    self.touched.append(request)
+                case FailRequest(request):
+                    lines.append(f"RESPOND_ERROR {self.lookup_ids[request]}")
+                    self.touched.append(request)
+                case CancelAttempt(attempt):
+                    lookup_id = self.lookup_ids.get(attempt.request)
                     if lookup_id is not None:
-                        lines.append(f"RETRACT {lookup_id} {trip.number}")
+                        lines.append(f"RETRACT {lookup_id} {attempt.number}")
                 case CheckHealth(unit):
                     lines.append(f"SAMPLE {self.door.names[unit]}")
                 case CloseIdleConnections(unit):
@@ -252,7 +252,7 @@
                     lines.append("READ_LIST")
                 case LogEvent(text):
                     lines.append(f"REMARK {text}")
-        acts.clear()
+        actions.clear()
         self.forget()
 
 
--- a/lanelead/benchlink/wire.py
+++ b/lanelead/simulator_adapter/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from lanelead.decisions.interface import EndpointStatus, UpdateScope, AttemptOutcome, LoadReport, Ticks
-from lanelead.hosting.opening import ParameterError, number
+from lanelead.runtime.parameter_reader import ParameterError, number
 
 
 FATES = {
--- a/lanelead/store/ledger.py
+++ b/lanelead/store/migration_store.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from lanelead.protocols.steps import (
+from lanelead.protocols.migrations import (
     AppendRequest,
     ApplyRequest,
     LogEntry,
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -19,11 +19,11 @@
 import msgspec
 import uvloop
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import STREAM, ServerConnection, chunk
-from lanelead.protocols.records import MessageError, decode, encode
-from lanelead.protocols.steps import (
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.protocols.feeds import MessageError, decode, encode
+from lanelead.protocols.migrations import (
     AppendRequest,
     AppendReply,
     ApplyRequest,
@@ -35,7 +35,7 @@
     AcknowledgeRequest,
     UnacknowledgedRelays,
 )
-from lanelead.store.ledger import Denied, Ledger
+from lanelead.store.migration_store import Denied, Ledger
 
 FIELDS = [(b"content-type", b"application/json")]
 LINE = 500  # entries of one line
@@ -91,7 +91,7 @@
             self._watch(caller, _numbers(split.query))
             return
         status, body = self.handle(ask.method, split.path, ask, _numbers(split.query))
-        caller.write(writing.response(status, FIELDS, body, ask.keep))
+        caller.write(serialization.response(status, FIELDS, body, ask.keep))
         if not ask.keep:
             caller.close()
 
--- a/lanelead/standins/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -21,11 +21,11 @@
 import msgspec
 import uvloop
 
-from lanelead.http import writing
-from lanelead.http.answers import ResponseReader, Progress
+from lanelead.http import serialization
+from lanelead.http.responses import ResponseReader, Progress
 from lanelead.settings.records import Clients, Service
-from lanelead.standins.capture import Tap, clock
-from lanelead.standins.demand import Demand, Op
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.workload import Demand, Op
 
 
 class Crowd(msgspec.Struct):
@@ -105,7 +105,7 @@
             }
             if (echo := field(b"x-request-id")) != self.ident:
                 facts["echo"] = echo
-            come_back = float(field(b"lanelead-come-back") or "0") / 1000
+            retry_after = float(field(b"lanelead-come-back") or "0") / 1000
             wrong, op = bool(field(b"day-wrong")), self.op
             self._over("answer", **facts, wrong=wrong)
             if wrong:
@@ -114,7 +114,7 @@
                 self._drop()
             else:
                 self._crowd.free(self)
-            self._crowd.answered(op, outcome, come_back)
+            self._crowd.answered(op, outcome, retry_after)
 
     def _over(self, what: str, **facts: Any) -> None:
         if self._timer is not None:
@@ -186,7 +186,9 @@
             if (wait := at - clock()) > 0:
                 await asyncio.sleep(wait)
             self._try(self.demand.draw(clock()))
-        await asyncio.sleep(max(lane.outer_limit_ms for lane in crowd.service.lanes) / 1000 + 2 * crowd.slack + 0.6)
+        await asyncio.sleep(
+            max(request_class.outer_limit_ms for request_class in crowd.service.lanes) / 1000 + 2 * crowd.slack + 0.6
+        )
         self.tap.note("end")
 
     # Tries
@@ -230,7 +232,7 @@
         if left <= 0.02:
             self.free(wire)
             return
-        lane, headers = self.demand.lanes[op.lane], self.crowd.service.headers
+        request_class, headers = self.demand.lanes[op.lane], self.crowd.service.headers
         op.tries += 1
         ident = f"{op.ident}.{op.tries}"
         method = self.demand.method(op)
@@ -245,12 +247,12 @@
             fields.append((headers.member.encode(), op.member.encode()))
         if op.key is not None:
             fields.append((headers.key.encode(), op.key.encode()))
-        if lane.repeat == "receipted":
+        if request_class.repeat == "receipted":
             fields.append((b"idempotency-key", op.ident.encode()))
         if self.demand.bad():
             fields.append((b"day-bad", b"1"))
         body = b"x" * self.crowd.clients.body_bytes if method in ("POST", "PUT", "PATCH") else b""
-        text = writing.request(method, lane.prefix.encode() + b"/" + op.ident.encode(), fields, body)
+        text = serialization.request(method, request_class.prefix.encode() + b"/" + op.ident.encode(), fields, body)
         wire.ask(op, ident, left, text, method == "HEAD")
         if (after := self.demand.leaves(left)) is not None:
             self.loop.call_later(after, wire.leave, ident)
@@ -273,8 +275,8 @@
 
     # What comes of them
 
-    def answered(self, op: Op, outcome: str, come_back: float) -> None:
-        self._again(op, self.demand.again(op, outcome, come_back, clock()))
+    def answered(self, op: Op, outcome: str, retry_after: float) -> None:
+        self._again(op, self.demand.again(op, outcome, retry_after, clock()))
 
     def lost(self, op: Op, asked: bool) -> None:
         self._again(op, self.demand.lost(op, asked, clock()))
@@ -299,7 +301,7 @@
         try:
             async with asyncio.timeout(2):
                 reader, writer = await asyncio.open_connection(host, port)
-                writer.write(writing.request("POST", b"/.lanelead/complaint", fields, body))
+                writer.write(serialization.request("POST", b"/.lanelead/complaint", fields, body))
                 status = await reader.readline()
                 writer.close()
             self.tap.note("complaint", unit=unit, lane=op.lane, relay=relay, answer=status.decode("latin-1").strip())
--- a/lanelead/standins/interrupts.py
+++ b/lanelead/testbed/emulators/crash_injection.py
@@ -26,16 +26,16 @@
 import msgspec
 
 from lanelead.decisions.interface import RequestClass, Request, Idempotency, DeduplicationScope, Ticks, Attempt
-from lanelead.http.calls import CallFailedError, call, stream
-from lanelead.protocols.records import decode
-from lanelead.protocols.steps import LogEntry, LoggedEntry, MigrationLogPage, AcknowledgeRequest, SchemaCheck
+from lanelead.http.client import CallFailedError, call, stream
+from lanelead.protocols.feeds import decode
+from lanelead.protocols.migrations import LogEntry, LoggedEntry, MigrationLogPage, AcknowledgeRequest, SchemaCheck
 from lanelead.settings.records import Address, Demands, Steps
-from lanelead.standins.stepstore import FaultyStore
-from lanelead.steps.driver import Client, Conductor
-from lanelead.steps.join import Readiness
-from lanelead.steps.record import Record, Stand
-from lanelead.steps.runner import Goal, Stop
-from lanelead.store.ledger import Ledger
+from lanelead.testbed.emulators.migration_store import FaultyStore
+from lanelead.migrations.executor import Client, Conductor
+from lanelead.migrations.readiness import Readiness
+from lanelead.migrations.migration_log import Record, Stand
+from lanelead.migrations.runner import Goal, Stop
+from lanelead.store.migration_store import Ledger
 
 ROWS = 300
 SCHEMA = f"""
@@ -130,7 +130,7 @@
         self._keeper.start()
 
     def _start(self) -> subprocess.Popen[bytes]:
-        args = [sys.executable, "-m", "lanelead.standins.stepstore", str(self.file), str(self.port)]
+        args = [sys.executable, "-m", "lanelead.testbed.emulators.migration_store", str(self.file), str(self.port)]
         process = subprocess.Popen(args, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         assert process.stdout is not None
         if not process.stdout.readline():
@@ -363,9 +363,9 @@
                         self._readiness.seen = owed
 
     async def _file(self, demands: Demands) -> None:
-        lookup = Request(LANE, None, None, self._clock(), self._clock() + 10_000)
-        trip = Attempt(lookup, None, 0, self._clock(), 10_000)  # type: ignore[arg-type]
-        self._readiness.sent(demands.build, trip)
+        request = Request(LANE, None, None, self._clock(), self._clock() + 10_000)
+        attempt = Attempt(request, None, 0, self._clock(), 10_000)  # type: ignore[arg-type]
+        self._readiness.sent(demands.build, attempt)
         known = False
         try:
             body = msgspec.json.encode(SchemaCheck(demands.build, "filed", demands.write))
@@ -377,7 +377,7 @@
         except (CallFailedError, TimeoutError):
             pass  # the store was away: it may still be carried out
         finally:
-            self._readiness.ended(trip, known)
+            self._readiness.ended(attempt, known)
 
 
 LANE = RequestClass("file", 5_000, 10_000, 1.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
--- a/lanelead/standins/roster.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import STREAM, ServerConnection, chunk
-from lanelead.protocols.records import EndpointListMessage, EndpointMessage, encode
-from lanelead.standins.capture import Tap, clock
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, encode
+from lanelead.testbed.emulators.event_recording import Tap, clock
 
 
 def relay_of(ask: HttpRequest) -> int:
@@ -94,17 +94,17 @@
         for caller, relay in list(self._watchers.items()):
             self._tell(caller, relay, "changes", [row])
 
-    def _listed(self, coverage: str, rows: list[EndpointMessage]) -> EndpointListMessage:
-        return EndpointListMessage(coverage, self._version, self.clock_ms(), rows)  # type: ignore[arg-type]
+    def _listed(self, update_scope: str, rows: list[EndpointMessage]) -> EndpointListMessage:
+        return EndpointListMessage(update_scope, self._version, self.clock_ms(), rows)  # type: ignore[arg-type]
 
     def _leave(self, caller: ServerConnection) -> None:
         self._watchers.pop(caller, None)
 
-    def _tell(self, caller: ServerConnection, relay: int, coverage: str, rows: list[EndpointMessage]) -> None:
+    def _tell(self, caller: ServerConnection, relay: int, update_scope: str, rows: list[EndpointMessage]) -> None:
         if caller.transport is None:
             return
-        self.tap.note("told", relay=relay, coverage=coverage, units=msgspec.to_builtins(rows))
-        caller.write(chunk(encode(self._listed(coverage, rows)) + b"\n"))
+        self.tap.note("told", relay=relay, coverage=update_scope, units=msgspec.to_builtins(rows))
+        caller.write(chunk(encode(self._listed(update_scope, rows)) + b"\n"))
 
     def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         path = ask.target.partition(b"?")[0]
@@ -117,6 +117,6 @@
             self._tell(caller, relay, "full", rows)
         elif path == b"/roster":
             body = encode(self._listed("full", rows))
-            caller.write(writing.response(200, [(b"content-type", b"application/json")], body, ask.keep))
+            caller.write(serialization.response(200, [(b"content-type", b"application/json")], body, ask.keep))
         else:
-            caller.write(writing.response(404, (), b"", ask.keep))
+            caller.write(serialization.response(404, (), b"", ask.keep))
--- a/lanelead/standins/unit.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -27,14 +27,14 @@
 import msgspec
 import uvloop
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.calls import CallFailedError, call
-from lanelead.http.serving import ServerConnection
-from lanelead.protocols.steps import SchemaCheck
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.client import CallFailedError, call
+from lanelead.http.server import ServerConnection
+from lanelead.protocols.migrations import SchemaCheck
 from lanelead.settings.records import Address
-from lanelead.standins.capture import Tap, clock
-from lanelead.standins.engine import Engine, Life
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.service_model import Engine, Life
 
 
 class Job:
@@ -146,12 +146,12 @@
     def _turn_away(self, job: Job) -> None:
         self._tap.note("turned_away", id=job.ident, op=job.op)
         fields = [(b"lanelead-turned-away", b"1"), *self._gauge()]
-        job.caller.write(writing.response(503, fields, b"turned away\n"))
+        job.caller.write(serialization.response(503, fields, b"turned away\n"))
 
     def _begin(self, job: Job) -> None:
         if clock() > job.due:  # nobody waits any more: it is not begun
             self._tap.note("expired", id=job.ident, op=job.op)
-            job.caller.write(writing.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
+            job.caller.write(serialization.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
             return
         self._busy += 1
         self._loop.call_later(job.work / max(1e-3, self._pace(job)), self._end, job)
@@ -183,7 +183,7 @@
                 self._answer(job)
             else:
                 self._tap.note("erred", id=job.ident, op=job.op)
-                job.caller.write(writing.response(500, self._gauge(), b"not filed\n"))
+                job.caller.write(serialization.response(500, self._gauge(), b"not filed\n"))
         while self._waiting and self._busy < self.life.cores:
             self._begin(self._waiting.popleft())
 
@@ -215,11 +215,11 @@
             if self._chance.random() < 0.5:
                 self._effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
-            caller.write(writing.response(500, fields, b"error\n"))
+            caller.write(serialization.response(500, fields, b"error\n"))
             return
         earlier = self._effect(job)
         if self._hit("cut_answer"):
-            caller.write(writing.response(200, fields, b"x" * 400)[:-200])
+            caller.write(serialization.response(200, fields, b"x" * 400)[:-200])
             caller.close()
             return
         if "garbage" in self._faults and self._hit("garbage"):
@@ -229,7 +229,7 @@
         body = earlier or b"answer to %s\n" % job.ident.encode("latin-1")
         if build.bad == "wrong" and self._chance.random() < build.strength:
             fields.append((b"day-wrong", b"1"))
-        text = writing.response(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
+        text = serialization.response(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
         if self._hit("trickle"):
             self._trickle(caller, text, 0)
         else:
@@ -258,7 +258,7 @@
         if self.fallen or "mute" in self._faults:
             return
         body = self._figures()
-        caller.write(writing.response(200, [(b"content-type", b"application/json")], body))
+        caller.write(serialization.response(200, [(b"content-type", b"application/json")], body))
 
     # What the day does to it
 
--- a/lanelead/standins/stepstore.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -1,6 +1,6 @@
 """The store of steps with faults, and with a place where units file effectful lookups, for tests and days.
 
-Run as `python -m lanelead.standins.stepstore FILE PORT [FOLDER]`; it is told what to do by lines on its
+Run as `python -m lanelead.testbed.emulators.migration_store FILE PORT [FOLDER]`; it is told what to do by lines on its
 standard input, so that its socket carries what the store's would. One order acts once, after `skip` others:
 
  refuse, early   answers 503 before anything is done; never answers, and does nothing
@@ -24,14 +24,14 @@
 import msgspec
 import uvloop
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
-from lanelead.protocols.records import MessageError, decode, encode
-from lanelead.protocols.steps import LoggedEntry, RejectedCall, SchemaCheck
-from lanelead.standins.capture import Tap
-from lanelead.steps.record import Record
-from lanelead.store.ledger import Ledger
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
+from lanelead.protocols.feeds import MessageError, decode, encode
+from lanelead.protocols.migrations import LoggedEntry, RejectedCall, SchemaCheck
+from lanelead.testbed.emulators.event_recording import Tap
+from lanelead.migrations.migration_log import Record
+from lanelead.store.migration_store import Ledger
 from lanelead.store.service import Store, serve
 
 
@@ -92,7 +92,7 @@
         order = self._due(("refuse", "early", "drop", "hang", "late"), path)
         kind = order["kind"] if order is not None else ""
         if kind == "refuse":
-            caller.write(writing.response(503, (), b"", False))
+            caller.write(serialization.response(503, (), b"", False))
             caller.close()
         elif kind == "early":
             return
@@ -149,7 +149,7 @@
         try:
             told = decode(ask.body, SchemaCheck)
         except MessageError as fault:
-            caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
+            caller.write(serialization.response(400, (), str(fault).encode(), ask.keep))
             return
         ready, why = self._record.ready(told.build), ""
         try:
@@ -160,7 +160,7 @@
         self.note("filed", build=told.build, op=told.op, ready=ready, why=why, seq=self._record.seq)
         status = 409 if why else 200
         body = encode(RejectedCall("failed", why)) if why else b"{}"
-        caller.write(writing.response(status, (), body, ask.keep))
+        caller.write(serialization.response(status, (), body, ask.keep))
 
 
 async def _run(file: str, port: int, folder: str | None) -> None:
--- a/lanelead/standins/desk.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -7,14 +7,14 @@
 from pathlib import Path
 from random import Random
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import STREAM, ServerConnection, chunk
-from lanelead.protocols.records import MessageError, VoteResponse, VoteRequest, decode, encode
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.protocols.feeds import MessageError, VoteResponse, VoteRequest, decode, encode
 from lanelead.settings.records import Poll, Trial
-from lanelead.standins.capture import Tap, clock
-from lanelead.standins.polling import Polling
-from lanelead.standins.roster import Door, relay_of
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.discovery import Door, relay_of
 
 
 class Desk(Door, Polling):
@@ -26,11 +26,11 @@
         poll: Poll,
         told: float,
         push: float,
-        chance: Random,
+        rng: Random,
         moved: Callable[[int, int, str], None],
     ) -> None:
         Door.__init__(self, port, Tap(folder, "desk"))
-        Polling.__init__(self, trial, poll, chance, clock, self.tap.note, moved)
+        Polling.__init__(self, trial, poll, rng, clock, self.tap.note, moved)
         self._told, self._push = told, push
         self._watchers: dict[ServerConnection, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
@@ -84,11 +84,11 @@
             try:
                 vote = decode(ask.body, VoteRequest)
             except MessageError as fault:
-                caller.write(writing.response(400, (), str(fault).encode(), ask.keep))
+                caller.write(serialization.response(400, (), str(fault).encode(), ask.keep))
                 return
             word, line = self.vote(vote)
             if line is not None:
                 body = encode(VoteResponse(word, line))  # type: ignore[arg-type]
-                caller.write(writing.response(200, [(b"content-type", b"application/json")], body, ask.keep))
+                caller.write(serialization.response(200, [(b"content-type", b"application/json")], body, ask.keep))
         else:
-            caller.write(writing.response(404, (), b"", ask.keep))
+            caller.write(serialization.response(404, (), b"", ask.keep))
--- a/lanelead/standins/saboteur.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -1,6 +1,6 @@
 """A relay with one guard taken out, from outside the decisions: what the judge must be seen to catch.
 
-Run as `python -m lanelead.standins.saboteur SEAM SETTINGS`. Nothing else in the program imports it.
+Run as `python -m lanelead.testbed.emulators.seeded_faults SEAM SETTINGS`. Nothing else in the program imports it.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
     Attempt,
     Endpoint,
 )
-from lanelead.relay.main import run
+from lanelead.http_relay.main import run
 from lanelead.settings.read import read
 from lanelead.settings.records import Relay
-from lanelead.steps.join import Readiness
+from lanelead.migrations.readiness import Readiness
 
 
 class Seam:
@@ -50,11 +50,11 @@
 
     @property
     def actions(self) -> list[Any]:
-        acts = self._decisions.actions
-        kept = [act for act in acts if not isinstance(act, RejectRequest | FailRequest)]
-        if len(kept) != len(acts):
-            acts[:] = kept
-        return acts  # type: ignore[no-any-return]
+        actions = self._decisions.actions
+        kept = [action for action in actions if not isinstance(action, RejectRequest | FailRequest)]
+        if len(kept) != len(actions):
+            actions[:] = kept
+        return actions  # type: ignore[no-any-return]
 
     def __setattr__(self, name: str, value: Any) -> None:
         setattr(self._decisions, name, value)
@@ -64,22 +64,25 @@
     """Sends an effectful lookup again after an error, whether it ran or not."""
 
     def attempt_ended(
-        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
         told = (
             AttemptOutcome.REJECTED
-            if fate is AttemptOutcome.ERROR and trip.request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-            else fate
+            if outcome is AttemptOutcome.ERROR
+            and attempt.request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+            else outcome
         )
-        self._decisions.attempt_ended(trip, told, closed, took, report)
+        self._decisions.attempt_ended(attempt, told, closed, took, report)
 
 
 class Drains(Seam):
     """Never hears that a unit drains or is gone."""
 
-    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
-        heard = [row for row in listings if row.status is EndpointStatus.READY]
-        self._decisions.endpoints_updated(UpdateScope.DELTA if coverage is UpdateScope.SNAPSHOT else coverage, heard)
+    def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
+        heard = [row for row in records if row.status is EndpointStatus.READY]
+        self._decisions.endpoints_updated(
+            UpdateScope.DELTA if update_scope is UpdateScope.SNAPSHOT else update_scope, heard
+        )
 
 
 class Cold(Seam):
@@ -90,27 +93,31 @@
         self.__dict__["_newest"] = None
         self.__dict__["_meant"] = dict[Attempt, Endpoint]()
 
-    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
-        late = [row for row in listings if row.started_at and row.status is EndpointStatus.READY]
-        if late and coverage is UpdateScope.DELTA:
+    def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
+        late = [row for row in records if row.started_at and row.status is EndpointStatus.READY]
+        if late and update_scope is UpdateScope.DELTA:
             self.__dict__["_newest"] = late[-1].endpoint
-        self._decisions.endpoints_updated(coverage, [replace(row, started_at=0) for row in listings])
+        self._decisions.endpoints_updated(update_scope, [replace(row, started_at=0) for row in records])
 
     @property
     def actions(self) -> list[Any]:
         newest: Endpoint | None = self.__dict__["_newest"]
-        acts = self._decisions.actions
+        actions = self._decisions.actions
         if newest is not None and newest.status is EndpointStatus.READY:
-            for act in acts:
-                if isinstance(act, StartAttempt) and act.attempt.number == 0 and act.attempt.endpoint is not newest:
-                    self._meant[act.attempt], act.attempt.endpoint = act.attempt.endpoint, newest
-        return acts  # type: ignore[no-any-return]
+            for action in actions:
+                if (
+                    isinstance(action, StartAttempt)
+                    and action.attempt.number == 0
+                    and action.attempt.endpoint is not newest
+                ):
+                    self._meant[action.attempt], action.attempt.endpoint = action.attempt.endpoint, newest
+        return actions  # type: ignore[no-any-return]
 
     def attempt_ended(
-        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
-        trip.endpoint = self._meant.pop(trip, trip.endpoint)
-        self._decisions.attempt_ended(trip, fate, closed, took, report)
+        attempt.endpoint = self._meant.pop(attempt, attempt.endpoint)
+        self._decisions.attempt_ended(attempt, outcome, closed, took, report)
 
 
 class Strangers(Seam):
@@ -122,30 +129,32 @@
         self.__dict__["_meant"] = dict[Attempt, Endpoint]()
         self.__dict__["_turn"] = 0
 
-    def endpoints_updated(self, coverage: UpdateScope, listings: Sequence[EndpointRecord]) -> None:
+    def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
         home = self._spill.tiers and self._spill._wants.tiers[0]
-        for row in listings:
+        for row in records:
             self._far.pop(row.endpoint, None)
             if home and row.status is EndpointStatus.READY and row.zone not in home:
                 self._far[row.endpoint] = None
-        self._decisions.endpoints_updated(coverage, listings)
+        self._decisions.endpoints_updated(update_scope, records)
 
     @property
     def actions(self) -> list[Any]:
-        acts = self._decisions.actions
-        for act in acts:
-            first = isinstance(act, StartAttempt) and act.attempt.number == 0 and act.attempt not in self._meant
-            if first and act.attempt.endpoint not in self._far and self._far:
+        actions = self._decisions.actions
+        for action in actions:
+            first = (
+                isinstance(action, StartAttempt) and action.attempt.number == 0 and action.attempt not in self._meant
+            )
+            if first and action.attempt.endpoint not in self._far and self._far:
                 self.__dict__["_turn"] += 1
-                self._meant[act.attempt] = act.attempt.endpoint
-                act.attempt.endpoint = list(self._far)[self._turn % len(self._far)]
-        return acts  # type: ignore[no-any-return]
+                self._meant[action.attempt] = action.attempt.endpoint
+                action.attempt.endpoint = list(self._far)[self._turn % len(self._far)]
+        return actions  # type: ignore[no-any-return]
 
     def attempt_ended(
-        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
-        trip.endpoint = self._meant.pop(trip, trip.endpoint)
-        self._decisions.attempt_ended(trip, fate, closed, took, report)
+        attempt.endpoint = self._meant.pop(attempt, attempt.endpoint)
+        self._decisions.attempt_ended(attempt, outcome, closed, took, report)
 
 
 class Exposure(Seam):
--- a/lanelead/standins/polling.py
+++ b/lanelead/testbed/emulators/vote_counting.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lanelead.protocols.records import RolloutMessage, VoteRequest
+from lanelead.protocols.feeds import RolloutMessage, VoteRequest
 from lanelead.settings.records import Poll, Trial
 
 
@@ -20,12 +20,12 @@
         self,
         trial: Trial,
         poll: Poll,
-        chance: Random,
+        rng: Random,
         clock: Callable[[], float],
         note: Callable[..., None],
         moved: Callable[[int, int, str], None],
     ) -> None:
-        self._trial, self._poll, self._chance = trial, poll, chance
+        self._trial, self._poll, self._chance = trial, poll, rng
         self._clock, self._note, self._moved = clock, note, moved
         self.build, self.stage, self.phase = 1, len(trial.shares) - 1, "released"
         self._since = clock() - 3600
--- a/lanelead/standins/demand.py
+++ b/lanelead/testbed/emulators/workload.py
@@ -17,17 +17,19 @@
 
     __slots__ = ("due", "first", "ident", "key", "lane", "member", "relay", "tries", "work")
 
-    def __init__(self, ident: str, lane: str, member: str | None, key: str | None, work: float, relay: int) -> None:
-        self.ident, self.lane, self.member, self.key = ident, lane, member, key
+    def __init__(
+        self, ident: str, request_class: str, tenant: str | None, key: str | None, work: float, relay: int
+    ) -> None:
+        self.ident, self.lane, self.member, self.key = ident, request_class, tenant, key
         self.work, self.relay, self.tries = work, relay, 0
         self.due = 0.0
         self.first = 0.0  # when it was first asked
 
 
 class Demand:
-    def __init__(self, service: Service, clients: Clients, relays: int, chance: Random) -> None:
-        self._service, self._clients, self._relays, self._chance = service, clients, relays, chance
-        self.lanes = {lane.name: lane for lane in service.lanes}
+    def __init__(self, service: Service, clients: Clients, relays: int, rng: Random) -> None:
+        self._service, self._clients, self._relays, self._chance = service, clients, relays, rng
+        self.lanes = {request_class.name: request_class for request_class in service.lanes}
         self._rate, self._rates = 1.0, dict[str, float]()
         self._hot_key = self._hot_caller = self._heavy = self._haste = 0.0
         self._bad = self._give_up = self._give_up_after = 0.0
@@ -46,19 +48,19 @@
 
     def draw(self, now: float) -> Op:
         """The next lookup."""
-        chance, clients, members = self._chance, self._clients, self._members()
-        work = chance.choices(clients.work, [row.share for row in clients.work])[0]
-        names, shares = [name for name, _ in members], [share for _, share in members]
-        member = chance.choices(names, shares)[0] if members else None
-        relay = chance.randrange(self._relays)
-        if chance.random() < self._hot_caller:
+        rng, clients, tenants = self._chance, self._clients, self._members()
+        work = rng.choices(clients.work, [row.share for row in clients.work])[0]
+        names, shares = [name for name, _ in tenants], [share for _, share in tenants]
+        tenant = rng.choices(names, shares)[0] if tenants else None
+        relay = rng.randrange(self._relays)
+        if rng.random() < self._hot_caller:
             relay = 0
         key = None
         if clients.keys or self._hot_key:
-            hot = chance.random() < self._hot_key
-            key = "k0" if hot else f"k{int(max(1, clients.keys) * chance.random() ** 2)}"
+            hot = rng.random() < self._hot_key
+            key = "k0" if hot else f"k{int(max(1, clients.keys) * rng.random() ** 2)}"
         self._number += 1
-        op = Op(f"op-{self._number}", work.lane, member, key, self._draw(work), relay)
+        op = Op(f"op-{self._number}", work.lane, tenant, key, self._draw(work), relay)
         op.due = now + self.lanes[work.lane].outer_limit_ms / 1000
         return op
 
@@ -73,11 +75,11 @@
 
     def patience(self, op: Op, now: float) -> float:
         """Seconds for which one try waits; at 0.05 or less it is not worth one."""
-        lane = self.lanes[op.lane]
+        request_class = self.lanes[op.lane]
         share = self._chance.uniform(self._clients.try_share, 1.0)
-        left = min(lane.outer_limit_ms / 1000 * share, op.due - now)
+        left = min(request_class.outer_limit_ms / 1000 * share, op.due - now)
         if self._haste and self._chance.random() < self._haste:
-            left = min(left, lane.expected_time_ms / 1000 / 2)
+            left = min(left, request_class.expected_time_ms / 1000 / 2)
         return left
 
     def method(self, op: Op) -> str:
@@ -94,13 +96,13 @@
             return left * self._give_up_after
         return None
 
-    def again(self, op: Op, outcome: str, come_back: float, now: float) -> float | None:
+    def again(self, op: Op, outcome: str, retry_after: float, now: float) -> float | None:
         """After a shed or a lookup broken off: seconds until the next try, if there is one."""
-        lane = self.lanes[op.lane]
+        request_class = self.lanes[op.lane]
         if outcome == "shed":
-            return self._wait(op, come_back, now)
-        whole = lane.repeat == "receipted" and lane.scope == "all"
-        if outcome == "broken-off" and (lane.repeat == "pure" or whole):
+            return self._wait(op, retry_after, now)
+        whole = request_class.repeat == "receipted" and request_class.scope == "all"
+        if outcome == "broken-off" and (request_class.repeat == "pure" or whole):
             return self._wait(op, 0.0, now)
         return None
 
@@ -111,12 +113,12 @@
         op.relay = self._chance.randrange(self._relays)
         return self._wait(op, 0.0, now)
 
-    def _wait(self, op: Op, come_back: float, now: float) -> float | None:
+    def _wait(self, op: Op, retry_after: float, now: float) -> float | None:
         if op.tries > self._clients.retries + self._more_retries or now > op.due:
             return None
         wait = 0.01 if self._more_retries else self._clients.backoff_ms / 1000  # those that heed nothing
-        if come_back and not self._more_retries and self._chance.random() < self._clients.honour:
-            wait = max(wait, come_back)
+        if retry_after and not self._more_retries and self._chance.random() < self._clients.honour:
+            wait = max(wait, retry_after)
         return wait
 
     def complains(self) -> bool:
--- a/lanelead/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -10,9 +10,9 @@
 import click
 import msgspec
 
-from lanelead.days.commands import end, load
-from lanelead.model.baselines import POLICIES
-from lanelead.model.town import Town
+from lanelead.testbed.scenarios.commands import end, load
+from lanelead.testbed.simulation.baselines import POLICIES
+from lanelead.testbed.simulation.fleet import Town
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import spotted
 from lanelead.settings.records import Experiment
@@ -78,9 +78,9 @@
     """Runs FILE's plan; started again, it goes on with what is missing."""
     from tqdm import tqdm
 
-    from lanelead.experiments import report as reports
-    from lanelead.experiments.plan import cells
-    from lanelead.experiments.run import OtherPlan, read, run
+    from lanelead.testbed.experiments import report as reports
+    from lanelead.testbed.experiments.plan import cells
+    from lanelead.testbed.experiments.run import OtherPlan, read, run
 
     try:
         plan, spots = spotted(file)
@@ -110,8 +110,8 @@
 @click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="The HTML file.")
 def report(results: str, out: str) -> None:
     """One HTML file of RESULTS, with plots, that opens without a network."""
-    from lanelead.experiments.report import page
-    from lanelead.experiments.run import read
+    from lanelead.testbed.experiments.report import page
+    from lanelead.testbed.experiments.run import read
 
     try:
         plan, rows = read(results)
--- a/lanelead/experiments/plan.py
+++ b/lanelead/testbed/experiments/plan.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from lanelead.days.commands import load
-from lanelead.model.baselines import POLICIES
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.settings.cue import Fault, Spot, Unfit
 from lanelead.settings.records import Day, Experiment
 
--- a/lanelead/experiments/report.py
+++ b/lanelead/testbed/experiments/report.py
@@ -7,8 +7,8 @@
 
 from jinja2 import Environment
 
-from lanelead.experiments.plan import MEASURES
-from lanelead.experiments.run import Rows, interval, paired
+from lanelead.testbed.experiments.plan import MEASURES
+from lanelead.testbed.experiments.run import Rows, interval, paired
 from lanelead.settings.records import Experiment
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ plan.name }}</title>
--- a/lanelead/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -18,10 +18,10 @@
 import msgspec
 from scipy import stats
 
-from lanelead.days.judge import judge
-from lanelead.experiments.plan import Cell
-from lanelead.model.baselines import POLICIES
-from lanelead.model.town import Town
+from lanelead.testbed.scenarios.verifier import judge
+from lanelead.testbed.experiments.plan import Cell
+from lanelead.testbed.simulation.baselines import POLICIES
+from lanelead.testbed.simulation.fleet import Town
 from lanelead.settings.records import Day, Experiment
 
 TABLES = """
--- a/lanelead/load/commands.py
+++ b/lanelead/testbed/load/commands.py
@@ -8,7 +8,7 @@
 import click
 import uvloop
 
-from lanelead.load.generator import OUTCOMES, Load, Result, Shape
+from lanelead.testbed.load.generator import OUTCOMES, Load, Result, Shape
 
 
 @click.command()
@@ -75,7 +75,7 @@
 
 def keep(file: str, cell: str, seed: int, result: Result) -> None:
     """The figures, in the form of an experiment's results."""
-    from lanelead.experiments.run import TABLES
+    from lanelead.testbed.experiments.run import TABLES
 
     total = max(1, sum(result.count(name) for name in OUTCOMES))
     rows = {"done": "done", "shed": "shed", "broken_off": "broken-off"}
--- a/lanelead/load/generator.py
+++ b/lanelead/testbed/load/generator.py
@@ -16,8 +16,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lanelead.http import writing
-from lanelead.http.answers import ResponseReader, Progress
+from lanelead.http import serialization
+from lanelead.http.responses import ResponseReader, Progress
 
 LONGEST = 60_000_000  # microseconds that a histogram holds
 OUTCOMES = ("done", "shed", "broken-off", "not-a-lookup", "lost")
@@ -40,13 +40,13 @@
     ramp: float = 1.0  # the rate at the end over that at the start
 
 
-def times(shape: Shape, chance: Random) -> list[float]:
+def times(shape: Shape, rng: Random) -> list[float]:
     """When lookups are due, in seconds from the start: the rate goes evenly from start to end."""
     found, at = list[float](), 0.0
     first = 2 * shape.rate / (1 + shape.ramp)
     while True:
         rate = first * (1 + (shape.ramp - 1) * at / shape.seconds)
-        at += chance.expovariate(rate) if shape.poisson else 1 / rate
+        at += rng.expovariate(rate) if shape.poisson else 1 / rate
         if at >= shape.seconds:
             return found
         found.append(at)
@@ -152,18 +152,18 @@
         return self.result
 
     def _text(self) -> bytes:
-        shape, chance = self._shape, self._chance
+        shape, rng = self._shape, self._chance
         self._number += 1
         fields = [(b"host", b"relay"), (b"x-request-id", b"load-%d" % self._number)]
         if shape.left_ms:
             fields.append((b"lanelead-left", b"%d" % shape.left_ms))
         if shape.members:
-            fields.append((b"lanelead-member", chance.choice(shape.members).encode()))
+            fields.append((b"lanelead-member", rng.choice(shape.members).encode()))
         if shape.keys:
-            fields.append((b"lanelead-key", b"k%d" % chance.randrange(shape.keys)))
+            fields.append((b"lanelead-key", b"k%d" % rng.randrange(shape.keys)))
         if shape.method not in ("GET", "HEAD"):
             fields.append((b"idempotency-key", b"load-%d" % self._number))
-        return writing.request(shape.method, shape.path.encode(), fields, b"x" * shape.body)
+        return serialization.request(shape.method, shape.path.encode(), fields, b"x" * shape.body)
 
     def _hand_over(self, due: float) -> None:
         self.result.late.record_value(max(1, int((self._loop.time() - due) * 1e6)))
--- a/lanelead/days/frombench.py
+++ b/lanelead/testbed/scenarios/bench_import.py
@@ -48,8 +48,8 @@
 
 
 def _tenant(trouble: Trouble, scale: Any) -> Made:
-    member = scale["members"][trouble["which"] % len(scale["members"])] if scale["members"] else None
-    return [{"kind": "member_burst", "size": trouble["size"], "member": member}]
+    tenant = scale["members"][trouble["which"] % len(scale["members"])] if scale["members"] else None
+    return [{"kind": "member_burst", "size": trouble["size"], "member": tenant}]
 
 
 def _control(trouble: Trouble, scale: Any) -> Made:
@@ -58,10 +58,10 @@
 
 
 def _slow_lane(trouble: Trouble, scale: Any) -> Made:
-    lane = scale["lanes"][trouble["which"] % len(scale["lanes"])]
+    request_class = scale["lanes"][trouble["which"] % len(scale["lanes"])]
     # The bench has the work wait for some seconds on something else; here it holds its core for as long.
-    factor = min(20.0, 1 + trouble["size"] * 1000 / scale["work"][lane])
-    return [{"kind": "slow_lane", "size": factor, "lane": lane}]
+    factor = min(20.0, 1 + trouble["size"] * 1000 / scale["work"][request_class])
+    return [{"kind": "slow_lane", "size": factor, "lane": request_class}]
 
 
 def _give_up(trouble: Trouble, scale: Any) -> Made:
@@ -120,9 +120,9 @@
         # The same load with fewer lookups: each is made so much longer.
         stretch = rate / MOST_RATE
         said.append(f"{MOST_RATE:g} lookups a second in place of {rate:.0f}, each {stretch:.1f} times the work")
-        work, rate = {lane: ms * stretch for lane, ms in work.items()}, MOST_RATE
-    lanes = [_lane(row, said) for row in classes]
-    members = [
+        work, rate = {request_class: ms * stretch for request_class, ms in work.items()}, MOST_RATE
+    request_classes = [_lane(row, said) for row in classes]
+    tenants = [
         {
             "name": row["name"],
             "quota": row["quota"] * rate / max(0.01, day["traffic"]["load"]),
@@ -133,9 +133,9 @@
     scale = {
         "units": units,
         "machines": machines,
-        "lanes": [lane["name"] for lane in lanes],
+        "lanes": [request_class["name"] for request_class in request_classes],
         "work": work,
-        "members": [row["name"] for row in members],
+        "members": [row["name"] for row in tenants],
     }
     seconds = round(min(600.0, day["length"] / 1e6), 1)
     return {
@@ -155,8 +155,8 @@
             "report_ms": day["tiers"][0]["report_period"] / 1000,
         },
         "service": {
-            "lanes": lanes,
-            "members": members,
+            "lanes": request_classes,
+            "members": tenants,
             "allowance": {
                 "trips": min(16, day["allow"]["max_attempts"]),
                 "calling_off": day["allow"]["cancel"],
@@ -186,7 +186,7 @@
         "desk": {
             "told_ms": fam["told_late"] / 1000,
             "push_ms": fam["push"] / 1000,
-            "offers": _offers(fam, lanes, said),
+            "offers": _offers(fam, request_classes, said),
         },
         "events": _events(day, scale, seconds, said),
     }
@@ -253,13 +253,13 @@
     }
 
 
-def _offers(fam: dict[str, Any], lanes: list[dict[str, Any]], said: list[str]) -> list[dict[str, Any]]:
+def _offers(fam: dict[str, Any], request_classes: list[dict[str, Any]], said: list[str]) -> list[dict[str, Any]]:
     ways = {"errors", "slow", "load", "late", "wrong", "shared"}
     offers = []
     for row in fam["releases"]:
         offer = {"at": row["at"] / 1e6, "speed": row["speed"], "strength": min(1.0, row["strength"])}
         if row["bad"] == "class":
-            offer |= {"bad": "lane", "lane": lanes[row["class"] % len(lanes)]["name"]}
+            offer |= {"bad": "lane", "lane": request_classes[row["class"] % len(request_classes)]["name"]}
         elif row["bad"] in ways:
             offer["bad"] = row["bad"]
         elif row["bad"]:
--- a/lanelead/days/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -10,16 +10,16 @@
 import click
 import msgspec
 
-from lanelead.days.judge import Verdict, judge, report
+from lanelead.testbed.scenarios.verifier import Verdict, judge, report
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day
-from lanelead.standins.capture import BadCapture
+from lanelead.testbed.emulators.event_recording import BadCapture
 
 
 def scripts() -> dict[str, Path]:
     """The days that come with lanelead, by name."""
-    folder = Path(str(files("lanelead.days").joinpath("scripts")))
+    folder = Path(str(files("lanelead.testbed.scenarios").joinpath("scripts")))
     return {path.stem: path for path in sorted(folder.glob("*.cue"))}
 
 
@@ -63,7 +63,7 @@
     """Plays NAME, a day's name or file. Exits with 0: rules kept, 3: a rule broken, 2: bad input."""
     import uvloop
 
-    from lanelead.days.play import Stage
+    from lanelead.testbed.scenarios.runner import Stage
 
     try:
         record = load(name)
@@ -99,7 +99,7 @@
 @click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written.")
 def from_bench(file: str, out: str) -> None:
     """Turns FILE, a day that the bench has drawn, into a script; says what could not be carried over."""
-    from lanelead.days.frombench import NotADay, script, written
+    from lanelead.testbed.scenarios.bench_import import NotADay, script, written
 
     try:
         record, said = script(Path(file).read_bytes(), Path(out).stem)
--- a/lanelead/days/fleet.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from lanelead.protocols.records import EndpointMessage
+from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings import records
-from lanelead.standins.capture import Tap, clock
-from lanelead.standins.roster import Roster
-from lanelead.standins.engine import Build, Life
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.service_model import Build, Life
 
 ENV = {**os.environ, "PYTHONHASHSEED": "0"}
 
@@ -153,7 +153,7 @@
         await asyncio.gather(*(self.start(machine, cold) for machine in fresh))
 
     async def start(self, machine: Machine, cold: bool) -> None:
-        units, duties = self._day.units, self._day.service.duties
+        units, limits = self._day.units, self._day.service.duties
         if cold:
             await asyncio.sleep(units.boot_ms / 1000 * self._chance.uniform(0.5, 1.0))
         self._lives += 1
@@ -169,10 +169,18 @@
             connections=units.connections,
             cold_share=units.cold_share,
             cold=units.cold_ms / 1000 if cold else 0.0,
-            fall_multiple=duties.fall_multiple,
-            fall_time=duties.fall_ms / 1000,
-            memory={lane.name: lane.memory_ms / 1000 for lane in self._day.service.lanes if lane.memory_ms},
-            receipts={lane.name: self._receipts(lane, machine) for lane in self._day.service.lanes if lane.memory_ms},
+            fall_multiple=limits.fall_multiple,
+            fall_time=limits.fall_ms / 1000,
+            memory={
+                request_class.name: request_class.memory_ms / 1000
+                for request_class in self._day.service.lanes
+                if request_class.memory_ms
+            },
+            receipts={
+                request_class.name: self._receipts(request_class, machine)
+                for request_class in self._day.service.lanes
+                if request_class.memory_ms
+            },
             report=units.report_ms / 1000,
             errors=units.errors,
             speed=self._speeds[machine.place],
@@ -181,15 +189,17 @@
             write=self.writes.get(machine.build.number, ""),
         )
         text = msgspec.json.encode(life).decode()
-        machine.process = await Process.start(machine.name, self._folder / "errors.log", "lanelead.standins.unit", text)
+        machine.process = await Process.start(
+            machine.name, self._folder / "errors.log", "lanelead.testbed.emulators.endpoint", text
+        )
         await machine.process.ready()
         machine.started, machine.wanted = clock(), True
         self.tap.note("start", name=machine.name, pid=machine.process.process.pid, build=machine.build.number)
         self.report(machine, "ready", cold)
 
-    def _receipts(self, lane: records.Lane, machine: Machine) -> str:
+    def _receipts(self, request_class: records.Lane, machine: Machine) -> str:
         groups = {"all": "all", "zone": machine.zone, "cell": f"cell-{machine.place // 4}"}
-        folder = self._folder / "receipts" / lane.name / groups[lane.scope]
+        folder = self._folder / "receipts" / request_class.name / groups[request_class.scope]
         folder.mkdir(parents=True, exist_ok=True)
         return str(folder)
 
--- a/lanelead/days/play.py
+++ b/lanelead/testbed/scenarios/runner.py
@@ -15,14 +15,14 @@
 
 import msgspec
 
-from lanelead.days.fleet import Fleet, Machine, Process, free_ports
+from lanelead.testbed.scenarios.processes import Fleet, Machine, Process, free_ports
 from lanelead.settings import records
 from lanelead.settings.read import read
-from lanelead.standins.capture import Tap, clock
-from lanelead.standins.clients import Crowd
-from lanelead.standins.desk import Desk
-from lanelead.standins.roster import Roster
-from lanelead.standins.engine import Build
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.clients import Crowd
+from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.service_model import Build
 
 AT_CLIENTS = (
     "burst",
@@ -40,15 +40,15 @@
 
 def plan_file(name: str) -> Path:
     """A plan that comes with lanelead, or a file."""
-    ours = Path(str(files("lanelead.days").joinpath("plans", f"{name}.cue")))
+    ours = Path(str(files("lanelead.testbed.scenarios").joinpath("plans", f"{name}.cue")))
     return ours if ours.exists() else Path(name)
 
 
 class Post:
     """Carries datagrams between relays, late, and loses some on demand."""
 
-    def __init__(self, chance: Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: Random) -> None:
+        self._chance = rng
         self.loss = 0.0
         self._socks: list[socket.socket] = []
 
@@ -139,7 +139,7 @@
             self.clients = await Process.start(
                 "clients",
                 self.folder / "errors.log",
-                "lanelead.standins.clients",
+                "lanelead.testbed.emulators.clients",
                 msgspec.json.encode(crowd).decode(),
             )
             await self.clients.ready()
@@ -149,7 +149,7 @@
             script += [self._steps(run) for run in (day.steps.runs if day.steps else [])]
             for part in script:
                 self.fleet.task(part)
-            longest = max(lane.outer_limit_ms for lane in day.service.lanes) / 1000
+            longest = max(request_class.outer_limit_ms for request_class in day.service.lanes) / 1000
             await self.clients.end(day.seconds + longest + 2 * day.slack_ms / 1000 + 15)
             self.tap.note("end")
         finally:
@@ -212,7 +212,7 @@
     async def start_relay(self, number: int) -> None:
         file, errors = str(self._files[number]), self.folder / f"relay-{number}.log"
         if self.day.seam is not None:
-            args = ["lanelead.standins.saboteur", self.day.seam, file]
+            args = ["lanelead.testbed.emulators.seeded_faults", self.day.seam, file]
         else:
             args = ["lanelead", "relay", "--settings", file]
         relay = await Process.start(f"relay-{number}", errors, *args)
@@ -234,7 +234,7 @@
             plan = read(plan_file(run.plan))
             assert isinstance(plan, records.Steps)
             self.fleet.writes |= {demands.build: demands.write for demands in plan.builds if demands.write}
-        args = ["lanelead.standins.stepstore", str(file), str(port), str(day)]
+        args = ["lanelead.testbed.emulators.migration_store", str(file), str(port), str(day)]
         self.store = await Process.start("store", day / "errors.log", *args)
         await self.store.ready()
         self.fleet.store = port
@@ -326,15 +326,15 @@
         self.tap.note("event", kind=event.kind, for_=event.for_, size=event.size, count=event.count)
         self._say(f"{clock() - self._began:5.1f} s  {event.kind}, for {event.for_:g} s")
         fleet = self.fleet
-        acts: dict[str, Callable[[Any], Awaitable[None]]] = {
+        actions: dict[str, Callable[[Any], Awaitable[None]]] = {
             "kill": lambda machine: fleet.kill(machine, event.for_),
             "stop": lambda machine: fleet.stop(machine, event.for_),
             "drain": lambda machine: fleet.drain_and_return(machine, event.for_),
         }
         if event.kind.startswith("zone_"):
             await asyncio.gather(*(self._zone_event(event, m) for m in fleet.of_zone(event.zone or "", event.part)))
-        elif event.kind in acts:
-            await asyncio.gather(*(acts[event.kind](m) for m in fleet.choose(event.count, event.unit)))
+        elif event.kind in actions:
+            await asyncio.gather(*(actions[event.kind](m) for m in fleet.choose(event.count, event.unit)))
         elif event.kind in AT_CLIENTS:
             assert self.clients is not None
             facts = {
--- a/lanelead/days/judge.py
+++ b/lanelead/testbed/scenarios/verifier.py
@@ -31,9 +31,9 @@
 import msgspec
 
 from lanelead.settings import records
-from lanelead.protocols.steps import LoggedEntry
-from lanelead.standins.capture import BadCapture, read
-from lanelead.steps.record import Broken, Record, Stand
+from lanelead.protocols.migrations import LoggedEntry
+from lanelead.testbed.emulators.event_recording import BadCapture, read
+from lanelead.migrations.migration_log import Broken, Record, Stand
 
 NEAR = 0.2  # seconds that may lie between the two ends of a socket
 CASES = 20  # cases told of each rule
@@ -111,7 +111,7 @@
             self.by[name].append(fact)
         for facts in self.by.values():
             facts.sort(key=lambda fact: fact["t"])
-        self.lanes = {lane.name: lane for lane in self.day.service.lanes}
+        self.lanes = {request_class.name: request_class for request_class in self.day.service.lanes}
         self.stopped = self._stops("stop", "cont", "name")
         self.lives = self._lives()
 
@@ -180,14 +180,14 @@
         first.setdefault(ask["op"], ask)
         mine = answers.get(ask["id"], [])
         due = ask["t"] + ask["left"]
-        lane = capture.lanes[ask["lane"]]
+        request_class = capture.lanes[ask["lane"]]
         for fact in mine:
             if fact["outcome"] == "done":
                 verdict.done += 1
                 took = fact["t"] - first[ask["op"]]["t"]
-                share = 1.0 if took <= lane.expected_time_ms / 1000 else lane.late_value
-                worth = 0.0 if fact.get("wrong") else lane.value * share
-                value[ask["op"]] = max(worth, value.get(ask["op"], 0.0))
+                share = 1.0 if took <= request_class.expected_time_ms / 1000 else request_class.late_value
+                priority_weight = 0.0 if fact.get("wrong") else request_class.value * share
+                value[ask["op"]] = max(priority_weight, value.get(ask["op"], 0.0))
             elif fact["outcome"] == "shed":
                 verdict.shed += 1
             elif fact["outcome"] == "broken-off":
@@ -224,43 +224,43 @@
     asks = {ask["id"]: ask for ask in capture["ask"]}
     turned = {(fact["file"], fact["id"]) for name in ("turned_away", "expired") for fact in capture[name]}
     cells = {fact["file"]: (fact["zone"], fact["cell"]) for fact in capture["up"]}
-    trips: dict[str, list[Fact]] = defaultdict(list)
-    for trip in capture["trip"]:
-        trips[trip["id"]].append(trip)
+    attempts: dict[str, list[Fact]] = defaultdict(list)
+    for attempt in capture["trip"]:
+        attempts[attempt["id"]].append(attempt)
     done: dict[str, list[Fact]] = defaultdict(list)
     for effect in capture["effect"]:
         done[effect["op"]].append(effect)
     shed = {fact["id"] for fact in capture["answer"] if fact["outcome"] == "shed"}
-    receipted = {lane.name for lane in capture.lanes.values() if lane.repeat == "receipted"}
+    receipted = {request_class.name for request_class in capture.lanes.values() if request_class.repeat == "receipted"}
     lane_of = {ask["op"]: ask["lane"] for ask in capture["ask"]}
     ops = set[str]()
-    for ident, rows in sorted(trips.items()):
+    for ident, rows in sorted(attempts.items()):
         ask = asks.get(ident)
-        lane = capture.lanes.get(ask["lane"] if ask else rows[0]["lane"])
-        if ask is None or lane is None or lane.repeat == "pure":
+        request_class = capture.lanes.get(ask["lane"] if ask else rows[0]["lane"])
+        if ask is None or request_class is None or request_class.repeat == "pure":
             continue
         finding.seen += 1
         ops.add(ask["op"])
         # A unit that turned one trip of a lookup away turned all that it counts here away: it logs by lookup.
-        ran = [trip for trip in rows if (trip["file"], ident) not in turned]
-        whole = lane.repeat == "receipted" and lane.scope == "all"
+        ran = [attempt for attempt in rows if (attempt["file"], ident) not in turned]
+        whole = request_class.repeat == "receipted" and request_class.scope == "all"
         if ident in shed and ran and not whole:
             finding.breach(f"{ident}: shed, though a trip to {ran[0]['file']} may have run")
         if not ran:
             continue
-        later = [trip for trip in rows if trip["t"] > ran[0]["t"]]
-        if lane.repeat == "effectful" and later:
+        later = [attempt for attempt in rows if attempt["t"] > ran[0]["t"]]
+        if request_class.repeat == "effectful" and later:
             finding.breach(f"{ident}: sent to {later[0]['file']} after a trip that may have run")
-        if lane.repeat == "receipted":
+        if request_class.repeat == "receipted":
             zone, cell = cells[ran[0]["file"]]
-            for trip in later:
-                if capture.still(trip) or capture.still(ran[0]):
+            for attempt in later:
+                if capture.still(attempt) or capture.still(ran[0]):
                     continue  # when it was sent is not known
-                at = cells[trip["file"]]
-                inside = {"all": True, "zone": at[0] == zone, "cell": at[1] == cell}[lane.scope]
-                if not inside or trip["t"] > ran[0]["t"] + lane.memory_ms / 1000 + NEAR:
+                at = cells[attempt["file"]]
+                inside = {"all": True, "zone": at[0] == zone, "cell": at[1] == cell}[request_class.scope]
+                if not inside or attempt["t"] > ran[0]["t"] + request_class.memory_ms / 1000 + NEAR:
                     why = "outside the group" if not inside else "after the receipt was forgotten"
-                    finding.breach(f"{ident}: repeated at {trip['file']}, {why}")
+                    finding.breach(f"{ident}: repeated at {attempt['file']}, {why}")
     for op in sorted(ops):
         facts = done[op]
         if lane_of[op] in receipted:
@@ -286,45 +286,45 @@
                 closed[relay, unit].append((fact["t"], ready))
                 finding.seen += not ready and unit in known
             known[unit] = ready
-    for trip in capture["trip"]:
-        unit, t = trip["file"].removeprefix("unit-"), trip["t"]
-        if capture.still(trip):
+    for attempt in capture["trip"]:
+        unit, t = attempt["file"].removeprefix("unit-"), attempt["t"]
+        if capture.still(attempt):
             continue
-        told = [row for row in closed[trip["relay"], unit] if row[0] <= t]
+        told = [row for row in closed[attempt["relay"], unit] if row[0] <= t]
         if told and not told[-1][1] and t > told[-1][0] + grace + NEAR:
             late = t - told[-1][0]
-            finding.breach(f"relay {trip['relay']}: {trip['id']} to {unit}, {late:.3f} s after it was told")
+            finding.breach(f"relay {attempt['relay']}: {attempt['id']} to {unit}, {late:.3f} s after it was told")
 
 
 def _cold_sends(capture: Capture, span: float, finding: Finding) -> Iterator[tuple[Fact, Fact, float, float]]:
     """Each trip to a unit in its cold start: the start, the trip, the work sent in the span up to then, and
     what the unit could do in such a span as warm as it was."""
-    trips: dict[str, list[Fact]] = defaultdict(list)
-    for trip in capture["trip"]:
-        trips[trip["file"]].append(trip)
+    attempts: dict[str, list[Fact]] = defaultdict(list)
+    for attempt in capture["trip"]:
+        attempts[attempt["file"]].append(attempt)
     for up in capture["up"]:
         if not up["cold"]:
             continue
-        rows = [trip for trip in trips[up["file"]] if up["t"] <= trip["t"] <= up["t"] + up["cold"]]
+        rows = [attempt for attempt in attempts[up["file"]] if up["t"] <= attempt["t"] <= up["t"] + up["cold"]]
         finding.seen += bool(rows)
         start, total = 0, 0.0
-        for trip in rows:
-            total += trip["work"]
-            while rows[start]["t"] < trip["t"] - span:
+        for attempt in rows:
+            total += attempt["work"]
+            while rows[start]["t"] < attempt["t"] - span:
                 total -= rows[start]["work"]
                 start += 1
-            warmth = up["cold_share"] + (1 - up["cold_share"]) * (trip["t"] - up["t"]) / up["cold"]
-            yield up, trip, total, up["cores"] * min(1.0, up["speed"]) * warmth * span
+            warmth = up["cold_share"] + (1 - up["cold_share"]) * (attempt["t"] - up["t"]) / up["cold"]
+            yield up, attempt, total, up["cores"] * min(1.0, up["speed"]) * warmth * span
 
 
-def _overdone(capture: Capture, span: float, multiple: float, chance: int, finding: Finding) -> None:
+def _overdone(capture: Capture, span: float, multiple: float, rng: int, finding: Finding) -> None:
     """No cold unit sent more than a multiple of what it can do, and some lookups of the longest lane's mean,
     for chance alone brings a few long ones together. One case a start."""
     mean, told = max(work.ms for work in capture.day.clients.work) / 1000, dict[tuple[str, float], None]()
-    for up, trip, total, can in _cold_sends(capture, span, finding):
-        if total > multiple * can + chance * mean and (up["unit"], up["t"]) not in told:
+    for up, attempt, total, can in _cold_sends(capture, span, finding):
+        if total > multiple * can + rng * mean and (up["unit"], up["t"]) not in told:
             told[up["unit"], up["t"]] = None
-            age = trip["t"] - up["t"]
+            age = attempt["t"] - up["t"]
             finding.breach(
                 f"{up['unit']}: sent {total:.2f} s of work in {span:g} s at {age:.2f} s of age, "
                 f"when it could do {can:.2f}"
@@ -332,8 +332,8 @@
 
 
 def _cold(capture: Capture, finding: Finding) -> None:
-    duties = capture.day.service.duties
-    _overdone(capture, duties.fall_ms / 1000, duties.fall_multiple, 8, finding)
+    limits = capture.day.service.duties
+    _overdone(capture, limits.fall_ms / 1000, limits.fall_multiple, 8, finding)
     for fact in capture["fell"]:
         finding.breach(f"{fact['file'].removeprefix('unit-')}: fell over, sent {fact['work']:.2f} s of work")
 
@@ -349,10 +349,10 @@
         asked[ask["relay"]].append(ask["t"])
     strangers: dict[int, list[float]] = defaultdict(list)
     busiest: dict[int, float] = defaultdict(float)
-    for trip in capture["trip"]:
-        relay, t = trip["relay"], trip["t"]
+    for attempt in capture["trip"]:
+        relay, t = attempt["relay"], attempt["t"]
         home = units.zones[relay % len(units.zones)]
-        if zone_of[trip["file"].removeprefix("unit-")] == home or capture.still(trip):
+        if zone_of[attempt["file"].removeprefix("unit-")] == home or capture.still(attempt):
             continue
         finding.seen += 1
         strangers[relay].append(t)
@@ -401,11 +401,11 @@
         finding.seen += 1
         if filed["why"]:
             finding.breach(f"{filed['op']} filed by build {filed['build']}: {filed['why']}")
-    for trip in capture["trip"]:
-        within = (start for start, end in spans[trip["build"]].rows if start + NEAR < trip["t"] < end)
-        if (start := next(within, None)) is not None and not capture.still(trip):
-            late = trip["t"] - start
-            finding.breach(f"{trip['id']} sent to build {trip['build']}, {late:.1f} s after it had to wait")
+    for attempt in capture["trip"]:
+        within = (start for start, end in spans[attempt["build"]].rows if start + NEAR < attempt["t"] < end)
+        if (start := next(within, None)) is not None and not capture.still(attempt):
+            late = attempt["t"] - start
+            finding.breach(f"{attempt['id']} sent to build {attempt['build']}, {late:.1f} s after it had to wait")
     if (mark := record.under_way()) is not None:
         finding.breach(f"{mark.step.name!r} is {mark.stand.value} at the end")
 
@@ -473,8 +473,8 @@
     window = trial.window_ms / 1000
     asks = {ask["id"]: ask for ask in capture["ask"]}
     by_relay: dict[int, list[Fact]] = defaultdict(list)
-    for trip in capture["trip"]:
-        by_relay[trip["relay"]].append(trip)
+    for attempt in capture["trip"]:
+        by_relay[attempt["relay"]].append(attempt)
     for relay, lives in sorted(capture.lives.items()):
         for begin, end, _ in lives:
             rows = [
@@ -494,7 +494,7 @@
                 news,
                 taken,
                 asks,
-                [trip for trip in by_relay[relay] if begin <= trip["t"] <= end],
+                [attempt for attempt in by_relay[relay] if begin <= attempt["t"] <= end],
                 relay,
                 (window, grace),
             )
@@ -506,57 +506,59 @@
     news: News,
     taken: dict[str | None, list[float]],
     asks: dict[str, Fact],
-    trips: list[Fact],
+    attempts: list[Fact],
     relay: int,
     spans: tuple[float, float],
 ) -> None:
     trial, (window, grace) = capture.day.service.trial, spans
     sent: dict[tuple[int, str | None], list[float]] = defaultdict(list)
-    for trip in trips:
-        t, build = trip["t"], trip["build"]
+    for attempt in attempts:
+        t, build = attempt["t"], attempt["build"]
         told = news.at(t)
         both = told is None or told.trial(build), (before := news.at(t - NEAR)) is None or before.trial(build)
-        if not all(both) or capture.still(trip):
+        if not all(both) or capture.still(attempt):
             continue
         finding.seen += 1
-        lane = trip["lane"] if trial.by_lane else None
-        times = sent[build, lane]
+        request_class = attempt["lane"] if trial.by_lane else None
+        times = sent[build, request_class]
         times.append(t)
         lowered = news.lowered(build, t) + grace
         start = max(t - window + NEAR, lowered + NEAR if lowered < t else float("-inf"))
         many = len(times) - bisect_left(times, start)
         # A lower cap binds when its grace is over; up to then the higher one did.
         cap = news.most(build, lowered + 1e-6 if lowered < t else t - window - grace, t)
-        earned = taken[lane]
+        earned = taken[request_class]
         have = bisect_right(earned, t) - bisect_left(earned, start - 2 * NEAR)
-        at = f"relay {relay}: {trip['id']} to build {build}"
+        at = f"relay {relay}: {attempt['id']} to build {build}"
         if cap == 0 and t > lowered + NEAR and told is not None:
             finding.breach(f"{at}, which is closed")
         elif many > trial.free + cap * have + 1e-9:
             finding.breach(f"{at} is trip {many} in {window:g} s, of {trial.free + cap * have:.2f} allowed")
         stage = told.stage if told and told.build == build else 0
         guarded = stage < trial.guarded and (before is None or before.build != build or before.stage < trial.guarded)
-        if guarded and capture.lanes[trip["lane"]].repeat != "pure":
-            finding.breach(f"{at}, in a stage that is guarded from lane {trip['lane']}")
+        if guarded and capture.lanes[attempt["lane"]].repeat != "pure":
+            finding.breach(f"{at}, in a stage that is guarded from lane {attempt['lane']}")
     if trial.keys_stay:
-        _keys(capture, finding, news, asks, trips, relay)
+        _keys(capture, finding, news, asks, attempts, relay)
 
 
-def _keys(capture: Capture, finding: Finding, news: News, asks: dict[str, Fact], trips: list[Fact], relay: int) -> None:
+def _keys(
+    capture: Capture, finding: Finding, news: News, asks: dict[str, Fact], attempts: list[Fact], relay: int
+) -> None:
     answered: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for fact in capture["answer"]:
         ask = asks.get(fact["id"])
         if ask and ask["key"] and ask["relay"] == relay and fact["outcome"] == "done" and fact["build"]:
             answered[ask["key"]].append((fact["t"], int(fact["build"])))
-    for trip in trips:
-        ask, told = asks.get(trip["id"]), news.at(trip["t"])
+    for attempt in attempts:
+        ask, told = asks.get(attempt["id"]), news.at(attempt["t"])
         if ask is None or not ask["key"] or told is None or told.phase not in ("trial", "released"):
             continue
-        before = news.at(trip["t"] - NEAR)
-        ties = [build for t, build in answered[ask["key"]] if t < trip["t"] - NEAR and build == told.build]
+        before = news.at(attempt["t"] - NEAR)
+        ties = [build for t, build in answered[ask["key"]] if t < attempt["t"] - NEAR and build == told.build]
         steady = before is not None and (before.build, before.phase) == (told.build, told.phase)
-        if ties and steady and trip["build"] < ties[-1] and not _recalled(news, told.build, trip["t"]):
-            finding.breach(f"relay {relay}: {trip['id']} to build {trip['build']}, its key stays with {ties[-1]}")
+        if ties and steady and attempt["build"] < ties[-1] and not _recalled(news, told.build, attempt["t"]):
+            finding.breach(f"relay {relay}: {attempt['id']} to build {attempt['build']}, its key stays with {ties[-1]}")
 
 
 def _recalled(news: News, build: int, t: float) -> bool:
--- a/lanelead/model/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -12,7 +12,7 @@
 from math import exp, log
 from typing import Any
 
-from lanelead.decisions.choosing import Choice, Pair, Some
+from lanelead.decisions.endpoint_selection import Choice, Pair, Some
 from lanelead.decisions.interface import (
     SECOND,
     AttemptOutcome,
@@ -26,19 +26,19 @@
     Verdict,
 )
 from lanelead.decisions.rollout import Ballot
-from lanelead.decisions.rules import Balancer
-from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import EndpointState, state_of
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.build_scoring import Fault
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 
 
 class _Ranked(Choice):
     """Relays whose two choices are exchanged: `rank` orders the units that may be had."""
 
-    def two(self, servers: Some, lookup: Request, now: Ticks, asked: Some) -> Pair:
+    def two(self, servers: Some, request: Request, now: Ticks, asked: Some) -> Pair:
         fit = [
             server
             for server in servers
-            if server not in asked and server.aside <= now and self.guards.open(server, lookup, now)
+            if server not in asked and server.aside <= now and self.guards.open(server, request, now)
         ]
         return self.rank(fit, now)[:2] if fit else []
 
@@ -112,11 +112,11 @@
     chooses = Peaks
 
     def attempt_ended(
-        self, trip: Attempt, fate: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
     ) -> None:
         assert isinstance(self._choice, Peaks)
-        self._choice.took(state_of(trip.endpoint), took, self.now)
-        super().attempt_ended(trip, fate, closed, took, report)
+        self._choice.took(state_of(attempt.endpoint), took, self.now)
+        super().attempt_ended(attempt, outcome, closed, took, report)
 
 
 class _Voter(Balancer):
--- a/lanelead/model/configuration.py
+++ b/lanelead/testbed/simulation/configuration.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from lanelead.configuration.acts import AskBuckets, AskOutline, InForce, Leave, Place, Told, Watch
+from lanelead.configuration.actions import AskBuckets, AskOutline, InForce, Leave, Place, Told, Watch
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
-from lanelead.configuration.source import SIGN, Gone, Source
+from lanelead.configuration.publisher import SIGN, Gone, Source
 from lanelead.protocols.configuration import Change, Entry, WatchLine
-from lanelead.protocols.records import decode, encode
+from lanelead.protocols.feeds import decode, encode
 
 HEADS = 52  # bytes of TCP and IP heads of one packet, and as many for its acknowledgement
 PACKET = 1448
@@ -195,9 +195,9 @@
     # Relays
 
     def _follower(self, number: int, place: Place) -> Follower:
-        chance = Random(self._chance.random())
+        rng = Random(self._chance.random())
         places = [machine.place for machine in self.machines]
-        return Follower(number, place, places, self.start(), self._rate, chance, self.now)
+        return Follower(number, place, places, self.start(), self._rate, rng, self.now)
 
     def join(self, place: Place) -> None:
         number = len(self.relays)
@@ -246,27 +246,27 @@
         follower = relay.follower
         follower.tick(self.now)
         while follower.acts:
-            acts, follower.acts = follower.acts, []
-            for act in acts:
-                if isinstance(act, Watch):
+            actions, follower.acts = follower.acts, []
+            for action in actions:
+                if isinstance(action, Watch):
                     self._watches += 1
-                    relay.watches[act.source] = self._watches
+                    relay.watches[action.source] = self._watches
                     relay.sent += CALL
-                    self._ask(relay, act.source, partial(self._open, relay, act, self._watches))
-                elif isinstance(act, Leave):
-                    relay.watches.pop(act.source, None)
-                    self.machines[act.source].watchers.pop(relay.number, None)
-                elif isinstance(act, AskOutline):
+                    self._ask(relay, action.source, partial(self._open, relay, action, self._watches))
+                elif isinstance(action, Leave):
+                    relay.watches.pop(action.source, None)
+                    self.machines[action.source].watchers.pop(relay.number, None)
+                elif isinstance(action, AskOutline):
                     relay.sent += CALL
-                    self._ask(relay, act.source, partial(self._outline, relay, act, relay.watches[act.source]))
-                elif isinstance(act, AskBuckets):
-                    relay.sent += CALL + 4 * len(act.numbers)
-                    self._ask(relay, act.source, partial(self._buckets, relay, act, relay.watches[act.source]))
-                elif isinstance(act, Told):
-                    relay.sent += CALL + len(encode(act.applied))
-                    self._ask(relay, act.source, partial(self._applied, act))
-                elif isinstance(act, InForce):
-                    relay.in_force.append((self.now, act.version))
+                    self._ask(relay, action.source, partial(self._outline, relay, action, relay.watches[action.source]))
+                elif isinstance(action, AskBuckets):
+                    relay.sent += CALL + 4 * len(action.numbers)
+                    self._ask(relay, action.source, partial(self._buckets, relay, action, relay.watches[action.source]))
+                elif isinstance(action, Told):
+                    relay.sent += CALL + len(encode(action.applied))
+                    self._ask(relay, action.source, partial(self._applied, action))
+                elif isinstance(action, InForce):
+                    relay.in_force.append((self.now, action.version))
         relay.spent_ns += thread_time_ns() - began
         if relay.timer <= self.now or follower.due < relay.timer:
             relay.timer = max(follower.due, self.now + 0.01)
@@ -290,44 +290,46 @@
         else:
             self.at(3 * self.delay(here, there), come)
 
-    def _open(self, relay: Relay, act: Watch, watch: int) -> None:
-        if relay.watches.get(act.source) == watch:
-            source = self.machines[act.source].source
-            position = source.position(act.since, act.digest)
-            self.machines[act.source].watchers[relay.number] = watch, position
-            self._line(act.source, relay.number, position)
+    def _open(self, relay: Relay, action: Watch, watch: int) -> None:
+        if relay.watches.get(action.source) == watch:
+            source = self.machines[action.source].source
+            position = source.position(action.since, action.digest)
+            self.machines[action.source].watchers[relay.number] = watch, position
+            self._line(action.source, relay.number, position)
 
-    def _outline(self, relay: Relay, act: AskOutline, watch: int) -> None:
-        machine = self.machines[act.source]
+    def _outline(self, relay: Relay, action: AskOutline, watch: int) -> None:
+        machine = self.machines[action.source]
         outline = machine.source.outline(self.now)
         machine.sent += (size := wire(len(encode(outline))))
         self._to_relay(
-            act.source,
+            action.source,
             relay.number,
             watch,
-            lambda: relay.follower.outlined(act.source, outline, self.now),
+            lambda: relay.follower.outlined(action.source, outline, self.now),
             size,
         )
 
-    def _buckets(self, relay: Relay, act: AskBuckets, watch: int) -> None:
-        machine = self.machines[act.source]
+    def _buckets(self, relay: Relay, action: AskBuckets, watch: int) -> None:
+        machine = self.machines[action.source]
         try:
-            buckets = machine.source.buckets(act.version, act.numbers)
+            buckets = machine.source.buckets(action.version, action.numbers)
         except Gone:
-            self._to_relay(act.source, relay.number, watch, lambda: relay.follower.gone(act.source, self.now), CALL)
+            self._to_relay(
+                action.source, relay.number, watch, lambda: relay.follower.gone(action.source, self.now), CALL
+            )
             return
         length = len(encode(buckets))
         machine.sent += (size := wire(length))
         self._to_relay(
-            act.source,
+            action.source,
             relay.number,
             watch,
-            lambda: relay.follower.bucketed(act.source, buckets, length, self.now),
+            lambda: relay.follower.bucketed(action.source, buckets, length, self.now),
             size,
         )
 
-    def _applied(self, act: Told) -> None:
-        self.machines[act.source].source.applied(act.applied, self.now)
+    def _applied(self, action: Told) -> None:
+        self.machines[action.source].source.applied(action.applied, self.now)
 
 
 def wire(size: int) -> int:
--- a/lanelead/model/world.py
+++ b/lanelead/testbed/simulation/decision_loop.py
@@ -50,8 +50,8 @@
     SetTimer,
     GossipEntry,
 )
-from lanelead.decisions.rules import Balancer
-from lanelead.model.machines import Machine, Plan
+from lanelead.decisions.balancer import Balancer
+from lanelead.testbed.simulation.hosts import Machine, Plan
 
 SECOND: Ticks = 10_000
 START: Ticks = 3600 * SECOND
@@ -88,50 +88,50 @@
         self.out: dict[Attempt, tuple[Machine, int]] = {}
         self.relay.now = START
 
-    def listed(self, coverage: UpdateScope, rows: list[tuple[Machine, EndpointStatus, Ticks]]) -> None:
-        listings = []
+    def listed(self, update_scope: UpdateScope, rows: list[tuple[Machine, EndpointStatus, Ticks]]) -> None:
+        records = []
         for machine, condition, since in rows:
             if machine not in self.units:
                 unit = self.units[machine] = self.relay.new_endpoint(int(machine.name[1:]))
                 self.machines[unit] = machine
-            listings.append(EndpointRecord(self.units[machine], machine.zone, 0, "std", since, 1, 1.0, condition))
+            records.append(EndpointRecord(self.units[machine], machine.zone, 0, "std", since, 1, 1.0, condition))
         self.relay.now = self.world.now
-        self.relay.endpoints_updated(coverage, listings)
+        self.relay.endpoints_updated(update_scope, records)
         self.carry()
 
     def carry(self) -> None:
         world, relay = self.world, self.relay
         while relay.actions:
-            acts, relay.actions = relay.actions, []
-            for act in acts:
-                match act:
-                    case StartAttempt(trip):
-                        world.send(self, trip)
-                    case SetTimer(at, lookup):
-                        world.at(max(at, world.now), lambda lookup=lookup: self.wake(lookup))  # type: ignore[misc]
-                    case RejectRequest(lookup, _):
-                        world.finish(lookup, "shed")
-                    case FailRequest(lookup):
-                        world.finish(lookup, "broken off")
-                    case CancelAttempt(trip):
-                        if self.out.pop(trip, None) is not None:
-                            world.at(world.now, lambda trip=trip: self.ended(trip, AttemptOutcome.CANCELLED))  # type: ignore[misc]
+            actions, relay.actions = relay.actions, []
+            for action in actions:
+                match action:
+                    case StartAttempt(attempt):
+                        world.send(self, attempt)
+                    case SetTimer(at, request):
+                        world.at(max(at, world.now), lambda request=request: self.wake(request))  # type: ignore[misc]
+                    case RejectRequest(request, _):
+                        world.finish(request, "shed")
+                    case FailRequest(request):
+                        world.finish(request, "broken off")
+                    case CancelAttempt(attempt):
+                        if self.out.pop(attempt, None) is not None:
+                            world.at(world.now, lambda attempt=attempt: self.ended(attempt, AttemptOutcome.CANCELLED))  # type: ignore[misc]
                     case SendGossip(peer, words):
                         world.tell(self, peer, words)
 
-    def wake(self, lookup: Request | None) -> None:
+    def wake(self, request: Request | None) -> None:
         self.relay.now = self.world.now
-        self.relay.timer_fired(lookup)
+        self.relay.timer_fired(request)
         self.carry()
 
-    def ended(self, trip: Attempt, fate: AttemptOutcome) -> None:
-        if trip.outcome is not None:
+    def ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        if attempt.outcome is not None:
             return
         self.relay.now = now = self.world.now
-        done = fate is AttemptOutcome.SUCCEEDED
-        if done and not trip.request.finished:
-            self.world.finish(trip.request, "done")
-        self.relay.attempt_ended(trip, fate, done, now - trip.sent_at, None)
+        done = outcome is AttemptOutcome.SUCCEEDED
+        if done and not attempt.request.finished:
+            self.world.finish(attempt.request, "done")
+        self.relay.attempt_ended(attempt, outcome, done, now - attempt.sent_at, None)
         self.carry()
 
 
@@ -209,20 +209,20 @@
 
     def _ask(self, host: Host) -> None:
         self._next(host)
-        lane = self.lanes[self._arrivals.random() < self.plan.effectful]
-        lookup = Request(lane, None, None, self.now, self.now + int(self.plan.limit * SECOND))
-        self._asked[lookup] = self.now
+        request_class = self.lanes[self._arrivals.random() < self.plan.effectful]
+        request = Request(request_class, None, None, self.now, self.now + int(self.plan.limit * SECOND))
+        self._asked[request] = self.now
         host.relay.now = self.now
-        host.relay.request_received(lookup)
+        host.relay.request_received(request)
         host.carry()
 
-    def finish(self, lookup: Request, end: str) -> None:
-        asked = self._asked.pop(lookup, None)
+    def finish(self, request: Request, end: str) -> None:
+        asked = self._asked.pop(request, None)
         if asked is None:
             return
-        timely = end == "done" and self.now - asked <= lookup.request_class.latency_objective
-        share = 1.0 if timely else lookup.request_class.late_value if end == "done" else 0.0
-        value = lookup.request_class.value
+        timely = end == "done" and self.now - asked <= request.request_class.latency_objective
+        share = 1.0 if timely else request.request_class.late_value if end == "done" else 0.0
+        value = request.request_class.value
         self.rows.append(((asked - START) / SECOND, value, end, value * share, timely))
 
     # Units
@@ -231,42 +231,42 @@
         base = 2 if host.zone == machine.zone else 20
         return max(1, int(base * self._net.uniform(0.7, 1.5)))
 
-    def send(self, host: Host, trip: Attempt) -> None:
-        machine = host.machines[trip.endpoint]
-        host.out[trip] = (machine, machine.life)
+    def send(self, host: Host, attempt: Attempt) -> None:
+        machine = host.machines[attempt.endpoint]
+        host.out[attempt] = (machine, machine.life)
         second = (self.now - START) // SECOND
         counts = self.sends.setdefault((host.zone, machine.zone), [0] * (int(self.plan.seconds) + 10))
         counts[min(second, len(counts) - 1)] += 1
-        self.at(trip.sent_at + trip.timeout, lambda: self._time_out(host, trip))
+        self.at(attempt.sent_at + attempt.timeout, lambda: self._time_out(host, attempt))
         work = self._work.gammavariate(2.0, self.plan.work / 2)
-        self.at(self.now + self._latency(host, machine), lambda: self._arrive(host, trip, machine, work))
+        self.at(self.now + self._latency(host, machine), lambda: self._arrive(host, attempt, machine, work))
 
-    def _time_out(self, host: Host, trip: Attempt) -> None:
-        if host.out.pop(trip, None) is not None:
-            host.ended(trip, AttemptOutcome.TIMED_OUT)
+    def _time_out(self, host: Host, attempt: Attempt) -> None:
+        if host.out.pop(attempt, None) is not None:
+            host.ended(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _reply(self, host: Host, trip: Attempt, machine: Machine, fate: AttemptOutcome) -> None:
+    def _reply(self, host: Host, attempt: Attempt, machine: Machine, outcome: AttemptOutcome) -> None:
         def come() -> None:
-            if host.out.pop(trip, None) is not None:
-                host.ended(trip, fate)
+            if host.out.pop(attempt, None) is not None:
+                host.ended(attempt, outcome)
 
         self.at(self.now + self._latency(host, machine), come)
 
-    def _arrive(self, host: Host, trip: Attempt, machine: Machine, work: float) -> None:
+    def _arrive(self, host: Host, attempt: Attempt, machine: Machine, work: float) -> None:
         if machine.silent:
             return
         if not machine.up:
-            self._reply(host, trip, machine, AttemptOutcome.CONNECT_FAILED)
+            self._reply(host, attempt, machine, AttemptOutcome.CONNECT_FAILED)
             return
         self._weigh(machine, work)
         if machine.fallen:
             return
         if machine.busy < self.plan.cores:
-            self._begin(host, trip, machine, work)
+            self._begin(host, attempt, machine, work)
         elif len(machine.waiting) < self.plan.waiting_room:
-            machine.waiting.append((host, trip, work))
+            machine.waiting.append((host, attempt, work))
         else:
-            self._reply(host, trip, machine, AttemptOutcome.REJECTED)
+            self._reply(host, attempt, machine, AttemptOutcome.REJECTED)
 
     def warmth(self, machine: Machine) -> float:
         age = (self.now - machine.since) / SECOND
@@ -287,17 +287,17 @@
         if machine.sent > may:
             machine.fallen = True
 
-    def _begin(self, host: Host, trip: Attempt, machine: Machine, work: float) -> None:
+    def _begin(self, host: Host, attempt: Attempt, machine: Machine, work: float) -> None:
         machine.busy += 1
         life, pace = machine.life, machine.speed * self.warmth(machine) / machine.slow
-        self.at(self.now + max(1, int(work / pace * SECOND)), lambda: self._end(host, trip, machine, life))
+        self.at(self.now + max(1, int(work / pace * SECOND)), lambda: self._end(host, attempt, machine, life))
 
-    def _end(self, host: Host, trip: Attempt, machine: Machine, life: int) -> None:
+    def _end(self, host: Host, attempt: Attempt, machine: Machine, life: int) -> None:
         if machine.life != life:
             return
         machine.busy -= 1
         if not machine.silent and not machine.fallen:
-            self._reply(host, trip, machine, AttemptOutcome.SUCCEEDED)
+            self._reply(host, attempt, machine, AttemptOutcome.SUCCEEDED)
         while machine.waiting and machine.busy < self.plan.cores:
             other, waiting, work = machine.waiting.popleft()
             if waiting in other.out:  # whose time has passed is not begun
@@ -331,9 +331,9 @@
         if silent:
             return
         for host in self.hosts:
-            for trip, (where, _) in list(host.out.items()):
+            for attempt, (where, _) in list(host.out.items()):
                 if where is machine:
-                    self._reply(host, trip, machine, AttemptOutcome.RESET)
+                    self._reply(host, attempt, machine, AttemptOutcome.RESET)
 
     def _spread(self, machine: Machine, condition: EndpointStatus, late: float, life: int) -> None:
         """Each relay hears of it at its own moment."""
--- a/lanelead/model/town.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -28,18 +28,18 @@
     Endpoint,
     CastVote,
 )
-from lanelead.decisions.rules import Balancer
-from lanelead.decisions.zones import ANYWHERE
-from lanelead.http.answers import HttpResponse
-from lanelead.http.asks import HttpRequest
-from lanelead.model.core import Clock, Story, stream
-from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.zone_spillover import ANYWHERE
+from lanelead.http.responses import HttpResponse
+from lanelead.http.requests import HttpRequest
+from lanelead.testbed.simulation.clock import Clock, Story, stream
+from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.settings import records
-from lanelead.standins.demand import Demand, Op
-from lanelead.standins.engine import Build, Engine, Life
-from lanelead.standins.polling import Polling
+from lanelead.testbed.emulators.workload import Demand, Op
+from lanelead.testbed.emulators.service_model import Build, Engine, Life
+from lanelead.testbed.emulators.vote_counting import Polling
 
 START = 3600.0  # the clock at the start: units have a past
 ASK = HttpRequest("GET", b"/", [], b"", True)
@@ -229,10 +229,10 @@
         self._armed: Ticks | None = None
         self.out: dict[Attempt, bool] = {}  # trips under way, and whether a byte was written
         self.asked: dict[Asked, None] = {}
-        self.lanes = [lane.figures() for lane in service.lanes]
-        self.by_lane = {lane.name: lane for lane in self.lanes}
+        self.lanes = [request_class.figures() for request_class in service.lanes]
+        self.by_lane = {request_class.name: request_class for request_class in self.lanes}
         self.members = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
-        duties = service.duties.figures(False)
+        limits = service.duties.figures(False)
         preference = ANYWHERE
         if day.spill is not None:
             others = tuple(zone for zone in day.units.zones if zone != self.zone)
@@ -240,14 +240,14 @@
             preference = ZonePreference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
         decisions = make(
             place=RelayPosition(number, day.relays, self.zone),
-            lanes=self.lanes,
-            members=list(self.members.values()),
-            allowance=service.allowance.figures(True),
-            duties=duties,
+            request_classes=self.lanes,
+            tenants=list(self.members.values()),
+            quota=service.allowance.figures(True),
+            limits=limits,
             trial=service.trial.figures(),
             poll=service.poll.figures(),
-            tariff=records.TARIFF,
-            chance=stream(town.seed, f"relay {number} {town.clock.now}"),
+            prices=records.TARIFF,
+            rng=stream(town.seed, f"relay {number} {town.clock.now}"),
             now=self.clock(),
             preference=preference,
         )
@@ -256,7 +256,7 @@
             self,
             self.clock,
             self.lanes,
-            duties,
+            limits,
             service.allowance.open_lookups,
             records.ticks(service.allowance.longest_advice_ms),
         )
@@ -291,42 +291,44 @@
 
     # Hands
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self.out[trip] = False
-        self.town.clock.later(0.0, self._write, trip, ticket)
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self.out[attempt] = False
+        self.town.clock.later(0.0, self._write, attempt, pending)
 
-    def _write(self, trip: Attempt, ticket: PendingRequest) -> None:
-        machine = self.town.by_unit(self, trip.endpoint)
+    def _write(self, attempt: Attempt, pending: PendingRequest) -> None:
+        machine = self.town.by_unit(self, attempt.endpoint)
         hop = self.town.hop(self, machine)
         if machine.idle.get(self.number, 0) > 0:
             machine.idle[self.number] -= 1
-            self._go(trip, ticket, machine)
+            self._go(attempt, pending, machine)
         elif not machine.up or "refuse" in machine._faults:
             self.town.clock.later(
-                2 * hop, lambda: self.whenever(lambda: self._ended(trip, AttemptOutcome.CONNECT_FAILED))
+                2 * hop, lambda: self.whenever(lambda: self._ended(attempt, AttemptOutcome.CONNECT_FAILED))
             )
         elif machine.stopped:  # the kernel takes the connection, though nobody reads
-            self._go(trip, ticket, machine)
+            self._go(attempt, pending, machine)
         else:
-            self.town.clock.later(2 * hop, self._go, trip, ticket, machine)
+            self.town.clock.later(2 * hop, self._go, attempt, pending, machine)
 
-    def _go(self, trip: Attempt, ticket: PendingRequest, machine: Machine) -> None:
-        if trip.outcome is not None or not self.up:
+    def _go(self, attempt: Attempt, pending: PendingRequest, machine: Machine) -> None:
+        if attempt.outcome is not None or not self.up:
             return
-        if self.driver.destination_of(trip) is None:
-            self.whenever(lambda: self._ended(trip, AttemptOutcome.NOT_SENT))
+        if self.driver.destination_of(attempt) is None:
+            self.whenever(lambda: self._ended(attempt, AttemptOutcome.NOT_SENT))
             return
-        self.out[trip] = True
-        hop, op = self.town.hop(self, machine), self.town.ops[ticket.id]
-        due = (trip.sent_at + trip.timeout) / 10_000
-        job = Job(self, trip, op, ticket.id, op.lane, op.work, ticket.id in self.town.bad, due)
+        self.out[attempt] = True
+        hop, op = self.town.hop(self, machine), self.town.ops[pending.id]
+        due = (attempt.sent_at + attempt.timeout) / 10_000
+        job = Job(self, attempt, op, pending.id, op.lane, op.work, pending.id in self.town.bad, due)
         self.town.clock.later(hop, machine.heard, job)
 
-    def reply(self, machine: Machine, job: Job, fate: AttemptOutcome, wrong: bool = False, slow: float = 0.0) -> None:
+    def reply(
+        self, machine: Machine, job: Job, outcome: AttemptOutcome, wrong: bool = False, slow: float = 0.0
+    ) -> None:
         """The unit's end of a trip, on its way back."""
         report = (
             machine.report()
-            if fate in (AttemptOutcome.SUCCEEDED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
+            if outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
             else None
         )
 
@@ -335,16 +337,16 @@
                 machine.idle[self.number] = machine.idle.get(self.number, 0) + 1
             if wrong:
                 self.town.wrong[job.ident] = machine.life.name
-            self._ended(job.trip, fate, report)
+            self._ended(job.trip, outcome, report)
 
         self.town.clock.later(slow + self.town.hop(self, machine), lambda: self.whenever(come))
 
-    def _ended(self, trip: Attempt, fate: AttemptOutcome, report: dict[str, float] | None = None) -> None:
-        if self.out.pop(trip, None) is not None:
-            self.driver.attempt_ended(trip, fate, ANSWER, report)
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, report: dict[str, float] | None = None) -> None:
+        if self.out.pop(attempt, None) is not None:
+            self.driver.attempt_ended(attempt, outcome, ANSWER, report)
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
-        return self.out.pop(trip, False)
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        return self.out.pop(attempt, False)
 
     def check_health(self, unit: Endpoint) -> None:
         machine, began = self.town.by_unit(self, unit), self.clock()
@@ -359,9 +361,9 @@
             if not machine.fallen and "mute" not in machine._faults:
                 back(AttemptOutcome.SUCCEEDED, machine.report())
 
-        def back(fate: AttemptOutcome, report: dict[str, float] | None) -> None:
+        def back(outcome: AttemptOutcome, report: dict[str, float] | None) -> None:
             def come() -> None:
-                self.driver.health_checked(unit, fate, self.clock() - began, report)
+                self.driver.health_checked(unit, outcome, self.clock() - began, report)
 
             self.town.clock.later(self.town.hop(self, machine), lambda: self.whenever(come))
 
@@ -514,7 +516,7 @@
             self.clock.later(offer.at, self._offer, number, offer.bad)
         for event in day.events:
             self.clock.later(event.at, lambda event=event: self.clock.tell(self._event(event)))
-        longest = max(lane.outer_limit_ms for lane in day.service.lanes) / 1000
+        longest = max(request_class.outer_limit_ms for request_class in day.service.lanes) / 1000
         self.clock.run(START + day.seconds + longest + 2 * day.slack_ms / 1000 + 1)
         for host in self.hosts:
             self.book.note("conductor", "relay_term", relay=host.number)
@@ -588,15 +590,17 @@
             nth=op.tries,
         )
         asked = Asked(self, host, op, ident, self.clock.now, left)
-        ticket = PendingRequest(ident, ASK, asked.replied)
-        asked.ticket = ticket
-        lane, member = host.by_lane[op.lane], host.members.get(op.member or "")
+        pending = PendingRequest(ident, ASK, asked.replied)
+        asked.ticket = pending
+        request_class, tenant = host.by_lane[op.lane], host.members.get(op.member or "")
         self.counts.asked += 1
         self.counts.asked_value[op.ident] = self.demand.lanes[op.lane].value
         op.first = op.first or self.clock.now
         ticks = int(left * 10_000)
         wait = self.hop_mean
-        self.clock.later(wait, lambda: host.whenever(lambda: host.driver.receive(ticket, lane, member, op.key, ticks)))
+        self.clock.later(
+            wait, lambda: host.whenever(lambda: host.driver.receive(pending, request_class, tenant, op.key, ticks))
+        )
         host.asked[asked] = None
         if (after := self.demand.leaves(left)) is not None:
             self.clock.later(after, asked.leave)
@@ -617,26 +621,26 @@
 
     def complain(self, op: Op, unit: str, host: Host) -> None:
         if self.demand.complains():
-            lane = host.by_lane[op.lane]
+            request_class = host.by_lane[op.lane]
 
             def say() -> None:
-                host.driver.complaint_received(unit, lane, 10_000)
+                host.driver.complaint_received(unit, request_class, 10_000)
 
             self.clock.later(1.0, host.whenever, say)
 
     # Units
 
-    def receipt(self, machine: Machine, lane: str, key: str, memory: float) -> bool:
-        scope = next(row.scope for row in self.day.service.lanes if row.name == lane)
+    def receipt(self, machine: Machine, request_class: str, key: str, memory: float) -> bool:
+        scope = next(row.scope for row in self.day.service.lanes if row.name == request_class)
         group = {"all": "", "zone": machine.zone, "cell": str(machine.life.cell)}[scope]
-        at = lane, group, key
+        at = request_class, group, key
         if at in self._receipts and self.clock.now - self._receipts[at] <= memory:
             return False
         self._receipts[at] = self.clock.now
         return True
 
     def _launch(self, build: int, place: int, cold: bool, name: str | None = None) -> Machine:
-        units, duties = self.day.units, self.day.service.duties
+        units, limits = self.day.units, self.day.service.duties
         name = name or f"u{place:02d}b{build}"
         self._lives += 1
         life = Life(
@@ -651,9 +655,13 @@
             connections=units.connections,
             cold_share=units.cold_share,
             cold=units.cold_ms / 1000 if cold else 0.0,
-            fall_multiple=duties.fall_multiple,
-            fall_time=duties.fall_ms / 1000,
-            memory={lane.name: lane.memory_ms / 1000 for lane in self.day.service.lanes if lane.memory_ms},
+            fall_multiple=limits.fall_multiple,
+            fall_time=limits.fall_ms / 1000,
+            memory={
+                request_class.name: request_class.memory_ms / 1000
+                for request_class in self.day.service.lanes
+                if request_class.memory_ms
+            },
             receipts={},
             report=units.report_ms / 1000,
             errors=units.errors,
@@ -706,9 +714,9 @@
             for host in self.hosts:
                 self._list(host, "changes", [row])
 
-    def _list(self, host: Host, coverage: str, rows: list[EndpointMessage]) -> None:
-        self.book.note("roster", "told", relay=host.number, coverage=coverage, units=msgspec.to_builtins(rows))
-        listed = EndpointListMessage(coverage, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
+    def _list(self, host: Host, update_scope: str, rows: list[EndpointMessage]) -> None:
+        self.book.note("roster", "told", relay=host.number, coverage=update_scope, units=msgspec.to_builtins(rows))
+        listed = EndpointListMessage(update_scope, self._version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
         host.whenever(lambda: host.driver.endpoints_listed(listed, 0))
 
     def of(self, build: int) -> list[Machine]:
@@ -971,20 +979,20 @@
 
     def replied(
         self,
-        ticket: PendingRequest,
+        pending: PendingRequest,
         outcome: RequestOutcome,
-        trip: Attempt | None,
+        attempt: Attempt | None,
         answer: HttpResponse | None,
-        come_back: Ticks,
+        retry_after: Ticks,
     ) -> None:
-        self.town.clock.later(self.town.hop_mean, self._answered, outcome, trip, come_back)
+        self.town.clock.later(self.town.hop_mean, self._answered, outcome, attempt, retry_after)
 
-    def _answered(self, outcome: RequestOutcome, trip: Attempt | None, come_back: Ticks) -> None:
+    def _answered(self, outcome: RequestOutcome, attempt: Attempt | None, retry_after: Ticks) -> None:
         town, host = self.town, self.host
         status = {RequestOutcome.SUCCEEDED: 200, RequestOutcome.REJECTED: 503, RequestOutcome.FAILED: 502}[outcome]
         unit = (
-            host.driver.registry.names[trip.endpoint]
-            if trip is not None and outcome is RequestOutcome.SUCCEEDED
+            host.driver.registry.names[attempt.endpoint]
+            if attempt is not None and outcome is RequestOutcome.SUCCEEDED
             else ""
         )
         build = str(town.machines[unit].life.build.number) if unit else ""
@@ -996,23 +1004,23 @@
         if outcome is RequestOutcome.SUCCEEDED:
             counts.done += 1
             counts.times.append(town.clock.now - self.began)
-            lane = town.demand.lanes[self.op.lane]
-            timely = town.clock.now - self.op.first <= lane.expected_time_ms / 1000
-            worth = 0.0 if wrong else lane.value * (1.0 if timely else lane.late_value)
-            counts.had_value[self.op.ident] = max(worth, counts.had_value.get(self.op.ident, 0.0))
+            request_class = town.demand.lanes[self.op.lane]
+            timely = town.clock.now - self.op.first <= request_class.expected_time_ms / 1000
+            priority_weight = 0.0 if wrong else request_class.value * (1.0 if timely else request_class.late_value)
+            counts.had_value[self.op.ident] = max(priority_weight, counts.had_value.get(self.op.ident, 0.0))
         elif outcome is RequestOutcome.REJECTED:
             counts.shed += 1
         else:
             counts.broken_off += 1
         if wrong:
             town.complain(self.op, unit, host)
-        wait = town.demand.again(self.op, outcome.value, come_back / 10_000, town.clock.now)
+        wait = town.demand.again(self.op, outcome.value, retry_after / 10_000, town.clock.now)
         town._again(self.op, wait)
 
     def leave(self) -> None:
         if self._close("gone", why="left") and self.ticket is not None:
-            ticket = self.ticket
-            self.host.whenever(lambda: self.host.driver.client_left(ticket))
+            pending = self.ticket
+            self.host.whenever(lambda: self.host.driver.client_left(pending))
 
     def silent(self) -> None:
         if self._close("gone", why="silent"):
--- a/lanelead/model/circle.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -12,8 +12,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from lanelead.circle.letters import ALIVE, DEAD, Row
-from lanelead.circle.members import Address, Change, Membership, Tempo
+from lanelead.membership.messages import ALIVE, DEAD, Row
+from lanelead.membership.member import Address, Change, Membership, Tempo
 from lanelead.decisions.interface import Ticks
 
 SECOND: Ticks = 10_000
@@ -69,9 +69,9 @@
 
     def _begin(self, own: Row, known: list[Row]) -> None:
         seeds = [(row.host, row.port) for row in (self.row(n, 1) for n in self.seeds) if row.number != own.number]
-        chance = Random(f"{self._seed} {own.number} {own.life}")
+        rng = Random(f"{self._seed} {own.number} {own.life}")
         others = [row for row in known if row.number != own.number]
-        self.members[own.number] = self._kind(own, self._tempo, seeds, chance, self.now, others)
+        self.members[own.number] = self._kind(own, self._tempo, seeds, rng, self.now, others)
         self._wake(own.number)
 
     def start(self, number: int, life: int, place: int = 0) -> None:
@@ -97,19 +97,19 @@
 
     def _post(self, member: Membership) -> None:
         out, member.outbox = member.outbox, []
-        sender, wires, chance = member.own.number, self.wires, self.chance
+        sender, wires, rng = member.own.number, self.wires, self.chance
         source = member.own.host, member.own.port
         for (host, _), text in out:
             self.letters += 1
             self.bytes += len(text) + 28  # with the heads of UDP and IPv4
             place = host.split(".")
             receiver = (int(place[1]) << 8) + int(place[2])
-            if wires.cut(sender, receiver) or chance.random() < wires.loss:
+            if wires.cut(sender, receiver) or rng.random() < wires.loss:
                 continue
             if receiver in self.members and self.members[receiver].own.host != host:
                 continue  # it has moved
-            for _ in range(1 + (chance.random() < wires.double)):
-                self._push(self.now + wires.least + int(chance.random() * wires.spread), receiver, text, source)
+            for _ in range(1 + (rng.random() < wires.double)):
+                self._push(self.now + wires.least + int(rng.random() * wires.spread), receiver, text, source)
         changes, member.changes = member.changes, []
         for change in changes:
             self.found.append((self.now, sender, change))
--- a/lanelead/model/steps.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, replace
 from functools import lru_cache
 
-from lanelead.protocols.steps import ApplyRequest, LogEntry, LoggedEntry, EffectProgress
-from lanelead.steps import runner
-from lanelead.steps.record import Broken, Mark, Record, Stand
-from lanelead.steps.runner import Append, Apply, Goal, Reply, Runner, Want
+from lanelead.protocols.migrations import ApplyRequest, LogEntry, LoggedEntry, EffectProgress
+from lanelead.migrations import runner
+from lanelead.migrations.migration_log import Broken, Mark, Record, Stand
+from lanelead.migrations.runner import Append, Apply, Goal, Reply, Runner, Want
 
 PARTS = 2  # of a backfill
 
--- a/lanelead/model/policies.py
+++ b/lanelead/testbed/simulation/policies.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request
-from lanelead.decisions.servers import EndpointState
-from lanelead.decisions.zones import Pools
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.zone_spillover import Pools
 
 Tiers = tuple[tuple[str, ...], ...]
 
@@ -15,8 +15,8 @@
 class NoSpill:
     """A lookup stays in its own zone, whatever happens."""
 
-    def __init__(self, tiers: Tiers, duties: ServiceLimits, chance: Random) -> None:
-        self._tiers, self._chance = tiers, chance
+    def __init__(self, tiers: Tiers, limits: ServiceLimits, rng: Random) -> None:
+        self._tiers, self._chance = tiers, rng
         self._place = {zone: place for place, zones in enumerate(tiers) for zone in zones}
         self.health = [1.0] * len(tiers)
         self._full = [0] * len(tiers)
@@ -25,7 +25,7 @@
         return self._place.get(server.zone, len(self._tiers) - 1)
 
     def note(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
-    def left(self, lookup: Request) -> None: ...
+    def left(self, request: Request) -> None: ...
     def spend(self, server: EndpointState) -> None: ...
 
     def troubled(self, server: EndpointState) -> bool:
@@ -39,18 +39,18 @@
         self._full = [max(full, many) for full, many in zip(self._full, here, strict=True)]
         self.health = [many / full if full else 0.0 for many, full in zip(here, self._full, strict=True)]
 
-    def choose(self, lookup: Request) -> list[int]:
+    def choose(self, request: Request) -> list[int]:
         return [0]
 
-    def cuts(self, pools: Pools, lookup: Request) -> Iterator[Pools]:
-        open_ = self.choose(lookup)
+    def cuts(self, pools: Pools, request: Request) -> Iterator[Pools]:
+        open_ = self.choose(request)
         yield {build: [s for s in some if self.place(s) in open_] for build, some in pools.items()}
 
 
 class AllAtOnce(NoSpill):
     """The first tier that has any healthy unit takes all."""
 
-    def choose(self, lookup: Request) -> list[int]:
+    def choose(self, request: Request) -> list[int]:
         return [next((place for place, health in enumerate(self.health) if health > 0), 0)]
 
 
@@ -59,7 +59,7 @@
     total of one, in proportion; a level whose healthy share is under a half is in panic, and all its listed
     units are used (Envoy's documentation, 'Priority levels' and 'Panic threshold')."""
 
-    def choose(self, lookup: Request) -> list[int]:
+    def choose(self, request: Request) -> list[int]:
         scores = [min(1.0, 1.4 * health) for health in self.health]
         total = min(1.0, sum(scores))
         if total <= 0:
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -8,9 +8,9 @@
 from collections.abc import AsyncIterator
 from typing import Any
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
 from tests.platform import Platform, Unit
 
 WHOLE = b"/v1/endpoints"
@@ -55,7 +55,7 @@
         self._caller.close()
 
     def answer(self, text: bytes) -> None:
-        self.part(writing.response(200, (), text, keep=False))
+        self.part(serialization.response(200, (), text, keep=False))
         self.end()
 
     def tell(self, version: int, *entries: Any, full: bool | None = None) -> None:
--- a/tests/configurationhand.py
+++ b/tests/configurationhand.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lanelead.configuration.acts import Act, AskBuckets, AskOutline, Leave, Note, Place, Told, Watch
+from lanelead.configuration.actions import Act, AskBuckets, AskOutline, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
 from lanelead.protocols.configuration import Buckets, Change, Entry, WatchLine
@@ -58,18 +58,18 @@
         """Those of this kind since they were last asked for."""
         self.seen += self.follower.acts
         self.follower.acts = []
-        found = [act for act in self.seen if isinstance(act, kind)]
-        self.seen = [act for act in self.seen if not isinstance(act, kind)]
+        found = [action for action in self.seen if isinstance(action, kind)]
+        self.seen = [action for action in self.seen if not isinstance(action, kind)]
         return found
 
     def watched(self) -> list[int]:
-        return [act.source for act in self.acts(Watch)]
+        return [action.source for action in self.acts(Watch)]
 
     def left(self) -> list[int]:
-        return [act.source for act in self.acts(Leave)]
+        return [action.source for action in self.acts(Leave)]
 
     def notes(self) -> list[str]:
-        return [act.text for act in self.acts(Note)]
+        return [action.text for action in self.acts(Note)]
 
     def told(self) -> list[Told]:
         return self.acts(Told)
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from lanelead.configuration.kinds import EntryValue
-from lanelead.configuration.source import Gone, Source
-from lanelead.http import writing
-from lanelead.http.serving import STREAM, chunk
-from lanelead.node.config import Following, SourceAt
-from lanelead.node.configuration import Feed
+from lanelead.configuration.value_types import EntryValue
+from lanelead.configuration.publisher import Gone, Source
+from lanelead.http import serialization
+from lanelead.http.server import STREAM, chunk
+from lanelead.postgres_relay.config import Following, SourceAt
+from lanelead.postgres_relay.configuration_client import Feed
 from lanelead.protocols.configuration import Entry, WatchLine
-from lanelead.protocols.records import encode
+from lanelead.protocols.feeds import encode
 from tests.configurationhand import change
 
 Answer = Callable[["Machine", asyncio.StreamWriter], Awaitable[None]]
@@ -66,7 +66,7 @@
         await writer.drain()
 
     async def answer(self, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
-        await self.write(writer, writing.response(status, (), body, keep=False))
+        await self.write(writer, serialization.response(status, (), body, keep=False))
 
     async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -32,7 +32,7 @@
     CastVote,
     SetTimer,
 )
-from lanelead.decisions.rules import Balancer
+from lanelead.decisions.balancer import Balancer
 
 SECOND: Ticks = 10_000
 PURE = RequestClass("read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
@@ -66,14 +66,14 @@
         self.wakes: list[tuple[Ticks, Request | None]] = []
         self.relay = Balancer(
             place=RelayPosition(number, relays, "z"),
-            lanes=[PURE, RECEIPTED, EFFECTFUL],
-            members=[],
-            allowance=ResourceQuota(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
-            duties=ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
+            request_classes=[PURE, RECEIPTED, EFFECTFUL],
+            tenants=[],
+            quota=ResourceQuota(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
+            limits=ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
             trial=CanaryLimits((0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False),
             poll=VotingRules(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
-            tariff=Prices(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
-            chance=Random(7),
+            prices=Prices(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
+            rng=Random(7),
             now=now,
         )
         self.relay.now = now
@@ -105,14 +105,14 @@
         self.relay.rollout_updated(RolloutState(build, stage, phase, cap, 0, answer, word))
         self.drain()
 
-    def ask(self, lane: RequestClass = PURE, key: str | None = None, left: Ticks = 4 * SECOND) -> Request:
-        lookup = Request(lane, None, key, self.relay.now, self.relay.now + left)
-        self.relay.request_received(lookup)
+    def ask(self, request_class: RequestClass = PURE, key: str | None = None, left: Ticks = 4 * SECOND) -> Request:
+        request = Request(request_class, None, key, self.relay.now, self.relay.now + left)
+        self.relay.request_received(request)
         self.drain()
-        return lookup
+        return request
 
-    def end(self, trip: Attempt, fate: AttemptOutcome = AttemptOutcome.SUCCEEDED, took: Ticks = 1000) -> None:
-        self.relay.attempt_ended(trip, fate, fate is AttemptOutcome.SUCCEEDED, took, None)
+    def end(self, attempt: Attempt, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED, took: Ticks = 1000) -> None:
+        self.relay.attempt_ended(attempt, outcome, outcome is AttemptOutcome.SUCCEEDED, took, None)
         self.drain()
 
     def drain(self) -> list[Action]:
@@ -120,7 +120,7 @@
         fresh = list(self.relay.actions)
         self.relay.actions.clear()
         self.acts += fresh
-        self.wakes += [(act.at, act.request) for act in fresh if isinstance(act, SetTimer)]
+        self.wakes += [(action.at, action.request) for action in fresh if isinstance(action, SetTimer)]
         return fresh
 
     def run(self, span: Ticks) -> None:
@@ -134,12 +134,16 @@
             self.drain()
         self.relay.now = until
 
-    def sent(self, lookup: Request | None = None) -> list[Attempt]:
-        trips = [act.attempt for act in self.acts if isinstance(act, StartAttempt)]
-        return [trip for trip in trips if lookup is None or trip.request is lookup]
+    def sent(self, request: Request | None = None) -> list[Attempt]:
+        attempts = [action.attempt for action in self.acts if isinstance(action, StartAttempt)]
+        return [attempt for attempt in attempts if request is None or attempt.request is request]
 
-    def finals(self, lookup: Request) -> list[Action]:
-        return [act for act in self.acts if isinstance(act, RejectRequest | FailRequest) and act.request is lookup]
+    def finals(self, request: Request) -> list[Action]:
+        return [
+            action
+            for action in self.acts
+            if isinstance(action, RejectRequest | FailRequest) and action.request is request
+        ]
 
     def votes(self) -> list[CastVote]:
-        return [act for act in self.acts if isinstance(act, CastVote)]
+        return [action for action in self.acts if isinstance(action, CastVote)]
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -38,7 +38,7 @@
     Endpoint,
     SetTimer,
 )
-from lanelead.decisions.rules import Balancer
+from lanelead.decisions.balancer import Balancer
 
 
 SECOND: Ticks = 10_000
@@ -98,9 +98,9 @@
         quota: float,
         weights: Sequence[float],
         seed: int,
-        duties: ServiceLimits = DUTIES,
+        limits: ServiceLimits = DUTIES,
     ) -> None:
-        self.duties = duties
+        self.duties = limits
         self.now, self.chance, self._order = 100 * SECOND, Random(seed), count()
         self.heap: list[tuple[Ticks, int, Front, Callable[[], None]]] = []
         self.units = [Hollow(rate, 0) for _ in range(units)]
@@ -111,14 +111,14 @@
     def front(self, number: int, relays: int) -> Front:
         relay = Balancer(
             place=RelayPosition(number, relays, "z"),
-            lanes=[LANE],
-            members=self.members,
-            allowance=ResourceQuota(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
-            duties=self.duties,
+            request_classes=[LANE],
+            tenants=self.members,
+            quota=ResourceQuota(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
+            limits=self.duties,
             trial=CanaryLimits((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
             poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
-            tariff=Prices(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
-            chance=Random(self.chance.random()),
+            prices=Prices(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
+            rng=Random(self.chance.random()),
             now=self.now,
         )
         relay.now = self.now
@@ -155,29 +155,29 @@
             self.at(int(at), front, partial(self.ask, front))
 
     def ask(self, front: Front) -> None:
-        lookup = Request(LANE, self.members[0] if self.members else None, None, self.now, self.now + 15_000)
+        request = Request(LANE, self.members[0] if self.members else None, None, self.now, self.now + 15_000)
         front.taken.append(self.now)
-        front.relay.request_received(lookup)
+        front.relay.request_received(request)
 
     def carry(self, front: Front) -> None:
-        acts = list(front.relay.actions)
+        actions = list(front.relay.actions)
         front.relay.actions.clear()
-        for act in acts:
-            if isinstance(act, SetTimer):
-                self.at(act.at, front, partial(front.relay.timer_fired, act.request))
-            elif isinstance(act, StartAttempt):
-                self.go(front, act.attempt)
-            elif isinstance(act, RejectRequest | FailRequest):
+        for action in actions:
+            if isinstance(action, SetTimer):
+                self.at(action.at, front, partial(front.relay.timer_fired, action.request))
+            elif isinstance(action, StartAttempt):
+                self.go(front, action.attempt)
+            elif isinstance(action, RejectRequest | FailRequest):
                 front.refused += 1
 
-    def go(self, front: Front, trip: Attempt) -> None:
+    def go(self, front: Front, attempt: Attempt) -> None:
         front.sent.append(self.now)
-        unit = self.units[front.units.index(trip.endpoint)]
-        fate, took = unit.asked(self.now)
+        unit = self.units[front.units.index(attempt.endpoint)]
+        outcome, took = unit.asked(self.now)
 
         def end() -> None:
-            front.done += fate is AttemptOutcome.SUCCEEDED and not trip.request.finished
-            front.relay.attempt_ended(trip, fate, fate is AttemptOutcome.SUCCEEDED, took, None)
+            front.done += outcome is AttemptOutcome.SUCCEEDED and not attempt.request.finished
+            front.relay.attempt_ended(attempt, outcome, outcome is AttemptOutcome.SUCCEEDED, took, None)
 
         self.at(self.now + took, front, end)
 
@@ -210,15 +210,15 @@
     units: int = 20,
     quota: float = 1.0,
     load: float = 0.9,
-    duties: ServiceLimits = DUTIES,
+    limits: ServiceLimits = DUTIES,
 ) -> Found:
     """Four seconds from the start of cold units: of 'one', of 'half' or of 'all' before relays that have run
     for 8 s, or 'mass': of all units and all relays at once. `each`: lookups a second and relay; `load`: of
     what all units can do warm; `quota`: what members may ask, as a part of the demand. One relay in seven
     gets several times as many lookups as the others."""
-    chance, total = Random(f"{kind} {seed}"), each * relays
-    weights = [4.0 if chance.random() < 1 / 7 else chance.uniform(0.2, 1.2) for _ in range(relays)]
-    fleet = Fleet(relays, units, total / units / load, total * quota, weights, seed, duties)
+    rng, total = Random(f"{kind} {seed}"), each * relays
+    weights = [4.0 if rng.random() < 1 / 7 else rng.uniform(0.2, 1.2) for _ in range(relays)]
+    fleet = Fleet(relays, units, total / units / load, total * quota, weights, seed, limits)
     if kind != "mass":
         fleet.demand(total, 12 * SECOND)
         fleet.run(8 * SECOND)
--- a/tests/machinegroup.py
+++ b/tests/machinegroup.py
@@ -14,10 +14,10 @@
 
 
 from lanelead.configuration.commands import ask, made
-from lanelead.days.fleet import free_ports
+from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.protocols.configuration import AcceptedProposal, LogPage
-from lanelead.protocols.machines import ReplicaStatus
-from lanelead.protocols.records import decode
+from lanelead.protocols.configuration_replicas import ReplicaStatus
+from lanelead.protocols.feeds import decode
 from tests.machines import proposal
 from tests.tcpwires import TcpWires
 
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -16,9 +16,9 @@
 
 from lanelead.configuration.agreement import Proposer, Unfit
 from lanelead.configuration.document import Document
-from lanelead.configuration.holding import Holding
-from lanelead.configuration.letters import Asked, Call
-from lanelead.configuration.machine import Machine
+from lanelead.configuration.replica_state import Holding
+from lanelead.configuration.messages import Asked, Call
+from lanelead.configuration.replica import Machine
 from lanelead.configuration.store import Store, StoreFault
 from lanelead.protocols.configuration import (
     Accept,
@@ -29,7 +29,7 @@
     RejectedProposal,
     Heartbeat,
 )
-from lanelead.protocols.machines import DecidedChange
+from lanelead.protocols.configuration_replicas import DecidedChange
 
 
 class Killed(BaseException):
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -13,11 +13,11 @@
 
 import structlog
 
-from lanelead.http import writing
-from lanelead.http.asks import HttpRequest
-from lanelead.http.serving import ServerConnection
-from lanelead.node.config import load
-from lanelead.node.service import Service
+from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest
+from lanelead.http.server import ServerConnection
+from lanelead.postgres_relay.config import load
+from lanelead.postgres_relay.service import Service
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY, message
 
@@ -161,16 +161,16 @@
             if kind == b"Z" or found.get("S") == b"FATAL":
                 return found
 
-    def send(self, ident: str, lane: str = "read", left: int = 1400, more: str = "") -> None:
-        self.writer.write(messages.query(statement(ident, lane, left, more)))
+    def send(self, ident: str, request_class: str = "read", left: int = 1400, more: str = "") -> None:
+        self.writer.write(messages.query(statement(ident, request_class, left, more)))
 
-    async def ask(self, ident: str, lane: str = "read", left: int = 1400) -> dict[str, bytes]:
-        self.send(ident, lane, left)
+    async def ask(self, ident: str, request_class: str = "read", left: int = 1400) -> dict[str, bytes]:
+        self.send(ident, request_class, left)
         return await self.answer()
 
 
-def statement(ident: str, lane: str = "read", left: int = 1400, more: str = "") -> bytes:
-    return f"SELECT doc FROM items WHERE id = 'ab12' /* id={ident},c={lane},t=m,d={left}{more} */".encode()
+def statement(ident: str, request_class: str = "read", left: int = 1400, more: str = "") -> bytes:
+    return f"SELECT doc FROM items WHERE id = 'ab12' /* id={ident},c={request_class},t=m,d={left}{more} */".encode()
 
 
 class Platform:
@@ -255,7 +255,7 @@
             caller.write(self.spoil.pop(0))
             caller.close()
         elif b"from=" not in ask.target:
-            caller.write(writing.response(200, (), self.list_of(self.units), keep=False))
+            caller.write(serialization.response(200, (), self.list_of(self.units), keep=False))
             caller.close()
         else:
             asyncio.get_running_loop().create_task(self._hold(caller))
@@ -269,7 +269,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._changed.wait(), 0.5)
         self._changed.clear()
-        caller.write(writing.response(200, (), self.list_of(self.units, full=False), keep=False))
+        caller.write(serialization.response(200, (), self.list_of(self.units, full=False), keep=False))
         caller.close()
 
     async def _desk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.circle.letters import (
+from lanelead.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
@@ -24,9 +24,9 @@
     read,
     write,
 )
-from lanelead.circle.members import Membership, Tempo
-from lanelead.hosting.door import MAX_MESSAGE_BYTES
-from lanelead.model.circle import SECOND, Town, Wires
+from lanelead.membership.member import Membership, Tempo
+from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
+from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 TEMPO = Tempo(3000, 60 * SECOND)
 NOWHERE = ("10.9.9.9", 1)
--- a/tests/test_circle_processes.py
+++ b/tests/test_circle_processes.py
@@ -16,12 +16,12 @@
 
 from click.testing import CliRunner
 
-from lanelead.circle.commands import circle as commands
-from lanelead.circle.commands import table
-from lanelead.circle.letters import ALIVE, DEAD, LEFT, Row
-from lanelead.days.fleet import free_ports
-from lanelead.protocols.records import EndpointMessage as Listed
-from lanelead.standins.wires import Wires
+from lanelead.membership.commands import circle as commands
+from lanelead.membership.commands import table
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, Row
+from lanelead.testbed.scenarios.processes import free_ports
+from lanelead.protocols.feeds import EndpointMessage as Listed
+from lanelead.testbed.emulators.fault_proxy import Wires
 from tests.town import SETTINGS, live, outside
 
 CIRCLE = """peers: {listen: port: %d, others: [%s]}
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from lanelead.circle.letters import ALIVE, DEAD, LEFT, Ack, Claim, Gossip, Ping, Row, read, write
-from lanelead.circle.members import Address, Membership, Tempo
-from lanelead.circle.records import CALLED, KEPT, UNHEARD, WORST
-from lanelead.model.circle import SECOND, Town, Wires
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, Ack, Claim, Gossip, Ping, Row, read, write
+from lanelead.membership.member import Address, Membership, Tempo
+from lanelead.membership.member_state import CALLED, KEPT, UNHEARD, WORST
+from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 HOUR = 3600 * SECOND
 TEMPO = Tempo(3000, 600 * SECOND)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,8 +14,8 @@
 from math import sqrt
 from unittest import mock
 
-from lanelead.decisions.servers import EndpointState, state_of
-from lanelead.decisions.sums import turned
+from lanelead.decisions.endpoint_state import EndpointState, state_of
+from lanelead.decisions.counters import turned
 from tests import hollow
 from tests.fake import FakeHost
 from tests.hollow import SECOND, play
@@ -72,7 +72,7 @@
         self.assertLessEqual(max(one.worst for one in found), 1.0)
 
     def test_without_a_time_to_fall_in_there_is_no_bound_to_keep(self) -> None:
-        found = play("mass", 24, 3.0, 1, duties=replace(hollow.DUTIES, overload_time=0))
+        found = play("mass", 24, 3.0, 1, limits=replace(hollow.DUTIES, overload_time=0))
         self.assertEqual(found.idle, 0)
         self.assertGreater(found.done, 0.6 * found.able)
 
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -20,11 +20,11 @@
 from tests.machines import World, proposal
 
 
-def trouble(world: World, chance: Random) -> None:
+def trouble(world: World, rng: Random) -> None:
     """One thing goes wrong, or right again."""
-    number = chance.randrange(world.many)
+    number = rng.randrange(world.many)
     most = len(world.voters) - (len(world.voters) // 2 + 1)
-    match chance.randrange(9):
+    match rng.randrange(9):
         case 0:
             world.kill(number)
         case 1 | 2:
@@ -41,27 +41,27 @@
         case 5:
             world.cut(range(world.many), [number], one_way=True)
         case 6:
-            side = chance.sample(range(world.many), world.many // 2)
+            side = rng.sample(range(world.many), world.many // 2)
             world.cut(side, [each for each in range(world.many) if each not in side])
         case 7:
             world.heal()
         case 8:
             for link in world.links.values():
-                link.loss, link.double = chance.choice((0.0, 0.1, 0.3)), chance.choice((0.0, 0.3))
-                link.spread = chance.choice((0.005, 0.1, 2.0))
+                link.loss, link.double = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.0, 0.3))
+                link.spread = rng.choice((0.005, 0.1, 2.0))
 
 
 def play(many: int, seed: int, seconds: int = 40, kills: float = 0.01, log: int = 20_000) -> World:
-    world, chance = World(many, seed, log=log), Random(f"trouble {seed}")
+    world, rng = World(many, seed, log=log), Random(f"trouble {seed}")
     assert world.run(20, lambda: all(machine.votes for machine in world.up())), "a first start never ends"
     world.kills = kills
     for number in range(seconds * 5):
-        what = proposal(f"change-{number}", f"tenant/t{chance.randrange(9)}", {"quota_per_s": number})
-        places = chance.sample(range(many), chance.choice((1, 1, 2)))
+        what = proposal(f"change-{number}", f"tenant/t{rng.randrange(9)}", {"quota_per_s": number})
+        places = rng.sample(range(many), rng.choice((1, 1, 2)))
         for place in places:  # one and the same at two machines, now and then
             world.propose(place, what)
-        if chance.random() < 0.2:
-            trouble(world, chance)
+        if rng.random() < 0.2:
+            trouble(world, rng)
         world.run(0.2)
     world.kills = 0.0
     world.heal()
@@ -89,20 +89,20 @@
 def storm(many: int, seed: int, seconds: int = 30) -> World:
     """Harsher, for safety alone: all propose all the time, letters take as long as tries, processes end at
     every other step and come back at once, and a minority at a time without their disks."""
-    world, chance = World(many, seed), Random(f"storm {seed}")
+    world, rng = World(many, seed), Random(f"storm {seed}")
     assert world.run(20, lambda: all(machine.votes for machine in world.up()))
     most = many - (many // 2 + 1)
     for link in world.links.values():
-        link.loss, link.double, link.spread = 0.05, 0.3, chance.choice((0.05, 0.3, 1.0))
+        link.loss, link.double, link.spread = 0.05, 0.3, rng.choice((0.05, 0.3, 1.0))
     for step in range(seconds * 10):
         for number, machine in world.machines.items():
             if machine is None:
                 lost = [voter for voter in world.lost() if voter != number]
-                world.start(number, empty=bool(world.decided) and len(lost) < most and chance.random() < 0.7)
-        world.kills = chance.choice((0.0, 0.05))
+                world.start(number, empty=bool(world.decided) and len(lost) < most and rng.random() < 0.7)
+        world.kills = rng.choice((0.0, 0.05))
         for number in range(many):
-            if chance.random() < 0.5:
-                world.propose(number, proposal(f"change-{step}-{number}", f"tenant/t{chance.randrange(9)}"))
+            if rng.random() < 0.5:
+                world.propose(number, proposal(f"change-{step}-{number}", f"tenant/t{rng.randrange(9)}"))
         world.run(0.1)
     return world
 
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.configuration import source as sources
+from lanelead.configuration import publisher as sources
 from lanelead.configuration.document import (
     Differs,
     Document,
@@ -21,8 +21,8 @@
     canonical,
     sums_of,
 )
-from lanelead.configuration.kinds import AppliedValues, TenantValue
-from lanelead.configuration.source import FROZEN, KEPT, SNAPSHOTS, Gone, Source
+from lanelead.configuration.value_types import AppliedValues, TenantValue
+from lanelead.configuration.publisher import FROZEN, KEPT, SNAPSHOTS, Gone, Source
 from lanelead.protocols.configuration import (
     MAX_CHANGE_BYTES,
     MAX_VALUE_BYTES,
@@ -31,7 +31,7 @@
     Entry,
     DigestTree,
 )
-from lanelead.protocols.records import MessageError, decode
+from lanelead.protocols.feeds import MessageError, decode
 
 KEYS = [f"tenant/t{n}" for n in range(12)]
 
@@ -242,13 +242,13 @@
         self.assertEqual(4, source.position(0, file.digest))
 
     def test_a_snapshot_stays_as_it_was_and_goes_by_name(self) -> None:
-        source, chance = self.source(10), Random(1)
+        source, rng = self.source(10), Random(1)
         first = source.outline(0.0)
         kept = [source.buckets(first.version, range(4096))]
         now = 0.0
         for _ in range(SNAPSHOTS - 1):
             now += FROZEN
-            made = change(source.document, entry(f"tenant/t{chance.randrange(50)}", now))
+            made = change(source.document, entry(f"tenant/t{rng.randrange(50)}", now))
             source.document.apply(made)
             source.decided(made)
             source.outline(now)
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from lanelead.configuration.follower import Follower
-from lanelead.configuration.kinds import TenantValue
-from lanelead.http.serving import STREAM, chunk
-from lanelead.node.configuration import LONGEST
+from lanelead.configuration.value_types import TenantValue
+from lanelead.http.server import STREAM, chunk
+from lanelead.postgres_relay.configuration_client import LONGEST
 from lanelead.protocols.configuration import BUCKET_COUNT as ALL
 from lanelead.protocols.configuration import Buckets, Entry, WatchLine
-from lanelead.protocols.records import MAX_LINE_BYTES as LINE
-from lanelead.protocols.records import MessageError, encode
+from lanelead.protocols.feeds import MAX_LINE_BYTES as LINE
+from lanelead.protocols.feeds import MessageError, encode
 from tests.configurationhand import entry, row
 from tests.configurationmachine import (
     APPLIED,
--- a/tests/test_configuration_follow.py
+++ b/tests/test_configuration_follow.py
@@ -5,9 +5,9 @@
 import unittest
 from random import Random
 
-from lanelead.configuration.acts import Place
+from lanelead.configuration.actions import Place
 from lanelead.configuration.document import Document
-from lanelead.model.configuration import Fleet
+from lanelead.testbed.simulation.configuration import Fleet
 
 ZONES = [("a", "one"), ("b", "one"), ("c", "two"), ("d", "two")]
 End = tuple[str, int]
@@ -183,9 +183,9 @@
 
     def test_a_tenth_restarts_every_ten_seconds(self) -> None:
         made = fleet(40)
-        chance = Random(3)
+        rng = Random(3)
         for _ in range(6):
-            for number in chance.sample(range(40), 4):
+            for number in rng.sample(range(40), 4):
                 made.restart(number, 0.5)
             made.run(7)
             self.later(made)
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lanelead.configuration.acts import AskBuckets, AskOutline, InForce
+from lanelead.configuration.actions import AskBuckets, AskOutline, InForce
 from lanelead.configuration.document import Document, bucket_of
 from lanelead.configuration.follower import OTHERWISE
 from lanelead.configuration.follower import (
@@ -264,8 +264,8 @@
         theirs.load([("tenant/new", b"{}")])
         hand.repairing(0, theirs)
         hand.bucketed(0, theirs)
-        (act,) = hand.acts(InForce)
-        self.assertEqual((5, ["tenant/new", "tenant/t2"]), (act.version, sorted(act.keys)))
+        (action,) = hand.acts(InForce)
+        self.assertEqual((5, ["tenant/new", "tenant/t2"]), (action.version, sorted(action.keys)))
         self.assertEqual([0, 0], hand.watched())  # from here on by changes
 
     def test_keys_of_a_bucket_that_differs_are_not_put_in_force_where_they_do_not(self) -> None:
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -16,11 +16,18 @@
     canonical,
     sums_of,
 )
-from lanelead.configuration.kinds import MOST_NAMED, ClassValue, AppliedValues, TenantValue, InvalidValueError, read
-from lanelead.configuration.source import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
+from lanelead.configuration.value_types import (
+    MOST_NAMED,
+    ClassValue,
+    AppliedValues,
+    TenantValue,
+    InvalidValueError,
+    read,
+)
+from lanelead.configuration.publisher import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
 from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
-from lanelead.node.inforce import InForce as Relay
-from lanelead.node.inforce import changed
+from lanelead.postgres_relay.applied_configuration import InForce as Relay
+from lanelead.postgres_relay.applied_configuration import changed
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
 from tests.configurationhand import change, entry
 
@@ -271,9 +278,9 @@
         self.assertEqual([], changed(old, old)[0])
 
     def test_figures_of_a_class_that_are_removed_stay_as_they_were(self) -> None:
-        lane = RequestClass(
+        request_class = RequestClass(
             "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
         )
-        here = Relay(dict[str, Tenant](), {"read": lane}, lambda _: None)
+        here = Relay(dict[str, Tenant](), {"read": request_class}, lambda _: None)
         self.assertEqual([], here.put(["class/read", "route/x"], {}))
-        self.assertEqual((8000, 15000), (lane.latency_objective, lane.timeout))
+        self.assertEqual((8000, 15000), (request_class.latency_objective, request_class.timeout))
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 
 from lanelead.configuration.agreement import Proposer
-from lanelead.configuration.letters import Asked, Call
-from lanelead.configuration.machine import QUEUE, Machine
+from lanelead.configuration.messages import Asked, Call
+from lanelead.configuration.replica import QUEUE, Machine
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -18,7 +18,7 @@
     RejectedProposal,
     Heartbeat,
 )
-from lanelead.protocols.machines import DecidedChange
+from lanelead.protocols.configuration_replicas import DecidedChange
 from tests.machines import World, proposal
 
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -18,8 +18,8 @@
 
 from lanelead.configuration.commands import ask, made
 from lanelead.protocols.configuration import AcceptedProposal, Entry, Proposal, RejectedProposal
-from lanelead.protocols.machines import ReplicaStatus
-from lanelead.protocols.records import decode, encode
+from lanelead.protocols.configuration_replicas import ReplicaStatus
+from lanelead.protocols.feeds import decode, encode
 from tests.machinegroup import Group, group
 from tests.platform import SETTINGS, Platform, Unit, free_port, platform
 from tests.tcpwires import TcpWires
--- a/tests/test_configuration_sources.py
+++ b/tests/test_configuration_sources.py
@@ -5,7 +5,7 @@
 import unittest
 
 
-from lanelead.configuration.acts import Place
+from lanelead.configuration.actions import Place
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import SETTLED
 from lanelead.configuration.follower import (
@@ -240,7 +240,7 @@
         hand.pass_(0.5)
         self.assertEqual([], hand.told())  # nobody is followed yet
         hand.line(0, 0)
-        self.assertEqual([0], [act.applied.version for act in hand.told()])
+        self.assertEqual([0], [action.applied.version for action in hand.told()])
         hand.follower.refused = [f"tenant/t{n}" for n in range(30)]
         for number in range(8):
             made = change(theirs, entry("tenant/a", number))
@@ -264,7 +264,7 @@
         hand.told()
         hand.ended(0)
         hand.line(1, 0)
-        self.assertEqual([1], [act.source for act in hand.told()])
+        self.assertEqual([1], [action.source for action in hand.told()])
 
     def test_a_loss_is_said_once(self) -> None:
         hand = Hand()
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -14,7 +14,7 @@
 
 from lanelead.configuration.agreement import Unfit
 from lanelead.configuration.document import Document
-from lanelead.configuration.holding import Holding, Strange, mark_of
+from lanelead.configuration.replica_state import Holding, Strange, mark_of
 from lanelead.configuration.store import (
     IDENTS,
     Corrupt,
@@ -36,7 +36,7 @@
     Proposal,
     RejectedProposal,
 )
-from lanelead.protocols.machines import SNAPSHOT_PAGES, SnapshotPage
+from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, SnapshotPage
 from tests.machines import proposal
 
 VOTERS = (0, 1, 2)
--- a/tests/test_creeping.py
+++ b/tests/test_creeping.py
@@ -5,8 +5,8 @@
 import unittest
 
 from lanelead.decisions.interface import SECOND, AttemptOutcome, RolloutState, RolloutPhase
-from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import state_of
+from lanelead.decisions.build_scoring import Fault
+from lanelead.decisions.endpoint_state import state_of
 from tests.fake import PURE, FakeHost
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -8,8 +8,8 @@
 import unittest
 from unittest import mock
 
-from lanelead.node import front as fronts
-from lanelead.node.client import Client
+from lanelead.postgres_relay import client_listener as fronts
+from lanelead.postgres_relay.client_connection import Client
 from lanelead.pgwire import messages
 from tests.platform import Client as Caller
 from tests.platform import Held, Platform, Unit, platform, statement
@@ -204,7 +204,7 @@
 
     @live
     async def test_a_flood_behind_it_is_read_up_to_a_bound_and_hurts_nobody(self) -> None:
-        with mock.patch("lanelead.node.client.MOST_DISCARDED", 100_000):
+        with mock.patch("lanelead.postgres_relay.client_connection.MOST_DISCARDED", 100_000):
             async with platform(Held("u0"), Unit("u1")) as place:
                 rude, sock = await place.client(), place.plain(statement("1a"))
                 rude.send("2a")
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -10,12 +10,12 @@
 from unittest import mock
 
 from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
-from lanelead.http import writing
-from lanelead.node import feeds
-from lanelead.node import service as services
-from lanelead.node.config import load
+from lanelead.http import serialization
+from lanelead.postgres_relay import discovery_client
+from lanelead.postgres_relay import service as services
+from lanelead.postgres_relay.config import load
 from lanelead.protocols.platform import RpcMessage
-from lanelead.protocols.records import MessageError, decode
+from lanelead.protocols.feeds import MessageError, decode
 from tests.platform import NEWS, SETTINGS, Platform, Unit, answered, platform, told
 from tests.town import live
 
@@ -57,7 +57,7 @@
 class Watches(unittest.TestCase):
     @live
     async def test_a_silent_watch_is_given_up_and_the_whole_list_is_asked_for(self) -> None:
-        with mock.patch.multiple(feeds, HOLD=0.1, LATE=0.2):
+        with mock.patch.multiple(discovery_client, HOLD=0.1, LATE=0.2):
             async with platform(Unit("u0"), Unit("u1")) as place:
                 await place.until(lambda: place.relay.state()["discovery"])
                 place.answers.clear()
@@ -73,7 +73,10 @@
             place.turn(place.units[1], "leaving")
             await place.until(lambda: condition(place, "u1") == "draining")
             place.states["u1"], place.version = "active", 1
-            old = [writing.response(200, (), place.list_of(place.units, bool(full)), keep=False) for full in (0, 1, 1)]
+            old = [
+                serialization.response(200, (), place.list_of(place.units, bool(full)), keep=False)
+                for full in (0, 1, 1)
+            ]
             place.states["u1"], place.version = "leaving", 2
             place.spoil = list(old)
             with mock.patch.object(
@@ -86,7 +89,7 @@
 
     @live
     async def test_a_discovery_that_counts_anew_is_believed_after_a_while(self) -> None:
-        with mock.patch.object(feeds, "INSISTS", 0.3):
+        with mock.patch.object(discovery_client, "INSISTS", 0.3):
             async with platform(Unit("u0"), Unit("u1")) as place:
                 place.turn(place.units[0], "active")
                 await place.until(lambda: place.relay._held.version == 2)
@@ -102,8 +105,8 @@
             place.states["u1"], place.version = "leaving", 10
             body = json.dumps(json.loads(place.list_of(place.units)), indent=2).encode()
             place.states["u1"], place.version = "active", 1
-            place.spoil = [writing.response(200, (), body, keep=False)]
-            with mock.patch("lanelead.http.calls.BUFFER", 7):
+            place.spoil = [serialization.response(200, (), body, keep=False)]
+            with mock.patch("lanelead.http.client.BUFFER", 7):
                 place.turn(place.units[0], "active")
                 await place.until(lambda: condition(place, "u1") == "draining")
 
@@ -114,7 +117,7 @@
             place.states["u1"], place.version = "leaving", 10
             body = place.list_of(place.units).replace(b'"north"', b'"%s"' % (b"z" * 1_100_000))
             place.states["u1"], place.version = "active", 1
-            place.spoil = [writing.response(200, (), body, keep=False)]
+            place.spoil = [serialization.response(200, (), body, keep=False)]
             place.turn(place.units[0], "active")
             await place.until(lambda: condition(place, "u1") == "draining")
 
@@ -123,7 +126,7 @@
         async with platform(Unit("u0"), Unit("u1")) as place:
             await place.until(lambda: place.relay.state()["discovery"])
             place.states["u1"] = "leaving"
-            text = writing.response(200, (), place.list_of(place.units), keep=False)
+            text = serialization.response(200, (), place.list_of(place.units), keep=False)
             place.states["u1"] = "active"
             place.spoil = [text[:-40]]
             place.turn(place.units[0], "active")
--- a/tests/test_crossings_idle.py
+++ b/tests/test_crossings_idle.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from lanelead.node import service as services
+from lanelead.postgres_relay import service as services
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from tests.agent import agent, entry, move
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -7,15 +7,15 @@
 from typing import Any
 from unittest import mock
 
-from lanelead.http import writing
-from lanelead.node import feeds
-from lanelead.node import service as services
-from lanelead.node.config import load
-from lanelead.node.service import Service
+from lanelead.http import serialization
+from lanelead.postgres_relay import discovery_client
+from lanelead.postgres_relay import service as services
+from lanelead.postgres_relay.config import load
+from lanelead.postgres_relay.service import Service
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
-from lanelead.protocols.records import decode
+from lanelead.protocols.feeds import decode
 from tests.agent import agent, body, entry, move
 from tests.platform import Held, Platform, Unit, free_port, platform
 from tests.test_crossings_feeds import condition
@@ -303,7 +303,7 @@
     @live
     async def test_one_that_is_too_long(self) -> None:
         async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
-            with mock.patch.object(feeds, "LONGEST", 5000):
+            with mock.patch.object(discovery_client, "LONGEST", 5000):
                 watch.tell(11, entry(place.units[0], note="x" * 5000), full=True)
                 call = await disc.next()
                 self.assertEqual((call.whole, state(place, "refused_lists")), (True, 1))
@@ -325,7 +325,7 @@
         with mock.patch.object(services, "FIRST", 0.05):
             async with platform(Unit("u0"), known=False, silent=True) as place:
                 text = b'{"version":1,"full":1,"servers":[]}'
-                place.spoil = [writing.response(200, (), text, keep=False)] * 3
+                place.spoil = [serialization.response(200, (), text, keep=False)] * 3
                 place.answers.set()
                 await place.until(lambda: state(place, "units") == 1)
                 lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "list refused"]
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -10,9 +10,9 @@
 import unittest
 from unittest import mock
 
-from lanelead.node import client as clients
-from lanelead.node import front as fronts
-from lanelead.node.client import Client
+from lanelead.postgres_relay import client_connection as clients
+from lanelead.postgres_relay import client_listener as fronts
+from lanelead.postgres_relay.client_connection import Client
 from lanelead.pgwire import messages
 from tests.platform import Held, Platform, Unit, platform, row, statement
 from tests.test_crossings_clients import taken_in
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -8,8 +8,9 @@
 from collections.abc import AsyncIterator
 from unittest import mock
 
-from lanelead.http import writing
-from lanelead.node import feeds, handover
+from lanelead.http import serialization
+from lanelead.postgres_relay import discovery_client
+from lanelead.postgres_relay import feed_handover
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from tests.agent import Agent, Call, agent, body, entry, move
@@ -39,10 +40,10 @@
         yield place, old, watch
 
 
-async def waits(place: Platform, ident: str, lane: str = "file") -> tuple[Client, Unit, Unit]:
+async def waits(place: Platform, ident: str, request_class: str = "file") -> tuple[Client, Unit, Unit]:
     """A client whose lookup waits at a unit; that unit, and the other one."""
     client = await place.client()
-    client.send(ident, lane)
+    client.send(ident, request_class)
     first, other = place.units
     text = b"id=%s," % ident.encode()
     await place.until(lambda: any(text in query for unit in place.units for query in unit.queries))
@@ -126,7 +127,7 @@
 
     @live
     async def test_a_new_one_that_counts_anew_is_believed_while_the_old_one_goes_on(self) -> None:
-        with mock.patch.object(feeds, "INSISTS", 0.3):
+        with mock.patch.object(discovery_client, "INSISTS", 0.3):
             async with town(Unit("u0"), Unit("u1")) as (place, old, watch), agent() as new:
                 move(place, new.port)
 
@@ -154,11 +155,11 @@
     async def test_many_moves_to_addresses_that_say_nothing_leave_few_feeds(self) -> None:
         async with town(Unit("u0"), Unit("u1")) as (place, _, watch), agent() as new:
             place.speaks = False
-            for _ in range(3 * handover.MOST):
+            for _ in range(3 * feed_handover.MOST):
                 move(place, new.port)
             relay = place.relay
             self.assertEqual(
-                (len(relay._discovery._running), len(relay._desk._running)), (handover.MOST, handover.MOST)
+                (len(relay._discovery._running), len(relay._desk._running)), (feed_handover.MOST, feed_handover.MOST)
             )
             watch.tell(11, entry(place.units[1], state="leaving"))  # the one that counts is still heard
             await place.until(lambda: condition(place, "u1") == "draining")
@@ -180,7 +181,7 @@
 
     @live
     async def test_after_many_good_answers(self) -> None:
-        with mock.patch.object(feeds, "HOLD", 0.5):
+        with mock.patch.object(discovery_client, "HOLD", 0.5):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 for version in range(11, 211):
                     watch.tell(version, entry(place.units[0]))
@@ -192,7 +193,7 @@
 
     @live
     async def test_right_after_a_move(self) -> None:
-        with mock.patch.object(feeds, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "HOLD", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, _, _), agent() as new:
                 move(place, new.port)
                 watch = await new.watch(10, *(entry(unit) for unit in place.units))
@@ -200,11 +201,11 @@
 
     @live
     async def test_with_a_part_of_an_answer_sent(self) -> None:
-        with mock.patch.object(feeds, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "HOLD", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 version = 10
                 missed = [entry(place.units[1], state="leaving"), entry(place.units[0])]
-                text = writing.response(200, (), body(99, *missed), keep=False)
+                text = serialization.response(200, (), body(99, *missed), keep=False)
                 head = text.index(b"\r\n\r\n") + 4
                 for size in (1, head - 2, head, head + 1, len(text) - 1):
                     watch.part(text[:size])
@@ -215,9 +216,9 @@
 
     @live
     async def test_bytes_that_drip_are_silence_too(self) -> None:
-        with mock.patch.object(feeds, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "HOLD", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
-                text = writing.response(200, (), body(11, *map(entry, place.units)) + b" " * 10_000, keep=False)
+                text = serialization.response(200, (), body(11, *map(entry, place.units)) + b" " * 10_000, keep=False)
 
                 async def drip() -> None:
                     for place_in in range(len(text)):
@@ -230,7 +231,7 @@
 
     @live
     async def test_calls_for_the_whole_list_that_are_silent_as_well(self) -> None:
-        with mock.patch.object(feeds, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "HOLD", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 for _ in range(3):
                     await watch.over.wait()
@@ -248,12 +249,12 @@
             call.tell(11, entry(place.units[0]), entry(place.units[1], state="leaving"))
             await place.until(lambda: condition(place, "u1") == "draining")
             took = asyncio.get_running_loop().time() - began
-            self.assertLess(took, feeds.HOLD + 2)
-            self.assertGreaterEqual(took, feeds.HOLD)
+            self.assertLess(took, discovery_client.HOLD + 2)
+            self.assertGreaterEqual(took, discovery_client.HOLD)
 
     @live
     async def test_old_copies_with_silence_between_them_are_not_insisting(self) -> None:
-        with mock.patch.multiple(feeds, HOLD=SOON, INSISTS=0.5):
+        with mock.patch.multiple(discovery_client, HOLD=SOON, INSISTS=0.5):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 watch.tell(11, entry(place.units[1], state="leaving"))
                 silent = await disc.next()
@@ -268,7 +269,7 @@
     @live
     async def test_while_the_relay_itself_drains(self) -> None:
         """A lookup that waits after SIGTERM, and comes back, is not sent to a unit that leaves meanwhile."""
-        with mock.patch.multiple(feeds, HOLD=SOON, LATE=0.2):
+        with mock.patch.multiple(discovery_client, HOLD=SOON, LATE=0.2):
             async with town(Turned("u0"), Turned("u1")) as (place, disc, watch):
                 client, first, other = await waits(place, "1a")
                 place.relay.stop()
--- a/tests/test_crossings_units.py
+++ b/tests/test_crossings_units.py
@@ -11,10 +11,10 @@
 from unittest import mock
 
 from lanelead.decisions.interface import AttemptOutcome, Endpoint as Known
-from lanelead.node.pools import Link
+from lanelead.postgres_relay.connection_pool import Link
 from lanelead.pgwire.messages import READY, error, query
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from lanelead.protocols.records import decode
+from lanelead.protocols.feeds import decode
 from tests.platform import Client, Hand, Held, Platform, Unit, good, platform, row, statement
 from tests.town import live
 
@@ -168,7 +168,7 @@
                 "SELECT doc FROM items WHERE id = 'ab12'",
                 f"INSERT INTO items (id, doc) VALUES ('ab12', '\\x{'00' * 60_000}') RETURNING doc",
             )
-            with mock.patch("lanelead.node.pools.socket.socket", Narrow):
+            with mock.patch("lanelead.postgres_relay.connection_pool.socket.socket", Narrow):
                 for number in range(6):  # some of them go to the hasty one first
                     client.writer.write(query(wide.replace("id=1a", f"id={number}a").encode()))
                     answer = await client.answer()
@@ -179,12 +179,12 @@
 
 
 class Connecting(unittest.TestCase):
-    async def _on_its_way(self, place: Platform, lane: str = "file") -> Client:
+    async def _on_its_way(self, place: Platform, request_class: str = "file") -> Client:
         """A lookup whose connection has come up and has not been welcomed."""
         unit = place.units[0]
         unit.welcomes.clear()
         client = await place.client()
-        client.send("1a", lane)
+        client.send("1a", request_class)
         await place.until(lambda: unit.connections == 1)
         return client
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,8 +13,8 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.days.commands import load
-from lanelead.days.frombench import MAKERS, NotADay, script, written
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.bench_import import MAKERS, NotADay, script, written
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Day
 
@@ -73,7 +73,7 @@
 
 def bench_day(*troubles: dict[str, Any]) -> dict[str, Any]:
     """A day in the bench's form, written here after its published fields."""
-    lane = {
+    request_class = {
         "share": 0.6,
         "work": 200000.0,
         "aim": 1500000,
@@ -98,7 +98,10 @@
         "clients": {"retries": 1, "try_share": 0.6, "honour": 0.8, "backoff_us": 2000.0},
         "discovery": {"add": 1000000, "silent_notice": 10000000},
         "allow": {"max_attempts": 3, "cancel": True, "probes": True, "second_copies": True},
-        "classes": [{"name": "read", "effect": "safe", **lane}, {"name": "file", "effect": "unsafe", **lane}],
+        "classes": [
+            {"name": "read", "effect": "safe", **request_class},
+            {"name": "file", "effect": "unsafe", **request_class},
+        ],
         "tenants": [{"name": "m", "share": 1.0, "quota": 0.8}],
         "tiers": [{"kinds": [kind], "report_period": 200000, "stated_cold_from": 0.4, "stated_cold": 4000000}],
         "balancers": [{}] * 150,
