--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from lanelead.decisions.guards import NEVER_RAN
+from lanelead.decisions.admission import NEVER_RAN
 from lanelead.decisions.interface import (
     ResourceQuota,
     PromotionControl,
@@ -29,11 +29,11 @@
     Endpoint,
     CastVote,
 )
-from lanelead.decisions.rules import Balancer
-from lanelead.http.answers import HttpResponse
-from lanelead.http.asks import HttpRequest
-from lanelead.protocols.records import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.relay.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.decisions.balancer import Balancer
+from lanelead.http.responses import HttpResponse
+from lanelead.http.requests import HttpRequest
+from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage
+from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 
 SECOND: Ticks = 10_000
 LANES = [
@@ -57,12 +57,12 @@
         self.votes: list[CastVote] = []
         self.told: list[bytes] = []
 
-    def start_attempt(self, trip: Attempt, ticket: PendingRequest) -> None:
-        self.sent.append((self.now, trip))
-        self.out[trip] = True
+    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        self.sent.append((self.now, attempt))
+        self.out[attempt] = True
 
-    def cancel_attempt(self, trip: Attempt) -> bool:
-        return self.out.pop(trip, False)
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        return self.out.pop(attempt, False)
 
     def check_health(self, unit: Endpoint) -> None: ...
     def close_idle_connections(self, unit: Endpoint) -> None: ...
@@ -84,14 +84,14 @@
         self.hands = PaperHands(start)
         relay = Balancer(
             place=RelayPosition(0, 3, "north"),
-            lanes=LANES,
-            members=[],
-            duties=DUTIES,
+            request_classes=LANES,
+            tenants=[],
+            limits=DUTIES,
             trial=TRIAL,
-            allowance=ResourceQuota(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
+            quota=ResourceQuota(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
             poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0),
-            tariff=Prices(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
-            chance=Random(1),
+            prices=Prices(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
+            rng=Random(1),
             now=start,
         )
         self.driver = DecisionDriver(relay, self.hands, lambda: self.hands.now, LANES, DUTIES, open_lookups, SECOND)
@@ -105,27 +105,27 @@
         zone = "north" if number % 2 else "south"
         return EndpointMessage(f"u{number}", "127.0.0.1", 1000 + number, zone, build, condition, started_ms=started)  # type: ignore[arg-type]
 
-    def listed(self, coverage: str, *rows: EndpointMessage) -> None:
-        self.driver.endpoints_listed(EndpointListMessage(coverage, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
+    def listed(self, update_scope: str, *rows: EndpointMessage) -> None:
+        self.driver.endpoints_listed(EndpointListMessage(update_scope, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
 
-    def ask(self, lane: RequestClass = LANES[0], left: Ticks = 2 * SECOND) -> PendingRequest:
+    def ask(self, request_class: RequestClass = LANES[0], left: Ticks = 2 * SECOND) -> PendingRequest:
         def replied(
-            ticket: PendingRequest,
+            pending: PendingRequest,
             outcome: RequestOutcome,
-            trip: Attempt | None,
+            attempt: Attempt | None,
             answer: HttpResponse | None,
-            come_back: Ticks,
+            retry_after: Ticks,
         ) -> None:
-            self.answers.append((self.hands.now, ticket, outcome))
+            self.answers.append((self.hands.now, pending, outcome))
 
-        ticket = PendingRequest(f"t{len(self.tickets)}", ASK, replied)
-        self.tickets.append(ticket)
-        self.driver.receive(ticket, lane, None, None, left)
-        return ticket
+        pending = PendingRequest(f"t{len(self.tickets)}", ASK, replied)
+        self.tickets.append(pending)
+        self.driver.receive(pending, request_class, None, None, left)
+        return pending
 
-    def end(self, trip: Attempt, fate: AttemptOutcome) -> None:
-        if self.hands.out.pop(trip, None) is not None:
-            self.driver.attempt_ended(trip, fate, ANSWER if fate is AttemptOutcome.SUCCEEDED else None)
+    def end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        if self.hands.out.pop(attempt, None) is not None:
+            self.driver.attempt_ended(attempt, outcome, ANSWER if outcome is AttemptOutcome.SUCCEEDED else None)
 
     def run(self, span: Ticks) -> None:
         until = self.hands.now + span
@@ -135,8 +135,8 @@
         self.hands.now = until
         self.driver.tick()
 
-    def trips(self, ticket: PendingRequest) -> list[Attempt]:
-        return [trip for _, trip in self.hands.sent if trip.request is ticket.request]
+    def trips(self, pending: PendingRequest) -> list[Attempt]:
+        return [attempt for _, attempt in self.hands.sent if attempt.request is pending.request]
 
 
 class AnyOrder(RuleBasedStateMachine):
@@ -154,18 +154,18 @@
         self.checked = 0
 
     @rule(lane=st.sampled_from(LANES), left=st.integers(1, 2 * SECOND))
-    def ask(self, lane: RequestClass, left: Ticks) -> None:
+    def ask(self, request_class: RequestClass, left: Ticks) -> None:
         self.taken.append(self.stage.hands.now)
-        self.stage.ask(lane, left)
+        self.stage.ask(request_class, left)
 
     @rule(
         place=st.integers(0, 30), fate=st.sampled_from([f for f in AttemptOutcome if f is not AttemptOutcome.CANCELLED])
     )
-    def end(self, place: int, fate: AttemptOutcome) -> None:
+    def end(self, place: int, outcome: AttemptOutcome) -> None:
         out = list(self.stage.hands.out)
         if out:
-            self.done += fate is AttemptOutcome.SUCCEEDED
-            self.stage.end(out[place % len(out)], fate)
+            self.done += outcome is AttemptOutcome.SUCCEEDED
+            self.stage.end(out[place % len(out)], outcome)
 
     @rule(span=st.sampled_from([1, 50, 1000, SECOND, 3 * SECOND]))
     def wait(self, span: Ticks) -> None:
@@ -179,11 +179,11 @@
 
     @rule(place=st.integers(0, 30))
     def leave(self, place: int) -> None:
-        open_ = [ticket for ticket in self.stage.tickets if not ticket.answered]
+        open_ = [pending for pending in self.stage.tickets if not pending.answered]
         if open_:
-            ticket = open_[place % len(open_)]
-            self.left.add(ticket.id)
-            self.stage.driver.client_left(ticket)
+            pending = open_[place % len(open_)]
+            self.left.add(pending.id)
+            self.stage.driver.client_left(pending)
 
     @rule(number=st.integers(0, 5), what=st.sampled_from(["draining", "gone", "ready", "cold", "new build"]))
     def list_(self, number: int, what: str) -> None:
@@ -218,50 +218,54 @@
     @invariant()
     def answers_are_one_each_and_in_time(self) -> None:
         counts: dict[str, int] = {}
-        for _, ticket, _ in self.stage.answers:
-            counts[ticket.id] = counts.get(ticket.id, 0) + 1
-            assert ticket.id not in self.left or not ticket.request
+        for _, pending, _ in self.stage.answers:
+            counts[pending.id] = counts.get(pending.id, 0) + 1
+            assert pending.id not in self.left or not pending.request
         assert all(many == 1 for many in counts.values())
-        for ticket in self.stage.tickets:
-            if ticket.request is not None and self.stage.hands.now > ticket.request.deadline:
-                assert ticket.answered, "no answer by its outer limit"
+        for pending in self.stage.tickets:
+            if pending.request is not None and self.stage.hands.now > pending.request.deadline:
+                assert pending.answered, "no answer by its outer limit"
 
     @invariant()
     def effects_are_never_doubled(self) -> None:
-        shed = {ticket for _, ticket, outcome in self.stage.answers if outcome is RequestOutcome.REJECTED}
-        for ticket in self.stage.tickets:
-            if ticket.request is None:
+        shed = {pending for _, pending, outcome in self.stage.answers if outcome is RequestOutcome.REJECTED}
+        for pending in self.stage.tickets:
+            if pending.request is None:
                 continue
-            lane, trips = ticket.request.request_class, ticket.request.attempts
-            ran = [trip for trip in trips if trip.outcome not in NEVER_RAN]
-            if lane.idempotency is not Idempotency.IDEMPOTENT:
-                assert ticket not in shed or not ran, "shed, though it may have run"
-            if lane.idempotency is Idempotency.NON_IDEMPOTENT:
-                assert not ran or trips[-1] is ran[0], "sent again, though it may have run"
-            if lane.idempotency is Idempotency.KEYED and ran:
-                for trip in trips[trips.index(ran[0]) + 1 :]:
-                    assert trip.endpoint.zone == ran[0].endpoint.zone
-                    assert trip.sent_at <= ran[0].sent_at + lane.deduplication_window
+            request_class, attempts = pending.request.request_class, pending.request.attempts
+            ran = [attempt for attempt in attempts if attempt.outcome not in NEVER_RAN]
+            if request_class.idempotency is not Idempotency.IDEMPOTENT:
+                assert pending not in shed or not ran, "shed, though it may have run"
+            if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+                assert not ran or attempts[-1] is ran[0], "sent again, though it may have run"
+            if request_class.idempotency is Idempotency.KEYED and ran:
+                for attempt in attempts[attempts.index(ran[0]) + 1 :]:
+                    assert attempt.endpoint.zone == ran[0].endpoint.zone
+                    assert attempt.sent_at <= ran[0].sent_at + request_class.deduplication_window
 
     @invariant()
     def drains_exposure_and_cold_units_are_kept(self) -> None:
         sent = self.stage.hands.sent
-        for at, trip in sent[self.checked :]:
-            name, now = self.stage.driver.registry.names[trip.endpoint], at
+        for at, attempt in sent[self.checked :]:
+            name, now = self.stage.driver.registry.names[attempt.endpoint], at
             assert name not in self.drained, "sent to a unit that drains or is gone"
             born = self.born.get(name)
             if born is not None and now - born < DUTIES.slow_start_time:
                 lately = sum(
-                    1 for when, other in sent if other.endpoint is trip.endpoint and when > now - DUTIES.overload_time
+                    1
+                    for when, other in sent
+                    if other.endpoint is attempt.endpoint and when > now - DUTIES.overload_time
                 )
                 assert lately <= 2 + DUTIES.overload_multiple * self.done / 4, "a cold unit was sent too much"
-            if trip.endpoint.build > 1:
-                mine = [when for when, other in sent if other.endpoint.build == trip.endpoint.build]
+            if attempt.endpoint.build > 1:
+                mine = [when for when, other in sent if other.endpoint.build == attempt.endpoint.build]
                 many = sum(1 for when in mine if when > now - TRIAL.window)
                 have = sum(1 for when in self.taken if when > now - TRIAL.window)
-                assert many <= TRIAL.uncounted_attempts + have or trip.endpoint.build < self.build, "over the cap of 1"
-                if self.guarded and trip.endpoint.build == self.build:
-                    assert trip.request.request_class.idempotency is Idempotency.IDEMPOTENT, "a guarded stage"
+                assert many <= TRIAL.uncounted_attempts + have or attempt.endpoint.build < self.build, (
+                    "over the cap of 1"
+                )
+                if self.guarded and attempt.endpoint.build == self.build:
+                    assert attempt.request.request_class.idempotency is Idempotency.IDEMPOTENT, "a guarded stage"
         self.checked = len(sent)
 
 
@@ -276,13 +280,13 @@
         class Careless(AnyOrder):
             @rule(place=st.integers(0, 30))
             def error_told_as_turned_away(self, place: int) -> None:
-                for trip in list(self.stage.hands.out):
-                    lane = trip.request.request_class
-                    if lane.idempotency is Idempotency.NON_IDEMPOTENT and not trip.request.finished:
-                        self.stage.hands.out.pop(trip)
-                        trip.outcome = None
-                        self.stage.driver.decisions.attempt_ended(trip, AttemptOutcome.REJECTED, False, 1, None)
-                        trip.outcome = AttemptOutcome.ERROR
+                for attempt in list(self.stage.hands.out):
+                    request_class = attempt.request.request_class
+                    if request_class.idempotency is Idempotency.NON_IDEMPOTENT and not attempt.request.finished:
+                        self.stage.hands.out.pop(attempt)
+                        attempt.outcome = None
+                        self.stage.driver.decisions.attempt_ended(attempt, AttemptOutcome.REJECTED, False, 1, None)
+                        attempt.outcome = AttemptOutcome.ERROR
                         self.stage.driver._carry()
                         return
 
@@ -301,27 +305,27 @@
 
     def test_the_first_word_on_a_trip_counts_and_a_late_one_changes_nothing(self) -> None:
         stage = Stage()
-        ticket = stage.ask(LANES[2])
-        (trip,) = stage.trips(ticket)
+        pending = stage.ask(LANES[2])
+        (attempt,) = stage.trips(pending)
         stage.run(2 * SECOND)
-        self.assertIs(trip.outcome, AttemptOutcome.TIMED_OUT)
-        stage.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED, ANSWER)
+        self.assertIs(attempt.outcome, AttemptOutcome.TIMED_OUT)
+        stage.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
         self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
 
     def test_a_trip_that_wrote_no_byte_by_its_limit_never_ran(self) -> None:
         stage = Stage()
-        ticket = stage.ask(LANES[2])
-        stage.hands.out[stage.trips(ticket)[0]] = False
+        pending = stage.ask(LANES[2])
+        stage.hands.out[stage.trips(pending)[0]] = False
         stage.run(2 * SECOND)
-        self.assertIs(stage.trips(ticket)[0].outcome, AttemptOutcome.CONNECT_FAILED)
+        self.assertIs(stage.trips(pending)[0].outcome, AttemptOutcome.CONNECT_FAILED)
         self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.REJECTED])
 
     def test_a_relay_that_stood_still_passes_on_no_answer_that_is_too_late(self) -> None:
         stage = Stage()
-        ticket = stage.ask(LANES[0])
-        (trip,) = stage.trips(ticket)
+        pending = stage.ask(LANES[0])
+        (attempt,) = stage.trips(pending)
         stage.hands.now += 5 * SECOND
-        stage.end(trip, AttemptOutcome.SUCCEEDED)
+        stage.end(attempt, AttemptOutcome.SUCCEEDED)
         self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
 
     def test_beyond_the_allowance_it_is_shed_at_the_door(self) -> None:
@@ -334,13 +338,13 @@
     def test_a_drain_or_another_life_told_while_a_trip_waits_for_a_connection(self) -> None:
         for change in ({"condition": "draining"}, {"build": 2}, {"age": 0}):
             stage = Stage()
-            ticket = stage.ask(LANES[0])
-            (trip,) = stage.trips(ticket)
-            place = stage.driver.destination_of(trip)
+            pending = stage.ask(LANES[0])
+            (attempt,) = stage.trips(pending)
+            place = stage.driver.destination_of(attempt)
             self.assertIsNotNone(place)
-            number = int(stage.driver.registry.names[trip.endpoint][1:])
+            number = int(stage.driver.registry.names[attempt.endpoint][1:])
             stage.listed("changes", stage.row(number, **change))
-            self.assertNotEqual(stage.driver.destination_of(trip), place, change)
+            self.assertNotEqual(stage.driver.destination_of(attempt), place, change)
 
     def test_a_unit_keeps_its_time_of_start_over_streams_with_other_clocks(self) -> None:
         stage = Stage()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from lanelead.hosting.door import HEAD, STEP, UNTOLD
+from lanelead.runtime.endpoint_registry import HEAD, STEP, UNTOLD
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams
-from lanelead.standins.wires import Wires
+from lanelead.testbed.emulators.fault_proxy import Wires
 from tests.platform import SETTINGS, Client, Platform, Unit, free_port, good
 from tests.town import live
 
@@ -113,12 +113,12 @@
 
         await asyncio.gather(*(one(number, client) for number, client in clients))
 
-    async def ask(self, clients: dict[int, Client], rounds: int, lane: str = "read") -> int:
+    async def ask(self, clients: dict[int, Client], rounds: int, request_class: str = "read") -> int:
         """Each client asks in turn, `rounds` times; how many got a value."""
         values = 0
         for _ in range(rounds):
             self.turn += 1
-            answers = [client.ask(f"{number}-{self.turn}", lane) for number, client in clients.items()]
+            answers = [client.ask(f"{number}-{self.turn}", request_class) for number, client in clients.items()]
             values += sum("E" not in answer for answer in await asyncio.gather(*answers))
         return values
 
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -9,7 +9,7 @@
 
 from benchmarks.slopes.fleet import Fleet, Hollow
 from benchmarks.slopes.sizes import Size
-from lanelead.relay.driver import RequestOutcome
+from lanelead.runtime.driver import RequestOutcome
 
 SIZE = Size(12, 36, 20.0)
 SECONDS = 4.0
@@ -96,11 +96,11 @@
         fleet = Fleet(SIZE, 7)
         lost = {row.unit: None for row in fleet.rows if row.zone == "z0"}
         fleet.reach = lambda relay, unit: unit not in lost
-        fates = Counter[Any]()
+        outcomes = Counter[Any]()
         fleet.run(SECONDS)
         for relay in fleet.relays:
-            fates += Counter(relay.driver.counters.outcomes)
-        self.assertEqual({"succeeded", "connect failed"}, {fate.value for fate, many in fates.items() if many})
+            outcomes += Counter(relay.driver.counters.outcomes)
+        self.assertEqual({"succeeded", "connect failed"}, {outcome.value for outcome, many in outcomes.items() if many})
         answered = sum(relay.outcomes[RequestOutcome.SUCCEEDED] for relay in fleet.relays)
         self.assertGreater(answered, 0.9 * sum(relay.asked for relay in fleet.relays))
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.http import writing
-from lanelead.http.answers import ResponseReader, Progress
-from lanelead.http.asks import HttpRequest, RequestReader, Event, ContinueExpected, RejectedRequest, State
+from lanelead.http import serialization
+from lanelead.http.responses import ResponseReader, Progress
+from lanelead.http.requests import HttpRequest, RequestReader, Event, ContinueExpected, RejectedRequest, State
 
 HOST = b"Host: a\r\n"
 
@@ -186,7 +186,7 @@
         for number in range(3):
             reader.expect(False)
             body = b"%d" % number
-            self.assertIs(reader.feed(writing.response(200, (), body)), Progress.WHOLE)
+            self.assertIs(reader.feed(serialization.response(200, (), body)), Progress.WHOLE)
             self.assertEqual(reader.answer and reader.answer.body, body)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
@@ -202,11 +202,11 @@
     def test_what_is_written_is_read_back(self, method: str, body: bytes, status: int) -> None:
         sent = body if method in ("POST", "PUT") else b""
         fields = [(b"host", b"a"), (b"x-y", b"z")]
-        (ask,) = asks(writing.request(method, b"/p?q", fields, sent))
+        (ask,) = asks(serialization.request(method, b"/p?q", fields, sent))
         assert isinstance(ask, HttpRequest)
         self.assertEqual((ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z"))
         reader = ResponseReader(1000)
-        self.assertIs(reader.feed(writing.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
+        self.assertIs(reader.feed(serialization.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
         self.assertEqual(reader.answer and reader.answer.body, b"" if status in (204, 304) else body)
 
     def test_fields_of_one_hop_and_those_that_connection_names_stay_behind(self) -> None:
@@ -217,7 +217,7 @@
             (b"kept", b"2"),
             (b"ours", b"3"),
         ]
-        self.assertEqual(writing.passed_on(fields, writing.own(b"ours")), [(b"kept", b"2")])
+        self.assertEqual(serialization.passed_on(fields, serialization.own(b"ours")), [(b"kept", b"2")])
 
 
 if __name__ == "__main__":
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -7,10 +7,10 @@
 from unittest import mock
 from typing import Any
 
-from lanelead.configuration.kinds import ClassValue, TenantValue
+from lanelead.configuration.value_types import ClassValue, TenantValue
 from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
-from lanelead.node import service as services
-from lanelead.node.inforce import InForce, entries, without_figures
+from lanelead.postgres_relay import service as services
+from lanelead.postgres_relay.applied_configuration import InForce, entries, without_figures
 from tests.platform import SETTINGS, Platform, Unit, platform
 from tests.town import live
 
@@ -32,23 +32,26 @@
 
     def test_tenants_come_change_and_go_and_the_sum_is_told(self) -> None:
         old, sums = Tenant("a", 5.0, 0.1), list[float]()
-        members, lanes = {"a": old}, dict[str, RequestClass]()
-        here = InForce(members, lanes, sums.append)
+        tenants, request_classes = {"a": old}, dict[str, RequestClass]()
+        here = InForce(tenants, request_classes, sums.append)
         self.assertEqual([], here.put(["tenant/b"], {"tenant/b": TenantValue(7.0, 0.2)}))
         here.put(["tenant/a"], {"tenant/a": TenantValue(6.0, 0.3)})
-        self.assertIs(members["a"], old)  # lookups under way hold it
+        self.assertIs(tenants["a"], old)  # lookups under way hold it
         self.assertEqual((6.0, 0.3, 12.0, 13.0), (old.quota, old.share, *sums))
         here.put(["tenant/a", "tenant/none"], {})
-        self.assertEqual((["b"], 7.0), (list(members), sums[-1]))
+        self.assertEqual((["b"], 7.0), (list(tenants), sums[-1]))
 
     def test_a_class_takes_its_figures_and_one_that_nobody_named_is_given_back(self) -> None:
-        lane = RequestClass(
+        request_class = RequestClass(
             "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
         )
-        here = InForce({}, {"read": lane}, lambda _: None)
+        here = InForce({}, {"read": request_class}, lambda _: None)
         figures = ClassValue(400.0, 900.0, 2.0, 0.5)
         self.assertEqual(["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures}))
-        self.assertEqual((4000, 9000, 2.0, 0.5), (lane.latency_objective, lane.timeout, lane.value, lane.late_value))
+        self.assertEqual(
+            (4000, 9000, 2.0, 0.5),
+            (request_class.latency_objective, request_class.timeout, request_class.value, request_class.late_value),
+        )
 
 
 class Hangup(unittest.TestCase):
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from lanelead.decisions.interface import AttemptOutcome, Request, Attempt, Verdict, CastVote
-from lanelead.protocols.records import MessageError, RolloutMessage
-from lanelead.protocols.steps import AppendRequest, LogEntry, LeaseRequest, LoggedEntry, MigrationLogPage
+from lanelead.protocols.feeds import MessageError, RolloutMessage
+from lanelead.protocols.migrations import AppendRequest, LogEntry, LeaseRequest, LoggedEntry, MigrationLogPage
 from lanelead.settings.records import Demands, Need, Steps
-from lanelead.standins.stepstore import FaultyStore
-from lanelead.steps.join import Readiness
-from lanelead.steps.runner import Goal
-from lanelead.store.ledger import Ledger
+from lanelead.testbed.emulators.migration_store import FaultyStore
+from lanelead.migrations.readiness import Readiness
+from lanelead.migrations.runner import Goal
+from lanelead.store.migration_store import Ledger
 from tests.test_driver import ANSWER, LANES, SECOND, Stage
 from tests.test_steps import plan, step, through
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
@@ -40,8 +40,8 @@
         return found
 
     def trip(self, sent: int = 0) -> Attempt:
-        lookup = Request(LANES[0], None, None, sent, sent + 2 * SECOND)
-        return Attempt(lookup, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
+        request = Request(LANES[0], None, None, sent, sent + 2 * SECOND)
+        return Attempt(request, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
 
     def test_before_the_record_is_heard_only_the_earliest_listed_build_is_there(self) -> None:
         readiness = Readiness(SECOND, 0)
@@ -110,10 +110,10 @@
             self.stage.hands.now += SECOND // 10
             self.driver.tick()
             self.stage.ask()
-            for _, trip in self.stage.hands.sent[before:]:
-                if trip.outcome is None:
-                    self.driver.attempt_ended(trip, AttemptOutcome.SUCCEEDED, ANSWER)
-        return {self.driver.destinations[trip.endpoint].build for _, trip in self.stage.hands.sent[before:]}
+            for _, attempt in self.stage.hands.sent[before:]:
+                if attempt.outcome is None:
+                    self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
+        return {self.driver.destinations[attempt.endpoint].build for _, attempt in self.stage.hands.sent[before:]}
 
     def test_a_build_has_no_trip_until_its_step_is_done_and_then_has_some(self) -> None:
         self.assertEqual(self.builds(), {1})
@@ -130,10 +130,10 @@
 
     def test_a_trip_that_was_chosen_before_a_closing_is_not_written_after_it(self) -> None:
         self.stage.ask()
-        trip = self.stage.hands.sent[-1][1]
-        self.assertIsNotNone(self.driver.destination_of(trip))
+        attempt = self.stage.hands.sent[-1][1]
+        self.assertIsNotNone(self.driver.destination_of(attempt))
         self.driver.migrations_read(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
-        self.assertIsNone(self.driver.destination_of(trip))
+        self.assertIsNone(self.driver.destination_of(attempt))
 
     def test_a_vote_on_past_the_stage_waits_and_a_vote_back_does_not(self) -> None:
         self.driver.migrations_read(page(*through("a"), since=1))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from lanelead.days.commands import load
-from lanelead.days.judge import Finding, Verdict, judge
-from lanelead.protocols.steps import LogEntry
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.verifier import Finding, Verdict, judge
+from lanelead.protocols.migrations import LogEntry
 from lanelead.settings.records import Overflow, StepsOfDay
-from lanelead.standins.capture import BadCapture
-from lanelead.steps.runner import Goal
+from lanelead.testbed.emulators.event_recording import BadCapture
+from lanelead.migrations.runner import Goal
 from tests.test_steps import ONE_AFTER_ANOTHER
 
 
@@ -49,14 +49,14 @@
             speed=1.0,
         )
 
-    def told(self, t: float, coverage: str, **units: str) -> None:
+    def told(self, t: float, update_scope: str, **units: str) -> None:
         rows = [{"unit": unit, "condition": condition} for unit, condition in units.items()]
-        self.note("roster", t, "told", relay=0, coverage=coverage, units=rows)
+        self.note("roster", t, "told", relay=0, coverage=update_scope, units=rows)
 
     def news(self, t: float, build: int, stage: int, phase: str, cap: float) -> None:
         self.note("desk", t, "told", relay=0, build=build, stage=stage, phase=phase, cap=cap, age=0.0)
 
-    def ask(self, t: float, lane: str = "offer-status", left: float = 1.0, key: str | None = None) -> str:
+    def ask(self, t: float, request_class: str = "offer-status", left: float = 1.0, key: str | None = None) -> str:
         self.number += 1
         ident = f"op-{self.number}.1"
         self.note(
@@ -65,7 +65,7 @@
             "ask",
             id=ident,
             op=f"op-{self.number}",
-            lane=lane,
+            lane=request_class,
             member="m",
             key=key,
             relay=0,
@@ -97,7 +97,7 @@
         ran: bool = True,
         build: int = 1,
         work: float = 0.05,
-        lane: str = "offer-status",
+        request_class: str = "offer-status",
     ) -> None:
         self.note(
             f"unit-{unit}",
@@ -105,7 +105,7 @@
             "trip",
             id=ident,
             op=ident[:-2],
-            lane=lane,
+            lane=request_class,
             relay=0,
             key="",
             work=work,
@@ -113,13 +113,13 @@
             warmth=1.0,
         )
         if ran:
-            self.note(f"unit-{unit}", t + 0.05, "effect", id=ident, op=ident[:-2], lane=lane, key="", cell=0)
+            self.note(f"unit-{unit}", t + 0.05, "effect", id=ident, op=ident[:-2], lane=request_class, key="", cell=0)
         else:
             self.note(f"unit-{unit}", t, "turned_away", id=ident, op=ident[:-2])
 
-    def served(self, t: float, lane: str = "offer-status", unit: str = "a", **facts: Any) -> str:
-        ident = self.ask(t, lane)
-        self.trip(t + 0.01, ident, unit, lane=lane, **facts)
+    def served(self, t: float, request_class: str = "offer-status", unit: str = "a", **facts: Any) -> str:
+        ident = self.ask(t, request_class)
+        self.trip(t + 0.01, ident, unit, request_class=request_class, **facts)
         self.answer(t + 0.1, ident)
         return ident
 
@@ -179,18 +179,18 @@
         papers.served(1.0, "offer-submit")
         self.check(papers, "effects", "kept")
         ident = papers.ask(2.0, "offer-submit")
-        papers.trip(2.01, ident, "a", ran=False, lane="offer-submit")
-        papers.trip(2.02, ident, "b", lane="offer-submit")
+        papers.trip(2.01, ident, "a", ran=False, request_class="offer-submit")
+        papers.trip(2.02, ident, "b", request_class="offer-submit")
         papers.answer(2.1, ident)
         self.check(papers, "effects", "kept")
-        papers.trip(2.03, ident, "c", lane="offer-submit")
+        papers.trip(2.03, ident, "c", request_class="offer-submit")
         self.check(papers, "effects", "broken", 2)
 
     def test_a_shed_after_a_trip_that_may_have_run(self) -> None:
         for ran, word in ((False, "kept"), (True, "broken")):
             papers = Papers()
             ident = papers.ask(1.0, "offer-submit")
-            papers.trip(1.01, ident, ran=ran, lane="offer-submit")
+            papers.trip(1.01, ident, ran=ran, request_class="offer-submit")
             papers.answer(1.1, ident, "shed")
             self.check(papers, "effects", word)
 
@@ -198,7 +198,7 @@
         for unit, after, word in (("c", 0.5, "kept"), ("b", 0.5, "broken"), ("c", 3.5, "broken")):
             papers = Papers()
             ident = papers.ask(1.0, "offer-save", left=4.0)
-            papers.trip(1.01, ident, "a", lane="offer-save")
+            papers.trip(1.01, ident, "a", request_class="offer-save")
             papers.note(
                 f"unit-{unit}",
                 1.01 + after,
@@ -377,7 +377,7 @@
         def filed(papers: Papers) -> None:
             papers.note("store", 1.5, "filed", build=2, op="x", ready=False, why="no such column", seq=1)
 
-        for rest, act in (
+        for rest, action in (
             ((), filed),
             ((), lambda papers: papers.served(1.5, unit="d", build=2)),
             ((), lambda papers: self.effect(papers, 3.5)),
@@ -387,7 +387,7 @@
             (((4.0, LogEntry("intent", "b")),), lambda papers: None),
         ):
             papers = self.town(*rest)
-            act(papers)
+            action(papers)
             self.check(papers, "steps", "broken")
 
 
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.benchlink.host import Floor
+from lanelead.simulator_adapter.host import Floor
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     CompletionCount,
@@ -21,8 +21,8 @@
     OutcomeObservation,
     GossipEntry,
 )
-from lanelead.decisions.servers import Outstanding, EndpointState
-from lanelead.hosting.door import (
+from lanelead.decisions.endpoint_state import Outstanding, EndpointState
+from lanelead.runtime.endpoint_registry import (
     FORM,
     FORM_SHARED,
     MAX_MESSAGE_BYTES,
@@ -31,7 +31,7 @@
     encode_gossip,
     decode_gossip,
 )
-from lanelead.hosting.marks import NO_LONG_ID, long_id_of
+from lanelead.runtime.short_ids import NO_LONG_ID, long_id_of
 from tests.fake import PURE, SECOND
 from tests.test_benchlink import BEGIN
 
@@ -48,20 +48,22 @@
 DIGEST = "5c9a76f04021065d93de8c2358a564c0f3a9dcbac923299a7f0aaf59cc291a36"
 
 
-def earlier(text: bytes, units: Mapping[int, str], build: int, lanes: int) -> dict[str, list[tuple[int, ...]]]:
+def earlier(
+    text: bytes, units: Mapping[int, str], build: int, request_classes: int
+) -> dict[str, list[tuple[int, ...]]]:
     """How the program before wide marks read a letter: rows of sightings and of loads by the units' names."""
     row, load, found = Struct(">HHB6B"), Struct(">HB"), dict[str, list[tuple[int, ...]]]()
     form, count = divmod(text[0], 32) if text else (2, 0)
     end = 3 + count * row.size
     if form != 2 or end > len(text):
         return {}
-    for mark, made, lane, *seen in row.iter_unpack(text[3:end]):
-        if mark in units and made == build and lane < lanes:
+    for mark, made, request_class, *seen in row.iter_unpack(text[3:end]):
+        if mark in units and made == build and request_class < request_classes:
             found.setdefault(units[mark], []).append(tuple(seen))
     rest = text[end : len(text) - (len(text) - end) % load.size]
-    for mark, trips in load.iter_unpack(rest):
+    for mark, attempts in load.iter_unpack(rest):
         if mark in units:
-            found.setdefault(units[mark], []).append((trips,))
+            found.setdefault(units[mark], []).append((attempts,))
     return found
 
 
@@ -341,8 +343,10 @@
             for unit in hearer.by_name.values():
                 unit.build = 8 if spoil == "build" else 7
                 unit.status = EndpointStatus.DRAINING if spoil == "condition" else EndpointStatus.READY
-            lanes = [] if spoil == "lanes" else [PURE]
-            self.assertEqual([], [word for text in texts for word in decode_gossip(text, hearer.short_ids, lanes)])
+            request_classes = [] if spoil == "lanes" else [PURE]
+            self.assertEqual(
+                [], [word for text in texts for word in decode_gossip(text, hearer.short_ids, request_classes)]
+            )
             self.assertEqual({"other": 2}, hearer.short_ids.skipped)
 
     def test_the_bench_frees_the_mark_of_a_unit_long_gone_and_takes_it_back(self) -> None:
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -16,8 +16,8 @@
     Ticks,
     Verdict,
 )
-from lanelead.decisions.servers import Outstanding, EndpointState, state_of
-from lanelead.hosting.door import (
+from lanelead.decisions.endpoint_state import Outstanding, EndpointState, state_of
+from lanelead.runtime.endpoint_registry import (
     FORM,
     LOAD,
     MAX_MESSAGE_BYTES,
@@ -27,7 +27,7 @@
     encode_gossip,
     decode_gossip,
 )
-from lanelead.hosting.marks import long_id_of
+from lanelead.runtime.short_ids import long_id_of
 from lanelead.protocols import datagrams
 from tests.fake import EFFECTFUL, PURE, FakeHost
 from tests.platform import Held, Unit
@@ -89,14 +89,14 @@
         self.assertEqual(alone, shared)
 
     def test_drawn_fleets_are_told_of_right_or_not_at_all(self) -> None:
-        chance = Random(37)
+        rng = Random(37)
         for units, draws, rows in ((150, 20, 24), (780, 10, 24), (7800, 2, 40)):
             for _ in range(draws):
-                names = list(dict.fromkeys(f"{chance.getrandbits(48):012x}" for _ in range(units)))
+                names = list(dict.fromkeys(f"{rng.getrandbits(48):012x}" for _ in range(units)))
                 teller = door(*names)
-                hearer = door(*chance.sample(names, len(names)))
+                hearer = door(*rng.sample(names, len(names)))
                 for _ in range(rows):
-                    some = chance.sample(names, min(units, 100))
+                    some = rng.sample(names, min(units, 100))
                     loads = {name: 200 - place for place, name in enumerate(some)}
                     found = read(hearer, letters(teller, loads))
                     least = found.pop("", [200 - MAX_IN_FLIGHT_COUNTS + 1])[0]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,16 +13,16 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.days.commands import load
-from lanelead.days.judge import Verdict, judge
-from lanelead.experiments.run import interval, measures, paired, read
-from lanelead.model.baselines import POLICIES, LeastOfAll, LeastOfTwo
-from lanelead.model.core import Clock, stream
-from lanelead.model.town import Town
-from lanelead.decisions.rules import Balancer
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.verifier import Verdict, judge
+from lanelead.testbed.experiments.run import interval, measures, paired, read
+from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
+from lanelead.testbed.simulation.clock import Clock, stream
+from lanelead.testbed.simulation.fleet import Town
+from lanelead.decisions.balancer import Balancer
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Day
-from lanelead.standins.saboteur import SEAMS
+from lanelead.testbed.emulators.seeded_faults import SEAMS
 from tests.test_day import SHORT
 
 
@@ -87,11 +87,11 @@
         day = msgspec.structs.replace(day, seconds=18.0, events=[lost, burst], clients=clients)
         town = Town(day, 1).run()
         facts = town.book.files["clients"]
-        member = {fact["id"]: fact["member"] for fact in facts if fact["ev"] == "ask" and fact["t"] > 3609}
+        tenant = {fact["id"]: fact["member"] for fact in facts if fact["ev"] == "ask" and fact["t"] > 3609}
         ends: dict[str, list[bool]] = {}
         for fact in facts:
-            if fact["ev"] == "answer" and fact["id"] in member:
-                ends.setdefault(member[fact["id"]], []).append(fact["outcome"] == "done")
+            if fact["ev"] == "answer" and fact["id"] in tenant:
+                ends.setdefault(tenant[fact["id"]], []).append(fact["outcome"] == "done")
         shares = {name: sum(some) / len(some) for name, some in ends.items()}
         self.assertEqual(len(shares), 3)
         self.assertLess(min(shares.values()), 0.99)  # there was not room for all
@@ -111,14 +111,12 @@
     def wait(self, cores: int, load: float, policy: type[Balancer], units: int = 1) -> float:
         """The mean time of a lookup over its mean work."""
         day = short()
-        lanes = [
-            msgspec.structs.replace(lane, expected_time_ms=60_000, outer_limit_ms=60_000)
-            for lane in day.service.lanes[:1]
+        request_classes = [
+            msgspec.structs.replace(request_class, expected_time_ms=60_000, outer_limit_ms=60_000)
+            for request_class in day.service.lanes[:1]
         ]
-        allowance = msgspec.structs.replace(
-            day.service.allowance, open_lookups=10**6, second_copies=False, probes=False
-        )
-        service = msgspec.structs.replace(day.service, lanes=lanes, members=[], allowance=allowance)
+        quota = msgspec.structs.replace(day.service.allowance, open_lookups=10**6, second_copies=False, probes=False)
+        service = msgspec.structs.replace(day.service, lanes=request_classes, members=[], allowance=quota)
         work = [msgspec.structs.replace(day.clients.work[0], ms=50, cv=1.0)]
         clients = msgspec.structs.replace(
             day.clients,
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,13 +10,13 @@
 from unittest import mock
 
 from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
-from lanelead.node import front
-from lanelead.node.reports import report_of
+from lanelead.postgres_relay import client_listener
+from lanelead.postgres_relay.load_reports import report_of
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from lanelead.protocols import datagrams
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from lanelead.protocols.records import decode
+from lanelead.protocols.feeds import decode
 from tests.platform import NEWS, Unit, answered, good, platform, refused, row, statement, told
 from tests.town import live
 
@@ -110,13 +110,13 @@
 
     @live
     async def test_an_error_and_a_reset_may_have_run(self) -> None:
-        for script, fate in ((says(WRONG).script, AttemptOutcome.ERROR), (cuts, AttemptOutcome.RESET)):
+        for script, outcome in ((says(WRONG).script, AttemptOutcome.ERROR), (cuts, AttemptOutcome.RESET)):
             async with platform(Unit("u0", script)) as place:
                 client = await place.client()
                 answer = await client.ask("1a", "file")
                 self.assertEqual(answer["C"], b"58000")
                 self.assertEqual(len(place.units[0].queries), 1)
-                self.assertEqual(place.relay.driver.counters.outcomes, {fate: 1})
+                self.assertEqual(place.relay.driver.counters.outcomes, {outcome: 1})
 
     @live
     async def test_a_pure_one_is_tried_elsewhere(self) -> None:
@@ -221,7 +221,7 @@
 
     @live
     async def test_what_a_probe_tells(self) -> None:
-        for answer, fate, report in (
+        for answer, outcome, report in (
             (row(b"waiting=3,cpu=0.5") + READY, AttemptOutcome.SUCCEEDED, {"waiting": 3.0, "cpu": 0.5}),
             (messages.error("57P03", "not now") + READY, AttemptOutcome.ERROR, None),
             (b"\0noise", AttemptOutcome.RESET, None),
@@ -229,10 +229,10 @@
         ):
             async with platform(says(answer)) as place:
                 driver, heard = place.relay.driver, mock.Mock()
-                with mock.patch.object(driver, "probed", heard):
+                with mock.patch.object(driver, "health_checked", heard):
                     place.relay.check_health(driver.registry.by_name["u0"])
                     await place.until(lambda heard=heard: heard.called)  # type: ignore[misc]
-                self.assertEqual((heard.call_args.args[1], heard.call_args.args[3]), (fate, report))
+                self.assertEqual((heard.call_args.args[1], heard.call_args.args[3]), (outcome, report))
                 self.assertEqual(place.units[0].queries, [b"SHOW vitals"])
 
     @live
@@ -256,7 +256,7 @@
     async def test_each_gets_an_error_or_an_end_and_no_trip(self) -> None:
         start = messages.startup("app", "shop")
         many = b"".join(messages.query(statement(str(n))) for n in range(300))
-        with mock.patch.multiple(front, SILENCE=0.3):
+        with mock.patch.multiple(client_listener, SILENCE=0.3):
             async with platform(Unit("u0")) as place:
                 for text in (
                     b"GET / HTTP/1.1\r\n\r\n",
@@ -266,7 +266,7 @@
                     start + b"Q\xff\xff\xff\xff",
                     start + b"Q\x7f\xff\xff\xff" + b"x" * 100_000,
                     start + messages.query(b"SELECT 1"),
-                    start + messages.query(statement("1", lane="none")),
+                    start + messages.query(statement("1", request_class="none")),
                     start + messages.query(statement("1").replace(b"d=1400", b"d=soon")),
                     start + many,
                     start + messages.query(statement("1"))[:-9],
@@ -302,7 +302,7 @@
 
     @live
     async def test_or_broken_off_after_a_moment(self) -> None:
-        with mock.patch.multiple(front, MOMENT=0.2):
+        with mock.patch.multiple(client_listener, MOMENT=0.2):
             async with platform(Unit("u0", silent)) as place:
                 client = await place.client()
                 client.send("1a")
@@ -345,7 +345,7 @@
             await place.until(lambda: place.relay.state()["desk"])
             heard: list[tuple[bool, AttemptOutcome]] = []
             decisions = place.relay.driver.decisions
-            for answer, fate in (
+            for answer, outcome in (
                 (lambda call: answered(call["id"], NEWS), AttemptOutcome.SUCCEEDED),
                 (lambda call: refused(call["id"], "too_many_calls"), AttemptOutcome.REJECTED),
                 (lambda call: refused(call["id"], "out_of_date"), AttemptOutcome.NOT_SENT),
@@ -360,7 +360,7 @@
                     await place.until(lambda: place.relay.state()["desk"])
                     place.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                     await place.until(lambda: any(answer for answer, _ in heard))
-                self.assertIn((True, fate), heard)
+                self.assertIn((True, outcome), heard)
                 heard.clear()
             await place.until(lambda: len(place.desks) == 2)  # the spoilt connection was left
             self.assertEqual({call["params"]["verdict"] for call in place.calls if "params" in call}, {"abort"})
@@ -382,8 +382,8 @@
             await place.until(lambda: place.relay.state()["desk"])
             driver, faults = place.relay.driver, [ValueError("ours")] * 2
             with (
-                mock.patch.object(driver, "news", mock.Mock(side_effect=faults.pop())),
-                mock.patch.object(driver, "listed", mock.Mock(side_effect=faults.pop())),
+                mock.patch.object(driver, "rollout_read", mock.Mock(side_effect=faults.pop())),
+                mock.patch.object(driver, "endpoints_listed", mock.Mock(side_effect=faults.pop())),
             ):
                 place.desks[0].write(told(NEWS))
                 place.turn(place.units[1], "leaving")
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -163,7 +163,7 @@
 class Starts(unittest.TestCase):
     def test_a_hangup_before_its_handler_stands_waits_for_it(self) -> None:
         script = (
-            "import signal\nfrom unittest import mock\nfrom lanelead.node import main\n"
+            "import signal\nfrom unittest import mock\nfrom lanelead.postgres_relay import main\n"
             "def load(path):\n"
             "    print(signal.SIGHUP in signal.pthread_sigmask(signal.SIG_BLOCK, set()))\n"
             "    raise main.Malformed('seen enough')\n"
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from lanelead.protocols.records import decode
+from lanelead.protocols.feeds import decode
 from lanelead.pgwire import messages
 from tests.platform import Unit, good, platform
 from tests.town import live
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -22,8 +22,8 @@
     Endpoint,
     GossipEntry,
 )
-from lanelead.decisions.servers import Outstanding, EndpointState, state_of
-from lanelead.hosting.door import MAX_MESSAGE_BYTES, EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.decisions.endpoint_state import Outstanding, EndpointState, state_of
+from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES, EndpointRegistry, encode_gossip, decode_gossip
 from tests.fake import EFFECTFUL, PURE, SECOND, FakeHost
 
 DEAR = 0.08
@@ -32,7 +32,7 @@
 def told(host: FakeHost) -> list[SendGossip]:
     host.acts.clear()
     host.run(SECOND // 2)
-    return [act for act in host.acts if isinstance(act, SendGossip)]
+    return [action for action in host.acts if isinstance(action, SendGossip)]
 
 
 class Choices(unittest.TestCase):
@@ -42,12 +42,12 @@
             host.relay.gossip_received(0, [InFlightCount(host.units[0], 4)])
             self.assertIs(host.sent(host.ask())[0].endpoint, host.units[1])
             host.end(host.sent()[-1])
-        self.assertFalse([act for act in host.acts if isinstance(act, CheckHealth)])
+        self.assertFalse([action for action in host.acts if isinstance(action, CheckHealth)])
 
     def test_cheap_probes_are_sent_and_nothing_is_told(self) -> None:
         host = FakeHost(probes=True, relays=100, number=50, probe_price=0.01)
         host.ask()
-        self.assertTrue([act for act in host.acts if isinstance(act, CheckHealth)])
+        self.assertTrue([action for action in host.acts if isinstance(action, CheckHealth)])
         self.assertEqual([], told(host))
 
     def test_what_was_told_long_ago_is_not_known_any_more(self) -> None:
@@ -56,9 +56,9 @@
         host.run(2 * SECOND)
         went = set[Endpoint]()
         for _ in range(30):
-            lookup = host.ask()
-            went.add(host.sent(lookup)[0].endpoint)
-            host.end(host.sent(lookup)[0])
+            request = host.ask()
+            went.add(host.sent(request)[0].endpoint)
+            host.end(host.sent(request)[0])
         self.assertIn(host.units[0], went)
 
 
@@ -74,12 +74,12 @@
             idle_limit=15 * SECOND,
         )
 
-    def goes(self, host: FakeHost, lookups: int = 200) -> set[Endpoint]:
-        for _ in range(lookups):
-            trip = host.sent(host.ask())[-1]
+    def goes(self, host: FakeHost, requests: int = 200) -> set[Endpoint]:
+        for _ in range(requests):
+            attempt = host.sent(host.ask())[-1]
             host.run(SECOND // 2)
-            host.end(trip)
-        return {trip.endpoint for trip in host.sent()}
+            host.end(attempt)
+        return {attempt.endpoint for attempt in host.sent()}
 
     def test_a_relay_keeps_to_units_that_it_comes_back_to_before_their_connections_end(self) -> None:
         # The fleet's days: 3,984 connections for 3,985 trips, since each relay went to each of 100 units.
@@ -140,11 +140,15 @@
         for price, kept in ((0.0, False), (DEAR, True)):
             host, lost = self.host(price), set[Endpoint]()
             host.acts.clear()
-            for fate in [*[AttemptOutcome.SUCCEEDED] * 9, *[AttemptOutcome.RESET] * 4, *[AttemptOutcome.SUCCEEDED] * 9]:
-                trip = host.sent(host.ask(EFFECTFUL))[-1]
-                lost |= {trip.endpoint} if fate is AttemptOutcome.RESET else set()
-                host.end(trip, fate)
-            closed = {act.endpoint for act in host.acts if isinstance(act, CloseIdleConnections)}
+            for outcome in [
+                *[AttemptOutcome.SUCCEEDED] * 9,
+                *[AttemptOutcome.RESET] * 4,
+                *[AttemptOutcome.SUCCEEDED] * 9,
+            ]:
+                attempt = host.sent(host.ask(EFFECTFUL))[-1]
+                lost |= {attempt.endpoint} if outcome is AttemptOutcome.RESET else set()
+                host.end(attempt, outcome)
+            closed = {action.endpoint for action in host.acts if isinstance(action, CloseIdleConnections)}
             self.assertEqual(kept, closed <= lost)
 
 
@@ -154,14 +158,14 @@
 
     def test_a_hub_tells_how_long_trips_take_once_it_has_heard_enough(self) -> None:
         # Added up from outcomes, of which lost letters take some, it was a third too slow on quiet days.
-        host, chance = self.host(0), Random(3)
+        host, rng = self.host(0), Random(3)
         unit, heard = host.units[0], list[GossipEntry]()
         for _ in range(80):  # 100 answers a second, 200 trips out: 2 s; three letters of ten are lost
             host.run(SECOND // 20)
             for peer in range(40, 44):
-                if chance.random() > 0.3:
+                if rng.random() > 0.3:
                     host.relay.gossip_received(peer, [InFlightCount(unit, 50), CompletionCount(25)])
-            heard += [word for act in host.acts if isinstance(act, SendGossip) for word in act.entries]
+            heard += [word for action in host.acts if isinstance(action, SendGossip) for word in action.entries]
             host.acts.clear()
             if host.relay.now < 2 * SECOND:
                 self.assertFalse([word for word in heard if isinstance(word, FleetLatency)])
@@ -174,19 +178,21 @@
         for _ in range(60):
             host.run(SECOND // 20)
             host.relay.gossip_received(40, [OutcomeObservation(host.units[0], PURE, 1, 7, [0] * 5)])
-        self.assertFalse([act for act in host.acts if isinstance(act, SendGossip) and FleetLatency(0) in act.entries])
+        self.assertFalse(
+            [action for action in host.acts if isinstance(action, SendGossip) and FleetLatency(0) in action.entries]
+        )
 
     def answers(self, host: FakeHost, took: int | None) -> dict[RequestClass, float]:
         """The part of each lane's lookups that is sent, with a pace told all along."""
         sent, many = dict.fromkeys((PURE, EFFECTFUL), 0), 60
         for _ in range(many):
-            for lane in sent:
+            for request_class in sent:
                 host.run(SECOND // 20)
                 host.relay.gossip_received(0, [] if took is None else [FleetLatency(took)])
-                if trips := host.sent(host.ask(lane)):
-                    sent[lane] += 1
-                    host.end(trips[0])
-        return {lane: count / many for lane, count in sent.items()}
+                if attempts := host.sent(host.ask(request_class)):
+                    sent[request_class] += 1
+                    host.end(attempts[0])
+        return {request_class: count / many for request_class, count in sent.items()}
 
     def test_what_is_over_is_shed_least_worth_first(self) -> None:
         # zone+mass, 15 s: 52% late and 12% in time while three times what is timely was sent.
@@ -201,29 +207,29 @@
             sent = self.answers(host, took)
             self.assertAlmostEqual(pure, sent[PURE], delta=0.25, msg=took)
             self.assertAlmostEqual(effectful, sent[EFFECTFUL], delta=0.25, msg=took)
-            times = [act.retry_after for act in host.acts if isinstance(act, RejectRequest)]
+            times = [action.retry_after for action in host.acts if isinstance(action, RejectRequest)]
             self.assertEqual(len(times) > 10, len(set(times)) > 10)
             self.assertTrue(all(0 < time <= SECOND for time in times))
 
     def test_with_no_hub_a_lane_is_thinned_by_what_this_relay_sees_but_not_for_one_loss(self) -> None:
-        for fates, thinned in ((1, False), (12, True)):
+        for outcomes, thinned in ((1, False), (12, True)):
             host = self.host(50)
-            for _ in range(fates):
-                lookup = host.ask(EFFECTFUL)
-                for trip in host.sent(lookup):
-                    host.end(trip, AttemptOutcome.TIMED_OUT, took=2 * SECOND)
-            lookups = [host.ask(EFFECTFUL) for _ in range(20)]
-            self.assertEqual(thinned, any(host.finals(lookup) for lookup in lookups))
+            for _ in range(outcomes):
+                request = host.ask(EFFECTFUL)
+                for attempt in host.sent(request):
+                    host.end(attempt, AttemptOutcome.TIMED_OUT, took=2 * SECOND)
+            requests = [host.ask(EFFECTFUL) for _ in range(20)]
+            self.assertEqual(thinned, any(host.finals(request) for request in requests))
 
 
 class Circles(unittest.TestCase):
     def test_a_relay_tells_every_hub_what_it_has_out_and_a_lost_hub_costs_no_other_its_word(self) -> None:
         host = FakeHost(probes=True, relays=100, number=50, probe_price=DEAR)
-        trip = host.sent(host.ask())[0]
+        attempt = host.sent(host.ask())[0]
         tells = told(host)
         self.assertEqual({0, 1, 2, 3}, {tell.peer for tell in tells})
         self.assertTrue(
-            all(list(tell.entries) == [InFlightCount(trip.endpoint, 1), CompletionCount(0)] for tell in tells)
+            all(list(tell.entries) == [InFlightCount(attempt.endpoint, 1), CompletionCount(0)] for tell in tells)
         )
 
     def test_a_hub_adds_up_and_tells_each_relay_in_its_turn(self) -> None:
@@ -240,13 +246,13 @@
 
     def test_a_relay_with_nothing_out_any_more_says_so_once(self) -> None:
         host = FakeHost(probes=True, relays=100, number=50, probe_price=DEAR)
-        trip = host.sent(host.ask(EFFECTFUL))[0]
+        attempt = host.sent(host.ask(EFFECTFUL))[0]
         told(host)
-        host.end(trip)
+        host.end(attempt)
         for hubs in ([0, 1, 2, 3], []):
             words = [(tell.peer, word) for tell in told(host) for word in tell.entries]
             loads = [(peer, word) for peer, word in words if isinstance(word, InFlightCount)]
-            self.assertEqual([(hub, InFlightCount(trip.endpoint, 0)) for hub in hubs], loads)
+            self.assertEqual([(hub, InFlightCount(attempt.endpoint, 0)) for hub in hubs], loads)
 
     def test_each_beat_of_the_hubs_reaches_every_relay(self) -> None:
         hubs = [FakeHost(probes=True, relays=100, number=n, probe_price=DEAR) for n in range(4)]
@@ -259,9 +265,9 @@
 
     def test_a_hub_tells_of_units_where_it_alone_has_trips(self) -> None:
         host = FakeHost(probes=True, relays=100, number=0, probe_price=DEAR)
-        trip = host.sent(host.ask())[0]
+        attempt = host.sent(host.ask())[0]
         words = [word for tell in told(host) if tell.peer not in range(4) for word in tell.entries]
-        self.assertIn(InFlightCount(trip.endpoint, 1), words)
+        self.assertIn(InFlightCount(attempt.endpoint, 1), words)
 
     def test_what_a_dead_relay_had_out_is_forgotten_by_the_hubs(self) -> None:
         host = FakeHost(probes=True, relays=100, number=0, probe_price=DEAR)
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -10,7 +10,7 @@
 from lanelead.pgwire import clients, messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Fault, Query, Startup, Terminate
 from lanelead.pgwire.messages import READY, message
-from lanelead.pgwire.units import Progress, ServerReader
+from lanelead.pgwire.servers import Progress, ServerReader
 from tests.platform import row
 
 START = messages.startup("app", "shop")
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -16,21 +16,24 @@
 import msgspec
 import msgspec.inspect
 
-from lanelead.circle import letters
-from lanelead.configuration import kinds
-from lanelead.node import config
-from lanelead.protocols import configuration, machines, platform, records, steps
+from lanelead.membership import messages
+from lanelead.configuration import value_types
+from lanelead.postgres_relay import config
+from lanelead.protocols import configuration, platform
+from lanelead.protocols import configuration_replicas
+from lanelead.protocols import feeds
+from lanelead.protocols import migrations
 
 RECORDED = Path(__file__).parent / "pinned" / "messages.json"
 
 JSON_TYPES: dict[str, Any] = {
-    "feeds.row": records.EndpointMessage,
-    "feeds.listed": records.EndpointListMessage,
-    "feeds.news": records.RolloutMessage,
-    "feeds.vote": records.VoteRequest,
-    "feeds.vote-answer": records.VoteResponse,
-    "feeds.complaint": records.Complaint,
-    "feeds.load": records.LoadMessage,
+    "feeds.row": feeds.EndpointMessage,
+    "feeds.listed": feeds.EndpointListMessage,
+    "feeds.news": feeds.RolloutMessage,
+    "feeds.vote": feeds.VoteRequest,
+    "feeds.vote-answer": feeds.VoteResponse,
+    "feeds.complaint": feeds.Complaint,
+    "feeds.load": feeds.LoadMessage,
     "platform.state": platform.StageMessage,
     "platform.error": platform.RpcError,
     "platform.line": platform.RpcMessage,
@@ -54,39 +57,39 @@
     "configuration.vote": configuration.AcceptReply,
     "configuration.sign": configuration.Heartbeat,
     "configuration.log": configuration.LogPage,
-    "configuration.tenant": kinds.TenantValue,
-    "configuration.class": kinds.ClassValue,
-    "machines.decided": machines.DecidedChange,
-    "machines.made": machines.CompletedProposal,
-    "machines.snapshot": machines.SnapshotPage,
-    "machines.peer": machines.PeerStatus,
-    "machines.status": machines.ReplicaStatus,
-    "steps.entry": steps.LogEntry,
-    "steps.logged": steps.LoggedEntry,
-    "steps.lease-ask": steps.LeaseRequest,
-    "steps.lease": steps.Lease,
-    "steps.append-ask": steps.AppendRequest,
-    "steps.appended": steps.AppendReply,
-    "steps.span": steps.BatchRange,
-    "steps.apply-ask": steps.ApplyRequest,
-    "steps.marks": steps.EffectProgress,
-    "steps.seen-ask": steps.AcknowledgeRequest,
-    "steps.forget-ask": steps.ForgetRequest,
-    "steps.unseen": steps.UnacknowledgedRelays,
-    "steps.page": steps.MigrationLogPage,
-    "steps.refusal": steps.RejectedCall,
-    "steps.told": steps.SchemaCheck,
+    "configuration.tenant": value_types.TenantValue,
+    "configuration.class": value_types.ClassValue,
+    "machines.decided": configuration_replicas.DecidedChange,
+    "machines.made": configuration_replicas.CompletedProposal,
+    "machines.snapshot": configuration_replicas.SnapshotPage,
+    "machines.peer": configuration_replicas.PeerStatus,
+    "machines.status": configuration_replicas.ReplicaStatus,
+    "steps.entry": migrations.LogEntry,
+    "steps.logged": migrations.LoggedEntry,
+    "steps.lease-ask": migrations.LeaseRequest,
+    "steps.lease": migrations.Lease,
+    "steps.append-ask": migrations.AppendRequest,
+    "steps.appended": migrations.AppendReply,
+    "steps.span": migrations.BatchRange,
+    "steps.apply-ask": migrations.ApplyRequest,
+    "steps.marks": migrations.EffectProgress,
+    "steps.seen-ask": migrations.AcknowledgeRequest,
+    "steps.forget-ask": migrations.ForgetRequest,
+    "steps.unseen": migrations.UnacknowledgedRelays,
+    "steps.page": migrations.MigrationLogPage,
+    "steps.refusal": migrations.RejectedCall,
+    "steps.told": migrations.SchemaCheck,
 }
 MESSAGEPACK_TYPES: dict[str, Any] = {
-    "membership.row": letters.Row,
-    "membership.claim": letters.Claim,
-    "membership.gossip": letters.Gossip,
-    "membership.ping": letters.Ping,
-    "membership.ack": letters.Ack,
-    "membership.nack": letters.Nack,
-    "membership.ask": letters.Ask,
-    "membership.join": letters.Join,
-    "membership.table": letters.Table,
+    "membership.row": messages.Row,
+    "membership.claim": messages.Claim,
+    "membership.gossip": messages.Gossip,
+    "membership.ping": messages.Ping,
+    "membership.ack": messages.Ack,
+    "membership.nack": messages.Nack,
+    "membership.ask": messages.Ask,
+    "membership.join": messages.Join,
+    "membership.table": messages.Table,
 }
 
 
@@ -156,4 +159,4 @@
             if name in ("membership.row", "membership.claim"):
                 continue
             with self.subTest(message=name):
-                self.assertIs(type(letters.read(bytes.fromhex(recorded()[name]["full"]))), message_type)
+                self.assertIs(type(messages.read(bytes.fromhex(recorded()[name]["full"]))), message_type)
--- a/tests/test_pinned_settings.py
+++ b/tests/test_pinned_settings.py
@@ -22,7 +22,8 @@
 def files() -> dict[str, Path]:
     """Settings files by name: those below the package and those of our own."""
     package = Path(lanelead.__file__).parent
-    shipped = {path.name: path for path in sorted(package.rglob("*.cue")) if path.name != "definitions.cue"}
+    paths = [path for path in sorted(package.rglob("*.cue")) if path.name != "definitions.cue"]
+    shipped = {f"{path.parent.name}/{path.name}": path for path in paths}
     ours = {f"settings/{path.name}": path for path in sorted((PINNED / "settings").glob("*.cue"))}
     return shipped | ours
 
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.holding import Holding
+from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.store import Store
 from lanelead.protocols.configuration import Accept, AcceptedProposal, Ballot, Change, Entry, Prepare, Proposal
-from lanelead.protocols.steps import AppendRequest, ApplyRequest, LeaseRequest, BatchRange
-from lanelead.protocols.steps import LogEntry as Step
-from lanelead.store.ledger import Ledger
+from lanelead.protocols.migrations import AppendRequest, ApplyRequest, LeaseRequest, BatchRange
+from lanelead.protocols.migrations import LogEntry as Step
+from lanelead.store.migration_store import Ledger
 
 PINNED = Path(__file__).parent / "pinned"
 CLOCK = 1_000.0
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -20,9 +20,9 @@
     Verdict,
     GossipEntry,
 )
-from lanelead.decisions.servers import EndpointState
-from lanelead.hosting.door import EndpointRegistry, encode_gossip, decode_gossip
-from lanelead.http import writing
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.http import serialization
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams, platform
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND
@@ -57,8 +57,8 @@
     for word in words:
         match word:
             case OutcomeObservation():
-                lane = LANES.index(word.request_class)
-                found.append(["seen", door.names[word.endpoint], lane, word.build, word.outcomes, word.faults])
+                request_class = LANES.index(word.request_class)
+                found.append(["seen", door.names[word.endpoint], request_class, word.build, word.outcomes, word.faults])
             case InFlightCount():
                 found.append(["load", door.names[word.endpoint], word.attempts])
             case InFlightBound():
@@ -96,13 +96,13 @@
             messages.error("08P01", "text", fatal=True),
         ],
         "HTTP": [
-            writing.request("GET", b"/offers/1", headers, b""),
-            writing.request("POST", b"/offers", headers, b"{}"),
-            writing.response(200, headers, b"body"),
-            writing.response(503, headers, b"body", keep=False),
-            writing.response(200, headers, b"", head=True, length=b"12"),
-            writing.response(204, headers, b""),
-            writing.CONTINUE,
+            serialization.request("GET", b"/offers/1", headers, b""),
+            serialization.request("POST", b"/offers", headers, b"{}"),
+            serialization.response(200, headers, b"body"),
+            serialization.response(503, headers, b"body", keep=False),
+            serialization.response(200, headers, b"", head=True, length=b"12"),
+            serialization.response(204, headers, b""),
+            serialization.CONTINUE,
         ],
     }
     return {name: [data.hex() for data in parts] for name, parts in found.items()}
@@ -132,9 +132,9 @@
         assert isinstance(opened, datagrams.Datagram)
         self.assertEqual((opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False))
         self.assertEqual(datagrams.decode_plain(plain), b"payload")
-        member = datagrams.decode_datagram(bytes.fromhex(recorded["membership datagram"][0]), 8)
-        assert isinstance(member, datagrams.Datagram)
-        self.assertTrue(member.circle)
+        tenant = datagrams.decode_datagram(bytes.fromhex(recorded["membership datagram"][0]), 8)
+        assert isinstance(tenant, datagrams.Datagram)
+        self.assertTrue(tenant.circle)
 
 
 def understood(name: str, text: bytes) -> list[list[object]]:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,9 +12,9 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from lanelead.protocols.records import EndpointMessage
-from lanelead.standins.desk import Desk
-from lanelead.standins.roster import Roster
+from lanelead.protocols.feeds import EndpointMessage
+from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import Roster
 from tests.town import SETTINGS, Client, ScriptedUnit, live, outside, says
 
 LIMITED = "import resource, runpy, sys; n = int(sys.argv.pop(1)); \
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -10,7 +10,7 @@
 
 from lanelead.protocols import datagrams
 from lanelead.protocols.datagrams import Datagram, decode_datagram, encode_datagram
-from lanelead.protocols.records import (
+from lanelead.protocols.feeds import (
     Complaint,
     LineSplitter,
     EndpointListMessage,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 import unittest
 
 from lanelead.decisions.interface import EndpointStatus
-from lanelead.http import writing
+from lanelead.http import serialization
 from tests.town import Client, Handler, ScriptedUnit, live, resets, says, state_of, town
 
 
@@ -52,7 +52,7 @@
 
     @live
     async def test_an_answer_cut_short_or_garbled_may_have_run(self) -> None:
-        for text in (writing.response(200, (), b"0123456789")[:-4], b"HTP/9 hello\r\n\r\n", b""):
+        for text in (serialization.response(200, (), b"0123456789")[:-4], b"HTP/9 hello\r\n\r\n", b""):
 
             async def cuts(
                 unit: ScriptedUnit,
@@ -87,7 +87,7 @@
     async def test_a_kept_connection_that_the_unit_closed_is_found_out_before_it_is_used(self) -> None:
         async def once(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await unit.request(reader)
-            writer.write(writing.response(200, (), b"ok"))
+            writer.write(serialization.response(200, (), b"ok"))
 
         unit = ScriptedUnit("u", once)
         async with town(unit) as place:
@@ -105,7 +105,7 @@
             while True:
                 path = (await unit.request(reader)).split()[1]
                 await asyncio.sleep(0.3 if path == b"/slow" else 0)
-                writer.write(writing.response(200, (), path))
+                writer.write(serialization.response(200, (), path))
 
         async with town(*(ScriptedUnit(f"u{n}", by_path) for n in range(3))) as place:
             client = await Client.to(place)
@@ -151,7 +151,7 @@
     async def test_a_unit_may_answer_before_it_has_read_the_whole_body(self) -> None:
         async def early(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             unit.requests.append(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(writing.response(413, (), b"too much\n"))
+            writer.write(serialization.response(413, (), b"too much\n"))
             await writer.drain()
             await asyncio.sleep(1)
 
@@ -170,7 +170,7 @@
             while True:
                 path = (await unit.request(reader)).split()[1]
                 await asyncio.sleep(0.5 if path == b"/late" else 0)
-                writer.write(writing.response(200, (), path))
+                writer.write(serialization.response(200, (), path))
 
         async with town(ScriptedUnit("u", first_late)) as place:
             client = await Client.to(place)
@@ -184,7 +184,7 @@
         async with town(unit) as place:
             client = await Client.to(place)
             client.writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-            self.assertEqual(await client.reader.readuntil(b"\r\n\r\n"), writing.CONTINUE)
+            self.assertEqual(await client.reader.readuntil(b"\r\n\r\n"), serialization.CONTINUE)
             client.writer.write(b"ab")
             self.assertEqual((await client.answer())[0], 200)
             client.writer.write(
@@ -247,7 +247,7 @@
         async def by_path(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 big = b"/big" in await unit.request(reader)
-                writer.write(writing.response(200, (), b"x" * (24 << 20) if big else b"small"))
+                writer.write(serialization.response(200, (), b"x" * (24 << 20) if big else b"small"))
 
         unit = ScriptedUnit("u", by_path)
         async with town(unit, more="body_bytes: 8M") as place:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,71 +19,71 @@
     OutcomeObservation,
     Verdict,
 )
-from lanelead.decisions.scoring import FULL, Fault, Scoring, View
-from lanelead.decisions.servers import EndpointState, state_of
-from lanelead.decisions.sums import Windows, z_score
+from lanelead.decisions.build_scoring import FULL, Fault, Scoring, View
+from lanelead.decisions.endpoint_state import EndpointState, state_of
+from lanelead.decisions.counters import Windows, z_score
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
 
 class FinalAnswers(unittest.TestCase):
     def test_a_trip_that_runs_out_of_time_is_broken_off_once(self) -> None:
         host = FakeHost()
-        lookup = host.ask(EFFECTFUL)
-        (trip,) = host.sent(lookup)
-        self.assertLessEqual(trip.sent_at + trip.timeout, lookup.deadline)
-        host.relay.now = lookup.deadline
-        host.end(trip, AttemptOutcome.TIMED_OUT)
+        request = host.ask(EFFECTFUL)
+        (attempt,) = host.sent(request)
+        self.assertLessEqual(attempt.sent_at + attempt.timeout, request.deadline)
+        host.relay.now = request.deadline
+        host.end(attempt, AttemptOutcome.TIMED_OUT)
         host.run(SECOND)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
+        self.assertEqual([type(action) for action in host.finals(request)], [FailRequest])
 
     def test_no_trip_after_the_client_left(self) -> None:
         host = FakeHost()
-        lookup = host.ask(PURE)
-        host.relay.client_left(lookup)
+        request = host.ask(PURE)
+        host.relay.client_left(request)
         host.run(4 * SECOND)
-        self.assertEqual((len(host.sent(lookup)), host.finals(lookup)), (1, []))
+        self.assertEqual((len(host.sent(request)), host.finals(request)), (1, []))
 
     def test_a_stream_that_has_begun_gets_no_second_copy(self) -> None:
-        for begun, trips in ((False, 2), (True, 1)):
+        for begun, attempts in ((False, 2), (True, 1)):
             host = FakeHost()
             for _ in range(30):
                 host.end(host.sent(host.ask(PURE))[0])
-            lookup = host.ask(PURE)
+            request = host.ask(PURE)
             if begun:
-                host.relay.response_started(host.sent(lookup)[0])
+                host.relay.response_started(host.sent(request)[0])
             host.run(SECOND)
-            self.assertEqual(len(host.sent(lookup)), trips)
+            self.assertEqual(len(host.sent(request)), attempts)
 
     def test_an_empty_roster_sheds_at_once(self) -> None:
         host = FakeHost(units=0)
-        self.assertEqual([type(act) for act in host.finals(host.ask(PURE))], [RejectRequest])
+        self.assertEqual([type(action) for action in host.finals(host.ask(PURE))], [RejectRequest])
 
 
 class Repeats(unittest.TestCase):
     def test_an_effectful_lookup_that_may_have_run_gets_no_second_trip_and_no_shed(self) -> None:
         host = FakeHost()
-        lookup = host.ask(EFFECTFUL)
-        host.end(host.sent(lookup)[0], AttemptOutcome.ERROR)
-        self.assertEqual(len(host.sent(lookup)), 1)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
+        request = host.ask(EFFECTFUL)
+        host.end(host.sent(request)[0], AttemptOutcome.ERROR)
+        self.assertEqual(len(host.sent(request)), 1)
+        self.assertEqual([type(action) for action in host.finals(request)], [FailRequest])
 
     def test_an_effectful_lookup_that_was_turned_away_goes_elsewhere(self) -> None:
         host = FakeHost()
-        lookup = host.ask(EFFECTFUL)
-        host.end(host.sent(lookup)[0], AttemptOutcome.REJECTED)
-        self.assertEqual(len({trip.endpoint for trip in host.sent(lookup)}), 2)
+        request = host.ask(EFFECTFUL)
+        host.end(host.sent(request)[0], AttemptOutcome.REJECTED)
+        self.assertEqual(len({attempt.endpoint for attempt in host.sent(request)}), 2)
 
     def test_a_receipted_lookup_stays_in_its_group_and_within_its_memory(self) -> None:
         host = FakeHost(units=1)
         host.listed(1, zone="y")
-        lookup = host.ask(RECEIPTED)
-        first = host.sent(lookup)[0]
+        request = host.ask(RECEIPTED)
+        first = host.sent(request)[0]
         host.end(first, AttemptOutcome.ERROR)
-        self.assertEqual({trip.endpoint for trip in host.sent(lookup)}, {first.endpoint})
+        self.assertEqual({attempt.endpoint for attempt in host.sent(request)}, {first.endpoint})
         host.relay.now += 2 * SECOND
-        host.end(host.sent(lookup)[1], AttemptOutcome.ERROR)
-        self.assertEqual(len(host.sent(lookup)), 2)
-        self.assertEqual([type(act) for act in host.finals(lookup)], [FailRequest])
+        host.end(host.sent(request)[1], AttemptOutcome.ERROR)
+        self.assertEqual(len(host.sent(request)), 2)
+        self.assertEqual([type(action) for action in host.finals(request)], [FailRequest])
 
 
 class Drains(unittest.TestCase):
@@ -91,9 +91,9 @@
         host = FakeHost(units=2)
         host.listed(1, condition=EndpointStatus.DRAINING, unit=host.units[0])
         for _ in range(20):
-            for trip in host.sent(host.ask()):
-                host.end(trip)
-        self.assertEqual({trip.endpoint for trip in host.sent()}, {host.units[1]})
+            for attempt in host.sent(host.ask()):
+                host.end(attempt)
+        self.assertEqual({attempt.endpoint for attempt in host.sent()}, {host.units[1]})
 
 
 class ColdUnits(unittest.TestCase):
@@ -102,32 +102,36 @@
         cold = host.listed(1, since=host.relay.now)
         for _ in range(40):
             host.ask()
-        self.assertLessEqual(sum(trip.endpoint is cold for trip in host.sent()), 8)
+        self.assertLessEqual(sum(attempt.endpoint is cold for attempt in host.sent()), 8)
 
 
 class Exposed(unittest.TestCase):
-    def worst(self, host: FakeHost, build: int, lane: RequestClass, free: float, cap: float) -> float:
+    def worst(self, host: FakeHost, build: int, request_class: RequestClass, free: float, cap: float) -> float:
         """The most by which any window of trips at the build went over."""
-        trips = [
-            trip.sent_at for trip in host.sent() if trip.endpoint.build == build and trip.request.request_class is lane
+        attempts = [
+            attempt.sent_at
+            for attempt in host.sent()
+            if attempt.endpoint.build == build and attempt.request.request_class is request_class
         ]
         taken = [
-            trip.request.received_at for trip in host.sent() if trip.number == 0 and trip.request.request_class is lane
+            attempt.request.received_at
+            for attempt in host.sent()
+            if attempt.number == 0 and attempt.request.request_class is request_class
         ]
         over = []
-        for end in trips:
+        for end in attempts:
             start = end - 4 * SECOND
-            many = sum(start < at <= end for at in trips)
+            many = sum(start < at <= end for at in attempts)
             over.append(many - free - cap * sum(start < at <= end for at in taken))
         return max(over)
 
     def play(self, host: FakeHost, seconds: int) -> None:
         for _ in range(seconds * 20):
             host.run(SECOND // 20)
-            for lane in (PURE, EFFECTFUL):
-                lookup = host.ask(lane, key=str(len(host.acts)))
-                for trip in host.sent(lookup):
-                    host.end(trip)
+            for request_class in (PURE, EFFECTFUL):
+                request = host.ask(request_class, key=str(len(host.acts)))
+                for attempt in host.sent(request):
+                    host.end(attempt)
 
     def test_total_and_lane_stay_within_the_cap_and_guarded_stages_take_no_effects(self) -> None:
         host = FakeHost(by_lane=True, guarded=1, keys_stay=True)
@@ -143,11 +147,11 @@
         for _ in range(4):
             host.listed(2)
         self.play(host, 8)
-        self.assertTrue([trip for trip in host.sent() if trip.endpoint.build == 2])
+        self.assertTrue([attempt for attempt in host.sent() if attempt.endpoint.build == 2])
         host.news(2, 0, RolloutPhase.ROLLING_BACK, 0.0)
         host.acts.clear()
         self.play(host, 8)
-        self.assertFalse([trip for trip in host.sent() if trip.endpoint.build == 2])
+        self.assertFalse([attempt for attempt in host.sent() if attempt.endpoint.build == 2])
 
     def test_a_key_that_the_new_build_answered_goes_to_no_earlier_one(self) -> None:
         host = FakeHost(units=1, keys_stay=True)
@@ -155,9 +159,9 @@
         host.news(2, 2, RolloutPhase.CANARY, 1.0)
         for _ in range(30):
             host.run(SECOND)
-            for trip in host.sent(host.ask(PURE, key="k")):
-                host.end(trip)
-        builds = [act.attempt.endpoint.build for act in host.acts if isinstance(act, StartAttempt)]
+            for attempt in host.sent(host.ask(PURE, key="k")):
+                host.end(attempt)
+        builds = [action.attempt.endpoint.build for action in host.acts if isinstance(action, StartAttempt)]
         self.assertNotIn(1, builds[builds.index(2) :])
 
     def test_a_key_answered_since_the_release_goes_to_no_earlier_unit_that_comes_back(self) -> None:
@@ -199,16 +203,16 @@
     def trial(self, faults: dict[int, int], servers: int = 4, wait: int = 2) -> list[Verdict]:
         """Plays a trial in which servers fail as many of ten trips as told, and returns the votes."""
         host = FakeHost(now=20 * SECOND)
-        lane = PURE
+        request_class = PURE
         for unit in host.units:
-            host.relay._scoring.record(state_of(unit), lane, {}, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), request_class, {}, host.relay.now, 10)
         host.run(SECOND)
         host.news(2, 1, RolloutPhase.CANARY, 0.5)
         new = [host.listed(2, since=host.relay.now) for _ in range(servers)]
         host.run(wait * SECOND)
         for place, unit in enumerate(new):
             broken = {Fault.BROKEN: faults.get(place, 0)}
-            host.relay._scoring.record(state_of(unit), lane, broken, host.relay.now, 10)
+            host.relay._scoring.record(state_of(unit), request_class, broken, host.relay.now, 10)
         host.run(6 * SECOND)
         return [vote.verdict for vote in host.votes()]
 
@@ -327,13 +331,13 @@
     def test_a_thin_view_asks_two_and_takes_the_first_that_is_free(self) -> None:
         # Incident i160e63: hundreds of relays that saw no queue drove a full fleet into answers all too late.
         host = FakeHost(probes=True, relays=100)
-        lookup = host.ask(PURE)
-        asked = [act.endpoint for act in host.acts if isinstance(act, CheckHealth)]
-        self.assertEqual((len(set(asked)), host.sent(lookup)), (2, []))
+        request = host.ask(PURE)
+        asked = [action.endpoint for action in host.acts if isinstance(action, CheckHealth)]
+        self.assertEqual((len(set(asked)), host.sent(request)), (2, []))
         host.run(20)
         host.relay.health_checked(asked[1], AttemptOutcome.SUCCEEDED, 20, {"waiting": 0.0})
         host.drain()
-        self.assertEqual([trip.endpoint for trip in host.sent(lookup)], [asked[1]])
+        self.assertEqual([attempt.endpoint for attempt in host.sent(request)], [asked[1]])
 
     def test_builds_asked_in_vain_come_last(self) -> None:
         # big-2 of athens-balancing, grown: all asked the same few trial servers again, and shed two of three.
@@ -344,28 +348,28 @@
             host.ask(PURE)
         host.run(SECOND)
         host.acts.clear()
-        lookup = host.ask(PURE)
+        request = host.ask(PURE)
         host.run(SECOND // 6)
-        asked = [act.endpoint for act in host.acts if isinstance(act, CheckHealth)]
+        asked = [action.endpoint for action in host.acts if isinstance(action, CheckHealth)]
         self.assertEqual([unit in new for unit in asked], [True, True, False, False])
-        self.assertEqual([type(act) for act in host.finals(lookup)], [RejectRequest])
+        self.assertEqual([type(action) for action in host.finals(request)], [RejectRequest])
 
     def test_no_connection_is_kept_while_some_are_lost(self) -> None:
         # big-1 of kortfjell-prod, grown: few connections granted; big-2 of sicilia-stazioni: dropped unseen.
-        for fate, closes in ((AttemptOutcome.SUCCEEDED, 0), (AttemptOutcome.CONNECT_FAILED, 2)):
+        for outcome, closes in ((AttemptOutcome.SUCCEEDED, 0), (AttemptOutcome.CONNECT_FAILED, 2)):
             host = FakeHost()
             first = host.sent(host.ask(PURE))[0]
-            host.end(first, fate)
-            for trip in [trip for trip in host.sent() if trip.outcome is None]:
-                host.end(trip)
-            self.assertEqual(sum(isinstance(act, CloseIdleConnections) for act in host.acts), closes)
+            host.end(first, outcome)
+            for attempt in [attempt for attempt in host.sent() if attempt.outcome is None]:
+                host.end(attempt)
+            self.assertEqual(sum(isinstance(action, CloseIdleConnections) for action in host.acts), closes)
 
     def test_quick_errors_make_no_fleet_busier(self) -> None:
         # A fresh day of sicilia-stazioni, grown: lookups that err anywhere hid a build that slows all.
         host = FakeHost()
-        for faults, trips in (({}, 10), ({Fault.BROKEN: 10}, 10), ({Fault.SLOW: 10}, 20)):
+        for faults, attempts in (({}, 10), ({Fault.BROKEN: 10}, 10), ({Fault.SLOW: 10}, 20)):
             host.relay._count(state_of(host.units[0]), PURE, faults, 10, False)
-            self.assertEqual(host.relay._traffic.busy.read(0), trips)
+            self.assertEqual(host.relay._traffic.busy.read(0), attempts)
 
     def test_a_client_in_haste_is_no_fault_of_a_server(self) -> None:
         # rough-2 of kortfjell-prod, grown: one customer's short tries sent a good build back.
@@ -382,15 +386,15 @@
             host = FakeHost()
             for _ in range(100):
                 host.run(SECOND // 10)
-                for trip in host.sent(host.ask(PURE)):
-                    host.end(trip, took=took)
+                for attempt in host.sent(host.ask(PURE)):
+                    host.end(attempt, took=took)
             self.assertTrue(least <= len(host.sent()) <= most)
 
     def test_failing_units_are_set_aside_never_most_and_come_back(self) -> None:
         host = FakeHost(units=4)
         for _ in range(40):
-            for trip in host.sent(host.ask(EFFECTFUL)):
-                host.end(trip, AttemptOutcome.ERROR)
+            for attempt in host.sent(host.ask(EFFECTFUL)):
+                host.end(attempt, AttemptOutcome.ERROR)
         aside = [unit for unit in host.units if state_of(unit).aside > host.relay.now]
         self.assertEqual(len(aside), 2)
         host.run(4 * SECOND)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.days.commands import scripts
+from lanelead.testbed.scenarios.commands import scripts
 from lanelead.settings import cue
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import read, read_text
@@ -71,8 +71,8 @@
     def test_what_no_field_can_say_alone_is_checked_too(self) -> None:
         self.assertIn("no more than outer_limit_ms", self.faults(GOOD.replace("ms: 100,", "ms: 2000,"))[0])
         self.assertIn("less than relay.relays", self.faults(GOOD.replace("number: 0", "number: 3"))[0])
-        members = 'service: members: [{name: "m", quota: 1, share: 1, networks: ["10.0.0.0/40"]}]\n\tservice: lanes'
-        self.assertIn("an IP network", self.faults(GOOD.replace("service: lanes", members))[0])
+        tenants = 'service: members: [{name: "m", quota: 1, share: 1, networks: ["10.0.0.0/40"]}]\n\tservice: lanes'
+        self.assertIn("an IP network", self.faults(GOOD.replace("service: lanes", tenants))[0])
         trial = "service: trial: caps: [0.5, 0.1, 1, 1]\n\tservice: lanes"
         self.assertIn("never fall", self.faults(GOOD.replace("service: lanes", trial))[0])
 
--- a/tests/test_slopes_votes.py
+++ b/tests/test_slopes_votes.py
@@ -6,7 +6,7 @@
 
 from benchmarks.slopes import watching
 from benchmarks.slopes.voting import Release, poll_of
-from lanelead.node.feeds import HOLD
+from lanelead.postgres_relay.discovery_client import HOLD
 
 
 class Voting(unittest.TestCase):
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -15,14 +15,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from lanelead.cli import main
-from lanelead.model.steps import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
-from lanelead.protocols.steps import LogEntry, LoggedEntry
+from lanelead.testbed.simulation.migrations import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
+from lanelead.protocols.migrations import LogEntry, LoggedEntry
 from lanelead.settings.records import Batch, Demands, Need, Step, Steps
-from lanelead.steps import runner
-from lanelead.steps.pace import Pace
-from lanelead.steps.plan import ordered
-from lanelead.steps.record import Broken, Record, Stand
-from lanelead.steps.runner import Goal, Runner
+from lanelead.migrations import runner
+from lanelead.migrations.backoff import Pace
+from lanelead.migrations.plan import ordered
+from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.runner import Goal, Runner
 
 PLANS = Path(__file__).parent.parent / "lanelead" / "days" / "plans"
 
@@ -260,7 +260,7 @@
 
 
 class EveryOrder(unittest.TestCase):
-    """Two runners, one store: every order of their requests, with faults; see lanelead/model/steps.py."""
+    """Two runners, one store: every order of their requests, with faults; see testbed/simulation/migrations.py."""
 
     TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(Demands(1, [], [], ""),))
     ENDS = plan(
--- a/tests/test_stepstore.py
+++ b/tests/test_stepstore.py
@@ -12,12 +12,12 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.days.fleet import free_ports
-from lanelead.protocols.steps import AppendRequest, ApplyRequest, LogEntry, LeaseRequest, BatchRange
+from lanelead.testbed.scenarios.processes import free_ports
+from lanelead.protocols.migrations import AppendRequest, ApplyRequest, LogEntry, LeaseRequest, BatchRange
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
-from lanelead.standins.interrupts import Apart, Filer, Trial, check, counted
-from lanelead.store.ledger import Denied, Ledger
+from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
+from lanelead.store.migration_store import Denied, Ledger
 from tests.test_steps import PLANS
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -21,12 +21,12 @@
     Attempt,
     Endpoint,
 )
-from lanelead.decisions.scoring import Fault
-from lanelead.decisions.servers import EndpointState, state_of
-from lanelead.decisions.zones import Spill
-from lanelead.model.machines import Plan
-from lanelead.model.policies import AllAtOnce, HealthShare, NoSpill
-from lanelead.model.world import World
+from lanelead.decisions.build_scoring import Fault
+from lanelead.decisions.endpoint_state import EndpointState, state_of
+from lanelead.decisions.zone_spillover import Spill
+from lanelead.testbed.simulation.hosts import Plan
+from lanelead.testbed.simulation.policies import AllAtOnce, HealthShare, NoSpill
+from lanelead.testbed.simulation.decision_loop import World
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
 DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
@@ -61,14 +61,14 @@
     def gone(self) -> float:
         return self.spill.tiers[0].gone
 
-    def lookup(self, lane: RequestClass = PURE, tried: Endpoint | None = None) -> Request:
-        found = Request(lane, None, None, self.now, self.now + SECOND)
+    def lookup(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> Request:
+        found = Request(request_class, None, None, self.now, self.now + SECOND)
         if tried is not None:
             found.attempts.append(Attempt(found, tried, 0, self.now, SECOND, AttemptOutcome.TIMED_OUT))
         return found
 
-    def first(self, lane: RequestClass = PURE, tried: Endpoint | None = None) -> list[int]:
-        return self.spill._order(self.lookup(lane, tried))[0]
+    def first(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> list[int]:
+        return self.spill._order(self.lookup(request_class, tried))[0]
 
 
 class Spilling(unittest.TestCase):
@@ -114,8 +114,8 @@
         town = Town()
         for server in town.units["a"]:
             for _ in range(3):
-                lookup = town.lookup()
-                server.out[Attempt(lookup, server, 0, town.now, SECOND)] = None
+                request = town.lookup()
+                server.out[Attempt(request, server, 0, town.now, SECOND)] = None
         town.run(3)
         self.assertGreater(town.gone(), 0.4)
 
@@ -276,14 +276,14 @@
     def test_without_tiers_all_units_are_one(self) -> None:
         spill = Spill(ZonePreference(), DUTIES, SECOND, BEAT, Random(1))
         pools = {1: [EndpointState(0, SECOND, SECOND, 0.5)]}
-        lookup = Request(
+        request = Request(
             RequestClass("r", 1, 2, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0),
             None,
             None,
             0,
             1,
         )
-        self.assertIs(next(spill.cuts(pools, lookup)), pools)
+        self.assertIs(next(spill.cuts(pools, request)), pools)
         spill.beat(pools[1], 1.0, False, 0)
         self.assertFalse(spill.troubled(pools[1][0]))
 
--- a/tests/town.py
+++ b/tests/town.py
@@ -17,13 +17,13 @@
 import structlog
 import uvloop
 
-from lanelead.http import writing
-from lanelead.protocols.records import EndpointMessage
-from lanelead.relay.service import Service
+from lanelead.http import serialization
+from lanelead.protocols.feeds import EndpointMessage
+from lanelead.http_relay.service import Service
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Relay
-from lanelead.standins.desk import Desk
-from lanelead.standins.roster import Roster
+from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import Roster
 
 Handler = Callable[["ScriptedUnit", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -123,7 +123,7 @@
         while True:
             await unit.request(reader)
             await asyncio.sleep(wait)
-            writer.write(writing.response(status, fields, body))
+            writer.write(serialization.response(status, fields, body))
 
     return handler
 
@@ -215,7 +215,7 @@
     def send(self, method: str, path: str, body: bytes = b"", **fields: str) -> None:
         rows = [(b"host", b"relay")]
         rows += [(name.replace("_", "-").encode(), value.encode()) for name, value in fields.items()]
-        self.writer.write(writing.request(method, path.encode(), rows, body))
+        self.writer.write(serialization.request(method, path.encode(), rows, body))
 
     async def answer(self, head: bool = False) -> tuple[int, dict[str, str], bytes]:
         text = await self.reader.readuntil(b"\r\n\r\n")
