--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,10 +17,10 @@
 
 import click
 
-from lanelead.membership.messages import DEAD, Ask
+from lanelead.decisions.interface import Ticks
 from lanelead.membership.member import Membership, Tempo
 from lanelead.membership.member_state import BEATS, HELPERS, Suspicion
-from lanelead.decisions.interface import Ticks
+from lanelead.membership.messages import DEAD, Ask
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 TEMPO = Tempo(3000, 600 * SECOND)
--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -14,10 +14,10 @@
 import click
 import msgspec
 
+from lanelead.settings.records import Day
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.clock import Clock
 from lanelead.testbed.simulation.fleet import Town
-from lanelead.settings.records import Day
 
 
 def day(relays: int, units: int, rate: float, seconds: float) -> Day:
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -27,15 +27,15 @@
 import msgspec
 import uvloop
 
-from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.processes import Process, free_ports
 from lanelead.http import serialization
-from lanelead.http.responses import ResponseReader, Progress
 from lanelead.http.requests import HttpRequest, RequestReader
+from lanelead.http.responses import Progress, ResponseReader
 from lanelead.http.server import ServerConnection
 from lanelead.protocols.feeds import EndpointMessage
-from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.processes import Process, free_ports
 
 ANSWER = serialization.response(200, [(b"content-type", b"text/plain")], b"x" * 100)
 FIELDS = [
--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -15,9 +15,9 @@
 from lanelead.configuration.actions import Place
 from lanelead.configuration.document import Document
 from lanelead.configuration.value_types import AppliedValues
-from lanelead.testbed.simulation.configuration import Fleet
 from lanelead.protocols.configuration import Change, Entry
 from lanelead.protocols.feeds import decode, encode
+from lanelead.testbed.simulation.configuration import Fleet
 
 SUBJECT = "distribution"
 ZONES = [("a", "one"), ("b", "one"), ("c", "two"), ("d", "two")]
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -25,13 +25,13 @@
 from typing import Any
 
 from benchmarks.slopes.sizes import Size, listing, settings
-from lanelead.decisions.interface import SECOND, AttemptOutcome, Ticks, Attempt, Endpoint, CastVote
 from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.interface import SECOND, Attempt, AttemptOutcome, CastVote, Endpoint, Ticks
+from lanelead.protocols import datagrams
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.runtime.endpoint_registry import FORM, HEAD, LOAD, ROW
 from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
-from lanelead.protocols import datagrams
-from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.runtime.timers import EPOCH
 
 UDP_HEAD = 28  # bytes of the IPv4 and UDP heads of a datagram; counted nowhere unless said
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -24,8 +24,8 @@
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND
-from lanelead.protocols.platform import EndpointList
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList
 
 UNITS, RATE, CLIENTS = 13, 5.0, 3
 SIZES, SMALL = (30, 150), (15,)
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -12,31 +12,31 @@
 from random import Random
 from typing import Any
 
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
     SECOND,
-    CancelAttempt,
-    EndpointStatus,
-    UpdateScope,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
+    CancelAttempt,
+    CastVote,
+    CheckHealth,
+    Endpoint,
     EndpointRecord,
+    EndpointStatus,
+    FleetLatency,
     InFlightCount,
     Request,
-    Tenant,
-    RolloutState,
-    FleetLatency,
+    RequestClass,
     RolloutPhase,
-    CheckHealth,
+    RolloutState,
+    SetTimer,
     StartAttempt,
+    Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
-    CastVote,
-    SetTimer,
+    UpdateScope,
 )
-from lanelead.decisions.balancer import Balancer
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 
 UNITS = (26, 150, 780, 7800)
 RATE = 183  # lookups a second at one relay: its mean at the peak
@@ -227,9 +227,9 @@
         self.lanes, self.members, self.meter = told.request_classes(), told.tenants(), meter or Meter()
         self.relay = decisions(told, self.lanes, self.members, self.now)
         self._gap, self._due, self._heap = SECOND / rate, float(self.now), list[tuple[Ticks, int, Any]]()
-        self._chance, self._number, self._told = Random(11), 0, self.now
+        self._rng, self._number, self._told = Random(11), 0, self.now
         self.sent = self.asked = 0
-        marks = self._chance.sample(range(65536), units)  # one for each
+        marks = self._rng.sample(range(65536), units)  # one for each
         self.units = [self.relay.new_endpoint(mark) for mark in marks]
         new = round(trial * units)
         rows = [
@@ -256,7 +256,7 @@
         try:
             while self._due <= end:
                 self._until(int(self._due))
-                request_class, tenant = self._chance.choice(self.lanes), self._chance.choice(self.members)
+                request_class, tenant = self._rng.choice(self.lanes), self._rng.choice(self.members)
                 request = Request(request_class, tenant, None, self.now, self.now + request_class.timeout)
                 self.asked += 1
                 meter.start()
@@ -280,7 +280,7 @@
         meter = self.meter
         if isinstance(what, Attempt):
             if what.outcome is None:
-                good = self._chance.randrange(FAULTY) > 0
+                good = self._rng.randrange(FAULTY) > 0
                 outcome = AttemptOutcome.SUCCEEDED if good else AttemptOutcome.ERROR
                 meter.start()
                 self.relay.attempt_ended(what, outcome, good, self.now - what.sent_at, None)
@@ -295,7 +295,7 @@
             meter.stop("beat")
             if self.now >= self._told + SECOND * 4 // 5:
                 self._told = self.now
-                words = [InFlightCount(unit, 2) for unit in self._chance.sample(self.units, min(83, len(self.units)))]
+                words = [InFlightCount(unit, 2) for unit in self._rng.sample(self.units, min(83, len(self.units)))]
                 meter.start()
                 self.relay.gossip_received(0, [*words, FleetLatency(TOOK)])
                 meter.stop("told")
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -43,7 +43,7 @@
     trips: list[float] = field(default_factory=list)  # trips told of over trips out
 
     def watch(self, fleet: Fleet) -> Callable[[str, Hollow, Any], None]:
-        hub, plain = fleet.relays[0], {relay: None for relay in fleet.roles["plain"]}
+        hub, plain = fleet.relays[0], dict.fromkeys(fleet.roles["plain"])
         said: dict[Hollow, int] = {}
         held = 0.0
 
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Literal
-
 from functools import partial
+from typing import Literal
 
 import msgspec
 
@@ -12,8 +11,8 @@
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.http import serialization
 from lanelead.postgres_relay.discovery_client import LONGEST
-from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, ListedEndpoint, read_endpoint_list
 from lanelead.runtime.driver import DecisionDriver
 
 TENTH = 0.1
--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -14,9 +14,9 @@
 
 from benchmarks.membership import TEMPO
 from benchmarks.slopes.series import Series, traced_mb
-from lanelead.membership.messages import Row
-from lanelead.membership.member import Address, Membership
 from lanelead.decisions.interface import Ticks
+from lanelead.membership.member import Address, Membership
+from lanelead.membership.messages import Row
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 SUBJECT = "membership"
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -19,9 +19,9 @@
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
 from lanelead.decisions.interface import SECOND
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
-from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 from lanelead.runtime.timers import EPOCH
 
 UNITS, SMALL_UNITS = (26, 150, 780, 2600, 7800), (26, 150)
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -23,8 +23,8 @@
 from benchmarks.slopes.hollow_relay import NEWS, decisions, settings
 from benchmarks.slopes.lists import endpoint
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
-from lanelead.decisions.interface import SECOND
 from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.interface import SECOND
 from lanelead.postgres_relay.config import load
 
 TENANTS = (100, 4900, 49000)
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -16,32 +16,32 @@
 from typing import Any, NamedTuple
 from unittest.mock import patch
 
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.endpoint_state import Roster
 from lanelead.decisions.interface import (
     SECOND,
     Action,
-    ResourceQuota,
-    PromotionControl,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
-    Tenant,
-    RolloutState,
-    RelayPosition,
-    Idempotency,
+    CastVote,
     DeduplicationScope,
+    Endpoint,
+    Idempotency,
     Prices,
+    PromotionControl,
+    RelayPosition,
+    RequestClass,
+    ResourceQuota,
+    RolloutState,
+    ServiceLimits,
+    Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
-    CastVote,
 )
 from lanelead.decisions.rollout import Rollout
-from lanelead.decisions.balancer import Balancer
-from lanelead.decisions.endpoint_state import Roster
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.platform import VERDICTS, encode_call
-from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.settings.records import Poll, Trial
 from lanelead.testbed.emulators.vote_counting import Polling
 from tests.platform import answered, told
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -23,8 +23,8 @@
 
 from lanelead.http import serialization
 from lanelead.postgres_relay.discovery_client import HOLD, Discovery, Held
-from lanelead.protocols.platform import ListedEndpoint, EndpointList, read_endpoint_list
 from lanelead.protocols.feeds import EndpointListMessage, encode
+from lanelead.protocols.platform import EndpointList, ListedEndpoint, read_endpoint_list
 
 CALL = 0.001  # seconds from an answer to the relay's next watch, over a network of one zone
 
--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -19,14 +19,14 @@
 import click
 import msgspec
 
-from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.http.client import call
-from lanelead.protocols.migrations import AppendRequest, LogEntry, LeaseRequest, SchemaCheck
-from lanelead.settings.records import Address, Batch, Demands, Step, Steps
-from lanelead.testbed.emulators.crash_injection import Apart, Trial
 from lanelead.migrations.executor import Client
 from lanelead.migrations.migration_log import Record
+from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, SchemaCheck
+from lanelead.settings.records import Address, Batch, Demands, Step, Steps
 from lanelead.store.migration_store import Ledger
+from lanelead.testbed.emulators.crash_injection import Apart, Trial
+from lanelead.testbed.scenarios.processes import free_ports
 
 WRITE = "INSERT INTO filed (op) VALUES (:op)"
 
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -24,11 +24,11 @@
 import click
 import msgspec
 
-from lanelead.testbed.scenarios.processes import free_ports
-from lanelead.testbed.scenarios.runner import plan_file
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
 from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
+from lanelead.testbed.scenarios.processes import free_ports
+from lanelead.testbed.scenarios.runner import plan_file
 
 
 def trial(folder: str) -> Trial:
--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -14,9 +14,9 @@
 
 import click
 
-from lanelead.testbed.simulation.migrations import ALL, Found, Guards, search
-from lanelead.settings.records import Batch, Demands, Need, Step, Steps
 from lanelead.migrations.runner import Goal
+from lanelead.settings.records import Batch, Demands, Need, Step, Steps
+from lanelead.testbed.simulation.migrations import ALL, Found, Guards, search
 
 
 def plan(many: int) -> Steps:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -15,10 +15,10 @@
 import click
 import msgspec
 
+from lanelead.settings.records import Day, Offer
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.testbed.simulation.fleet import Town
-from lanelead.settings.records import Day, Offer
 
 KINDS = ("errors", "lane", "slow", "load", "late", "wrong", "shared")
 VOTERS = ("lanelead", "by clock", "error limit", "sequential")
--- a/benchmarks/zone_loss.py
+++ b/benchmarks/zone_loss.py
@@ -20,9 +20,9 @@
 
 import click
 
+from lanelead.testbed.simulation.decision_loop import World
 from lanelead.testbed.simulation.hosts import Plan
 from lanelead.testbed.simulation.policies import POLICIES
-from lanelead.testbed.simulation.decision_loop import World
 
 SCENES: dict[str, tuple[tuple[float, str, str, float], ...]] = {
     "lost": ((12, "lost", "a", 1.0), (22, "back", "a", 1.0)),
--- a/lanelead/cli.py
+++ b/lanelead/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Commands are loaded when they are called for: a relay starts on part of a core."""
+"""The command line. Commands are imported when they are called: a relay starts on part of a core."""
 
 from __future__ import annotations
 
@@ -9,31 +9,37 @@
 
 from lanelead import VERSION
 
-ELSEWHERE = {  # commands by name, and where they stand
-    "day": "lanelead.testbed.scenarios.commands",
-    "steps": "lanelead.migrations.commands",
-    "store": "lanelead.migrations.commands",
-    "model": "lanelead.testbed.experiments.commands",
-    "experiment": "lanelead.testbed.experiments.commands",
-    "circle": "lanelead.membership.commands",
+COMMAND_MODULES = {
     "configuration": "lanelead.configuration.commands",
+    "experiment": "lanelead.testbed.experiments.commands",
     "load": "lanelead.testbed.load.commands",
+    "membership": "lanelead.membership.commands",
+    "migrations": "lanelead.migrations.commands",
+    "scenario": "lanelead.testbed.scenarios.commands",
+    "simulation": "lanelead.testbed.experiments.commands",
+    "store": "lanelead.migrations.commands",
 }
+EARLIER_NAMES = {"circle": "membership", "day": "scenario", "model": "simulation", "steps": "migrations"}
+
 
+class LazyGroup(click.Group):
+    """Imports the module of a command only when that command is called."""
 
-class Lazy(click.Group):
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *ELSEWHERE])
+        """All commands but earlier names, which go on working and are not shown."""
+        return sorted([*super().list_commands(ctx), *COMMAND_MODULES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name in ELSEWHERE:
-            found = getattr(importlib.import_module(ELSEWHERE[cmd_name]), cmd_name)
-            assert isinstance(found, click.Command)
-            return found
-        return super().get_command(ctx, cmd_name)
+        """The command of this name, or of the name that replaced it."""
+        name = EARLIER_NAMES.get(cmd_name, cmd_name)
+        if name not in COMMAND_MODULES:
+            return super().get_command(ctx, name)
+        command = getattr(importlib.import_module(COMMAND_MODULES[name]), name)
+        assert isinstance(command, click.Command)
+        return command
 
 
-@click.group(cls=Lazy)
+@click.group(cls=LazyGroup)
 @click.version_option(VERSION, prog_name="lanelead")
 def main() -> None:
     """A release controller with a router that moves traffic between builds."""
--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -27,13 +27,13 @@
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
+    AcceptReply,
     Ballot,
     Change,
     Prepare,
     Promise,
     Proposal,
     RejectedProposal,
-    AcceptReply,
 )
 
 Keep = Callable[[int, Ballot, Ballot | None, Change | None], None]
@@ -133,7 +133,7 @@
     ) -> None:
         self.finishes = finishes
         self._number, self._voters, self.proposal = number, voters, proposal
-        self._holder, self._chance = holder, rng
+        self._holder, self._rng = holder, rng
         self._many = len(voters) // 2 + 1
         self._version = -1  # that the tries are for
         self._tries, self._number_seen = 0, 0
@@ -196,7 +196,7 @@
 
     def _pause(self, now: float) -> None:
         self._idle, self._ballot = True, NONE
-        self._next = now + PAUSE * float(1 << min(self._tries, 5)) * self._chance.random()
+        self._next = now + PAUSE * float(1 << min(self._tries, 5)) * self._rng.random()
 
     def _give_up(self) -> None:
         said = ", ".join(f"{voter} {self.words.get(voter, 'silent')}" for voter in self._voters)
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, Entry, DigestTree
+from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, DigestTree, Entry
 
 GONE = b"null"
 MODULUS = 1 << 64
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -20,7 +20,7 @@
 
 from lanelead.configuration.actions import Act, AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
 from lanelead.configuration.document import Document, Refused, TooLarge, bucket_of, sums_of
-from lanelead.protocols.configuration import AppliedVersion, Buckets, WatchLine, DigestTree
+from lanelead.protocols.configuration import AppliedVersion, Buckets, DigestTree, WatchLine
 
 SILENCE = 1.2  # seconds without a line; a source writes one each 0.4 s
 OPENS = 0.7  # seconds until the first line, or two silent sources would be longer than a change may take
@@ -85,7 +85,7 @@
         self.refused: list[str] = []  # keys that the relay could not take; the host writes them
         self.refusals = 0
         self.repairs = self.lines = 0
-        self._number, self._place, self._rate, self._chance = number, place, rate, rng
+        self._number, self._place, self._rate, self._rng = number, place, rate, rng
         self._known = [_Known(source, rng.random()) for source in sources]
         self._order = sorted(range(len(sources)), key=lambda n: (self._rank(n), self._known[n].lot))
         self._current: int | None = None
@@ -186,7 +186,7 @@
         if over:
             # Guards against fetching again and again what can't be held: no other source has less of it.
             self._note("the configuration is larger than this relay may hold", over, LARGER)
-            repair.outline, repair.pause = None, now + self._chance.uniform(*OVER)
+            repair.outline, repair.pause = None, now + self._rng.uniform(*OVER)
         self.tick(now)
 
     def gone(self, source: int, now: float) -> None:
@@ -194,7 +194,7 @@
         if (repair := self._asked(source)) is not None:
             repair.asked, repair.outline, repair.unanswered = False, None, repair.unanswered + 1
             repair.part = max(1, repair.part // 2)  # it may have been more than one answer can hold
-            repair.pause = now + self._chance.uniform(*AGAIN) / 5
+            repair.pause = now + self._rng.uniform(*AGAIN) / 5
             if repair.unanswered >= UNANSWERED:
                 # Guards against a source that tells changes but no snapshot, where others have one.
                 repair.unanswered = 0
@@ -274,7 +274,7 @@
 
     def _begin(self, source: int, now: float) -> None:
         self._current, self._opened, self._heard, self._since = source, False, now, now
-        self._stay = now + self._chance.uniform(*NEARER)
+        self._stay = now + self._rng.uniform(*NEARER)
 
     def _watch(self, source: int) -> None:
         self.acts.append(Watch(source, self.document.version, self.document.digest))
@@ -299,11 +299,11 @@
             if fresh:
                 self._try(fresh[0], now)
         elif now >= self._stay:
-            self._stay = now + self._chance.uniform(*NEARER)
+            self._stay = now + self._rng.uniform(*NEARER)
             nearer = [n for n in self._order if self._rank(n) < self._rank(current)]
             ready = [n for n in nearer if self._known[n].again <= now and not self._old(n, now)]
             ready.sort(key=lambda n: self._known[n].failures)
-            if ready and self._chance.random() < 1 / max(1, min(8, self._known[ready[0]].failures)):
+            if ready and self._rng.random() < 1 / max(1, min(8, self._known[ready[0]].failures)):
                 self._try(ready[0], now)
 
     def _failed(self, source: int, reason: str, now: float) -> None:
@@ -321,7 +321,7 @@
     def _put_off(self, source: int, reason: str, now: float) -> None:
         known = self._known[source]
         wait = min(AGAIN[1], AGAIN[0] * 2 ** min(known.failures, 10))
-        known.again, known.failures = now + wait * self._chance.uniform(0.5, 1.5), known.failures + 1
+        known.again, known.failures = now + wait * self._rng.uniform(0.5, 1.5), known.failures + 1
         if known.failures == 1:
             self._note(
                 f"source of configuration lost: {known.place.address}",
--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from lanelead.configuration.agreement import LONGEST, Proposer
-from lanelead.protocols.configuration import Accept, Prepare, Heartbeat
+from lanelead.protocols.configuration import Accept, Heartbeat, Prepare
 from lanelead.protocols.configuration_replicas import DecidedChange, SnapshotPage
 
 NEVER = -1e6  # seconds before its start
--- a/lanelead/configuration/publisher.py
+++ b/lanelead/configuration/publisher.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from lanelead.configuration.document import Document
-from lanelead.protocols.configuration import MAX_CHANGE_BYTES, AppliedVersion, Buckets, Change, WatchLine, DigestTree
+from lanelead.protocols.configuration import MAX_CHANGE_BYTES, AppliedVersion, Buckets, Change, DigestTree, WatchLine
 
 KEPT = 1000  # changes told one by one; a follower that lacks more compares buckets, which costs less
 KEPT_BYTES = 16 << 20  # of their keys and values, at most
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -29,19 +29,19 @@
 from random import Random
 
 from lanelead.configuration.agreement import LONGEST, Proposer, Unfit
-from lanelead.configuration.replica_state import Holding, Strange
 from lanelead.configuration.messages import NEVER, Asked, Call, Seen
+from lanelead.configuration.replica_state import Holding, Strange
 from lanelead.configuration.store import StoreFault
 from lanelead.protocols.configuration import (
     Accept,
+    AcceptReply,
     Change,
+    Heartbeat,
     LogPage,
     Prepare,
     Promise,
     Proposal,
     RejectedProposal,
-    Heartbeat,
-    AcceptReply,
 )
 from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
 
@@ -70,7 +70,7 @@
         self.seen = {other: Seen() for other in others}
         self.calls: list[Call] = []
         self.fault = ""  # of the store, at its last try
-        self._chance, self._told, self._started = rng, told, now
+        self._rng, self._told, self._started = rng, told, now
         self._many = len(self.voters) // 2 + 1
         self._waiting: deque[Proposer] = deque()
         self._next_sign = now
@@ -107,7 +107,7 @@
     def tick(self, now: float) -> None:
         self._now = max(self._now, now)
         if now >= self._next_sign:
-            self._next_sign = now + SIGNS * self._chance.uniform(0.9, 1.1)
+            self._next_sign = now + SIGNS * self._rng.uniform(0.9, 1.1)
             for other, seen in self.seen.items():
                 if seen.out < OUT:
                     seen.out += 1
@@ -123,13 +123,13 @@
             return
         if self._accepted is None or self._accepted[0] != acceptor.change.version:
             self._finishing = FINISH
-            self._accepted = acceptor.change.version, now + FINISH * (1 + self._chance.random())
+            self._accepted = acceptor.change.version, now + FINISH * (1 + self._rng.random())
         elif now >= self._accepted[1] and not self._waiting:
             self._finishing = min(FINISH_LONGEST, self._finishing * 2)
-            self._accepted = self._accepted[0], now + self._finishing * (1 + self._chance.random())
+            self._accepted = self._accepted[0], now + self._finishing * (1 + self._rng.random())
             change = acceptor.change
             what = Proposal(change.ident, change.entries)
-            self._waiting.append(Proposer(self.number, self.voters, what, self.holding, self._chance, now, change))
+            self._waiting.append(Proposer(self.number, self.voters, what, self.holding, self._rng, now, change))
 
     def sign(self) -> Heartbeat:
         holding = self.holding
@@ -183,7 +183,7 @@
             return RejectedProposal("overloaded", f"{QUEUE} proposals wait already: ask again in a while")
         if self.holding.head == 0 and not self.votes:
             return RejectedProposal("abstains", "this machine holds nothing yet: ask another, or again in a while")
-        proposer = Proposer(self.number, self.voters, proposal, self.holding, self._chance, now)
+        proposer = Proposer(self.number, self.voters, proposal, self.holding, self._rng, now)
         if self._waiting and self._waiting[0].finishes is not None:
             self._waiting.popleft()  # any other one finishes that too, and first
         self._waiting.append(proposer)
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -24,34 +24,33 @@
 
 from lanelead.configuration.agreement import Proposer, Unfit
 from lanelead.configuration.document import Document
-from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.messages import Asked, Call
+from lanelead.configuration.publisher import SIGN, Gone
 from lanelead.configuration.replica import Machine
+from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.settings import Settings, place
-from lanelead.configuration.publisher import SIGN, Gone
 from lanelead.configuration.store import Store, StoreFault
-from lanelead.http import client
-from lanelead.http import serialization
+from lanelead.http import client, serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import STREAM, ServerConnection, chunk
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
+    AcceptReply,
     AppliedVersion,
+    Heartbeat,
     LogPage,
     Prepare,
     Promise,
     Proposal,
     RejectedProposal,
-    Heartbeat,
-    AcceptReply,
 )
 from lanelead.protocols.configuration_replicas import (
     SNAPSHOT_PAGES,
     DecidedChange,
     PeerStatus,
-    SnapshotPage,
     ReplicaStatus,
+    SnapshotPage,
 )
 from lanelead.protocols.feeds import MessageError, decode, encode
 
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.platform import parse_address
 from lanelead.protocols.feeds import MessageError
+from lanelead.protocols.platform import parse_address
 from lanelead.settings.records import Address
 
 LONGEST = 1 << 20  # bytes of the file
--- a/lanelead/decisions/admission.py
+++ b/lanelead/decisions/admission.py
@@ -3,31 +3,31 @@
 from math import inf
 from random import Random
 
+from lanelead.decisions.counters import Purse, Recent, turned
+from lanelead.decisions.endpoint_state import EndpointState, Roster, Traffic, warmth
 from lanelead.decisions.interface import (
     SECOND,
-    ResourceQuota,
-    EndpointStatus,
-    ServiceLimits,
     AttemptOutcome,
+    CanaryLimits,
     DecisionParameters,
-    RequestClass,
+    DeduplicationScope,
+    EndpointStatus,
+    Idempotency,
     Request,
-    RolloutState,
+    RequestClass,
+    ResourceQuota,
     RolloutPhase,
-    Idempotency,
-    DeduplicationScope,
+    RolloutState,
+    ServiceLimits,
     Ticks,
-    CanaryLimits,
 )
-from lanelead.decisions.endpoint_state import Roster, EndpointState, Traffic, warmth
-from lanelead.decisions.counters import Purse, Recent, turned
 
 NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class Exposure:
     def __init__(self, trial: CanaryLimits, many: bool, rng: Random) -> None:
-        self._trial, self._many, self._chance = trial, many, rng
+        self._trial, self._many, self._rng = trial, many, rng
         self._ledgers, self._keys = dict[tuple[int, RequestClass | None], Purse](), dict[str, int]()
         self._seen = Recent(2 * trial.window)
         self.news: RolloutState | None = None
@@ -50,7 +50,7 @@
         """Guards against hundreds of relays that each use the free number: theirs goes unused."""
         at = build, request_class if self._trial.by_class else None
         if at not in self._ledgers:
-            held, depth = (self._chance.random(), 2.0) if self._many else (inf, inf)
+            held, depth = (self._rng.random(), 2.0) if self._many else (inf, inf)
             self._ledgers[at] = Purse(self._trial.window, held, depth)
         return self._ledgers[at]
 
@@ -106,7 +106,7 @@
         traffic: Traffic,
         figures: DecisionParameters,
     ) -> None:
-        self._allowance, self._duties, self.exposure = quota, limits, exposure
+        self._quota, self._limits, self.exposure = quota, limits, exposure
         self._roster, self._traffic, self._figures = roster, traffic, figures
 
     def permitted(self, server: EndpointState, request: Request, now: Ticks) -> bool:  # again right before each trip
@@ -121,13 +121,13 @@
         return any(self.repeatable(server, request, now) for server in ready)
 
     def repeatable(self, server: EndpointState, request: Request, now: Ticks) -> bool:
-        if request.finished or len(request.attempts) >= self._allowance.max_attempts or now >= request.deadline:
+        if request.finished or len(request.attempts) >= self._quota.max_attempts or now >= request.deadline:
             return False
         request_class, ran = (
             request.request_class,
             [attempt for attempt in request.attempts if attempt.outcome not in NEVER_RAN],
         )
-        if not self._allowance.hedging and any(attempt.outcome is None for attempt in ran):
+        if not self._quota.hedging and any(attempt.outcome is None for attempt in ran):
             return False
         if request_class.idempotency is not Idempotency.KEYED or not ran:
             return request_class.idempotency is Idempotency.IDEMPOTENT or not ran
@@ -139,12 +139,12 @@
         }
         return (
             group[request_class.deduplication_scope]
-            and now < ran[0].sent_at + request_class.deduplication_window - self._duties.tick
+            and now < ran[0].sent_at + request_class.deduplication_window - self._limits.tick
         )
 
     def _cold_room(self, server: EndpointState, now: Ticks) -> bool:
         """One more to a cold unit? Each keeps to its part, rounded by lots that turn, or small ones idle."""
-        warm, limits, traffic = warmth(server, self._duties, now), self._duties, self._traffic
+        warm, limits, traffic = warmth(server, self._limits, now), self._limits, self._traffic
         sent = server.sent(now, limits.overload_time)
         if warm >= 1 or limits.overload_time <= 0:
             return True
--- a/lanelead/decisions/balancer.py
+++ b/lanelead/decisions/balancer.py
@@ -3,60 +3,60 @@
 from collections.abc import Generator, Sequence
 from random import Random
 
-from lanelead.decisions.endpoint_selection import Choice
 from lanelead.decisions.admission import NEVER_RAN, Exposure, Guards
+from lanelead.decisions.build_scoring import FAULTS, HARD, MUTE, STRIKES, Fault, Scoring
+from lanelead.decisions.counters import Fading
+from lanelead.decisions.endpoint_selection import Choice
+from lanelead.decisions.endpoint_state import (
+    EndpointState,
+    Fares,
+    Outstanding,
+    Pacing,
+    Roster,
+    Traffic,
+    Untold,
+    state_of,
+)
+from lanelead.decisions.gossip import CIRCLE, Circle
 from lanelead.decisions.interface import (
     SECOND,
     Action,
-    ResourceQuota,
-    FailRequest,
+    Attempt,
+    AttemptOutcome,
+    CanaryLimits,
     CancelAttempt,
+    CheckHealth,
     CloseIdleConnections,
-    UpdateScope,
-    ServiceLimits,
-    AttemptOutcome,
-    PollEndpoints,
     DecisionParameters,
-    RequestClass,
+    Endpoint,
     EndpointRecord,
-    Request,
-    Tenant,
-    RolloutState,
+    FailRequest,
+    GossipEntry,
     InFlightEntry,
-    RolloutPhase,
-    RelayPosition,
-    VotingRules,
-    ZonePreference,
-    CheckHealth,
     LoadReport,
-    StartAttempt,
-    RejectRequest,
     OutcomeObservation,
     OutcomeTally,
+    PollEndpoints,
     Prices,
-    Ticks,
-    CanaryLimits,
-    Attempt,
-    Endpoint,
+    RejectRequest,
+    RelayPosition,
+    Request,
+    RequestClass,
+    ResourceQuota,
+    RolloutPhase,
+    RolloutState,
+    ServiceLimits,
     SetTimer,
+    StartAttempt,
+    Tenant,
+    Ticks,
+    UpdateScope,
+    VotingRules,
     WatchEndpoints,
-    GossipEntry,
+    ZonePreference,
 )
 from lanelead.decisions.request_scheduling import Journey, Journeys
 from lanelead.decisions.rollout import Rollout
-from lanelead.decisions.build_scoring import FAULTS, HARD, MUTE, STRIKES, Fault, Scoring
-from lanelead.decisions.endpoint_state import (
-    Fares,
-    Outstanding,
-    Pacing,
-    Roster,
-    EndpointState,
-    Traffic,
-    Untold,
-    state_of,
-)
-from lanelead.decisions.counters import Fading
-from lanelead.decisions.gossip import CIRCLE, Circle
 from lanelead.decisions.zone_spillover import ANYWHERE, Spill
 
 
@@ -78,7 +78,7 @@
         preference: ZonePreference = ANYWHERE,
     ) -> None:
         self.now, self.actions = now, list[Action]()
-        self._allowance, self._duties, self._chance = quota, limits, rng
+        self._quota, self._limits, self._rng = quota, limits, rng
         self.parameters = DecisionParameters(
             request_classes, sum(tenant.quota for tenant in tenants), place.relay_count
         )
@@ -116,11 +116,11 @@
         self.actions += [first, WatchEndpoints(True)] if limits.subscribe else [first]
 
     def new_endpoint(self, mark: int) -> Endpoint:
-        return EndpointState(mark, 2 * self.parameters.longest_objective, 2 * SECOND, self._chance.random())
+        return EndpointState(mark, 2 * self.parameters.longest_objective, 2 * SECOND, self._rng.random())
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
         if update_scope is UpdateScope.FAILED:
-            self.actions.append(WatchEndpoints(True) if self._duties.subscribe else PollEndpoints())
+            self.actions.append(WatchEndpoints(True) if self._limits.subscribe else PollEndpoints())
         else:
             self._roster.apply(update_scope, records, self.now)
 
@@ -180,7 +180,7 @@
             faults = {fault: many for fault, many in faults.items() if fault in HARD}
         self._scoring.record(server, request_class, faults, self.now, outcomes)
         self._traffic.busy.add(self.now, outcomes - faults.get(Fault.BROKEN, 0))  # quick errors are no work
-        if tell and self._allowance.gossip:
+        if tell and self._quota.gossip:
             self._untold.note(server, request_class, outcomes, [faults.get(fault, 0) for fault in Fault])
 
     def complaint_received(self, unit: Endpoint, request_class: RequestClass, age: Ticks) -> None:
@@ -209,7 +209,7 @@
         self.actions.append(SetTimer(min(at for at in times if at > self.now), None))
         news, ready = self._exposure.news, self._roster.ready
         loads, in_all = self._out.own(ready) if self._tells else [], list[GossipEntry]()
-        out: list[GossipEntry] = [*loads, self._pacing.own(self._chance, self.now)] if loads else []
+        out: list[GossipEntry] = [*loads, self._pacing.own(self._rng, self.now)] if loads else []
         if self._tells and self._circle.hub:
             in_all += (totals := self._out.add(loads, self.now))
             in_all += self._pacing.measure(sum(load.attempts for load in totals), 10, self.now)
@@ -272,7 +272,7 @@
     def _journey(self, request: Request) -> Journey:
         request_class = request.request_class
         copy_at = request.received_at + request_class.latency_objective // 2
-        give_up = min(request.deadline - self._duties.tick, request.received_at + request_class.latency_objective // 6)
+        give_up = min(request.deadline - self._limits.tick, request.received_at + request_class.latency_objective // 6)
         while not self._forlorn(request):
             waiting = self._journeys.waiting.values() if self.now < give_up else ()
             pair = [] if any(other > request_class.priority_weight for other in waiting) else self._pair(request)
@@ -287,7 +287,7 @@
             else:
                 break
             while any(attempt.outcome is None for attempt in request.attempts):
-                yield copy_at if self.now < copy_at and self._allowance.hedging else request.deadline
+                yield copy_at if self.now < copy_at and self._quota.hedging else request.deadline
                 few = self._traffic.copies.read(self.now) < 0.1 * self._traffic.taken.read(self.now)
                 pair = self._pair(request) if few and self.now >= copy_at else []
                 if pair and request.attempts[-1].outcome is None and pair[0] is not request.attempts[-1].endpoint:
@@ -299,7 +299,7 @@
         """Guards against work late whatever is done: a member's lane seldom timely is sent in part."""
         ended, timely = (fare.read(self.now) for fare in self._fares[request.tenant, request.request_class])
         if (took := self._pacing.took(self.now)) is None:  # no hub tells: what was seen here counts
-            return self._chance.random() > 3 * (1 + timely) / (1 + 2 * ended)
+            return self._rng.random() > 3 * (1 + timely) / (1 + 2 * ended)
         excess = 1 - 0.75 * self.parameters.shortest_objective / max(1, took)  # a mean, about which trips are spread
         rates = {request_class: rate.read(self.now) for request_class, rate in self._rates.items()}
         less = sum(
@@ -307,7 +307,7 @@
             for request_class, rate in rates.items()
             if request_class.priority_weight < request.request_class.priority_weight
         )
-        return self._chance.random() * rates[request.request_class] < excess * sum(rates.values()) - less
+        return self._rng.random() * rates[request.request_class] < excess * sum(rates.values()) - less
 
     def _thin(self) -> bool:  # one of many, with less than a lookup for each server in an expected time
         requests = self._traffic.taken.read(self.now) * self.parameters.longest_objective / (4 * SECOND)
@@ -326,8 +326,8 @@
 
     def _give_up(self, request: Request) -> None:
         over = 0.5 + self._traffic.shed.read(self.now) / max(1, self._traffic.taken.read(self.now))
-        advice = int(over * self.parameters.longest_objective * self._chance.uniform(0.5, 1.5))  # spread, or all come
-        advice = min(advice, self._allowance.advises_retry * self._allowance.max_retry_after)
+        advice = int(over * self.parameters.longest_objective * self._rng.uniform(0.5, 1.5))  # spread, or all come
+        advice = min(advice, self._quota.advises_retry * self._quota.max_retry_after)
         ran = any(
             attempt.outcome not in NEVER_RAN for attempt in request.attempts
         )  # a shed reply promises that none did
@@ -342,5 +342,5 @@
         self._spill.left(request)
         self._journeys.end(request)
         for attempt in request.attempts:
-            if attempt.outcome is None and self._allowance.may_cancel and not attempt.streaming:
+            if attempt.outcome is None and self._quota.may_cancel and not attempt.streaming:
                 self.actions.append(CancelAttempt(attempt))
--- a/lanelead/decisions/build_scoring.py
+++ b/lanelead/decisions/build_scoring.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable, Sequence
 from enum import Enum
 
-from lanelead.decisions.interface import EndpointStatus, AttemptOutcome, RequestClass, Ticks
-from lanelead.decisions.endpoint_state import EndpointState
 from lanelead.decisions.counters import Window, Windows, filled, percentile, pooled, shares, tally, tamed, z_score
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.interface import AttemptOutcome, EndpointStatus, RequestClass, Ticks
 
 FULL = 200  # outcomes in the fullest window that a deviation is taken for
 
--- a/lanelead/decisions/counters.py
+++ b/lanelead/decisions/counters.py
@@ -11,7 +11,7 @@
 from math import exp, sqrt
 from typing import Generic, TypeVar
 
-from lanelead.decisions.interface import SECOND, RequestClass, Ticks, Endpoint
+from lanelead.decisions.interface import SECOND, Endpoint, RequestClass, Ticks
 
 S = TypeVar("S", bound=Endpoint)
 F = TypeVar("F", bound=Enum)
--- a/lanelead/decisions/endpoint_selection.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -6,8 +6,8 @@
 from typing import TypeAlias
 
 from lanelead.decisions.admission import Guards
-from lanelead.decisions.interface import SECOND, DecisionParameters, Request, RelayPosition, Ticks
-from lanelead.decisions.endpoint_state import Outstanding, Roster, EndpointState, Traffic
+from lanelead.decisions.endpoint_state import EndpointState, Outstanding, Roster, Traffic
+from lanelead.decisions.interface import SECOND, DecisionParameters, RelayPosition, Request, Ticks
 from lanelead.decisions.zone_spillover import Pools
 
 SIGHT = 16  # servers looked at for one choice, at most
--- a/lanelead/decisions/endpoint_state.py
+++ b/lanelead/decisions/endpoint_state.py
@@ -6,26 +6,26 @@
 from collections.abc import Iterable, Sequence
 from random import Random
 
+from lanelead.decisions.counters import Fading
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
+    Attempt,
     CompletionCount,
+    Endpoint,
+    EndpointRecord,
     EndpointStatus,
-    UpdateScope,
-    ServiceLimits,
-    RequestClass,
+    FleetLatency,
+    GossipEntry,
     InFlightBound,
-    EndpointRecord,
     InFlightCount,
-    Tenant,
     InFlightEntry,
-    FleetLatency,
     OutcomeObservation,
+    RequestClass,
+    ServiceLimits,
+    Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
-    GossipEntry,
+    UpdateScope,
 )
-from lanelead.decisions.counters import Fading
 
 
 class EndpointState(Endpoint):
--- a/lanelead/decisions/gossip.py
+++ b/lanelead/decisions/gossip.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 from random import Random
 
-from lanelead.decisions.interface import RelayPosition, SendGossip, GossipEntry
+from lanelead.decisions.interface import GossipEntry, RelayPosition, SendGossip
 
 CIRCLE = 8  # relays that tell each other directly, at most
 
@@ -13,7 +13,7 @@
     all hubs hear what is out, and tell all in turns. Guards against bytes by the square and lost hubs."""
 
     def __init__(self, place: RelayPosition, back_votes: int, rng: Random) -> None:
-        self._number, self._relays, self._chance = place.number, place.relay_count, rng
+        self._number, self._relays, self._rng = place.number, place.relay_count, rng
         self._hubs, self._beats = place.relay_count if place.relay_count <= CIRCLE else CIRCLE // 2, place.number
         self.watchers = min(place.relay_count, max(self._hubs, back_votes * 5 // 4))
         self.hub, self.watches = place.number < self._hubs, place.number < self.watchers
@@ -29,6 +29,6 @@
             letters = [(peer, both if peer < self._hubs else seen) for peer in range(self.watchers)]
             letters += [(peer, in_all) for peer in range(self._hubs + self._beats % 4, self._relays, 4)]
         else:
-            drawn = self._chance.randrange(self._hubs) if seen else -1
+            drawn = self._rng.randrange(self._hubs) if seen else -1
             letters = [(hub, both if hub == drawn else out) for hub in range(self._hubs)]
         yield from (SendGossip(peer, said) for peer, said in letters if said and peer != self._number)
--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -13,20 +13,48 @@
 
 from lanelead.decisions.parameters import (
     SECOND as SECOND,
-    ResourceQuota as ResourceQuota,
-    PromotionControl as PromotionControl,
-    ServiceLimits as ServiceLimits,
+)
+from lanelead.decisions.parameters import (
+    CanaryLimits as CanaryLimits,
+)
+from lanelead.decisions.parameters import (
     DecisionParameters as DecisionParameters,
+)
+from lanelead.decisions.parameters import (
+    DeduplicationScope as DeduplicationScope,
+)
+from lanelead.decisions.parameters import (
+    Idempotency as Idempotency,
+)
+from lanelead.decisions.parameters import (
+    Prices as Prices,
+)
+from lanelead.decisions.parameters import (
+    PromotionControl as PromotionControl,
+)
+from lanelead.decisions.parameters import (
+    RelayPosition as RelayPosition,
+)
+from lanelead.decisions.parameters import (
     RequestClass as RequestClass,
+)
+from lanelead.decisions.parameters import (
+    ResourceQuota as ResourceQuota,
+)
+from lanelead.decisions.parameters import (
+    ServiceLimits as ServiceLimits,
+)
+from lanelead.decisions.parameters import (
     Tenant as Tenant,
-    RelayPosition as RelayPosition,
+)
+from lanelead.decisions.parameters import (
+    Ticks as Ticks,
+)
+from lanelead.decisions.parameters import (
     VotingRules as VotingRules,
+)
+from lanelead.decisions.parameters import (
     ZonePreference as ZonePreference,
-    Idempotency as Idempotency,
-    DeduplicationScope as DeduplicationScope,
-    Prices as Prices,
-    Ticks as Ticks,
-    CanaryLimits as CanaryLimits,
 )
 
 MAX_IN_FLIGHT_COUNTS = 83  # loads that one message between relays holds at the most
--- a/lanelead/decisions/request_scheduling.py
+++ b/lanelead/decisions/request_scheduling.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Generator
 from typing import TypeAlias
 
-from lanelead.decisions.interface import Action, Request, Ticks, Attempt, SetTimer
 from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.interface import Action, Attempt, Request, SetTimer, Ticks
 
 Journey: TypeAlias = Generator[EndpointState | Ticks, Attempt | None, None]
 
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -3,29 +3,29 @@
 from math import ceil
 from random import Random
 
+from lanelead.decisions.build_scoring import FULL, Scoring
+from lanelead.decisions.counters import z_score
+from lanelead.decisions.endpoint_state import Roster, Traffic
+from lanelead.decisions.gossip import Circle
 from lanelead.decisions.interface import (
     SECOND,
     Action,
-    PromotionControl,
     AttemptOutcome,
-    RolloutState,
+    CanaryLimits,
+    CastVote,
     LogEvent,
+    PromotionControl,
     RolloutPhase,
-    VotingRules,
+    RolloutState,
     Ticks,
-    CanaryLimits,
     Verdict,
-    CastVote,
+    VotingRules,
 )
-from lanelead.decisions.build_scoring import FULL, Scoring
-from lanelead.decisions.endpoint_state import Roster, Traffic
-from lanelead.decisions.counters import z_score
-from lanelead.decisions.gossip import Circle
 
 
 class Ballot:  # this relay's one vote: when to cast it, and when again
     def __init__(self, poll: VotingRules, rng: Random) -> None:
-        self._poll, self._chance = poll, rng
+        self._poll, self._rng = poll, rng
         self._cast: CastVote | None = None
         self._lapses, self._quiet = 0, 0  # when the vote must be cast again, and until when none may be
 
@@ -34,7 +34,7 @@
             self._quiet = now
         elif news.answers_vote:  # it may be lost: cast again, after a random time, since all relays lost theirs
             self._cast = None
-            self._quiet = now + int(self._poll.vote_timeout * self._chance.uniform(0.1, 0.5))
+            self._quiet = now + int(self._poll.vote_timeout * self._rng.uniform(0.1, 0.5))
 
     def cast(self, vote: CastVote, now: Ticks) -> bool:  # due when new or about to lapse; 'back' waits not
         fresh = vote != self._cast
--- a/lanelead/decisions/zone_spillover.py
+++ b/lanelead/decisions/zone_spillover.py
@@ -4,8 +4,8 @@
 from math import exp
 from random import Random
 
-from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request, ZonePreference, Idempotency, Ticks
 from lanelead.decisions.endpoint_state import EndpointState, Tier, warmth
+from lanelead.decisions.interface import EndpointStatus, Idempotency, Request, ServiceLimits, Ticks, ZonePreference
 
 ANYWHERE = ZonePreference()
 Pools = dict[int, list[EndpointState]]
@@ -15,7 +15,7 @@
     def __init__(
         self, preference: ZonePreference, limits: ServiceLimits, longest: Ticks, beat: Ticks, rng: Random
     ) -> None:
-        self._wants, self._duties, self._chance = preference, limits, rng
+        self._wants, self._limits, self._rng = preference, limits, rng
         self._longest, self._beat, self._rate, self._beats = longest, beat, 0.0, 0
         self.tiers = [Tier(2 * longest) for _ in preference.tiers]
         self._place = {zone: place for place, zones in enumerate(preference.tiers) for zone in zones}
@@ -40,12 +40,12 @@
         """Once a beat. `taken`: lookups, a sum over 4 s; `trial`: a build's machines may stand beside."""
         if not self.tiers:
             return
-        self._beats, steps = self._beats + 1, self._beat / max(1, self._duties.slow_start_time)
+        self._beats, steps = self._beats + 1, self._beat / max(1, self._limits.slow_start_time)
         sizes, silent = [0.0] * len(self.tiers), [0] * len(self.tiers)
         for server in servers:
             if server.status is EndpointStatus.READY:
                 place = self.place(server)
-                sizes[place] += server.capacity * warmth(server, self._duties, now)
+                sizes[place] += server.capacity * warmth(server, self._limits, now)
                 late = (
                     attempt
                     for attempt in server.out
@@ -68,7 +68,7 @@
         listed = 1 - tier.present / tier.full if tier.full else 1.0
         ended, bad = tier.ended.read(now) + silent, tier.bad.read(now) + silent
         seen = max(0.0, (bad - 2) / ended - 0.1) / 0.4 if ended >= 4 else 0.0
-        target, self_paced = max(listed, seen), self._chance.uniform(0.5, 1.5)
+        target, self_paced = max(listed, seen), self._rng.uniform(0.5, 1.5)
         if target > tier.gone:
             tier.gone = min(
                 target, tier.gone + self._beat / (self._wants.growth_time_factor * self._longest) * self_paced
@@ -88,7 +88,7 @@
 
     def _admit(self, place: int, tier: Tier, now: Ticks) -> None:
         ended, bad = tier.ended.read(now), tier.bad.read(now)
-        step = self._beat / (self._wants.growth_time_factor * self._longest) * self._chance.uniform(0.5, 1.5)
+        step = self._beat / (self._wants.growth_time_factor * self._longest) * self._rng.uniform(0.5, 1.5)
         if ended >= 4 and bad > 0.1 * ended:
             tier.grant = max(0.05, tier.grant * (1 - step))
         elif any(before.gone > 0 for before in self.tiers[:place]):
@@ -98,10 +98,10 @@
         # Parts of a trip add up, by lot, or "just one" each would be a crowd; held for half an expected time.
         more = tier.grant * self.limit(place) * self._beat / 10_000
         most = max(3.0, more * self._longest / self._beat / 2)
-        tier.held = min(most, tier.held + more * self._chance.uniform(0.5, 1.5))
+        tier.held = min(most, tier.held + more * self._rng.uniform(0.5, 1.5))
 
     def _order(self, request: Request) -> list[list[int]]:  # the tiers that it may use now, the best first
-        draw = self._draws.setdefault(request, self._chance.random())
+        draw = self._draws.setdefault(request, self._rng.random())
         tried = {self._place.get(attempt.endpoint.zone, len(self.tiers) - 1) for attempt in request.attempts}
         if request.attempts and request.request_class.idempotency is Idempotency.KEYED:
             return [sorted(tried)]  # its group may be the zone: a repeat never spills
--- a/lanelead/http/client.py
+++ b/lanelead/http/client.py
@@ -9,7 +9,7 @@
 import httptools
 
 from lanelead.http import serialization
-from lanelead.http.responses import HttpResponse, ResponseReader, Progress
+from lanelead.http.responses import HttpResponse, Progress, ResponseReader
 from lanelead.protocols.feeds import LineSplitter, MessageError
 from lanelead.settings.records import Address
 
--- a/lanelead/http/server.py
+++ b/lanelead/http/server.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lanelead.http import serialization
-from lanelead.http.requests import HttpRequest, RequestReader, ContinueExpected, RejectedRequest
+from lanelead.http.requests import ContinueExpected, HttpRequest, RejectedRequest, RequestReader
 
 
 class ServerConnection(asyncio.Protocol):
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -21,13 +21,13 @@
 
 import netaddr
 
-from lanelead.decisions.interface import Idempotency, RequestClass, Tenant, Ticks, Attempt
+from lanelead.decisions.interface import Attempt, Idempotency, RequestClass, Tenant, Ticks
 from lanelead.http import serialization
+from lanelead.http.requests import HttpRequest, RejectedRequest, RequestReader, State
 from lanelead.http.responses import HttpResponse
-from lanelead.http.requests import HttpRequest, RequestReader, RejectedRequest, State
-from lanelead.protocols.feeds import Complaint, MessageError, decode, encode
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
 from lanelead.http_relay.upstream_requests import OURS
+from lanelead.protocols.feeds import Complaint, MessageError, decode, encode
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.settings import records
 
 BUFFER = 8192  # bytes read at once
--- a/lanelead/http_relay/main.py
+++ b/lanelead/http_relay/main.py
@@ -7,8 +7,8 @@
 
 import uvloop
 
-from lanelead.logs import logger
 from lanelead.http_relay.service import Seam, Service
+from lanelead.logs import logger
 from lanelead.settings.records import Relay
 
 
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -9,9 +9,9 @@
 from random import Random
 from typing import Any
 
-from lanelead.membership.messages import ALIVE, STATES, Row
-from lanelead.membership.member import Address, Membership, Tempo
 from lanelead.decisions.interface import Ticks
+from lanelead.membership.member import Address, Membership, Tempo
+from lanelead.membership.messages import ALIVE, STATES, Row
 from lanelead.protocols import datagrams
 from lanelead.settings import records
 
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -9,39 +9,39 @@
 from random import Random
 from typing import Any
 
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
-    Decisions,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
+    CastVote,
+    Decisions,
+    Endpoint,
     RequestClass,
+    ServiceLimits,
     Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
-    CastVote,
 )
-from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.zone_spillover import ANYWHERE
 from lanelead.http.client import CallFailedError, call, stream
+from lanelead.http_relay.client_listener import Gate
+from lanelead.http_relay.membership_transport import Circle
+from lanelead.http_relay.upstream_requests import Links
+from lanelead.migrations.readiness import Readiness
 from lanelead.protocols import datagrams
 from lanelead.protocols.feeds import (
     EndpointListMessage,
     MessageError,
     RolloutMessage,
-    VoteResponse,
     VoteRequest,
+    VoteResponse,
     decode,
     encode,
 )
-from lanelead.protocols.migrations import MigrationLogPage, AcknowledgeRequest
-from lanelead.http_relay.membership_transport import Circle
+from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.http_relay.client_listener import Gate
-from lanelead.http_relay.upstream_requests import Links
 from lanelead.runtime.timers import Clock
 from lanelead.settings import records
-from lanelead.migrations.readiness import Readiness
 
 Seam = Callable[[Decisions], Decisions]  # for tests only: takes a guard out, from outside the decisions
 
@@ -51,7 +51,7 @@
         self._settings, self._log = settings, log.bind(relay=settings.number)
         self._seam = seam
         self._loop = asyncio.get_running_loop()
-        self._chance = Random(f"feeds {settings.seed} {settings.number}")
+        self._rng = Random(f"feeds {settings.seed} {settings.number}")
         self._stop = asyncio.Event()
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._feeds: dict[str, asyncio.Task[None]] = {}
@@ -314,7 +314,7 @@
                 if self._up[name]:
                     self._log.warning("feed down: going on with what is known", feed=name, reason=str(fault))
                 self._up[name] = False
-            await asyncio.sleep(wait * self._chance.uniform(0.5, 1.5))
+            await asyncio.sleep(wait * self._rng.uniform(0.5, 1.5))
             wait = min(2 * wait, feed.most_wait_ms / 1000)
             if name == "roster" and self._settings.discovery == "subscribe":
                 # The decisions ask again; the wait above bounds how often.
--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -16,12 +16,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from lanelead.decisions.interface import AttemptOutcome, Ticks, Attempt, Endpoint
+from lanelead.decisions.interface import Attempt, AttemptOutcome, Endpoint, Ticks
 from lanelead.http import serialization
-from lanelead.http.responses import HttpResponse, ResponseReader, Progress
-from lanelead.protocols.feeds import LoadMessage, MessageError, decode
-from lanelead.runtime.driver import Destination, DecisionDriver, PendingRequest
+from lanelead.http.responses import HttpResponse, Progress, ResponseReader
 from lanelead.http_relay.load_reports import LOAD, figures, report_of
+from lanelead.protocols.feeds import LoadMessage, MessageError, decode
+from lanelead.runtime.driver import DecisionDriver, Destination, PendingRequest
 
 TURNED_AWAY = b"lanelead-turned-away"
 OURS = serialization.own(
--- a/lanelead/membership/anti_entropy.py
+++ b/lanelead/membership/anti_entropy.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from lanelead.membership.messages import DEAD, Join, Ping, Row, Table, write
 from lanelead.membership.member_state import BEATS, PAGES, UNHEARD, Address
 from lanelead.membership.member_table import Rows
+from lanelead.membership.messages import DEAD, Join, Ping, Row, Table, write
 
 
 class Tables(Rows):
@@ -20,8 +20,8 @@
         if self._beat % BEATS:
             return
         if not self.joined and self._sync is None:
-            self._call(self._chance.choice(self._seeds), 0, 0)
-        elif not self._members or self._chance.random() < 1 / UNHEARD:
+            self._call(self._rng.choice(self._seeds), 0, 0)
+        elif not self._members or self._rng.random() < 1 / UNHEARD:
             self._look()  # one that is alone has nothing else to ask, and its periods have grown long
 
     def _look(self) -> None:
@@ -34,7 +34,7 @@
         unheard = [spot for spot in spots if spot not in here]
         if not dead and not unheard:
             return
-        drawn = self._chance.randrange(len(dead) + len(unheard))
+        drawn = self._rng.randrange(len(dead) + len(unheard))
         if drawn < len(dead):
             self._ping(dead[drawn], self._next())
         else:  # whoever it is: its number and life are not known
--- a/lanelead/membership/commands.py
+++ b/lanelead/membership/commands.py
@@ -48,7 +48,7 @@
 
 
 @click.group()
-def circle() -> None:
+def membership() -> None:
     """Which relays are there, as one of them sees it."""
 
 
@@ -77,7 +77,7 @@
     return datetime.fromtimestamp(row.life / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
-@circle.command()
+@membership.command()
 @AT
 @JSON
 def members(at: str, plain: bool) -> None:
@@ -96,7 +96,7 @@
         )
 
 
-@circle.command()
+@membership.command()
 @AT
 @JSON
 def status(at: str, plain: bool) -> None:
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -23,6 +23,9 @@
 
 import msgspec
 
+from lanelead.decisions.interface import Ticks
+from lanelead.membership.anti_entropy import Tables
+from lanelead.membership.member_state import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
 from lanelead.membership.messages import (
     ALIVE,
     DEAD,
@@ -40,9 +43,6 @@
     Table,
     read,
 )
-from lanelead.membership.member_state import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
-from lanelead.membership.anti_entropy import Tables
-from lanelead.decisions.interface import Ticks
 
 __all__ = ["Address", "Change", "Membership", "Tempo"]
 
@@ -183,7 +183,7 @@
         while self._ring or self._members:
             if not self._ring:
                 self._ring = self._members.copy()
-                self._chance.shuffle(self._ring)
+                self._rng.shuffle(self._ring)
             number = self._ring.pop()
             if number in self._places:
                 self._probing = Probing(self._next(), number, self.now + self._span())
--- a/lanelead/membership/member_state.py
+++ b/lanelead/membership/member_state.py
@@ -8,8 +8,8 @@
 from struct import Struct
 from typing import NamedTuple
 
-from lanelead.membership.messages import Claim, Row
 from lanelead.decisions.interface import Ticks
+from lanelead.membership.messages import Claim, Row
 
 HASHED = Struct(">HQI")
 BEATS = 3  # in a period: a ping is sent at each of them until it is answered
--- a/lanelead/membership/member_table.py
+++ b/lanelead/membership/member_table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lanelead.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, AnyLetter, Claim, Ping, Row, write
+from lanelead.decisions.interface import Ticks
 from lanelead.membership.member_state import (
     BEATS,
     CALLED,
@@ -24,7 +24,7 @@
     Tempo,
     hashed,
 )
-from lanelead.decisions.interface import Ticks
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, AnyLetter, Claim, Ping, Row, write
 
 
 class Rows:
@@ -39,7 +39,7 @@
         now: Ticks,
         known: Sequence[Row] = (),
     ) -> None:
-        self.own, self._tempo, self._chance, self.now = own, tempo, rng, now
+        self.own, self._tempo, self._rng, self.now = own, tempo, rng, now
         self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
         self.rows: dict[int, Row] = {own.number: own, **{row.number: row for row in known}}
         self.addresses: dict[int, Address] = {}  # as settings name them, which stand above what is told
@@ -164,7 +164,7 @@
                 self._places[row.number] = len(self._members)
                 self._members.append(row.number)
                 # SWIM 4.3: a new member comes in at a random place of the round.
-                self._ring.insert(self._chance.randrange(len(self._ring) + 1), row.number)
+                self._ring.insert(self._rng.randrange(len(self._ring) + 1), row.number)
 
     def _suspect(self, row: Row, by: int) -> None:
         self._set(row, by)
@@ -188,7 +188,7 @@
     def _keep(self, number: int) -> None:
         """Bounded; which one goes is drawn, so that the few that die late don't drive out a whole region."""
         if len(self._kept) >= KEPT:
-            del self._kept[self._chance.choice(list(self._kept))]
+            del self._kept[self._rng.choice(list(self._kept))]
         self._kept[number] = self._address(number), self.now + CALLED * self._tempo.forget
 
     # Letters
@@ -239,7 +239,7 @@
         return self._seq
 
     def _draw(self, many: int, but: int = -1) -> list[int]:
-        drawn = self._chance.sample(self._members, min(len(self._members), many + 1))
+        drawn = self._rng.sample(self._members, min(len(self._members), many + 1))
         return [number for number in drawn if number != but][:many]
 
     # Local health
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -14,15 +14,15 @@
 from tqdm import tqdm
 
 from lanelead.logs import logger
-from lanelead.protocols.migrations import EffectProgress
-from lanelead.settings.cue import Unfit
-from lanelead.settings.read import spotted
-from lanelead.settings.records import Address, Steps
 from lanelead.migrations.executor import Away, Client, Conductor
+from lanelead.migrations.migration_log import Broken, Record, Stand
 from lanelead.migrations.plan import check as check_plans
 from lanelead.migrations.plan import ordered
-from lanelead.migrations.migration_log import Broken, Record, Stand
 from lanelead.migrations.runner import Goal, Stop
+from lanelead.protocols.migrations import EffectProgress
+from lanelead.settings.cue import Unfit
+from lanelead.settings.read import spotted
+from lanelead.settings.records import Address, Steps
 
 
 def load(files: tuple[str, ...]) -> list[Steps]:
@@ -58,14 +58,14 @@
 
 
 @click.group()
-def steps() -> None:
+def migrations() -> None:
     """Ordered schema and data steps: checked, run, resumed and undone, with a record in the store."""
 
 
 STORE = click.option("--store", required=True, help="The store's HOST:PORT.")
 
 
-@steps.command()
+@migrations.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
     """Checks plans, alone and together; says all that is wrong, and exits with 2 where anything is."""
@@ -73,7 +73,7 @@
         click.echo(f"{plan.name}: {len(plan.steps)} steps, {len(plan.builds)} builds, good")
 
 
-@steps.command()
+@migrations.command()
 @click.argument("file", type=click.Path())
 @click.option("--store", help="HOST:PORT of a store, whose record takes the plan up: nothing is run.")
 def plan(file: str, store: str | None) -> None:
@@ -97,7 +97,7 @@
         start("take", file, store, "", False, (), 5.0, 30.0, False)
 
 
-@steps.command()
+@migrations.command()
 @STORE
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 def status(store: str, as_json: bool) -> None:
@@ -217,7 +217,7 @@
         return await conductor.run()
 
 
-@steps.command()
+@migrations.command()
 @options
 def run(**given: Any) -> None:
     """Runs FILE's steps in order, up to `--to` or all; goes on where an earlier run was interrupted. Exits
@@ -225,14 +225,14 @@
     start("run", **given)
 
 
-@steps.command()
+@migrations.command()
 @options
 def undo(**given: Any) -> None:
     """Undoes FILE's steps, the last first, down to and with `--to` or all."""
     start("undo", **given)
 
 
-@steps.command()
+@migrations.command()
 @options
 def resume(**given: Any) -> None:
     """Tries again what has failed, from where it stopped, and goes on."""
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -9,26 +9,26 @@
 
 import msgspec
 
-from lanelead.http.responses import HttpResponse
 from lanelead.http.client import CallFailedError, call
+from lanelead.http.responses import HttpResponse
+from lanelead.migrations import runner
+from lanelead.migrations.backoff import Pace
+from lanelead.migrations.migration_log import Broken, Record
+from lanelead.migrations.runner import Goal, Reply, Runner, Want
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.migrations import (
-    AppendRequest,
     AppendReply,
+    AppendRequest,
+    EffectProgress,
     ForgetRequest,
     Lease,
     LeaseRequest,
     LoggedEntry,
-    EffectProgress,
     MigrationLogPage,
     RejectedCall,
 )
 from lanelead.protocols.migrations import UnacknowledgedRelays as UnseenAnswer
 from lanelead.settings.records import Address
-from lanelead.migrations import runner
-from lanelead.migrations.backoff import Pace
-from lanelead.migrations.migration_log import Broken, Record
-from lanelead.migrations.runner import Goal, Reply, Runner, Want
 
 T = TypeVar("T", bound=msgspec.Struct)
 CALL = 5.0  # seconds for a call that has no limit of its own
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from lanelead.protocols.migrations import LogEntry, LoggedEntry, Direction
-from lanelead.settings.records import Demands, Step, Steps
 from lanelead.migrations.plan import ordered
+from lanelead.protocols.migrations import Direction, LogEntry, LoggedEntry
+from lanelead.settings.records import Demands, Step, Steps
 
 
 class Broken(Exception):
--- a/lanelead/migrations/readiness.py
+++ b/lanelead/migrations/readiness.py
@@ -12,10 +12,10 @@
 
 from collections.abc import Iterable
 
-from lanelead.decisions.interface import Ticks, Attempt
+from lanelead.decisions.interface import Attempt, Ticks
+from lanelead.migrations.migration_log import Broken, Record, Stand
 from lanelead.protocols.feeds import MessageError
 from lanelead.protocols.migrations import LoggedEntry
-from lanelead.migrations.migration_log import Broken, Record, Stand
 
 LAST = 1 << 30  # past every stage: all needs of a build that is released
 
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from lanelead.protocols.migrations import ApplyRequest, LogEntry, EffectProgress, BatchRange, Direction
-from lanelead.settings.records import Steps
 from lanelead.migrations.migration_log import Mark, Record, Stand
+from lanelead.protocols.migrations import ApplyRequest, BatchRange, Direction, EffectProgress, LogEntry
+from lanelead.settings.records import Steps
 
 TRIES = 4  # for one intent whose outcome stays unknown, before it is written as failed
 
--- a/lanelead/postgres_relay/applied_configuration.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.value_types import ClassValue, TenantValue, InvalidValueError, EntryValue, split
 from lanelead.configuration.value_types import AppliedValues as Values
+from lanelead.configuration.value_types import ClassValue, EntryValue, InvalidValueError, TenantValue, split
 from lanelead.decisions.interface import RequestClass, Tenant
 
 TENANTS, CLASSES = "accounts", "requestClasses"  # where a file has them
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from lanelead.decisions.interface import Tenant, Ticks, Attempt
-from lanelead.postgres_relay.load_reports import still
+from lanelead.decisions.interface import Attempt, Tenant, Ticks
 from lanelead.pgwire import messages, statements
 from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
 from lanelead.pgwire.servers import QueryResult
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.postgres_relay.load_reports import still
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 
 BUFFER = 32768  # bytes read at once
 AT_ONCE = 64  # commands of one read: of more, none is taken
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from lanelead.decisions.interface import Tenant, Ticks
+from lanelead.pgwire import messages
 from lanelead.postgres_relay.client_connection import BUFFER, LEAVING, LINGER, REFUSED, Client
 from lanelead.postgres_relay.load_reports import still
-from lanelead.pgwire import messages
 from lanelead.runtime.driver import DecisionDriver, RequestOutcome
 
 SILENCE = 2.0  # seconds for a client to ask for something, or to end what it began
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -9,11 +9,10 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 from lanelead.postgres_relay.settings_checks import check
-from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
 from lanelead.protocols.feeds import MessageError, decode
-
+from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
+from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 
 LONGEST = 16 << 20  # bytes of the file, which holds the last list of units
 
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -18,9 +18,9 @@
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http.client import CallFailedError, call, stream
 from lanelead.postgres_relay.config import Following
-from lanelead.protocols.configuration import Buckets, WatchLine, DigestTree
-from lanelead.protocols.platform import parse_address
+from lanelead.protocols.configuration import Buckets, DigestTree, WatchLine
 from lanelead.protocols.feeds import MessageError, decode, encode
+from lanelead.protocols.platform import parse_address
 from lanelead.settings.records import Address
 
 LONGEST = 4 << 20  # bytes of an answer
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -11,9 +11,9 @@
 import socket
 from typing import Any
 
-from lanelead.decisions.interface import EndpointStatus, Attempt, Endpoint
-from lanelead.postgres_relay.load_reports import still
+from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
 from lanelead.pgwire.servers import ServerReader
+from lanelead.postgres_relay.load_reports import still
 from lanelead.runtime.driver import Destination
 
 WEAR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from lanelead.http.client import CallFailedError, call
-from lanelead.protocols.platform import EndpointList, parse_address
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, decode
+from lanelead.protocols.platform import EndpointList, parse_address
 from lanelead.settings.records import Address
 
 HOLD = 2.0  # seconds a watch may wait; far inside the time after which a change counts as told
@@ -46,7 +46,7 @@
     ) -> None:
         self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
         self._held, self._read, self._whole = held, read, True
-        self._chance, self._log = rng, log
+        self._rng, self._log = rng, log
         # Since when older versions only have come, without a break. Each feed has its own: an earlier
         # discovery that goes on until this one is believed would end the doubt with each of its answers.
         self._doubted: float | None = None
@@ -75,7 +75,7 @@
                 # Guards against a fault of ours on one list that would leave the relay without any for good.
                 self._log.exception("a list could not be taken in")
             self.up, self._whole = False, True
-            await asyncio.sleep(PAUSE * self._chance.uniform(0.5, 1.5))
+            await asyncio.sleep(PAUSE * self._rng.uniform(0.5, 1.5))
 
     async def _next(self) -> None:
         path, limit, held = b"/v1/endpoints", LATE, self._held
--- a/lanelead/postgres_relay/endpoint_list_decoder.py
+++ b/lanelead/postgres_relay/endpoint_list_decoder.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from lanelead.decisions.interface import EndpointStatus, Ticks
-from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage
+from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.runtime.driver import DecisionDriver
 
 NAMED = 5  # refused entries that one line of the log names
--- a/lanelead/postgres_relay/feed_handover.py
+++ b/lanelead/postgres_relay/feed_handover.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Generic, Protocol, TypeVar
 
-
 MOST = 4  # feeds of one kind at once: the one that counts, and the newest
 
 
--- a/lanelead/postgres_relay/rollout_client.py
+++ b/lanelead/postgres_relay/rollout_client.py
@@ -11,8 +11,8 @@
 
 from lanelead.decisions.interface import AttemptOutcome, CastVote
 from lanelead.http.client import connect
-from lanelead.protocols.platform import VERDICTS, ERROR_OUTCOMES, RpcMessage, parse_address, encode_call, decode_stage
 from lanelead.protocols.feeds import LineSplitter, MessageError, RolloutMessage, decode
+from lanelead.protocols.platform import ERROR_OUTCOMES, VERDICTS, RpcMessage, decode_stage, encode_call, parse_address
 from lanelead.settings.records import Address
 
 SIGNS = 1.0  # seconds between the platform's signs of life
@@ -35,7 +35,7 @@
         log: Any,
     ) -> None:
         self._loop, self._where, self._heard = loop, Address(*parse_address(where)), heard
-        self._limit, self._chance, self._log = answer_limit, rng, log
+        self._limit, self._rng, self._log = answer_limit, rng, log
         self._sock: socket.socket | None = None
         self._number = 0
         self._votes: dict[int, asyncio.TimerHandle] = {}
@@ -101,7 +101,7 @@
                 self._log.exception("the desk's connection failed")
             self.up = False
             self._unanswered()
-            await asyncio.sleep(PAUSE * self._chance.uniform(0.5, 1.5))
+            await asyncio.sleep(PAUSE * self._rng.uniform(0.5, 1.5))
 
     async def _watch(self) -> None:
         lines = LineSplitter(LONGEST)
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -12,21 +12,21 @@
 from msgspec.structs import replace
 
 from lanelead.configuration.value_types import EntryValue
-from lanelead.decisions.interface import AttemptOutcome, Attempt, Endpoint, CastVote
 from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.interface import Attempt, AttemptOutcome, CastVote, Endpoint
 from lanelead.postgres_relay import config as configuration
+from lanelead.postgres_relay.applied_configuration import CLASSES, TENANTS, InForce, changed, entries, without_figures
+from lanelead.postgres_relay.client_listener import Front
 from lanelead.postgres_relay.config import Config, Following
-from lanelead.postgres_relay.rollout_client import Desk
 from lanelead.postgres_relay.discovery_client import Discovery, Held
-from lanelead.postgres_relay.client_listener import Front
+from lanelead.postgres_relay.endpoint_list_decoder import Lists
+from lanelead.postgres_relay.event_loop_monitor import Pauses
 from lanelead.postgres_relay.feed_handover import Succession
-from lanelead.postgres_relay.applied_configuration import CLASSES, TENANTS, InForce, changed, entries, without_figures
 from lanelead.postgres_relay.gossip_transport import Letters
+from lanelead.postgres_relay.rollout_client import Desk
 from lanelead.postgres_relay.upstream_requests import Links
-from lanelead.postgres_relay.endpoint_list_decoder import Lists
-from lanelead.postgres_relay.event_loop_monitor import Pauses
-from lanelead.protocols.platform import parse_address
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
+from lanelead.protocols.platform import parse_address
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
 from lanelead.runtime.timers import Clock
 
@@ -50,7 +50,7 @@
         self._stop = asyncio.Event()
         self._over = False
         self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._chance = Random(f"feeds {config.seed}")
+        self._rng = Random(f"feeds {config.seed}")
         self._knows = asyncio.Event()
         self._pauses = Pauses()
         self._build(config)
@@ -128,7 +128,7 @@
                 self._held,
                 self._lists.read,
                 self._listed,
-                self._chance,
+                self._rng,
                 self._log,
             )
         )
@@ -138,7 +138,7 @@
                 config.platform.address,
                 self._news,
                 self._answer_limit,
-                self._chance,
+                self._rng,
                 self._log,
             )
         )
@@ -199,7 +199,7 @@
             following,
             entries(config.settings),
             self._put,
-            self._chance,
+            self._rng,
             self._log,
         )
         self._task(self._following.run())
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
+from lanelead.protocols.feeds import MessageError
 from lanelead.runtime.parameter_reader import ParameterError as Unread
 from lanelead.runtime.parameter_reader import ParameterReader
-from lanelead.protocols.feeds import MessageError
 
 # Fields by path, with the least that each may be, and whether it may be just that. Under `requestClasses.N.`
 # and `accounts.N.` for each class and each account.
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from lanelead.decisions.interface import AttemptOutcome, LoadReport, Ticks, Attempt, Endpoint
-from lanelead.postgres_relay.connection_pool import REST, Link, Pools
-from lanelead.postgres_relay.load_reports import report_of, still
+from lanelead.decisions.interface import Attempt, AttemptOutcome, Endpoint, LoadReport, Ticks
 from lanelead.pgwire import messages
+from lanelead.pgwire.servers import Progress, QueryResult
 from lanelead.pgwire.statements import Statement
-from lanelead.pgwire.servers import QueryResult, Progress
+from lanelead.postgres_relay.connection_pool import REST, Link, Pools
+from lanelead.postgres_relay.load_reports import report_of, still
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
 
 BUFFER = 65536  # bytes read at once
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -16,11 +16,11 @@
 from lanelead.protocols.feeds import (
     BuildNumber,
     EndpointListMessage,
+    EndpointMessage,
     MessageError,
-    RolloutMessage,
     NonNegativeFloat,
-    EndpointMessage,
     NonNegativeInt,
+    RolloutMessage,
     decode,
 )
 
--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -16,41 +16,41 @@
 
 from lanelead.decisions.interface import (
     Action,
-    FailRequest,
+    Attempt,
+    AttemptOutcome,
     CancelAttempt,
+    CastVote,
+    CheckHealth,
     CloseIdleConnections,
-    EndpointStatus,
-    UpdateScope,
     Decisions,
-    ServiceLimits,
-    AttemptOutcome,
-    PollEndpoints,
-    RequestClass,
+    Endpoint,
     EndpointRecord,
-    Request,
-    Tenant,
-    RolloutState,
-    LogEvent,
-    RolloutPhase,
-    CheckHealth,
+    EndpointStatus,
+    FailRequest,
+    GossipEntry,
     LoadReport,
-    StartAttempt,
+    LogEvent,
+    PollEndpoints,
     RejectRequest,
+    Request,
+    RequestClass,
+    RolloutPhase,
+    RolloutState,
     SendGossip,
+    ServiceLimits,
+    SetTimer,
+    StartAttempt,
+    Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
+    UpdateScope,
     Verdict,
-    CastVote,
-    SetTimer,
     WatchEndpoints,
-    GossipEntry,
 )
-from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.migrations.readiness import Readiness
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
-from lanelead.protocols.vocabulary import ENDPOINT_STATUSES, ROLLOUT_PHASES
 from lanelead.protocols.migrations import MigrationLogPage
-from lanelead.migrations.readiness import Readiness
+from lanelead.protocols.vocabulary import ENDPOINT_STATUSES, ROLLOUT_PHASES
+from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
 
 
 class RequestOutcome(Enum):
@@ -128,9 +128,9 @@
         longest_advice: Ticks,
         readiness: Readiness | None = None,
     ) -> None:
-        self.decisions, self._hands, self._clock = decisions, hands, clock
+        self.decisions, self._host, self._clock = decisions, hands, clock
         self.request_classes = {request_class.name: request_class for request_class in request_classes}
-        self._order, self._duties = list(request_classes), limits
+        self._order, self._limits = list(request_classes), limits
         self._most_open, self._advice = open_lookups, longest_advice
         self.readiness = readiness  # None: no steps are run, and every build that is listed is there
         self._listings: dict[Endpoint, EndpointRecord] = {}  # as the roster told them, where steps are run
@@ -201,7 +201,7 @@
             outcome is AttemptOutcome.SUCCEEDED
             and pending
             and not request.finished
-            and now > request.deadline + self._duties.response_slack
+            and now > request.deadline + self._limits.response_slack
         ):
             outcome = AttemptOutcome.TIMED_OUT
         closed = outcome is AttemptOutcome.SUCCEEDED
@@ -428,7 +428,7 @@
     def _stop(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.outcome is not None:
             return
-        if not self._hands.cancel_attempt(attempt):  # too little was written: it never ran
+        if not self._host.cancel_attempt(attempt):  # too little was written: it never ran
             outcome = AttemptOutcome.CONNECT_FAILED if outcome is AttemptOutcome.TIMED_OUT else outcome
         pending = self.pending.get(attempt.request)
         if pending is not None:
@@ -457,7 +457,7 @@
         self._at(attempt.sent_at + attempt.timeout, attempt)
         if self.readiness is not None and (place := self.destinations.get(attempt.endpoint)) is not None:
             self.readiness.sent(place.build, attempt)
-        self._hands.start_attempt(attempt, pending)
+        self._host.start_attempt(attempt, pending)
 
     def _do_rest(self, action: Action) -> None:
         match action:
@@ -470,19 +470,19 @@
             case CancelAttempt(attempt):
                 self._soon.append((attempt, AttemptOutcome.CANCELLED))
             case CheckHealth(unit):
-                self._hands.check_health(unit)
+                self._host.check_health(unit)
             case CloseIdleConnections(unit):
-                self._hands.close_idle_connections(unit)
+                self._host.close_idle_connections(unit)
             case SendGossip(peer, words):
                 self._tell(peer, words)
             case CastVote():
                 self._vote(action)
             case WatchEndpoints(on):
-                self._hands.watch_endpoints(on)
+                self._host.watch_endpoints(on)
             case PollEndpoints():
-                self._hands.poll_endpoints()
+                self._host.poll_endpoints()
             case LogEvent(text):
-                self._hands.log_event(text)
+                self._host.log_event(text)
 
     def _vote(self, vote: CastVote) -> None:
         """No 'on' past the stage whose needs are not done: it is as if the call had not been made."""
@@ -491,9 +491,9 @@
             self.counters.withheld_votes += 1
             self._unsaid += 1
         else:
-            self._hands.cast_vote(vote)
+            self._host.cast_vote(vote)
 
     def _tell(self, peer: int | None, words: Sequence[GossipEntry]) -> None:
         if words is not self._said:  # many peers are told the same
             self._said, self._texts = words, encode_gossip(words, self._order)
-        self._hands.send_gossip(peer, self._texts)
+        self._host.send_gossip(peer, self._texts)
--- a/lanelead/runtime/endpoint_registry.py
+++ b/lanelead/runtime/endpoint_registry.py
@@ -13,14 +13,14 @@
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     CompletionCount,
+    Endpoint,
     EndpointStatus,
-    RequestClass,
+    FleetLatency,
+    GossipEntry,
     InFlightBound,
     InFlightCount,
-    FleetLatency,
     OutcomeObservation,
-    Endpoint,
-    GossipEntry,
+    RequestClass,
 )
 from lanelead.runtime.short_ids import NO_LONG_ID, SHORT_ID_MASK, ShortIds, long_id_of
 
--- a/lanelead/runtime/parameter_reader.py
+++ b/lanelead/runtime/parameter_reader.py
@@ -10,18 +10,18 @@
 from typing import Any, TypeVar
 
 from lanelead.decisions.interface import (
-    ResourceQuota,
+    CanaryLimits,
+    DeduplicationScope,
+    Idempotency,
+    Prices,
     PromotionControl,
-    ServiceLimits,
+    RelayPosition,
     RequestClass,
+    ResourceQuota,
+    ServiceLimits,
     Tenant,
-    RelayPosition,
-    VotingRules,
-    Idempotency,
-    DeduplicationScope,
-    Prices,
     Ticks,
-    CanaryLimits,
+    VotingRules,
 )
 
 T = TypeVar("T")
--- a/lanelead/simulator_adapter/__main__.py
+++ b/lanelead/simulator_adapter/__main__.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from lanelead.simulator_adapter.host import serve
 from lanelead.runtime.parameter_reader import ParameterError
+from lanelead.simulator_adapter.host import serve
 
 
 def main() -> int:
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -6,37 +6,37 @@
 from random import Random
 from typing import TextIO
 
-from lanelead.simulator_adapter import wire
-from lanelead.simulator_adapter.wire import millis
-from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
-    FailRequest,
+    Attempt,
     CancelAttempt,
+    CastVote,
+    CheckHealth,
     CloseIdleConnections,
-    EndpointStatus,
-    UpdateScope,
     Decisions,
-    PollEndpoints,
+    Endpoint,
     EndpointRecord,
-    Request,
-    RolloutState,
+    EndpointStatus,
+    FailRequest,
+    GossipEntry,
     LogEvent,
-    RolloutPhase,
-    CheckHealth,
-    StartAttempt,
-    RejectRequest,
     OutcomeTally,
+    PollEndpoints,
+    RejectRequest,
+    Request,
+    RolloutPhase,
+    RolloutState,
     SendGossip,
-    Ticks,
-    Attempt,
-    Endpoint,
-    CastVote,
     SetTimer,
+    StartAttempt,
+    Ticks,
+    UpdateScope,
     WatchEndpoints,
-    GossipEntry,
 )
+from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
 from lanelead.runtime.parameter_reader import ParameterError, ParameterReader, known, number, ticks, whole
-from lanelead.decisions.balancer import Balancer
+from lanelead.simulator_adapter import wire
+from lanelead.simulator_adapter.wire import millis
 
 Words = list[str]
 
--- a/lanelead/simulator_adapter/wire.py
+++ b/lanelead/simulator_adapter/wire.py
@@ -5,10 +5,9 @@
 import re
 from collections.abc import Sequence
 
-from lanelead.decisions.interface import EndpointStatus, UpdateScope, AttemptOutcome, LoadReport, Ticks
+from lanelead.decisions.interface import AttemptOutcome, EndpointStatus, LoadReport, Ticks, UpdateScope
 from lanelead.runtime.parameter_reader import ParameterError, number
 
-
 FATES = {
     "success": AttemptOutcome.SUCCEEDED,
     "failure": AttemptOutcome.ERROR,
--- a/lanelead/store/migration_store.py
+++ b/lanelead/store/migration_store.py
@@ -23,12 +23,12 @@
 from lanelead.protocols.migrations import (
     AppendRequest,
     ApplyRequest,
-    LogEntry,
+    BatchRange,
+    EffectProgress,
     LeaseRequest,
+    LogEntry,
     LoggedEntry,
-    EffectProgress,
     MigrationLogPage,
-    BatchRange,
 )
 
 OURS = "ll_"
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -24,15 +24,15 @@
 from lanelead.http.server import STREAM, ServerConnection, chunk
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.migrations import (
-    AppendRequest,
+    AcknowledgeRequest,
     AppendReply,
+    AppendRequest,
     ApplyRequest,
     ForgetRequest,
     Lease,
     LeaseRequest,
     LoggedEntry,
     RejectedCall,
-    AcknowledgeRequest,
     UnacknowledgedRelays,
 )
 from lanelead.store.migration_store import Denied, Ledger
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from lanelead.http import serialization
-from lanelead.http.responses import ResponseReader, Progress
+from lanelead.http.responses import Progress, ResponseReader
 from lanelead.settings.records import Clients, Service
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.workload import Demand, Op
--- a/lanelead/testbed/emulators/crash_injection.py
+++ b/lanelead/testbed/emulators/crash_injection.py
@@ -25,17 +25,17 @@
 
 import msgspec
 
-from lanelead.decisions.interface import RequestClass, Request, Idempotency, DeduplicationScope, Ticks, Attempt
+from lanelead.decisions.interface import Attempt, DeduplicationScope, Idempotency, Request, RequestClass, Ticks
 from lanelead.http.client import CallFailedError, call, stream
-from lanelead.protocols.feeds import decode
-from lanelead.protocols.migrations import LogEntry, LoggedEntry, MigrationLogPage, AcknowledgeRequest, SchemaCheck
-from lanelead.settings.records import Address, Demands, Steps
-from lanelead.testbed.emulators.migration_store import FaultyStore
 from lanelead.migrations.executor import Client, Conductor
-from lanelead.migrations.readiness import Readiness
 from lanelead.migrations.migration_log import Record, Stand
+from lanelead.migrations.readiness import Readiness
 from lanelead.migrations.runner import Goal, Stop
+from lanelead.protocols.feeds import decode
+from lanelead.protocols.migrations import AcknowledgeRequest, LogEntry, LoggedEntry, MigrationLogPage, SchemaCheck
+from lanelead.settings.records import Address, Demands, Steps
 from lanelead.store.migration_store import Ledger
+from lanelead.testbed.emulators.migration_store import FaultyStore
 
 ROWS = 300
 SCHEMA = f"""
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -28,8 +28,8 @@
 import uvloop
 
 from lanelead.http import serialization
-from lanelead.http.requests import HttpRequest
 from lanelead.http.client import CallFailedError, call
+from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
 from lanelead.protocols.migrations import SchemaCheck
 from lanelead.settings.records import Address
@@ -130,7 +130,7 @@
             self._turn_away(job)
         elif self._hit("cut"):
             # The body came, and then the connection goes: half of the time the work had been done.
-            if self._chance.random() < 0.5:
+            if self._rng.random() < 0.5:
                 self._effect(job)
             caller.reset()
         elif self._busy < self.life.cores:
@@ -212,7 +212,7 @@
         fields: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain"), *self._gauge()]
         fields.append((b"lanelead-answered-by", b"%s" % self.life.name.encode()))
         if b"day-bad" in dict(job.ask.headers) or self._errs(job):
-            if self._chance.random() < 0.5:
+            if self._rng.random() < 0.5:
                 self._effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
             caller.write(serialization.response(500, fields, b"error\n"))
@@ -227,7 +227,7 @@
             caller.close()
             return
         body = earlier or b"answer to %s\n" % job.ident.encode("latin-1")
-        if build.bad == "wrong" and self._chance.random() < build.strength:
+        if build.bad == "wrong" and self._rng.random() < build.strength:
             fields.append((b"day-wrong", b"1"))
         text = serialization.response(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
         if self._hit("trickle"):
--- a/lanelead/testbed/emulators/fault_proxy.py
+++ b/lanelead/testbed/emulators/fault_proxy.py
@@ -35,7 +35,7 @@
 
     def __init__(self, many: int, seed: int, tap: Callable[[str, int, int], None] | None = None) -> None:
         self._loop = asyncio.get_running_loop()
-        self._chance = Random(f"wires {seed}")
+        self._rng = Random(f"wires {seed}")
         self._tap = tap
         self._ends: dict[int, tuple[str, int]] = {}
         self._closed = False
@@ -66,11 +66,11 @@
 
     def _pass(self, data: bytes, a: int, b: int) -> None:
         link = self.links[a, b]
-        if link.cut or self._chance.random() < link.loss:
+        if link.cut or self._rng.random() < link.loss:
             self._count("cut" if link.cut else "lost", a, b)
             return
-        for _ in range(1 + (self._chance.random() < link.double)):
-            wait = link.delay + link.spread * self._chance.random()
+        for _ in range(1 + (self._rng.random() < link.double)):
+            wait = link.delay + link.spread * self._rng.random()
             if wait:
                 self._loop.call_later(wait, self._send, data, a, b)
             else:
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -27,12 +27,12 @@
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
+from lanelead.migrations.migration_log import Record
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.migrations import LoggedEntry, RejectedCall, SchemaCheck
-from lanelead.testbed.emulators.event_recording import Tap
-from lanelead.migrations.migration_log import Record
 from lanelead.store.migration_store import Ledger
 from lanelead.store.service import Store, serve
+from lanelead.testbed.emulators.event_recording import Tap
 
 
 class Cut(Exception):
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -10,11 +10,11 @@
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import STREAM, ServerConnection, chunk
-from lanelead.protocols.feeds import MessageError, VoteResponse, VoteRequest, decode, encode
+from lanelead.protocols.feeds import MessageError, VoteRequest, VoteResponse, decode, encode
 from lanelead.settings.records import Poll, Trial
+from lanelead.testbed.emulators.discovery import Door, relay_of
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.vote_counting import Polling
-from lanelead.testbed.emulators.discovery import Door, relay_of
 
 
 class Desk(Door, Polling):
@@ -45,7 +45,7 @@
     def changed(self) -> None:
         loop = asyncio.get_running_loop()
         for caller, relay in list(self._watchers.items()):
-            late = self.stale + self._told * self._chance.uniform(0.5, 1.0)
+            late = self.stale + self._told * self._rng.uniform(0.5, 1.0)
             loop.call_later(late, self._tell, caller, relay)
 
     async def _beats(self) -> None:
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -11,25 +11,25 @@
 from typing import Any
 
 from lanelead.decisions.interface import (
-    FailRequest,
-    EndpointStatus,
-    UpdateScope,
-    Decisions,
+    Attempt,
     AttemptOutcome,
+    Decisions,
+    Endpoint,
     EndpointRecord,
-    RolloutState,
-    RolloutPhase,
+    EndpointStatus,
+    FailRequest,
     Idempotency,
     LoadReport,
-    StartAttempt,
     RejectRequest,
-    Attempt,
-    Endpoint,
+    RolloutPhase,
+    RolloutState,
+    StartAttempt,
+    UpdateScope,
 )
 from lanelead.http_relay.main import run
+from lanelead.migrations.readiness import Readiness
 from lanelead.settings.read import read
 from lanelead.settings.records import Relay
-from lanelead.migrations.readiness import Readiness
 
 
 class Seam:
--- a/lanelead/testbed/emulators/service_model.py
+++ b/lanelead/testbed/emulators/service_model.py
@@ -59,7 +59,7 @@
 class Engine:
     def __init__(self, life: Life, clock: Callable[[], float]) -> None:
         self.life, self._clock = life, clock
-        self._chance = Random(life.seed)
+        self._rng = Random(life.seed)
         self._start = clock()
         self._busy = 0
         self._recent: deque[tuple[float, float]] = deque()
@@ -97,7 +97,7 @@
 
     def _hit(self, name: str) -> bool:
         fault = self._faults.get(name)
-        return fault is not None and self._chance.random() < min(1.0, fault["size"])
+        return fault is not None and self._rng.random() < min(1.0, fault["size"])
 
     def _weigh(self, job: Piece, warmth: float) -> None:
         now, life = self._clock(), self.life
@@ -121,4 +121,4 @@
             share = max(share, build.strength)
         if build.bad == "late" and self._clock() - self._start > 4:
             share = max(share, build.strength / 3)
-        return self._chance.random() < share or self._hit("errors")
+        return self._rng.random() < share or self._hit("errors")
--- a/lanelead/testbed/emulators/vote_counting.py
+++ b/lanelead/testbed/emulators/vote_counting.py
@@ -25,7 +25,7 @@
         note: Callable[..., None],
         moved: Callable[[int, int, str], None],
     ) -> None:
-        self._trial, self._poll, self._chance = trial, poll, rng
+        self._trial, self._poll, self._rng = trial, poll, rng
         self._clock, self._note, self._moved = clock, note, moved
         self.build, self.stage, self.phase = 1, len(trial.shares) - 1, "released"
         self._since = clock() - 3600
@@ -146,7 +146,7 @@
         elif self._moot(vote):
             word = "moot"
         self._calls.append(now)
-        counts = word == "done" and (not self.mute or self._chance.random() < 0.5)
+        counts = word == "done" and (not self.mute or self._rng.random() < 0.5)
         if counts:
             self._votes[vote.relay] = (vote.verdict, vote.stage, now)
         self._note(
--- a/lanelead/testbed/emulators/workload.py
+++ b/lanelead/testbed/emulators/workload.py
@@ -28,7 +28,7 @@
 
 class Demand:
     def __init__(self, service: Service, clients: Clients, relays: int, rng: Random) -> None:
-        self._service, self._clients, self._relays, self._chance = service, clients, relays, rng
+        self._service, self._clients, self._relays, self._rng = service, clients, relays, rng
         self.lanes = {request_class.name: request_class for request_class in service.lanes}
         self._rate, self._rates = 1.0, dict[str, float]()
         self._hot_key = self._hot_caller = self._heavy = self._haste = 0.0
@@ -44,11 +44,11 @@
         """Seconds until the next lookup."""
         usual = sum(row.share for row in self._service.members)
         more = sum(share for _, share in self._members()) / usual if usual else 1.0
-        return self._chance.expovariate(self._clients.rate * self._rate * more)
+        return self._rng.expovariate(self._clients.rate * self._rate * more)
 
     def draw(self, now: float) -> Op:
         """The next lookup."""
-        rng, clients, tenants = self._chance, self._clients, self._members()
+        rng, clients, tenants = self._rng, self._clients, self._members()
         work = rng.choices(clients.work, [row.share for row in clients.work])[0]
         names, shares = [name for name, _ in tenants], [share for _, share in tenants]
         tenant = rng.choices(names, shares)[0] if tenants else None
@@ -66,33 +66,33 @@
 
     def _draw(self, work: Work) -> float:
         mean, cv = work.ms / 1000 * self._slow_lane.get(work.lane, 1.0), work.cv
-        if self._heavy and self._chance.random() < 0.02:
+        if self._heavy and self._rng.random() < 0.02:
             mean *= self._heavy
         if cv == 0:
             return mean
         spread = math.sqrt(math.log(1 + cv * cv))
-        return self._chance.lognormvariate(math.log(mean) - spread * spread / 2, spread)
+        return self._rng.lognormvariate(math.log(mean) - spread * spread / 2, spread)
 
     def patience(self, op: Op, now: float) -> float:
         """Seconds for which one try waits; at 0.05 or less it is not worth one."""
         request_class = self.lanes[op.lane]
-        share = self._chance.uniform(self._clients.try_share, 1.0)
+        share = self._rng.uniform(self._clients.try_share, 1.0)
         left = min(request_class.outer_limit_ms / 1000 * share, op.due - now)
-        if self._haste and self._chance.random() < self._haste:
+        if self._haste and self._rng.random() < self._haste:
             left = min(left, request_class.expected_time_ms / 1000 / 2)
         return left
 
     def method(self, op: Op) -> str:
         methods = self.lanes[op.lane].methods
-        return methods[0] if self._chance.random() < 0.95 else methods[-1]
+        return methods[0] if self._rng.random() < 0.95 else methods[-1]
 
     def bad(self) -> bool:
         """Is this one a request that its unit will fail on?"""
-        return bool(self._bad) and self._chance.random() < self._bad
+        return bool(self._bad) and self._rng.random() < self._bad
 
     def leaves(self, left: float) -> float | None:
         """After how long the client leaves, if it does."""
-        if self._give_up and self._chance.random() < self._give_up:
+        if self._give_up and self._rng.random() < self._give_up:
             return left * self._give_up_after
         return None
 
@@ -110,19 +110,19 @@
         """After a connection that ended, or never was: the same, at another relay."""
         if asked and self.lanes[op.lane].repeat != "pure":
             return None
-        op.relay = self._chance.randrange(self._relays)
+        op.relay = self._rng.randrange(self._relays)
         return self._wait(op, 0.0, now)
 
     def _wait(self, op: Op, retry_after: float, now: float) -> float | None:
         if op.tries > self._clients.retries + self._more_retries or now > op.due:
             return None
         wait = 0.01 if self._more_retries else self._clients.backoff_ms / 1000  # those that heed nothing
-        if retry_after and not self._more_retries and self._chance.random() < self._clients.honour:
+        if retry_after and not self._more_retries and self._rng.random() < self._clients.honour:
             wait = max(wait, retry_after)
         return wait
 
     def complains(self) -> bool:
-        return self._chance.random() < self._service.poll.complaint_share
+        return self._rng.random() < self._service.poll.complaint_share
 
     def obey(self, order: dict[str, Any]) -> None:
         """What the day does to clients."""
--- a/lanelead/testbed/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -10,20 +10,20 @@
 import click
 import msgspec
 
-from lanelead.testbed.scenarios.commands import end, load
-from lanelead.testbed.simulation.baselines import POLICIES
-from lanelead.testbed.simulation.fleet import Town
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import spotted
 from lanelead.settings.records import Experiment
+from lanelead.testbed.scenarios.commands import end, load
+from lanelead.testbed.simulation.baselines import POLICIES
+from lanelead.testbed.simulation.fleet import Town
 
 
 @click.group()
-def model() -> None:
+def simulation() -> None:
     """Days in virtual time: the same scripts, driver, decisions and judge as on sockets."""
 
 
-@model.command("run")
+@simulation.command("run")
 @click.argument("name")
 @click.option("--seed", type=click.IntRange(0), help="Another seed than the script's.")
 @click.option("--policy", default="lanelead", type=click.Choice(list(POLICIES)), show_default=True)
--- a/lanelead/testbed/experiments/plan.py
+++ b/lanelead/testbed/experiments/plan.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.settings.cue import Fault, Spot, Unfit
 from lanelead.settings.records import Day, Experiment
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.simulation.baselines import POLICIES
 
 MEASURES = (
     "service",
--- a/lanelead/testbed/experiments/report.py
+++ b/lanelead/testbed/experiments/report.py
@@ -7,9 +7,9 @@
 
 from jinja2 import Environment
 
+from lanelead.settings.records import Experiment
 from lanelead.testbed.experiments.plan import MEASURES
 from lanelead.testbed.experiments.run import Rows, interval, paired
-from lanelead.settings.records import Experiment
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ plan.name }}</title>
 <style>body{font:15px/1.5 sans-serif;max-width:70em;margin:2em auto;padding:0 1em}
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -18,11 +18,11 @@
 import msgspec
 from scipy import stats
 
-from lanelead.testbed.scenarios.verifier import judge
+from lanelead.settings.records import Day, Experiment
 from lanelead.testbed.experiments.plan import Cell
+from lanelead.testbed.scenarios.verifier import judge
 from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.testbed.simulation.fleet import Town
-from lanelead.settings.records import Day, Experiment
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS plan (one INTEGER PRIMARY KEY CHECK (one = 1), body TEXT NOT NULL);
--- a/lanelead/testbed/load/generator.py
+++ b/lanelead/testbed/load/generator.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from lanelead.http import serialization
-from lanelead.http.responses import ResponseReader, Progress
+from lanelead.http.responses import Progress, ResponseReader
 
 LONGEST = 60_000_000  # microseconds that a histogram holds
 OUTCOMES = ("done", "shed", "broken-off", "not-a-lookup", "lost")
@@ -123,7 +123,7 @@
 class Load:
     def __init__(self, shape: Shape, host: str, port: int, seed: int = 1) -> None:
         self._shape, self._host, self._port = shape, host, port
-        self._chance = Random(f"load {seed}")
+        self._rng = Random(f"load {seed}")
         self._loop = asyncio.get_running_loop()
         self._idle, self._queue = list[Line](), deque[tuple[float, bytes]]()
         self._open, self._number = 0, 0
@@ -131,7 +131,7 @@
         self.result = Result()
 
     async def run(self, told: Callable[[int, int], None] = lambda done, due: None) -> Result:
-        shape, dues = self._shape, times(self._shape, self._chance)
+        shape, dues = self._shape, times(self._shape, self._rng)
         self.result.due = len(dues)
         begin = self._loop.time() + 0.05
         for number, at in enumerate(dues):
@@ -152,7 +152,7 @@
         return self.result
 
     def _text(self) -> bytes:
-        shape, rng = self._shape, self._chance
+        shape, rng = self._shape, self._rng
         self._number += 1
         fields = [(b"host", b"relay"), (b"x-request-id", b"load-%d" % self._number)]
         if shape.left_ms:
--- a/lanelead/testbed/scenarios/bench_import.py
+++ b/lanelead/testbed/scenarios/bench_import.py
@@ -163,7 +163,7 @@
                 "probes": day["allow"]["probes"],
                 "second_copies": day["allow"]["second_copies"],
             },
-            "duties": _duties(day),
+            "duties": _limits(day),
             "trial": _trial(fam),
             "poll": _poll(fam, relays),
         },
@@ -211,7 +211,7 @@
     }
 
 
-def _duties(day: dict[str, Any]) -> dict[str, Any]:
+def _limits(day: dict[str, Any]) -> dict[str, Any]:
     tier = day["tiers"][0]
     return {
         "drain_grace_ms": day["drain_grace"] / 1000,
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -10,11 +10,11 @@
 import click
 import msgspec
 
-from lanelead.testbed.scenarios.verifier import Verdict, judge, report
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day
 from lanelead.testbed.emulators.event_recording import BadCapture
+from lanelead.testbed.scenarios.verifier import Verdict, judge, report
 
 
 def scripts() -> dict[str, Path]:
@@ -35,11 +35,11 @@
 
 
 @click.group()
-def day() -> None:
+def scenario() -> None:
     """Plays scripted days on loopback, and judges the five rules from what passed on the sockets."""
 
 
-@day.command("list")
+@scenario.command("list")
 def list_() -> None:
     """The days that come with lanelead."""
     for name, path in scripts().items():
@@ -48,7 +48,7 @@
         click.echo(f"{name:18} {record.seconds:4g} s  {record.says}")
 
 
-@day.command()
+@scenario.command()
 @click.argument("name")
 @click.option("--seed", type=click.IntRange(0), help="Another seed than the script's.")
 @click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
@@ -86,7 +86,7 @@
         end(folder, verdict)
 
 
-@day.command("judge")
+@scenario.command("judge")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
 def judge_(folder: str, verdict: str | None) -> None:
@@ -94,7 +94,7 @@
     end(Path(folder), verdict)
 
 
-@day.command("from-bench")
+@scenario.command("from-bench")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written.")
 def from_bench(file: str, out: str) -> None:
--- a/lanelead/testbed/scenarios/processes.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -19,8 +19,8 @@
 
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings import records
-from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.service_model import Build, Life
 
 ENV = {**os.environ, "PYTHONHASHSEED": "0"}
@@ -115,7 +115,7 @@
 class Fleet:
     def __init__(self, day: records.Day, folder: Path, seed: int, roster: Roster) -> None:
         self._day, self._folder, self._roster = day, folder, roster
-        self._chance = Random(f"fleet {seed}")
+        self._rng = Random(f"fleet {seed}")
         self._seed = seed
         self.tap = Tap(folder, "processes")
         self.machines: dict[str, Machine] = {}
@@ -123,7 +123,7 @@
         self.store = 0  # the port of the store of steps, if there is one
         self.writes: dict[int, str] = {}  # how each build files an effectful lookup there
         spread = day.units.speed_spread
-        self._speeds = [self._chance.uniform(1 - spread, 1 + spread) for _ in range(day.units.count)]
+        self._speeds = [self._rng.uniform(1 - spread, 1 + spread) for _ in range(day.units.count)]
         self._tasks: set[asyncio.Task[Any]] = set()
         self._lives = 0
 
@@ -155,7 +155,7 @@
     async def start(self, machine: Machine, cold: bool) -> None:
         units, limits = self._day.units, self._day.service.duties
         if cold:
-            await asyncio.sleep(units.boot_ms / 1000 * self._chance.uniform(0.5, 1.0))
+            await asyncio.sleep(units.boot_ms / 1000 * self._rng.uniform(0.5, 1.0))
         self._lives += 1
         life = Life(
             name=machine.name,
@@ -245,7 +245,7 @@
         running = sorted(self.running(), key=lambda machine: machine.name)
         if unit is not None:
             return [machine for machine in running if machine.place == unit]
-        return self._chance.sample(running, min(many, max(1, len(running) // 3), len(running)))
+        return self._rng.sample(running, min(many, max(1, len(running) // 3), len(running)))
 
     def of_zone(self, zone: str, part: float) -> list[Machine]:
         """The running machines of a zone, or a part of them."""
--- a/lanelead/testbed/scenarios/runner.py
+++ b/lanelead/testbed/scenarios/runner.py
@@ -15,14 +15,14 @@
 
 import msgspec
 
-from lanelead.testbed.scenarios.processes import Fleet, Machine, Process, free_ports
 from lanelead.settings import records
 from lanelead.settings.read import read
-from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.clients import Crowd
-from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.emulators.service_model import Build
+from lanelead.testbed.scenarios.processes import Fleet, Machine, Process, free_ports
 
 AT_CLIENTS = (
     "burst",
@@ -48,7 +48,7 @@
     """Carries datagrams between relays, late, and loses some on demand."""
 
     def __init__(self, rng: Random) -> None:
-        self._chance = rng
+        self._rng = rng
         self.loss = 0.0
         self._socks: list[socket.socket] = []
 
@@ -67,9 +67,9 @@
                 data = sock.recv(2048)
             except OSError:
                 return
-            if self._chance.random() >= self.loss:
+            if self._rng.random() >= self.loss:
                 loop = asyncio.get_running_loop()
-                loop.call_later(self._chance.uniform(0.002, 0.014), self._go, sock, data, to)
+                loop.call_later(self._rng.uniform(0.002, 0.014), self._go, sock, data, to)
 
     @staticmethod
     def _go(sock: socket.socket, data: bytes, to: tuple[str, int]) -> None:
@@ -87,7 +87,7 @@
 
     def __init__(self, day: records.Day, folder: Path, seed: int, say: Callable[[str], None]) -> None:
         self.day, self.folder, self.seed, self._say = day, folder, seed, say
-        self._chance = Random(f"day {seed}")
+        self._rng = Random(f"day {seed}")
         self.tap = Tap(folder, "conductor")
         self.relays: dict[int, Process] = {}
         self._files: dict[int, Path] = {}
@@ -386,7 +386,7 @@
         numbers = (
             list(range(self.day.relays))
             if event.kind == "relay_roll"
-            else [event.relay if event.relay is not None else self._chance.randrange(self.day.relays)]
+            else [event.relay if event.relay is not None else self._rng.randrange(self.day.relays)]
         )
         for number in numbers:
             relay = self.relays[number]
--- a/lanelead/testbed/scenarios/verifier.py
+++ b/lanelead/testbed/scenarios/verifier.py
@@ -30,10 +30,10 @@
 
 import msgspec
 
-from lanelead.settings import records
+from lanelead.migrations.migration_log import Broken, Record, Stand
 from lanelead.protocols.migrations import LoggedEntry
+from lanelead.settings import records
 from lanelead.testbed.emulators.event_recording import BadCapture, read
-from lanelead.migrations.migration_log import Broken, Record, Stand
 
 NEAR = 0.2  # seconds that may lie between the two ends of a socket
 CASES = 20  # cases told of each rule
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -12,23 +12,23 @@
 from math import exp, log
 from typing import Any
 
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.build_scoring import Fault
 from lanelead.decisions.endpoint_selection import Choice, Pair, Some
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
     SECOND,
+    Attempt,
     AttemptOutcome,
+    LoadReport,
     Request,
-    RolloutState,
     RolloutPhase,
-    VotingRules,
-    LoadReport,
+    RolloutState,
     Ticks,
-    Attempt,
     Verdict,
+    VotingRules,
 )
 from lanelead.decisions.rollout import Ballot
-from lanelead.decisions.balancer import Balancer
-from lanelead.decisions.build_scoring import Fault
-from lanelead.decisions.endpoint_state import EndpointState, state_of
 
 
 class _Ranked(Choice):
@@ -141,7 +141,7 @@
 
 class _Exchanged(Ballot):
     def __init__(self, relay: _Voter, poll: VotingRules) -> None:
-        super().__init__(poll, relay._chance)
+        super().__init__(poll, relay._rng)
         self._relay = relay
 
     def verdict(self, news: RolloutState, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
--- a/lanelead/testbed/simulation/configuration.py
+++ b/lanelead/testbed/simulation/configuration.py
@@ -59,7 +59,7 @@
     """`reaches(a, b)`: whether what `a` sends comes to `b`; ends are ("m", number) and ("r", number)."""
 
     def __init__(self, places: Sequence[Place], relays: Sequence[Place], seed: int, rate: float = 65536.0) -> None:
-        self.now, self._chance, self._rate = 0.0, Random(f"fleet {seed}"), rate
+        self.now, self._rng, self._rate = 0.0, Random(f"fleet {seed}"), rate
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = self._watches = 0
         self.machines = [Machine(place) for place in places]
@@ -75,7 +75,7 @@
         for place in relays:
             self.join(place)
         for number in range(len(self.machines)):
-            self.at(self._chance.uniform(0, SIGN), partial(self._sign, number))
+            self.at(self._rng.uniform(0, SIGN), partial(self._sign, number))
 
     # Time
 
@@ -93,7 +93,7 @@
     def _far(self, a: tuple[str, int], b: tuple[str, int]) -> float:
         one, other = self._place(a), self._place(b)
         base = 0.0004 if one.zone == other.zone else 0.001 if one.region == other.region else 0.04
-        return base * self._chance.uniform(1, 2)
+        return base * self._rng.uniform(1, 2)
 
     def _place(self, end: tuple[str, int]) -> Place:
         return self.machines[end[1]].place if end[0] == "m" else self.relays[end[1]].place
@@ -195,7 +195,7 @@
     # Relays
 
     def _follower(self, number: int, place: Place) -> Follower:
-        rng = Random(self._chance.random())
+        rng = Random(self._rng.random())
         places = [machine.place for machine in self.machines]
         return Follower(number, place, places, self.start(), self._rate, rng, self.now)
 
@@ -203,7 +203,7 @@
         number = len(self.relays)
         relay = Relay(self._follower(number, place), place, number)
         self.relays.append(relay)
-        self.at(self._chance.uniform(0, SIGN), lambda: self._carry(relay))
+        self.at(self._rng.uniform(0, SIGN), lambda: self._carry(relay))
 
     def restart(self, number: int, away: float) -> None:
         relay = self.relays[number]
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -16,30 +16,30 @@
 
 import msgspec
 
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
-    Decisions,
+    Attempt,
     AttemptOutcome,
-    Tenant,
-    RelayPosition,
-    ZonePreference,
+    CastVote,
+    Decisions,
+    Endpoint,
     Idempotency,
+    RelayPosition,
+    Tenant,
     Ticks,
-    Attempt,
-    Endpoint,
-    CastVote,
+    ZonePreference,
 )
-from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.zone_spillover import ANYWHERE
-from lanelead.http.responses import HttpResponse
 from lanelead.http.requests import HttpRequest
-from lanelead.testbed.simulation.clock import Clock, Story, stream
-from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage, VoteRequest
+from lanelead.http.responses import HttpResponse
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.settings import records
-from lanelead.testbed.emulators.workload import Demand, Op
 from lanelead.testbed.emulators.service_model import Build, Engine, Life
 from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.workload import Demand, Op
+from lanelead.testbed.simulation.clock import Clock, Story, stream
 
 START = 3600.0  # the clock at the start: units have a past
 ASK = HttpRequest("GET", b"/", [], b"", True)
@@ -141,7 +141,7 @@
             self.note("turned_away", id=job.ident, op=job.op.ident)
             job.host.reply(self, job, AttemptOutcome.REJECTED)
         elif self._hit("cut"):
-            if self._chance.random() < 0.5:
+            if self._rng.random() < 0.5:
                 self._effect(job)
             job.host.reply(self, job, AttemptOutcome.RESET)
         elif self._busy < self.life.cores:
@@ -178,7 +178,7 @@
 
     def _answer(self, job: Job) -> None:
         if job.bad or self._errs(job):
-            if self._chance.random() < 0.5:
+            if self._rng.random() < 0.5:
                 self._effect(job)
             self.note("erred", id=job.ident, op=job.op.ident)
             job.host.reply(self, job, AttemptOutcome.ERROR)
@@ -188,7 +188,7 @@
             job.host.reply(self, job, AttemptOutcome.RESET)
             return
         build = self.life.build
-        wrong = build.bad == "wrong" and self._chance.random() < build.strength
+        wrong = build.bad == "wrong" and self._rng.random() < build.strength
         job.host.reply(self, job, AttemptOutcome.SUCCEEDED, wrong, 0.9 if self._hit("trickle") else 0.0)
 
     def report(self) -> dict[str, float]:
@@ -397,7 +397,7 @@
 
     def changed(self) -> None:
         for host in self._town.hosts:
-            late = self.stale + self._town.day.desk.told_ms / 1000 * self._chance.uniform(0.5, 1.0)
+            late = self.stale + self._town.day.desk.told_ms / 1000 * self._rng.uniform(0.5, 1.0)
             self._town.clock.later(late, self.tell, host)
 
     def tell(self, host: Host) -> None:
--- a/lanelead/testbed/simulation/membership.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -12,9 +12,9 @@
 from heapq import heappop, heappush
 from random import Random
 
-from lanelead.membership.messages import ALIVE, DEAD, Row
-from lanelead.membership.member import Address, Change, Membership, Tempo
 from lanelead.decisions.interface import Ticks
+from lanelead.membership.member import Address, Change, Membership, Tempo
+from lanelead.membership.messages import ALIVE, DEAD, Row
 
 SECOND: Ticks = 10_000
 PORT = 7946
--- a/lanelead/testbed/simulation/migrations.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, replace
 from functools import lru_cache
 
-from lanelead.protocols.migrations import ApplyRequest, LogEntry, LoggedEntry, EffectProgress
 from lanelead.migrations import runner
 from lanelead.migrations.migration_log import Broken, Mark, Record, Stand
 from lanelead.migrations.runner import Append, Apply, Goal, Reply, Runner, Want
+from lanelead.protocols.migrations import ApplyRequest, EffectProgress, LogEntry, LoggedEntry
 
 PARTS = 2  # of a backfill
 
--- a/lanelead/testbed/simulation/policies.py
+++ b/lanelead/testbed/simulation/policies.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from lanelead.decisions.interface import EndpointStatus, ServiceLimits, Request
 from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.interface import EndpointStatus, Request, ServiceLimits
 from lanelead.decisions.zone_spillover import Pools
 
 Tiers = tuple[tuple[str, ...], ...]
@@ -16,7 +16,7 @@
     """A lookup stays in its own zone, whatever happens."""
 
     def __init__(self, tiers: Tiers, limits: ServiceLimits, rng: Random) -> None:
-        self._tiers, self._chance = tiers, rng
+        self._tiers, self._rng = tiers, rng
         self._place = {zone: place for place, zones in enumerate(tiers) for zone in zones}
         self.health = [1.0] * len(tiers)
         self._full = [0] * len(tiers)
@@ -64,7 +64,7 @@
         total = min(1.0, sum(scores))
         if total <= 0:
             return [0]
-        draw, left = self._chance.random(), 1.0
+        draw, left = self._rng.random(), 1.0
         for place, score in enumerate(scores):
             share = min(left, score / total)
             if draw < share:
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from lanelead.configuration.value_types import EntryValue
 from lanelead.configuration.publisher import Gone, Source
+from lanelead.configuration.value_types import EntryValue
 from lanelead.http import serialization
 from lanelead.http.server import STREAM, chunk
 from lanelead.postgres_relay.config import Following, SourceAt
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -4,35 +4,35 @@
 
 from random import Random
 
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
     Action,
-    ResourceQuota,
-    FailRequest,
-    EndpointStatus,
-    PromotionControl,
-    UpdateScope,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
+    CanaryLimits,
+    CastVote,
+    DeduplicationScope,
+    Endpoint,
     EndpointRecord,
+    EndpointStatus,
+    FailRequest,
+    Idempotency,
+    Prices,
+    PromotionControl,
+    RejectRequest,
+    RelayPosition,
     Request,
-    RolloutState,
+    RequestClass,
+    ResourceQuota,
     RolloutPhase,
-    RelayPosition,
-    VotingRules,
-    Idempotency,
-    DeduplicationScope,
+    RolloutState,
+    ServiceLimits,
+    SetTimer,
     StartAttempt,
-    RejectRequest,
-    Prices,
     Ticks,
-    CanaryLimits,
-    Attempt,
-    Endpoint,
-    CastVote,
-    SetTimer,
+    UpdateScope,
+    VotingRules,
 )
-from lanelead.decisions.balancer import Balancer
 
 SECOND: Ticks = 10_000
 PURE = RequestClass("read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -11,35 +11,34 @@
 from math import sqrt
 from random import Random
 
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
-    ResourceQuota,
-    FailRequest,
-    EndpointStatus,
-    PromotionControl,
-    UpdateScope,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
+    CanaryLimits,
+    DeduplicationScope,
+    Endpoint,
     EndpointRecord,
+    EndpointStatus,
+    FailRequest,
+    Idempotency,
+    Prices,
+    PromotionControl,
+    RejectRequest,
+    RelayPosition,
     Request,
-    Tenant,
-    RolloutState,
+    RequestClass,
+    ResourceQuota,
     RolloutPhase,
-    RelayPosition,
-    VotingRules,
-    Idempotency,
-    DeduplicationScope,
+    RolloutState,
+    ServiceLimits,
+    SetTimer,
     StartAttempt,
-    RejectRequest,
-    Prices,
+    Tenant,
     Ticks,
-    CanaryLimits,
-    Attempt,
-    Endpoint,
-    SetTimer,
+    UpdateScope,
+    VotingRules,
 )
-from lanelead.decisions.balancer import Balancer
-
 
 SECOND: Ticks = 10_000
 LANE = RequestClass("read", 8000, 15_000, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0)
--- a/tests/machinegroup.py
+++ b/tests/machinegroup.py
@@ -12,12 +12,11 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-
 from lanelead.configuration.commands import ask, made
-from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.protocols.configuration import AcceptedProposal, LogPage
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode
+from lanelead.testbed.scenarios.processes import free_ports
 from tests.machines import proposal
 from tests.tcpwires import TcpWires
 
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -16,18 +16,18 @@
 
 from lanelead.configuration.agreement import Proposer, Unfit
 from lanelead.configuration.document import Document
-from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.messages import Asked, Call
 from lanelead.configuration.replica import Machine
+from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.store import Store, StoreFault
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
     Entry,
+    Heartbeat,
     Prepare,
     Proposal,
     RejectedProposal,
-    Heartbeat,
 )
 from lanelead.protocols.configuration_replicas import DecidedChange
 
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -16,10 +16,10 @@
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
-from lanelead.postgres_relay.config import load
-from lanelead.postgres_relay.service import Service
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY, message
+from lanelead.postgres_relay.config import load
+from lanelead.postgres_relay.service import Service
 
 LANES = [
     {"name": "read", "aimMs": 800.0, "deadlineMs": 1500.0, "repeat": "read_like"},
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -5,8 +5,8 @@
 import io
 import unittest
 
-from lanelead.simulator_adapter.host import serve
 from lanelead.runtime.parameter_reader import ParameterError
+from lanelead.simulator_adapter.host import serve
 
 BEGIN = (
     "BEGIN 7 me=0 instances=2 zone=z discovery=automatic requestClasses.count=1 requestClasses.0.name=read "
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -9,6 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from lanelead.membership.member import Membership, Tempo
 from lanelead.membership.messages import (
     ALIVE,
     DEAD,
@@ -24,7 +25,6 @@
     read,
     write,
 )
-from lanelead.membership.member import Membership, Tempo
 from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
--- a/tests/test_circle_processes.py
+++ b/tests/test_circle_processes.py
@@ -16,12 +16,12 @@
 
 from click.testing import CliRunner
 
-from lanelead.membership.commands import circle as commands
+from lanelead.membership.commands import membership as commands
 from lanelead.membership.commands import table
 from lanelead.membership.messages import ALIVE, DEAD, LEFT, Row
-from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.protocols.feeds import EndpointMessage as Listed
 from lanelead.testbed.emulators.fault_proxy import Wires
+from lanelead.testbed.scenarios.processes import free_ports
 from tests.town import SETTINGS, live, outside
 
 CIRCLE = """peers: {listen: port: %d, others: [%s]}
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from lanelead.membership.messages import ALIVE, DEAD, LEFT, Ack, Claim, Gossip, Ping, Row, read, write
 from lanelead.membership.member import Address, Membership, Tempo
 from lanelead.membership.member_state import CALLED, KEPT, UNHEARD, WORST
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, Ack, Claim, Gossip, Ping, Row, read, write
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 HOUR = 3600 * SECOND
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,8 +14,8 @@
 from math import sqrt
 from unittest import mock
 
-from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.counters import turned
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 from tests import hollow
 from tests.fake import FakeHost
 from tests.hollow import SECOND, play
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -9,13 +9,13 @@
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
+    AcceptReply,
     Ballot,
     Change,
     Prepare,
     Promise,
     Proposal,
     RejectedProposal,
-    AcceptReply,
 )
 from tests.machines import World, proposal
 
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -15,9 +15,9 @@
 
 from lanelead.configuration.commands import addresses, ask, configuration, look, made
 from lanelead.configuration.settings import Unfit, read
-from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.feeds import decode, encode
+from lanelead.testbed.scenarios.processes import free_ports
 from tests.machinegroup import group
 from tests.town import live
 
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import unittest
-from unittest import mock
 from random import Random
+from unittest import mock
 
 import msgspec
 from hypothesis import given, settings
@@ -21,15 +21,15 @@
     canonical,
     sums_of,
 )
-from lanelead.configuration.value_types import AppliedValues, TenantValue
 from lanelead.configuration.publisher import FROZEN, KEPT, SNAPSHOTS, Gone, Source
+from lanelead.configuration.value_types import AppliedValues, TenantValue
 from lanelead.protocols.configuration import (
     MAX_CHANGE_BYTES,
     MAX_VALUE_BYTES,
     AppliedVersion,
     Change,
-    Entry,
     DigestTree,
+    Entry,
 )
 from lanelead.protocols.feeds import MessageError, decode
 
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -8,10 +8,10 @@
 
 from lanelead.configuration.actions import AskBuckets, AskOutline, InForce
 from lanelead.configuration.document import Document, bucket_of
-from lanelead.configuration.follower import OTHERWISE
 from lanelead.configuration.follower import (
     ANSWER,
     FIRST,
+    OTHERWISE,
     UNANSWERED,
 )
 from lanelead.protocols.configuration import Buckets, Entry
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -16,16 +16,16 @@
     canonical,
     sums_of,
 )
+from lanelead.configuration.publisher import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
 from lanelead.configuration.value_types import (
     MOST_NAMED,
-    ClassValue,
     AppliedValues,
-    TenantValue,
+    ClassValue,
     InvalidValueError,
+    TenantValue,
     read,
 )
-from lanelead.configuration.publisher import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
-from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
+from lanelead.decisions.interface import DeduplicationScope, Idempotency, RequestClass, Tenant
 from lanelead.postgres_relay.applied_configuration import InForce as Relay
 from lanelead.postgres_relay.applied_configuration import changed
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -13,10 +13,10 @@
     AcceptedProposal,
     Ballot,
     Change,
+    Heartbeat,
     LogPage,
     Prepare,
     RejectedProposal,
-    Heartbeat,
 )
 from lanelead.protocols.configuration_replicas import DecidedChange
 from tests.machines import World, proposal
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_machines.py
@@ -7,11 +7,10 @@
 import signal
 import unittest
 
-
 from lanelead.configuration.commands import made
 from lanelead.protocols.configuration import RejectedProposal
-from tests.machines import proposal
 from tests.machinegroup import group
+from tests.machines import proposal
 from tests.town import live
 
 
--- a/tests/test_configuration_sources.py
+++ b/tests/test_configuration_sources.py
@@ -4,15 +4,14 @@
 
 import unittest
 
-
 from lanelead.configuration.actions import Place
 from lanelead.configuration.document import Document
-from lanelead.configuration.follower import SETTLED
 from lanelead.configuration.follower import (
     AGAIN,
     NEARER,
     OPENS,
     PATIENCE,
+    SETTLED,
     SIGN,
     SILENCE,
 )
--- a/tests/test_creeping.py
+++ b/tests/test_creeping.py
@@ -4,9 +4,9 @@
 
 import unittest
 
-from lanelead.decisions.interface import SECOND, AttemptOutcome, RolloutState, RolloutPhase
 from lanelead.decisions.build_scoring import Fault
 from lanelead.decisions.endpoint_state import state_of
+from lanelead.decisions.interface import SECOND, AttemptOutcome, RolloutPhase, RolloutState
 from tests.fake import PURE, FakeHost
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -8,9 +8,9 @@
 import unittest
 from unittest import mock
 
+from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener as fronts
 from lanelead.postgres_relay.client_connection import Client
-from lanelead.pgwire import messages
 from tests.platform import Client as Caller
 from tests.platform import Held, Platform, Unit, platform, statement
 from tests.town import live
@@ -151,7 +151,7 @@
         async with platform(Unit("u0")) as place:
             client, front = await place.client(), place.relay.front
             front.end = asyncio.get_running_loop().time() + 0.3
-            with mock.patch.object(place.relay.driver, "take", wraps=place.relay.driver.receive) as take:
+            with mock.patch.object(place.relay.driver, "receive", wraps=place.relay.driver.receive) as take:
                 await client.ask("1a", left=1400)
             self.assertLessEqual(take.call_args.args[4], 3000)
 
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -9,13 +9,13 @@
 from typing import Any
 from unittest import mock
 
-from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
+from lanelead.decisions.interface import AttemptOutcome, CastVote, Verdict
 from lanelead.http import serialization
 from lanelead.postgres_relay import discovery_client
 from lanelead.postgres_relay import service as services
 from lanelead.postgres_relay.config import load
-from lanelead.protocols.platform import RpcMessage
 from lanelead.protocols.feeds import MessageError, decode
+from lanelead.protocols.platform import RpcMessage
 from tests.platform import NEWS, SETTINGS, Platform, Unit, answered, platform, told
 from tests.town import live
 
--- a/tests/test_crossings_idle.py
+++ b/tests/test_crossings_idle.py
@@ -7,9 +7,9 @@
 from typing import Any
 from unittest import mock
 
-from lanelead.postgres_relay import service as services
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
+from lanelead.postgres_relay import service as services
 from tests.agent import agent, entry, move
 from tests.platform import Held, Unit, free_port, good, platform, told
 from tests.test_crossings_feeds import TRIAL, heard
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -8,14 +8,14 @@
 from unittest import mock
 
 from lanelead.http import serialization
+from lanelead.pgwire import messages
+from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import discovery_client
 from lanelead.postgres_relay import service as services
 from lanelead.postgres_relay.config import load
 from lanelead.postgres_relay.service import Service
-from lanelead.pgwire import messages
-from lanelead.pgwire.messages import READY
-from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from tests.agent import agent, body, entry, move
 from tests.platform import Held, Platform, Unit, free_port, platform
 from tests.test_crossings_feeds import condition
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -10,10 +10,10 @@
 import unittest
 from unittest import mock
 
+from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_connection as clients
 from lanelead.postgres_relay import client_listener as fronts
 from lanelead.postgres_relay.client_connection import Client
-from lanelead.pgwire import messages
 from tests.platform import Held, Platform, Unit, platform, row, statement
 from tests.test_crossings_clients import taken_in
 from tests.test_crossings_units import known
@@ -172,7 +172,7 @@
                 await one.send(messages.startup("app", "shop"), 64)
                 if asked:
                     await one.send(messages.query(statement("1a")), 256)
-                    await place.until(lambda place=place: place.relay.driver.counts.done == 1)  # type: ignore
+                    await place.until(lambda place=place: place.relay.driver.counters.succeeded == 1)  # type: ignore
                 await one.send(text[:40], 64)
                 await place.relay.front.drain(0, 0.1)
                 found = await place.heard(one.sock)
@@ -299,7 +299,7 @@
             client, front = await place.client(), place.relay.front
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda _, what: None)
-            with mock.patch.object(place.relay.driver.decisions, "take", side_effect=ZeroDivisionError):
+            with mock.patch.object(place.relay.driver.decisions, "request_received", side_effect=ZeroDivisionError):
                 client.send("1a", left=300)
                 answer = await client.answer()
             self.assertEqual(answer["C"], b"58000")
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -9,10 +9,9 @@
 from unittest import mock
 
 from lanelead.http import serialization
-from lanelead.postgres_relay import discovery_client
-from lanelead.postgres_relay import feed_handover
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
+from lanelead.postgres_relay import discovery_client, feed_handover
 from tests.agent import Agent, Call, agent, body, entry, move
 from tests.platform import Client, Held, Platform, Unit, free_port, platform
 from tests.test_crossings_feeds import condition
--- a/tests/test_crossings_units.py
+++ b/tests/test_crossings_units.py
@@ -10,11 +10,12 @@
 from typing import Any, cast
 from unittest import mock
 
-from lanelead.decisions.interface import AttemptOutcome, Endpoint as Known
-from lanelead.postgres_relay.connection_pool import Link
+from lanelead.decisions.interface import AttemptOutcome
+from lanelead.decisions.interface import Endpoint as Known
 from lanelead.pgwire.messages import READY, error, query
-from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from lanelead.postgres_relay.connection_pool import Link
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from tests.platform import Client, Hand, Held, Platform, Unit, good, platform, row, statement
 from tests.town import live
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.bench_import import MAKERS, NotADay, script, written
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Day
+from lanelead.testbed.scenarios.bench_import import MAKERS, NotADay, script, written
+from lanelead.testbed.scenarios.commands import load
 
 SHORT = """
 day: #Town & {
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -3,37 +3,37 @@
 from __future__ import annotations
 
 import unittest
-from typing import Any, cast
 from collections.abc import Sequence
 from random import Random
+from typing import Any, cast
 
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from lanelead.decisions.admission import NEVER_RAN
+from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
-    ResourceQuota,
-    PromotionControl,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
-    RelayPosition,
-    VotingRules,
-    Idempotency,
+    CanaryLimits,
+    CastVote,
     DeduplicationScope,
+    Endpoint,
+    Idempotency,
     Prices,
+    PromotionControl,
+    RelayPosition,
+    RequestClass,
+    ResourceQuota,
+    ServiceLimits,
     Ticks,
-    CanaryLimits,
-    Attempt,
-    Endpoint,
-    CastVote,
+    VotingRules,
 )
-from lanelead.decisions.balancer import Balancer
-from lanelead.http.responses import HttpResponse
 from lanelead.http.requests import HttpRequest
-from lanelead.protocols.feeds import EndpointListMessage, RolloutMessage, EndpointMessage
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome, PendingRequest
+from lanelead.http.responses import HttpResponse
+from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
+from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 
 SECOND: Ticks = 10_000
 LANES = [
@@ -153,13 +153,14 @@
         self.done = 0
         self.checked = 0
 
-    @rule(lane=st.sampled_from(LANES), left=st.integers(1, 2 * SECOND))
+    @rule(request_class=st.sampled_from(LANES), left=st.integers(1, 2 * SECOND))
     def ask(self, request_class: RequestClass, left: Ticks) -> None:
         self.taken.append(self.stage.hands.now)
         self.stage.ask(request_class, left)
 
     @rule(
-        place=st.integers(0, 30), fate=st.sampled_from([f for f in AttemptOutcome if f is not AttemptOutcome.CANCELLED])
+        place=st.integers(0, 30),
+        outcome=st.sampled_from([f for f in AttemptOutcome if f is not AttemptOutcome.CANCELLED]),
     )
     def end(self, place: int, outcome: AttemptOutcome) -> None:
         out = list(self.stage.hands.out)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from lanelead.runtime.endpoint_registry import HEAD, STEP, UNTOLD
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams
+from lanelead.runtime.endpoint_registry import HEAD, STEP, UNTOLD
 from lanelead.testbed.emulators.fault_proxy import Wires
 from tests.platform import SETTINGS, Client, Platform, Unit, free_port, good
 from tests.town import live
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from lanelead.http import serialization
-from lanelead.http.responses import ResponseReader, Progress
-from lanelead.http.requests import HttpRequest, RequestReader, Event, ContinueExpected, RejectedRequest, State
+from lanelead.http.requests import ContinueExpected, Event, HttpRequest, RejectedRequest, RequestReader, State
+from lanelead.http.responses import Progress, ResponseReader
 
 HOST = b"Host: a\r\n"
 
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -4,11 +4,11 @@
 
 import json
 import unittest
-from unittest import mock
 from typing import Any
+from unittest import mock
 
 from lanelead.configuration.value_types import ClassValue, TenantValue
-from lanelead.decisions.interface import RequestClass, Tenant, Idempotency, DeduplicationScope
+from lanelead.decisions.interface import DeduplicationScope, Idempotency, RequestClass, Tenant
 from lanelead.postgres_relay import service as services
 from lanelead.postgres_relay.applied_configuration import InForce, entries, without_figures
 from tests.platform import SETTINGS, Platform, Unit, platform
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -7,14 +7,14 @@
 import unittest
 from pathlib import Path
 
-from lanelead.decisions.interface import AttemptOutcome, Request, Attempt, Verdict, CastVote
-from lanelead.protocols.feeds import MessageError, RolloutMessage
-from lanelead.protocols.migrations import AppendRequest, LogEntry, LeaseRequest, LoggedEntry, MigrationLogPage
-from lanelead.settings.records import Demands, Need, Steps
-from lanelead.testbed.emulators.migration_store import FaultyStore
+from lanelead.decisions.interface import Attempt, AttemptOutcome, CastVote, Request, Verdict
 from lanelead.migrations.readiness import Readiness
 from lanelead.migrations.runner import Goal
+from lanelead.protocols.feeds import MessageError, RolloutMessage
+from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, LoggedEntry, MigrationLogPage
+from lanelead.settings.records import Demands, Need, Steps
 from lanelead.store.migration_store import Ledger
+from lanelead.testbed.emulators.migration_store import FaultyStore
 from tests.test_driver import ANSWER, LANES, SECOND, Stage
 from tests.test_steps import plan, step, through
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.verifier import Finding, Verdict, judge
+from lanelead.migrations.runner import Goal
 from lanelead.protocols.migrations import LogEntry
 from lanelead.settings.records import Overflow, StepsOfDay
 from lanelead.testbed.emulators.event_recording import BadCapture
-from lanelead.migrations.runner import Goal
+from lanelead.testbed.scenarios.commands import load
+from lanelead.testbed.scenarios.verifier import Finding, Verdict, judge
 from tests.test_steps import ONE_AFTER_ANOTHER
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,8 +9,8 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.testbed.load.generator import Load, Result, Shape, times
+from lanelead.testbed.scenarios.processes import free_ports
 from tests.town import ScriptedUnit, live, says, town
 
 
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -10,28 +10,28 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.simulator_adapter.host import Floor
+from lanelead.decisions.endpoint_state import EndpointState, Outstanding
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     CompletionCount,
     EndpointStatus,
+    FleetLatency,
+    GossipEntry,
     InFlightBound,
     InFlightCount,
-    FleetLatency,
     OutcomeObservation,
-    GossipEntry,
 )
-from lanelead.decisions.endpoint_state import Outstanding, EndpointState
 from lanelead.runtime.endpoint_registry import (
     FORM,
     FORM_SHARED,
     MAX_MESSAGE_BYTES,
     SHARED,
     EndpointRegistry,
-    encode_gossip,
     decode_gossip,
+    encode_gossip,
 )
 from lanelead.runtime.short_ids import NO_LONG_ID, long_id_of
+from lanelead.simulator_adapter.host import Floor
 from tests.fake import PURE, SECOND
 from tests.test_benchlink import BEGIN
 
@@ -208,8 +208,8 @@
                 self.assertEqual((whole, not whole), (len(found) == many, full is not None), (many, pair))
 
     def test_a_shared_mark_past_the_last_that_fits_changes_no_byte(self) -> None:
-        loads = {name: 3 for name in [*self.names[:MAX_IN_FLIGHT_COUNTS], A, B]}
-        plain = {name: 3 for name in self.names}
+        loads = dict.fromkeys([*self.names[:MAX_IN_FLIGHT_COUNTS], A, B], 3)
+        plain = dict.fromkeys(self.names, 3)
         texts = letters(door(A, B, *self.names), loads)
         self.assertEqual(letters(door(*self.names), plain), texts)
 
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -6,17 +6,18 @@
 import unittest
 from random import Random
 
+from lanelead.decisions.endpoint_state import EndpointState, Outstanding, state_of
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     SECOND,
     InFlightBound,
     InFlightCount,
-    RolloutPhase,
     OutcomeObservation,
+    RolloutPhase,
     Ticks,
     Verdict,
 )
-from lanelead.decisions.endpoint_state import Outstanding, EndpointState, state_of
+from lanelead.protocols import datagrams
 from lanelead.runtime.endpoint_registry import (
     FORM,
     LOAD,
@@ -24,11 +25,10 @@
     ROW,
     SHARED,
     EndpointRegistry,
-    encode_gossip,
     decode_gossip,
+    encode_gossip,
 )
 from lanelead.runtime.short_ids import long_id_of
-from lanelead.protocols import datagrams
 from tests.fake import EFFECTFUL, PURE, FakeHost
 from tests.platform import Held, Unit
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,16 +13,16 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
+from lanelead.decisions.balancer import Balancer
+from lanelead.settings.read import read_text
+from lanelead.settings.records import Day
+from lanelead.testbed.emulators.seeded_faults import SEAMS
+from lanelead.testbed.experiments.run import interval, measures, paired, read
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.scenarios.verifier import Verdict, judge
-from lanelead.testbed.experiments.run import interval, measures, paired, read
 from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
 from lanelead.testbed.simulation.clock import Clock, stream
 from lanelead.testbed.simulation.fleet import Town
-from lanelead.decisions.balancer import Balancer
-from lanelead.settings.read import read_text
-from lanelead.settings.records import Day
-from lanelead.testbed.emulators.seeded_faults import SEAMS
 from tests.test_day import SHORT
 
 
@@ -141,7 +141,7 @@
             desk=none,
         )
         town = Town(day, 5, policy, silent=True, hop=1e-6)
-        town.demand._draw = lambda work: town.demand._chance.expovariate(1000 / work.ms)  # type: ignore[method-assign]
+        town.demand._draw = lambda work: town.demand._rng.expovariate(1000 / work.ms)  # type: ignore[method-assign]
         times = town.run().counts.times
         return sum(times) / len(times) / 0.05
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,14 +9,14 @@
 import unittest
 from unittest import mock
 
-from lanelead.decisions.interface import AttemptOutcome, Verdict, CastVote
-from lanelead.postgres_relay import client_listener
-from lanelead.postgres_relay.load_reports import report_of
+from lanelead.decisions.interface import AttemptOutcome, CastVote, Verdict
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
+from lanelead.postgres_relay import client_listener
+from lanelead.postgres_relay.load_reports import report_of
 from lanelead.protocols import datagrams
-from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from tests.platform import NEWS, Unit, answered, good, platform, refused, row, statement, told
 from tests.town import live
 
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -166,7 +166,7 @@
             "import signal\nfrom unittest import mock\nfrom lanelead.postgres_relay import main\n"
             "def load(path):\n"
             "    print(signal.SIGHUP in signal.pthread_sigmask(signal.SIG_BLOCK, set()))\n"
-            "    raise main.Malformed('seen enough')\n"
+            "    raise main.MessageError('seen enough')\n"
             "with mock.patch.object(main, 'load', load): main.run('json')\n"
         )
         done = subprocess.run(
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from unittest import mock
 
-from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from lanelead.protocols.feeds import decode
 from lanelead.pgwire import messages
+from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from tests.platform import Unit, good, platform
 from tests.town import live
 
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -6,24 +6,24 @@
 from collections import Counter
 from random import Random
 
+from lanelead.decisions.endpoint_state import EndpointState, Outstanding, state_of
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
-    CompletionCount,
+    AttemptOutcome,
+    CheckHealth,
     CloseIdleConnections,
+    CompletionCount,
+    Endpoint,
     EndpointStatus,
-    AttemptOutcome,
-    RequestClass,
-    InFlightCount,
     FleetLatency,
-    CheckHealth,
-    RejectRequest,
+    GossipEntry,
+    InFlightCount,
     OutcomeObservation,
+    RejectRequest,
+    RequestClass,
     SendGossip,
-    Endpoint,
-    GossipEntry,
 )
-from lanelead.decisions.endpoint_state import Outstanding, EndpointState, state_of
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES, EndpointRegistry, encode_gossip, decode_gossip
+from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES, EndpointRegistry, decode_gossip, encode_gossip
 from tests.fake import EFFECTFUL, PURE, SECOND, FakeHost
 
 DEAR = 0.08
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -16,13 +16,10 @@
 import msgspec
 import msgspec.inspect
 
-from lanelead.membership import messages
 from lanelead.configuration import value_types
+from lanelead.membership import messages
 from lanelead.postgres_relay import config
-from lanelead.protocols import configuration, platform
-from lanelead.protocols import configuration_replicas
-from lanelead.protocols import feeds
-from lanelead.protocols import migrations
+from lanelead.protocols import configuration, configuration_replicas, feeds, migrations, platform
 
 RECORDED = Path(__file__).parent / "pinned" / "messages.json"
 
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -14,7 +14,7 @@
 from lanelead.configuration.replica_state import Holding
 from lanelead.configuration.store import Store
 from lanelead.protocols.configuration import Accept, AcceptedProposal, Ballot, Change, Entry, Prepare, Proposal
-from lanelead.protocols.migrations import AppendRequest, ApplyRequest, LeaseRequest, BatchRange
+from lanelead.protocols.migrations import AppendRequest, ApplyRequest, BatchRange, LeaseRequest
 from lanelead.protocols.migrations import LogEntry as Step
 from lanelead.store.migration_store import Ledger
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -10,21 +10,21 @@
 import unittest
 from pathlib import Path
 
+from lanelead.decisions.endpoint_state import EndpointState
 from lanelead.decisions.interface import (
     CompletionCount,
     EndpointStatus,
+    FleetLatency,
+    GossipEntry,
     InFlightBound,
     InFlightCount,
-    FleetLatency,
     OutcomeObservation,
     Verdict,
-    GossipEntry,
 )
-from lanelead.decisions.endpoint_state import EndpointState
-from lanelead.runtime.endpoint_registry import EndpointRegistry, encode_gossip, decode_gossip
 from lanelead.http import serialization
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams, platform
+from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND
 
 RECORDED = Path(__file__).parent / "pinned" / "wire.json"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from lanelead.protocols.feeds import EndpointMessage
-from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.rollout_platform import Desk
 from tests.town import SETTINGS, Client, ScriptedUnit, live, outside, says
 
 LIMITED = "import resource, runpy, sys; n = int(sys.argv.pop(1)); \
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -12,14 +12,14 @@
 from lanelead.protocols.datagrams import Datagram, decode_datagram, encode_datagram
 from lanelead.protocols.feeds import (
     Complaint,
-    LineSplitter,
     EndpointListMessage,
+    EndpointMessage,
+    LineSplitter,
     LoadMessage,
     MessageError,
     RolloutMessage,
-    EndpointMessage,
-    VoteResponse,
     VoteRequest,
+    VoteResponse,
     decode,
     encode,
 )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,24 +4,24 @@
 
 import unittest
 
+from lanelead.decisions.build_scoring import FULL, Fault, Scoring, View
+from lanelead.decisions.counters import Windows, z_score
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
-    FailRequest,
+    AttemptOutcome,
+    CheckHealth,
     CloseIdleConnections,
     EndpointStatus,
+    FailRequest,
+    OutcomeObservation,
     PromotionControl,
-    AttemptOutcome,
+    RejectRequest,
     RequestClass,
-    RolloutState,
     RolloutPhase,
-    CheckHealth,
+    RolloutState,
     StartAttempt,
-    RejectRequest,
-    OutcomeObservation,
     Verdict,
 )
-from lanelead.decisions.build_scoring import FULL, Fault, Scoring, View
-from lanelead.decisions.endpoint_state import EndpointState, state_of
-from lanelead.decisions.counters import Windows, z_score
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
 
@@ -226,7 +226,7 @@
 
     def test_faults_spread_thinly_are_seen_in_the_whole(self) -> None:
         # rough-2 of sicilia-stazioni: one or two errors a server, under every floor, on a build that errs.
-        self.assertEqual(self.trial({place: 2 for place in range(8)}, servers=8)[:1], [Verdict.ROLL_BACK])
+        self.assertEqual(self.trial(dict.fromkeys(range(8), 2), servers=8)[:1], [Verdict.ROLL_BACK])
 
     def test_a_clock_is_held_while_the_last_3_s_score(self) -> None:
         host = FakeHost(control=PromotionControl.TIMER, now=20 * SECOND)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.testbed.scenarios.commands import scripts
 from lanelead.settings import cue
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day, Relay
+from lanelead.testbed.scenarios.commands import scripts
 
 GOOD = """
 relay: {
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -15,16 +15,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from lanelead.cli import main
-from lanelead.testbed.simulation.migrations import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
-from lanelead.protocols.migrations import LogEntry, LoggedEntry
-from lanelead.settings.records import Batch, Demands, Need, Step, Steps
 from lanelead.migrations import runner
 from lanelead.migrations.backoff import Pace
-from lanelead.migrations.plan import ordered
 from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.plan import ordered
 from lanelead.migrations.runner import Goal, Runner
+from lanelead.protocols.migrations import LogEntry, LoggedEntry
+from lanelead.settings.records import Batch, Demands, Need, Step, Steps
+from lanelead.testbed.simulation.migrations import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
 
-PLANS = Path(__file__).parent.parent / "lanelead" / "days" / "plans"
+PLANS = Path(__file__).parent.parent / "lanelead" / "testbed" / "scenarios" / "plans"
 
 
 def step(name: str, *after: str, kind: str = "expand", undo: bool = True) -> Step:
--- a/tests/test_stepstore.py
+++ b/tests/test_stepstore.py
@@ -12,12 +12,12 @@
 from click.testing import CliRunner
 
 from lanelead.cli import main
-from lanelead.testbed.scenarios.processes import free_ports
-from lanelead.protocols.migrations import AppendRequest, ApplyRequest, LogEntry, LeaseRequest, BatchRange
+from lanelead.protocols.migrations import AppendRequest, ApplyRequest, BatchRange, LeaseRequest, LogEntry
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
-from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
 from lanelead.store.migration_store import Denied, Ledger
+from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
+from lanelead.testbed.scenarios.processes import free_ports
 from tests.test_steps import PLANS
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,26 +7,26 @@
 from math import exp
 from random import Random
 
+from lanelead.decisions.build_scoring import Fault
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
-    EndpointStatus,
-    ServiceLimits,
+    Attempt,
     AttemptOutcome,
-    RequestClass,
+    DeduplicationScope,
+    Endpoint,
     EndpointRecord,
-    Request,
-    ZonePreference,
+    EndpointStatus,
     Idempotency,
-    DeduplicationScope,
+    Request,
+    RequestClass,
+    ServiceLimits,
     Ticks,
-    Attempt,
-    Endpoint,
+    ZonePreference,
 )
-from lanelead.decisions.build_scoring import Fault
-from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.zone_spillover import Spill
+from lanelead.testbed.simulation.decision_loop import World
 from lanelead.testbed.simulation.hosts import Plan
 from lanelead.testbed.simulation.policies import AllAtOnce, HealthShare, NoSpill
-from lanelead.testbed.simulation.decision_loop import World
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
 DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
@@ -99,7 +99,7 @@
         steps = set()
         for seed in range(5):
             town = Town()
-            town.spill._chance = Random(seed)
+            town.spill._rng = Random(seed)
             town.units["a"].clear()
             town.run(0.2)
             steps.add(round(town.gone(), 4))
--- a/tests/town.py
+++ b/tests/town.py
@@ -18,12 +18,12 @@
 import uvloop
 
 from lanelead.http import serialization
-from lanelead.protocols.feeds import EndpointMessage
 from lanelead.http_relay.service import Service
+from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings.read import read_text
 from lanelead.settings.records import Relay
-from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.emulators.discovery import Roster
+from lanelead.testbed.emulators.rollout_platform import Desk
 
 Handler = Callable[["ScriptedUnit", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
