--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -108,14 +108,14 @@
         view = memoryview(buffer)
         reader.expect(False)
         await loop.sock_sendall(
-            sock, serialization.request(ask.method, ask.target, serialization.passed_on(ask.headers), ask.body)
+            sock, serialization.request(ask.method, ask.target, serialization.forwarded_headers(ask.headers), ask.body)
         )
         while reader.feed(view[: await loop.sock_recv_into(sock, buffer)]) is Progress.WAITING:
             pass
         self._idle[port].append((sock, reader, buffer))
-        answer = reader.answer
+        answer = reader.response
         assert answer is not None
-        return serialization.response(answer.status, serialization.passed_on(answer.headers), answer.body)
+        return serialization.response(answer.status, serialization.forwarded_headers(answer.headers), answer.body)
 
 
 # The generator
@@ -136,7 +136,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._reader.feed(data) is not Progress.WAITING:
-            answer = self._reader.answer
+            answer = self._reader.response
             good = answer is not None and answer.status == 200
             self._owner.answered(self, time.perf_counter() - self._began, good)
 
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -214,7 +214,7 @@
             caller.close()
             return
         self._callers[caller] = self._now()
-        caller.lost.append(lambda: self._left(caller))
+        caller.close_callbacks.append(lambda: self._left(caller))
 
     def _left(self, caller: ServerConnection) -> None:
         self._callers.pop(caller, None)
--- a/lanelead/http/requests.py
+++ b/lanelead/http/requests.py
@@ -1,4 +1,4 @@
-"""The server's side of a connection: reads requests, and refuses what another reader could read otherwise.
+"""The server's side of a connection: reads requests and refuses what another reader could read otherwise.
 
 Rules, in the order in which they act (RFC 9112 unless said otherwise):
  1. the head stays within its bound (section 3: 431 is RFC 6585, section 5)
@@ -17,10 +17,16 @@
 
 import httptools
 
-Headers = list[tuple[bytes, bytes]]
+Headers = list[tuple[bytes, bytes]]  # field names in lower case, and values, in the order received
+
+PARSER_HEAD_SLACK_BYTES = 65536  # the parser holds a header back until it is whole
+MAX_REASON_CHARACTERS = 120
+UNREADABLE_REQUEST = "a request that cannot be read"
 
 
 class State(Enum):
+    """Where in the byte stream a reader stands."""
+
     IDLE = "between requests"
     HEAD = "in a head"
     BODY = "in a body"
@@ -35,14 +41,14 @@
     target: bytes
     headers: Headers
     body: bytes
-    keep: bool  # may the connection carry another
-    first: dict[bytes, bytes] = field(init=False)  # the first value of each field, by its name in lower case
+    keep: bool  # whether the connection may carry another request
+    first: dict[bytes, bytes] = field(init=False)  # the first value of each header, by its name in lower case
 
     def __post_init__(self) -> None:
         self.first = dict(reversed(self.headers))
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a field, its name in lower case."""
+        """The first value of the header called `name` (lower case), or None."""
         return self.first.get(name)
 
 
@@ -53,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectedRequest:
-    """What came is not a request that may be served; answer so and close."""
+    """What came is not a request that may be served: answer with this status and reason, then close."""
 
     status: int
     reason: str
@@ -62,115 +68,155 @@
 Event = HttpRequest | ContinueExpected | RejectedRequest
 
 
-class _Refused(Exception):
-    pass
+class _StopParsingError(Exception):
+    """Raised within the parser's callbacks to end parsing; the reader has noted why."""
+
+
+@dataclass(slots=True)
+class _FramingHeaders:
+    """What a head says of its host, its body's framing and its expectation."""
+
+    hosts: int = 0
+    chunked: bool = False
+    content_length: bytes | None = None
+    expectation: bytes | None = None
 
 
 class RequestReader:
-    """One connection's requests. `feed` never raises, whatever the bytes."""
+    """Reads one connection's requests.
+
+    `head_bytes` and `body_bytes` bound a request's head and body.
+    """
 
     def __init__(self, head_bytes: int, body_bytes: int) -> None:
-        self._most_head, self._most_body = head_bytes, body_bytes
+        self._max_head_bytes = head_bytes
+        self._max_body_bytes = body_bytes
         self._parser = httptools.HttpRequestParser(self)
         self._events: list[Event] = []
-        self._refusal: RejectedRequest | None = None
-        self._head, self._fed = 0, 0
+        self._rejection: RejectedRequest | None = None
+        self._head_bytes = 0
+        self._fed_bytes = 0
         self.state = State.IDLE
 
     def feed(self, data: bytes | bytearray | memoryview) -> list[Event]:
+        """Reads on with the bytes received, and returns what they complete. Never raises, whatever the bytes."""
         if self.state is State.OVER or not len(data):
             return []
+        self._parse(data)
+        if self.state is State.HEAD and self._rejection is None:
+            # An endless header shows only in what was fed, since the parser holds it back until it is whole.
+            self._fed_bytes += len(data)
+            if self._fed_bytes > self._max_head_bytes + PARSER_HEAD_SLACK_BYTES:
+                self._rejection = self._head_too_long()
+        events = self._events
+        self._events = []
+        if self._rejection is not None:
+            events.append(self._rejection)
+            self.state = State.OVER
+        return events
+
+    def _parse(self, data: bytes | bytearray | memoryview) -> None:
+        """Feeds the parser; its errors become the connection's rejection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refusal = RejectedRequest(501, "no other protocol is spoken here")
-        except (httptools.HttpParserCallbackError, _Refused):
-            self._refusal = self._refusal or RejectedRequest(400, "a request that cannot be read")
-        except httptools.HttpParserError as fault:
-            self._refusal = RejectedRequest(400, str(fault)[:120] or "a request that cannot be read")
+            self._rejection = RejectedRequest(501, "no other protocol is spoken here")
+        except (httptools.HttpParserCallbackError, _StopParsingError):
+            self._rejection = self._rejection or RejectedRequest(400, UNREADABLE_REQUEST)
+        except httptools.HttpParserError as error:
+            self._rejection = RejectedRequest(400, str(error)[:MAX_REASON_CHARACTERS] or UNREADABLE_REQUEST)
         except ValueError:
-            self._refusal = RejectedRequest(400, "a request that cannot be read")
-        if self.state is State.HEAD and self._refusal is None:
-            # The parser holds a field until it is whole, so an endless one shows only in what was fed.
-            self._fed += len(data)
-            if self._fed > self._most_head + 65536:
-                self._refusal = RejectedRequest(431, f"a head of over {self._most_head} bytes")
-        events, self._events = self._events, []
-        if self._refusal is not None:
-            events.append(self._refusal)
-            self.state = State.OVER
-        return events
+            self._rejection = RejectedRequest(400, UNREADABLE_REQUEST)
+
+    def _reject(self, status: int, reason: str) -> None:
+        self._rejection = RejectedRequest(status, reason)
+        raise _StopParsingError
 
-    def _refuse(self, status: int, reason: str) -> None:
-        self._refusal = RejectedRequest(status, reason)
-        raise _Refused
+    def _head_too_long(self) -> RejectedRequest:
+        return RejectedRequest(431, f"a head of over {self._max_head_bytes} bytes")
+
+    def _check_head_bound(self) -> None:
+        if self._head_bytes > self._max_head_bytes:
+            self._rejection = self._head_too_long()
+            raise _StopParsingError
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
+        """A request's first byte has come."""
         self.state = State.HEAD
-        self._target, self._headers, self._body = b"", list[tuple[bytes, bytes]](), bytearray()
-        self._head, self._fed = 0, 0
+        self._target = b""
+        self._headers: Headers = []
+        self._body = bytearray()
+        self._head_bytes = 0
+        self._fed_bytes = 0
 
     def on_url(self, part: bytes) -> None:
+        """A part of the request target."""
         self._target += part
-        self._head += len(part)
-        if self._head > self._most_head:
-            self._too_long()
+        self._head_bytes += len(part)
+        self._check_head_bound()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A whole header."""
         self._headers.append((name.lower(), value))
-        self._head += len(name) + len(value) + 4
-        if self._head > self._most_head:
-            self._too_long()
-
-    def _too_long(self) -> None:
-        self._refuse(431, f"a head of over {self._most_head} bytes")
+        self._head_bytes += len(name) + len(value) + 4
+        self._check_head_bound()
 
     def on_headers_complete(self) -> None:
-        version, hosts, chunked = self._parser.get_http_version(), 0, False
-        length: bytes | None = None
-        expected: bytes | None = None
+        """The head is whole: the rules of the module's comment are checked."""
+        framing = self._framing_headers()
+        version = self._parser.get_http_version()
+        if version not in ("1.0", "1.1"):
+            self._reject(505, "HTTP/1.0 and HTTP/1.1 are spoken here")
+        if self._parser.should_upgrade():
+            self._reject(501, "no other protocol is spoken here")
+        if version == "1.1" and framing.hosts != 1:
+            self._reject(400, "a request must carry one Host")
+        if version == "1.0" and framing.chunked:
+            self._reject(400, "an HTTP/1.0 request is never chunked")
+        if framing.content_length is not None and int(framing.content_length) > self._max_body_bytes:
+            self._reject(413, f"a body of over {self._max_body_bytes} bytes")
+        if framing.expectation is not None and version == "1.1":
+            self._expect_continue(framing)
+        self.state = State.BODY
+
+    def _framing_headers(self) -> _FramingHeaders:
+        found = _FramingHeaders()
         for name, value in self._headers:
             if name == b"host":
-                hosts += 1
+                found.hosts += 1
             elif name == b"content-length":
-                if length is not None or not value.isdigit():
-                    self._refuse(400, "one Content-Length of digits")
-                length = value
+                if found.content_length is not None or not value.isdigit():
+                    self._reject(400, "one Content-Length of digits")
+                found.content_length = value
             elif name == b"transfer-encoding":
-                chunked = True
+                found.chunked = True
             elif name == b"expect":
-                expected = value
-        if version not in ("1.0", "1.1"):
-            self._refuse(505, "HTTP/1.0 and HTTP/1.1 are spoken here")
-        if self._parser.should_upgrade():
-            self._refuse(501, "no other protocol is spoken here")
-        if version == "1.1" and hosts != 1:
-            self._refuse(400, "a request must carry one Host")
-        if version == "1.0" and chunked:
-            self._refuse(400, "an HTTP/1.0 request is never chunked")
-        if length is not None and int(length) > self._most_body:
-            self._refuse(413, f"a body of over {self._most_body} bytes")
-        if expected is not None and version == "1.1":
-            if expected.lower() != b"100-continue":
-                self._refuse(417, "the only expectation met is 100-continue")
-            if chunked or (length is not None and int(length)):
-                self._events.append(ContinueExpected())
-        self.state = State.BODY
+                found.expectation = value
+        return found
+
+    def _expect_continue(self, framing: _FramingHeaders) -> None:
+        assert framing.expectation is not None
+        if framing.expectation.lower() != b"100-continue":
+            self._reject(417, "the only expectation met is 100-continue")
+        if framing.chunked or (framing.content_length is not None and int(framing.content_length)):
+            self._events.append(ContinueExpected())
 
     def on_body(self, part: bytes) -> None:
-        if len(self._body) + len(part) > self._most_body:
-            self._refuse(413, f"a body of over {self._most_body} bytes")
+        """A part of the body."""
+        if len(self._body) + len(part) > self._max_body_bytes:
+            self._reject(413, f"a body of over {self._max_body_bytes} bytes")
         self._body += part
 
     def on_message_complete(self) -> None:
-        if self._refusal is not None:
+        """The request is whole."""
+        if self._rejection is not None:
             return
         method = self._parser.get_method().decode("latin-1")
-        keep = bool(self._parser.should_keep_alive())
+        keep_alive = bool(self._parser.should_keep_alive())
         if self._events and isinstance(self._events[-1], ContinueExpected):
             self._events.pop()  # the body came along: nobody waits any more
-        self._events.append(HttpRequest(method, self._target, self._headers, bytes(self._body), keep))
+        self._events.append(HttpRequest(method, self._target, self._headers, bytes(self._body), keep_alive))
         self._body = bytearray()
         self.state = State.IDLE
--- a/lanelead/http/responses.py
+++ b/lanelead/http/responses.py
@@ -1,4 +1,4 @@
-"""The client's side of a connection: reads answers, one for each request sent (RFC 9112, section 6.3)."""
+"""The client's side of a connection: reads responses, one for each request sent (RFC 9112, section 6.3)."""
 
 from __future__ import annotations
 
@@ -7,118 +7,147 @@
 
 import httptools
 
-from lanelead.http.requests import Headers
+from lanelead.http.requests import MAX_REASON_CHARACTERS, Headers
+
+BODILESS_STATUSES = (204, 304)
+DEFAULT_HEAD_BYTES = 65536
 
 
 class Progress(Enum):
-    WAITING = "no whole answer yet"
-    WHOLE = "an answer is whole"
-    BROKEN = "what came is no answer"
+    """How far a response has come."""
+
+    WAITING = "no whole response yet"
+    WHOLE = "a response is whole"
+    BROKEN = "what came is no response"
 
 
 @dataclass(slots=True, eq=False)
 class HttpResponse:
+    """A whole response."""
+
     status: int
     headers: Headers
     body: bytes
-    keep: bool  # may the connection carry another request
+    keep: bool  # whether the connection may carry another request
 
     def header(self, name: bytes) -> bytes | None:
+        """The first value of the header called `name` (lower case), or None."""
         for key, value in self.headers:
             if key == name:
                 return value
         return None
 
 
-class _Stop(Exception):
-    pass
+class _StopParsingError(Exception):
+    """Raised within the parser's callbacks to end parsing; the reader has noted why."""
 
 
 class ResponseReader:
-    """One connection's answers. Call `expect` before each request, then `feed` until it says WHOLE or
-    BROKEN."""
+    """Reads one connection's responses: call `expect` before each request, then `feed` until it isn't WAITING.
+
+    `body_bytes` and `head_bytes` bound a response's body and head.
+    """
 
-    def __init__(self, body_bytes: int, head_bytes: int = 65536) -> None:
-        self._most, self._most_head = body_bytes, head_bytes
+    def __init__(self, body_bytes: int, head_bytes: int = DEFAULT_HEAD_BYTES) -> None:
+        self._max_body_bytes = body_bytes
+        self._max_head_bytes = head_bytes
         self._parser = httptools.HttpResponseParser(self)
-        self.answer: HttpResponse | None = None
+        self.response: HttpResponse | None = None
         self.reason = ""
         self.expect(False)
 
     def expect(self, head: bool) -> None:
-        """The next answer is to a HEAD request, or not: those have no body, whatever their length says."""
-        self._to_head, self._begun, self._headed, self._surplus = head, False, False, False
-        self._headers, self._body, self._size, self._fed = list[tuple[bytes, bytes]](), list[bytes](), 0, 0
-        self.answer, self.reason = None, ""
+        """A request goes out. `head`: by the method HEAD, whose response has no body, whatever its length says."""
+        self._to_head = head
+        self._begun = False
+        self._head_complete = False
+        self._has_surplus = False
+        self._headers: Headers = []
+        self._body: list[bytes] = []
+        self._body_bytes = 0
+        self._fed_bytes = 0
+        self.response = None
+        self.reason = ""
 
     def feed(self, data: bytes | bytearray | memoryview) -> Progress:
+        """Reads on with the bytes received; `response` or `reason` say what came of them."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.answer, self.reason = None, "a switch of protocols"
-            return Progress.BROKEN
-        except (httptools.HttpParserError, ValueError, _Stop) as fault:
-            if self.answer is None or not self._to_head:
-                self.answer, self.reason = None, self.reason or str(fault)[:120]
-                return Progress.BROKEN
-        if self._surplus:
-            # Guards against a unit that answers twice: which of the two answers was meant is not known.
-            self.answer, self.reason = None, "bytes beyond the answer"
-            return Progress.BROKEN
-        if self.answer is not None:
+            return self._broken("a switch of protocols")
+        except (httptools.HttpParserError, ValueError, _StopParsingError) as error:
+            if self.response is None or not self._to_head:
+                return self._broken(self.reason or str(error)[:MAX_REASON_CHARACTERS])
+        if self._has_surplus:
+            # Guards against a server that answers twice: which of the two responses was meant is not known.
+            return self._broken("bytes beyond the response")
+        if self.response is not None:
             return Progress.WHOLE
-        self._fed += len(data)
-        if not self._headed and self._fed > self._most_head:
+        self._fed_bytes += len(data)
+        if not self._head_complete and self._fed_bytes > self._max_head_bytes:
             self.reason = "an endless head"
             return Progress.BROKEN
         return Progress.WAITING
 
+    def _broken(self, reason: str) -> Progress:
+        self.response = None
+        self.reason = reason
+        return Progress.BROKEN
+
     def eof(self) -> Progress:
-        """The other end has closed: an answer without a stated length ends here, any other is cut short."""
-        if self.answer is None and self._headed and not self._framed:
+        """The other end has closed: a response without a stated length ends here, any other is cut short."""
+        if self.response is None and self._head_complete and not self._framed:
             self._finish(False)
-        return Progress.WHOLE if self.answer is not None else Progress.BROKEN
+        return Progress.WHOLE if self.response is not None else Progress.BROKEN
 
     @property
     def begun(self) -> bool:
-        """Has any part of the answer come?"""
+        """Whether any part of the response has come."""
         return self._begun
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        if self.answer is not None:
-            self._surplus = True
-            raise _Stop
+        """A response's first byte has come."""
+        if self.response is not None:
+            self._has_surplus = True
+            raise _StopParsingError
         self._begun = True
-        self._headers, self._body, self._size = [], [], 0
+        self._headers = []
+        self._body = []
+        self._body_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A whole header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
+        """The head is whole; interim responses (1xx) are passed over."""
         status = self._parser.get_status_code()
         self._framed = any(name in (b"content-length", b"transfer-encoding") for name, _ in self._headers)
-        self._framed = self._framed or status in (204, 304) or status < 200
-        self._headed = status >= 200
+        self._framed = self._framed or status in BODILESS_STATUSES or status < 200
+        self._head_complete = status >= 200
         if self._to_head and status >= 200:
             self._finish(False)
-            raise _Stop  # the parser would wait for a body that never comes
+            raise _StopParsingError  # the parser would wait for a body that never comes
 
     def on_body(self, part: bytes) -> None:
-        self._size += len(part)
-        if self._size > self._most:
-            self.reason = f"a body of over {self._most} bytes"
-            raise _Stop
+        """A part of the body."""
+        self._body_bytes += len(part)
+        if self._body_bytes > self._max_body_bytes:
+            self.reason = f"a body of over {self._max_body_bytes} bytes"
+            raise _StopParsingError
         self._body.append(part)
 
     def on_message_complete(self) -> None:
+        """The response, or an interim one, is whole."""
         if self._parser.get_status_code() < 200:
-            self._begun = self._headed = False
+            self._begun = False
+            self._head_complete = False
             return
-        if self.answer is None:
+        if self.response is None:
             self._finish(bool(self._parser.should_keep_alive()))
 
-    def _finish(self, keep: bool) -> None:
+    def _finish(self, keep_alive: bool) -> None:
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
-        self.answer = HttpResponse(self._parser.get_status_code(), self._headers, body, keep)
+        self.response = HttpResponse(self._parser.get_status_code(), self._headers, body, keep_alive)
--- a/lanelead/http/server.py
+++ b/lanelead/http/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on asyncio's protocols and our own sans-I/O reader: for the store and stand-ins."""
+"""A small HTTP/1.1 server connection on asyncio's protocols and the request reader, for stores and emulators."""
 
 from __future__ import annotations
 
@@ -8,70 +8,88 @@
 from lanelead.http import serialization
 from lanelead.http.requests import ContinueExpected, HttpRequest, RejectedRequest, RequestReader
 
+MAX_HEAD_BYTES = 65536
+MAX_BODY_BYTES = 64 << 20
+
+# The head of an endless response: JSON lines, in chunks.
+STREAM = b"HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\ntransfer-encoding: chunked\r\n\r\n"
+
 
 class ServerConnection(asyncio.Protocol):
-    """One connection. Requests come one at a time; `heard` is called with each. `linger`: seconds for which
-    a connection that was refused is still read from, and nothing of it used: closed at once, it would be
-    reset and the refusal lost where the other end still writes."""
+    """One client's connection. Requests come one at a time.
+
+    `on_request` is called with each request, `on_connect` once when the connection is made. `linger`: seconds for
+    which a connection whose request was rejected is still read from, and nothing of it used: closed at once, it would
+    be reset, and the response lost where the other end still writes.
+    """
 
     def __init__(
         self,
-        heard: Callable[[ServerConnection, HttpRequest], None],
-        met: Callable[[ServerConnection], None] | None = None,
-        body_bytes: int = 64 << 20,
+        on_request: Callable[[ServerConnection, HttpRequest], None],
+        on_connect: Callable[[ServerConnection], None] | None = None,
+        body_bytes: int = MAX_BODY_BYTES,
         linger: float = 0.0,
     ) -> None:
-        self._linger, self._refused = linger, False
-        self._heard, self._met = heard, met
-        self._reader = RequestReader(65536, body_bytes)
+        self._on_request = on_request
+        self._on_connect = on_connect
+        self._linger_seconds = linger
+        self._rejected = False
+        self._reader = RequestReader(MAX_HEAD_BYTES, body_bytes)
         self.transport: asyncio.Transport | None = None
-        self.lost: list[Callable[[], None]] = []
-        self.heard_at = 0.0  # when the last request came
-        self.deaf = False
+        self.close_callbacks: list[Callable[[], None]] = []
+        self.last_request_at = 0.0  # seconds, on the clock of whoever sets it; 0: no request yet
+        self.unresponsive = False  # whoever sets this answers nothing more on the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop."""
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self.transport = transport  # type: ignore[assignment]
-        if self._met is not None:
-            self._met(self)
+        if self._on_connect is not None:
+            self._on_connect(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._refused:
+        """Called by the event loop."""
+        if self._rejected:
             return
         for event in self._reader.feed(data):
             match event:
                 case HttpRequest():
-                    self._heard(self, event)
+                    self._on_request(self, event)
                 case ContinueExpected():
                     self.write(serialization.CONTINUE)
                 case RejectedRequest(status, reason):
-                    self.write(serialization.response(status, (), reason.encode(), keep=False))
-                    self._refused = True
-                    if self._linger:
-                        asyncio.get_running_loop().call_later(self._linger, self.close)
-                    else:
-                        self.close()
+                    self._reject(status, reason)
+
+    def _reject(self, status: int, reason: str) -> None:
+        self.write(serialization.response(status, (), reason.encode(), keep=False))
+        self._rejected = True
+        if self._linger_seconds:
+            asyncio.get_running_loop().call_later(self._linger_seconds, self.close)
+        else:
+            self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop."""
         self.transport = None
-        for call in self.lost:
-            call()
+        for callback in self.close_callbacks:
+            callback()
 
     def write(self, data: bytes) -> None:
+        """Sends bytes; drops them where the connection has ended."""
         if self.transport is not None:
             self.transport.write(data)
 
     def close(self) -> None:
+        """Ends the connection behind what was written."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
+        """Ends the connection at once; what was written may be lost."""
         if self.transport is not None:
             self.transport.abort()
 
 
 def chunk(data: bytes) -> bytes:
+    """One chunk of a chunked body (RFC 9112, section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
-
-
-STREAM = b"HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\ntransfer-encoding: chunked\r\n\r\n"
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -280,7 +280,7 @@
         ident = (b"x-request-id", pending.id.encode("latin-1"))
         word = (b"lanelead-outcome", outcome.value.encode())
         if outcome is RequestOutcome.SUCCEEDED and answer is not None and attempt is not None:
-            fields = serialization.passed_on(answer.headers, ANSWERED)
+            fields = serialization.forwarded_headers(answer.headers, ANSWERED)
             fields += (
                 ident,
                 word,
--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -24,7 +24,7 @@
 from lanelead.runtime.driver import DecisionDriver, Destination, PendingRequest
 
 TURNED_AWAY = b"lanelead-turned-away"
-OURS = serialization.own(
+OURS = serialization.with_hop_by_hop(
     b"lanelead-relay",
     b"lanelead-trip",
     b"lanelead-lane",
@@ -185,7 +185,7 @@
                 progress = link.reader.feed(view[:size]) if size else link.reader.eof()
                 if progress is Progress.WAITING:
                     continue
-                self._answered(link, link.reader.answer if progress is Progress.WHOLE else None, size > 0)
+                self._answered(link, link.reader.response if progress is Progress.WHOLE else None, size > 0)
                 self.after()
                 if link.dead:
                     break
@@ -236,7 +236,7 @@
 
     def _text(self, attempt: Attempt, pending: PendingRequest) -> bytes:
         ask, left = pending.message, attempt.sent_at + attempt.timeout - self._driver_now()
-        headers = serialization.passed_on(ask.headers, OURS)
+        headers = serialization.forwarded_headers(ask.headers, OURS)
         headers += (
             (b"lanelead-relay", self._number),
             (b"lanelead-trip", b"%d" % attempt.number),
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -140,7 +140,7 @@
             self.ledger.told(query["relay"])
         caller.write(STREAM)
         self._watchers[caller] = query.get("since", 0)
-        caller.lost.append(lambda: self._leave(caller))
+        caller.close_callbacks.append(lambda: self._leave(caller))
         caller.write(chunk(encode(self.ledger.page(query.get("since", 0), 0)) + b"\n"))  # so that it knows
         self._catch_up(caller)
 
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -89,7 +89,7 @@
             self._over("gone", why="garbage: " + self._reader.reason)
             self._drop()
         elif progress is Progress.WHOLE:
-            answer = self._reader.answer
+            answer = self._reader.response
             assert answer is not None
 
             def field(name: bytes) -> str:
--- a/lanelead/testbed/emulators/discovery.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -51,7 +51,7 @@
 
     def _met(self, caller: ServerConnection) -> None:
         self.callers[caller] = None
-        caller.lost.append(lambda: self.callers.pop(caller, None) and None)
+        caller.close_callbacks.append(lambda: self.callers.pop(caller, None) and None)
 
     def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
         raise NotImplementedError
@@ -113,7 +113,7 @@
             relay = relay_of(ask)
             caller.write(STREAM)
             self._watchers[caller] = relay
-            caller.lost.append(lambda: self._leave(caller))
+            caller.close_callbacks.append(lambda: self._leave(caller))
             self._tell(caller, relay, "full", rows)
         elif path == b"/roster":
             body = encode(self._listed("full", rows))
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -94,7 +94,7 @@
             caller.reset()
             return
         self._callers[caller] = None
-        caller.lost.append(lambda: self._callers.pop(caller, None))
+        caller.close_callbacks.append(lambda: self._callers.pop(caller, None))
         if "deaf" in self._faults or self.fallen:
             caller.transport.pause_reading()  # type: ignore[union-attr]
 
@@ -105,10 +105,10 @@
         if self.fallen:
             return  # it reads, and never answers
         reap = self._faults.get("idle_reap")
-        now, last = clock(), caller.heard_at
-        caller.heard_at = now
-        if caller.deaf or (reap is not None and last and now - last > reap["size"]):
-            caller.deaf = True  # dropped unseen while it was idle: whatever comes on it is lost
+        now, last = clock(), caller.last_request_at
+        caller.last_request_at = now
+        if caller.unresponsive or (reap is not None and last and now - last > reap["size"]):
+            caller.unresponsive = True  # dropped unseen while it was idle: whatever comes on it is lost
             return
         job = Job(caller, ask)
         warmth = self._warmth()
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -78,7 +78,7 @@
             relay = relay_of(ask)
             caller.write(STREAM)
             self._watchers[caller] = relay
-            caller.lost.append(lambda: self._leave(caller))
+            caller.close_callbacks.append(lambda: self._leave(caller))
             self._tell(caller, relay)
         elif path == b"/votes" and ask.method == "POST":
             try:
--- a/lanelead/testbed/load/generator.py
+++ b/lanelead/testbed/load/generator.py
@@ -96,7 +96,7 @@
         if progress is Progress.BROKEN:
             self._drop()
         elif progress is Progress.WHOLE:
-            answer = self._reader.answer
+            answer = self._reader.response
             assert answer is not None
             raw = answer.header(b"lanelead-outcome") or b"not-a-lookup"
             self._over(raw.decode("latin-1"))
--- a/tests/agent.py
+++ b/tests/agent.py
@@ -42,7 +42,7 @@
     def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
         self._caller, self.target = caller, ask.target
         self.over = asyncio.Event()
-        caller.lost.append(self.over.set)
+        caller.close_callbacks.append(self.over.set)
 
     @property
     def whole(self) -> bool:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Stories of the HTTP edges: what all read alike, what is refused, and that no bytes bring them down."""
+"""Requests and responses as bytes and events: framing, bounds, what is refused, and every way of cutting them."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 HOST = b"Host: a\r\n"
 
 
-def asks(data: bytes, cut: int = 0, head: int = 2000, body: int = 1000) -> list[Event]:
+def read_requests(data: bytes, cut: int = 0, head: int = 2000, body: int = 1000) -> list[Event]:
     reader = RequestReader(head, body)
     return [event for part in ((data[:cut], data[cut:]) if cut else (data,)) for event in reader.feed(part)]
 
 
-class Asking(unittest.TestCase):
+class RequestReading(unittest.TestCase):
     def test_bodies_by_length_and_by_chunk_and_pipelined_requests(self) -> None:
         text = b"POST /a HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc"
         text += b"PUT /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1\r\nf\r\n0\r\n\r\n"
         text += b"HEAD /c HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n"
         for cut in range(len(text)):
-            found = asks(text, cut)
+            found = read_requests(text, cut)
             rows = [(e.method, e.target, e.body, e.keep) for e in found if isinstance(e, HttpRequest)]
             expected = [
                 ("POST", b"/a", b"abc", True),
@@ -55,7 +55,7 @@
             "two hosts": HOST + HOST + b"\r\n",
         }
         for name, rest in cases.items():
-            found = asks(b"POST / HTTP/1.1\r\n" + rest + hidden)
+            found = read_requests(b"POST / HTTP/1.1\r\n" + rest + hidden)
             self.assertEqual([type(event) for event in found], [RejectedRequest], name)
             self.assertEqual(getattr(found[0], "status", 0), 400, name)
 
@@ -71,11 +71,11 @@
             (b"GET / HTTP/1.1\r\n" + HOST + b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n", 501),
         ]
         for text, status in cases:
-            self.assertEqual([getattr(event, "status", 0) for event in asks(text)], [status], text[:40])
+            self.assertEqual([getattr(event, "status", 0) for event in read_requests(text)], [status], text[:40])
         chunks = (
             b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + b"1ff\r\n" + b"x" * 511 + b"\r\n"
         )
-        found = asks(chunks + b"1ff\r\n" + b"x" * 511 + b"\r\n")
+        found = read_requests(chunks + b"1ff\r\n" + b"x" * 511 + b"\r\n")
         self.assertEqual([getattr(event, "status", 0) for event in found], [413])
 
     def test_an_endless_field_is_cut_off(self) -> None:
@@ -88,8 +88,10 @@
 
     def test_a_client_that_waits_for_100_continue_is_told_of_unless_its_body_came_along(self) -> None:
         head = b"POST / HTTP/1.1\r\n" + HOST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-        self.assertEqual([type(event) for event in asks(head + b"ab")], [HttpRequest])
-        self.assertEqual([type(event) for event in asks(head + b"ab", len(head))], [ContinueExpected, HttpRequest])
+        self.assertEqual([type(event) for event in read_requests(head + b"ab")], [HttpRequest])
+        self.assertEqual(
+            [type(event) for event in read_requests(head + b"ab", len(head))], [ContinueExpected, HttpRequest]
+        )
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(
@@ -119,10 +121,10 @@
             rows = [event for event in found if not isinstance(event, ContinueExpected)]
             return [(e.method, e.target, e.headers, e.body) if isinstance(e, HttpRequest) else type(e) for e in rows]
 
-        self.assertEqual(shown(asks(data)), shown(asks(data, cut)))
+        self.assertEqual(shown(read_requests(data)), shown(read_requests(data, cut)))
 
 
-class Answering(unittest.TestCase):
+class ResponseReading(unittest.TestCase):
     def read(self, data: bytes, head: bool = False, cut: int = 0) -> tuple[Progress, ResponseReader]:
         reader, progress = ResponseReader(1000), Progress.WAITING
         reader.expect(head)
@@ -153,11 +155,11 @@
             for cut in range(len(text)):
                 progress, reader = self.read(text, head, cut)
                 self.assertIs(progress, Progress.WHOLE, text)
-                assert reader.answer is not None
-                self.assertEqual((reader.answer.body, reader.answer.keep), (body, keep))
+                assert reader.response is not None
+                self.assertEqual((reader.response.body, reader.response.keep), (body, keep))
         progress, reader = self.read(b"HTTP/1.1 200 OK\r\n\r\nab")
         self.assertEqual(
-            (progress, reader.eof(), reader.answer and reader.answer.body),
+            (progress, reader.eof(), reader.response and reader.response.body),
             (Progress.WAITING, Progress.WHOLE, b"ab"),
         )
 
@@ -169,7 +171,7 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         ):
             _, reader = self.read(text) if text else (None, ResponseReader(10))
-            self.assertEqual((reader.eof(), reader.answer), (Progress.BROKEN, None))
+            self.assertEqual((reader.eof(), reader.response), (Progress.BROKEN, None))
 
     def test_garbage_too_much_and_two_answers_to_one_request_are_broken(self) -> None:
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
@@ -187,7 +189,7 @@
             reader.expect(False)
             body = b"%d" % number
             self.assertIs(reader.feed(serialization.response(200, (), body)), Progress.WHOLE)
-            self.assertEqual(reader.answer and reader.answer.body, body)
+            self.assertEqual(reader.response and reader.response.body, body)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=200) | st.binary(max_size=30).map(lambda tail: b"HTTP/1.1 200 OK\r\n" + tail))
@@ -196,18 +198,18 @@
         reader.eof()
 
 
-class Writing(unittest.TestCase):
+class Serialization(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.sampled_from(["GET", "POST", "PUT", "DELETE"]), st.binary(max_size=200), st.integers(200, 599))
     def test_what_is_written_is_read_back(self, method: str, body: bytes, status: int) -> None:
         sent = body if method in ("POST", "PUT") else b""
         fields = [(b"host", b"a"), (b"x-y", b"z")]
-        (ask,) = asks(serialization.request(method, b"/p?q", fields, sent))
+        (ask,) = read_requests(serialization.request(method, b"/p?q", fields, sent))
         assert isinstance(ask, HttpRequest)
         self.assertEqual((ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z"))
         reader = ResponseReader(1000)
         self.assertIs(reader.feed(serialization.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
-        self.assertEqual(reader.answer and reader.answer.body, b"" if status in (204, 304) else body)
+        self.assertEqual(reader.response and reader.response.body, b"" if status in (204, 304) else body)
 
     def test_fields_of_one_hop_and_those_that_connection_names_stay_behind(self) -> None:
         fields = [
@@ -217,7 +219,9 @@
             (b"kept", b"2"),
             (b"ours", b"3"),
         ]
-        self.assertEqual(serialization.passed_on(fields, serialization.own(b"ours")), [(b"kept", b"2")])
+        self.assertEqual(
+            serialization.forwarded_headers(fields, serialization.with_hop_by_hop(b"ours")), [(b"kept", b"2")]
+        )
 
 
 if __name__ == "__main__":
