--- /dev/null
+++ b/lanelead/http_relay/feed_clients.py
@@ -0,0 +1,231 @@
+"""The feeds that a relay follows: discovery, the rollout platform and the migration store.
+
+Each is a stream of JSON lines, followed for ever: after an end the client comes back with exponential backoff and
+jitter. While a feed is down the relay goes on with what it knows.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from random import Random
+from typing import Any
+
+from lanelead.decisions.interface import AttemptOutcome, CastVote, Ticks
+from lanelead.http.client import CallFailedError, call, stream
+from lanelead.migrations.readiness import Readiness
+from lanelead.protocols.feeds import (
+    EndpointListMessage,
+    MessageError,
+    RolloutMessage,
+    VoteRequest,
+    VoteResponse,
+    decode,
+    encode,
+)
+from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
+from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.settings import records
+
+DISCOVERY = "discovery"
+ROLLOUT = "rollout"
+MIGRATIONS = "migrations"
+
+
+class FeedClients:
+    """Follows the feeds and hands what comes to the driver.
+
+    `after` is called when the driver has been told something; `own` keeps a task until it ends. `driver` is set by the
+    service, before anything comes. `up` says of each feed whether it is followed at present; `endpoints_known` is set
+    once a list has come.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: records.Relay,
+        *,
+        clock: Callable[[], Ticks],
+        after: Callable[[], None],
+        own: Callable[[Coroutine[Any, Any, None]], asyncio.Task[Any]],
+        log: Any,
+    ) -> None:
+        self._loop = loop
+        self._settings = settings
+        self.driver: DecisionDriver | None = None
+        self._clock = clock
+        self._after = after
+        self._own = own
+        self._log = log
+        self._rng = Random(f"feeds {settings.seed} {settings.number}")
+        self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._clock_offset: Ticks | None = None  # what discovery's clock lacks of ours, on the present stream
+        self.up: dict[str, bool] = {DISCOVERY: False, ROLLOUT: False}
+        self.endpoints_known = asyncio.Event()
+
+    def start(self) -> None:
+        """Begins to follow all feeds; discovery only where the decisions don't ask for it themselves."""
+        if self._settings.discovery == "automatic":
+            self.watch_endpoints(True)
+        self._replace(ROLLOUT, self._follow_rollout())
+        if self._settings.steps is not None:
+            self.up[MIGRATIONS] = False
+            self._replace(MIGRATIONS, self._follow_migrations(self._settings.steps))
+            self._own(self._acknowledge_migrations(self._settings.steps))
+
+    def _driver(self) -> DecisionDriver:
+        assert self.driver is not None
+        return self.driver
+
+    async def stop(self) -> None:
+        """Ends all feeds."""
+        for task in self._tasks.values():
+            task.cancel()
+        await asyncio.gather(*self._tasks.values(), return_exceptions=True)
+
+    def _replace(self, name: str, follow: Coroutine[Any, Any, None]) -> None:
+        old = self._tasks.get(name)
+        if old is not None and not old.done() and old is not asyncio.current_task():
+            old.cancel()
+        self._tasks[name] = self._loop.create_task(follow)
+
+    async def _follow(
+        self, name: str, path: Callable[[], bytes], feed: records.Feed, on_line: Callable[[bytes], None]
+    ) -> None:
+        """Reads a stream for ever, and comes back to it after a growing wait with a random part."""
+        wait = feed.least_wait_ms / 1000
+        while True:
+            if name == DISCOVERY:
+                self._clock_offset = None  # discovery's clock is read anew on each stream
+            try:
+                async for line in stream(self._loop, feed.address, path(), feed.silence_ms / 1000):
+                    on_line(line)
+                    wait = feed.least_wait_ms / 1000
+                    if not self.up[name]:
+                        self.up[name] = True
+                        self._log.info("feed up", feed=name)
+                    self._after()
+            except (CallFailedError, MessageError) as error:
+                if self.up[name]:
+                    self._log.warning("feed down: going on with what is known", feed=name, reason=str(error))
+                self.up[name] = False
+            await asyncio.sleep(wait * self._rng.uniform(0.5, 1.5))
+            wait = min(2 * wait, feed.most_wait_ms / 1000)
+            if name == DISCOVERY and self._settings.discovery == "subscribe":
+                # The decisions ask again; the wait above bounds how often.
+                self._loop.call_soon(self._endpoint_poll_failed)
+                return
+
+    # Discovery
+
+    def watch_endpoints(self, enabled: bool) -> None:
+        """Begins or ends the watch of discovery."""
+        if enabled:
+            self._replace(DISCOVERY, self._follow_discovery())
+            return
+        task = self._tasks.pop(DISCOVERY, None)
+        if task is not None:
+            task.cancel()
+
+    async def _follow_discovery(self) -> None:
+        path = b"/roster/watch?relay=%d" % self._settings.number
+        await self._follow(DISCOVERY, lambda: path, self._settings.roster, self._endpoints_received)
+
+    def _endpoints_received(self, line: bytes) -> None:
+        message = decode(line, EndpointListMessage)
+        if self._clock_offset is None:
+            self._clock_offset = self._clock() - int(message.clock_ms * 10)
+        self._driver().endpoints_listed(message, self._clock_offset)
+        self.endpoints_known.set()
+
+    def _endpoint_poll_failed(self) -> None:
+        self._driver().endpoint_poll_failed()
+        self._after()
+
+    async def poll_endpoints(self) -> None:
+        """Fetches the whole list once."""
+        feed = self._settings.roster
+        try:
+            response = await call(self._loop, feed.address, "GET", b"/roster", b"", feed.silence_ms / 1000)
+            message = decode(response.body, EndpointListMessage)
+        except (CallFailedError, TimeoutError, MessageError) as error:
+            self._log.warning("endpoints not polled", reason=str(error))
+            await asyncio.sleep(feed.least_wait_ms / 1000)
+            self._endpoint_poll_failed()
+            return
+        self._driver().endpoints_listed(message, self._clock() - int(message.clock_ms * 10))
+        self.endpoints_known.set()
+        self._after()
+
+    # The rollout platform
+
+    async def _follow_rollout(self) -> None:
+        path = b"/news?relay=%d" % self._settings.number
+        await self._follow(ROLLOUT, lambda: path, self._settings.desk, self._rollout_received)
+
+    def _rollout_received(self, line: bytes) -> None:
+        self._driver().rollout_read(decode(line, RolloutMessage), False, AttemptOutcome.SUCCEEDED)
+
+    async def cast_vote(self, vote: CastVote) -> None:
+        """Casts a vote, and tells the driver what came of it."""
+        word = VERDICT_WORDS[vote.verdict]
+        message = VoteRequest(self._settings.number, vote.build, vote.stage, word)  # type: ignore[arg-type]
+        rollout: RolloutMessage | None = None
+        outcome = AttemptOutcome.ERROR
+        try:
+            answer = await self._call_rollout_platform(encode(message))
+            rollout = answer.news
+            outcome = VOTE_OUTCOMES[answer.word]
+        except TimeoutError:
+            outcome = AttemptOutcome.TIMED_OUT
+        except (CallFailedError, MessageError) as error:
+            self._log.warning("vote not cast", reason=str(error))
+        self._log.info("vote", build=vote.build, stage=vote.stage, verdict=word, outcome=outcome.value)
+        self._driver().rollout_read(rollout, True, outcome)
+        self._after()
+
+    async def _call_rollout_platform(self, body: bytes) -> VoteResponse:
+        limit = self._settings.service.poll.answer_limit_ms / 1000
+        response = await call(self._loop, self._settings.desk.address, "POST", b"/votes", body, limit)
+        if response.status != 200:
+            raise CallFailedError(f"status {response.status}")
+        return decode(response.body, VoteResponse)
+
+    # The migration store
+
+    def _readiness(self) -> Readiness:
+        readiness = self._driver().readiness
+        assert readiness is not None
+        return readiness
+
+    async def _follow_migrations(self, feed: records.Feed) -> None:
+        """The migration log, from where it was last read."""
+        readiness = self._readiness()
+
+        def path() -> bytes:
+            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
+
+        await self._follow(MIGRATIONS, path, feed, self._migrations_received)
+
+    def _migrations_received(self, line: bytes) -> None:
+        self._driver().migrations_read(decode(line, MigrationLogPage))
+
+    async def _acknowledge_migrations(self, feed: records.Feed) -> None:
+        """Tells the store that a barrier entry is acknowledged, once nothing is in flight that it forbids."""
+        readiness = self._readiness()
+        limit = feed.silence_ms / 1000
+        while True:
+            await asyncio.sleep(feed.least_wait_ms / 1000)
+            due = readiness.owes(self._clock())
+            if not due:
+                continue
+            body = encode(AcknowledgeRequest(self._settings.number, due))
+            try:
+                response = await call(self._loop, feed.address, "POST", b"/seen", body, limit)
+            except (CallFailedError, TimeoutError) as error:
+                self._log.warning("migration not acknowledged", reason=str(error))
+                continue
+            if response.status == 200:
+                readiness.seen = max(readiness.seen, due)
+                self._log.info("migration acknowledged: its traffic has ended", entry=due)
--- /dev/null
+++ b/lanelead/http_relay/gossip_transport.py
@@ -0,0 +1,96 @@
+"""Datagrams between relays: gossip for the decisions, and membership messages, over one UDP socket."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections import Counter
+from collections.abc import Callable, Sequence
+
+from lanelead.http_relay.membership_transport import Circle
+from lanelead.protocols import datagrams
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.settings import records
+
+MAX_DATAGRAMS_A_TURN = 64  # so that a flood leaves time for requests
+
+
+class GossipTransport:
+    """Sends gossip to the peers that the settings name, and hands on what comes from them.
+
+    `dropped` counts datagrams by why they were dropped. `membership` is set by the service where the settings ask for
+    it. Raises OSError where the socket's address cannot be had.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: records.Relay,
+        peers: records.Peers,
+        driver: DecisionDriver,
+        after: Callable[[], None],
+    ) -> None:
+        self._loop = loop
+        self._number = settings.number
+        self._relay_count = settings.relays
+        self._peers = peers.others
+        self._peer_numbers = {peer.number for peer in peers.others}
+        self._driver = driver
+        self._after = after
+        self._sent_datagrams = 0
+        self.dropped: Counter[str] = Counter()
+        self.membership: Circle | None = None
+        family = socket.AF_INET6 if ":" in peers.listen.host else socket.AF_INET
+        self.sock = socket.socket(family, socket.SOCK_DGRAM)
+        self.sock.setblocking(False)
+        try:
+            self.sock.bind((peers.listen.host, peers.listen.port))
+        except OSError:
+            self.sock.close()
+            raise
+        loop.add_reader(self.sock, self._read)
+
+    def send(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+        """To one peer, or to all; datagrams may be lost."""
+        for other in self._peers:
+            if peer is not None and other.number != peer:
+                continue
+            for payload in payloads:
+                self._sent_datagrams += 1
+                datagram = datagrams.encode_datagram(self._number, self._sent_datagrams, payload)
+                try:
+                    self.sock.sendto(datagram, (other.host, other.port))
+                except OSError:  # a full buffer, or nobody there
+                    self.dropped["not sent"] += 1
+
+    def _read(self) -> None:
+        for _ in range(MAX_DATAGRAMS_A_TURN):
+            try:
+                data, source = self.sock.recvfrom(datagrams.LARGEST + 1)
+            except BlockingIOError:
+                break
+            except OSError:
+                continue
+            self._received(data, source[:2])
+        self._after()
+
+    def _received(self, data: bytes, source: tuple[str, int]) -> None:
+        datagram = datagrams.decode_datagram(data, self._relay_count)
+        if isinstance(datagram, str):
+            self.dropped[datagram] += 1
+        elif datagram.circle:
+            if self.membership is None:
+                self.dropped["no membership"] += 1
+            else:
+                self.membership.receive(datagram.payload, source)
+        elif datagram.sender not in self._peer_numbers:
+            self.dropped["sender"] += 1
+        else:
+            self._driver.gossip_received(datagram.sender, datagram.payload)
+
+    def close(self) -> None:
+        """Ends membership and closes the socket."""
+        if self.membership is not None:
+            self.membership.close()
+        self._loop.remove_reader(self.sock)
+        self.sock.close()
--- a/lanelead/http_relay/load_reports.py
+++ b/lanelead/http_relay/load_reports.py
@@ -1,26 +1,29 @@
-"""What units tell of their load in an answer's field."""
+"""Load reports of endpoints, from a response's header or a health check's body."""
 
 from __future__ import annotations
 
 from lanelead.decisions.interface import LoadReport
 from lanelead.http.responses import HttpResponse
+from lanelead.http_relay.headers import LOAD_REPORT
 from lanelead.protocols.feeds import LoadMessage, MessageError, decode
 
-LOAD = b"lanelead-load"
 
-
-def report_of(answer: HttpResponse, names: frozenset[str]) -> LoadReport | None:
-    """The load report in an answer, of the figures that the settings name; None where there is none to
-    trust."""
-    raw = answer.header(LOAD)
+def report_from_header(response: HttpResponse, names: frozenset[str]) -> LoadReport | None:
+    """The load report in a response's header, as `load_report`; None where there is none that can be read."""
+    raw = response.header(LOAD_REPORT)
     if raw is None:
         return None
     try:
-        return figures(decode(raw, LoadMessage), names)
+        return load_report(decode(raw, LoadMessage), names)
     except MessageError:
         return None
 
 
-def figures(load: LoadMessage, names: frozenset[str]) -> LoadReport:
-    pairs = ((name, getattr(load, name)) for name in load.__struct_fields__ if name in names)
-    return {name: value for name, value in pairs if value is not None}
+def load_report(message: LoadMessage, names: frozenset[str]) -> LoadReport:
+    """The figures of a message that the settings name in `names`, where they are told."""
+    report: LoadReport = {}
+    for name in message.__struct_fields__:
+        value = getattr(message, name)
+        if name in names and value is not None:
+            report[name] = value
+    return report
--- a/lanelead/http_relay/main.py
+++ b/lanelead/http_relay/main.py
@@ -7,12 +7,14 @@
 
 import uvloop
 
-from lanelead.http_relay.service import Seam, Service
+from lanelead.http_relay.service import DecisionWrapper, Service
 from lanelead.logs import logger
 from lanelead.settings.records import Relay
 
+COLLECTOR_THRESHOLDS = (20_000, 20, 100)
 
-def run(settings: Relay, form: str, seam: Seam | None = None) -> None:
+
+def run(settings: Relay, form: str, wrapper: DecisionWrapper | None = None) -> None:
     """Serves until SIGTERM. The line `ready HOST PORT` on standard output says that it listens."""
     log = logger(form)
 
@@ -20,14 +22,13 @@
         sys.stdout.write(f"ready {host} {port}\n")
         sys.stdout.flush()
 
-    # What was made up to here lives as long as the process. Left to the collector it would be walked again
-    # and again, tens of milliseconds at a time, while lookups wait. It could harm only a process that reads
-    # settings over and over.
+    # What was made up to here lives as long as the process. Left to the collector it would be walked again and again,
+    # tens of milliseconds at a time, while requests wait.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 100)
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
     async def serve() -> None:
-        await Service(settings, log, seam).run(ready)
+        await Service(settings, log, wrapper).run(ready)
 
     uvloop.run(serve())
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -1,18 +1,16 @@
-"""A relay's process: sockets, feeds, peers and signals around one driver."""
+"""A relay's process over HTTP: assembly, start, drain and the state document, around one driver."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
-import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Coroutine, Sequence
 from random import Random
 from typing import Any
 
 from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
     Attempt,
-    AttemptOutcome,
     CastVote,
     Decisions,
     Endpoint,
@@ -22,73 +20,86 @@
     Ticks,
 )
 from lanelead.decisions.zone_spillover import ANYWHERE
-from lanelead.http.client import CallFailedError, call, stream
-from lanelead.http_relay.client_listener import Gate
+from lanelead.http_relay.client_listener import ClientListener
+from lanelead.http_relay.connection_pool import PoolLimits
+from lanelead.http_relay.feed_clients import FeedClients
+from lanelead.http_relay.gossip_transport import GossipTransport
 from lanelead.http_relay.membership_transport import Circle
-from lanelead.http_relay.upstream_requests import Links
+from lanelead.http_relay.upstream_requests import UpstreamRequests
 from lanelead.migrations.readiness import Readiness
-from lanelead.protocols import datagrams
-from lanelead.protocols.feeds import (
-    EndpointListMessage,
-    MessageError,
-    RolloutMessage,
-    VoteRequest,
-    VoteResponse,
-    decode,
-    encode,
-)
-from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
-from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
 from lanelead.runtime.timers import Clock
 from lanelead.settings import records
 
-Seam = Callable[[Decisions], Decisions]  # for tests only: takes a guard out, from outside the decisions
+DecisionWrapper = Callable[[Decisions], Decisions]  # for tests only: stands between the driver and the decisions
+
+SWEEP_INTERVAL_SECONDS = 1.0
+DRAIN_SLACK_SECONDS = 1.0  # beyond the longest deadline of a request
+RESPONSE_HEAD_BYTES = 65536  # of an endpoint's response, beside its body
+RESPONSE_BODY_FACTOR = 4  # an endpoint's response may be as many times as large as a request's body
 
 
 class Service:
-    def __init__(self, settings: records.Relay, log: Any, seam: Seam | None = None) -> None:
-        self._settings, self._log = settings, log.bind(relay=settings.number)
-        self._seam = seam
+    """One relay. `wrapper` is for tests only: it takes a guard out, from outside the decisions."""
+
+    def __init__(self, settings: records.Relay, log: Any, wrapper: DecisionWrapper | None = None) -> None:
+        self._settings = settings
+        self._log = log.bind(relay=settings.number)
         self._loop = asyncio.get_running_loop()
-        self._rng = Random(f"feeds {settings.seed} {settings.number}")
         self._stop = asyncio.Event()
         self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._feeds: dict[str, asyncio.Task[None]] = {}
-        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
+        self._clock = Clock(self._loop, self._next_timer, self._tick)
         self.clock = self._clock.now
-        self._sent = 0
-        self._offset: Ticks | None = None
-        self._known: set[int] = set()
-        self._dropped: dict[str, int] = {}
-        self._up: dict[str, bool] = {"roster": False, "desk": False}
-        self._knows = asyncio.Event()  # the roster has been heard
-        self._udp: socket.socket | None = None
-        self._links: Links
-        self.driver: DecisionDriver
-        self.gate: Gate
-        self.circle: Circle | None = None
-
-    def _build(self) -> None:
-        settings, service = self._settings, self._settings.service
-        quota = service.allowance
-        request_classes = [request_class.figures() for request_class in service.lanes]
-        limits = service.duties.figures(settings.discovery == "subscribe")
-        tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
-        self._links = Links(
+        self.membership: Circle | None = None
+        self._gossip: GossipTransport | None = None
+        self._upstream = self._make_upstream()
+        self._feeds = FeedClients(
+            self._loop, settings, clock=self.clock, after=self._after, own=self._own, log=self._log
+        )
+        self.driver = self._make_driver(wrapper)  # the decisions may ask at once for a watch of discovery
+        self._feeds.driver = self.driver
+        self._upstream.driver = self.driver
+        self._upstream.after = self._after
+        self.listener = ClientListener(
             self._loop,
-            settings.number,
-            quota.connect_limit_ms / 1000,
-            quota.idle_limit_ms / 1000,
-            quota.unit_connections,
-            4 * quota.body_bytes + 65536,
-            frozenset(settings.reports),
-            self._log,
+            settings.service,
+            self.driver,
+            clock=self.clock,
+            state=self.state,
+            log=self._log,
+            tenants=self._tenants,
         )
+        self.listener.after = self._after
+
+    # Assembly
+
+    def _make_upstream(self) -> UpstreamRequests:
+        quota = self._settings.service.allowance
+        limits = PoolLimits(
+            connect_seconds=quota.connect_limit_ms / 1000,
+            idle_seconds=quota.idle_limit_ms / 1000,
+            connections=quota.unit_connections,
+            response_bytes=RESPONSE_BODY_FACTOR * quota.body_bytes + RESPONSE_HEAD_BYTES,
+        )
+        return UpstreamRequests(
+            self._loop,
+            relay_number=self._settings.number,
+            limits=limits,
+            reports=frozenset(self._settings.reports),
+            log=self._log,
+        )
+
+    def _make_driver(self, wrapper: DecisionWrapper | None) -> DecisionDriver:
+        settings = self._settings
+        service = settings.service
+        quota = service.allowance
+        request_classes = [row.figures() for row in service.lanes]
+        limits = service.duties.figures(settings.discovery == "subscribe")
+        self._tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
         decisions: Decisions = Balancer(
             place=records.place(settings),
             request_classes=request_classes,
-            tenants=tenants,
+            tenants=self._tenants,
             quota=quota.figures(settings.peers is not None),
             limits=limits,
             trial=service.trial.figures(),
@@ -98,9 +109,9 @@
             now=self.clock(),
             preference=ANYWHERE if settings.spill is None else settings.spill.figures(),
         )
-        if self._seam is not None:
-            decisions = self._seam(decisions)
-        self.driver = DecisionDriver(
+        if wrapper is not None:
+            decisions = wrapper(decisions)
+        return DecisionDriver(
             decisions,
             self,
             self.clock,
@@ -108,68 +119,75 @@
             limits,
             quota.open_lookups,
             records.ticks(quota.longest_advice_ms),
-            self._readiness(request_classes, limits),
+            self._make_readiness(request_classes, limits),
         )
-        self._links.driver = self.driver
-        self.gate = Gate(self._loop, service, self.driver, self.clock, self.state, self._log, tenants)
-        self.gate.after = self._links.after = self._after
 
-    def _readiness(self, request_classes: Sequence[RequestClass], limits: ServiceLimits) -> Readiness | None:
+    def _make_readiness(self, request_classes: Sequence[RequestClass], limits: ServiceLimits) -> Readiness | None:
         if self._settings.steps is None:
             return None
-        # What a unit has begun by a trip's outer limit it ends within some expected times.
-        grace = limits.response_slack + 2 * max(request_class.latency_objective for request_class in request_classes)
-        longest = max(request_class.timeout for request_class in request_classes)
-        return Readiness(grace, self.clock() + longest + grace)
+        # What an endpoint has begun by an attempt's timeout it ends within some latency objectives.
+        longest_objective = max(request_class.latency_objective for request_class in request_classes)
+        grace = limits.response_slack + 2 * longest_objective
+        longest_timeout = max(request_class.timeout for request_class in request_classes)
+        return Readiness(grace, self.clock() + longest_timeout + grace)
+
+    # Running
 
     async def run(self, ready: Callable[[str, int], None] = lambda host, port: None) -> None:
-        """Serves until told to stop: SIGTERM or SIGINT drains, a second one ends at once."""
-        self._build()
+        """Serves until told to stop: SIGTERM or SIGINT drains, a second one ends at once.
+
+        `ready` is called with the address once it listens.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._signalled)
-        if self._settings.discovery == "automatic":
-            self.watch_endpoints(True)
-        self._feed("desk", self._desk())
-        if self._settings.steps is not None:
-            self._up["steps"] = False
-            self._feed("steps", self._steps(self._settings.steps))
-            self._task(self._vouch(self._settings.steps))
-        if self._settings.peers is not None:
-            self._open_peers(self._settings.peers)
-        if self._settings.circle is not None and self._udp is not None:
-            self.circle = Circle(self._settings, self._loop, self._udp, self.clock, self._log)
-        # A relay without a list would shed all: it waits for one, but not for ever.
+        self._feeds.start()
+        self._open_gossip()
+        await self._wait_for_endpoints()
+        host, port = self._listen()
+        ready(host, port)
+        self._after()
+        sweeper = self._own(self._sweep())
+        await self._stop.wait()
+        await self._drain()
+        sweeper.cancel()
+        await self._upstream.shut_down()
+        await self._end_tasks()
+        if self._gossip is not None:
+            self._gossip.close()
+        self._log.info("stopped", **self.state())
+
+    def _open_gossip(self) -> None:
+        if self._settings.peers is None:
+            return
+        self._gossip = GossipTransport(self._loop, self._settings, self._settings.peers, self.driver, self._after)
+        if self._settings.circle is not None:
+            self.membership = Circle(self._settings, self._loop, self._gossip.sock, self.clock, self._log)
+            self._gossip.membership = self.membership
+
+    async def _wait_for_endpoints(self) -> None:
+        """A relay without a list would reject all requests: it waits for one, but not for ever."""
         try:
             async with asyncio.timeout(self._settings.roster.most_wait_ms / 1000):
-                await self._knows.wait()
+                await self._feeds.endpoints_known.wait()
         except TimeoutError:
-            self._log.warning("no roster yet: lookups are shed until there is one")
+            self._log.warning("no endpoint list yet: requests are rejected until there is one")
+
+    def _listen(self) -> tuple[str, int]:
+        listen = self._settings.listen
         try:
-            host, port = self.gate.listen(self._settings.listen.host, self._settings.listen.port)
-        except OSError as fault:
-            self._log.error("cannot listen", port=self._settings.listen.port, reason=str(fault))
+            host, port = self.listener.listen(listen.host, listen.port)
+        except OSError as error:
+            self._log.error("cannot listen", port=listen.port, reason=str(error))
             raise SystemExit(1) from None
         self._log.info("listening", host=host, port=port)
-        ready(host, port)
-        self._after()
-        sweeper = self._task(self._sweep())
-        await self._stop.wait()
-        if self.circle is not None:
-            self.circle.leave()
-        self._log.info("draining", open=len(self.driver.pending))
-        longest = max(request_class.outer_limit_ms for request_class in self._settings.service.lanes) / 1000
-        await self.gate.drain(longest + 1)
-        sweeper.cancel()
-        await self._links.shut()
-        for task in [*self._feeds.values(), *self._tasks]:
-            task.cancel()
-        await asyncio.gather(*self._feeds.values(), *self._tasks, return_exceptions=True)
-        if self.circle is not None:
-            self.circle.close()
-        if self._udp is not None:
-            self._loop.remove_reader(self._udp)
-            self._udp.close()
-        self._log.info("stopped", **self.state())
+        return host, port
+
+    async def _drain(self) -> None:
+        if self.membership is not None:
+            self.membership.leave()
+        self._log.info("draining", in_flight=len(self.driver.pending))
+        longest_seconds = max(row.outer_limit_ms for row in self._settings.service.lanes) / 1000
+        await self.listener.drain(longest_seconds + DRAIN_SLACK_SECONDS)
 
     def stop(self) -> None:
         """Begins to drain; `run` returns when that is done."""
@@ -180,268 +198,121 @@
             raise SystemExit(1)
         self.stop()
 
-    def _task(self, what: Any) -> asyncio.Task[Any]:
-        task = self._loop.create_task(what)
+    # Tasks
+
+    def _own(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[Any]:
+        """Runs work in a task that is kept until it ends; what it failed with is logged."""
+        task = self._loop.create_task(work)
         self._tasks[task] = None
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._task_ended)
         return task
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _task_ended(self, task: asyncio.Task[Any]) -> None:
         self._tasks.pop(task, None)
-        if not task.cancelled() and (fault := task.exception()) is not None:
-            self._log.error("a task failed", exc_info=fault)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            self._log.error("a task failed", exc_info=error)
+
+    async def _end_tasks(self) -> None:
+        tasks = list(self._tasks)
+        for task in tasks:
+            task.cancel()
+        await self._feeds.stop()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    async def _sweep(self) -> None:
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
+            self._upstream.pools.sweep()
+            self.listener.sweep()
+
+    def _next_timer(self) -> Ticks | None:
+        return self.driver.next_timer()
+
+    def _tick(self) -> None:
+        self.driver.tick()
+        self._after()
 
     def _after(self) -> None:
-        """To be called when the driver has been told something: sets out trips and writes answers, each in a
-        task of its own. Guards against one that stalls, a client that reads nothing or a unit that takes a
-        large body slowly, holding up whoever made it ready: a connection that others already use again."""
+        """To be called when the driver has been told something: starts attempts and writes responses.
+
+        Each has a task of its own. Guards against one that stalls, a client that reads nothing or an endpoint that
+        takes a large body slowly, holding up whoever made it ready: a connection that others already use again.
+        """
         self._clock.arm()
-        attempts, ready = self._links.waiting, self.gate.ready
+        attempts = self._upstream.waiting
         if attempts:
-            self._links.waiting = []
+            self._upstream.waiting = []
             for attempt in attempts:
-                self._task(self._links.go(attempt))
+                self._own(self._upstream.start(attempt))
+        ready = self.listener.ready
         if ready:
             connections = list(ready)
             ready.clear()
             for connection in connections:
-                self._task(connection.flush())
-
-    def _tick(self) -> None:
-        self.driver.tick()
-        self._after()
-
-    async def _sweep(self) -> None:
-        while True:
-            await asyncio.sleep(1)
-            self._links.sweep()
-            self.gate.sweep()
+                self._own(connection.flush())
 
     def state(self) -> dict[str, Any]:
-        counts = self.driver.counters
+        """The state document: what happened since the start, and what is there now."""
+        counters = self.driver.counters
         return {
-            "taken": counts.received,
-            "done": counts.succeeded,
-            "shed": counts.rejected,
-            "broken_off": counts.failed,
-            "left": counts.abandoned,
-            "at_the_door": counts.over_limit,
-            "withheld": counts.withheld_votes,
-            "trips": counts.attempts,
-            "fates": {outcome.value: many for outcome, many in counts.outcomes.items()},
-            "open": len(self.driver.pending),
-            "clients": len(self.gate.connections),
-            "units": len(self.driver.destinations),
-            "opened": self._links.opened,
-            "reused": self._links.reused,
-            "dropped": dict(self._dropped),
-            "feeds": dict(self._up),
-            "malformed": self.gate.malformed,
-            "circle": None if self.circle is None else self.circle.state(),
+            "received": counters.received,
+            "succeeded": counters.succeeded,
+            "rejected": counters.rejected,
+            "failed": counters.failed,
+            "abandoned": counters.abandoned,
+            "over_limit": counters.over_limit,
+            "withheld_votes": counters.withheld_votes,
+            "attempts": counters.attempts,
+            "outcomes": {outcome.value: count for outcome, count in counters.outcomes.items()},
+            "in_flight": len(self.driver.pending),
+            "clients": len(self.listener.connections),
+            "endpoints": len(self.driver.destinations),
+            "connections_opened": self._upstream.pools.opened,
+            "connections_reused": self._upstream.pools.reused,
+            "dropped_datagrams": {} if self._gossip is None else dict(self._gossip.dropped),
+            "feeds": dict(self._feeds.up),
+            "malformed_requests": self.listener.malformed_requests,
+            "membership": None if self.membership is None else self.membership.state(),
         }
 
-    # Hands
+    # What the driver has done for it (HostOperations)
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        self._links.send(attempt, pending)
+        """As HostOperations."""
+        self._upstream.add(attempt, pending)
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        return self._links.abandon(attempt)
+        """As HostOperations."""
+        return self._upstream.cancel(attempt)
 
     def check_health(self, unit: Endpoint) -> None:
-        self._links.probe(unit)
+        """As HostOperations."""
+        self._upstream.check_health(unit)
 
     def close_idle_connections(self, unit: Endpoint) -> None:
-        self._links.close_idle(unit)
+        """As HostOperations."""
+        self._upstream.pools.close_idle(unit)
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        if self._udp is None or self._settings.peers is None:
-            return
-        for other in self._settings.peers.others:
-            if peer is not None and other.number != peer:
-                continue
-            for payload in payloads:
-                self._sent += 1
-                try:
-                    self._udp.sendto(
-                        datagrams.encode_datagram(self._settings.number, self._sent, payload), (other.host, other.port)
-                    )
-                except OSError:  # a full buffer, or nobody there: such messages may be lost
-                    self._drop("not sent")
+        """As HostOperations."""
+        if self._gossip is not None:
+            self._gossip.send(peer, payloads)
 
     def cast_vote(self, vote: CastVote) -> None:
-        self._task(self._vote(vote))
+        """As HostOperations."""
+        self._own(self._feeds.cast_vote(vote))
 
     def watch_endpoints(self, on: bool) -> None:
-        if on:
-            self._feed("roster", self._roster())
-        elif (task := self._feeds.pop("roster", None)) is not None:
-            task.cancel()
+        """As HostOperations."""
+        self._feeds.watch_endpoints(on)
 
     def poll_endpoints(self) -> None:
-        self._task(self._fetch())
+        """As HostOperations."""
+        self._own(self._feeds.poll_endpoints())
 
     def log_event(self, text: str) -> None:
-        self._log.info("note", text=text)
-
-    # Feeds
-
-    def _feed(self, name: str, what: Any) -> None:
-        if (old := self._feeds.get(name)) is not None and not old.done() and old is not asyncio.current_task():
-            old.cancel()
-        self._feeds[name] = self._loop.create_task(what)
-
-    def _drop(self, why: str) -> None:
-        self._dropped[why] = self._dropped.get(why, 0) + 1
-
-    async def _follow(
-        self, name: str, path: Callable[[], bytes], feed: records.Feed, heard: Callable[[bytes], None]
-    ) -> None:
-        """Reads a stream for ever, and comes back to it after a growing wait with a random part."""
-        wait = feed.least_wait_ms / 1000
-        while True:
-            if name == "roster":
-                self._offset = None  # the roster's clock is read anew on each stream
-            try:
-                async for line in stream(self._loop, feed.address, path(), feed.silence_ms / 1000):
-                    heard(line)
-                    wait = feed.least_wait_ms / 1000
-                    if not self._up[name]:
-                        self._up[name] = True
-                        self._log.info("feed up", feed=name)
-                    self._after()
-            except (CallFailedError, MessageError) as fault:
-                if self._up[name]:
-                    self._log.warning("feed down: going on with what is known", feed=name, reason=str(fault))
-                self._up[name] = False
-            await asyncio.sleep(wait * self._rng.uniform(0.5, 1.5))
-            wait = min(2 * wait, feed.most_wait_ms / 1000)
-            if name == "roster" and self._settings.discovery == "subscribe":
-                # The decisions ask again; the wait above bounds how often.
-                self._loop.call_soon(self._roster_failed)
-                return
-
-    def _roster_failed(self) -> None:
-        self.driver.endpoint_poll_failed()
-        self._after()
-
-    async def _roster(self) -> None:
-        def heard(line: bytes) -> None:
-            listed = decode(line, EndpointListMessage)
-            if self._offset is None:
-                self._offset = self.clock() - int(listed.clock_ms * 10)
-            self.driver.endpoints_listed(listed, self._offset)
-            self._knows.set()
-
-        await self._follow(
-            "roster", lambda: b"/roster/watch?relay=%d" % self._settings.number, self._settings.roster, heard
-        )
-
-    async def _desk(self) -> None:
-        def heard(line: bytes) -> None:
-            self.driver.rollout_read(decode(line, RolloutMessage), False, AttemptOutcome.SUCCEEDED)
-
-        path = b"/news?relay=%d" % self._settings.number
-        await self._follow("desk", lambda: path, self._settings.desk, heard)
-
-    async def _steps(self, feed: records.Feed) -> None:
-        """The record of steps, from where it was last read."""
-        readiness = self.driver.readiness
-        assert readiness is not None
-
-        def path() -> bytes:
-            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
-
-        await self._follow(
-            "steps", path, feed, lambda line: self.driver.migrations_read(decode(line, MigrationLogPage))
-        )
-
-    async def _vouch(self, feed: records.Feed) -> None:
-        """Tells the store that a closing is seen, once nothing is out that it forbids."""
-        readiness = self.driver.readiness
-        assert readiness is not None
-        while True:
-            await asyncio.sleep(feed.least_wait_ms / 1000)
-            if owed := readiness.owes(self.clock()):
-                body = encode(AcknowledgeRequest(self._settings.number, owed))
-                limit = feed.silence_ms / 1000
-                try:
-                    answer = await call(self._loop, feed.address, "POST", b"/seen", body, limit)
-                except (CallFailedError, TimeoutError) as fault:
-                    self._log.warning("store not told", reason=str(fault))
-                    continue
-                if answer.status == 200:
-                    readiness.seen = max(readiness.seen, owed)
-                    self._log.info("traffic ended for a step", closing=owed)
-
-    async def _fetch(self) -> None:
-        feed = self._settings.roster
-        try:
-            answer = await call(self._loop, feed.address, "GET", b"/roster", b"", feed.silence_ms / 1000)
-            listed = decode(answer.body, EndpointListMessage)
-        except (CallFailedError, TimeoutError, MessageError) as fault:
-            self._log.warning("roster not fetched", reason=str(fault))
-            await asyncio.sleep(feed.least_wait_ms / 1000)
-            self._roster_failed()
-            return
-        self.driver.endpoints_listed(listed, self.clock() - int(listed.clock_ms * 10))
-        self._knows.set()
-        self._after()
-
-    async def _vote(self, vote: CastVote) -> None:
-        poll = self._settings.service.poll
-        asked = VoteRequest(self._settings.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict])  # type: ignore[arg-type]
-        line, word = None, AttemptOutcome.ERROR
-        try:
-            answer = await call(
-                self._loop,
-                self._settings.desk.address,
-                "POST",
-                b"/votes",
-                encode(asked),
-                poll.answer_limit_ms / 1000,
-            )
-            if answer.status != 200:
-                raise CallFailedError(f"status {answer.status}")
-            told = decode(answer.body, VoteResponse)
-            line, word = told.news, VOTE_OUTCOMES[told.word]
-        except TimeoutError:
-            word = AttemptOutcome.TIMED_OUT
-        except (CallFailedError, MessageError) as fault:
-            self._log.warning("vote not cast", reason=str(fault))
-        self._log.info("vote", build=vote.build, stage=vote.stage, verdict=asked.verdict, word=word.value)
-        self.driver.rollout_read(line, True, word)
-        self._after()
-
-    # Peers
-
-    def _open_peers(self, peers: records.Peers) -> None:
-        sock = socket.socket(socket.AF_INET6 if ":" in peers.listen.host else socket.AF_INET, socket.SOCK_DGRAM)
-        sock.setblocking(False)
-        sock.bind((peers.listen.host, peers.listen.port))
-        self._udp = sock
-        self._known = {other.number for other in peers.others}
-        self._loop.add_reader(sock, self._letters)
-
-    def _letters(self) -> None:
-        assert self._udp is not None
-        for _ in range(64):  # bounded, so that a flood leaves time for lookups
-            try:
-                data, source = self._udp.recvfrom(datagrams.LARGEST + 1)
-            except BlockingIOError:
-                break
-            except OSError:
-                continue
-            letter = datagrams.decode_datagram(data, self._settings.relays)
-            if isinstance(letter, str):
-                self._drop(letter)
-            elif letter.circle:
-                if self.circle is None:
-                    self._drop("no circle")
-                else:
-                    self.circle.receive(letter.payload, source[:2])
-            elif letter.sender not in self._known:
-                self._drop("sender")
-            else:
-                self.driver.gossip_received(letter.sender, letter.payload)
-        self._after()
+        """As HostOperations."""
+        self._log.info("decision", text=text)
--- a/tests/test_relay.py
+++ b/tests/test_http_relay.py
@@ -24,7 +24,7 @@
                     unit.shut()
                 client = await Client.to(place)
                 status, told, _ = await client.ask(method, "/x", b"b" if method != "GET" else b"", **fields)
-                if unit.requests or "connect failed" in state_of(place)["fates"]:
+                if unit.requests or "connect failed" in state_of(place)["outcomes"]:
                     return status, told["lanelead-outcome"], len(good.requests)
         raise AssertionError("the bad unit was never chosen")
 
@@ -134,9 +134,9 @@
             while not unit.requests:
                 await asyncio.sleep(0.01)
             client.reset()
-            while not state_of(place)["left"]:
+            while not state_of(place)["abandoned"]:
                 await asyncio.sleep(0.01)
-            self.assertEqual(state_of(place)["fates"], {"cancelled": 1})
+            self.assertEqual(state_of(place)["outcomes"], {"cancelled": 1})
 
     @live
     async def test_a_half_closed_client_still_gets_its_answer(self) -> None:
@@ -253,7 +253,7 @@
         async with town(unit, more="body_bytes: 8M") as place:
             greedy, other = await Client.to(place), await Client.to(place)
             greedy.send("GET", "/big")
-            while not state_of(place)["done"]:
+            while not state_of(place)["succeeded"]:
                 await asyncio.sleep(0.01)
             for _ in range(3):
                 self.assertEqual((await other.ask("POST", "/small", b"b"))[2], b"small")
@@ -284,7 +284,7 @@
                 await asyncio.sleep(0.01)
             place.roster.shut()
             place.desk.shut()
-            while state_of(place)["feeds"] != {"roster": False, "desk": False}:
+            while state_of(place)["feeds"] != {"discovery": False, "rollout": False}:
                 await asyncio.sleep(0.01)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
             await new.open()
@@ -292,7 +292,7 @@
             place.list_(new, "ready")
             await place.roster.open()
             await place.desk.open()
-            while state_of(place)["feeds"] != {"roster": True, "desk": True}:
+            while state_of(place)["feeds"] != {"discovery": True, "rollout": True}:
                 await asyncio.sleep(0.05)
             self.assertEqual((await client.ask("GET", "/"))[1]["lanelead-unit"], "new")
             new.shut()
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -191,7 +191,7 @@
                 store.close()  # it goes on with what it knew
                 await asyncio.sleep(0.2)
                 self.assertEqual(await bodies(10), {b"new"})
-                self.assertFalse(state_of(place)["feeds"]["steps"])
+                self.assertFalse(state_of(place)["feeds"]["migrations"])
 
 
 if __name__ == "__main__":
