--- a/lanelead/cli.py
+++ b/lanelead/cli.py
@@ -49,7 +49,7 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
     """Checks settings files; says all that is wrong, and exits with 2 where anything is."""
-    from lanelead.settings.cue import Unfit
+    from lanelead.settings.errors import SettingsError
     from lanelead.settings.read import read
     from lanelead.settings.records import Day, Experiment, Relay, Steps
 
@@ -57,9 +57,9 @@
     for file in files:
         try:
             record = read(file)
-        except Unfit as unfit:
+        except SettingsError as error:
             bad = True
-            for fault in unfit.faults:
+            for fault in error.faults:
                 click.echo(str(fault), err=True)
         else:
             kinds = {Relay: "relay", Day: "day", Steps: "plan of steps", Experiment: "plan of an experiment"}
@@ -74,14 +74,14 @@
 def relay(settings: str, console: bool) -> None:
     """Runs a relay until SIGTERM; it then drains and exits with 0."""
     from lanelead.http_relay.main import run
-    from lanelead.settings.cue import Unfit
+    from lanelead.settings.errors import SettingsError
     from lanelead.settings.read import read
     from lanelead.settings.records import Relay
 
     try:
         record = read(settings)
-    except Unfit as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     if not isinstance(record, Relay):
         click.echo(f"{settings}: expected a relay", err=True)
--- a/lanelead/testbed/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -10,8 +10,8 @@
 import click
 import msgspec
 
-from lanelead.settings.cue import Unfit
-from lanelead.settings.read import spotted
+from lanelead.settings.errors import SettingsError
+from lanelead.settings.read import read_with_positions
 from lanelead.settings.records import Experiment
 from lanelead.testbed.scenarios.commands import end, load
 from lanelead.testbed.simulation.baselines import POLICIES
@@ -45,8 +45,8 @@
     """Plays NAME, a day's name or file, in the model. Exits as `day play` does."""
     try:
         day = load(name)
-    except Unfit as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     if day.steps is not None:
         raise click.BadParameter("the model has no store of steps yet: play this day on sockets")
@@ -83,12 +83,12 @@
     from lanelead.testbed.experiments.run import OtherPlan, read, run
 
     try:
-        plan, spots = spotted(file)
+        plan, spots = read_with_positions(file)
         if not isinstance(plan, Experiment):
             raise click.BadParameter(f"{file}: expected the plan of an experiment")
         found = cells(plan, spots)
-    except Unfit as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     with tqdm(unit="run", file=sys.stderr, disable=None) as bar:
 
--- a/lanelead/testbed/experiments/plan.py
+++ b/lanelead/testbed/experiments/plan.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lanelead.settings.cue import Fault, Spot, Unfit
+from lanelead.settings.errors import Position, SettingsError, SettingsFault
 from lanelead.settings.records import Day, Experiment
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.baselines import POLICIES
@@ -50,12 +50,12 @@
             yield from unknown(base[key], value, f"{at}.{key}")
 
 
-def cells(plan: Experiment, spots: dict[str, Spot]) -> list[Cell]:
-    """Raises Unfit where the plan names a day, field, policy or measure that there is not."""
-    faults = list[Fault]()
+def cells(plan: Experiment, positions: dict[str, Position]) -> list[Cell]:
+    """Raises SettingsError where the plan names a day, field, policy or measure that there is not."""
+    faults = list[SettingsFault]()
 
     def blame(path: str, found: str, expected: str) -> None:
-        faults.append(Fault(spots.get(path, spots[""]), path, found, expected))
+        faults.append(SettingsFault(positions.get(path, positions[""]), path, found, expected))
 
     for number, policy in enumerate(plan.policies):
         if policy not in POLICIES:
@@ -70,7 +70,7 @@
         base = msgspec.to_builtins(load(plan.day))
     except Exception as fault:
         blame("experiment.day", repr(plan.day), f"a day's name or file ({fault})")
-        raise Unfit(faults) from None
+        raise SettingsError(faults) from None
     sets = [("experiment.set", plan.set)]
     for n, factor in enumerate(plan.factors):
         sets += [(f"experiment.factors[{n}].levels[{m}].set", level.set) for m, level in enumerate(factor.levels)]
@@ -78,7 +78,7 @@
         for field in unknown(base, change, ""):
             blame(path, f"field {field[1:]!r}", "a field of the day")
     if faults:
-        raise Unfit(faults)
+        raise SettingsError(faults)
     found = list[Cell]()
     for levels in product(*(factor.levels for factor in plan.factors)):
         value = over(base, plan.set)
@@ -90,5 +90,5 @@
         except msgspec.ValidationError as fault:
             blame("experiment.factors", f"level {', '.join(names)}: {fault}", "a day")
     if faults:
-        raise Unfit(faults)
+        raise SettingsError(faults)
     return found
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from lanelead.settings.cue import Unfit
+from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day
 from lanelead.testbed.emulators.event_recording import BadCapture
@@ -24,7 +24,7 @@
 
 
 def load(name: str) -> Day:
-    """A day by name or file. Raises Unfit, or click.BadParameter where there is none."""
+    """A day by name or file. Raises SettingsError, or click.BadParameter where there is none."""
     path = scripts().get(name, Path(name))
     if not path.exists():
         raise click.BadParameter(f"no day {name}: there are {', '.join(scripts())}")
@@ -67,8 +67,8 @@
 
     try:
         record = load(name)
-    except Unfit as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     if seam is not None:
         record = msgspec.structs.replace(record, seam=seam)
@@ -108,8 +108,8 @@
     except NotADay as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
-    except Unfit as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     Path(out).write_text(text)
     for line in said:
--- a/tests/test_pinned_settings.py
+++ b/tests/test_pinned_settings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 import lanelead
-from lanelead.settings.cue import Unfit
+from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read
 
 PINNED = Path(__file__).parent / "pinned"
@@ -37,8 +37,8 @@
     """Where a file is wrong: its name, line, column and key, without the words that say what is expected."""
     try:
         read(path)
-    except Unfit as unfit:
-        return [str(fault).replace(str(path.parent) + "/", "").split(": found ")[0] for fault in unfit.faults]
+    except SettingsError as error:
+        return [str(fault).replace(str(path.parent) + "/", "").split(": found ")[0] for fault in error.faults]
     return []
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,8 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.settings import cue
-from lanelead.settings.cue import Unfit
+from lanelead.settings.cue_evaluation import Evaluator, to_plain
+from lanelead.settings.cue_syntax import parse
+from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day, Relay
 from lanelead.testbed.scenarios.commands import scripts
@@ -36,18 +37,18 @@
 
 
 def value(text: str) -> Any:
-    reader = cue.Reader("f", {})
-    whole = reader.whole(cue.parse(text, "f"))
-    faults = reader.faults
-    result = cue.plain(whole, "", faults, {})
+    evaluator = Evaluator("f", {})
+    whole = evaluator.file_value(parse(text, "f"))
+    faults = evaluator.faults
+    result = to_plain(whole, "", faults, {})
     if faults:
-        raise Unfit(faults)
+        raise SettingsError(faults)
     return result
 
 
 class Reading(unittest.TestCase):
     def faults(self, text: str) -> list[str]:
-        with self.assertRaises(Unfit) as caught:
+        with self.assertRaises(SettingsError) as caught:
             read_text(text, "f")
         return [str(fault) for fault in caught.exception.faults]
 
@@ -94,7 +95,7 @@
             path = Path(folder, "f.cue")
             path.write_bytes(b"\xff\xfe")
             for name in (path, Path(folder, "absent.cue")):
-                with self.assertRaises(Unfit):
+                with self.assertRaises(SettingsError):
                     read(name)
 
     def test_all_days_of_ours_are_good(self) -> None:
@@ -112,7 +113,7 @@
 
     def test_what_leads_back_to_itself_is_a_fault(self) -> None:
         for text in ("a: b\nb: a", "a: {b: a}", "#A: {x: #A}\nv: #A"):
-            with self.assertRaises(Unfit):
+            with self.assertRaises(SettingsError):
                 value(text)
 
     def test_closed_structs_patterns_and_disjunctions(self) -> None:
@@ -125,7 +126,7 @@
             "a: int & 1.5",
             "a: [1] & [1, 2]",
         ):
-            with self.assertRaises(Unfit, msg=text):
+            with self.assertRaises(SettingsError, msg=text):
                 value(text)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
@@ -150,8 +151,8 @@
         for read_ in (lambda: value(text), lambda: read_text(GOOD + text, "f")):
             try:
                 read_()
-            except Unfit as unfit:
-                self.assertTrue(all(fault.spot.line >= 1 and fault.expected for fault in unfit.faults))
+            except SettingsError as error:
+                self.assertTrue(all(fault.position.line >= 1 and fault.expected for fault in error.faults))
 
 
 if __name__ == "__main__":
