--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -17,7 +17,8 @@
 import click
 
 from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.verifier import Capture, judge
+from lanelead.testbed.scenarios.rules.recording import Recording
+from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.fleet import Town
 
 SCRIPTS = (
@@ -45,7 +46,7 @@
 
 
 def figures(folder: Path) -> list[float]:
-    verdict, capture = judge(folder), Capture(folder)
+    verdict, capture = verify(folder), Recording(folder)
     times = sorted(fact["took"] * 1000 for fact in capture["answer"] if fact["outcome"] == "done")
     build = verdict.builds[0] if verdict.builds else None
     nan = float("nan")
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -20,7 +20,7 @@
 
 from lanelead.settings.records import Day, Experiment
 from lanelead.testbed.experiments.plan import Cell
-from lanelead.testbed.scenarios.verifier import judge
+from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.testbed.simulation.fleet import Town
 
@@ -58,7 +58,7 @@
     if judged:
         with tempfile.TemporaryDirectory() as folder:
             town.book.write(Path(folder), day)
-            verdict = judge(Path(folder))
+            verdict = verify(Path(folder))
         found["service"] = verdict.service
         found["rules_broken"] = float(sum(finding.broken for finding in verdict.rules.values()))
         if verdict.builds:
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -14,7 +14,8 @@
 from lanelead.settings.read import read, read_text
 from lanelead.settings.records import Day
 from lanelead.testbed.emulators.event_recording import BadCapture
-from lanelead.testbed.scenarios.verifier import Verdict, judge, report
+from lanelead.testbed.scenarios.rules.findings import Verdict, report
+from lanelead.testbed.scenarios.rules.verifier import verify
 
 
 def scripts() -> dict[str, Path]:
@@ -118,7 +119,7 @@
 
 def end(folder: Path, out: str | None) -> None:
     try:
-        found: Verdict = judge(folder)
+        found: Verdict = verify(folder)
     except BadCapture as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
--- /dev/null
+++ b/lanelead/testbed/scenarios/rules/__init__.py
@@ -0,0 +1,1 @@
+"""The five rules, verified from a recording alone; a module a rule."""
--- /dev/null
+++ b/lanelead/testbed/scenarios/rules/drains.py
@@ -0,0 +1,47 @@
+"""Rule 3: no attempt at an endpoint later than the grace after the relay was told that it drains or is gone."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from lanelead.testbed.scenarios.rules.findings import Finding
+from lanelead.testbed.scenarios.rules.recording import CLOCK_SLACK_SECONDS, Recording, endpoint_name
+
+Changes = dict[tuple[int, str], list[tuple[float, bool]]]
+
+
+def _readiness_changes(recording: Recording, finding: Finding) -> Changes:
+    """By relay and endpoint, when it was told that the endpoint is ready, or is not."""
+    changes: Changes = defaultdict(list)
+    known_of: dict[int, dict[str, bool]] = defaultdict(dict)
+    for event in recording["roster-told"]:
+        relay = event["relay"]
+        known = known_of[relay]
+        rows = {row["unit"]: row["condition"] == "ready" for row in event["units"]}
+        if event["coverage"] == "full":
+            rows |= {endpoint: False for endpoint in known if endpoint not in rows}
+        for endpoint, ready in rows.items():
+            if known.get(endpoint) is not ready:
+                changes[relay, endpoint].append((event["t"], ready))
+                finding.seen += not ready and endpoint in known
+            known[endpoint] = ready
+    return changes
+
+
+def verify_drains(recording: Recording, finding: Finding) -> None:
+    """Checks the rule."""
+    grace = recording.scenario.service.duties.drain_grace_ms / 1000
+    changes = _readiness_changes(recording, finding)
+    for attempt in recording["trip"]:
+        if recording.stood_still(attempt):
+            continue
+        endpoint = endpoint_name(attempt)
+        t = attempt["t"]
+        told = [row for row in changes[attempt["relay"], endpoint] if row[0] <= t]
+        if not told:
+            continue
+        since, ready = told[-1]
+        if not ready and t > since + grace + CLOCK_SLACK_SECONDS:
+            finding.breach(
+                f"relay {attempt['relay']}: {attempt['id']} to {endpoint}, {t - since:.3f} s after it was told"
+            )
--- /dev/null
+++ b/lanelead/testbed/scenarios/rules/exposure.py
@@ -0,0 +1,193 @@
+"""Rule 5: a relay's attempts at a canary build stay within the uncounted ones and its limit's share of its requests.
+
+Where the settings ask for it: no attempts of other than idempotent requests in guarded stages, and a key that the new
+build has answered goes to no earlier build.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left, bisect_right
+from collections import defaultdict
+from dataclasses import dataclass
+
+from lanelead.testbed.scenarios.rules.findings import Finding
+from lanelead.testbed.scenarios.rules.recording import (
+    CLOCK_SLACK_SECONDS,
+    RecordedEvent,
+    Recording,
+    RelayRun,
+    by_key,
+)
+
+EARLY_STATE_SECONDS = 3.0  # before a relay's start, from which the state it was told last still holds
+ROUNDING = 1e-9
+INSTANT = 1e-6  # seconds: just after
+
+
+@dataclass(slots=True)
+class ToldState:
+    """A rollout state as a relay was told it."""
+
+    t: float
+    build: int
+    stage: int
+    phase: str
+    cap: float
+
+    def is_canary(self, build: int) -> bool:
+        """Whether the build counts as on trial, one that was not announced yet included."""
+        return build > self.build or (build == self.build and self.phase != "released")
+
+
+class ToldStates:
+    """What one relay was told of builds, in one process; `limits` has the exposure limit of each stage."""
+
+    def __init__(self, rows: list[ToldState], limits: list[float]) -> None:
+        self.rows = rows
+        self._limits = limits
+        self._times = [row.t for row in rows]
+
+    def at(self, t: float) -> ToldState | None:
+        """The state that held at a time."""
+        count = bisect_right(self._times, t)
+        return self.rows[count - 1] if count else None
+
+    def limit(self, told: ToldState | None, build: int) -> float:
+        """A build's exposure limit under a state; a build not yet announced counts as in the first stage."""
+        if told is None or build > told.build:
+            return self._limits[0]
+        return told.cap if told.phase == "trial" else 0.0
+
+    def highest_limit(self, build: int, start: float, end: float) -> float:
+        """The highest limit in force between two times."""
+        rows = [self.at(start), *(row for row in self.rows if start < row.t <= end)]
+        return max(self.limit(row, build) for row in rows)
+
+    def lowered_at(self, build: int, end: float) -> float:
+        """When the build's limit was last told lower than before, up to a time; minus infinity where never."""
+        last: float | None = None
+        at = float("-inf")
+        for row in self.rows:
+            if row.t > end:
+                break
+            limit = self.limit(row, build)
+            if last is not None and limit < last:
+                at = row.t
+            last = limit
+        return at
+
+    def rolled_back(self, build: int, t: float) -> bool:
+        """Whether a build had been taken back up to a time."""
+        return any(row.build == build and row.phase in ("reverting", "withdrawn") and row.t <= t for row in self.rows)
+
+
+class _RunCheck:
+    """One process of one relay."""
+
+    def __init__(self, recording: Recording, finding: Finding, relay: int, run: RelayRun) -> None:
+        self._recording = recording
+        self._finding = finding
+        self._relay = relay
+        self._rules = recording.scenario.service.trial
+        self._window = self._rules.window_ms / 1000
+        self._grace = recording.scenario.service.duties.drain_grace_ms / 1000
+        rows = [
+            ToldState(event["t"], event["build"], event["stage"], event["phase"], event["cap"])
+            for event in recording["desk-told"]
+            if event["relay"] == relay
+            and run.start - EARLY_STATE_SECONDS <= event["t"] <= run.end
+            and event.get("word", "done") == "done"
+        ]
+        self._states = ToldStates(rows, self._rules.caps)
+        self._received: dict[str | None, list[float]] = defaultdict(list)  # by class; None: of all
+        for request in recording["ask"]:
+            if request["relay"] == relay and run.start <= request["t"] <= run.end:
+                self._received[None].append(request["t"])
+                self._received[request["lane"]].append(request["t"])
+        self._sent: dict[tuple[int, str | None], list[float]] = defaultdict(list)
+
+    def check_attempt(self, attempt: RecordedEvent) -> None:
+        t = attempt["t"]
+        build = attempt["build"]
+        told = self._states.at(t)
+        before = self._states.at(t - CLOCK_SLACK_SECONDS)
+        canary = told is None or told.is_canary(build)
+        canary_before = before is None or before.is_canary(build)
+        if not canary or not canary_before or self._recording.stood_still(attempt):
+            return
+        self._finding.seen += 1
+        self._check_budget(attempt, told)
+        stage = told.stage if told and told.build == build else 0
+        was_guarded = before is None or before.build != build or before.stage < self._rules.guarded
+        idempotent = self._recording.request_classes[attempt["lane"]].repeat == "pure"
+        if stage < self._rules.guarded and was_guarded and not idempotent:
+            self._finding.breach(f"{self._at(attempt)}, in a stage that is guarded from class {attempt['lane']}")
+
+    def _at(self, attempt: RecordedEvent) -> str:
+        return f"relay {self._relay}: {attempt['id']} to build {attempt['build']}"
+
+    def _check_budget(self, attempt: RecordedEvent, told: ToldState | None) -> None:
+        t = attempt["t"]
+        build = attempt["build"]
+        name = attempt["lane"] if self._rules.by_lane else None
+        times = self._sent[build, name]
+        times.append(t)
+        binds_at = self._states.lowered_at(build, t) + self._grace
+        lowered = binds_at < t
+        start = t - self._window + CLOCK_SLACK_SECONDS
+        if lowered:
+            start = max(start, binds_at + CLOCK_SLACK_SECONDS)
+        count = len(times) - bisect_left(times, start)
+        # A lower limit binds when its grace is over; up to then the higher one did.
+        limit_from = binds_at + INSTANT if lowered else t - self._window - self._grace
+        limit = self._states.highest_limit(build, limit_from, t)
+        received = self._received[name]
+        earned = bisect_right(received, t) - bisect_left(received, start - 2 * CLOCK_SLACK_SECONDS)
+        allowed = self._rules.free + limit * earned
+        if limit == 0 and t > binds_at + CLOCK_SLACK_SECONDS and told is not None:
+            self._finding.breach(f"{self._at(attempt)}, which is closed")
+        elif count > allowed + ROUNDING:
+            self._finding.breach(
+                f"{self._at(attempt)} is attempt {count} in {self._window:g} s, of {allowed:.2f} allowed"
+            )
+
+    def check_keys(self, attempts: list[RecordedEvent], requests: dict[str, RecordedEvent]) -> None:
+        """A key that the newest build has answered goes to no earlier one."""
+        answered: dict[str, list[tuple[float, int]]] = defaultdict(list)
+        for event in self._recording["answer"]:
+            request = requests.get(event["id"])
+            if request is None or not request["key"] or request["relay"] != self._relay:
+                continue
+            if event["outcome"] == "done" and event["build"]:
+                answered[request["key"]].append((event["t"], int(event["build"])))
+        for attempt in attempts:
+            request = requests.get(attempt["id"])
+            if request is not None and request["key"]:
+                self._check_key(attempt, answered[request["key"]])
+
+    def _check_key(self, attempt: RecordedEvent, answered: list[tuple[float, int]]) -> None:
+        t = attempt["t"]
+        told = self._states.at(t)
+        before = self._states.at(t - CLOCK_SLACK_SECONDS)
+        if told is None or told.phase not in ("trial", "released"):
+            return
+        steady = before is not None and (before.build, before.phase) == (told.build, told.phase)
+        tied = any(at < t - CLOCK_SLACK_SECONDS and build == told.build for at, build in answered)
+        if not tied or not steady or attempt["build"] >= told.build:
+            return
+        if not self._states.rolled_back(told.build, t):
+            self._finding.breach(f"{self._at(attempt)}, its key stays with {told.build}")
+
+
+def verify_exposure(recording: Recording, finding: Finding) -> None:
+    """Checks the rule, relay by relay and process by process."""
+    requests = {request["id"]: request for request in recording["ask"]}
+    attempts_of = by_key(recording["trip"], "relay")
+    for relay, runs in sorted(recording.relay_runs.items()):
+        for run in runs:
+            attempts = [attempt for attempt in attempts_of.get(relay, []) if run.start <= attempt["t"] <= run.end]
+            check = _RunCheck(recording, finding, relay, run)
+            for attempt in attempts:
+                check.check_attempt(attempt)
+            if recording.scenario.service.trial.keys_stay:
+                check.check_keys(attempts, requests)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -19,7 +19,8 @@
 from lanelead.testbed.emulators.seeded_faults import SEAMS
 from lanelead.testbed.experiments.run import interval, measures, paired, read
 from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.verifier import Verdict, judge
+from lanelead.testbed.scenarios.rules.findings import Verdict
+from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
 from lanelead.testbed.simulation.clock import Clock, stream
 from lanelead.testbed.simulation.fleet import Town
@@ -35,7 +36,7 @@
 def judged(town: Town) -> Verdict:
     with tempfile.TemporaryDirectory() as folder:
         town.book.write(Path(folder), town.day)
-        return judge(Path(folder))
+        return verify(Path(folder))
 
 
 class Time(unittest.TestCase):
