--- a/lanelead/testbed/experiments/report.py
+++ b/lanelead/testbed/experiments/report.py
@@ -29,10 +29,12 @@
 
 
 def figure(value: float) -> str:
+    """A number for people; empty where it is none."""
     return "" if value != value or value in (float("inf"), float("-inf")) else f"{value:.4g}"
 
 
 def table(plan: Experiment, rows: Rows, measure: str) -> list[dict[str, Any]]:
+    """A measure's rows, one for each cell and policy: texts to show, and the values that the plot takes."""
     found = []
     for (cell, policy), seeds in rows.items():
         values = [some[measure] for some in seeds.values() if measure in some]
@@ -92,6 +94,7 @@
 
 
 def page(plan: Experiment, rows: Rows) -> str:
+    """The HTML file."""
     tables = [(measure, some) for measure in MEASURES if (some := table(plan, rows, measure))]
     plots = {measure: plot(some, measure) for measure, some in tables}
     runs = sum(len(seeds) for seeds in rows.values())
--- a/lanelead/testbed/load/commands.py
+++ b/lanelead/testbed/load/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead load`."""
+"""The command `lanelead load`."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 import click
 import uvloop
 
-from lanelead.testbed.load.generator import OUTCOMES, Load, Result, Shape
+from lanelead.testbed.load.generator import OUTCOMES, LoadGenerator, LoadResult, Shape
 
 
 @click.command()
 @click.argument("relay")
-@click.option("--rate", default=100.0, type=click.FloatRange(0.1, 1e5), help="Lookups a second.")
+@click.option("--rate", default=100.0, type=click.FloatRange(0.1, 1e5), help="Requests a second.")
 @click.option("--seconds", default=10.0, type=click.FloatRange(0.1, 3600))
 @click.option("--method", default="GET")
 @click.option("--path", default="/")
-@click.option("--member", multiple=True, help="One is drawn for each lookup.")
+@click.option("--member", multiple=True, help="One is drawn for each request.")
 @click.option("--keys", default=0, type=click.IntRange(0), help="How many different keys.")
 @click.option("--body", default=0, type=click.IntRange(0, 1 << 26), help="Bytes.")
 @click.option("--left", default=0, type=click.IntRange(0), help="How long a client waits, in ms.")
@@ -42,47 +42,49 @@
     seed: int,
     out: str | None,
 ) -> None:
-    """Asks RELAY (HOST:PORT) at a steady rate, whether or not it answers.
+    """Sends requests to RELAY (HOST:PORT) at a steady rate, whether or not it answers.
 
-    Times count from when each lookup was due. Exits with 3 where the rate could not be held: such a run says
-    nothing of the relay."""
+    Latencies count from when each request was due. Exits with 3 where the rate could not be held: such a run says
+    nothing of the relay.
+    """
     host, _, port = relay.rpartition(":")
     if not port.isdecimal() or not 0 < int(port) < 65536:
         raise click.BadParameter(f"{relay!r}: expected HOST:PORT")
     shape = Shape(rate, seconds, method.upper(), path, member, keys, body, left, connections, not even, ramp)
 
-    async def whole() -> Result:
-        return await Load(shape, host or "127.0.0.1", int(port), seed).run()
+    async def whole() -> LoadResult:
+        return await LoadGenerator(shape, host or "127.0.0.1", int(port), seed).run()
 
     result = uvloop.run(whole())
-    click.echo("outcome | lookups | p50 ms | p90 | p99 | p99.9 | most")
+    click.echo("outcome | requests | p50 ms | p90 | p99 | p99.9 | most")
     for name in OUTCOMES:
         if result.count(name):
-            took = result.took[name]
-            parts = [took.get_value_at_percentile(part) / 1000 for part in (50, 90, 99, 99.9, 100)]
+            latency = result.latency[name]
+            parts = [latency.get_value_at_percentile(part) / 1000 for part in (50, 90, 99, 99.9, 100)]
             click.echo(f"{name} | {result.count(name)} | {' | '.join(f'{part:.2f}' for part in parts)}")
-    late = result.late
+    lateness = result.lateness
     click.echo(
-        f"handed over late by {late.get_value_at_percentile(50) / 1000:.2f} ms in the median, "
-        f"{late.get_value_at_percentile(99) / 1000:.2f} in 1 of 100"
+        f"sent late by {lateness.get_value_at_percentile(50) / 1000:.2f} ms in the median, "
+        f"{lateness.get_value_at_percentile(99) / 1000:.2f} in 1 of 100"
     )
     if out is not None:
         keep(out, relay, seed, result)
-    if why := result.held(rate):
+    why = result.rate_missed(rate)
+    if why:
         click.echo(f"the rate was not held: {why}", err=True)
         sys.exit(3)
 
 
-def keep(file: str, cell: str, seed: int, result: Result) -> None:
+def keep(file: str, cell: str, seed: int, result: LoadResult) -> None:
     """The figures, in the form of an experiment's results."""
     from lanelead.testbed.experiments.run import TABLES
 
-    total = max(1, sum(result.count(name) for name in OUTCOMES))
+    total = max(1, result.total())
     rows = {"done": "done", "shed": "shed", "broken_off": "broken-off"}
     found = {measure: result.count(name) / total for measure, name in rows.items()}
-    found["p50_ms"] = result.took["done"].get_value_at_percentile(50) / 1000
-    found["p99_ms"] = result.took["done"].get_value_at_percentile(99) / 1000
-    found["late_ms"] = result.late.get_value_at_percentile(99) / 1000
+    found["p50_ms"] = result.latency["done"].get_value_at_percentile(50) / 1000
+    found["p99_ms"] = result.latency["done"].get_value_at_percentile(99) / 1000
+    found["late_ms"] = result.lateness.get_value_at_percentile(99) / 1000
     db = sqlite3.connect(file)
     db.executescript(TABLES)
     values = [(cell, "sockets", seed, measure, value) for measure, value in found.items()]
