--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -1,6 +1,6 @@
 """Attempts and health checks over the connections to endpoints, and how each came out.
 
-Whether an attempt may have run is read conservatively; docs/relay.md has the table of cases:
+Whether an attempt may have run is read conservatively; docs/http-relay.md has the table of cases:
  - nothing of it was handed to the kernel: it never ran (connect failed, or not sent)
  - something was, and no whole response came: it may have run (reset, timed out, cancelled)
  - the endpoint said in a header that it rejected the request before any work: it never ran (rejected)
