--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -35,7 +35,7 @@
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
 from lanelead.testbed.scenarios.commands import load
-from lanelead.testbed.scenarios.processes import Process, free_ports
+from lanelead.testbed.scenarios.processes import ChildProcess, free_ports
 
 ANSWER = serialization.response(200, [(b"content-type", b"text/plain")], b"x" * 100)
 FIELDS = [
@@ -214,29 +214,29 @@
 class Bench:
     def __init__(self, folder: Path, seconds: float, connections: int) -> None:
         self._folder, self._seconds, self._connections = folder, seconds, connections
-        self._children: list[Process] = []
+        self._children: list[ChildProcess] = []
 
-    async def child(self, name: str, *args: str) -> Process:
-        process = await Process.start(name, self._folder / f"{name}.log", *args)
+    async def child(self, name: str, *args: str) -> ChildProcess:
+        process = await ChildProcess.start(name, self._folder / f"{name}.log", *args)
         await process.ready()
         self._children.append(process)
         return process
 
     async def load(self, port: int, rate: float = 0.0) -> dict[str, Any]:
         args = ["generate", str(port), str(self._connections), str(self._seconds), str(rate)]
-        process = await Process.start("generator", self._folder / "generator.log", "benchmarks.relay_path", *args)
+        process = await ChildProcess.start("generator", self._folder / "generator.log", "benchmarks.relay_path", *args)
         text = await process.ready(self._seconds + 30)
         await process.end(5)
         found: dict[str, Any] = msgspec.json.decode(text)
         return found
 
-    async def measure(self, process: Process, port: int, rate: float = 0.0) -> dict[str, Any]:
+    async def measure(self, process: ChildProcess, port: int, rate: float = 0.0) -> dict[str, Any]:
         before = cpu(process.process.pid)
         found = await self.load(port, rate)
         found["cpu_us"] = (cpu(process.process.pid) - before) / max(1, found["done"]) * 1e6
         return found
 
-    async def relay(self, name: str, units: list[int], parts: str | None) -> tuple[Process, int]:
+    async def relay(self, name: str, units: list[int], parts: str | None) -> tuple[ChildProcess, int]:
         day = load("bad-day")
         roster, port = Roster(self._folder, 0, 0.0), free_ports(1)[0]
         await roster.open()
@@ -265,7 +265,7 @@
             args = ["cProfile", "-o", parts, "-m", *args]
         return await self.child(name, *args), port
 
-    async def idle(self, process: Process, port: int, many: int) -> float:
+    async def idle(self, process: ChildProcess, port: int, many: int) -> float:
         """Bytes that an idle client costs."""
         before, socks = memory(process.process.pid), []
         for _ in range(many):
--- a/lanelead/protocols/__init__.py
+++ b/lanelead/protocols/__init__.py
@@ -1,2 +1,4 @@
-"""What passes between relays, the roster, the release desk, units and clients; docs/protocols.md has it in
-words."""
+"""Messages between relays, discovery, rollout platform, stores, replicas, endpoints and clients.
+
+docs/protocols.md has them in words.
+"""
--- a/lanelead/protocols/feeds.py
+++ b/lanelead/protocols/feeds.py
@@ -1,4 +1,7 @@
-"""The records of the feeds, as msgspec types: JSON objects, one a line where they come as a stream."""
+"""The messages of the feeds over HTTP, as msgspec types: JSON objects, one a line where they come as a stream.
+
+Field names and enumerations are the feeds' words; `lanelead/protocols/vocabulary.py` maps them to the code's terms.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +15,16 @@
 BuildNumber = Annotated[int, Meta(ge=0, le=65535)]
 NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e15)]
 T = TypeVar("T")
-MAX_LINE_BYTES = 1 << 20  # bytes of one line
+MAX_LINE_BYTES = 1 << 20
+MAX_REASON_CHARACTERS = 300
 
 
 class MessageError(Exception):
-    """What came is not such a record; the text says which field and why."""
+    """What came is not such a message; the text says which field and why."""
 
 
 class EndpointMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One unit, as the roster knows it. `started_ms` is on the roster's clock; null: long ago."""
+    """One endpoint, as discovery knows it. `started_ms` is on discovery's clock; null: long ago."""
 
     unit: Name
     host: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -35,6 +39,8 @@
 
 
 class EndpointListMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The whole endpoint list, or changes of it; `clock_ms` is discovery's present time."""
+
     coverage: Literal["full", "changes"]
     version: NonNegativeInt
     clock_ms: NonNegativeFloat
@@ -42,6 +48,8 @@
 
 
 class RolloutMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Where the newest build stands, and since when."""
+
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
     phase: Literal["trial", "reverting", "released", "withdrawn"]
@@ -50,6 +58,8 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A relay's vote on a stage of a build."""
+
     relay: NonNegativeInt
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
@@ -57,18 +67,22 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """What came of a vote, and where the newest build stands now."""
+
     word: Literal["done", "moot", "overloaded", "failed"]
     news: RolloutMessage
 
 
 class Complaint(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A client found a response wrong that an endpoint gave so long ago."""
+
     unit: Name
     lane: Name
     age_ms: NonNegativeFloat
 
 
 class LoadMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A unit's load report, in an answer's Lanelead-Load field or to a probe."""
+    """An endpoint's load report, in a response's Lanelead-Load header or to a health check."""
 
     waiting: NonNegativeFloat | None = None
     active: NonNegativeFloat | None = None
@@ -78,27 +92,29 @@
     err_rps: NonNegativeFloat | None = None
 
 
-def decode(data: bytes, kind: type[T], longest: int = MAX_LINE_BYTES) -> T:
-    """Raises Malformed, with the field and what was expected of it."""
-    if len(data) > longest:
-        raise MessageError(f"{len(data)} bytes, of {longest} at most")
+def decode(data: bytes, message_type: type[T], max_bytes: int = MAX_LINE_BYTES) -> T:
+    """A message of this type. Raises MessageError, with the field and what was expected of it."""
+    if len(data) > max_bytes:
+        raise MessageError(f"{len(data)} bytes, of {max_bytes} at most")
     try:
-        return msgspec.json.decode(data, type=kind)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise MessageError(str(fault)[:300]) from None
+        return msgspec.json.decode(data, type=message_type)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise MessageError(str(error)[:MAX_REASON_CHARACTERS]) from None
 
 
 encode = msgspec.json.encode
 
 
 class LineSplitter:
-    """Cuts a stream into lines; raises Malformed at one that is too long."""
+    """Cuts a stream into lines of at most `max_bytes`."""
 
-    def __init__(self, longest: int = MAX_LINE_BYTES) -> None:
-        self._rest, self._longest = b"", longest
+    def __init__(self, max_bytes: int = MAX_LINE_BYTES) -> None:
+        self._rest = b""
+        self._max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
+        """The lines that these bytes complete, without empty ones. Raises MessageError at one that is too long."""
         *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > self._longest:
-            raise MessageError(f"a line of over {self._longest} bytes")
+        if len(self._rest) > self._max_bytes:
+            raise MessageError(f"a line of over {self._max_bytes} bytes")
         return [line for line in lines if line.strip()]
--- a/lanelead/testbed/scenarios/bench_import.py
+++ b/lanelead/testbed/scenarios/bench_import.py
@@ -1,8 +1,7 @@
-"""Turns a day that the bench has drawn into a script for sockets: the same troubles, at the same times.
+"""Turns a day that the simulator has drawn into a scenario for sockets: the same faults, at the same times.
 
-The bench's machines are many and its world is a model; here there are processes. So the fleet is cut down to
-what the machine at hand runs, and what is cut, changed or cannot be carried over is said, by name, in the
-script's head and to whoever asked. Nothing is dropped in silence.
+The simulator's fleet is large; here there are processes. So it is cut down to what the machine at hand runs, and what
+is cut, changed or cannot be carried over is changes, by name, in the script's head and to whoever runs the command.
 """
 
 from __future__ import annotations
@@ -13,62 +12,66 @@
 
 import msgspec
 
-MOST_UNITS, MOST_RELAYS, MOST_RATE = 14, 4, 200.0
+MAX_ENDPOINTS = 14
+MAX_RELAYS = 4
+MAX_RATE = 200.0  # requests a second
+MAX_SECONDS = 600.0
+MAX_ATTEMPTS = 16
 REPEATS = {"safe": "pure", "keyed": "receipted", "unsafe": "effectful"}
 CONTROLS = {"any": "first voice", "share": "by count", "timer": "automatic"}
-Trouble = dict[str, Any]
+Fault = dict[str, Any]  # as the simulator writes it
 
 
-class NotADay(Exception):
-    """The text is no day of the bench; says what is missing."""
+class NotADayError(Exception):
+    """The text is no day of the simulator; says what is missing."""
 
 
-def _part(trouble: Trouble, units: int, machines: int) -> int:
+def _part(fault: Fault, units: int, machines: int) -> int:
     """As many units as the bench's trouble hits of its fleet, in proportion, one at the least."""
-    return max(1, round(len(trouble["on"]) * units / max(1, machines)))
+    return max(1, round(len(fault["on"]) * units / max(1, machines)))
 
 
-Made = list[dict[str, Any]]
+Events = list[dict[str, Any]]
 
 
-def _units(kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0) -> Callable[[Trouble, Any], Made]:
-    def make(trouble: Trouble, scale: Any) -> Made:
-        count = _part(trouble, scale["units"], scale["machines"])
-        return [{"kind": kind, "count": count, "size": size(trouble)}]
+def _units(kind: str, size: Callable[[Fault], float] = lambda fault: 1.0) -> Callable[[Fault, Any], Events]:
+    def make(fault: Fault, scale: Any) -> Events:
+        count = _part(fault, scale["units"], scale["machines"])
+        return [{"kind": kind, "count": count, "size": size(fault)}]
 
     return make
 
 
-def _plain(kind: str, size: Callable[[Trouble], float] = lambda trouble: 1.0) -> Callable[[Trouble, Any], Made]:
-    return lambda trouble, scale: [{"kind": kind, "size": size(trouble)}]
+def _plain(kind: str, size: Callable[[Fault], float] = lambda fault: 1.0) -> Callable[[Fault, Any], Events]:
+    return lambda fault, scale: [{"kind": kind, "size": size(fault)}]
 
 
-def _own(trouble: Trouble) -> float:
-    return float(trouble["size"])
+def _own(fault: Fault) -> float:
+    return float(fault["size"])
 
 
-def _tenant(trouble: Trouble, scale: Any) -> Made:
-    tenant = scale["members"][trouble["which"] % len(scale["members"])] if scale["members"] else None
-    return [{"kind": "member_burst", "size": trouble["size"], "member": tenant}]
+def _tenant(fault: Fault, scale: Any) -> Events:
+    tenant = scale["members"][fault["which"] % len(scale["members"])] if scale["members"] else None
+    return [{"kind": "member_burst", "size": fault["size"], "member": tenant}]
 
 
-def _control(trouble: Trouble, scale: Any) -> Made:
+def _control(fault: Fault, scale: Any) -> Events:
     kinds = {"silence": "desk_mute", "errors": "desk_away", "stale": "desk_stale"}
-    return [{"kind": kinds.get(trouble.get("how", ""), "desk_mute"), "size": trouble["size"]}]
+    return [{"kind": kinds.get(fault.get("how", ""), "desk_mute"), "size": fault["size"]}]
 
 
-def _slow_lane(trouble: Trouble, scale: Any) -> Made:
-    request_class = scale["lanes"][trouble["which"] % len(scale["lanes"])]
+def _slow_lane(fault: Fault, scale: Any) -> Events:
+    request_class = scale["lanes"][fault["which"] % len(scale["lanes"])]
     # The bench has the work wait for some seconds on something else; here it holds its core for as long.
-    factor = min(20.0, 1 + trouble["size"] * 1000 / scale["work"][request_class])
+    factor = min(20.0, 1 + fault["size"] * 1000 / scale["work"][request_class])
     return [{"kind": "slow_lane", "size": factor, "lane": request_class}]
 
 
-def _give_up(trouble: Trouble, scale: Any) -> Made:
-    return [{"kind": "give_up", "size": min(1.0, trouble["size"]), "extra": min(1.0, trouble["extra"])}]
+def _give_up(fault: Fault, scale: Any) -> Events:
+    return [{"kind": "give_up", "size": min(1.0, fault["size"]), "extra": min(1.0, fault["extra"])}]
 
 
-MAKERS: dict[str, Callable[[Trouble, Any], Made]] = {
+MAKERS: dict[str, Callable[[Fault, Any], Events]] = {
     "crash": _units("kill"),
     "vanish": _units("stop"),
     "slow": _units("slow", _own),
@@ -76,109 +79,67 @@
     "neighbour": _units("neighbour", _own),
     "false_reports": _units("false_reports", _own),
     "idle_reap": _units("idle_reap", _own),
-    "conn_squeeze": _units("few_connections", lambda trouble: max(2.0, round(_own(trouble)))),
+    "conn_squeeze": _units("few_connections", lambda fault: max(2.0, round(_own(fault)))),
     "burst": _plain("burst", _own),
     "tenant_burst": _tenant,
     "hot_key": _plain("hot_key", _own),
     "hot_caller": _plain("hot_caller", _own),
     "heavy_tail": _plain("heavy_tail", _own),
     "bad_requests": _plain("bad_requests", _own),
-    "retry_abuse": _plain("retry_abuse", lambda trouble: max(1.0, round(_own(trouble)))),
+    "retry_abuse": _plain("retry_abuse", lambda fault: max(1.0, round(_own(fault)))),
     "slow_class": _slow_lane,
     "give_up": _give_up,
     "peer_down": _plain("peers_lost"),
     "control_down": _control,
-    "balancer_roll": _plain("relay_roll", lambda trouble: min(2.0, max(0.2, float(trouble["extra"])))),
+    "balancer_roll": _plain("relay_roll", lambda fault: min(2.0, max(0.2, float(fault["extra"])))),
 }
 
 
 def script(text: bytes, name: str) -> tuple[dict[str, Any], list[str]]:
-    """The day as a settings record, and what had to be changed or left out. Raises NotADay."""
+    """The day as a scenario's record, and what had to be changed or left out. Raises NotADayError."""
     try:
         day = msgspec.json.decode(text)
-        said: list[str] = []
-        return {"day": _day(day, name, said)}, said
+        changes: list[str] = []
+        return {"day": _day(day, name, changes)}, changes
     except msgspec.DecodeError as fault:
-        raise NotADay(f"not JSON: {fault}") from None
+        raise NotADayError(f"not JSON: {fault}") from None
     except (KeyError, TypeError, IndexError, ValueError, AttributeError, ZeroDivisionError) as fault:
-        raise NotADay(f"no day of the bench: {type(fault).__name__} {fault}") from None
+        raise NotADayError(f"no day of the bench: {type(fault).__name__} {fault}") from None
 
 
-def _day(day: dict[str, Any], name: str, said: list[str]) -> dict[str, Any]:
-    fam, kind = day["fam"], day["tiers"][0]["kinds"][0]
-    machines, balancers = int(fam["places"]), len(day["balancers"])
-    units, relays = min(MOST_UNITS, machines), min(MOST_RELAYS, balancers)
-    for what, few, many in (("units", units, machines), ("relays", relays, balancers)):
-        if few < many:
-            said.append(f"{few} {what} in place of {many}")
+def _day(day: dict[str, Any], name: str, changes: list[str]) -> dict[str, Any]:
+    fam = day["fam"]
+    kind = day["tiers"][0]["kinds"][0]
+    machines = int(fam["places"])
+    endpoints = _at_most(MAX_ENDPOINTS, machines, "units", changes)
+    relays = _at_most(MAX_RELAYS, len(day["balancers"]), "relays", changes)
     classes = [row for row in day["classes"] if row["share"] > 0]
-    work = {row["name"]: row["work"] / 1000 for row in classes}
-    shares = sum(row["share"] for row in classes)
-    mean = sum(row["share"] / shares * work[row["name"]] for row in classes)
-    rate = day["traffic"]["load"] * units * kind["cores"] * 1000 / mean
-    if rate > MOST_RATE:
-        # The same load with fewer lookups: each is made so much longer.
-        stretch = rate / MOST_RATE
-        said.append(f"{MOST_RATE:g} lookups a second in place of {rate:.0f}, each {stretch:.1f} times the work")
-        work, rate = {request_class: ms * stretch for request_class, ms in work.items()}, MOST_RATE
-    request_classes = [_lane(row, said) for row in classes]
-    tenants = [
-        {
-            "name": row["name"],
-            "quota": row["quota"] * rate / max(0.01, day["traffic"]["load"]),
-            "share": row["share"],
-        }
-        for row in day["tenants"]
-    ]
+    rate, work = _rate_and_work(day, classes, endpoints * kind["cores"], changes)
+    request_classes = [_lane(row, changes) for row in classes]
+    tenants = [_tenant_settings(row, day, rate) for row in day["tenants"]]
     scale = {
-        "units": units,
+        "units": endpoints,
         "machines": machines,
-        "lanes": [request_class["name"] for request_class in request_classes],
+        "lanes": [row["name"] for row in request_classes],
         "work": work,
         "members": [row["name"] for row in tenants],
     }
-    seconds = round(min(600.0, day["length"] / 1e6), 1)
+    seconds = round(min(MAX_SECONDS, day["length"] / 1e6), 1)
     return {
         "name": name,
         "says": f"from a day of the bench, {day['site']} {day['kind']}",
         "seconds": seconds,
         "relays": relays,
-        "units": {
-            "count": units,
-            "zones": list(day["zones"]),
-            "cores": kind["cores"],
-            "waiting_room": kind["queue"],
-            "boot_ms": fam["boot"] / 1000,
-            "cold_share": kind["cold_from"],
-            "cold_ms": kind["cold"] / 1000,
-            "errors": kind["error_rate"],
-            "report_ms": day["tiers"][0]["report_period"] / 1000,
-        },
+        "units": _endpoint_settings(day, endpoints),
         "service": {
             "lanes": request_classes,
             "members": tenants,
-            "allowance": {
-                "trips": min(16, day["allow"]["max_attempts"]),
-                "calling_off": day["allow"]["cancel"],
-                "probes": day["allow"]["probes"],
-                "second_copies": day["allow"]["second_copies"],
-            },
+            "allowance": _quota(day),
             "duties": _limits(day),
             "trial": _trial(fam),
             "poll": _poll(fam, relays),
         },
-        "clients": {
-            "rate": rate,
-            "retries": day["clients"]["retries"],
-            "try_share": day["clients"]["try_share"],
-            "honour": day["clients"]["honour"],
-            "backoff_ms": day["clients"]["backoff_us"] / 1000,
-            "keys": day["traffic"]["keys"],
-            "work": [
-                {"lane": row["name"], "share": row["share"], "ms": work[row["name"]], "cv": row["cv"]}
-                for row in classes
-            ],
-        },
+        "clients": _clients(day, classes, rate, work),
         "roster": {
             "late_ms": day["discovery"]["add"] / 1000,
             "silent_ms": day["discovery"]["silent_notice"] / 1000,
@@ -186,17 +147,85 @@
         "desk": {
             "told_ms": fam["told_late"] / 1000,
             "push_ms": fam["push"] / 1000,
-            "offers": _offers(fam, request_classes, said),
+            "offers": _offers(fam, request_classes, changes),
         },
-        "events": _events(day, scale, seconds, said),
+        "events": _events(day, scale, seconds, changes),
+    }
+
+
+def _at_most(limit: int, count: int, what: str, changes: list[str]) -> int:
+    if count > limit:
+        changes.append(f"{limit} {what} in place of {count}")
+    return min(limit, count)
+
+
+def _rate_and_work(
+    day: dict[str, Any], classes: list[dict[str, Any]], cores: int, changes: list[str]
+) -> tuple[float, dict[str, float]]:
+    """Requests a second, and each class's mean work in milliseconds: the simulator's load on so many cores."""
+    work = {row["name"]: row["work"] / 1000 for row in classes}
+    shares = sum(row["share"] for row in classes)
+    mean = sum(row["share"] / shares * work[row["name"]] for row in classes)
+    rate = day["traffic"]["load"] * cores * 1000 / mean
+    if rate <= MAX_RATE:
+        return rate, work
+    # The same load with fewer requests: each is made so much longer.
+    stretch = rate / MAX_RATE
+    changes.append(f"{MAX_RATE:g} requests a second in place of {rate:.0f}, each {stretch:.1f} times the work")
+    return MAX_RATE, {name: ms * stretch for name, ms in work.items()}
+
+
+def _tenant_settings(row: dict[str, Any], day: dict[str, Any], rate: float) -> dict[str, Any]:
+    quota = row["quota"] * rate / max(0.01, day["traffic"]["load"])
+    return {"name": row["name"], "quota": quota, "share": row["share"]}
+
+
+def _endpoint_settings(day: dict[str, Any], count: int) -> dict[str, Any]:
+    tier = day["tiers"][0]
+    kind = tier["kinds"][0]
+    return {
+        "count": count,
+        "zones": list(day["zones"]),
+        "cores": kind["cores"],
+        "waiting_room": kind["queue"],
+        "boot_ms": day["fam"]["boot"] / 1000,
+        "cold_share": kind["cold_from"],
+        "cold_ms": kind["cold"] / 1000,
+        "errors": kind["error_rate"],
+        "report_ms": tier["report_period"] / 1000,
+    }
+
+
+def _quota(day: dict[str, Any]) -> dict[str, Any]:
+    allow = day["allow"]
+    return {
+        "trips": min(MAX_ATTEMPTS, allow["max_attempts"]),
+        "calling_off": allow["cancel"],
+        "probes": allow["probes"],
+        "second_copies": allow["second_copies"],
+    }
+
+
+def _clients(day: dict[str, Any], classes: list[dict[str, Any]], rate: float, work: dict[str, float]) -> dict[str, Any]:
+    clients = day["clients"]
+    return {
+        "rate": rate,
+        "retries": clients["retries"],
+        "try_share": clients["try_share"],
+        "honour": clients["honour"],
+        "backoff_ms": clients["backoff_us"] / 1000,
+        "keys": day["traffic"]["keys"],
+        "work": [
+            {"lane": row["name"], "share": row["share"], "ms": work[row["name"]], "cv": row["cv"]} for row in classes
+        ],
     }
 
 
-def _lane(row: dict[str, Any], said: list[str]) -> dict[str, Any]:
+def _lane(row: dict[str, Any], changes: list[str]) -> dict[str, Any]:
     methods = {"pure": ["GET"], "receipted": ["PUT"], "effectful": ["POST"]}
     repeat = REPEATS[row["effect"]]
     if row["stream"]:
-        said.append(f"lane {row['name']} streams on the bench; here its answers come whole")
+        changes.append(f"lane {row['name']} streams on the bench; here its answers come whole")
     return {
         "name": row["name"],
         "methods": methods[repeat],
@@ -253,7 +282,7 @@
     }
 
 
-def _offers(fam: dict[str, Any], request_classes: list[dict[str, Any]], said: list[str]) -> list[dict[str, Any]]:
+def _offers(fam: dict[str, Any], request_classes: list[dict[str, Any]], changes: list[str]) -> list[dict[str, Any]]:
     ways = {"errors", "slow", "load", "late", "wrong", "shared"}
     offers = []
     for row in fam["releases"]:
@@ -263,31 +292,33 @@
         elif row["bad"] in ways:
             offer["bad"] = row["bad"]
         elif row["bad"]:
-            said.append(f"cannot be carried over: a build that is bad by {row['bad']!r}; it is offered as a good one")
+            changes.append(
+                f"cannot be carried over: a build that is bad by {row['bad']!r}; it is offered as a good one"
+            )
         offers.append(offer)
     return offers
 
 
-def _events(day: dict[str, Any], scale: Any, seconds: float, said: list[str]) -> list[dict[str, Any]]:
+def _events(day: dict[str, Any], scale: Any, seconds: float, changes: list[str]) -> list[dict[str, Any]]:
     events = []
-    for trouble in day["troubles"]:
-        kind = trouble["kind"]
+    for fault in day["troubles"]:
+        kind = fault["kind"]
         if kind == "bad_build":
             continue  # it stands among the builds that are offered
         if kind not in MAKERS:
-            said.append(f"cannot be carried over: {kind}")
+            changes.append(f"cannot be carried over: {kind}")
             continue
-        at = trouble["at"] / 1e6
+        at = fault["at"] / 1e6
         if at > seconds:
-            said.append(f"left out: {kind}, which comes at {at:.1f} s, after the day's end")
+            changes.append(f"left out: {kind}, which comes at {at:.1f} s, after the day's end")
             continue
-        for event in MAKERS[kind](trouble, scale):
-            row = {"at": round(at, 3), "for": round(max(0.1, trouble["len"] / 1e6), 3), **event}
+        for event in MAKERS[kind](fault, scale):
+            row = {"at": round(at, 3), "for": round(max(0.1, fault["len"] / 1e6), 3), **event}
             events.append({name: value for name, value in row.items() if value is not None})
     return events
 
 
-def written(record: dict[str, Any], said: list[str]) -> str:
+def written(record: dict[str, Any], changes: list[str]) -> str:
     """The script as text, with what was changed in its head."""
-    head = [f"// {line}" for line in ["A day of the bench, for sockets.", *said]]
+    head = [f"// {line}" for line in ["A day of the bench, for sockets.", *changes]]
     return "\n".join(head) + "\n" + json.dumps(record, indent=2) + "\n"
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead day`: list, play, judge and from-bench."""
+"""The commands `lanelead scenario list`, `play`, `judge` and `from-bench`."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def scripts() -> dict[str, Path]:
-    """The days that come with lanelead, by name."""
+    """The scenarios that come with lanelead, by name."""
     folder = Path(str(files("lanelead.testbed.scenarios").joinpath("scripts")))
     return {path.stem: path for path in sorted(folder.glob("*.cue"))}
 
 
 def load(name: str) -> Day:
-    """A day by name or file. Raises SettingsError, or click.BadParameter where there is none."""
+    """A scenario by name or file. Raises SettingsError, or click.BadParameter where there is none."""
     path = scripts().get(name, Path(name))
     if not path.exists():
         raise click.BadParameter(f"no day {name}: there are {', '.join(scripts())}")
@@ -37,12 +37,12 @@
 
 @click.group()
 def scenario() -> None:
-    """Plays scripted days on loopback, and judges the five rules from what passed on the sockets."""
+    """Runs scripted scenarios on loopback, and verifies the five rules from what passed on the sockets."""
 
 
 @scenario.command("list")
 def list_() -> None:
-    """The days that come with lanelead."""
+    """The scenarios that come with lanelead."""
     for name, path in scripts().items():
         record = read(path)
         assert isinstance(record, Day)
@@ -53,18 +53,18 @@
 @click.argument("name")
 @click.option("--seed", type=click.IntRange(0), help="Another seed than the script's.")
 @click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
-@click.option("--capture", type=click.Path(file_okay=False), help="Where the capture is kept.")
+@click.option("--capture", type=click.Path(file_okay=False), help="Where the recording is kept.")
 @click.option(
     "--seam",
     type=click.Choice(["answers", "effects", "drains", "cold", "exposure", "strangers", "steps"]),
-    help="Takes that guard out of the relays, to see the judge catch it.",
+    help="Takes that guard out of the relays, to see the verifier catch it.",
 )
 @click.option("--quiet", is_flag=True, help="Only the verdict.")
 def play(name: str, seed: int | None, verdict: str | None, capture: str | None, seam: str | None, quiet: bool) -> None:
-    """Plays NAME, a day's name or file. Exits with 0: rules kept, 3: a rule broken, 2: bad input."""
+    """Runs NAME, a scenario's name or file. Exits with 0: rules kept, 3: a rule broken, 2: bad input."""
     import uvloop
 
-    from lanelead.testbed.scenarios.runner import Stage
+    from lanelead.testbed.scenarios.runner import ScenarioRunner
 
     try:
         record = load(name)
@@ -77,13 +77,13 @@
         folder = Path(capture) if capture else Path(spare)
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.glob("*.ndjson")):
-            raise click.BadParameter(f"{folder} holds a capture already")
+            raise click.BadParameter(f"{folder} holds a recording already")
 
         def say(text: str) -> None:
             if not quiet:
                 click.echo(text)
 
-        uvloop.run(Stage(record, folder, record.seed if seed is None else seed, say).run())
+        uvloop.run(ScenarioRunner(record, folder, record.seed if seed is None else seed, say).run())
         end(folder, verdict)
 
 
@@ -91,7 +91,7 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
 def judge_(folder: str, verdict: str | None) -> None:
-    """The verdict again, from a capture that was kept."""
+    """The verdict again, from a recording that was kept."""
     end(Path(folder), verdict)
 
 
@@ -99,29 +99,30 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written.")
 def from_bench(file: str, out: str) -> None:
-    """Turns FILE, a day that the bench has drawn, into a script; says what could not be carried over."""
-    from lanelead.testbed.scenarios.bench_import import NotADay, script, written
+    """Turns FILE, a day that the simulator has drawn, into a script; says what could not be carried over."""
+    from lanelead.testbed.scenarios.bench_import import NotADayError, script, written
 
     try:
-        record, said = script(Path(file).read_bytes(), Path(out).stem)
-        text = written(record, said)
+        record, changes = script(Path(file).read_bytes(), Path(out).stem)
+        text = written(record, changes)
         read_text(text, out)
-    except NotADay as fault:
-        click.echo(f"{file}: {fault}", err=True)
+    except NotADayError as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     Path(out).write_text(text)
-    for line in said:
+    for line in changes:
         click.echo(line)
 
 
 def end(folder: Path, out: str | None) -> None:
+    """Shows the verdict on a recording, writes it where asked for, and ends the process with its exit code."""
     try:
         found: Verdict = verify(folder)
-    except BadCapture as fault:
-        click.echo(str(fault), err=True)
+    except BadCapture as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     if out is not None:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=2) + b"\n")
--- a/lanelead/testbed/scenarios/processes.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -1,5 +1,5 @@
-"""The processes of a day: units by place and build, relays, clients; started, ended and hurt as the script
-says."""
+"""The processes of a scenario: endpoints by place and build, relays, clients; started, ended and disturbed as the
+script says."""
 
 from __future__ import annotations
 
@@ -44,14 +44,15 @@
     raise RuntimeError(f"no {many} ports are free")
 
 
-class Process:
+class ChildProcess:
     """One child. Only processes started here are ever signalled."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
 
     @classmethod
-    async def start(cls, name: str, errors: Path, *args: str) -> Process:
+    async def start(cls, name: str, errors: Path, *args: str) -> ChildProcess:
+        """Starts `python -m ARGS`; what it writes to standard error goes to the file `errors`."""
         with errors.open("ab") as file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -77,14 +78,17 @@
         return line.decode().strip()
 
     def order(self, **what: Any) -> None:
+        """Sends it an order as a JSON line on its standard input."""
         if self.alive and self.process.stdin is not None:
             self.process.stdin.write(json.dumps(what).encode() + b"\n")
 
     @property
     def alive(self) -> bool:
+        """Whether it has not ended yet."""
         return self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
+        """Sends it a signal, unless it has ended."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
@@ -101,58 +105,70 @@
         return self.process.returncode or 0
 
 
-class Machine:
-    """A place's machine: one process of one build, or none at the moment."""
+class EndpointProcess:
+    """An endpoint at a place: one process of one build, or none at the moment."""
 
     def __init__(self, name: str, place: int, build: Build, port: int, zone: str) -> None:
-        self.name, self.place, self.build, self.port, self.zone = name, place, build, port, zone
-        self.process: Process | None = None
+        self.name = name
+        self.place = place
+        self.build = build
+        self.port = port
+        self.zone = zone
+        self.process: ChildProcess | None = None
         self.started = 0.0
         self.wanted = True  # false once it drains or has been ended
-        self.hurt = False  # something is being done to it
+        self.disturbed = False  # a fault is being injected into it
 
 
-class Fleet:
+class EndpointFleet:
+    """All endpoints of a scenario, by name."""
+
     def __init__(self, day: records.Day, folder: Path, seed: int, roster: Roster) -> None:
-        self._day, self._folder, self._roster = day, folder, roster
+        self._day = day
+        self._folder = folder
+        self._roster = roster
         self._rng = Random(f"fleet {seed}")
         self._seed = seed
         self.tap = Tap(folder, "processes")
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, EndpointProcess] = {}
         self.builds: dict[int, Build] = {1: Build(1)}
-        self.store = 0  # the port of the store of steps, if there is one
-        self.writes: dict[int, str] = {}  # how each build files an effectful lookup there
+        self.store = 0  # the port of the migration store, if there is one
+        self.writes: dict[int, str] = {}  # how each build writes a request's effect there
         spread = day.units.speed_spread
         self._speeds = [self._rng.uniform(1 - spread, 1 + spread) for _ in range(day.units.count)]
         self._tasks: set[asyncio.Task[Any]] = set()
         self._lives = 0
 
     def task(self, what: Any) -> asyncio.Task[Any]:
+        """Runs work until the scenario ends."""
         task = asyncio.get_running_loop().create_task(what)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # Machines
+    # Endpoints
 
-    def of(self, build: int) -> list[Machine]:
+    def of(self, build: int) -> list[EndpointProcess]:
+        """The endpoints of a build that are to run."""
         return [machine for machine in self.machines.values() if machine.build.number == build and machine.wanted]
 
-    def running(self) -> list[Machine]:
-        return [m for m in self.machines.values() if m.wanted and m.process and m.process.alive and not m.hurt]
+    def running(self) -> list[EndpointProcess]:
+        """The endpoints that run undisturbed."""
+        return [m for m in self.machines.values() if m.wanted and m.process and m.process.alive and not m.disturbed]
 
     async def start_build(self, number: int, places: list[int], cold: bool) -> None:
-        """Machines with a build on the places given, listed late; returns when all run."""
+        """Endpoints with a build on the places given, listed late; returns when all run."""
         ports = free_ports(len(places))
         fresh = []
         for place, port in zip(places, ports, strict=True):
             name = f"u{place:02d}b{number}"
             zone = self._day.units.zones[place % len(self._day.units.zones)]
-            machine = self.machines[name] = Machine(name, place, self.builds[number], port, zone)
+            machine = self.machines[name] = EndpointProcess(name, place, self.builds[number], port, zone)
             fresh.append(machine)
         await asyncio.gather(*(self.start(machine, cold) for machine in fresh))
 
-    async def start(self, machine: Machine, cold: bool) -> None:
+    async def start(self, machine: EndpointProcess, cold: bool) -> None:
+        """Starts an endpoint's process; a cold one after its boot, in its slow start."""
         units, limits = self._day.units, self._day.service.duties
         if cold:
             await asyncio.sleep(units.boot_ms / 1000 * self._rng.uniform(0.5, 1.0))
@@ -189,7 +205,7 @@
             write=self.writes.get(machine.build.number, ""),
         )
         text = msgspec.json.encode(life).decode()
-        machine.process = await Process.start(
+        machine.process = await ChildProcess.start(
             machine.name, self._folder / "errors.log", "lanelead.testbed.emulators.endpoint", text
         )
         await machine.process.ready()
@@ -197,13 +213,14 @@
         self.tap.note("start", name=machine.name, pid=machine.process.process.pid, build=machine.build.number)
         self.report(machine, "ready", cold)
 
-    def _receipts(self, request_class: records.Lane, machine: Machine) -> str:
+    def _receipts(self, request_class: records.Lane, machine: EndpointProcess) -> str:
         groups = {"all": "all", "zone": machine.zone, "cell": f"cell-{machine.place // 4}"}
         folder = self._folder / "receipts" / request_class.name / groups[request_class.scope]
         folder.mkdir(parents=True, exist_ok=True)
         return str(folder)
 
-    def row(self, machine: Machine, condition: str, cold: bool = True) -> EndpointMessage:
+    def row(self, machine: EndpointProcess, condition: str, cold: bool = True) -> EndpointMessage:
+        """What discovery tells of an endpoint."""
         started = machine.started * 1000 if cold else None
         return EndpointMessage(
             machine.name,
@@ -217,10 +234,11 @@
             started,
         )
 
-    def report(self, machine: Machine, condition: str, cold: bool = True, late: float | None = None) -> None:
+    def report(self, machine: EndpointProcess, condition: str, cold: bool = True, late: float | None = None) -> None:
+        """Has discovery learn of an endpoint's condition, after `late` seconds or its usual delay."""
         self._roster.see(self.row(machine, condition, cold), late)
 
-    async def drain(self, machine: Machine, last: float) -> None:
+    async def drain(self, machine: EndpointProcess, last: float) -> None:
         """Lists it as draining, lets it finish, then ends it."""
         if not machine.wanted:
             return
@@ -230,7 +248,8 @@
         await asyncio.sleep(self._day.service.duties.drain_grace_ms / 1000 + last)
         await self.end(machine)
 
-    async def end(self, machine: Machine) -> None:
+    async def end(self, machine: EndpointProcess) -> None:
+        """Ends an endpoint's process for good."""
         machine.wanted = False
         if machine.process is not None:
             machine.process.order(do="end")
@@ -238,23 +257,23 @@
         self.tap.note("end", name=machine.name)
         self.report(machine, "gone", late=0.05)
 
-    # Troubles
+    # Faults
 
-    def choose(self, many: int, unit: int | None) -> list[Machine]:
-        """Machines to hurt, never more than a third of those that run."""
+    def choose(self, many: int, unit: int | None) -> list[EndpointProcess]:
+        """Endpoints to disturb, never more than a third of those that run."""
         running = sorted(self.running(), key=lambda machine: machine.name)
         if unit is not None:
             return [machine for machine in running if machine.place == unit]
         return self._rng.sample(running, min(many, max(1, len(running) // 3), len(running)))
 
-    def of_zone(self, zone: str, part: float) -> list[Machine]:
-        """The running machines of a zone, or a part of them."""
+    def of_zone(self, zone: str, part: float) -> list[EndpointProcess]:
+        """The running endpoints of a zone, or a part of them."""
         mine = sorted((m for m in self.running() if m.zone == zone), key=lambda machine: machine.name)
         return mine[: max(1, round(len(mine) * part))]
 
-    async def kill(self, machine: Machine, back: float) -> None:
+    async def kill(self, machine: EndpointProcess, back: float) -> None:
         """SIGKILL; it comes back cold at the same port after a time."""
-        machine.hurt = True
+        machine.disturbed = True
         assert machine.process is not None
         machine.process.signal(signal.SIGKILL)
         self.tap.note("kill", name=machine.name)
@@ -263,11 +282,11 @@
         await asyncio.sleep(back)
         if machine.wanted:
             await self.start(machine, True)
-        machine.hurt = False
+        machine.disturbed = False
 
-    async def stop(self, machine: Machine, last: float) -> None:
-        """SIGSTOP: it goes silent; the roster, which knows of processes only, may take long to see it."""
-        machine.hurt = True
+    async def stop(self, machine: EndpointProcess, last: float) -> None:
+        """SIGSTOP: it goes silent; discovery, which knows of processes only, may take long to see it."""
+        machine.disturbed = True
         assert machine.process is not None
         machine.process.signal(signal.SIGSTOP)
         self.tap.note("stop", name=machine.name)
@@ -279,19 +298,20 @@
         self.tap.note("cont", name=machine.name)
         if last > seen and machine.wanted:
             self.report(machine, "ready", False)
-        machine.hurt = False
+        machine.disturbed = False
 
-    async def fault(self, machine: Machine, kind: str, size: float, last: float) -> None:
-        machine.hurt = True
+    async def fault(self, machine: EndpointProcess, kind: str, size: float, last: float) -> None:
+        """Has an endpoint misbehave for some seconds."""
+        machine.disturbed = True
         assert machine.process is not None
         machine.process.order(do="fault", kind=kind, size=size)
         await asyncio.sleep(last)
         machine.process.order(do="mend", kind=kind)
-        machine.hurt = False
+        machine.disturbed = False
 
-    async def drain_and_return(self, machine: Machine, last: float) -> None:
-        """Upkeep: a unit drains, goes, and comes back cold."""
-        machine.hurt = True
+    async def drain_and_return(self, machine: EndpointProcess, last: float) -> None:
+        """Maintenance: an endpoint drains, goes, and comes back cold."""
+        machine.disturbed = True
         machine.wanted = False
         self.tap.note("drain", name=machine.name)
         self.report(machine, "draining", late=0.05)
@@ -299,14 +319,16 @@
         await self.end(machine)
         await asyncio.sleep(max(0.2, last - 3))
         await self.start(machine, True)
-        machine.hurt = False
+        machine.disturbed = False
 
     # Builds
 
     def needed(self, stage: int) -> int:
+        """How many endpoints a stage takes."""
         return math.ceil(self._day.service.trial.shares[stage] * self._day.units.count - 1e-6)
 
     async def close(self) -> None:
+        """Ends all work and all endpoints."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
