--- a/lanelead/http/responses.py
+++ b/lanelead/http/responses.py
@@ -11,6 +11,7 @@
 
 BODILESS_STATUSES = (204, 304)
 DEFAULT_HEAD_BYTES = 65536
+SURPLUS_BYTES = "bytes beyond the response"  # a reader's reason
 
 
 class Progress(Enum):
@@ -80,7 +81,7 @@
                 return self._broken(self.reason or str(error)[:MAX_REASON_CHARACTERS])
         if self._has_surplus:
             # Guards against a server that answers twice: which of the two responses was meant is not known.
-            return self._broken("bytes beyond the response")
+            return self._broken(SURPLUS_BYTES)
         if self.response is not None:
             return Progress.WHOLE
         self._fed_bytes += len(data)
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from lanelead.http import serialization
-from lanelead.http.responses import Progress, ResponseReader
+from lanelead.http.responses import SURPLUS_BYTES, Progress, ResponseReader
 from lanelead.settings.records import Clients, Service
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.workload import Demand, Op
@@ -84,7 +84,7 @@
             return
         progress = self._reader.feed(data)
         if progress is Progress.BROKEN:
-            if self._reader.reason == "bytes beyond the answer":
+            if self._reader.reason == SURPLUS_BYTES:
                 self._crowd.tap.note("extra", id=self.ident, relay=self.relay, bytes=len(data))
             self._over("gone", why="garbage: " + self._reader.reason)
             self._drop()
