--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -172,13 +172,13 @@
         opening = ParameterReader([*pairs_of(settings(self.size, relay.number))])
         request_classes, limits, quota = opening.request_classes(), opening.service_limits(), opening.resource_quota()
         relay.decisions = Balancer(
-            place=opening.position(),
+            position=opening.position(),
             request_classes=request_classes,
             tenants=opening.tenants(),
             quota=quota,
             limits=limits,
-            trial=opening.canary_limits(),
-            poll=opening.voting_rules(),
+            canary_limits=opening.canary_limits(),
+            voting_rules=opening.voting_rules(),
             prices=opening.prices(),
             rng=Random(f"relay {self.seed} {relay.number}"),
             now=self.now,
@@ -370,7 +370,7 @@
         the requests have the mean 1."""
         if self.size.relays <= 8:
             return {"plain": self.relays}
-        watch = max(self.hubs, self.relays[0].decisions._circle.watchers)
+        watch = max(self.hubs, self.relays[0].decisions._gossip_peers.watcher_count)
         plain = self.relays[watch:]
         return {
             "hub": self.relays[: self.hubs],
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -136,13 +136,13 @@
 ) -> Balancer:
     """As the platform's relay makes them. Lanes and members are known by the objects given here."""
     return Balancer(
-        place=told.position(),
+        position=told.position(),
         request_classes=request_classes,
         tenants=tenants,
         quota=told.resource_quota(),
         limits=told.service_limits(),
-        trial=told.canary_limits(),
-        poll=told.voting_rules(),
+        canary_limits=told.canary_limits(),
+        voting_rules=told.voting_rules(),
         prices=told.prices(),
         rng=Random(7),
         now=now,
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -49,17 +49,17 @@
 
         def seen(kind: str, relay: Hollow, goes: Any) -> None:
             nonlocal held
-            out = relay.decisions._out
+            out = relay.decisions._fleet_in_flight
             if relay is hub and kind == "beat":
-                told = [fleet.now - at for at, _ in out._told.values()]
+                told = [fleet.now - at for at, _ in out._by_peer.values()]
                 held = fmean(told) / SECOND if told else 0.0
-            elif relay in plain and kind == "take" and goes and out._at > fleet.now - SECOND:
-                self.age.append((fleet.now - out._at) / SECOND + held)
-            elif relay in plain and kind == "heard" and said.get(relay) != out._at:
-                said[relay] = out._at
-                others = hub.decisions._out._others
-                whole = {unit: others.get(unit, 0) + len(unit.out) for unit in hub.decisions._roster.ready}
-                known = {server: many + len(server.out) for server, many in out._others.items()}
+            elif relay in plain and kind == "take" and goes and out._updated_at > fleet.now - SECOND:
+                self.age.append((fleet.now - out._updated_at) / SECOND + held)
+            elif relay in plain and kind == "heard" and said.get(relay) != out._updated_at:
+                said[relay] = out._updated_at
+                others = hub.decisions._fleet_in_flight._others
+                whole = {unit: others.get(unit, 0) + len(unit.in_flight) for unit in hub.decisions._endpoints.ready}
+                known = {server: many + len(server.in_flight) for server, many in out._others.items()}
                 if used := sum(many > 0 for many in whole.values()):
                     self.units.append(sum(many > 0 for many in known.values()) / used)
                     self.trips.append(sum(known.values()) / sum(whole.values()))
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -119,9 +119,9 @@
         return float(max(count(relay) for relay in fleet.relays))
 
     return {
-        "told": most(lambda relay: len(relay.decisions._out._told)),
-        "others": most(lambda relay: len(relay.decisions._out._others)),
-        "windows": most(lambda relay: len(relay.decisions._scoring.windows.all)),
+        "told": most(lambda relay: len(relay.decisions._fleet_in_flight._by_peer)),
+        "others": most(lambda relay: len(relay.decisions._fleet_in_flight._others)),
+        "windows": most(lambda relay: len(relay.decisions._scoring.history.windows)),
         "tickets": most(lambda relay: len(relay.driver.pending)),
         "timers": most(lambda relay: len(relay.driver._timers)),
         "places": most(lambda relay: len(relay.driver.destinations)),
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -17,7 +17,7 @@
 from unittest.mock import patch
 
 from lanelead.decisions.balancer import Balancer
-from lanelead.decisions.endpoint_state import Roster
+from lanelead.decisions.endpoint_state import EndpointSet
 from lanelead.decisions.interface import (
     SECOND,
     Action,
@@ -37,7 +37,7 @@
     Tenant,
     Ticks,
 )
-from lanelead.decisions.rollout import Rollout
+from lanelead.decisions.rollout import RolloutPolicy
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.platform import VERDICTS, encode_call
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
@@ -83,13 +83,13 @@
         self._timer: Ticks | None = None
         self._calls = 0
         decisions = Balancer(
-            place=RelayPosition(number, relays, "north"),
+            position=RelayPosition(number, relays, "north"),
             request_classes=[LANE],
             tenants=[Tenant("m", 1e6, 1.0)],
             quota=ALLOWANCE,
             limits=DUTIES,
-            trial=TRIAL.figures(),
-            poll=poll.figures(),
+            canary_limits=TRIAL.figures(),
+            voting_rules=poll.figures(),
             prices=TARIFF,
             rng=rng,
             now=town.ticks(),
@@ -214,16 +214,16 @@
         """Says whether the build was released."""
         self._run(self.now + WARM)
         self.began = self.now
-        look = Rollout.look
+        look = RolloutPolicy.evaluate
 
-        def timed(rollout: Rollout, news: RolloutState, roster: Roster, now: Ticks) -> list[Action]:
+        def timed(rollout: RolloutPolicy, news: RolloutState, roster: EndpointSet, now: Ticks) -> list[Action]:
             began = time.process_time_ns()
             actions = look(rollout, news, roster, now)
             self.look_s += (time.process_time_ns() - began) / 1e9
             self.looks += 1
             return actions
 
-        with patch.object(Rollout, "look", timed):
+        with patch.object(RolloutPolicy, "evaluate", timed):
             self.desk.offer(2)
             while self.desk.phase == "trial" and self.now < self.began + LONGEST:
                 self._run(self.now + 1)
--- a/lanelead/decisions/admission.py
+++ b/lanelead/decisions/admission.py
@@ -1,153 +1,101 @@
-"""The rules' guards, whatever chooses: repeats, drains, cold units, and what goes to a build on trial."""
+"""Guards on every attempt, whatever selected its endpoint: draining, retries, slow start, and canary exposure."""
 
-from math import inf
-from random import Random
-
-from lanelead.decisions.counters import Purse, Recent, turned
-from lanelead.decisions.endpoint_state import EndpointState, Roster, Traffic, warmth
+from lanelead.decisions.counters import low_discrepancy_value
+from lanelead.decisions.endpoint_state import EndpointSet, EndpointState, warmup_fraction
+from lanelead.decisions.exposure_budget import ExposureBudget
 from lanelead.decisions.interface import (
     SECOND,
+    Attempt,
     AttemptOutcome,
-    CanaryLimits,
     DecisionParameters,
     DeduplicationScope,
     EndpointStatus,
     Idempotency,
     Request,
-    RequestClass,
     ResourceQuota,
-    RolloutPhase,
-    RolloutState,
     ServiceLimits,
     Ticks,
 )
+from lanelead.decisions.relay_traffic import RelayTraffic
 
-NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
-
-
-class Exposure:
-    def __init__(self, trial: CanaryLimits, many: bool, rng: Random) -> None:
-        self._trial, self._many, self._rng = trial, many, rng
-        self._ledgers, self._keys = dict[tuple[int, RequestClass | None], Purse](), dict[str, int]()
-        self._seen = Recent(2 * trial.window)
-        self.news: RolloutState | None = None
-
-    def hear(self, news: RolloutState) -> None:
-        self.news = news
-        if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
-            self._keys.clear()
-
-    def on_trial(self, build: int) -> bool:
-        told = self.news  # the build last told of is on trial until its release, and any later one
-        return told is None or build > told.build - (told.phase is not RolloutPhase.PROMOTED)
-
-    def _cap(self, build: int) -> float:
-        if self.news is None or build > self.news.build:  # not named yet: as in the first stage
-            return self._trial.exposure_limits[0] if self.news else 0.0
-        return self.news.exposure_limit if self.news.phase is RolloutPhase.CANARY else 0.0
-
-    def _ledger(self, build: int, request_class: RequestClass) -> Purse:
-        """Guards against hundreds of relays that each use the free number: theirs goes unused."""
-        at = build, request_class if self._trial.by_class else None
-        if at not in self._ledgers:
-            held, depth = (self._rng.random(), 2.0) if self._many else (inf, inf)
-            self._ledgers[at] = Purse(self._trial.window, held, depth)
-        return self._ledgers[at]
-
-    def take(self, request: Request, groups: dict[int, list[EndpointState]], now: Ticks) -> None:
-        """Earns a part of a trip at each build on trial, no more than its servers' share, or they fill up."""
-        for build, servers in groups.items():
-            if self.on_trial(build):
-                share = len(servers) / max(1, sum(map(len, groups.values())) - len(servers))
-                self._ledger(build, request.request_class).gain(self._cap(build), share)
-        if self._trial.sticky_keys and request.key is not None:
-            self._seen.note(request.key, now)
-
-    def _tie(self, request: Request) -> int:  # the build that has answered its key: no earlier one may
-        return self._keys.get(request.key or "", -1)
-
-    def _guards(self, build: int, request: Request) -> bool:
-        stage = self.news.stage if self.news and build == self.news.build else 0
-        return stage < self._trial.guarded_stages and request.request_class.idempotency is not Idempotency.IDEMPOTENT
-
-    def hopeless(self, request: Request) -> bool:
-        return self.on_trial(self._tie(request)) and self._guards(self._tie(request), request)
+# Outcomes of attempts that no endpoint executed.
+NOT_EXECUTED = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
-    def allows(self, build: int, request: Request, now: Ticks) -> bool:
-        if not self.on_trial(build) or build < self._tie(request):
-            return build >= self._tie(request)
-        cap, need = self._cap(build), 1.0
-        if cap <= 0 or self._guards(build, request):
-            return False
-        if self._trial.sticky_keys and request.key is not None and build != self._tie(request):
-            # Popular keys would use up the cap of lookups that may go nowhere else: they come last.
-            need, rare = 2.0, 2 * self._trial.window * (1 - cap)
-            if request.received_at - self._seen.before(request.key) < rare:
-                return False
-        purse = self._ledger(build, request.request_class)
-        return min(self._trial.uncounted_attempts + purse.least(now), purse.held) >= need
-
-    def spend(self, build: int, request: Request, now: Ticks) -> None:
-        if self.on_trial(build):
-            self._ledger(build, request.request_class).spend(now)
-
-    def done(self, build: int, request: Request) -> None:
-        if self._trial.sticky_keys and request.key and (self.news is None or build >= self.news.build):
-            self._keys[request.key] = max(build, self._tie(request))
 
+class AdmissionGuards:
+    """Says which attempts the service's rules permit."""
 
-class Guards:
     def __init__(
         self,
+        *,
         quota: ResourceQuota,
         limits: ServiceLimits,
-        exposure: Exposure,
-        roster: Roster,
-        traffic: Traffic,
-        figures: DecisionParameters,
+        exposure: ExposureBudget,
+        endpoints: EndpointSet,
+        traffic: RelayTraffic,
+        parameters: DecisionParameters,
     ) -> None:
-        self._quota, self._limits, self.exposure = quota, limits, exposure
-        self._roster, self._traffic, self._figures = roster, traffic, figures
-
-    def permitted(self, server: EndpointState, request: Request, now: Ticks) -> bool:  # again right before each trip
-        return self.open(server, request, now) and self.exposure.allows(server.build, request, now)
-
-    def open(self, server: EndpointState, request: Request, now: Ticks) -> bool:
-        ready = server.status is EndpointStatus.READY
-        return ready and self.repeatable(server, request, now) and self._cold_room(server, now)
+        self._quota = quota
+        self._limits = limits
+        self.exposure = exposure
+        self._endpoints = endpoints
+        self._traffic = traffic
+        self._parameters = parameters
+
+    def permits(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
+        """Say whether an attempt may start now; to be asked right before each attempt."""
+        return self.accepts(endpoint, request, now) and self.exposure.allows(endpoint.build, request, now)
+
+    def accepts(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
+        """Say the same, canary exposure apart."""
+        if endpoint.status is not EndpointStatus.READY:
+            return False
+        return self.may_attempt(endpoint, request, now) and self._has_slow_start_budget(endpoint, now)
 
-    def hopeful(self, request: Request, now: Ticks) -> bool:  # may a unit take it, now or in a while?
-        ready = () if self.exposure.hopeless(request) else self._roster.ready
-        return any(self.repeatable(server, request, now) for server in ready)
+    def may_be_served(self, request: Request, now: Ticks) -> bool:
+        """Say whether some ready endpoint may have a request, now or once it has capacity."""
+        if self.exposure.is_inadmissible(request):
+            return False
+        return any(self.may_attempt(endpoint, request, now) for endpoint in self._endpoints.ready)
 
-    def repeatable(self, server: EndpointState, request: Request, now: Ticks) -> bool:
+    def may_attempt(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
+        """Say whether a request's idempotency and earlier attempts allow one (more) attempt at an endpoint."""
         if request.finished or len(request.attempts) >= self._quota.max_attempts or now >= request.deadline:
             return False
-        request_class, ran = (
-            request.request_class,
-            [attempt for attempt in request.attempts if attempt.outcome not in NEVER_RAN],
-        )
-        if not self._quota.hedging and any(attempt.outcome is None for attempt in ran):
+        executed = [attempt for attempt in request.attempts if attempt.outcome not in NOT_EXECUTED]
+        if not executed:
+            return True
+        if not self._quota.hedging and any(attempt.outcome is None for attempt in executed):
             return False
-        if request_class.idempotency is not Idempotency.KEYED or not ran:
-            return request_class.idempotency is Idempotency.IDEMPOTENT or not ran
-        at, to = ran[0].endpoint, server
-        group = {
-            DeduplicationScope.ALL: True,
-            DeduplicationScope.ZONE: at.zone == to.zone,
-            DeduplicationScope.CELL: at.cell == to.cell,
-        }
-        return (
-            group[request_class.deduplication_scope]
-            and now < ran[0].sent_at + request_class.deduplication_window - self._limits.tick
-        )
-
-    def _cold_room(self, server: EndpointState, now: Ticks) -> bool:
-        """One more to a cold unit? Each keeps to its part, rounded by lots that turn, or small ones idle."""
-        warm, limits, traffic = warmth(server, self._limits, now), self._limits, self._traffic
-        sent = server.sent(now, limits.overload_time)
-        if warm >= 1 or limits.overload_time <= 0:
+        idempotency = request.request_class.idempotency
+        if idempotency is Idempotency.KEYED:
+            return self._is_deduplicated(executed[0], endpoint, now)
+        return idempotency is Idempotency.IDEMPOTENT
+
+    def _is_deduplicated(self, first: Attempt, endpoint: EndpointState, now: Ticks) -> bool:
+        """Say whether an endpoint will drop a repeat of an attempt with the same idempotency key."""
+        request_class = first.request.request_class
+        scope = request_class.deduplication_scope
+        if scope is DeduplicationScope.ZONE and first.endpoint.zone != endpoint.zone:
+            return False
+        if scope is DeduplicationScope.CELL and first.endpoint.cell != endpoint.cell:
+            return False
+        return now < first.sent_at + request_class.deduplication_window - self._limits.tick
+
+    def _has_slow_start_budget(self, endpoint: EndpointState, now: Ticks) -> bool:
+        """Say whether a warming endpoint may have one more attempt of this relay.
+
+        Each relay keeps to its part of what the endpoint may get in the overload time. Parts of an attempt are
+        rounded up or down in turn, by a low-discrepancy sequence, or small relays would never send any.
+        """
+        limits = self._limits
+        warmed = warmup_fraction(endpoint, limits, now)
+        begun = endpoint.slow_start_count(now, limits.overload_time)
+        if warmed >= 1 or limits.overload_time <= 0:
             return True
-        usual = max(traffic.done.read(now) / 4, (self._figures.relay_quota or traffic.taken.read(now) / 8) / 2)
-        budget = limits.overload_multiple / 2 * warm * usual * limits.overload_time / SECOND / len(self._roster.ready)
-        return sent + 1 <= budget + turned(server.lot, now / limits.overload_time)
+        completed = self._traffic.completed.read(now) / 4  # a second: the sum's time constant is 4 s
+        share = self._parameters.relay_quota or self._traffic.received.read(now) / 8
+        usual = max(completed, share / 2)
+        budget = limits.overload_multiple / 2 * warmed * usual * limits.overload_time / SECOND
+        budget /= len(self._endpoints.ready)
+        return begun + 1 <= budget + low_discrepancy_value(endpoint.phase_offset, now / limits.overload_time)
--- a/lanelead/decisions/balancer.py
+++ b/lanelead/decisions/balancer.py
@@ -1,346 +1,219 @@
 """All decisions of a relay, joined: docs/design.md has the mechanism, interface.py what a host does."""
 
-from collections.abc import Generator, Sequence
-from random import Random
+from collections.abc import Sequence
+from typing import Unpack
 
-from lanelead.decisions.admission import NEVER_RAN, Exposure, Guards
-from lanelead.decisions.build_scoring import FAULTS, HARD, MUTE, STRIKES, Fault, Scoring
-from lanelead.decisions.counters import Fading
-from lanelead.decisions.endpoint_selection import Choice
-from lanelead.decisions.endpoint_state import (
-    EndpointState,
-    Fares,
-    Outstanding,
-    Pacing,
-    Roster,
-    Traffic,
-    Untold,
-    state_of,
-)
-from lanelead.decisions.gossip import CIRCLE, Circle
+from lanelead.decisions.build_scoring import BUILD_FAULTS, FAILURE_WEIGHTS, FAULT_OF_OUTCOME, NO_RESPONSE, Fault
+from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
     SECOND,
-    Action,
     Attempt,
     AttemptOutcome,
-    CanaryLimits,
-    CancelAttempt,
-    CheckHealth,
     CloseIdleConnections,
-    DecisionParameters,
     Endpoint,
     EndpointRecord,
-    FailRequest,
     GossipEntry,
+    InFlightCount,
     InFlightEntry,
     LoadReport,
     OutcomeObservation,
     OutcomeTally,
     PollEndpoints,
-    Prices,
-    RejectRequest,
-    RelayPosition,
     Request,
     RequestClass,
-    ResourceQuota,
     RolloutPhase,
     RolloutState,
-    ServiceLimits,
     SetTimer,
-    StartAttempt,
-    Tenant,
     Ticks,
     UpdateScope,
-    VotingRules,
     WatchEndpoints,
-    ZonePreference,
 )
-from lanelead.decisions.request_scheduling import Journey, Journeys
-from lanelead.decisions.rollout import Rollout
-from lanelead.decisions.zone_spillover import ANYWHERE, Spill
+from lanelead.decisions.relay_parts import RelayOptions
+from lanelead.decisions.request_routing import RequestRouter
 
+RESUMED_AFTER_ATTEMPT = 3  # requests waiting for capacity that an attempt's end resumes, at most
+MIN_FLEET_RESPONSES = 10  # in a second, to measure the fleet's latency
 
-class Balancer:
-    chooses: type[Choice] = Choice
 
-    def __init__(
-        self,
-        place: RelayPosition,
-        request_classes: Sequence[RequestClass],
-        tenants: Sequence[Tenant],
-        quota: ResourceQuota,
-        limits: ServiceLimits,
-        trial: CanaryLimits,
-        poll: VotingRules,
-        prices: Prices,
-        rng: Random,
-        now: Ticks,
-        preference: ZonePreference = ANYWHERE,
-    ) -> None:
-        self.now, self.actions = now, list[Action]()
-        self._quota, self._limits, self._rng = quota, limits, rng
-        self.parameters = DecisionParameters(
-            request_classes, sum(tenant.quota for tenant in tenants), place.relay_count
-        )
-        self._rates, self._pacing = (
-            {request_class: Fading(4 * SECOND) for request_class in request_classes},
-            Pacing(SECOND, now),
-        )
-        self._roster, self._circle = Roster(), Circle(place, poll.rollback_votes, rng)
-        many = place.relay_count > CIRCLE
-        # A choice takes two to four probes: where they cost over a tenth of a lookup, letters tell instead.
-        self._asks = many and quota.health_checks and 4 * prices.health_check <= 0.1
-        self._tells, self._out = many and quota.gossip and not self._asks, Outstanding(SECOND)
-        self._spares, self._suspect = self._tells and prices.handshake > 0, max(0.02, 2.5 * prices.handshake)
-        told = many and self._circle.watches  # much is told to it: it looks less often
-        self._beat = SECOND // (5 if not told else 2 if self._circle.watchers <= CIRCLE else 1)
-        self._traffic, self._exposure = Traffic(4 * SECOND), Exposure(trial, many, rng)
-        self._scoring = Scoring(5 * SECOND, 3 * SECOND, fill=10, ripe=5 * SECOND)
-        self._rollout = Rollout(trial, poll, self._circle, self._scoring, self._traffic, rng)
-        self._spill = Spill(preference, limits, self.parameters.longest_objective, self._beat, rng)
-        self._guards = Guards(quota, limits, self._exposure, self._roster, self._traffic, self.parameters)
-        self._choice = self.chooses(
-            self._roster,
-            self._guards,
-            self._out,
-            self._traffic,
-            self.parameters,
-            quota.idle_timeout if self._spares else 0,
-            place,
-            rng,
-        )
-        self._lost, self._untold = Fading(10 * SECOND), Untold(len(Fault))
-        self._journeys = Journeys(self._send, lambda action: self.actions.append(action))
-        self._fares = Fares(4 * SECOND)
-        first = SetTimer(now + int(self._beat * rng.uniform(0.5, 1)), None)
-        self.actions += [first, WatchEndpoints(True)] if limits.subscribe else [first]
+class Balancer(RequestRouter):
+    """The decisions of one relay, as `interface.Decisions` describes them to a host."""
+
+    def __init__(self, **options: Unpack[RelayOptions]) -> None:
+        """Take the options of `RelayParts`, and ask for the first update and the endpoint list."""
+        super().__init__(**options)
+        first_update = self.now + int(self._update_interval * self._rng.uniform(0.5, 1))
+        self.actions.append(SetTimer(first_update, None))
+        if self._limits.subscribe:
+            self.actions.append(WatchEndpoints(True))
 
-    def new_endpoint(self, mark: int) -> Endpoint:
-        return EndpointState(mark, 2 * self.parameters.longest_objective, 2 * SECOND, self._rng.random())
+    def new_endpoint(self, short_id: int) -> Endpoint:
+        """Return the state of an endpoint that the host has met for the first time."""
+        return EndpointState(short_id, 2 * self.parameters.longest_objective, 2 * SECOND, self._rng.random())
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
+        """Take over an update of the endpoint list; after a failed one, ask again."""
         if update_scope is UpdateScope.FAILED:
             self.actions.append(WatchEndpoints(True) if self._limits.subscribe else PollEndpoints())
         else:
-            self._roster.apply(update_scope, records, self.now)
+            self._endpoints.apply(update_scope, records, self.now)
 
-    def rollout_updated(self, news: RolloutState) -> None:
-        self._rollout.ballot.hear(news, self.now)
-        if news.outcome is AttemptOutcome.SUCCEEDED:
-            self._exposure.hear(news)
-            self._rollout.hear(news, self.now)
+    def rollout_updated(self, rollout: RolloutState) -> None:
+        """Take over where the newest build stands, told unasked or in answer to a vote."""
+        self._rollout.votes.vote_answered(rollout, self.now)
+        if rollout.outcome is AttemptOutcome.SUCCEEDED:
+            self._exposure_budget.update(rollout)
+            self._rollout.update(rollout, self.now)
 
     def request_received(self, request: Request) -> None:
-        self._traffic.taken.add(self.now, 1)
+        """Begin to route a request."""
+        self._traffic.received.add(self.now, 1)
         self._rates[request.request_class].add(self.now, 1)
-        self._exposure.take(request, self._roster.groups, self.now)
-        self._journeys.begin(request, self._journey(request))
+        self._exposure_budget.earn(request, self._endpoints.ready_by_build, self.now)
+        self._scheduler.start(request, self._route(request))
 
     def response_started(self, attempt: Attempt) -> None:
+        """Note that a response streams to the client: the request is not hedged any more."""
         attempt.streaming = True
-        self._journeys.hold(attempt.request)  # it belongs to the client now: no second copy
+        self._scheduler.cancel_timer(attempt.request)
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
     ) -> None:
-        request, server, attempt.outcome = attempt.request, state_of(attempt.endpoint), outcome
-        server.out.pop(attempt, None)
-        self._learn(attempt, server, outcome, took)
-        self._lost.add(self.now, outcome in MUTE)
-        self._let_go(server)
+        """Learn from an attempt, and go on with its request and with some that wait for capacity.
+
+        `closed`: its request has its answer. `took`: its time in ticks.
+        """
+        request = attempt.request
+        endpoint = state_of(attempt.endpoint)
+        attempt.outcome = outcome
+        endpoint.in_flight.pop(attempt, None)
+        self._learn(attempt, endpoint, outcome, took)
+        self._lost_attempts.add(self.now, outcome in NO_RESPONSE)
+        self._close_idle_after_loss(endpoint)
         if closed:
             self.client_left(request)
         elif not request.finished:
-            self._journeys.go_on(request, attempt)
-        for request in self._journeys.worthiest(3):
-            self._journeys.go_on(request)
+            self._scheduler.resume(request, attempt)
+        for waiting in self._scheduler.highest_priority(RESUMED_AFTER_ATTEMPT):
+            self._scheduler.resume(waiting)
 
     def timer_fired(self, request: Request | None) -> None:
+        """Resume a request, or with None update the relay itself."""
         if request is None:
-            self._tick()
-        elif self._journeys.due(request, self.now):
-            self._journeys.go_on(request)
-
-    def gossip_received(self, peer: int, words: Sequence[GossipEntry]) -> None:
-        if loads := [word for word in words if isinstance(word, InFlightEntry)]:
-            self._out.hear(peer if self._circle.hub else None, loads, self.now)
-        for word in words:
-            self._pacing.hear(peer, word, self.now)
-        for seen in (word for word in words if isinstance(word, OutcomeObservation)):
-            faults = {fault: many for fault, many in zip(Fault, seen.faults, strict=True) if many}
-            self._count(
-                state_of(seen.endpoint), seen.request_class, faults, seen.outcomes, self._circle.passes_on(peer)
-            )
-
-    def _count(
-        self, server: EndpointState, request_class: RequestClass, faults: dict[Fault, int], outcomes: int, tell: bool
+            self._update()
+        elif self._scheduler.is_due(request, self.now):
+            self._scheduler.resume(request)
+
+    def gossip_received(self, peer: int, entries: Sequence[GossipEntry]) -> None:
+        """Take over what a peer reports; an aggregator forwards outcomes."""
+        in_flight = [entry for entry in entries if isinstance(entry, InFlightEntry)]
+        if in_flight:
+            sender = peer if self._gossip_peers.is_aggregator else None
+            self._fleet_in_flight.receive(sender, in_flight, self.now)
+        for entry in entries:
+            self._latency_estimator.receive(peer, entry, self.now)
+        for entry in entries:
+            if isinstance(entry, OutcomeObservation):
+                faults = {fault: count for fault, count in zip(Fault, entry.faults, strict=True) if count}
+                endpoint = state_of(entry.endpoint)
+                forward = self._gossip_peers.forwards_from(peer)
+                self._record_outcomes(endpoint, entry.request_class, faults, entry.outcomes, forward)
+
+    def complaint_received(self, endpoint: Endpoint, request_class: RequestClass, age: Ticks) -> None:
+        """Count a client's report that an endpoint's answer was wrong; the outcome itself was counted before."""
+        self._record_outcomes(state_of(endpoint), request_class, {Fault.WRONG_ANSWER: 1}, 0, True)
+
+    def tally_received(self, tally: OutcomeTally) -> None:
+        """Ignore a platform's tally: what the relays saw themselves is fresher."""
+
+    def health_checked(
+        self, endpoint: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None
     ) -> None:
-        self._spill.note(server, outcomes, sum(n for f, n in faults.items() if f not in HARD), self.now)
-        if self._spill.troubled(server):
-            faults = {fault: many for fault, many in faults.items() if fault in HARD}
-        self._scoring.record(server, request_class, faults, self.now, outcomes)
-        self._traffic.busy.add(self.now, outcomes - faults.get(Fault.BROKEN, 0))  # quick errors are no work
-        if tell and self._quota.gossip:
-            self._untold.note(server, request_class, outcomes, [faults.get(fault, 0) for fault in Fault])
-
-    def complaint_received(self, unit: Endpoint, request_class: RequestClass, age: Ticks) -> None:
-        self._count(state_of(unit), request_class, {Fault.WRONG: 1}, 0, True)
+        """Estimate an endpoint's wait from a health check, and resume the requests that wait for one.
 
-    def tally_received(self, counted: OutcomeTally) -> None: ...
-
-    def health_checked(self, unit: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None) -> None:
+        The wait is the check's own time, or waiting requests over throughput where the report has both.
+        """
+        state = state_of(endpoint)
         if outcome is AttemptOutcome.SUCCEEDED and report:
-            state_of(unit).told, fair = self.now, self.parameters.total_quota / max(1, len(self._roster.ready))
-            queue = report.get("waiting", 0) / max(report["rps"], fair) if report.get("rps") else 0
-            state_of(unit).wait = max(took, int(queue * SECOND))  # a deep probe has waited itself
-        self._lost.add(self.now, outcome is AttemptOutcome.CONNECT_FAILED)
-        for request in list(self._journeys.asking):
-            self._journeys.go_on(request)
-        self._let_go(state_of(unit))
-
-    def _let_go(self, server: EndpointState) -> None:
-        """Guards against connections that drop unseen: many lost trips end all; if dear, one its unit's."""
-        many = self._lost.read(self.now) > self._suspect * self._traffic.taken.read(self.now)
-        if not server.out and (server.mute if self._spares else many):
-            self.actions.append(CloseIdleConnections(server))
-
-    def _tick(self) -> None:
-        times = self._rollout.due, self.now + self._beat  # 'on' is voted right when due
+            state.health_checked_at = self.now
+            fair_rate = self.parameters.total_quota / max(1, len(self._endpoints.ready))
+            queue = report.get("waiting", 0) / max(report["rps"], fair_rate) if report.get("rps") else 0
+            state.estimated_wait = max(took, int(queue * SECOND))
+        self._lost_attempts.add(self.now, outcome is AttemptOutcome.CONNECT_FAILED)
+        for request in list(self._scheduler.awaiting_health_check):
+            self._scheduler.resume(request)
+        self._close_idle_after_loss(state)
+
+    def _close_idle_after_loss(self, endpoint: EndpointState) -> None:
+        """Close idle connections to an endpoint where many may have dropped unseen.
+
+        Once many attempts were lost, that is any endpoint; where handshakes are dear, only one that did not respond.
+        """
+        received = self._traffic.received
+        many_lost = self._lost_attempts.read(self.now) > self._max_loss_share * received.read(self.now)
+        suspect = endpoint.unresponsive if self._saves_connections else many_lost
+        if suspect and not endpoint.in_flight:
+            self.actions.append(CloseIdleConnections(endpoint))
+
+    def _update(self) -> None:
+        """Send gossip, update the zones' shares, and vote; done at each interval, and when a promotion is due."""
+        times = (self._rollout.promotion_due_at, self.now + self._update_interval)
         self.actions.append(SetTimer(min(at for at in times if at > self.now), None))
-        news, ready = self._exposure.news, self._roster.ready
-        loads, in_all = self._out.own(ready) if self._tells else [], list[GossipEntry]()
-        out: list[GossipEntry] = [*loads, self._pacing.own(self._rng, self.now)] if loads else []
-        if self._tells and self._circle.hub:
-            in_all += (totals := self._out.add(loads, self.now))
-            in_all += self._pacing.measure(sum(load.attempts for load in totals), 10, self.now)
-        self.actions += self._circle.letters(self._untold.take(), out, in_all)
-        trial = news is not None and news.phase is RolloutPhase.CANARY
-        self._spill.beat(ready, self._traffic.taken.read(self.now), trial, self.now)
-        if news is not None:
-            self.actions += self._rollout.look(news, self._roster, self.now)
-
-    def _learn(self, attempt: Attempt, server: EndpointState, outcome: AttemptOutcome, took: Ticks) -> None:
+        self._send_gossip()
+        rollout = self._exposure_budget.rollout
+        is_canary = rollout is not None and rollout.phase is RolloutPhase.CANARY
+        self._spillover.update(self._endpoints.ready, self._traffic.received.read(self.now), is_canary, self.now)
+        if rollout is not None:
+            self.actions += self._rollout.evaluate(rollout, self._endpoints, self.now)
+
+    def _send_gossip(self) -> None:
+        own_counts = list[InFlightCount]()
+        in_flight = list[GossipEntry]()
+        totals = list[GossipEntry]()
+        if self._reports_in_flight:
+            own_counts = self._fleet_in_flight.own_counts(self._endpoints.ready)
+            if own_counts:
+                in_flight = [*own_counts, self._latency_estimator.own_count(self._rng, self.now)]
+            if self._gossip_peers.is_aggregator:
+                counts = self._fleet_in_flight.aggregate(own_counts, self.now)
+                total = sum(count.attempts for count in counts)
+                totals = [*counts, *self._latency_estimator.measure(total, MIN_FLEET_RESPONSES, self.now)]
+        self.actions += self._gossip_peers.messages(self._observations.take(), in_flight, totals)
+
+    def _learn(self, attempt: Attempt, endpoint: EndpointState, outcome: AttemptOutcome, took: Ticks) -> None:
+        """Learn from an attempt's outcome, unless this relay itself ended it."""
         if outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
             return
-        request_class, (ended, timely) = (
-            attempt.request.request_class,
-            self._fares[attempt.request.tenant, attempt.request.request_class],
-        )
-        fault = FAULTS.get(outcome, Fault.SLOW if took > request_class.latency_objective else None)
+        request_class = attempt.request.request_class
+        is_late = took > request_class.latency_objective
+        fault = FAULT_OF_OUTCOME.get(outcome, Fault.LATE if is_late else None)
+        ended, timely = self._timeliness[attempt.request.tenant, request_class]
         ended.add(self.now, 1)
-        timely.add(self.now, fault in (None, *HARD))
-        # Guards against clients in haste: a time-out before the expected time is nobody's fault.
+        timely.add(self.now, fault is None or fault in BUILD_FAULTS)
         if outcome is AttemptOutcome.TIMED_OUT and took < request_class.latency_objective:
-            return
-        self._count(server, request_class, {fault: 1} if fault else {}, 1, True)
-        server.mute = outcome in MUTE
-        self._pacing.note(not server.mute, self.now)
-        self._choice.note(server, STRIKES.get(outcome, 0.0), self.now)
+            return  # a client that waits for less than the latency objective: nobody's fault
+        self._record_outcomes(endpoint, request_class, {fault: 1} if fault else {}, 1, True)
+        endpoint.unresponsive = outcome in NO_RESPONSE
+        self._latency_estimator.record_answers(not endpoint.unresponsive, self.now)
+        self._selector.record_outcome(endpoint, FAILURE_WEIGHTS.get(outcome, 0.0), self.now)
         if outcome is AttemptOutcome.SUCCEEDED:
-            self._exposure.done(server.build, attempt.request)
-            server.done.add(self.now, 1)
-            self._traffic.done.add(self.now, 1)
-            server.pace.add(self.now, took / request_class.latency_objective)
+            self._exposure_budget.record_success(endpoint.build, attempt.request)
+            endpoint.completion_rate.add(self.now, 1)
+            self._traffic.completed.add(self.now, 1)
+            endpoint.relative_latency.add(self.now, took / request_class.latency_objective)
 
-    def _may(self, server: EndpointState, request: Request) -> bool:  # asked again right before each trip
-        return self._guards.permitted(server, request, self.now)
-
-    def _pair(self, request: Request, asked: Sequence[EndpointState] = ()) -> list[EndpointState]:
-        cuts = self._spill.cuts(self._roster.groups, request)
-        return self._choice.pair(cuts, request, self._rollout.lean(), self.now, asked)
-
-    def _ask(
-        self, request: Request, pair: list[EndpointState], until: Ticks
-    ) -> Generator[Ticks, None, EndpointState | None]:
-        asked, began, step = list[EndpointState](), self.now, max(1, (until - self.now) // 2)
-        short = min(request.request_class.latency_objective, request.deadline - self.now) // 4
-        while self.now < until and pair:
-            self.actions += [CheckHealth(server) for server in pair]
-            asked += pair
-            pause, wait, best = min(until, self.now + step), 0, None
-            while self.now < pause and (best is None or wait > min(step, short)):
-                self._journeys.asking[request] = None
-                yield pause
-                told = (server for server in asked if server.told > began and self._may(server, request))
-                best = min(told, key=lambda server: server.wait, default=None)
-                wait = best.wait if best else 0
-            if best and wait < short:
-                return best
-            pair = self._pair(request, asked)
-        return None
-
-    def _journey(self, request: Request) -> Journey:
-        request_class = request.request_class
-        copy_at = request.received_at + request_class.latency_objective // 2
-        give_up = min(request.deadline - self._limits.tick, request.received_at + request_class.latency_objective // 6)
-        while not self._forlorn(request):
-            waiting = self._journeys.waiting.values() if self.now < give_up else ()
-            pair = [] if any(other > request_class.priority_weight for other in waiting) else self._pair(request)
-            server = next(iter(pair), None)
-            if pair and self._thin() and self.now < give_up:
-                server = yield from self._ask(request, pair, give_up)
-            if server is not None:
-                yield server
-            elif self.now < give_up and self._guards.hopeful(request, self.now):
-                self._journeys.waiting[request] = request_class.priority_weight
-                yield give_up
-            else:
-                break
-            while any(attempt.outcome is None for attempt in request.attempts):
-                yield copy_at if self.now < copy_at and self._quota.hedging else request.deadline
-                few = self._traffic.copies.read(self.now) < 0.1 * self._traffic.taken.read(self.now)
-                pair = self._pair(request) if few and self.now >= copy_at else []
-                if pair and request.attempts[-1].outcome is None and pair[0] is not request.attempts[-1].endpoint:
-                    self._traffic.copies.add(self.now, 1)
-                    yield pair[0]
-        self._give_up(request)
-
-    def _forlorn(self, request: Request) -> bool:
-        """Guards against work late whatever is done: a member's lane seldom timely is sent in part."""
-        ended, timely = (fare.read(self.now) for fare in self._fares[request.tenant, request.request_class])
-        if (took := self._pacing.took(self.now)) is None:  # no hub tells: what was seen here counts
-            return self._rng.random() > 3 * (1 + timely) / (1 + 2 * ended)
-        excess = 1 - 0.75 * self.parameters.shortest_objective / max(1, took)  # a mean, about which trips are spread
-        rates = {request_class: rate.read(self.now) for request_class, rate in self._rates.items()}
-        less = sum(
-            rate
-            for request_class, rate in rates.items()
-            if request_class.priority_weight < request.request_class.priority_weight
-        )
-        return self._rng.random() * rates[request.request_class] < excess * sum(rates.values()) - less
-
-    def _thin(self) -> bool:  # one of many, with less than a lookup for each server in an expected time
-        requests = self._traffic.taken.read(self.now) * self.parameters.longest_objective / (4 * SECOND)
-        return self._asks and requests < len(self._roster.ready)
-
-    def _send(self, request: Request, server: EndpointState) -> None:
-        if not self._may(server, request):
-            return
-        attempt = Attempt(request, server, len(request.attempts), self.now, max(1, request.deadline - self.now))
-        request.attempts.append(attempt)
-        server.out[attempt] = None
-        self._exposure.spend(server.build, request, self.now)
-        self._spill.spend(server)
-        server.cold_sends.append(self.now)
-        self.actions.append(StartAttempt(attempt))
-
-    def _give_up(self, request: Request) -> None:
-        over = 0.5 + self._traffic.shed.read(self.now) / max(1, self._traffic.taken.read(self.now))
-        advice = int(over * self.parameters.longest_objective * self._rng.uniform(0.5, 1.5))  # spread, or all come
-        advice = min(advice, self._quota.advises_retry * self._quota.max_retry_after)
-        ran = any(
-            attempt.outcome not in NEVER_RAN for attempt in request.attempts
-        )  # a shed reply promises that none did
-        self.actions.append(FailRequest(request) if ran else RejectRequest(request, advice))
-        self._traffic.shed.add(self.now, not ran)
-        self.client_left(request)
-
-    def client_left(self, request: Request) -> None:
-        if request.finished:
-            return
-        request.finished = True
-        self._spill.left(request)
-        self._journeys.end(request)
-        for attempt in request.attempts:
-            if attempt.outcome is None and self._quota.may_cancel and not attempt.streaming:
-                self.actions.append(CancelAttempt(attempt))
+    def _record_outcomes(
+        self, endpoint: EndpointState, request_class: RequestClass, faults: dict[Fault, int], outcomes: int, send: bool
+    ) -> None:
+        """Count outcomes that this relay saw or a peer reported; `send`: peers are to hear of them.
+
+        In a zone that is partly gone only what no load explains is held against a build.
+        """
+        load_faults = sum(count for fault, count in faults.items() if fault not in BUILD_FAULTS)
+        self._spillover.record_outcomes(endpoint, outcomes, load_faults, self.now)
+        if self._spillover.is_degraded(endpoint):
+            faults = {fault: count for fault, count in faults.items() if fault in BUILD_FAULTS}
+        self._scoring.record(endpoint, request_class, faults, self.now, outcomes)
+        self._traffic.served.add(self.now, outcomes - faults.get(Fault.ERROR, 0))  # quick errors are no work
+        if send and self._quota.gossip:
+            self._observations.add(endpoint, request_class, outcomes, [faults.get(fault, 0) for fault in Fault])
--- a/lanelead/decisions/build_scoring.py
+++ b/lanelead/decisions/build_scoring.py
@@ -1,109 +1,188 @@
-"""The source's score of a build on trial: z against the earlier build x decay x percentile x weight."""
+"""Scores a canary build: z score against the earlier build x decay x percentile x weight of the fault.
+
+The score is that of "Aegis" (docs/design.md names the paper, and says what was changed).
+"""
 
 from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 from enum import Enum
+from typing import TypeAlias
 
-from lanelead.decisions.counters import Window, Windows, filled, percentile, pooled, shares, tally, tamed, z_score
 from lanelead.decisions.endpoint_state import EndpointState
 from lanelead.decisions.interface import AttemptOutcome, EndpointStatus, RequestClass, Ticks
+from lanelead.decisions.outcome_windows import (
+    OutcomeHistory,
+    OutcomeWindow,
+    count_faults,
+    fault_shares,
+    merge_to_minimum,
+    percentile_rank,
+    pool_by_class,
+    winsorized_totals,
+    z_score,
+)
 
-FULL = 200  # outcomes in the fullest window that a deviation is taken for
+FULL_WINDOW_OUTCOMES = 200  # outcomes in the fullest window that a deviation is taken for
+MIN_Z_SCORE = 2  # a lower one is no anomaly
+MAX_ENDPOINT_SCORE = 6.0  # twice the margin for a rollback
 
 
 class Fault(Enum):
-    BROKEN = 10.0  # errors: what a build does wrong whatever its server's load
-    WRONG = 10.1  # answers that a client found wrong
-    SLOW = 1.0  # late answers: a build's doing, or a neighbour's, or the load's
-    SILENT = 1.01  # time-outs: the same, or a connection's that was dropped unseen
-    SHUT = 0.01  # turned away, unreachable, cut: the machine's doing or the load's, hardly ever the build's
-    __hash__ = object.__hash__  # they are looked up for every outcome told
-
-
-FAULTS = dict.fromkeys((AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET), Fault.SHUT)
-FAULTS |= {AttemptOutcome.TIMED_OUT: Fault.SILENT, AttemptOutcome.ERROR: Fault.BROKEN}
-STRIKES = {
+    """Kinds of fault; the value is the weight, by how much such a fault is the build's own doing."""
+
+    ERROR = 10.0  # what a build does wrong whatever its endpoint's load
+    WRONG_ANSWER = 10.1  # as a client reported
+    LATE = 1.0  # a build's doing, or a noisy neighbour's, or the load's
+    TIMED_OUT = 1.01  # the same, or a connection that was dropped unseen
+    UNAVAILABLE = 0.01  # rejected, unreachable, reset: hardly ever the build's doing
+    __hash__ = object.__hash__  # fast: faults are looked up for every outcome
+
+
+FAULT_OF_OUTCOME = {
+    AttemptOutcome.REJECTED: Fault.UNAVAILABLE,
+    AttemptOutcome.CONNECT_FAILED: Fault.UNAVAILABLE,
+    AttemptOutcome.RESET: Fault.UNAVAILABLE,
+    AttemptOutcome.TIMED_OUT: Fault.TIMED_OUT,
+    AttemptOutcome.ERROR: Fault.ERROR,
+}
+FAILURE_WEIGHTS = {  # of an outcome, for the ejection of its endpoint
     AttemptOutcome.CONNECT_FAILED: 2.0,
     AttemptOutcome.RESET: 1.0,
     AttemptOutcome.ERROR: 1.0,
     AttemptOutcome.TIMED_OUT: 1.0,
 }
-HARD, MUTE = (
-    (Fault.BROKEN, Fault.WRONG),
-    (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET),
-)
-View = Window[EndpointState, Fault]
+BUILD_FAULTS = (Fault.ERROR, Fault.WRONG_ANSWER)  # whatever the load
+NO_RESPONSE = (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET)
+EndpointWindow: TypeAlias = OutcomeWindow[EndpointState, Fault]
 
 
-class Scoring:
-    def __init__(self, span: Ticks, scale: Ticks, fill: int, ripe: Ticks) -> None:
-        self._span, self._scale, self._fill, self._ripe = span, scale, fill, ripe
-        self.windows, self._before = Windows[EndpointState, Fault](4 * span), dict[RequestClass | None, View]()
+@dataclass(slots=True, frozen=True)
+class CanaryScore:
+    """How badly a canary does."""
+
+    margin: float  # its score above the earlier builds', as endpoints and as a whole
+    mean: float  # the mean score of its endpoints
+
+
+class BuildScoring:
+    """Keeps outcomes by endpoint, and scores the canary against the earlier builds."""
+
+    def __init__(self, *, span: Ticks, decay_time: Ticks, min_outcomes: int, maturity: Ticks) -> None:
+        """Start with no outcomes.
+
+        `span` is the stretch that is scored; a score halves when `decay_time` has passed since the change. Windows
+        are merged until they hold `min_outcomes`. Lateness counts once an endpoint was listed for `maturity`.
+        """
+        self._span = span
+        self._decay_time = decay_time
+        self._min_outcomes = min_outcomes
+        self._maturity = maturity
+        self.history = OutcomeHistory[EndpointState, Fault](4 * span)
+        self._baseline = dict[RequestClass | None, EndpointWindow]()
+        self._canary = 0  # its build
         self.stage_start: Ticks = 0
-        self._trial, self.seen = 0, 0  # outcomes of the stage at the build on trial
+        self.stage_outcomes = 0  # outcomes of the stage at the canary
 
-    def begin(self, trial: int, start: Ticks) -> None:
-        self._trial, self.stage_start, self.seen = trial, start, 0
-        self._before = pooled(w for w in self._earlier(start - 2 * self._span) if w.start < start)
+    def start_stage(self, canary: int, start: Ticks) -> None:
+        """Begin a stage of a canary build; the earlier build's last outcomes become the baseline."""
+        self._canary = canary
+        self.stage_start = start
+        self.stage_outcomes = 0
+        earlier = self._earlier_windows(start - 2 * self._span)
+        self._baseline = pool_by_class(window for window in earlier if window.start < start)
 
     def record(
-        self, server: EndpointState, request_class: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
+        self, endpoint: EndpointState, request_class: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
     ) -> None:
-        # Coldness makes a server slow, but never wrong: only slowness goes unscored until it is ripe.
-        ripe = now - server.listed >= self._ripe
-        scored = {fault: many for fault, many in faults.items() if ripe or fault in HARD}
-        self.windows.add(server, request_class, outcomes, scored, now)
-        self.seen += outcomes if server.build >= self._trial else 0
+        """Count outcomes; a warming endpoint is late, but never wrong, so only its lateness goes unscored."""
+        mature = now - endpoint.listed_at >= self._maturity
+        scored = {fault: count for fault, count in faults.items() if mature or fault in BUILD_FAULTS}
+        self.history.add(endpoint, request_class, outcomes, scored, now)
+        if endpoint.build >= self._canary:
+            self.stage_outcomes += outcomes
 
-    def _earlier(self, start: Ticks) -> Iterable[View]:
-        return (w for w in self.windows.since(start) if w.build < self._trial)
+    def _earlier_windows(self, start: Ticks) -> Iterable[EndpointWindow]:
+        return (window for window in self.history.since(start) if window.build < self._canary)
 
     def _score(
-        self, faults: int, outcomes: int, fault: Fault, base: View | None, gap: Ticks, among: list[float]
+        self,
+        faults: int,
+        outcomes: int,
+        fault: Fault,
+        baseline: EndpointWindow | None,
+        age: Ticks,
+        shares: Sequence[float],
     ) -> float:
-        if base is None or not base.outcomes or not outcomes:
+        """Return the score of a kind of fault; `age` is the time since the change, `shares` those to rank among."""
+        if baseline is None or not baseline.outcomes or not outcomes:
+            return 0.0
+        # Errors apart, one more fault than was seen: a thin baseline without any makes a few look like many.
+        baseline_faults = baseline.faults.get(fault, 0) + (fault is not Fault.ERROR)
+        mean = baseline_faults / (baseline.outcomes + 1)
+        z = z_score(faults, outcomes, mean, FULL_WINDOW_OUTCOMES)
+        if z <= MIN_Z_SCORE:
             return 0.0
-        # One stray fault more than seen, errors apart: a thin baseline makes a few look like many.
-        mean = (base.faults.get(fault, 0) + (fault is not Fault.BROKEN)) / (base.outcomes + 1)
-        z, decay = z_score(faults, outcomes, mean, FULL), self._scale / (gap + self._scale)
-        return z * decay * percentile(faults / outcomes, among) * fault.value if z > 2 else 0.0
-
-    def read(self, servers: Sequence[EndpointState], now: Ticks, span: Ticks = 0) -> tuple[float, float]:
-        """The margin of the trial servers' mean score over the earlier ones', and that mean itself."""
-        judged = dict.fromkeys(servers, 0.0)
-        recent = self.windows.since(now - (span or self._span))
-        every = filled((w for w in recent if w.server in judged and w.build == w.server.build), self._fill)
-        if not any(block.faults for block in every):
-            return 0.0, 0.0
-        base, ranks = self._before or pooled(self._earlier(now - 2 * self._span)), shares(every)
-        for block in every:
-            gap = max(0, now - (block.server.started_at if block.build >= self._trial else self.stage_start))
-            for fault, many in block.faults.items():
-                of_lane, among = base.get(block.lane), ranks[block.lane, fault]
-                judged[block.server] += self._score(many, block.outcomes, fault, of_lane, gap, among)
-        new = [score for server, score in judged.items() if server.build == self._trial]
-        old = [score for server, score in judged.items() if server.build < self._trial]
-        # Guards against a trouble of one machine that carries the mean: none counts for twice the margin.
-        mean = sum(min(score, 6.0) for score in new) / max(1, len(new))
-        return mean - sum(old) / max(1, len(old)) + self._whole(every, base.get(None), now), mean
-
-    def _whole(self, blocks: list[View], base: View | None, now: Ticks) -> float:
-        """The same of the builds as wholes: guards against faults spread too thinly for one server."""
-        total, some_old = 0.0, any(block.build < self._trial for block in blocks)
-        # With no earlier server left to compare with, slowness is as likely the load's doing.
-        for fault in Fault if some_old else HARD:
-            counts = tally(blocks, fault)
-            parts = sorted(faults / many for faults, many in counts.values())
-            for sign, new in ((1, True), (-1, False)):
-                side = {server: n for server, n in counts.items() if (server.build == self._trial) is new}
-                faults, many = tamed(side, len(side) - len(side) // 4 - (len(side) > 1))
-                starts = [server.started_at if new else self.stage_start for server in side] or [now]
-                gap = max(0, now - sum(starts) // len(starts))
-                total += sign * self._score(faults, many, fault, base, gap, parts)
+        decay = self._decay_time / (age + self._decay_time)
+        return z * decay * percentile_rank(faults / outcomes, shares) * fault.value
+
+    def score(self, endpoints: Sequence[EndpointState], now: Ticks, span: Ticks = 0) -> CanaryScore:
+        """Score the canary's endpoints against the earlier builds', over the last `span` (0: the usual one)."""
+        scores = dict.fromkeys(endpoints, 0.0)
+        recent = self.history.since(now - (span or self._span))
+        current = (window for window in recent if window.endpoint in scores and window.build == window.endpoint.build)
+        merged = merge_to_minimum(current, self._min_outcomes)
+        if not any(window.faults for window in merged):
+            return CanaryScore(0.0, 0.0)
+        baseline = self._baseline or pool_by_class(self._earlier_windows(now - 2 * self._span))
+        shares = fault_shares(merged)
+        for window in merged:
+            changed_at = window.endpoint.started_at if window.build >= self._canary else self.stage_start
+            age = max(0, now - changed_at)
+            class_baseline = baseline.get(window.request_class)
+            for fault, count in window.faults.items():
+                class_shares = shares[window.request_class, fault]
+                scores[window.endpoint] += self._score(count, window.outcomes, fault, class_baseline, age, class_shares)
+        canary = [score for endpoint, score in scores.items() if endpoint.build == self._canary]
+        earlier = [score for endpoint, score in scores.items() if endpoint.build < self._canary]
+        # One endpoint in trouble must not carry the mean.
+        mean = sum(min(score, MAX_ENDPOINT_SCORE) for score in canary) / max(1, len(canary))
+        margin = mean - sum(earlier) / max(1, len(earlier)) + self._score_as_whole(merged, baseline.get(None), now)
+        return CanaryScore(margin, mean)
+
+    def _score_as_whole(self, windows: list[EndpointWindow], baseline: EndpointWindow | None, now: Ticks) -> float:
+        """Return the margin of the builds as wholes: it shows faults spread too thinly for any one endpoint.
+
+        With no earlier endpoint left to compare with, lateness is as likely the load's doing, and not scored.
+        """
+        total = 0.0
+        has_earlier = any(window.build < self._canary for window in windows)
+        for fault in Fault if has_earlier else BUILD_FAULTS:
+            counts = count_faults(windows, fault)
+            shares = sorted(faults / outcomes for faults, outcomes in counts.values())
+            for sign, is_canary in ((1, True), (-1, False)):
+                side = {
+                    endpoint: count
+                    for endpoint, count in counts.items()
+                    if (endpoint.build == self._canary) is is_canary
+                }
+                kept = len(side) - len(side) // 4 - (len(side) > 1)
+                faults, outcomes = winsorized_totals(side, kept)
+                changes = [endpoint.started_at if is_canary else self.stage_start for endpoint in side] or [now]
+                age = max(0, now - sum(changes) // len(changes))
+                total += sign * self._score(faults, outcomes, fault, baseline, age, shares)
         return total
 
-    def slowness(self, now: Ticks, build: int = 0) -> tuple[int, int]:
-        """Slow answers and outcomes lately from a build on; the worst quarter of servers as the next best."""
-        ready = (w for w in self.windows.since(now - self._span) if w.server.status is EndpointStatus.READY)
-        ripe = (w for w in ready if not build or w.start >= w.server.listed + self._ripe)  # as scored
-        counts = tally((w for w in ripe if w.outcomes and w.build >= build), Fault.SLOW)
-        return tamed(counts, len(counts) - len(counts) // 4)
+    def late_counts(self, now: Ticks, min_build: int = 0) -> tuple[int, int]:
+        """Return late responses and outcomes of the last span, with the worst quarter of endpoints winsorized.
+
+        With `min_build`, only of builds from that one on, and only of windows that were mature.
+        """
+        recent = (
+            window for window in self.history.since(now - self._span) if window.endpoint.status is EndpointStatus.READY
+        )
+        mature = (
+            window for window in recent if not min_build or window.start >= window.endpoint.listed_at + self._maturity
+        )
+        counted = (window for window in mature if window.outcomes and window.build >= min_build)
+        counts = count_faults(counted, Fault.LATE)
+        return winsorized_totals(counts, len(counts) - len(counts) // 4)
--- a/lanelead/decisions/counters.py
+++ b/lanelead/decisions/counters.py
@@ -1,199 +1,118 @@
-"""Plain sums: one that decays, an exact account over a window, counts by the second, and a rank."""
+"""Sums that forget: an exponentially decaying sum, budgets over a sliding window, and recently seen keys.
+
+Times are `Ticks`, tenths of a millisecond. Nothing here decides.
+"""
 
 from __future__ import annotations
 
-from bisect import bisect_left, bisect_right
 from collections import deque
-from collections.abc import Iterable, Iterator, Mapping, Sequence
-from dataclasses import dataclass, field
-from enum import Enum
-from itertools import takewhile
-from math import exp, sqrt
-from typing import Generic, TypeVar
+from math import exp
 
-from lanelead.decisions.interface import SECOND, Endpoint, RequestClass, Ticks
+from lanelead.decisions.interface import Ticks
 
-S = TypeVar("S", bound=Endpoint)
-F = TypeVar("F", bound=Enum)
+GOLDEN_RATIO_FRACTION = 0.6180339887
+PHASE_SPREAD = 997  # steps between phase offsets 0 and 1: no two sequences advance at the same time
 
 
-class Fading:
-    """A sum that decays; it is brought up to date when it is read."""
+class DecayingSum:
+    """A sum that decays exponentially with time constant `span`; it is brought up to date when it is read."""
 
-    __slots__ = ("_at", "_span", "_sum")
+    __slots__ = ("_span", "_sum", "_updated_at")
 
     def __init__(self, span: Ticks) -> None:
-        self._span, self._at, self._sum = span, 0, 0.0
+        self._span = span
+        self._updated_at = 0
+        self._sum = 0.0
 
     def read(self, now: Ticks) -> float:
-        if now > self._at:
+        """Return the sum as decayed until now."""
+        if now > self._updated_at:
             if self._sum:
-                self._sum *= exp((self._at - now) / self._span)
-            self._at = now
+                self._sum *= exp((self._updated_at - now) / self._span)
+            self._updated_at = now
         return self._sum
 
     def add(self, now: Ticks, amount: float) -> None:
+        """Add an amount at time `now`."""
         self._sum = self.read(now) + amount
 
 
-def turned(lot: float, turns: float) -> float:
-    """A lot of 0 to 1 for each whole turn, from the one drawn first. Steps of the golden ratio give each part
-    of the range its share of any row of turns (Weyl 1916). Each lot's turns begin at a time of their own:
-    guards against all relays being lucky in the same moment."""
-    return (lot + int(turns + 997 * lot) * 0.6180339887) % 1
+def low_discrepancy_value(phase_offset: float, step: float) -> float:
+    """Return the value, from 0 up to 1, of an additive recurrence with the golden ratio (Weyl 1916) at a step.
+
+    Each part of the range gets its share of any run of whole steps. `phase_offset` (0 to 1) is both the first
+    value and a shift in time, so that sequences with different offsets advance at different moments: relays
+    don't all round up at once.
+    """
+    return (phase_offset + int(step + PHASE_SPREAD * phase_offset) * GOLDEN_RATIO_FRACTION) % 1
 
 
-class Recent:
-    """When each key was last noted, and when before that; forgotten after a span."""
+class RecentKeys:
+    """The last two times at which each key was recorded; a key not recorded for `span` is forgotten."""
 
     def __init__(self, span: Ticks) -> None:
         self._span = span
-        self._times: dict[str, tuple[Ticks, Ticks]] = {}  # the oldest key first
-
-    def note(self, key: str, now: Ticks) -> None:
-        last = self._times.pop(key, (0, -self._span))[1]
-        self._times[key] = last, now
-        while self._times[oldest := next(iter(self._times))][1] < now - self._span:
+        self._times: dict[str, tuple[Ticks, Ticks]] = {}  # previous and last time, the oldest key first
+
+    def record(self, key: str, now: Ticks) -> None:
+        """Record a key at time `now`, and forget keys that are too old."""
+        _, last = self._times.pop(key, (0, -self._span))
+        self._times[key] = (last, now)
+        while True:
+            oldest = next(iter(self._times))
+            if self._times[oldest][1] >= now - self._span:
+                return
             del self._times[oldest]
 
-    def before(self, key: str) -> Ticks:
+    def previous(self, key: str) -> Ticks:
+        """Return when a key was recorded before its last time. Raises KeyError where it is not known."""
         return self._times[key][0]
 
 
-class Ledger:
-    """An exact account over a window: trips spent against credit earned. An entry is (time, trips - credit so
-    far) before a trip; the smallest one of the window tells how far any stretch up to now has gone."""
+class SlidingWindowBudget:
+    """An exact account of attempts against credit over every stretch that ends now and lies in the window.
+
+    An entry is (time, attempts less credit so far), made before each attempt. The smallest entry in the window
+    says how far the worst stretch up to now has gone over its credit.
+    """
 
     def __init__(self, window: Ticks) -> None:
-        self._window, self._stand = window, 0.0
-        self._low: deque[tuple[Ticks, float]] = deque()
+        self._window = window
+        self._balance = 0.0  # attempts less credit, since the beginning
+        self._minima: deque[tuple[Ticks, float]] = deque()  # rising balances, the oldest first
 
     def earn(self, credit: float) -> None:
-        self._stand -= credit
+        """Add credit, in attempts."""
+        self._balance -= credit
 
-    def least(self, now: Ticks) -> float:
-        """Credit less trips over the stretch for which that is least; 0 where none is below."""
-        while self._low and self._low[0][0] < now - self._window:
-            self._low.popleft()
-        return min(0.0, self._low[0][1] - self._stand) if self._low else 0.0
+    def minimum_balance(self, now: Ticks) -> float:
+        """Return credit less attempts over the stretch for which that is least; 0 where none is below."""
+        while self._minima and self._minima[0][0] < now - self._window:
+            self._minima.popleft()
+        return min(0.0, self._minima[0][1] - self._balance) if self._minima else 0.0
 
     def spend(self, now: Ticks) -> None:
-        while self._low and self._low[-1][1] >= self._stand:
-            self._low.pop()
-        self._low.append((now, self._stand))
-        self._stand += 1
+        """Count one attempt at time `now`."""
+        while self._minima and self._minima[-1][1] >= self._balance:
+            self._minima.pop()
+        self._minima.append((now, self._balance))
+        self._balance += 1
 
 
-class Purse(Ledger):
-    """The same, with an amount held that outlasts the window, up to a depth."""
+class TokenBucket(SlidingWindowBudget):
+    """A sliding-window budget with tokens (in attempts) that outlast the window, `depth` at most."""
 
-    def __init__(self, window: Ticks, held: float, depth: float) -> None:
+    def __init__(self, window: Ticks, tokens: float, depth: float) -> None:
         super().__init__(window)
-        self.held, self._depth = held, depth
+        self.tokens = tokens
+        self._depth = depth
 
-    def gain(self, cap: float, share: float) -> None:
-        self.earn(cap)
-        self.held = min(self.held + min(cap, share), self._depth)
+    def refill(self, credit: float, token_limit: float) -> None:
+        """Earn credit, and tokens for as much of it as the limit allows."""
+        self.earn(credit)
+        self.tokens = min(self.tokens + min(credit, token_limit), self._depth)
 
     def spend(self, now: Ticks) -> None:
+        """Count one attempt, and take one token."""
         super().spend(now)
-        self.held -= 1
-
-
-def z_score(faults: int, outcomes: int, mean: float, full: int) -> float:
-    """The deviations between a share and a mean. The deviation is that of a window as full as this one, of
-    `full` outcomes at most: earlier windows hold too few, and pooled ones far too many."""
-    many = min(outcomes, full)
-    deviation = max(sqrt(mean * max(0.0, 1 - mean) / many), 1 / many)
-    return (faults / outcomes - mean) / deviation
-
-
-def percentile(value: float, ordered: Sequence[float]) -> float:
-    """The part of the others, in rising order, that the value exceeds, those equal to it counted half."""
-    return (bisect_left(ordered, value) + bisect_right(ordered, value)) / 2 / max(1, len(ordered))
-
-
-@dataclass(slots=True, eq=False)
-class Window(Generic[S, F]):
-    """The outcomes of one lane at one server in a second, or in a few of them that are counted together."""
-
-    server: S
-    lane: RequestClass
-    build: int
-    start: Ticks
-    outcomes: int = 0
-    faults: dict[F, int] = field(default_factory=dict)
-
-    def add(self, outcomes: int, faults: Mapping[F, int]) -> None:
-        self.outcomes += outcomes
-        for fault, many in faults.items():
-            self.faults[fault] = self.faults.get(fault, 0) + many
-
-
-class Windows(Generic[S, F]):
-    """The outcomes of each lane at each server by the second, of the last `span`."""
-
-    def __init__(self, span: Ticks) -> None:
-        self._span = span
-        self.all: deque[Window[S, F]] = deque()  # the oldest first
-        self._open: dict[tuple[S, RequestClass], Window[S, F]] = {}
-
-    def add(self, server: S, request_class: RequestClass, outcomes: int, faults: Mapping[F, int], now: Ticks) -> None:
-        window, second = self._open.get((server, request_class)), now - now % SECOND
-        if window is None or (window.start, window.build) != (second, server.build):
-            window = self._open[server, request_class] = Window(server, request_class, server.build, second)
-            self.all.append(window)
-        window.add(outcomes, faults)
-        while self.all[0].start < now - self._span:
-            old = self.all.popleft()
-            if self._open[old.server, old.lane] is old:  # or units that are gone would be kept for good
-                del self._open[old.server, old.lane]
-
-    def since(self, start: Ticks) -> Iterator[Window[S, F]]:
-        """Those that began at `start` or later, the newest first."""
-        return takewhile(lambda window: window.start >= start, reversed(self.all))
-
-
-def filled(windows: Iterable[Window[S, F]], fill: int) -> list[Window[S, F]]:
-    """As few windows as hold `fill` outcomes each, by server and lane, none of them without any."""
-    rows: dict[tuple[S, RequestClass], list[Window[S, F]]] = {}
-    for w in windows:
-        row = rows.setdefault((w.server, w.lane), [])
-        if not row or row[-1].outcomes >= fill:
-            row.append(Window(w.server, w.lane, w.build, w.start))
-        row[-1].add(w.outcomes, w.faults)
-    return [window for row in rows.values() for window in row if window.outcomes]
-
-
-def shares(windows: Sequence[Window[S, F]]) -> dict[tuple[RequestClass, F], list[float]]:
-    """Of each kind of fault seen in a lane, its share of each of that lane's windows, in rising order."""
-    seen = {(window.lane, fault): None for window in windows for fault in window.faults}
-    return {
-        (request_class, fault): sorted(w.faults.get(fault, 0) / w.outcomes for w in windows if w.lane is request_class)
-        for request_class, fault in seen
-    }
-
-
-def pooled(windows: Iterable[Window[S, F]]) -> dict[RequestClass | None, Window[S, F]]:
-    """All windows as one of each lane, and one of all lanes."""
-    base: dict[RequestClass | None, Window[S, F]] = {}
-    for w in windows:
-        for request_class in (w.lane, None):
-            base.setdefault(request_class, Window(w.server, w.lane, w.build, w.start)).add(w.outcomes, w.faults)
-    return base
-
-
-def tally(windows: Iterable[Window[S, F]], fault: F) -> dict[S, tuple[int, int]]:
-    """Faults of a kind, and outcomes, by server."""
-    counts: dict[S, tuple[int, int]] = {}
-    for w in windows:
-        faults, many = counts.get(w.server, (0, 0))
-        counts[w.server] = faults + w.faults.get(fault, 0), many + w.outcomes
-    return counts
-
-
-def tamed(counts: Mapping[S, tuple[int, int]], keep: int) -> tuple[int, int]:
-    """Faults and outcomes over all, where no share counts for more than that of the place given."""
-    shares = sorted(faults / many for faults, many in counts.values())
-    top = shares[keep - 1] if keep else 0.0
-    return int(sum(min(f, top * n) for f, n in counts.values()) + 1e-6), sum(n for _, n in counts.values())
+        self.tokens -= 1
--- /dev/null
+++ b/lanelead/decisions/relay_parts.py
@@ -0,0 +1,138 @@
+"""What one relay's decisions are made of, joined, and the choices made once at its start."""
+
+from collections.abc import Sequence
+from random import Random
+from typing import NotRequired, TypedDict, Unpack
+
+from lanelead.decisions.admission import AdmissionGuards
+from lanelead.decisions.build_scoring import BuildScoring, Fault
+from lanelead.decisions.counters import DecayingSum
+from lanelead.decisions.endpoint_selection import EndpointSelector
+from lanelead.decisions.endpoint_state import EndpointSet
+from lanelead.decisions.exposure_budget import ExposureBudget
+from lanelead.decisions.fleet_load import FleetInFlight, LatencyEstimator
+from lanelead.decisions.gossip import FULL_MESH_SIZE, GossipPeers
+from lanelead.decisions.interface import (
+    SECOND,
+    Action,
+    CanaryLimits,
+    DecisionParameters,
+    Prices,
+    RelayPosition,
+    RequestClass,
+    ResourceQuota,
+    ServiceLimits,
+    Tenant,
+    Ticks,
+    VotingRules,
+    ZonePreference,
+)
+from lanelead.decisions.relay_traffic import ObservationBuffer, RelayTraffic, TimelinessTable
+from lanelead.decisions.rollout import RolloutPolicy
+from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE, ZoneSpillover
+
+TRAFFIC_SPAN: Ticks = 4 * SECOND  # the time constant of sums of requests
+LOSS_SPAN: Ticks = 10 * SECOND  # the time constant of the sum of lost attempts
+MAX_HEALTH_CHECK_COST = 0.1  # of a request's value, for the checks of one selection
+HEALTH_CHECKS_PER_SELECTION = 4  # two to four are sent
+
+
+class RelayOptions(TypedDict):
+    """What the decisions of one relay are made with."""
+
+    position: RelayPosition
+    request_classes: Sequence[RequestClass]
+    tenants: Sequence[Tenant]
+    quota: ResourceQuota
+    limits: ServiceLimits
+    canary_limits: CanaryLimits
+    voting_rules: VotingRules
+    prices: Prices
+    rng: Random  # the source of all random draws
+    now: Ticks
+    preference: NotRequired[ZonePreference]  # none: all zones are one
+
+
+class RelayParts:
+    """The parts of one relay's decisions; subclasses add what is done with them."""
+
+    selector_type: type[EndpointSelector] = EndpointSelector
+
+    def __init__(self, **options: Unpack[RelayOptions]) -> None:
+        quota = options["quota"]
+        limits = options["limits"]
+        rng = options["rng"]
+        now = options["now"]
+        position = options["position"]
+        request_classes = options["request_classes"]
+        self.now = now
+        self.actions = list[Action]()
+        self._quota = quota
+        self._limits = limits
+        self._rng = rng
+        total_quota = sum(tenant.quota for tenant in options["tenants"])
+        self.parameters = DecisionParameters(request_classes, total_quota, position.relay_count)
+        self._choose_gossip(position, options["voting_rules"], options["prices"])
+        self._endpoints = EndpointSet()
+        self._traffic = RelayTraffic(TRAFFIC_SPAN)
+        self._rates = {request_class: DecayingSum(TRAFFIC_SPAN) for request_class in request_classes}
+        self._timeliness = TimelinessTable(TRAFFIC_SPAN)
+        self._lost_attempts = DecayingSum(LOSS_SPAN)
+        self._latency_estimator = LatencyEstimator(SECOND, now)
+        self._fleet_in_flight = FleetInFlight(SECOND)
+        self._observations = ObservationBuffer(len(Fault))
+        self._exposure_budget = ExposureBudget(options["canary_limits"], self._is_large_fleet, rng)
+        self._scoring = BuildScoring(span=5 * SECOND, decay_time=3 * SECOND, min_outcomes=10, maturity=5 * SECOND)
+        self._rollout = RolloutPolicy(
+            canary_limits=options["canary_limits"],
+            voting_rules=options["voting_rules"],
+            gossip_peers=self._gossip_peers,
+            scoring=self._scoring,
+            traffic=self._traffic,
+            rng=rng,
+        )
+        self._spillover = ZoneSpillover(
+            options.get("preference", NO_ZONE_PREFERENCE),
+            limits,
+            longest_objective=self.parameters.longest_objective,
+            update_interval=self._update_interval,
+            rng=rng,
+        )
+        self._guards = AdmissionGuards(
+            quota=quota,
+            limits=limits,
+            exposure=self._exposure_budget,
+            endpoints=self._endpoints,
+            traffic=self._traffic,
+            parameters=self.parameters,
+        )
+        self._selector = self.selector_type(
+            endpoints=self._endpoints,
+            guards=self._guards,
+            fleet_in_flight=self._fleet_in_flight,
+            traffic=self._traffic,
+            parameters=self.parameters,
+            idle_timeout=quota.idle_timeout if self._saves_connections else 0,
+            position=position,
+            rng=rng,
+        )
+
+    def _choose_gossip(self, position: RelayPosition, voting_rules: VotingRules, prices: Prices) -> None:
+        """Choose how this relay learns of load at other relays, and how often it updates.
+
+        One of many checks health before a selection where that is cheap; else relays send what they have in flight.
+        A watcher of a large fleet hears much, and updates less often.
+        """
+        quota = self._quota
+        self._gossip_peers = GossipPeers(position, voting_rules.rollback_votes, self._rng)
+        self._is_large_fleet = position.relay_count > FULL_MESH_SIZE
+        health_checks_cost = HEALTH_CHECKS_PER_SELECTION * prices.health_check
+        health_checks_affordable = quota.health_checks and health_checks_cost <= MAX_HEALTH_CHECK_COST
+        self._checks_health = self._is_large_fleet and health_checks_affordable
+        self._reports_in_flight = self._is_large_fleet and quota.gossip and not self._checks_health
+        self._saves_connections = self._reports_in_flight and prices.handshake > 0
+        self._max_loss_share = max(0.02, 2.5 * prices.handshake)  # of requests; beyond, idle connections close
+        updates_per_second = 5
+        if self._is_large_fleet and self._gossip_peers.is_watcher:
+            updates_per_second = 2 if self._gossip_peers.watcher_count <= FULL_MESH_SIZE else 1
+        self._update_interval = SECOND // updates_per_second
--- /dev/null
+++ b/lanelead/decisions/request_routing.py
@@ -0,0 +1,176 @@
+"""What happens to one request: selection, health checks, retries, hedging, and giving up."""
+
+from collections.abc import Generator, Sequence
+from typing import Unpack
+
+from lanelead.decisions.admission import NOT_EXECUTED
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.interface import (
+    Attempt,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    Request,
+    StartAttempt,
+    Ticks,
+)
+from lanelead.decisions.relay_parts import TRAFFIC_SPAN, RelayOptions, RelayParts
+from lanelead.decisions.request_scheduling import RequestRoutine, RequestScheduler
+
+MAX_HEDGED_SHARE = 0.1  # hedged requests, of requests received
+MAX_LATENCY_SHARE = 0.75  # of the shortest objective, that the fleet's mean latency may be: attempts spread about it
+
+
+class RequestRouter(RelayParts):
+    """Routes requests to endpoints, and starts, hedges and cancels their attempts."""
+
+    def __init__(self, **options: Unpack[RelayOptions]) -> None:
+        """Take the options of `RelayParts`."""
+        super().__init__(**options)
+        self._scheduler = RequestScheduler(self._start_attempt, lambda action: self.actions.append(action))
+
+    def client_left(self, request: Request) -> None:
+        """End a request that nobody waits for: a client's, or one that has its answer."""
+        if request.finished:
+            return
+        request.finished = True
+        self._spillover.forget(request)
+        self._scheduler.finish(request)
+        for attempt in request.attempts:
+            if attempt.outcome is None and self._quota.may_cancel and not attempt.streaming:
+                self.actions.append(CancelAttempt(attempt))
+
+    def _route(self, request: Request) -> RequestRoutine:
+        """Yield the endpoints to try, and until when to wait, until the request is answered or given up.
+
+        It may wait for capacity for a sixth of its latency objective; requests of higher priority come first.
+        """
+        request_class = request.request_class
+        hedge_at = request.received_at + request_class.latency_objective // 2
+        give_up_at = min(
+            request.deadline - self._limits.tick, request.received_at + request_class.latency_objective // 6
+        )
+        while not self._is_thinned_out(request):
+            pair = self._select_in_priority_order(request, give_up_at)
+            endpoint = pair[0] if pair else None
+            if pair and self._has_thin_view() and self.now < give_up_at:
+                endpoint = yield from self._check_health_first(request, pair, give_up_at)
+            if endpoint is not None:
+                yield endpoint
+            elif self.now < give_up_at and self._guards.may_be_served(request, self.now):
+                self._scheduler.waiting[request] = request_class.priority_weight
+                yield give_up_at
+            else:
+                break
+            yield from self._await_attempts(request, hedge_at)
+        self._give_up(request)
+
+    def _select_in_priority_order(self, request: Request, give_up_at: Ticks) -> list[EndpointState]:
+        """Select endpoints, unless the request may still wait and one of higher priority waits for capacity."""
+        if self.now < give_up_at:
+            weight = request.request_class.priority_weight
+            if any(other > weight for other in self._scheduler.waiting.values()):
+                return []
+        return self._select(request)
+
+    def _await_attempts(self, request: Request, hedge_at: Ticks) -> RequestRoutine:
+        """Wait until no attempt is under way; once `hedge_at` has come, hedge at another endpoint."""
+        while any(attempt.outcome is None for attempt in request.attempts):
+            yield hedge_at if self.now < hedge_at and self._quota.hedging else request.deadline
+            received = self._traffic.received
+            may_hedge = self._traffic.hedged.read(self.now) < MAX_HEDGED_SHARE * received.read(self.now)
+            pair = self._select(request) if may_hedge and self.now >= hedge_at else []
+            last = request.attempts[-1]
+            if pair and last.outcome is None and pair[0] is not last.endpoint:
+                self._traffic.hedged.add(self.now, 1)
+                yield pair[0]
+
+    def _permits(self, endpoint: EndpointState, request: Request) -> bool:
+        return self._guards.permits(endpoint, request, self.now)
+
+    def _select(self, request: Request, asked: Sequence[EndpointState] = ()) -> list[EndpointState]:
+        """Return up to two endpoints, the better first; `asked` had their health checked in vain."""
+        candidates = self._spillover.candidate_pools(self._endpoints.ready_by_build, request)
+        return self._selector.select(candidates, request, self._rollout.canary_bias(), self.now, asked)
+
+    def _check_health_first(
+        self, request: Request, pair: list[EndpointState], until: Ticks
+    ) -> Generator[Ticks, None, EndpointState | None]:
+        """Check the health of two endpoints, then of two others; return the first with a short queue, or None."""
+        asked = list[EndpointState]()
+        began_at = self.now
+        step = max(1, (until - self.now) // 2)
+        short_wait = min(request.request_class.latency_objective, request.deadline - self.now) // 4
+        while self.now < until and pair:
+            self.actions += [CheckHealth(endpoint) for endpoint in pair]
+            asked += pair
+            pause_until = min(until, self.now + step)
+            best: EndpointState | None = None
+            wait: Ticks = 0
+            while self.now < pause_until and (best is None or wait > min(step, short_wait)):
+                self._scheduler.awaiting_health_check[request] = None
+                yield pause_until
+                best = self._shortest_wait(request, asked, began_at)
+                wait = best.estimated_wait if best else 0
+            if best and wait < short_wait:
+                return best
+            pair = self._select(request, asked)
+        return None
+
+    def _shortest_wait(self, request: Request, asked: Sequence[EndpointState], began_at: Ticks) -> EndpointState | None:
+        """Return the endpoint with the shortest wait among those that answered a health check since `began_at`."""
+        answered = (
+            endpoint for endpoint in asked if endpoint.health_checked_at > began_at and self._permits(endpoint, request)
+        )
+        return min(answered, key=lambda endpoint: endpoint.estimated_wait, default=None)
+
+    def _is_thinned_out(self, request: Request) -> bool:
+        """Say, by a random draw, whether a request is not to be attempted since too many would be late.
+
+        Where the fleet's latency is known, what is over is dropped from the classes of least priority. Elsewhere a
+        tenant's request class that is seldom in time is sent in part.
+        """
+        ended, timely = self._timeliness[request.tenant, request.request_class]
+        ended_count = ended.read(self.now)
+        timely_count = timely.read(self.now)
+        latency = self._latency_estimator.latency(self.now)
+        if latency is None:
+            return self._rng.random() > 3 * (1 + timely_count) / (1 + 2 * ended_count)
+        excess = 1 - MAX_LATENCY_SHARE * self.parameters.shortest_objective / max(1, latency)
+        rates = {request_class: rate.read(self.now) for request_class, rate in self._rates.items()}
+        weight = request.request_class.priority_weight
+        lower_rate = sum(rate for request_class, rate in rates.items() if request_class.priority_weight < weight)
+        return self._rng.random() * rates[request.request_class] < excess * sum(rates.values()) - lower_rate
+
+    def _has_thin_view(self) -> bool:
+        """Say whether this relay receives less than a request for each endpoint in a latency objective."""
+        requests = self._traffic.received.read(self.now) * self.parameters.longest_objective / TRAFFIC_SPAN
+        return self._checks_health and requests < len(self._endpoints.ready)
+
+    def _start_attempt(self, request: Request, endpoint: EndpointState) -> None:
+        """Start an attempt if the guards still permit it."""
+        if not self._permits(endpoint, request):
+            return
+        timeout = max(1, request.deadline - self.now)
+        attempt = Attempt(request, endpoint, len(request.attempts), self.now, timeout)
+        request.attempts.append(attempt)
+        endpoint.in_flight[attempt] = None
+        self._exposure_budget.spend(endpoint.build, request, self.now)
+        self._spillover.spend(endpoint)
+        endpoint.slow_start_attempts.append(self.now)
+        self.actions.append(StartAttempt(attempt))
+
+    def _give_up(self, request: Request) -> None:
+        """Fail a request that an endpoint may have executed; reject any other, with a time to retry after.
+
+        That time is spread, or all would come back at once, and grows with the part of requests rejected.
+        """
+        received = self._traffic.received.read(self.now)
+        overload = 0.5 + self._traffic.rejected.read(self.now) / max(1, received)
+        retry_after = int(overload * self.parameters.longest_objective * self._rng.uniform(0.5, 1.5))
+        retry_after = min(retry_after, self._quota.advises_retry * self._quota.max_retry_after)
+        executed = any(attempt.outcome not in NOT_EXECUTED for attempt in request.attempts)
+        self.actions.append(FailRequest(request) if executed else RejectRequest(request, retry_after))
+        self._traffic.rejected.add(self.now, not executed)
+        self.client_left(request)
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -1,112 +1,152 @@
-"""What to vote on a build, and when: the score, the stage's clock, and the guards around both."""
+"""Watches a canary through its stages: its score, the stage's clock, and guards around both."""
 
 from math import ceil
 from random import Random
 
-from lanelead.decisions.build_scoring import FULL, Scoring
-from lanelead.decisions.counters import z_score
-from lanelead.decisions.endpoint_state import Roster, Traffic
-from lanelead.decisions.gossip import Circle
+from lanelead.decisions.build_scoring import FULL_WINDOW_OUTCOMES, BuildScoring
+from lanelead.decisions.endpoint_state import EndpointSet, EndpointState
+from lanelead.decisions.gossip import GossipPeers
 from lanelead.decisions.interface import (
     SECOND,
     Action,
-    AttemptOutcome,
     CanaryLimits,
     CastVote,
     LogEvent,
-    PromotionControl,
     RolloutPhase,
     RolloutState,
     Ticks,
-    Verdict,
     VotingRules,
 )
+from lanelead.decisions.outcome_windows import z_score
+from lanelead.decisions.relay_traffic import RelayTraffic
+from lanelead.decisions.rollout_votes import CanaryAssessment, VoteCaster
 
+MAX_OBSERVATION_TIME: Ticks = 5 * SECOND  # of a stage, before it is promoted
+RECENT_SPAN: Ticks = 3 * SECOND  # scored to hold a build under a timer
+MIN_STAGE_OUTCOMES = 10
+DOUBTFUL_MARGIN = 1  # a score margin above which the observation time begins anew
+MAX_SLOWING_AGE: Ticks = 10 * SECOND  # after a promotion, in which slowing is still the build's doing
+MIN_SLOWING_OUTCOMES = 100
+BUSIER_FACTOR = 1.3  # traffic above the baseline that explains lateness by itself
 
-class Ballot:  # this relay's one vote: when to cast it, and when again
-    def __init__(self, poll: VotingRules, rng: Random) -> None:
-        self._poll, self._rng = poll, rng
-        self._cast: CastVote | None = None
-        self._lapses, self._quiet = 0, 0  # when the vote must be cast again, and until when none may be
 
-    def hear(self, news: RolloutState, now: Ticks) -> None:
-        if news.answers_vote and news.outcome is AttemptOutcome.SUCCEEDED:
-            self._quiet = now
-        elif news.answers_vote:  # it may be lost: cast again, after a random time, since all relays lost theirs
-            self._cast = None
-            self._quiet = now + int(self._poll.vote_timeout * self._rng.uniform(0.1, 0.5))
+class RolloutPolicy:
+    """The canary as one relay sees it, and the votes on it."""
 
-    def cast(self, vote: CastVote, now: Ticks) -> bool:  # due when new or about to lapse; 'back' waits not
-        fresh = vote != self._cast
-        due = self._quiet if fresh else max(self._quiet, self._lapses)
-        if now < due and not (fresh and vote.verdict is Verdict.ROLL_BACK):
-            return False
-        self._cast, self._lapses = vote, now + self._poll.vote_lifetime * 3 // 4
-        self._quiet = now + self._poll.vote_timeout + SECOND
-        return True
+    def __init__(
+        self,
+        *,
+        canary_limits: CanaryLimits,
+        voting_rules: VotingRules,
+        gossip_peers: GossipPeers,
+        scoring: BuildScoring,
+        traffic: RelayTraffic,
+        rng: Random,
+    ) -> None:
+        self._limits = canary_limits
+        self._rules = voting_rules
+        self._gossip_peers = gossip_peers
+        self._scoring = scoring
+        self._traffic = traffic
+        self.votes = VoteCaster(voting_rules, rng)
+        self.margin = 0.0
+        self._stage = (-1, 0)  # build and stage
+        self.stage_began_at: Ticks = 0
+        self._doubted_at: Ticks = 0
+        self.promotion_due_at: Ticks = 0
+        # Scaled as the platform's stages are.
+        self._observation_time = min(MAX_OBSERVATION_TIME, 5 * voting_rules.min_stage_time or MAX_OBSERVATION_TIME)
+        self.baseline_late_shares = list[float]()  # share of late responses at the end of each stage, from before
+        self.baseline_rate = 0.0  # attempts served, as `RelayTraffic.served`
 
-    def verdict(self, news: RolloutState, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
-        trial = news.phase is RolloutPhase.CANARY
-        if (trial or news.phase is RolloutPhase.PROMOTED) and (margin > 3 or (creep and ripe)):
-            return Verdict.ROLL_BACK
-        if trial and self._poll.control is PromotionControl.TIMER:
-            return Verdict.HOLD if lately > 3 else Verdict.ABSTAIN if self._cast else None
-        return Verdict.PROMOTE if trial and ripe else None
+    def canary_bias(self) -> float:
+        """Return the factor by which a canary's endpoint may look worse than an earlier one and still be chosen.
 
+        Delay has a price, so all that the exposure limit allows is used, unless the canary is in doubt.
+        """
+        return 1 + 2 * self._rules.delay_price if self.margin <= DOUBTFUL_MARGIN else 1
 
-class Rollout:
-    """The build on trial as one relay sees it."""
+    def update(self, rollout: RolloutState, now: Ticks) -> None:
+        """Take over where the newest build stands; a new stage begins with a baseline of its own."""
+        self.stage_began_at = now - rollout.age
+        stage = (rollout.build, rollout.stage)
+        if stage == self._stage:
+            return
+        self._stage = stage
+        self._scoring.start_stage(rollout.build, self.stage_began_at)
+        late, outcomes = self._scoring.late_counts(now)
+        if rollout.stage < 2:
+            self.baseline_late_shares = self.baseline_late_shares[: rollout.stage]
+            self.baseline_rate = self._traffic.served.read(now)
+        if outcomes and len(self.baseline_late_shares) == rollout.stage:
+            self.baseline_late_shares.append(late / outcomes)
 
-    def __init__(
-        self, trial: CanaryLimits, poll: VotingRules, circle: Circle, scoring: Scoring, traffic: Traffic, rng: Random
-    ) -> None:
-        self._trial, self._poll, self._circle, self._scoring = trial, poll, circle, scoring
-        self._traffic, self.ballot = traffic, Ballot(poll, rng)
-        self.margin, self._stage, self.told, self._doubt, self.due = 0.0, (-1, 0), 0, 0, 0
-        self._wait = min(5 * SECOND, 5 * poll.min_stage_time or 5 * SECOND)  # scaled as stages are
-        self.calm, self.calm_rate = list[float](), 0.0  # slow answers at the end of each stage, from before
+    def evaluate(self, rollout: RolloutState, endpoints: EndpointSet, now: Ticks) -> list[Action]:
+        """Score the newest build, and return a vote and a log event if a vote is due."""
+        canary = endpoints.ready_by_build.get(rollout.build)
+        if not canary:
+            return []
+        self.margin = self._scoring.score(endpoints.ready, now).margin
+        recent_score = 0.0
+        if self._rules.hold_votes:
+            recent_score = self._scoring.score(endpoints.ready, now, RECENT_SPAN).mean
+        assessment = CanaryAssessment(
+            is_mature=self._is_mature(rollout, endpoints.ready, canary, now),
+            score_margin=self.margin,
+            recent_score=recent_score,
+            is_fleet_slowing=self.is_fleet_slowing(rollout, now),
+        )
+        verdict = self.votes.choose_verdict(rollout, assessment)
+        if verdict is None:
+            return []
+        vote = CastVote(rollout.build, rollout.stage, verdict)
+        if not self.votes.should_cast(vote, now):
+            return []
+        return [vote, LogEvent(f"{verdict.name} on build {rollout.build}: margin {self.margin:.1f}")]
 
-    def lean(self) -> float:  # delay has a price: all that the cap allows is used, unless in doubt
-        return 1 + 2 * self._poll.delay_price if self.margin <= 1 else 1
+    def _is_mature(
+        self, rollout: RolloutState, ready: list[EndpointState], canary: list[EndpointState], now: Ticks
+    ) -> bool:
+        """Say whether a stage was observed for long enough, on enough endpoints and outcomes, to be promoted.
 
-    def hear(self, news: RolloutState, now: Ticks) -> None:
-        self.told = now - news.age
-        if (news.build, news.stage) != self._stage:
-            self._stage = news.build, news.stage
-            self._scoring.begin(news.build, self.told)
-            faults, outcomes = self._scoring.slowness(now)
-            if news.stage < 2:
-                self.calm, self.calm_rate = self.calm[: news.stage], self._traffic.busy.read(now)
-            self.calm += [faults / outcomes] if outcomes and len(self.calm) == news.stage else []
+        Endpoints listed late start the clock late, and while most are ejected nothing is learnt. A relay that saw
+        nothing must not promote what others doubt; where most relays must agree, the watchers can still roll back.
+        """
+        if self.margin > DOUBTFUL_MARGIN:
+            self._doubted_at = now
+        started_at = max(endpoint.started_at for endpoint in canary)
+        self.promotion_due_at = max(self.stage_began_at, self._doubted_at, started_at) + self._observation_time
+        places = sum(endpoint.build < rollout.build or self._limits.in_place for endpoint in ready)
+        all_listed = len(canary) >= ceil(self._limits.shares[rollout.stage] * places - 1e-6)
+        most_ejected = 2 * sum(endpoint.ejected_until > now for endpoint in canary) >= len(canary)
+        watchers_suffice = self._rules.promote_votes <= self._gossip_peers.watcher_count
+        has_evidence = not watchers_suffice or self._scoring.stage_outcomes >= MIN_STAGE_OUTCOMES
+        if now < self.promotion_due_at or not has_evidence or most_ejected:
+            return False
+        return all_listed or now > self.stage_began_at + 3 * self._observation_time
 
-    def look(self, news: RolloutState, roster: Roster, now: Ticks) -> list[Action]:
-        ready, new = roster.ready, roster.groups.get(news.build)
-        if not new:
-            return []
-        self.margin, _ = self._scoring.read(ready, now)
-        lately = self._scoring.read(ready, now, 3 * SECOND)[1] if self._poll.hold_votes else 0.0
-        # Machines listed late start the clock late; while most are set aside, nothing is learnt.
-        wait, places = self._wait, sum(s.build < news.build or self._trial.in_place for s in ready)
-        all_here = len(new) >= ceil(self._trial.shares[news.stage] * places - 1e-6)
-        shut = 2 * sum(server.aside > now for server in new) >= len(new)
-        self._doubt = now if self.margin > 1 else self._doubt
-        self.due = max(self.told, self._doubt, *(server.started_at for server in new)) + wait
-        # Guards against thin views that release what others doubt; where most must agree, watchers send back.
-        seen = self._poll.promote_votes > self._circle.watchers or self._scoring.seen >= 10
-        ripe = now >= self.due and seen and not shut and (all_here or now > self.told + 3 * wait)
-        verdict = self.ballot.verdict(news, ripe, self.margin, lately, self.creeping(news, now))
-        if verdict and self.ballot.cast(vote := CastVote(news.build, news.stage, verdict), now):
-            return [vote, LogEvent(f"{verdict.name} on build {news.build}: margin {self.margin:.1f}")]
-        return []
+    def is_fleet_slowing(self, rollout: RolloutState, now: Ticks) -> bool:
+        """Say whether most endpoints, the build's own too, grew slower since stage 1 without more traffic.
 
-    def creeping(self, news: RolloutState, now: Ticks) -> bool:
-        """Have most units, its own too, grown slower since stage 1, not busier? Other troubles mislead."""
-        released, busier = news.phase is RolloutPhase.PROMOTED, self._traffic.busy.read(now) > 1.3 * self.calm_rate
-        few = self._trial.shares[news.stage] < 1 / 3 or len(self.calm) <= max(1, news.stage)
-        if few or busier or (released and now - self.told > 10 * SECOND):
+        A build that slows old and new endpoints alike shows no margin; what slows the old ones alone is not its doing.
+        """
+        is_promoted = rollout.phase is RolloutPhase.PROMOTED
+        is_busier = self._traffic.served.read(now) > BUSIER_FACTOR * self.baseline_rate
+        has_few_endpoints = self._limits.shares[rollout.stage] < 1 / 3
+        has_no_baseline = len(self.baseline_late_shares) <= max(1, rollout.stage)
+        if has_few_endpoints or has_no_baseline or is_busier:
+            return False
+        if is_promoted and now - self.stage_began_at > MAX_SLOWING_AGE:
+            return False
+        before, first_stage = self.baseline_late_shares[:2]
+        late, outcomes = self._scoring.late_counts(now)
+        # Rejected requests count as late.
+        late += int(outcomes * self._traffic.rejected.read(now) / max(100, self._traffic.received.read(now)))
+        own_late, own_outcomes = self._scoring.late_counts(now, rollout.build)
+        tolerated_rise = max(self._rules.delay_price / (2 if is_promoted else 4), 1.5 * (first_stage - before))
+        tolerated = before + tolerated_rise
+        if outcomes < MIN_SLOWING_OUTCOMES or late <= tolerated * outcomes:
+            return False
+        if 2 * own_late < tolerated * own_outcomes:
             return False
-        (slow, n), before, first = self._scoring.slowness(now), self.calm[0], self.calm[1]
-        slow += int(n * self._traffic.shed.read(now) / max(100, self._traffic.taken.read(now)))  # as slow
-        own, of = self._scoring.slowness(now, news.build)  # what slows all alike slows its own units too
-        worse = before + max(self._poll.delay_price / (2 if released else 4), 1.5 * (first - before))
-        return n >= 100 and slow > worse * n and 2 * own >= worse * of and z_score(slow, n, before, FULL) > 3
+        return z_score(late, outcomes, before, FULL_WINDOW_OUTCOMES) > 3
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -21,7 +21,7 @@
     Tenant,
     Ticks,
 )
-from lanelead.decisions.zone_spillover import ANYWHERE
+from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE
 from lanelead.http.client import CallFailedError, call, stream
 from lanelead.http_relay.client_listener import Gate
 from lanelead.http_relay.membership_transport import Circle
@@ -86,17 +86,17 @@
             self._log,
         )
         decisions: Decisions = Balancer(
-            place=records.place(settings),
+            position=records.place(settings),
             request_classes=request_classes,
             tenants=tenants,
             quota=quota.figures(settings.peers is not None),
             limits=limits,
-            trial=service.trial.figures(),
-            poll=service.poll.figures(),
+            canary_limits=service.trial.figures(),
+            voting_rules=service.poll.figures(),
             prices=records.TARIFF,
             rng=Random(settings.seed * 65537 + settings.number),
             now=self.clock(),
-            preference=ANYWHERE if settings.spill is None else settings.spill.figures(),
+            preference=NO_ZONE_PREFERENCE if settings.spill is None else settings.spill.figures(),
         )
         if self._seam is not None:
             decisions = self._seam(decisions)
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -63,13 +63,13 @@
         self._stages = len(trial.shares)
         self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
         decisions = Balancer(
-            place=place,
+            position=place,
             request_classes=request_classes,
             tenants=members,
             quota=quota,
             limits=limits,
-            trial=trial,
-            poll=poll,
+            canary_limits=trial,
+            voting_rules=poll,
             prices=opening.prices(),
             rng=Random(int(config.seed, 16)),
             now=self._clock.now(),
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -48,13 +48,13 @@
         opening = ParameterReader(words[2:])
         request_classes, tenants = opening.request_classes(), opening.tenants()
         self.relay: Decisions = Balancer(
-            place=opening.position(),
+            position=opening.position(),
             request_classes=request_classes,
             tenants=tenants,
             quota=opening.resource_quota(),
             limits=opening.service_limits(),
-            trial=opening.canary_limits(),
-            poll=opening.voting_rules(),
+            canary_limits=opening.canary_limits(),
+            voting_rules=opening.voting_rules(),
             prices=opening.prices(),
             rng=Random(whole(words[1])),
             now=now,
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -130,7 +130,7 @@
         self.__dict__["_turn"] = 0
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        home = self._spill.tiers and self._spill._wants.tiers[0]
+        home = self._spillover.tiers and self._spillover._preference.tiers[0]
         for row in records:
             self._far.pop(row.endpoint, None)
             if home and row.status is EndpointStatus.READY and row.zone not in home:
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -14,7 +14,7 @@
 
 from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.build_scoring import Fault
-from lanelead.decisions.endpoint_selection import Choice, Pair, Some
+from lanelead.decisions.endpoint_selection import EndpointPair, Endpoints, EndpointSelector
 from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
     SECOND,
@@ -28,17 +28,17 @@
     Verdict,
     VotingRules,
 )
-from lanelead.decisions.rollout import Ballot
+from lanelead.decisions.rollout_votes import CanaryAssessment, VoteCaster
 
 
-class _Ranked(Choice):
+class _Ranked(EndpointSelector):
     """Relays whose two choices are exchanged: `rank` orders the units that may be had."""
 
-    def two(self, servers: Some, request: Request, now: Ticks, asked: Some) -> Pair:
+    def select_from(self, servers: Endpoints, request: Request, now: Ticks, asked: Endpoints) -> EndpointPair:
         fit = [
             server
             for server in servers
-            if server not in asked and server.aside <= now and self.guards.open(server, request, now)
+            if server not in asked and server.ejected_until <= now and self.guards.accepts(server, request, now)
         ]
         return self.rank(fit, now)[:2] if fit else []
 
@@ -48,18 +48,18 @@
 
 class _Anyone(_Ranked):
     def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        return self.chance.sample(fit, min(2, len(fit)))
+        return self.rng.sample(fit, min(2, len(fit)))
 
 
 class _LeastOfTwo(_Ranked):
     def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        return sorted(self.chance.sample(fit, min(2, len(fit))), key=lambda server: len(server.out))
+        return sorted(self.rng.sample(fit, min(2, len(fit))), key=lambda server: len(server.in_flight))
 
 
 class _LeastOfAll(_Ranked):
     def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        least = min(len(server.out) for server in fit)
-        return [self.chance.choice([server for server in fit if len(server.out) == least])]
+        least = min(len(server.in_flight) for server in fit)
+        return [self.rng.choice([server for server in fit if len(server.in_flight) == least])]
 
 
 class _RoundRobin(_Ranked):
@@ -73,8 +73,8 @@
 class Peaks(_Ranked):
     DECAY: Ticks = 10 * SECOND
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, **given: Any) -> None:
+        super().__init__(**given)
         self._peaks = dict[EndpointState, tuple[float, Ticks]]()
 
     def _peak(self, server: EndpointState, now: Ticks) -> float:
@@ -88,34 +88,34 @@
         self._peaks[server] = cost, now
 
     def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        two = self.chance.sample(fit, min(2, len(fit)))
-        return sorted(two, key=lambda server: (1 + self._peak(server, now)) * (1 + len(server.out)))
+        two = self.rng.sample(fit, min(2, len(fit)))
+        return sorted(two, key=lambda server: (1 + self._peak(server, now)) * (1 + len(server.in_flight)))
 
 
 class Anyone(Balancer):
-    chooses = _Anyone
+    selector_type = _Anyone
 
 
 class LeastOfTwo(Balancer):
-    chooses = _LeastOfTwo
+    selector_type = _LeastOfTwo
 
 
 class LeastOfAll(Balancer):
-    chooses = _LeastOfAll
+    selector_type = _LeastOfAll
 
 
 class RoundRobin(Balancer):
-    chooses = _RoundRobin
+    selector_type = _RoundRobin
 
 
 class PeakEwma(Balancer):
-    chooses = Peaks
+    selector_type = Peaks
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
     ) -> None:
-        assert isinstance(self._choice, Peaks)
-        self._choice.took(state_of(attempt.endpoint), took, self.now)
+        assert isinstance(self._selector, Peaks)
+        self._selector.took(state_of(attempt.endpoint), took, self.now)
         super().attempt_ended(attempt, outcome, closed, took, report)
 
 
@@ -124,28 +124,28 @@
 
     def __init__(self, **given: Any) -> None:
         super().__init__(**given)
-        self._rollout.ballot = _Exchanged(self, given["poll"])
+        self._rollout.votes = _Exchanged(self, given["voting_rules"])
 
     def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
         raise NotImplementedError
 
     def aged(self) -> bool:
-        return self.now - self._rollout.told > 5 * SECOND
+        return self.now - self._rollout.stage_began_at > 5 * SECOND
 
     def errors(self, news: RolloutState) -> tuple[int, int]:
         """Errors and outcomes seen at the build on trial in this stage's windows."""
-        windows = [w for w in self._scoring.windows.since(self._rollout.told) if w.build == news.build]
-        bad = (Fault.BROKEN, Fault.SILENT)
+        windows = [w for w in self._scoring.history.since(self._rollout.stage_began_at) if w.build == news.build]
+        bad = (Fault.ERROR, Fault.TIMED_OUT)
         return sum(w.faults.get(f, 0) for w in windows for f in bad), sum(w.outcomes for w in windows)
 
 
-class _Exchanged(Ballot):
+class _Exchanged(VoteCaster):
     def __init__(self, relay: _Voter, poll: VotingRules) -> None:
         super().__init__(poll, relay._rng)
         self._relay = relay
 
-    def verdict(self, news: RolloutState, ripe: bool, margin: float, lately: float, creep: bool) -> Verdict | None:
-        return self._relay.judged(news, ripe)
+    def choose_verdict(self, rollout: RolloutState, assessment: CanaryAssessment) -> Verdict | None:
+        return self._relay.judged(rollout, assessment.is_mature)
 
 
 class ByClock(_Voter):
--- a/lanelead/testbed/simulation/decision_loop.py
+++ b/lanelead/testbed/simulation/decision_loop.py
@@ -69,20 +69,20 @@
             tiers = ((zone,), *(tuple(z for z in tier if z != zone) for tier in plan.preference))
             tiers = tuple(tier for tier in tiers if tier)
         self.relay = Balancer(
-            RelayPosition(number, plan.relays, zone),
-            world.lanes,
-            [],
-            ResourceQuota(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
-            world.duties,
-            world.trial,
-            world.poll,
-            Prices(0, 0, 0, 0, 0, 0, 0, 1),
-            Random(world.seed * 7919 + number),
-            START,
-            ZonePreference(tiers),
+            position=RelayPosition(number, plan.relays, zone),
+            request_classes=world.lanes,
+            tenants=[],
+            quota=ResourceQuota(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
+            limits=world.duties,
+            canary_limits=world.trial,
+            voting_rules=world.poll,
+            prices=Prices(0, 0, 0, 0, 0, 0, 0, 1),
+            rng=Random(world.seed * 7919 + number),
+            now=START,
+            preference=ZonePreference(tiers),
         )
         if world.policy is not None:
-            self.relay._spill = world.policy(tiers, world.duties, Random(world.seed * 31 + number))
+            self.relay._spillover = world.policy(tiers, world.duties, Random(world.seed * 31 + number))
         self.units: dict[Machine, Endpoint] = {}
         self.machines: dict[Endpoint, Machine] = {}
         self.out: dict[Attempt, tuple[Machine, int]] = {}
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -29,7 +29,7 @@
     Ticks,
     ZonePreference,
 )
-from lanelead.decisions.zone_spillover import ANYWHERE
+from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE
 from lanelead.http.requests import HttpRequest
 from lanelead.http.responses import HttpResponse
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
@@ -233,19 +233,19 @@
         self.by_lane = {request_class.name: request_class for request_class in self.lanes}
         self.members = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
         limits = service.duties.figures(False)
-        preference = ANYWHERE
+        preference = NO_ZONE_PREFERENCE
         if day.spill is not None:
             others = tuple(zone for zone in day.units.zones if zone != self.zone)
             tiers = ((self.zone,), *([others] if others else []))
             preference = ZonePreference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
         decisions = make(
-            place=RelayPosition(number, day.relays, self.zone),
+            position=RelayPosition(number, day.relays, self.zone),
             request_classes=self.lanes,
             tenants=list(self.members.values()),
             quota=service.allowance.figures(True),
             limits=limits,
-            trial=service.trial.figures(),
-            poll=service.poll.figures(),
+            canary_limits=service.trial.figures(),
+            voting_rules=service.poll.figures(),
             prices=records.TARIFF,
             rng=stream(town.seed, f"relay {number} {town.clock.now}"),
             now=self.clock(),
--- a/lanelead/testbed/simulation/policies.py
+++ b/lanelead/testbed/simulation/policies.py
@@ -7,7 +7,7 @@
 
 from lanelead.decisions.endpoint_state import EndpointState
 from lanelead.decisions.interface import EndpointStatus, Request, ServiceLimits
-from lanelead.decisions.zone_spillover import Pools
+from lanelead.decisions.zone_spillover import EndpointPools
 
 Tiers = tuple[tuple[str, ...], ...]
 
@@ -21,30 +21,30 @@
         self.health = [1.0] * len(tiers)
         self._full = [0] * len(tiers)
 
-    def place(self, server: EndpointState) -> int:
+    def tier_index(self, server: EndpointState) -> int:
         return self._place.get(server.zone, len(self._tiers) - 1)
 
-    def note(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
-    def left(self, request: Request) -> None: ...
+    def record_outcomes(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
+    def forget(self, request: Request) -> None: ...
     def spend(self, server: EndpointState) -> None: ...
 
-    def troubled(self, server: EndpointState) -> bool:
+    def is_degraded(self, server: EndpointState) -> bool:
         return False
 
-    def beat(self, servers: Iterable[EndpointState], rate: float, trial: bool, now: int) -> None:
+    def update(self, servers: Iterable[EndpointState], rate: float, trial: bool, now: int) -> None:
         here = [0] * len(self._tiers)
         for server in servers:
             # Healthy: listed, and not set aside by the relay's own outlier rule.
-            here[self.place(server)] += server.status is EndpointStatus.READY and server.aside <= now
+            here[self.tier_index(server)] += server.status is EndpointStatus.READY and server.ejected_until <= now
         self._full = [max(full, many) for full, many in zip(self._full, here, strict=True)]
         self.health = [many / full if full else 0.0 for many, full in zip(here, self._full, strict=True)]
 
     def choose(self, request: Request) -> list[int]:
         return [0]
 
-    def cuts(self, pools: Pools, request: Request) -> Iterator[Pools]:
+    def candidate_pools(self, pools: EndpointPools, request: Request) -> Iterator[EndpointPools]:
         open_ = self.choose(request)
-        yield {build: [s for s in some if self.place(s) in open_] for build, some in pools.items()}
+        yield {build: [s for s in some if self.tier_index(s) in open_] for build, some in pools.items()}
 
 
 class AllAtOnce(NoSpill):
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -65,13 +65,15 @@
         self.acts: list[Action] = []
         self.wakes: list[tuple[Ticks, Request | None]] = []
         self.relay = Balancer(
-            place=RelayPosition(number, relays, "z"),
+            position=RelayPosition(number, relays, "z"),
             request_classes=[PURE, RECEIPTED, EFFECTFUL],
             tenants=[],
             quota=ResourceQuota(4, 1000, 100, True, probes, True, copies, True, SECOND, SECOND // 4, idle_limit),
             limits=ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
-            trial=CanaryLimits((0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False),
-            poll=VotingRules(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
+            canary_limits=CanaryLimits(
+                (0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_lane, guarded, keys_stay, False
+            ),
+            voting_rules=VotingRules(control, 1, 1, 1, least_stage, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
             prices=Prices(probe_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
             rng=Random(7),
             now=now,
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -109,13 +109,15 @@
 
     def front(self, number: int, relays: int) -> Front:
         relay = Balancer(
-            place=RelayPosition(number, relays, "z"),
+            position=RelayPosition(number, relays, "z"),
             request_classes=[LANE],
             tenants=self.members,
             quota=ResourceQuota(3, 1000, 100, True, False, True, False, True, 2 * SECOND, SECOND // 4, 15 * SECOND),
             limits=self.duties,
-            trial=CanaryLimits((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
-            poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
+            canary_limits=CanaryLimits((1.0,), (1.0,), 3.0, 3 * SECOND, False, 0, False, False),
+            voting_rules=VotingRules(
+                PromotionControl.FIRST_VOTE, 1, 1, 1, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0
+            ),
             prices=Prices(0.5, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1),
             rng=Random(self.chance.random()),
             now=self.now,
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,7 +14,7 @@
 from math import sqrt
 from unittest import mock
 
-from lanelead.decisions.counters import turned
+from lanelead.decisions.counters import low_discrepancy_value
 from lanelead.decisions.endpoint_state import EndpointState, state_of
 from tests import hollow
 from tests.fake import FakeHost
@@ -48,7 +48,7 @@
         for _ in range(300):
             host.end(host.sent(host.ask())[-1])
             host.run(SECOND // 10)
-        self.assertLessEqual(max(len(state_of(unit).cold_sends) for unit in host.units), 12)
+        self.assertLessEqual(max(len(state_of(unit).slow_start_attempts) for unit in host.units), 12)
 
 
 class Idle(unittest.TestCase):
@@ -82,24 +82,26 @@
         for part in (0.05, 0.3, 0.8):
             for number in range(20):
                 lot = number / 20 + 0.013
-                hits = sum(turned(lot, turn) < part for turn in range(200))
+                hits = sum(low_discrepancy_value(lot, turn) < part for turn in range(200))
                 self.assertAlmostEqual(hits / 200, part, delta=0.02)
 
     def test_the_lucky_of_one_moment_are_as_many_as_their_part(self) -> None:
         for moment in (0.0, 3.3, 917.8):
-            lucky = sum(turned((number + 0.5) / 4000, moment) < 0.1 for number in range(4000))
+            lucky = sum(low_discrepancy_value((number + 0.5) / 4000, moment) < 0.1 for number in range(4000))
             self.assertAlmostEqual(lucky / 4000, 0.1, delta=0.02)
 
     def test_lots_turn_at_moments_of_their_own(self) -> None:
         lots = [(number + 0.5) / 4000 for number in range(4000)]
         for moment in (0.95, 1.2, 3.7):
-            changed = sum(turned(lot, moment) != turned(lot, moment + 0.1) for lot in lots)
+            changed = sum(
+                low_discrepancy_value(lot, moment) != low_discrepancy_value(lot, moment + 0.1) for lot in lots
+            )
             self.assertAlmostEqual(changed / 4000, 0.1, delta=0.02)
 
     def test_trips_of_the_last_span_are_counted_and_forgotten(self) -> None:
         server = EndpointState(1, SECOND, SECOND, 0.5)
-        server.cold_sends.extend([0, 5000, 9000])
-        self.assertEqual([server.sent(now, SECOND) for now in (9999, 10_000, 15_001, 30_000)], [3, 2, 1, 0])
+        server.slow_start_attempts.extend([0, 5000, 9000])
+        self.assertEqual([server.slow_start_count(now, SECOND) for now in (9999, 10_000, 15_001, 30_000)], [3, 2, 1, 0])
 
 
 class Processes(unittest.TestCase):
--- a/tests/test_creeping.py
+++ b/tests/test_creeping.py
@@ -19,15 +19,15 @@
             for stage in range(3):
                 for unit in (*host.units, built):
                     host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 100)
-                host.relay._rollout.calm_rate = 1000.0
+                host.relay._rollout.baseline_rate = 1000.0
                 host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
-            host.relay._rollout.calm_rate = 1000.0
+            host.relay._rollout.baseline_rate = 1000.0
             for unit in (*host.units, built):
                 slow = new if unit is built else old
-                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: slow}, host.relay.now, 100)
             told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-            found = host.relay._rollout.creeping(told, host.relay.now)
+            found = host.relay._rollout.is_fleet_slowing(told, host.relay.now)
             self.assertEqual(found, creeps, (old, new))
 
     def test_units_too_new_to_be_scored_speak_for_no_build(self) -> None:
@@ -38,11 +38,11 @@
                 host.relay._scoring.record(state_of(unit), PURE, {}, host.relay.now, 100)
             host.news(2, stage, RolloutPhase.CANARY, 0.1)
             host.run(20 * SECOND)
-        host.relay._rollout.calm_rate = 1000.0
+        host.relay._rollout.baseline_rate = 1000.0
         fresh = host.listed(2, since=host.relay.now)
         host.run(2 * SECOND)
         for unit in (*host.units, fresh):
-            host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: 60}, host.relay.now, 100)
-        host.relay._rollout.calm_rate = 1000.0
+            host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: 60}, host.relay.now, 100)
+        host.relay._rollout.baseline_rate = 1000.0
         told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-        self.assertTrue(host.relay._rollout.creeping(told, host.relay.now))
+        self.assertTrue(host.relay._rollout.is_fleet_slowing(told, host.relay.now))
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -28,7 +28,7 @@
 
 def heard(place: Platform) -> tuple[int, float]:
     """The build and the cap that the decisions go by."""
-    news = place.relay.driver.decisions._exposure.news  # type: ignore[attr-defined]
+    news = place.relay.driver.decisions._exposure_budget.rollout  # type: ignore[attr-defined]
     return news.build, news.exposure_limit
 
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from lanelead.decisions.admission import NEVER_RAN
+from lanelead.decisions.admission import NOT_EXECUTED
 from lanelead.decisions.balancer import Balancer
 from lanelead.decisions.interface import (
     Attempt,
@@ -83,13 +83,15 @@
     def __init__(self, open_lookups: int = 1000, start: Ticks = 100 * SECOND) -> None:
         self.hands = PaperHands(start)
         relay = Balancer(
-            place=RelayPosition(0, 3, "north"),
+            position=RelayPosition(0, 3, "north"),
             request_classes=LANES,
             tenants=[],
             limits=DUTIES,
-            trial=TRIAL,
+            canary_limits=TRIAL,
             quota=ResourceQuota(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
-            poll=VotingRules(PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0),
+            voting_rules=VotingRules(
+                PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0
+            ),
             prices=Prices(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0),
             rng=Random(1),
             now=start,
@@ -234,7 +236,7 @@
             if pending.request is None:
                 continue
             request_class, attempts = pending.request.request_class, pending.request.attempts
-            ran = [attempt for attempt in attempts if attempt.outcome not in NEVER_RAN]
+            ran = [attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED]
             if request_class.idempotency is not Idempotency.IDEMPOTENT:
                 assert pending not in shed or not ran, "shed, though it may have run"
             if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.decisions.endpoint_state import EndpointState, Outstanding
+from lanelead.decisions.endpoint_state import EndpointState
+from lanelead.decisions.fleet_load import FleetInFlight
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     CompletionCount,
@@ -216,14 +217,14 @@
     def test_a_relay_takes_no_unit_as_idle_that_a_full_letter_left_out(self) -> None:
         hearer, teller = door(A, B, *self.names), door(A, B, *self.names)
         loads = {name: 200 - at for at, name in enumerate([A, B, *self.names])}
-        known = Outstanding(SECOND)
+        known = FleetInFlight(SECOND)
         (text,) = letters(teller, loads)
-        known.hear(
+        known.receive(
             None,
             [w for w in decode_gossip(text, hearer.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
             0,
         )
-        at = [known.at(unit, 1) for unit in hearer.by_name.values() if isinstance(unit, EndpointState)]
+        at = [known.others_at(unit, 1) for unit in hearer.by_name.values() if isinstance(unit, EndpointState)]
         told = len(read(hearer, [text])) - 1
         self.assertEqual([200 - place for place in range(told)] + [200 - told] * (122 - told), at)
 
@@ -236,15 +237,15 @@
         self.assertEqual({}, {name: found[name] for name in (A, B) if name in found})
 
     def test_a_letter_of_which_nothing_is_understood_ends_what_was_told_before(self) -> None:
-        known, hub = Outstanding(SECOND), door(A, B, C)
+        known, hub = FleetInFlight(SECOND), door(A, B, C)
         for loads in ({C: 5}, {A: 6}):
             (text,) = letters(door(A, C), loads)
-            known.hear(
+            known.receive(
                 9,
                 [w for w in decode_gossip(text, hub.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
                 0,
             )
-        self.assertEqual([], known.add([], 1))
+        self.assertEqual([], known.aggregate([], 1))
 
 
 class Versions(unittest.TestCase):
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -6,7 +6,8 @@
 import unittest
 from random import Random
 
-from lanelead.decisions.endpoint_state import EndpointState, Outstanding, state_of
+from lanelead.decisions.endpoint_state import EndpointState, state_of
+from lanelead.decisions.fleet_load import FleetInFlight
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     SECOND,
@@ -39,21 +40,21 @@
 class Stories(unittest.TestCase):
     def test_a_hub_adds_up_and_tells_each_unit_by_itself_whatever_relays_know(self) -> None:
         doors = {"first": door(A, B, C), "second": door(B, C, A), "hub": door(C, A, B), "one": door(A, C)}
-        out = {name: Outstanding(SECOND) for name in doors}
+        out = {name: FleetInFlight(SECOND) for name in doors}
 
         def tell(sender: int | None, text: bytes, hearer: str, now: Ticks) -> None:
             said = decode_gossip(text, doors[hearer].short_ids, [PURE])
-            out[hearer].hear(sender, [word for word in said if isinstance(word, InFlightCount | InFlightBound)], now)
+            out[hearer].receive(sender, [word for word in said if isinstance(word, InFlightCount | InFlightBound)], now)
 
         def at(hearer: str, now: Ticks) -> dict[str, int]:
             known = doors[hearer].by_name.items()
-            return {name: out[hearer].at(unit, now) for name, unit in known if isinstance(unit, EndpointState)}
+            return {name: out[hearer].others_at(unit, now) for name, unit in known if isinstance(unit, EndpointState)}
 
         for now in range(0, 10 * SECOND, SECOND // 5):
             for sender, (name, loads) in enumerate((("first", {A: 6, C: 1}), ("second", {B: 2}))):
                 (text,) = letters(doors[name], loads)
                 tell(sender, text, "hub", now)
-            total = out["hub"].add([InFlightCount(doors["hub"].by_name[B], 1)], now)
+            total = out["hub"].aggregate([InFlightCount(doors["hub"].by_name[B], 1)], now)
             self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.endpoint]: load.attempts for load in total})
             self.assertEqual({A: 6, B: 2, C: 1}, at("hub", now))
             (text,) = encode_gossip(total, [PURE])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -371,10 +371,10 @@
             await place.until(lambda: place.relay.state()["desk"])
             news = {**NEWS, "build": 2, "stage": 0, "phase": "testing", "cap": 0.2}
             place.desks[0].write(told(news))
-            exposure = place.relay.driver.decisions._exposure  # type: ignore[attr-defined]
-            await place.until(lambda: exposure.news.build == 2)
+            exposure = place.relay.driver.decisions._exposure_budget  # type: ignore[attr-defined]
+            await place.until(lambda: exposure.rollout.build == 2)
             place.desks[0].write(told({**news, "phase": "recalling", "cap": 0.0}))
-            await place.until(lambda: exposure.news.exposure_limit == 0.0)
+            await place.until(lambda: exposure.rollout.exposure_limit == 0.0)
 
     @live
     async def test_a_fault_of_ours_on_one_line_or_list_ends_no_feed(self) -> None:
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -6,7 +6,8 @@
 from collections import Counter
 from random import Random
 
-from lanelead.decisions.endpoint_state import EndpointState, Outstanding, state_of
+from lanelead.decisions.endpoint_state import EndpointState, state_of
+from lanelead.decisions.fleet_load import FleetInFlight
 from lanelead.decisions.interface import (
     MAX_IN_FLIGHT_COUNTS,
     AttemptOutcome,
@@ -104,7 +105,7 @@
                 )
                 for mark, unit in enumerate(host.units):
                     unit.short_id = mark
-                near = host.relay._choice._near([state_of(unit) for unit in host.units], 0)
+                near = host.relay._selector._connection_subset([state_of(unit) for unit in host.units], 0)
                 counts[-1].update(unit.short_id for unit in near)
                 self.assertEqual(4, len(near))
         self.assertLessEqual(max(counts[0].values()) - min(counts[0][mark] for mark in range(100)), 1)
@@ -278,18 +279,18 @@
 
     def test_its_own_trips_are_not_counted_twice(self) -> None:
         units = [EndpointState(mark, SECOND, SECOND, 0.0) for mark in range(2)]
-        known = Outstanding(SECOND)
+        known = FleetInFlight(SECOND)
         host = FakeHost(units=1)
-        units[0].out[host.sent(host.ask(PURE))[0]] = None
-        known.hear(None, [InFlightCount(units[0], 3)], 0)
-        self.assertEqual((2, 0), tuple(known.at(unit, 1) for unit in units))
+        units[0].in_flight[host.sent(host.ask(PURE))[0]] = None
+        known.receive(None, [InFlightCount(units[0], 3)], 0)
+        self.assertEqual((2, 0), tuple(known.others_at(unit, 1) for unit in units))
 
     def test_units_that_a_full_letter_leaves_out_are_not_taken_as_idle(self) -> None:
         units = [EndpointState(mark, SECOND, SECOND, 0.0) for mark in range(MAX_IN_FLIGHT_COUNTS + 1)]
-        known = Outstanding(SECOND)
+        known = FleetInFlight(SECOND)
         for many, least in ((MAX_IN_FLIGHT_COUNTS, 3), (MAX_IN_FLIGHT_COUNTS - 1, 0)):
-            known.hear(None, [InFlightCount(unit, 3 + (unit is units[0])) for unit in units[:many]], 0)
-            self.assertEqual((4, least), (known.at(units[0], 1), known.at(units[-1], 1)))
+            known.receive(None, [InFlightCount(unit, 3 + (unit is units[0])) for unit in units[:many]], 0)
+            self.assertEqual((4, least), (known.others_at(units[0], 1), known.others_at(units[-1], 1)))
 
 
 class Letters(unittest.TestCase):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,7 @@
 
 import unittest
 
-from lanelead.decisions.build_scoring import FULL, Fault, Scoring, View
-from lanelead.decisions.counters import Windows, z_score
+from lanelead.decisions.build_scoring import FULL_WINDOW_OUTCOMES, BuildScoring, EndpointWindow, Fault
 from lanelead.decisions.endpoint_state import EndpointState, state_of
 from lanelead.decisions.interface import (
     AttemptOutcome,
@@ -22,6 +21,8 @@
     StartAttempt,
     Verdict,
 )
+from lanelead.decisions.outcome_windows import OutcomeHistory, z_score
+from lanelead.decisions.rollout_votes import CanaryAssessment
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
 
 
@@ -211,7 +212,7 @@
         new = [host.listed(2, since=host.relay.now) for _ in range(servers)]
         host.run(wait * SECOND)
         for place, unit in enumerate(new):
-            broken = {Fault.BROKEN: faults.get(place, 0)}
+            broken = {Fault.ERROR: faults.get(place, 0)}
             host.relay._scoring.record(state_of(unit), request_class, broken, host.relay.now, 10)
         host.run(6 * SECOND)
         return [vote.verdict for vote in host.votes()]
@@ -237,10 +238,10 @@
         unit = host.listed(2, since=host.relay.now)
         host.run(6 * SECOND)
         self.assertEqual(host.votes(), [])
-        ballot = host.relay._rollout.ballot
+        ballot = host.relay._rollout.votes
         told = RolloutState(2, 0, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-        self.assertEqual(ballot.verdict(told, True, 0.0, 3.1, False), Verdict.HOLD)
-        self.assertEqual((ballot.verdict(told, True, 0.0, 2.9, False), unit.build), (None, 2))
+        self.assertEqual(ballot.choose_verdict(told, CanaryAssessment(True, 0.0, 3.1, False)), Verdict.HOLD)
+        self.assertEqual((ballot.choose_verdict(told, CanaryAssessment(True, 0.0, 2.9, False)), unit.build), (None, 2))
 
     def test_peers_outcomes_count_and_a_restarted_relay_votes_on_them(self) -> None:
         host = FakeHost(now=20 * SECOND)
@@ -259,17 +260,17 @@
             host = FakeHost(now=20 * SECOND)
             for stage, slow in enumerate(shares[:3]):
                 for unit in host.units:
-                    host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: slow}, host.relay.now, 100)
-                host.relay._rollout.calm_rate = 1.0
+                    host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: slow}, host.relay.now, 100)
+                host.relay._rollout.baseline_rate = 1.0
                 host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
             for unit in host.units:
-                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: shares[3]}, host.relay.now, 100)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: shares[3]}, host.relay.now, 100)
             told = RolloutState(2, 2, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-            self.assertEqual(host.relay._rollout.creeping(told, host.relay.now), verdict is Verdict.ROLL_BACK)
+            self.assertEqual(host.relay._rollout.is_fleet_slowing(told, host.relay.now), verdict is Verdict.ROLL_BACK)
 
     def test_units_that_are_gone_are_forgotten_by_the_windows(self) -> None:
-        windows = Windows[EndpointState, Fault](SECOND)
+        windows = OutcomeHistory[EndpointState, Fault](SECOND)
         for number in range(100):
             windows.add(state_of(FakeHost(units=1).units[0]), PURE, 1, {}, number * SECOND)
         self.assertLessEqual(len(windows._open), 2)
@@ -280,38 +281,38 @@
             host = FakeHost(now=20 * SECOND)
             for stage in (0, 1):
                 for unit in host.units:
-                    host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: first}, host.relay.now, 100)
-                host.relay._rollout.calm_rate = 1.0
+                    host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: first}, host.relay.now, 100)
+                host.relay._rollout.baseline_rate = 1.0
                 host.news(2, stage, RolloutPhase.CANARY, 0.1)
                 host.run(20 * SECOND)
-            host.relay._rollout.calm_rate = 1000.0
+            host.relay._rollout.baseline_rate = 1000.0
             for unit in host.units:
-                host.relay._scoring.record(state_of(unit), PURE, {Fault.SLOW: last}, host.relay.now, 100)
+                host.relay._scoring.record(state_of(unit), PURE, {Fault.LATE: last}, host.relay.now, 100)
             for stage in (0, 1):
                 told = RolloutState(2, stage, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-                creeps = host.relay._rollout.creeping(told, host.relay.now)
+                creeps = host.relay._rollout.is_fleet_slowing(told, host.relay.now)
                 self.assertEqual(creeps, slows and stage == 1, (first, last, stage))
 
 
 class Arithmetic(unittest.TestCase):
     def test_z_has_a_floor_of_one_outcome(self) -> None:
-        self.assertAlmostEqual(z_score(3, 10, 0.0, FULL), 3.0)
-        self.assertAlmostEqual(z_score(6, 10, 0.5, FULL), 0.1 / (0.5 / 10**0.5))
+        self.assertAlmostEqual(z_score(3, 10, 0.0, FULL_WINDOW_OUTCOMES), 3.0)
+        self.assertAlmostEqual(z_score(6, 10, 0.5, FULL_WINDOW_OUTCOMES), 0.1 / (0.5 / 10**0.5))
 
     def test_score_is_z_times_decay_times_percentile_times_weight(self) -> None:
-        scoring = Scoring(5 * SECOND, 3 * SECOND, fill=10, ripe=5 * SECOND)
-        base = View(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 100, {Fault.SLOW: 1, Fault.BROKEN: 1})
+        scoring = BuildScoring(span=5 * SECOND, decay_time=3 * SECOND, min_outcomes=10, maturity=5 * SECOND)
+        base = EndpointWindow(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 100, {Fault.LATE: 1, Fault.ERROR: 1})
         z, hard = (0.4 - 2 / 101) / 0.1, (0.4 - 1 / 101) / 0.1
-        score = scoring._score(4, 10, Fault.SLOW, base, 3 * SECOND, [0.0, 0.0, 0.0, 0.4])
+        score = scoring._score(4, 10, Fault.LATE, base, 3 * SECOND, [0.0, 0.0, 0.0, 0.4])
         self.assertAlmostEqual(score, z * 0.5 * 0.875)
-        self.assertAlmostEqual(scoring._score(4, 10, Fault.BROKEN, base, 0, [0.0, 0.4]), hard * 0.75 * 10)
-        self.assertEqual(scoring._score(2, 10, Fault.BROKEN, base, 0, [0.0, 0.2]), 0.0)
+        self.assertAlmostEqual(scoring._score(4, 10, Fault.ERROR, base, 0, [0.0, 0.4]), hard * 0.75 * 10)
+        self.assertEqual(scoring._score(2, 10, Fault.ERROR, base, 0, [0.0, 0.2]), 0.0)
 
     def test_a_thin_baseline_without_faults_proves_little(self) -> None:
         # Incident ie7ab45 and rough-1 of sicilia-stazioni: 18 late of 729, against 0 of 37.
-        scoring = Scoring(5 * SECOND, 3 * SECOND, fill=10, ripe=5 * SECOND)
-        base = View(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 37)
-        self.assertEqual(scoring._score(18, 729, Fault.SLOW, base, 0, [0.0, 1.0]), 0.0)
+        scoring = BuildScoring(span=5 * SECOND, decay_time=3 * SECOND, min_outcomes=10, maturity=5 * SECOND)
+        base = EndpointWindow(state_of(FakeHost(units=1).units[0]), PURE, 1, 0, 37)
+        self.assertEqual(scoring._score(18, 729, Fault.LATE, base, 0, [0.0, 1.0]), 0.0)
 
 
 class Load(unittest.TestCase):
@@ -367,9 +368,9 @@
     def test_quick_errors_make_no_fleet_busier(self) -> None:
         # A fresh day of sicilia-stazioni, grown: lookups that err anywhere hid a build that slows all.
         host = FakeHost()
-        for faults, attempts in (({}, 10), ({Fault.BROKEN: 10}, 10), ({Fault.SLOW: 10}, 20)):
-            host.relay._count(state_of(host.units[0]), PURE, faults, 10, False)
-            self.assertEqual(host.relay._traffic.busy.read(0), attempts)
+        for faults, attempts in (({}, 10), ({Fault.ERROR: 10}, 10), ({Fault.LATE: 10}, 20)):
+            host.relay._record_outcomes(state_of(host.units[0]), PURE, faults, 10, False)
+            self.assertEqual(host.relay._traffic.served.read(0), attempts)
 
     def test_a_client_in_haste_is_no_fault_of_a_server(self) -> None:
         # rough-2 of kortfjell-prod, grown: one customer's short tries sent a good build back.
@@ -377,8 +378,8 @@
             host = FakeHost()
             host.run(6 * SECOND)
             host.end(host.sent(host.ask(PURE, left=took))[0], AttemptOutcome.TIMED_OUT, took)
-            windows = host.relay._scoring.windows.all
-            self.assertEqual(sum(Fault.SILENT in window.faults for window in windows), silent)
+            windows = host.relay._scoring.history.windows
+            self.assertEqual(sum(Fault.TIMED_OUT in window.faults for window in windows), silent)
 
     def test_work_that_is_always_late_is_sent_in_part(self) -> None:
         # big-2 of kortfjell-prod, grown: one member's work waited at every unit, and held all places.
@@ -395,10 +396,10 @@
         for _ in range(40):
             for attempt in host.sent(host.ask(EFFECTFUL)):
                 host.end(attempt, AttemptOutcome.ERROR)
-        aside = [unit for unit in host.units if state_of(unit).aside > host.relay.now]
+        aside = [unit for unit in host.units if state_of(unit).ejected_until > host.relay.now]
         self.assertEqual(len(aside), 2)
         host.run(4 * SECOND)
-        self.assertFalse([unit for unit in host.units if state_of(unit).aside > host.relay.now])
+        self.assertFalse([unit for unit in host.units if state_of(unit).ejected_until > host.relay.now])
 
 
 if __name__ == "__main__":
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,7 +23,7 @@
     Ticks,
     ZonePreference,
 )
-from lanelead.decisions.zone_spillover import Spill
+from lanelead.decisions.zone_spillover import ZoneSpillover
 from lanelead.testbed.simulation.decision_loop import World
 from lanelead.testbed.simulation.hosts import Plan
 from lanelead.testbed.simulation.policies import AllAtOnce, HealthShare, NoSpill
@@ -37,7 +37,7 @@
     """Spill alone, fed by hand: two zones of four units each, ten lookups a second."""
 
     def __init__(self, preference: ZonePreference = ZonePreference((("a",), ("b",)))) -> None:  # noqa: B008
-        self.spill = Spill(preference, DUTIES, SECOND, BEAT, Random(3))
+        self.spill = ZoneSpillover(preference, DUTIES, longest_objective=SECOND, update_interval=BEAT, rng=Random(3))
         self.now: Ticks = 1000 * SECOND
         self.begun = self.now
         self.units = {zone: [self.unit(zone) for _ in range(4)] for zone in "ab"}
@@ -54,12 +54,12 @@
             every = [server for some in self.units.values() for server in some]
             for zone in bad:
                 for server in self.units[zone]:
-                    self.spill.note(server, 1, 1, self.now)
+                    self.spill.record_outcomes(server, 1, 1, self.now)
             begun = 1 - exp((self.begun - self.now) / (4 * SECOND))  # the sum of ten lookups a second
-            self.spill.beat(every, 40.0 * begun, False, self.now)
+            self.spill.update(every, 40.0 * begun, False, self.now)
 
     def gone(self) -> float:
-        return self.spill.tiers[0].gone
+        return self.spill.tiers[0].diverted_share
 
     def lookup(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> Request:
         found = Request(request_class, None, None, self.now, self.now + SECOND)
@@ -68,7 +68,7 @@
         return found
 
     def first(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> list[int]:
-        return self.spill._order(self.lookup(request_class, tried))[0]
+        return self.spill._tier_order(self.lookup(request_class, tried))[0]
 
 
 class Spilling(unittest.TestCase):
@@ -81,7 +81,7 @@
         del town.units["a"][2:]
         town.run(4)
         self.assertAlmostEqual(town.gone(), 0.5, delta=0.02)
-        town.spill.tiers[1].held = 1000.0
+        town.spill.tiers[1].tokens = 1000.0
         places = [town.first()[0] for _ in range(1000)]
         self.assertLess(abs(sum(places) / 1000 - 0.5), 0.1)
 
@@ -115,13 +115,13 @@
         for server in town.units["a"]:
             for _ in range(3):
                 request = town.lookup()
-                server.out[Attempt(request, server, 0, town.now, SECOND)] = None
+                server.in_flight[Attempt(request, server, 0, town.now, SECOND)] = None
         town.run(3)
         self.assertGreater(town.gone(), 0.4)
 
     def test_few_bad_outcomes_prove_nothing_of_a_whole_tier(self) -> None:
         town = Town()
-        town.spill.note(town.units["a"][0], 5, 2, town.now)
+        town.spill.record_outcomes(town.units["a"][0], 5, 2, town.now)
         town.run(0.4)
         self.assertEqual(town.gone(), 0.0)
 
@@ -131,10 +131,10 @@
         sent = 0
         for _ in range(50):
             town.run(0.2)
-            while town.spill.tiers[1].held >= 1:
+            while town.spill.tiers[1].tokens >= 1:
                 sent += 1
                 town.spill.spend(town.units["b"][0])
-        limit = town.spill.limit(1)
+        limit = town.spill.foreign_rate_limit(1)
         self.assertAlmostEqual(limit, 0.9 * 10, delta=1.5)
         self.assertLessEqual(sent, limit * 10 + 10)
         self.assertGreater(sent, limit * 10 * 0.6)
@@ -143,16 +143,16 @@
         town = Town()
         town.units["a"].clear()
         town.run(4)
-        before = town.spill.tiers[1].grant
+        before = town.spill.tiers[1].admitted_share
         town.run(3, bad="b")
-        self.assertLess(town.spill.tiers[1].grant, before / 2)
+        self.assertLess(town.spill.tiers[1].admitted_share, before / 2)
 
     def test_machines_that_a_release_drains_are_no_lost_zone(self) -> None:
         town = Town()
         town.units["a"] += [town.unit("a") for _ in range(4)]
         for _ in range(20):
             town.now += BEAT
-            town.spill.beat([s for some in town.units.values() for s in some], 40.0, True, town.now)
+            town.spill.update([s for some in town.units.values() for s in some], 40.0, True, town.now)
         del town.units["a"][:4]
         town.run(2)
         self.assertLess(town.gone(), 0.05)
@@ -224,7 +224,9 @@
 
     def test_a_relay_that_starts_anew_while_its_zone_is_lost_goes_to_the_next_tier_by_measure(self) -> None:
         town = Town()
-        town.spill = Spill(ZonePreference((("a",), ("b",))), DUTIES, SECOND, BEAT, Random(8))
+        town.spill = ZoneSpillover(
+            ZonePreference((("a",), ("b",))), DUTIES, longest_objective=SECOND, update_interval=BEAT, rng=Random(8)
+        )
         town.begun = town.now
         town.units["a"].clear()
         town.run(2)
@@ -232,7 +234,7 @@
         for _ in range(50):
             town.run(0.2)
             self.assertNotEqual(town.first(EFFECTFUL), [0])
-            while town.spill.tiers[1].held >= 1:
+            while town.spill.tiers[1].tokens >= 1:
                 sent += 1
                 town.spill.spend(town.units["b"][0])
         self.assertLessEqual(sent, 10 * 10 + 10)  # it knows of no size of its own: what it takes is the limit
@@ -244,17 +246,17 @@
         town = Town()
         town.units["a"].clear()
         town.run(12, bad="b")
-        self.assertLess(town.spill.tiers[1].grant, 0.06)
+        self.assertLess(town.spill.tiers[1].admitted_share, 0.06)
         town.run(12)
-        self.assertGreater(town.spill.tiers[1].grant, 0.9)
+        self.assertGreater(town.spill.tiers[1].admitted_share, 0.9)
 
 
 class Lanes(unittest.TestCase):
     def test_what_may_not_run_twice_does_not_try_a_zone_that_seems_lost(self) -> None:
         town = Town()
         town.run(6, bad="a")
-        town.spill.tiers[0].gone = 0.95
-        town.spill.tiers[1].held = 1000.0
+        town.spill.tiers[0].diverted_share = 0.95
+        town.spill.tiers[1].tokens = 1000.0
         self.assertEqual({town.first(EFFECTFUL)[0] for _ in range(200)}, {1})
         self.assertEqual({town.first(PURE)[0] for _ in range(200)}, {0, 1})
 
@@ -267,14 +269,16 @@
     def test_a_bad_build_is_seen_in_a_troubled_tier_and_slowness_there_is_not_its_fault(self) -> None:
         host = FakeHost(units=4)
         relay = host.relay
-        relay._spill = Spill(ZonePreference((("z",), ("y",))), DUTIES, SECOND, BEAT, Random(1))
-        relay._spill.tiers[0].gone = 0.8
-        relay._count(state_of(host.units[0]), PURE, {Fault.SLOW: 3, Fault.BROKEN: 2}, 10, False)
-        self.assertEqual(relay._scoring.windows.all[-1].faults, {Fault.BROKEN: 2})
-        self.assertGreater(relay._spill.tiers[0].bad.read(relay.now), 0)
+        relay._spillover = ZoneSpillover(
+            ZonePreference((("z",), ("y",))), DUTIES, longest_objective=SECOND, update_interval=BEAT, rng=Random(1)
+        )
+        relay._spillover.tiers[0].diverted_share = 0.8
+        relay._record_outcomes(state_of(host.units[0]), PURE, {Fault.LATE: 3, Fault.ERROR: 2}, 10, False)
+        self.assertEqual(relay._scoring.history.windows[-1].faults, {Fault.ERROR: 2})
+        self.assertGreater(relay._spillover.tiers[0].failures.read(relay.now), 0)
 
     def test_without_tiers_all_units_are_one(self) -> None:
-        spill = Spill(ZonePreference(), DUTIES, SECOND, BEAT, Random(1))
+        spill = ZoneSpillover(ZonePreference(), DUTIES, longest_objective=SECOND, update_interval=BEAT, rng=Random(1))
         pools = {1: [EndpointState(0, SECOND, SECOND, 0.5)]}
         request = Request(
             RequestClass("r", 1, 2, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0),
@@ -283,9 +287,9 @@
             0,
             1,
         )
-        self.assertIs(next(spill.cuts(pools, request)), pools)
-        spill.beat(pools[1], 1.0, False, 0)
-        self.assertFalse(spill.troubled(pools[1][0]))
+        self.assertIs(next(spill.candidate_pools(pools, request)), pools)
+        spill.update(pools[1], 1.0, False, 0)
+        self.assertFalse(spill.is_degraded(pools[1][0]))
 
 
 class Worlds(unittest.TestCase):
