--- a/lanelead/decisions/__init__.py
+++ b/lanelead/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a relay, without I/O: `rules` joins them, `interface` has what passes at its door."""
+"""The decisions of a relay, without I/O: `balancer` joins them, `interface` has what a host exchanges with them."""
