--- /dev/null
+++ b/tests/fake_decisions_host.py
@@ -0,0 +1,159 @@
+"""One tiny fake host: it feeds a relay by hand, carries its acts out on paper and keeps the time."""
+
+from __future__ import annotations
+
+from random import Random
+
+from lanelead.decisions.balancer import Balancer
+from lanelead.decisions.interface import (
+    Action,
+    Attempt,
+    AttemptOutcome,
+    CanaryLimits,
+    CastVote,
+    DeduplicationScope,
+    Endpoint,
+    EndpointRecord,
+    EndpointStatus,
+    FailRequest,
+    Idempotency,
+    Prices,
+    PromotionControl,
+    RejectRequest,
+    RelayPosition,
+    Request,
+    RequestClass,
+    ResourceQuota,
+    RolloutPhase,
+    RolloutState,
+    ServiceLimits,
+    SetTimer,
+    StartAttempt,
+    Ticks,
+    UpdateScope,
+    VotingRules,
+)
+
+SECOND: Ticks = 10_000
+IDEMPOTENT_CLASS = RequestClass(
+    "read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+)
+KEYED_CLASS = RequestClass(
+    "save", SECOND, 4 * SECOND, 3.0, 0.0, Idempotency.KEYED, DeduplicationScope.ZONE, 2 * SECOND, False, 0.0
+)
+NON_IDEMPOTENT_CLASS = RequestClass(
+    "file", SECOND, 4 * SECOND, 3.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
+)
+
+
+class FakeHost:
+    def __init__(
+        self,
+        endpoints: int = 8,
+        by_class: bool = False,
+        guarded_stages: int = 0,
+        sticky_keys: bool = False,
+        control: PromotionControl = PromotionControl.FIRST_VOTE,
+        hedging: bool = True,
+        health_checks: bool = False,
+        now: Ticks = 0,
+        relays: int = 3,
+        number: int = 0,
+        health_check_price: float = 0.0,
+        handshake_price: float = 0.0,
+        idle_timeout: Ticks = 0,
+        min_stage_time: Ticks = SECOND,
+    ) -> None:
+        self.actions: list[Action] = []
+        self.timers: list[tuple[Ticks, Request | None]] = []
+        self.balancer = Balancer(
+            position=RelayPosition(number, relays, "z"),
+            request_classes=[IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS],
+            tenants=[],
+            quota=ResourceQuota(
+                4, 1000, 100, True, health_checks, True, hedging, True, SECOND, SECOND // 4, idle_timeout
+            ),
+            limits=ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50),
+            canary_limits=CanaryLimits(
+                (0.1, 0.5, 1), (0.1, 0.5, 1), 3.0, 4 * SECOND, by_class, guarded_stages, sticky_keys, False
+            ),
+            voting_rules=VotingRules(control, 1, 1, 1, min_stage_time, 0, SECOND, 6 * SECOND, 100.0, 0.5, 2.0, 0.0),
+            prices=Prices(health_check_price, 0.0, 0.0, 0.0, 0.0, handshake_price, 0.0, 0.1),
+            rng=Random(7),
+            now=now,
+        )
+        self.balancer.now = now
+        self.endpoints = [self.list_endpoint(1) for _ in range(endpoints)]
+        self.update_rollout(1, 2, RolloutPhase.PROMOTED, 1.0)
+
+    def list_endpoint(
+        self,
+        build: int,
+        started_at: Ticks = 0,
+        status: EndpointStatus = EndpointStatus.READY,
+        endpoint: Endpoint | None = None,
+        zone: str = "z",
+    ) -> Endpoint:
+        endpoint = endpoint or self.balancer.new_endpoint(0)
+        told = EndpointRecord(endpoint, zone, 0, "std", started_at, build, 1.0, status)
+        self.balancer.endpoints_updated(UpdateScope.DELTA, [told])
+        return endpoint
+
+    def update_rollout(
+        self,
+        build: int,
+        stage: int,
+        phase: RolloutPhase,
+        exposure_limit: float,
+        answers_vote: bool = False,
+        outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED,
+    ) -> None:
+        self.balancer.rollout_updated(RolloutState(build, stage, phase, exposure_limit, 0, answers_vote, outcome))
+        self.take_actions()
+
+    def send_request(
+        self, request_class: RequestClass = IDEMPOTENT_CLASS, key: str | None = None, time_left: Ticks = 4 * SECOND
+    ) -> Request:
+        request = Request(request_class, None, key, self.balancer.now, self.balancer.now + time_left)
+        self.balancer.request_received(request)
+        self.take_actions()
+        return request
+
+    def end_attempt(
+        self, attempt: Attempt, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED, took: Ticks = 1000
+    ) -> None:
+        self.balancer.attempt_ended(attempt, outcome, outcome is AttemptOutcome.SUCCEEDED, took, None)
+        self.take_actions()
+
+    def take_actions(self) -> list[Action]:
+        """Takes over what the relay wants done, and returns just that."""
+        fresh = list(self.balancer.actions)
+        self.balancer.actions.clear()
+        self.actions += fresh
+        self.timers += [(action.at, action.request) for action in fresh if isinstance(action, SetTimer)]
+        return fresh
+
+    def advance(self, span: Ticks) -> None:
+        """Lets time pass, with every wake that falls due."""
+        until = self.balancer.now + span
+        while due := [wake for wake in self.timers if wake[0] <= until]:
+            wake = min(due, key=lambda entry: entry[0])
+            self.timers.remove(wake)
+            self.balancer.now = max(self.balancer.now, wake[0])
+            self.balancer.timer_fired(wake[1])
+            self.take_actions()
+        self.balancer.now = until
+
+    def attempts(self, request: Request | None = None) -> list[Attempt]:
+        attempts = [action.attempt for action in self.actions if isinstance(action, StartAttempt)]
+        return [attempt for attempt in attempts if request is None or attempt.request is request]
+
+    def final_actions(self, request: Request) -> list[Action]:
+        return [
+            action
+            for action in self.actions
+            if isinstance(action, RejectRequest | FailRequest) and action.request is request
+        ]
+
+    def votes(self) -> list[CastVote]:
+        return [action for action in self.actions if isinstance(action, CastVote)]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -17,7 +17,7 @@
 from lanelead.decisions.counters import low_discrepancy_value
 from lanelead.decisions.endpoint_state import EndpointState, state_of
 from tests import hollow
-from tests.fake import FakeHost
+from tests.fake_decisions_host import FakeHost
 from tests.hollow import SECOND, play
 from tests.platform import Platform, Unit, free_port, good, platform
 from tests.test_node_processes import ROOT, Relay
@@ -44,11 +44,11 @@
 class Memory(unittest.TestCase):
     def test_what_a_warm_unit_was_sent_is_forgotten_after_the_time_to_fall(self) -> None:
         # 45 minutes of a day held each trip to each warm unit: 37 MB for 30.
-        host = FakeHost(units=2)
+        host = FakeHost(endpoints=2)
         for _ in range(300):
-            host.end(host.sent(host.ask())[-1])
-            host.run(SECOND // 10)
-        self.assertLessEqual(max(len(state_of(unit).slow_start_attempts) for unit in host.units), 12)
+            host.end_attempt(host.attempts(host.send_request())[-1])
+            host.advance(SECOND // 10)
+        self.assertLessEqual(max(len(state_of(unit).slow_start_attempts) for unit in host.endpoints), 12)
 
 
 class Idle(unittest.TestCase):
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -33,7 +33,7 @@
 )
 from lanelead.runtime.short_ids import NO_LONG_ID, long_id_of
 from lanelead.simulator_adapter.host import Floor
-from tests.fake import PURE, SECOND
+from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND
 from tests.test_benchlink import BEGIN
 
 A, B, C = "u0", "u5578", "u1"  # the first two have one mark, the third its own
@@ -78,16 +78,19 @@
 
 def letters(teller: EndpointRegistry, loads: Mapping[str, int], seen: Mapping[str, int] | None = None) -> list[bytes]:
     words: list[GossipEntry] = [
-        OutcomeObservation(teller.by_name[name], PURE, 7, many, FAULTS) for name, many in (seen or {}).items()
+        OutcomeObservation(teller.by_name[name], IDEMPOTENT_CLASS, 7, many, FAULTS)
+        for name, many in (seen or {}).items()
     ]
-    return encode_gossip([*words, *(InFlightCount(teller.by_name[name], many) for name, many in loads.items())], [PURE])
+    return encode_gossip(
+        [*words, *(InFlightCount(teller.by_name[name], many) for name, many in loads.items())], [IDEMPOTENT_CLASS]
+    )
 
 
 def read(hearer: EndpointRegistry, texts: Sequence[bytes]) -> dict[str, list[int]]:
     """Outcomes seen and trips out in rising order, by the units' names; '': what no other has more of."""
     found = dict[str, list[int]]()
     for text in texts:
-        for word in decode_gossip(text, hearer.short_ids, [PURE]):
+        for word in decode_gossip(text, hearer.short_ids, [IDEMPOTENT_CLASS]):
             if isinstance(word, OutcomeObservation | InFlightCount):
                 many = word.outcomes if isinstance(word, OutcomeObservation) else word.attempts
                 found.setdefault(hearer.names[word.endpoint], []).append(many)
@@ -116,7 +119,7 @@
         names, digest = [f"s-{number}" for number in range(150)], hashlib.sha256()
         units = [door(*names).by_name[name] for name in names]
         for some in range(151):
-            seen = [OutcomeObservation(unit, PURE, 7, 3, FAULTS) for unit in units[:some]]
+            seen = [OutcomeObservation(unit, IDEMPOTENT_CLASS, 7, 3, FAULTS) for unit in units[:some]]
             wholes: list[list[GossipEntry]] = [
                 [*(InFlightCount(unit, 3) for unit in units[:some]), CompletionCount(3)],
                 [
@@ -124,9 +127,9 @@
                     *(InFlightCount(unit, place) for place, unit in enumerate(units[:some])),
                     FleetLatency(400 * some),
                 ],
-                [OutcomeObservation(unit, PURE, 7, some, FAULTS) for unit in units[:some]],
+                [OutcomeObservation(unit, IDEMPOTENT_CLASS, 7, some, FAULTS) for unit in units[:some]],
             ]
-            for text in (text for words in wholes for text in encode_gossip(words, [PURE])):
+            for text in (text for words in wholes for text in encode_gossip(words, [IDEMPOTENT_CLASS])):
                 digest.update(bytes([len(text)]) + text)
         self.assertEqual(DIGEST, digest.hexdigest())
 
@@ -171,7 +174,9 @@
         names = [f"unit-{number:04}" for number in range(10_000)]
         teller = door(*names)
         shared = [unit for unit in teller.short_ids.sharing() if unit.long_id > 0][:60]
-        texts = encode_gossip([OutcomeObservation(unit, PURE, 7, 3, FAULTS) for unit in shared], [PURE])
+        texts = encode_gossip(
+            [OutcomeObservation(unit, IDEMPOTENT_CLASS, 7, 3, FAULTS) for unit in shared], [IDEMPOTENT_CLASS]
+        )
         self.assertEqual({teller.names[unit]: [3] for unit in shared}, read(door(*names), texts))
         self.assertEqual([FORM_SHARED] * 4, [text[0] >> 5 for text in texts])
         self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
@@ -221,7 +226,11 @@
         (text,) = letters(teller, loads)
         known.receive(
             None,
-            [w for w in decode_gossip(text, hearer.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
+            [
+                w
+                for w in decode_gossip(text, hearer.short_ids, [IDEMPOTENT_CLASS])
+                if isinstance(w, InFlightCount | InFlightBound)
+            ],
             0,
         )
         at = [known.others_at(unit, 1) for unit in hearer.by_name.values() if isinstance(unit, EndpointState)]
@@ -242,7 +251,11 @@
             (text,) = letters(door(A, C), loads)
             known.receive(
                 9,
-                [w for w in decode_gossip(text, hub.short_ids, [PURE]) if isinstance(w, InFlightCount | InFlightBound)],
+                [
+                    w
+                    for w in decode_gossip(text, hub.short_ids, [IDEMPOTENT_CLASS])
+                    if isinstance(w, InFlightCount | InFlightBound)
+                ],
                 0,
             )
         self.assertEqual([], known.aggregate([], 1))
@@ -269,8 +282,8 @@
             hearer = door(A, B, C)
             self.assertEqual({C: [4, 5]}, read(hearer, [text]))
             self.assertGreater(hearer.short_ids.skipped["shared"], 0)
-        self.assertIn(FleetLatency(8000), decode_gossip(FIRST, door(A, B).short_ids, [PURE]))
-        self.assertIn(CompletionCount(4), decode_gossip(BOTH, door(A, B).short_ids, [PURE]))
+        self.assertIn(FleetLatency(8000), decode_gossip(FIRST, door(A, B).short_ids, [IDEMPOTENT_CLASS]))
+        self.assertIn(CompletionCount(4), decode_gossip(BOTH, door(A, B).short_ids, [IDEMPOTENT_CLASS]))
 
     def test_a_relay_that_knows_one_reads_it_as_before_where_one_was_told_of(self) -> None:
         self.assertEqual({A: [3, 6], C: [4, 5]}, read(door(A, C), [FIRST]))
@@ -316,7 +329,11 @@
             self.assertEqual((2 << 5, {stays: [6]}), (text[0], read(hearer, [text])))
             # What is still known of the one that is gone is told under no name.
             self.assertEqual(
-                [], encode_gossip([InFlightCount(lost, 9), OutcomeObservation(lost, PURE, 7, 9, FAULTS)], [PURE])
+                [],
+                encode_gossip(
+                    [InFlightCount(lost, 9), OutcomeObservation(lost, IDEMPOTENT_CLASS, 7, 9, FAULTS)],
+                    [IDEMPOTENT_CLASS],
+                ),
             )
             self.assertEqual(1, len(hearer.short_ids))
 
@@ -344,7 +361,7 @@
             for unit in hearer.by_name.values():
                 unit.build = 8 if spoil == "build" else 7
                 unit.status = EndpointStatus.DRAINING if spoil == "condition" else EndpointStatus.READY
-            request_classes = [] if spoil == "lanes" else [PURE]
+            request_classes = [] if spoil == "lanes" else [IDEMPOTENT_CLASS]
             self.assertEqual(
                 [], [word for text in texts for word in decode_gossip(text, hearer.short_ids, request_classes)]
             )
@@ -395,14 +412,14 @@
             (bytes([FORM_SHARED << 5 | 20]) + bytes(260), "length"),
         ):
             hearer = door(A, B, C)
-            self.assertEqual([], decode_gossip(text, hearer.short_ids, [PURE]))
+            self.assertEqual([], decode_gossip(text, hearer.short_ids, [IDEMPOTENT_CLASS]))
             self.assertEqual({reason: 1}, hearer.short_ids.skipped)
             self.assertEqual({A: [3, 6], B: [7, 9], C: [4, 5]}, read(hearer, good))
 
     def test_a_place_without_a_mark_says_nothing_of_any_unit(self) -> None:
         row = Struct(">IBBIB").pack(0, SHARED, 0, 0, 0)
         hearer = door(A, B, C)
-        said = decode_gossip(bytes([FORM << 5 | 1, 255, 255]) + row, hearer.short_ids, [PURE])
+        said = decode_gossip(bytes([FORM << 5 | 1, 255, 255]) + row, hearer.short_ids, [IDEMPOTENT_CLASS])
         self.assertEqual(([InFlightBound(0)], {}), (said, hearer.short_ids.skipped))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
@@ -415,7 +432,9 @@
             mark = data.draw(st.sampled_from(marks))
             body = body[:place] + data.draw(st.sampled_from([mark, mark[2:]])) + body[place + 4 :]
         hearer = door(A, B, C, *TWINS)
-        for word in decode_gossip(bytes([form << 5 | data.draw(st.integers(0, 31))]) + body, hearer.short_ids, [PURE]):
+        for word in decode_gossip(
+            bytes([form << 5 | data.draw(st.integers(0, 31))]) + body, hearer.short_ids, [IDEMPOTENT_CLASS]
+        ):
             if isinstance(word, OutcomeObservation | InFlightCount):
                 self.assertIn(hearer.names[word.endpoint], (A, B, C))
 
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -30,7 +30,7 @@
     encode_gossip,
 )
 from lanelead.runtime.short_ids import long_id_of
-from tests.fake import EFFECTFUL, PURE, FakeHost
+from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, FakeHost
 from tests.platform import Held, Unit
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
 from tests.test_marks import A, B, C, door, letters, read
@@ -43,7 +43,7 @@
         out = {name: FleetInFlight(SECOND) for name in doors}
 
         def tell(sender: int | None, text: bytes, hearer: str, now: Ticks) -> None:
-            said = decode_gossip(text, doors[hearer].short_ids, [PURE])
+            said = decode_gossip(text, doors[hearer].short_ids, [IDEMPOTENT_CLASS])
             out[hearer].receive(sender, [word for word in said if isinstance(word, InFlightCount | InFlightBound)], now)
 
         def at(hearer: str, now: Ticks) -> dict[str, int]:
@@ -57,7 +57,7 @@
             total = out["hub"].aggregate([InFlightCount(doors["hub"].by_name[B], 1)], now)
             self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.endpoint]: load.attempts for load in total})
             self.assertEqual({A: 6, B: 2, C: 1}, at("hub", now))
-            (text,) = encode_gossip(total, [PURE])
+            (text,) = encode_gossip(total, [IDEMPOTENT_CLASS])
             for name in ("first", "second", "one"):
                 tell(None, text, name, now)
             self.assertEqual([{A: 6, B: 3, C: 1}] * 2, [at(name, now) for name in ("first", "second")])
@@ -65,22 +65,23 @@
 
     def votes(self, trial: str, other: str) -> list[Verdict]:
         """A relay saw good answers of the one unit on trial, and hears from another of errors there."""
-        host = FakeHost(units=0, now=20 * SECOND)
-        home, abroad = EndpointRegistry(host.relay.new_endpoint), door(trial, other)
-        for unit in [host.listed(1, unit=home.get_or_add(name)) for name in ("s-1", "s-2", "s-3")]:
-            host.relay._scoring.record(state_of(unit), EFFECTFUL, {}, host.relay.now, 30)
-        host.run(SECOND)
-        host.news(2, 0, RolloutPhase.CANARY, 0.5)
-        unit = host.listed(2, since=host.relay.now, unit=home.get_or_add(trial))
-        host.listed(1, unit=home.get_or_add(other))
-        host.relay._scoring.record(state_of(unit), EFFECTFUL, {}, host.relay.now, 10)
+        host = FakeHost(endpoints=0, now=20 * SECOND)
+        home, abroad = EndpointRegistry(host.balancer.new_endpoint), door(trial, other)
+        for unit in [host.list_endpoint(1, endpoint=home.get_or_add(name)) for name in ("s-1", "s-2", "s-3")]:
+            host.balancer._scoring.record(state_of(unit), NON_IDEMPOTENT_CLASS, {}, host.balancer.now, 30)
+        host.advance(SECOND)
+        host.update_rollout(2, 0, RolloutPhase.CANARY, 0.5)
+        unit = host.list_endpoint(2, started_at=host.balancer.now, endpoint=home.get_or_add(trial))
+        host.list_endpoint(1, endpoint=home.get_or_add(other))
+        host.balancer._scoring.record(state_of(unit), NON_IDEMPOTENT_CLASS, {}, host.balancer.now, 10)
         abroad.by_name[trial].build = 2
         for _ in range(30):
             for text in encode_gossip(
-                [OutcomeObservation(abroad.by_name[trial], EFFECTFUL, 2, 6, [2, 0, 0, 0, 0])], [EFFECTFUL]
+                [OutcomeObservation(abroad.by_name[trial], NON_IDEMPOTENT_CLASS, 2, 6, [2, 0, 0, 0, 0])],
+                [NON_IDEMPOTENT_CLASS],
             ):
-                host.relay.gossip_received(1, decode_gossip(text, home.short_ids, [EFFECTFUL]))
-            host.run(SECOND // 5)
+                host.balancer.gossip_received(1, decode_gossip(text, home.short_ids, [NON_IDEMPOTENT_CLASS]))
+            host.advance(SECOND // 5)
         return [vote.verdict for vote in host.votes()]
 
     def test_a_bad_build_is_sent_back_though_its_unit_shares_its_mark(self) -> None:
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -25,10 +25,10 @@
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams, platform
 from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
-from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND
+from tests.fake_decisions_host import IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS, SECOND
 
 RECORDED = Path(__file__).parent / "pinned" / "wire.json"
-LANES = [PURE, RECEIPTED, EFFECTFUL]
+LANES = [IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS]
 ALONE = ["u1", "u2", "u3"]
 SAME_SHORT_ID = ["u0", "u5578"]  # their names' CRC-32 have the same low 16 bits
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -27,7 +27,7 @@
 from lanelead.testbed.simulation.decision_loop import World
 from lanelead.testbed.simulation.hosts import Plan
 from lanelead.testbed.simulation.policies import AllAtOnce, HealthShare, NoSpill
-from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND, FakeHost
+from tests.fake_decisions_host import IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 4.0, SECOND, False, 0, 50)
 BEAT: Ticks = SECOND // 5
@@ -61,13 +61,13 @@
     def gone(self) -> float:
         return self.spill.tiers[0].diverted_share
 
-    def lookup(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> Request:
+    def lookup(self, request_class: RequestClass = IDEMPOTENT_CLASS, tried: Endpoint | None = None) -> Request:
         found = Request(request_class, None, None, self.now, self.now + SECOND)
         if tried is not None:
             found.attempts.append(Attempt(found, tried, 0, self.now, SECOND, AttemptOutcome.TIMED_OUT))
         return found
 
-    def first(self, request_class: RequestClass = PURE, tried: Endpoint | None = None) -> list[int]:
+    def first(self, request_class: RequestClass = IDEMPOTENT_CLASS, tried: Endpoint | None = None) -> list[int]:
         return self.spill._tier_order(self.lookup(request_class, tried))[0]
 
 
@@ -233,7 +233,7 @@
         sent = 0
         for _ in range(50):
             town.run(0.2)
-            self.assertNotEqual(town.first(EFFECTFUL), [0])
+            self.assertNotEqual(town.first(NON_IDEMPOTENT_CLASS), [0])
             while town.spill.tiers[1].tokens >= 1:
                 sent += 1
                 town.spill.spend(town.units["b"][0])
@@ -257,23 +257,25 @@
         town.run(6, bad="a")
         town.spill.tiers[0].diverted_share = 0.95
         town.spill.tiers[1].tokens = 1000.0
-        self.assertEqual({town.first(EFFECTFUL)[0] for _ in range(200)}, {1})
-        self.assertEqual({town.first(PURE)[0] for _ in range(200)}, {0, 1})
+        self.assertEqual({town.first(NON_IDEMPOTENT_CLASS)[0] for _ in range(200)}, {1})
+        self.assertEqual({town.first(IDEMPOTENT_CLASS)[0] for _ in range(200)}, {0, 1})
 
     def test_a_lookup_whose_trip_failed_goes_on_to_the_next_tier_and_a_receipted_one_does_not(self) -> None:
         town = Town()
         home = town.units["a"][0]
-        self.assertEqual(town.first(PURE, home), [1])
-        self.assertEqual(town.first(RECEIPTED, home), [0])
+        self.assertEqual(town.first(IDEMPOTENT_CLASS, home), [1])
+        self.assertEqual(town.first(KEYED_CLASS, home), [0])
 
     def test_a_bad_build_is_seen_in_a_troubled_tier_and_slowness_there_is_not_its_fault(self) -> None:
-        host = FakeHost(units=4)
-        relay = host.relay
+        host = FakeHost(endpoints=4)
+        relay = host.balancer
         relay._spillover = ZoneSpillover(
             ZonePreference((("z",), ("y",))), DUTIES, longest_objective=SECOND, update_interval=BEAT, rng=Random(1)
         )
         relay._spillover.tiers[0].diverted_share = 0.8
-        relay._record_outcomes(state_of(host.units[0]), PURE, {Fault.LATE: 3, Fault.ERROR: 2}, 10, False)
+        relay._record_outcomes(
+            state_of(host.endpoints[0]), IDEMPOTENT_CLASS, {Fault.LATE: 3, Fault.ERROR: 2}, 10, False
+        )
         self.assertEqual(relay._scoring.history.windows[-1].faults, {Fault.ERROR: 2})
         self.assertGreater(relay._spillover.tiers[0].failures.read(relay.now), 0)
 
