--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -12,51 +12,21 @@
 from enum import Enum
 from typing import Protocol
 
-from lanelead.decisions.parameters import (
-    SECOND as SECOND,
-)
-from lanelead.decisions.parameters import (
-    CanaryLimits as CanaryLimits,
-)
-from lanelead.decisions.parameters import (
-    DecisionParameters as DecisionParameters,
-)
-from lanelead.decisions.parameters import (
-    DeduplicationScope as DeduplicationScope,
-)
-from lanelead.decisions.parameters import (
-    Idempotency as Idempotency,
-)
-from lanelead.decisions.parameters import (
-    Prices as Prices,
-)
-from lanelead.decisions.parameters import (
-    PromotionControl as PromotionControl,
-)
-from lanelead.decisions.parameters import (
-    RelayPosition as RelayPosition,
-)
-from lanelead.decisions.parameters import (
-    RequestClass as RequestClass,
-)
-from lanelead.decisions.parameters import (
-    ResourceQuota as ResourceQuota,
-)
-from lanelead.decisions.parameters import (
-    ServiceLimits as ServiceLimits,
-)
-from lanelead.decisions.parameters import (
-    Tenant as Tenant,
-)
-from lanelead.decisions.parameters import (
-    Ticks as Ticks,
-)
-from lanelead.decisions.parameters import (
-    VotingRules as VotingRules,
-)
-from lanelead.decisions.parameters import (
-    ZonePreference as ZonePreference,
-)
+from lanelead.decisions.parameters import SECOND as SECOND
+from lanelead.decisions.parameters import CanaryLimits as CanaryLimits
+from lanelead.decisions.parameters import DecisionParameters as DecisionParameters
+from lanelead.decisions.parameters import DeduplicationScope as DeduplicationScope
+from lanelead.decisions.parameters import Idempotency as Idempotency
+from lanelead.decisions.parameters import Prices as Prices
+from lanelead.decisions.parameters import PromotionControl as PromotionControl
+from lanelead.decisions.parameters import RelayPosition as RelayPosition
+from lanelead.decisions.parameters import RequestClass as RequestClass
+from lanelead.decisions.parameters import ResourceQuota as ResourceQuota
+from lanelead.decisions.parameters import ServiceLimits as ServiceLimits
+from lanelead.decisions.parameters import Tenant as Tenant
+from lanelead.decisions.parameters import Ticks as Ticks
+from lanelead.decisions.parameters import VotingRules as VotingRules
+from lanelead.decisions.parameters import ZonePreference as ZonePreference
 
 MAX_IN_FLIGHT_COUNTS = 83  # entries of in-flight counts that one message between relays holds, at most
 
@@ -372,52 +342,40 @@
 
     def new_endpoint(self, short_id: int) -> Endpoint:
         """Return the object for an endpoint that the host has met for the first time."""
-        ...
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
         """Take over an update of the endpoint list."""
-        ...
 
     def request_received(self, request: Request) -> None:
         """Begin a request."""
-        ...
 
     def response_started(self, attempt: Attempt) -> None:
         """Note that the response to an attempt has begun to reach the client."""
-        ...
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
     ) -> None:
         """Note an attempt's end after `took` ticks; `closed`: its request has its final answer by that."""
-        ...
 
     def client_left(self, request: Request) -> None:
         """End a request whose client no longer waits."""
-        ...
 
     def timer_fired(self, request: Request | None) -> None:
         """Note that the time of a `SetTimer` has come."""
-        ...
 
     def rollout_updated(self, rollout: RolloutState) -> None:
         """Take over where the newest build stands."""
-        ...
 
     def gossip_received(self, peer: int, entries: Sequence[GossipEntry]) -> None:
         """Take over what a peer reports."""
-        ...
 
     def complaint_received(self, endpoint: Endpoint, request_class: RequestClass, age: Ticks) -> None:
         """Note a client's report that an endpoint's answer to an attempt sent `age` ticks ago was wrong."""
-        ...
 
     def tally_received(self, tally: OutcomeTally) -> None:
         """Note what the platform counted."""
-        ...
 
     def health_checked(
         self, endpoint: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None
     ) -> None:
         """Note the outcome of a health check after `took` ticks."""
-        ...
--- a/lanelead/decisions/relay_parts.py
+++ b/lanelead/decisions/relay_parts.py
@@ -81,6 +81,11 @@
         self._latency_estimator = LatencyEstimator(SECOND, now)
         self._fleet_in_flight = FleetInFlight(SECOND)
         self._observations = ObservationBuffer(len(Fault))
+        self._join_rollout(options)
+        self._join_selection(options)
+
+    def _join_rollout(self, options: RelayOptions) -> None:
+        rng = options["rng"]
         self._exposure_budget = ExposureBudget(options["canary_limits"], self._is_large_fleet, rng)
         self._scoring = BuildScoring(span=5 * SECOND, decay_time=3 * SECOND, min_outcomes=10, maturity=5 * SECOND)
         self._rollout = RolloutPolicy(
@@ -91,6 +96,11 @@
             traffic=self._traffic,
             rng=rng,
         )
+
+    def _join_selection(self, options: RelayOptions) -> None:
+        quota = options["quota"]
+        limits = options["limits"]
+        rng = options["rng"]
         self._spillover = ZoneSpillover(
             options.get("preference", NO_ZONE_PREFERENCE),
             limits,
@@ -113,7 +123,7 @@
             traffic=self._traffic,
             parameters=self.parameters,
             idle_timeout=quota.idle_timeout if self._saves_connections else 0,
-            position=position,
+            position=options["position"],
             rng=rng,
         )
 
--- a/tests/fake_decisions_host.py
+++ b/tests/fake_decisions_host.py
@@ -28,6 +28,7 @@
     ResourceQuota,
     RolloutPhase,
     RolloutState,
+    SendGossip,
     ServiceLimits,
     SetTimer,
     StartAttempt,
@@ -37,6 +38,7 @@
 )
 
 SECOND: Ticks = 10_000
+DEAR_HEALTH_CHECK = 0.08  # a price of health checks at which relays report attempts in flight instead
 IDEMPOTENT_CLASS = RequestClass(
     "read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
 )
@@ -169,5 +171,11 @@
         """Have outcomes scored as if the relay had seen them now."""
         self.balancer._scoring.record(state_of(endpoint), request_class, faults or {}, self.balancer.now, outcomes)
 
+    def sent_gossip(self) -> list[SendGossip]:
+        """The messages that the relay sends in its next half second."""
+        self.actions.clear()
+        self.advance(SECOND // 2)
+        return [action for action in self.actions if isinstance(action, SendGossip)]
+
     def votes(self) -> list[CastVote]:
         return [action for action in self.actions if isinstance(action, CastVote)]
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -15,14 +15,14 @@
 
 class Learning(unittest.TestCase):
     def test_quick_errors_do_not_count_as_served(self) -> None:
-        # A fresh day of sicilia-stazioni, grown: lookups that err anywhere hid a build that slows all.
+        # A fresh day of sicilia-stazioni, grown: requests that fail anywhere hid a build that slows all.
         host = FakeHost()
         for faults, attempts in (({}, 10), ({Fault.ERROR: 10}, 10), ({Fault.LATE: 10}, 20)):
             host.balancer._record_outcomes(state_of(host.endpoints[0]), IDEMPOTENT_CLASS, faults, 10, False)
             self.assertEqual(host.balancer._traffic.served.read(0), attempts)
 
     def test_a_client_that_waits_less_than_the_objective_is_no_endpoints_fault(self) -> None:
-        # rough-2 of kortfjell-prod, grown: one customer's short tries sent a good build back.
+        # rough-2 of kortfjell-prod, grown: one tenant's short timeouts rolled a good build back.
         for took, silent in ((SECOND // 4, 0), (SECOND, 1)):
             host = FakeHost()
             host.advance(6 * SECOND)
@@ -35,7 +35,7 @@
 
 class IdleConnections(unittest.TestCase):
     def test_idle_connections_are_closed_while_attempts_are_lost(self) -> None:
-        # big-1 of kortfjell-prod, grown: few connections granted; big-2 of sicilia-stazioni: dropped unseen.
+        # big-1 of kortfjell-prod, grown: few connections accepted; big-2 of sicilia-stazioni: dropped unseen.
         for outcome, closes in ((AttemptOutcome.SUCCEEDED, 0), (AttemptOutcome.CONNECT_FAILED, 2)):
             host = FakeHost()
             first = host.attempts(host.send_request(IDEMPOTENT_CLASS))[0]
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -12,14 +12,12 @@
     Endpoint,
     EndpointStatus,
 )
-from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
-
-DEAR = 0.08  # a price of health checks at which relays report attempts in flight instead
+from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class Load(unittest.TestCase):
     def test_a_silent_endpoint_gets_a_single_attempt(self) -> None:
-        # big-2 and the overload days: queues grew past any use before open trips were bounded.
+        # big-2 and the overload days: queues grew past any use before attempts in flight were bounded.
         host = FakeHost(endpoints=1)
         for _ in range(5):
             host.send_request(IDEMPOTENT_CLASS)
@@ -39,13 +37,13 @@
 
 
 class ConnectionSubsets(unittest.TestCase):
-    def host(self, handshake_price: float = DEAR) -> FakeHost:
+    def host(self, handshake_price: float = DEAR_HEALTH_CHECK) -> FakeHost:
         return FakeHost(
             endpoints=100,
             health_checks=True,
             relays=200,
             number=50,
-            health_check_price=DEAR,
+            health_check_price=DEAR_HEALTH_CHECK,
             handshake_price=handshake_price,
             idle_timeout=15 * SECOND,
         )
@@ -58,13 +56,13 @@
         return {attempt.endpoint for attempt in host.attempts()}
 
     def test_a_relay_keeps_to_endpoints_that_it_uses_again_before_their_connections_end(self) -> None:
-        # The fleet's days: 3,984 connections for 3,985 trips, since each relay used to each of 100 units.
-        near, all_over = (len(self.endpoints_used(self.host(price))) for price in (DEAR, 0.0))
+        # The fleet's days: 3,984 connections for 3,985 attempts, since each relay used each of 100 endpoints.
+        near, all_over = (len(self.endpoints_used(self.host(price))) for price in (DEAR_HEALTH_CHECK, 0.0))
         self.assertLess(near, 40)
         self.assertGreater(all_over, 60)
 
     def test_each_endpoint_is_in_as_many_subsets_as_any_other_and_few_move(self) -> None:
-        # By lot, of 100 units some were in twice as many relays' parts as others.
+        # Drawn at random, some of 100 endpoints were in twice as many subsets as others.
         counts = list[Counter[int]]()
         for endpoints in (100, 99):
             counts.append(Counter())
@@ -74,8 +72,8 @@
                     health_checks=True,
                     relays=200,
                     number=number,
-                    health_check_price=DEAR,
-                    handshake_price=DEAR,
+                    health_check_price=DEAR_HEALTH_CHECK,
+                    handshake_price=DEAR_HEALTH_CHECK,
                     idle_timeout=15 * SECOND,
                 )
                 for short_id, endpoint in enumerate(host.endpoints):
@@ -100,8 +98,8 @@
             health_checks=True,
             relays=200,
             number=150,
-            health_check_price=DEAR,
-            handshake_price=DEAR,
+            health_check_price=DEAR_HEALTH_CHECK,
+            handshake_price=DEAR_HEALTH_CHECK,
             idle_timeout=15 * SECOND,
         )
         self.assertFalse(places[0] & {other.endpoints.index(endpoint) for endpoint in self.endpoints_used(other, 10)})
@@ -116,8 +114,8 @@
         self.assertFalse(near & self.endpoints_used(host, 10))
 
     def test_lost_attempts_close_no_dear_connections_to_other_endpoints(self) -> None:
-        # zone+mass: for 20 s after a lost zone, 37 of 4,746 trips found a connection that was kept.
-        for price, kept in ((0.0, False), (DEAR, True)):
+        # zone+mass: for 20 s after a lost zone, 37 of 4,746 attempts found a connection that was kept.
+        for price, kept in ((0.0, False), (DEAR_HEALTH_CHECK, True)):
             host, lost = self.host(price), set[Endpoint]()
             host.actions.clear()
             for outcome in [
--- a/tests/test_exposure_budget.py
+++ b/tests/test_exposure_budget.py
@@ -15,7 +15,7 @@
 
 class Exposure(unittest.TestCase):
     def largest_excess(self, host: FakeHost, build: int, request_class: RequestClass, free: float, cap: float) -> float:
-        """The most by which any window of trips at the build went over."""
+        """The most by which attempts at a build in any window exceeded the budget."""
         attempts = [
             attempt.sent_at
             for attempt in host.attempts()
@@ -75,7 +75,7 @@
         self.assertNotIn(1, builds[builds.index(2) :])
 
     def test_a_key_answered_since_the_promotion_goes_to_no_earlier_endpoint_that_comes_back(self) -> None:
-        # Incident i241f08: earlier units came back after a release, and took keys that the new build had.
+        # Incident i241f08: earlier endpoints came back after a promotion, and took keys that the new build had.
         host = FakeHost(endpoints=0, sticky_keys=True)
         new = host.list_endpoint(2)
         host.update_rollout(2, 2, RolloutPhase.PROMOTED, 1.0)
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -17,14 +17,12 @@
     OutcomeObservation,
     SendGossip,
 )
-from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND, FakeHost
-
-DEAR = 0.08  # a price of health checks at which relays report attempts in flight instead
+from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class InFlight(unittest.TestCase):
     def test_old_reports_are_forgotten(self) -> None:
-        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR)
+        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
         host.balancer.gossip_received(0, [InFlightCount(host.endpoints[0], 200)])
         host.advance(2 * SECOND)
         used = set[Endpoint]()
@@ -54,23 +52,26 @@
 
 class Latency(unittest.TestCase):
     def test_an_aggregator_reports_the_latency_once_it_knows_enough(self) -> None:
-        # Added up from outcomes, of which lost letters take some, it was a third too slow on quiet days.
-        host, rng = FakeHost(endpoints=40, health_checks=True, relays=100, number=0, health_check_price=DEAR), Random(3)
-        endpoint, heard = host.endpoints[0], list[GossipEntry]()
-        for _ in range(80):  # 100 answers a second, 200 trips out: 2 s; three letters of ten are lost
+        # Added up from outcomes, of which lost messages take some, it was a third too slow on quiet days.
+        host, rng = (
+            FakeHost(endpoints=40, health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK),
+            Random(3),
+        )
+        endpoint, received = host.endpoints[0], list[GossipEntry]()
+        for _ in range(80):  # 100 responses a second, 200 attempts in flight: 2 s; three messages of ten are lost
             host.advance(SECOND // 20)
             for peer in range(40, 44):
                 if rng.random() > 0.3:
                     host.balancer.gossip_received(peer, [InFlightCount(endpoint, 50), CompletionCount(25)])
-            heard += [entry for action in host.actions if isinstance(action, SendGossip) for entry in action.entries]
+            received += [entry for action in host.actions if isinstance(action, SendGossip) for entry in action.entries]
             host.actions.clear()
             if host.balancer.now < 2 * SECOND:
-                self.assertFalse([entry for entry in heard if isinstance(entry, FleetLatency)])
-        paces = [entry.latency for entry in heard if isinstance(entry, FleetLatency)]
-        self.assertAlmostEqual(2, paces[-1] / SECOND, delta=0.2)
+                self.assertFalse([entry for entry in received if isinstance(entry, FleetLatency)])
+        latencies = [entry.latency for entry in received if isinstance(entry, FleetLatency)]
+        self.assertAlmostEqual(2, latencies[-1] / SECOND, delta=0.2)
 
     def test_where_no_attempts_in_flight_are_reported_no_latency_is_either(self) -> None:
-        # rough-2 of kortfjell-prod: hubs that heard of no trips told a pace of nothing, and no relay shed.
+        # rough-2 of kortfjell-prod: aggregators without counts reported a latency of 0, and no relay rejected.
         host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=0.01)
         for _ in range(60):
             host.advance(SECOND // 20)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -7,70 +7,62 @@
 from lanelead.decisions.interface import (
     CompletionCount,
     InFlightCount,
-    SendGossip,
 )
-from tests.fake_decisions_host import NON_IDEMPOTENT_CLASS, SECOND, FakeHost
-
-DEAR = 0.08  # a price of health checks at which relays report attempts in flight instead
-
-
-def sent_gossip(host: FakeHost) -> list[SendGossip]:
-    """The messages that a relay sends in its next half second."""
-    host.actions.clear()
-    host.advance(SECOND // 2)
-    return [action for action in host.actions if isinstance(action, SendGossip)]
+from tests.fake_decisions_host import DEAR_HEALTH_CHECK, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class Aggregators(unittest.TestCase):
     def test_a_relay_reports_its_attempts_to_every_aggregator(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR)
+        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
         attempt = host.attempts(host.send_request())[0]
-        messages = sent_gossip(host)
+        messages = host.sent_gossip()
         self.assertEqual({0, 1, 2, 3}, {tell.peer for tell in messages})
         self.assertTrue(
             all(list(tell.entries) == [InFlightCount(attempt.endpoint, 1), CompletionCount(0)] for tell in messages)
         )
 
     def test_an_aggregator_adds_up_and_reports_to_each_relay_in_turn(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
         busy, other = host.endpoints[:2]
         reached = set[int | None]()
         for _ in range(4):
             host.balancer.gossip_received(40, [InFlightCount(busy, 2)])
             host.balancer.gossip_received(41, [InFlightCount(busy, 1), InFlightCount(other, 1)])
-            for tell in sent_gossip(host):
+            for tell in host.sent_gossip():
                 reached.add(tell.peer)
                 self.assertEqual([InFlightCount(busy, 3), InFlightCount(other, 1)], tell.entries)
         self.assertEqual(set(range(4, 100)), reached)
 
     def test_a_relay_with_nothing_in_flight_any_more_reports_that_once(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR)
+        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
         attempt = host.attempts(host.send_request(NON_IDEMPOTENT_CLASS))[0]
-        sent_gossip(host)
+        host.sent_gossip()
         host.end_attempt(attempt)
-        for hubs in ([0, 1, 2, 3], []):
-            entries = [(tell.peer, entry) for tell in sent_gossip(host) for entry in tell.entries]
+        for aggregators in ([0, 1, 2, 3], []):
+            entries = [(tell.peer, entry) for tell in host.sent_gossip() for entry in tell.entries]
             counts = [(peer, entry) for peer, entry in entries if isinstance(entry, InFlightCount)]
-            self.assertEqual([(hub, InFlightCount(attempt.endpoint, 0)) for hub in hubs], counts)
+            self.assertEqual([(aggregator, InFlightCount(attempt.endpoint, 0)) for aggregator in aggregators], counts)
 
     def test_in_each_interval_the_aggregators_reach_every_relay(self) -> None:
-        hubs = [FakeHost(health_checks=True, relays=100, number=n, health_check_price=DEAR) for n in range(4)]
+        aggregators = [
+            FakeHost(health_checks=True, relays=100, number=n, health_check_price=DEAR_HEALTH_CHECK) for n in range(4)
+        ]
         for _ in range(4):
             reached = list[int | None]()
-            for host in hubs:
+            for host in aggregators:
                 host.balancer.gossip_received(40, [InFlightCount(host.endpoints[0], 2)])
-                reached += [tell.peer for tell in sent_gossip(host)]
+                reached += [tell.peer for tell in host.sent_gossip()]
             self.assertEqual(list(range(4, 100)), sorted(peer for peer in reached if peer is not None))
 
     def test_an_aggregator_reports_endpoints_where_it_alone_has_attempts(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
         attempt = host.attempts(host.send_request())[0]
-        entries = [entry for tell in sent_gossip(host) if tell.peer not in range(4) for entry in tell.entries]
+        entries = [entry for tell in host.sent_gossip() if tell.peer not in range(4) for entry in tell.entries]
         self.assertIn(InFlightCount(attempt.endpoint, 1), entries)
 
     def test_aggregators_forget_what_a_dead_relay_had_in_flight(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
         host.balancer.gossip_received(40, [InFlightCount(host.endpoints[0], 9)])
-        sent_gossip(host)
+        host.sent_gossip()
         host.advance(SECOND)
-        self.assertEqual([], sent_gossip(host))
+        self.assertEqual([], host.sent_gossip())
--- a/tests/test_gossip_messages.py
+++ b/tests/test_gossip_messages.py
@@ -20,22 +20,25 @@
 
 class GossipMessages(unittest.TestCase):
     def setUp(self) -> None:
-        self.door = EndpointRegistry(lambda short_id: EndpointState(short_id, SECOND, SECOND, 0.0))
-        self.units = [self.door.get_or_add(f"s-{number}") for number in range(120)]
-        for endpoint in self.units:
+        self.registry = EndpointRegistry(lambda short_id: EndpointState(short_id, SECOND, SECOND, 0.0))
+        self.endpoints = [self.registry.get_or_add(f"s-{number}") for number in range(120)]
+        for endpoint in self.endpoints:
             endpoint.build, endpoint.status = 7, EndpointStatus.READY
 
     def read(self, payloads: list[bytes]) -> list[GossipEntry]:
         return [
-            entry for payload in payloads for entry in decode_gossip(payload, self.door.short_ids, [IDEMPOTENT_CLASS])
+            entry
+            for payload in payloads
+            for entry in decode_gossip(payload, self.registry.short_ids, [IDEMPOTENT_CLASS])
         ]
 
     def test_entries_come_through_whole_and_no_message_is_too_long(self) -> None:
         for count in (0, 1, 22, 23, 24, 47):
             seen = [
-                OutcomeObservation(endpoint, IDEMPOTENT_CLASS, 7, 3, [0, 1, 0, 0, 2]) for endpoint in self.units[:count]
+                OutcomeObservation(endpoint, IDEMPOTENT_CLASS, 7, 3, [0, 1, 0, 0, 2])
+                for endpoint in self.endpoints[:count]
             ]
-            counts = [InFlightCount(endpoint, 2) for endpoint in self.units[:30]]
+            counts = [InFlightCount(endpoint, 2) for endpoint in self.endpoints[:30]]
             entries: list[GossipEntry] = [*seen, *counts, FleetLatency(8_000), CompletionCount(7)]
             payloads = encode_gossip(entries, [IDEMPOTENT_CLASS])
             found = self.read(payloads)
@@ -50,22 +53,28 @@
 
     def test_a_message_of_another_version_is_ignored(self) -> None:
         payload = encode_gossip(
-            [OutcomeObservation(self.units[0], IDEMPOTENT_CLASS, 7, 3, [0] * 5), InFlightCount(self.units[1], 2)],
+            [
+                OutcomeObservation(self.endpoints[0], IDEMPOTENT_CLASS, 7, 3, [0] * 5),
+                InFlightCount(self.endpoints[1], 2),
+            ],
             [IDEMPOTENT_CLASS],
         )[0]
         before = bytes([1]) + payload[1:]  # as relays wrote it that named no version
         self.assertEqual(([], 2), (self.read([before]), len(self.read([payload]))))
 
     def test_of_more_counts_than_one_message_holds_the_first_are_sent(self) -> None:
-        payloads = encode_gossip([InFlightCount(endpoint, 300) for endpoint in self.units], [IDEMPOTENT_CLASS])
+        payloads = encode_gossip([InFlightCount(endpoint, 300) for endpoint in self.endpoints], [IDEMPOTENT_CLASS])
         self.assertEqual(1, len(payloads))
         self.assertEqual(
-            [InFlightCount(endpoint, 255) for endpoint in self.units[:MAX_IN_FLIGHT_COUNTS]], self.read(payloads)
+            [InFlightCount(endpoint, 255) for endpoint in self.endpoints[:MAX_IN_FLIGHT_COUNTS]], self.read(payloads)
         )
 
     def test_a_message_that_is_cut_or_foreign_is_read_as_far_as_it_makes_sense(self) -> None:
         whole = encode_gossip(
-            [OutcomeObservation(self.units[0], IDEMPOTENT_CLASS, 7, 1, [0] * 5), InFlightCount(self.units[1], 2)],
+            [
+                OutcomeObservation(self.endpoints[0], IDEMPOTENT_CLASS, 7, 1, [0] * 5),
+                InFlightCount(self.endpoints[1], 2),
+            ],
             [IDEMPOTENT_CLASS],
         )[0]
         for end in range(len(whole)):
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -13,18 +13,8 @@
     RejectRequest,
     RequestClass,
     RolloutPhase,
-    SendGossip,
 )
-from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
-
-DEAR = 0.08  # a price of health checks at which relays report attempts in flight instead
-
-
-def sent_gossip(host: FakeHost) -> list[SendGossip]:
-    """The messages that a relay sends in its next half second."""
-    host.actions.clear()
-    host.advance(SECOND // 2)
-    return [action for action in host.actions if isinstance(action, SendGossip)]
+from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class FinalActions(unittest.TestCase):
@@ -76,7 +66,7 @@
         self.assertEqual([attempt.endpoint for attempt in host.attempts(request)], [asked[1]])
 
     def test_builds_checked_in_vain_come_last(self) -> None:
-        # big-2 of athens-balancing, grown: all asked the same few trial servers again, and shed two of three.
+        # big-2 of athens-balancing, grown: all checked the same few canary endpoints, and rejected two of three.
         host = FakeHost(health_checks=True, relays=100)
         new = [host.list_endpoint(2) for _ in range(4)]
         host.update_rollout(2, 1, RolloutPhase.CANARY, 1.0)
@@ -91,7 +81,7 @@
         self.assertEqual([type(action) for action in host.final_actions(request)], [RejectRequest])
 
     def test_where_checks_are_dear_none_is_sent_and_the_endpoint_with_least_in_flight_is_taken(self) -> None:
-        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR)
+        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
         for _ in range(6):
             host.balancer.gossip_received(0, [InFlightCount(host.endpoints[0], 4)])
             self.assertIs(host.attempts(host.send_request())[0].endpoint, host.endpoints[1])
@@ -102,7 +92,7 @@
         host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=0.01)
         host.send_request()
         self.assertTrue([action for action in host.actions if isinstance(action, CheckHealth)])
-        self.assertEqual([], sent_gossip(host))
+        self.assertEqual([], host.sent_gossip())
 
 
 class Overload(unittest.TestCase):
@@ -117,7 +107,7 @@
         self.assertEqual((len(host.attempts(cheap)), len(host.attempts(dear))), (0, 1))
 
     def test_requests_that_are_always_late_are_sent_in_part(self) -> None:
-        # big-2 of kortfjell-prod, grown: one member's work waited at every unit, and held all places.
+        # big-2 of kortfjell-prod, grown: one tenant's requests waited at every endpoint, and held all capacity.
         for took, most, least in ((2 * SECOND, 70, 10), (1000, 100, 100)):
             host = FakeHost()
             for _ in range(100):
@@ -127,10 +117,12 @@
             self.assertTrue(least <= len(host.attempts()) <= most)
 
     def host(self, number: int) -> FakeHost:
-        return FakeHost(endpoints=40, health_checks=True, relays=100, number=number, health_check_price=DEAR)
+        return FakeHost(
+            endpoints=40, health_checks=True, relays=100, number=number, health_check_price=DEAR_HEALTH_CHECK
+        )
 
     def sent_shares(self, host: FakeHost, took: int | None) -> dict[RequestClass, float]:
-        """The part of each lane's lookups that is sent, with a pace told all along."""
+        """The part of each class's requests that is sent, with the fleet's latency reported all along."""
         sent, many = dict.fromkeys((IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS), 0), 60
         for _ in range(many):
             for request_class in sent:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,7 +25,7 @@
         host.record_outcomes(endpoint, 10)
         host.advance(5 * SECOND - 1)
         self.assertEqual(host.votes(), [])
-        host.advance(1)  # not at the next beat: late votes add up over the stages
+        host.advance(1)  # not at the next interval: late votes add up over the stages
         self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.PROMOTE])
         host.update_rollout(2, 0, RolloutPhase.CANARY, 0.1, answers_vote=True, outcome=AttemptOutcome.TIMED_OUT)
         host.advance(2 * SECOND)
@@ -43,7 +43,7 @@
             self.assertEqual([vote.verdict for vote in host.votes()], [Verdict.PROMOTE])
 
     def votes_on(self, faults: dict[int, int], endpoints: int = 4, observation_time: int = 2) -> list[Verdict]:
-        """Plays a trial in which servers fail as many of ten trips as told, and returns the votes."""
+        """Play a canary whose endpoints, by number, fail so many of ten attempts; return the votes."""
         host = FakeHost(now=20 * SECOND)
         for endpoint in host.endpoints:
             host.record_outcomes(endpoint, 10)
@@ -62,11 +62,11 @@
         self.assertEqual(self.votes_on({})[:1], [Verdict.PROMOTE])
 
     def test_errors_at_one_endpoint_are_not_held_against_the_build(self) -> None:
-        # rough-1 of athens-balancing: a good build went back for fast errors on single machines.
+        # rough-1 of athens-balancing: a good build was rolled back for fast errors at single endpoints.
         self.assertNotIn(Verdict.ROLL_BACK, self.votes_on({0: 10}))
 
     def test_faults_spread_over_many_endpoints_are_seen_in_the_build_as_a_whole(self) -> None:
-        # rough-2 of sicilia-stazioni: one or two errors a server, under every floor, on a build that errs.
+        # rough-2 of sicilia-stazioni: one or two errors an endpoint, under every floor, on a build that errs.
         self.assertEqual(self.votes_on(dict.fromkeys(range(8), 2), endpoints=8)[:1], [Verdict.ROLL_BACK])
 
     def test_under_a_timer_a_build_is_held_while_the_last_3_s_score(self) -> None:
@@ -99,7 +99,7 @@
 
 class FleetSlowing(unittest.TestCase):
     def test_a_fleet_that_slows_stage_by_stage_rolls_the_build_back(self) -> None:
-        # big-1 of athens-balancing: a build that slows all servers; iaace09: a slow day that is nobody's.
+        # big-1 of athens-balancing: a build that slows all endpoints; iaace09: a slow day that is nobody's.
         for shares, verdict in (((0, 5, 20, 60), Verdict.ROLL_BACK), ((0, 40, 40, 40), Verdict.PROMOTE)):
             host = FakeHost(now=20 * SECOND)
             for stage, slow in enumerate(shares[:3]):
@@ -116,7 +116,7 @@
             )
 
     def test_it_is_rolled_back_in_the_first_stage_that_has_a_third_of_the_endpoints(self) -> None:
-        # wide on sockets: three stages, of which the second has most units, and it was left to the third.
+        # wide on sockets: three stages, the second has most endpoints, and the rollback was left to the third.
         for first, last, slows in ((0, 60, True), (0, 5, False), (40, 45, False)):
             host = FakeHost(now=20 * SECOND)
             for stage in (0, 1):
@@ -134,7 +134,7 @@
                 self.assertEqual(creeps, slows and stage == 1, (first, last, stage))
 
     def test_what_slows_the_earlier_endpoints_alone_is_not_held_against_the_build(self) -> None:
-        # roll+mass 3403, 30 relays: 103 of 265 slow at the earlier build's units, none of 112 at its own.
+        # roll+mass 3403, 30 relays: 103 of 265 slow at the earlier build's endpoints, none of 112 at its own.
         for old, new, creeps in ((60, 0, False), (60, 60, True), (60, 20, True), (5, 5, False)):
             host = FakeHost(now=20 * SECOND)
             canary = host.list_endpoint(2, started_at=1)
@@ -153,7 +153,7 @@
             self.assertEqual(found, creeps, (old, new))
 
     def test_endpoints_too_new_to_be_scored_are_not_counted(self) -> None:
-        # calm+mass 652807931537, 200 relays: a build that slowed all reached all units, back 4.5 s later.
+        # calm+mass 652807931537, 200 relays: a build that slowed all reached all endpoints, rolled back after 4.5 s.
         host = FakeHost(now=20 * SECOND)
         for stage in range(3):
             for endpoint in host.endpoints:
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -42,7 +42,7 @@
 
 class Memory(unittest.TestCase):
     def test_attempts_at_a_warm_endpoint_are_forgotten_after_the_overload_time(self) -> None:
-        # 45 minutes of a day held each trip to each warm unit: 37 MB for 30.
+        # 45 minutes of a day held each attempt at each warm endpoint: 37 MB for 30.
         host = FakeHost(endpoints=2)
         for _ in range(300):
             host.end_attempt(host.attempts(host.send_request())[-1])
@@ -52,7 +52,7 @@
 
 class IdleRelays(unittest.TestCase):
     def test_no_relay_is_idle_where_all_endpoints_are_warming(self) -> None:
-        """A tenth of the relays that are asked may: the lot of one falls late."""
+        """A tenth of the relays that have requests may be: the sequences of some advance late."""
         for kind in ("all", "mass"):
             found = [play(kind, relays, 1.0, seed) for relays in RELAYS for seed in (1, 2, 3)]
             asked, idle = sum(one.asked for one in found), sum(one.idle for one in found)
@@ -79,7 +79,7 @@
 class Processes(unittest.TestCase):
     @live
     async def test_six_relays_before_warming_endpoints_all_serve_and_none_is_overloaded(self) -> None:
-        """Each one's part of a unit is a sixth of a request in a second; the units stay cold throughout."""
+        """Each one's part of an endpoint is a sixth of a request a second; the endpoints stay cold throughout."""
         at: dict[str, list[float]] = {}
 
         async def noted(endpoint: Unit, payload: bytes) -> bytes:
@@ -93,14 +93,14 @@
                     for one in relays:
                         await one.until("listening")
                     await asyncio.gather(*(asked_until_served(one, n) for n, one in enumerate(relays)))
-        may = 4.0 * 2.0 * 0.5  # the multiple of what a unit does, 2 a second, half cold
+        may = 4.0 * 2.0 * 0.5  # the multiple of what an endpoint does, 2 a second, half cold
         for times in at.values():
             window = max(sum(t - 1 < other <= t for other in times) for t in times)
             self.assertLessEqual(window, may + 2 * sqrt(may) + 2)
 
 
 def cold_list(place: Platform, endpoints: list[Unit], full: bool = True) -> bytes:
-    """As the platform's own, but that all units have just started."""
+    """As the platform's own, but that all endpoints have just started."""
     rollout = json.loads(LIST_OF(place, endpoints, full))
     for row in rollout["servers"]:
         row["started_ms"] = STARTED
--- a/tests/test_zone_spillover.py
+++ b/tests/test_zone_spillover.py
@@ -53,7 +53,7 @@
             for zone in failing:
                 for endpoint in self.endpoints[zone]:
                     self.spillover.record_outcomes(endpoint, 1, 1, self.now)
-            begun = 1 - exp((self.began_at - self.now) / (4 * SECOND))  # the sum of ten lookups a second
+            begun = 1 - exp((self.began_at - self.now) / (4 * SECOND))  # the decaying sum of ten requests a second
             self.spillover.update(every, 40.0 * begun, False, self.now)
 
     def diverted_share(self) -> float:
