--- a/lanelead/decisions/balancer.py
+++ b/lanelead/decisions/balancer.py
@@ -58,7 +58,7 @@
             self._endpoints.apply(update_scope, records, self.now)
 
     def rollout_updated(self, rollout: RolloutState) -> None:
-        """Take over where the newest build stands, told unasked or in answer to a vote."""
+        """Take over where the newest build stands, pushed by the platform or in answer to a vote."""
         self._rollout.votes.vote_answered(rollout, self.now)
         if rollout.outcome is AttemptOutcome.SUCCEEDED:
             self._exposure_budget.update(rollout)
@@ -77,17 +77,17 @@
         self._scheduler.cancel_timer(attempt.request)
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, elapsed: Ticks, report: LoadReport | None
     ) -> None:
         """Learn from an attempt, and go on with its request and with some that wait for capacity.
 
-        `closed`: its request has its answer. `took`: its time in ticks.
+        `closed`: its request has its answer. `elapsed`: its time in ticks.
         """
         request = attempt.request
         endpoint = state_of(attempt.endpoint)
         attempt.outcome = outcome
         endpoint.in_flight.pop(attempt, None)
-        self._learn(attempt, endpoint, outcome, took)
+        self._learn(attempt, endpoint, outcome, elapsed)
         self._lost_attempts.add(self.now, outcome in NO_RESPONSE)
         self._close_idle_after_loss(endpoint)
         if closed:
@@ -127,7 +127,7 @@
         """Ignore a platform's tally: what the relays saw themselves is fresher."""
 
     def health_checked(
-        self, endpoint: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None
+        self, endpoint: Endpoint, outcome: AttemptOutcome, elapsed: Ticks, report: LoadReport | None
     ) -> None:
         """Estimate an endpoint's wait from a health check, and resume the requests that wait for one.
 
@@ -138,7 +138,7 @@
             state.health_checked_at = self.now
             fair_rate = self.parameters.total_quota / max(1, len(self._endpoints.ready))
             queue = report.get("waiting", 0) / max(report["rps"], fair_rate) if report.get("rps") else 0
-            state.estimated_wait = max(took, int(queue * SECOND))
+            state.estimated_wait = max(elapsed, int(queue * SECOND))
         self._lost_attempts.add(self.now, outcome is AttemptOutcome.CONNECT_FAILED)
         for request in list(self._scheduler.awaiting_health_check):
             self._scheduler.resume(request)
@@ -147,7 +147,7 @@
     def _close_idle_after_loss(self, endpoint: EndpointState) -> None:
         """Close idle connections to an endpoint where many may have dropped unseen.
 
-        Once many attempts were lost, that is any endpoint; where handshakes are dear, only one that did not respond.
+        Once many attempts were lost, that is any endpoint; where handshakes are costly, only one that did not respond.
         """
         received = self._traffic.received
         many_lost = self._lost_attempts.read(self.now) > self._max_loss_share * received.read(self.now)
@@ -180,17 +180,17 @@
                 totals = [*counts, *self._latency_estimator.measure(total, MIN_FLEET_RESPONSES, self.now)]
         self.actions += self._gossip_peers.messages(self._observations.take(), in_flight, totals)
 
-    def _learn(self, attempt: Attempt, endpoint: EndpointState, outcome: AttemptOutcome, took: Ticks) -> None:
+    def _learn(self, attempt: Attempt, endpoint: EndpointState, outcome: AttemptOutcome, elapsed: Ticks) -> None:
         """Learn from an attempt's outcome, unless this relay itself ended it."""
         if outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
             return
         request_class = attempt.request.request_class
-        is_late = took > request_class.latency_objective
+        is_late = elapsed > request_class.latency_objective
         fault = FAULT_OF_OUTCOME.get(outcome, Fault.LATE if is_late else None)
         ended, timely = self._timeliness[attempt.request.tenant, request_class]
         ended.add(self.now, 1)
         timely.add(self.now, fault is None or fault in BUILD_FAULTS)
-        if outcome is AttemptOutcome.TIMED_OUT and took < request_class.latency_objective:
+        if outcome is AttemptOutcome.TIMED_OUT and elapsed < request_class.latency_objective:
             return  # a client that waits for less than the latency objective: nobody's fault
         self._record_outcomes(endpoint, request_class, {fault: 1} if fault else {}, 1, True)
         endpoint.unresponsive = outcome in NO_RESPONSE
@@ -200,12 +200,12 @@
             self._exposure_budget.record_success(endpoint.build, attempt.request)
             endpoint.completion_rate.add(self.now, 1)
             self._traffic.completed.add(self.now, 1)
-            endpoint.relative_latency.add(self.now, took / request_class.latency_objective)
+            endpoint.relative_latency.add(self.now, elapsed / request_class.latency_objective)
 
     def _record_outcomes(
         self, endpoint: EndpointState, request_class: RequestClass, faults: dict[Fault, int], outcomes: int, send: bool
     ) -> None:
-        """Count outcomes that this relay saw or a peer reported; `send`: peers are to hear of them.
+        """Count outcomes that this relay saw or a peer reported; `send`: they go to peers too.
 
         In a zone that is partly gone only what no load explains is held against a build.
         """
--- a/lanelead/decisions/endpoint_selection.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -83,42 +83,54 @@
         return load * (1 + 3 * endpoint.failure_rate.read(now) / (1 + attempts)) * (1 + silence)
 
     def select(
-        self, candidates: Iterable[EndpointPools], request: Request, canary_bias: float, now: Ticks, asked: Endpoints
+        self,
+        candidates: Iterable[EndpointPools],
+        request: Request,
+        canary_bias: float,
+        now: Ticks,
+        already_checked: Endpoints,
     ) -> EndpointPair:
         """Return two endpoints (or one, or none) of the first candidate pools that have any.
 
-        `canary_bias` is the factor by which the newest build's cost may exceed the others'; `asked` are endpoints
+        `canary_bias` is the factor by which the newest build's cost may exceed the others'; `already_checked` are endpoints
         whose health was checked for this request in vain.
         """
         for pools in candidates:
-            pair = self._select_by_build(pools, request, canary_bias, now, asked)
+            pair = self._select_by_build(pools, request, canary_bias, now, already_checked)
             if pair:
                 return pair
         return []
 
     def _select_by_build(
-        self, pools_by_build: EndpointPools, request: Request, canary_bias: float, now: Ticks, asked: Endpoints
+        self,
+        pools_by_build: EndpointPools,
+        request: Request,
+        canary_bias: float,
+        now: Ticks,
+        already_checked: Endpoints,
     ) -> EndpointPair:
-        """Compare the newest build that has room with all earlier ones; builds asked in vain come last."""
+        """Compare the newest build that has capacity with all earlier ones; builds checked in vain come last."""
         allows = self.guards.exposure.allows
         pools = [pool for build, pool in pools_by_build.items() if pool and allows(build, request, now)]
-        pools.sort(key=lambda pool: any(endpoint in pool for endpoint in asked))
+        pools.sort(key=lambda pool: any(endpoint in pool for endpoint in already_checked))
         newest = EndpointPair()
         while pools and not newest:
-            newest = self.select_from(pools.pop(0), request, now, asked)
-        earlier = self.select_from([endpoint for pool in pools for endpoint in pool], request, now, asked)
+            newest = self.select_from(pools.pop(0), request, now, already_checked)
+        earlier = self.select_from([endpoint for pool in pools for endpoint in pool], request, now, already_checked)
         if not newest or not earlier:
             return newest or earlier
         return newest if self.cost(newest[0], now) <= self.cost(earlier[0], now) * canary_bias else earlier
 
-    def select_from(self, endpoints: Endpoints, request: Request, now: Ticks, asked: Endpoints) -> EndpointPair:
+    def select_from(
+        self, endpoints: Endpoints, request: Request, now: Ticks, already_checked: Endpoints
+    ) -> EndpointPair:
         """Return up to two endpoints with capacity, the better first; ejected and tried ones only if no other has."""
         fresh = EndpointPair()
         second_choice = EndpointPair()
         subset = self._connection_subset(endpoints, now)
         sample = self.rng.sample(endpoints, min(SAMPLE_SIZE, len(endpoints)))
         for endpoint in dict.fromkeys([*subset, *sample]):
-            has_capacity = endpoint not in asked and self._has_capacity(endpoint, now)
+            has_capacity = endpoint not in already_checked and self._has_capacity(endpoint, now)
             if not has_capacity or not self.guards.accepts(endpoint, request, now):
                 continue
             if endpoint.ejected_until > now or any(attempt.endpoint is endpoint for attempt in request.attempts):
@@ -132,8 +144,8 @@
     def _connection_subset(self, endpoints: Endpoints, now: Ticks) -> EndpointPair:
         """Return a sample of the endpoints that this relay keeps connections to.
 
-        They are a quarter as many as requests come while an idle connection lasts. Endpoints stand in one order for
-        all relays, and the relays' subsets go round. Guards against connections that are used once.
+        They are a quarter as many as requests come while an idle connection lasts. All relays have the
+        endpoints in the same order, and each relay's subset begins where its number lies in that order. Guards against connections that are used once.
         """
         requests = self._traffic.received.read(now) * self._idle_timeout / (4 * SECOND)
         if not self._idle_timeout:
--- a/lanelead/decisions/endpoint_state.py
+++ b/lanelead/decisions/endpoint_state.py
@@ -38,7 +38,7 @@
         self.phase_offset = phase_offset
         self.unresponsive = False  # the last attempt got no response
         self.health_checked_at: Ticks = -1  # when it last answered a health check
-        self.estimated_wait: Ticks = 0  # as that health check told
+        self.estimated_wait: Ticks = 0  # as of that health check
 
     def slow_start_count(self, now: Ticks, span: Ticks) -> int:
         """Return how many attempts began in the last `span`, and forget the earlier ones."""
--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -353,9 +353,9 @@
         """Note that the response to an attempt has begun to reach the client."""
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
+        self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, elapsed: Ticks, report: LoadReport | None
     ) -> None:
-        """Note an attempt's end after `took` ticks; `closed`: its request has its final answer by that."""
+        """Note an attempt's end after `elapsed` ticks; `closed`: its request has its final answer by that."""
 
     def client_left(self, request: Request) -> None:
         """End a request whose client no longer waits."""
@@ -376,6 +376,6 @@
         """Note what the platform counted."""
 
     def health_checked(
-        self, endpoint: Endpoint, outcome: AttemptOutcome, took: Ticks, report: LoadReport | None
+        self, endpoint: Endpoint, outcome: AttemptOutcome, elapsed: Ticks, report: LoadReport | None
     ) -> None:
-        """Note the outcome of a health check after `took` ticks."""
+        """Note the outcome of a health check after `elapsed` ticks."""
--- a/lanelead/decisions/relay_parts.py
+++ b/lanelead/decisions/relay_parts.py
@@ -33,6 +33,11 @@
 
 TRAFFIC_SPAN: Ticks = 4 * SECOND  # the time constant of sums of requests
 LOSS_SPAN: Ticks = 10 * SECOND  # the time constant of the sum of lost attempts
+SCORED_SPAN: Ticks = 5 * SECOND
+SCORE_DECAY_TIME: Ticks = 3 * SECOND
+MIN_WINDOW_OUTCOMES = 10
+MATURITY: Ticks = 5 * SECOND  # of an endpoint, from its listing, before its lateness counts
+REPORT_SPAN: Ticks = SECOND  # after which reports of in-flight attempts and latency are too old
 MAX_HEALTH_CHECK_COST = 0.1  # of a request's value, for the checks of one selection
 HEALTH_CHECKS_PER_SELECTION = 4  # two to four are sent
 
@@ -78,8 +83,8 @@
         self._rates = {request_class: DecayingSum(TRAFFIC_SPAN) for request_class in request_classes}
         self._timeliness = TimelinessTable(TRAFFIC_SPAN)
         self._lost_attempts = DecayingSum(LOSS_SPAN)
-        self._latency_estimator = LatencyEstimator(SECOND, now)
-        self._fleet_in_flight = FleetInFlight(SECOND)
+        self._latency_estimator = LatencyEstimator(REPORT_SPAN, now)
+        self._fleet_in_flight = FleetInFlight(REPORT_SPAN)
         self._observations = ObservationBuffer(len(Fault))
         self._join_rollout(options)
         self._join_selection(options)
@@ -87,7 +92,9 @@
     def _join_rollout(self, options: RelayOptions) -> None:
         rng = options["rng"]
         self._exposure_budget = ExposureBudget(options["canary_limits"], self._is_large_fleet, rng)
-        self._scoring = BuildScoring(span=5 * SECOND, decay_time=3 * SECOND, min_outcomes=10, maturity=5 * SECOND)
+        self._scoring = BuildScoring(
+            span=SCORED_SPAN, decay_time=SCORE_DECAY_TIME, min_outcomes=MIN_WINDOW_OUTCOMES, maturity=MATURITY
+        )
         self._rollout = RolloutPolicy(
             canary_limits=options["canary_limits"],
             voting_rules=options["voting_rules"],
--- a/lanelead/decisions/request_routing.py
+++ b/lanelead/decisions/request_routing.py
@@ -89,39 +89,43 @@
     def _permits(self, endpoint: EndpointState, request: Request) -> bool:
         return self._guards.permits(endpoint, request, self.now)
 
-    def _select(self, request: Request, asked: Sequence[EndpointState] = ()) -> list[EndpointState]:
-        """Return up to two endpoints, the better first; `asked` had their health checked in vain."""
+    def _select(self, request: Request, already_checked: Sequence[EndpointState] = ()) -> list[EndpointState]:
+        """Return up to two endpoints, the better first; the health of `already_checked` was checked in vain."""
         candidates = self._spillover.candidate_pools(self._endpoints.ready_by_build, request)
-        return self._selector.select(candidates, request, self._rollout.canary_bias(), self.now, asked)
+        return self._selector.select(candidates, request, self._rollout.canary_bias(), self.now, already_checked)
 
     def _check_health_first(
         self, request: Request, pair: list[EndpointState], until: Ticks
     ) -> Generator[Ticks, None, EndpointState | None]:
         """Check the health of two endpoints, then of two others; return the first with a short queue, or None."""
-        asked = list[EndpointState]()
+        already_checked = list[EndpointState]()
         began_at = self.now
         step = max(1, (until - self.now) // 2)
         short_wait = min(request.request_class.latency_objective, request.deadline - self.now) // 4
         while self.now < until and pair:
             self.actions += [CheckHealth(endpoint) for endpoint in pair]
-            asked += pair
+            already_checked += pair
             pause_until = min(until, self.now + step)
             best: EndpointState | None = None
             wait: Ticks = 0
             while self.now < pause_until and (best is None or wait > min(step, short_wait)):
                 self._scheduler.awaiting_health_check[request] = None
                 yield pause_until
-                best = self._shortest_wait(request, asked, began_at)
+                best = self._shortest_wait(request, already_checked, began_at)
                 wait = best.estimated_wait if best else 0
             if best and wait < short_wait:
                 return best
-            pair = self._select(request, asked)
+            pair = self._select(request, already_checked)
         return None
 
-    def _shortest_wait(self, request: Request, asked: Sequence[EndpointState], began_at: Ticks) -> EndpointState | None:
+    def _shortest_wait(
+        self, request: Request, already_checked: Sequence[EndpointState], began_at: Ticks
+    ) -> EndpointState | None:
         """Return the endpoint with the shortest wait among those that answered a health check since `began_at`."""
         answered = (
-            endpoint for endpoint in asked if endpoint.health_checked_at > began_at and self._permits(endpoint, request)
+            endpoint
+            for endpoint in already_checked
+            if endpoint.health_checked_at > began_at and self._permits(endpoint, request)
         )
         return min(answered, key=lambda endpoint: endpoint.estimated_wait, default=None)
 
--- a/lanelead/decisions/zone_spillover.py
+++ b/lanelead/decisions/zone_spillover.py
@@ -95,7 +95,7 @@
     def update(self, endpoints: Iterable[EndpointState], received: float, canary: bool, now: Ticks) -> None:
         """Measure all tiers and move their shares one step.
 
-        `received`: requests, a decaying sum over 4 s. `canary`: a build's machines may stand beside the earlier ones,
+        `received`: requests, a decaying sum over 4 s. `canary`: a canary's endpoints may run beside the earlier ones,
         and are no lasting capacity.
         """
         if not self.tiers:
@@ -195,9 +195,9 @@
         tier.tokens = min(depth, tier.tokens + refill * self._rng.uniform(0.5, 1.5))
 
     def _tier_order(self, request: Request) -> list[list[int]]:
-        """Return the tiers that a request may use now, the best first; tiers to be used as one stand together.
+        """Return the tiers that a request may use now, the best first; tiers to be used as one come in one list.
 
-        One random draw a request says for which tier it is meant.
+        One random draw for each request decides for which tier it is meant.
         """
         draw = self._draws.setdefault(request, self._rng.random())
         tried = {self._tier_of_zone.get(attempt.endpoint.zone, len(self.tiers) - 1) for attempt in request.attempts}
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -34,11 +34,13 @@
 class _Ranked(EndpointSelector):
     """Relays whose two choices are exchanged: `rank` orders the units that may be had."""
 
-    def select_from(self, servers: Endpoints, request: Request, now: Ticks, asked: Endpoints) -> EndpointPair:
+    def select_from(self, servers: Endpoints, request: Request, now: Ticks, already_checked: Endpoints) -> EndpointPair:
         fit = [
             server
             for server in servers
-            if server not in asked and server.ejected_until <= now and self.guards.accepts(server, request, now)
+            if server not in already_checked
+            and server.ejected_until <= now
+            and self.guards.accepts(server, request, now)
         ]
         return self.rank(fit, now)[:2] if fit else []
 
--- a/tests/fake_decisions_host.py
+++ b/tests/fake_decisions_host.py
@@ -38,7 +38,7 @@
 )
 
 SECOND: Ticks = 10_000
-DEAR_HEALTH_CHECK = 0.08  # a price of health checks at which relays report attempts in flight instead
+COSTLY_HEALTH_CHECK = 0.08  # a price of health checks at which relays report attempts in flight instead
 IDEMPOTENT_CLASS = RequestClass(
     "read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
 )
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -12,7 +12,7 @@
     Endpoint,
     EndpointStatus,
 )
-from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
+from tests.fake_decisions_host import COSTLY_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class Load(unittest.TestCase):
@@ -37,13 +37,13 @@
 
 
 class ConnectionSubsets(unittest.TestCase):
-    def host(self, handshake_price: float = DEAR_HEALTH_CHECK) -> FakeHost:
+    def host(self, handshake_price: float = COSTLY_HEALTH_CHECK) -> FakeHost:
         return FakeHost(
             endpoints=100,
             health_checks=True,
             relays=200,
             number=50,
-            health_check_price=DEAR_HEALTH_CHECK,
+            health_check_price=COSTLY_HEALTH_CHECK,
             handshake_price=handshake_price,
             idle_timeout=15 * SECOND,
         )
@@ -57,7 +57,7 @@
 
     def test_a_relay_keeps_to_endpoints_that_it_uses_again_before_their_connections_end(self) -> None:
         # The fleet's days: 3,984 connections for 3,985 attempts, since each relay used each of 100 endpoints.
-        near, all_over = (len(self.endpoints_used(self.host(price))) for price in (DEAR_HEALTH_CHECK, 0.0))
+        near, all_over = (len(self.endpoints_used(self.host(price))) for price in (COSTLY_HEALTH_CHECK, 0.0))
         self.assertLess(near, 40)
         self.assertGreater(all_over, 60)
 
@@ -72,8 +72,8 @@
                     health_checks=True,
                     relays=200,
                     number=number,
-                    health_check_price=DEAR_HEALTH_CHECK,
-                    handshake_price=DEAR_HEALTH_CHECK,
+                    health_check_price=COSTLY_HEALTH_CHECK,
+                    handshake_price=COSTLY_HEALTH_CHECK,
                     idle_timeout=15 * SECOND,
                 )
                 for short_id, endpoint in enumerate(host.endpoints):
@@ -98,8 +98,8 @@
             health_checks=True,
             relays=200,
             number=150,
-            health_check_price=DEAR_HEALTH_CHECK,
-            handshake_price=DEAR_HEALTH_CHECK,
+            health_check_price=COSTLY_HEALTH_CHECK,
+            handshake_price=COSTLY_HEALTH_CHECK,
             idle_timeout=15 * SECOND,
         )
         self.assertFalse(places[0] & {other.endpoints.index(endpoint) for endpoint in self.endpoints_used(other, 10)})
@@ -115,7 +115,7 @@
 
     def test_lost_attempts_close_no_dear_connections_to_other_endpoints(self) -> None:
         # zone+mass: for 20 s after a lost zone, 37 of 4,746 attempts found a connection that was kept.
-        for price, kept in ((0.0, False), (DEAR_HEALTH_CHECK, True)):
+        for price, kept in ((0.0, False), (COSTLY_HEALTH_CHECK, True)):
             host, lost = self.host(price), set[Endpoint]()
             host.actions.clear()
             for outcome in [
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -17,12 +17,12 @@
     OutcomeObservation,
     SendGossip,
 )
-from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, SECOND, FakeHost
+from tests.fake_decisions_host import COSTLY_HEALTH_CHECK, IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class InFlight(unittest.TestCase):
     def test_old_reports_are_forgotten(self) -> None:
-        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=COSTLY_HEALTH_CHECK)
         host.balancer.gossip_received(0, [InFlightCount(host.endpoints[0], 200)])
         host.advance(2 * SECOND)
         used = set[Endpoint]()
@@ -54,7 +54,7 @@
     def test_an_aggregator_reports_the_latency_once_it_knows_enough(self) -> None:
         # Added up from outcomes, of which lost messages take some, it was a third too slow on quiet days.
         host, rng = (
-            FakeHost(endpoints=40, health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK),
+            FakeHost(endpoints=40, health_checks=True, relays=100, number=0, health_check_price=COSTLY_HEALTH_CHECK),
             Random(3),
         )
         endpoint, received = host.endpoints[0], list[GossipEntry]()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -8,12 +8,12 @@
     CompletionCount,
     InFlightCount,
 )
-from tests.fake_decisions_host import DEAR_HEALTH_CHECK, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
+from tests.fake_decisions_host import COSTLY_HEALTH_CHECK, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class Aggregators(unittest.TestCase):
     def test_a_relay_reports_its_attempts_to_every_aggregator(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=COSTLY_HEALTH_CHECK)
         attempt = host.attempts(host.send_request())[0]
         messages = host.sent_gossip()
         self.assertEqual({0, 1, 2, 3}, {tell.peer for tell in messages})
@@ -22,7 +22,7 @@
         )
 
     def test_an_aggregator_adds_up_and_reports_to_each_relay_in_turn(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=COSTLY_HEALTH_CHECK)
         busy, other = host.endpoints[:2]
         reached = set[int | None]()
         for _ in range(4):
@@ -34,7 +34,7 @@
         self.assertEqual(set(range(4, 100)), reached)
 
     def test_a_relay_with_nothing_in_flight_any_more_reports_that_once(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=COSTLY_HEALTH_CHECK)
         attempt = host.attempts(host.send_request(NON_IDEMPOTENT_CLASS))[0]
         host.sent_gossip()
         host.end_attempt(attempt)
@@ -45,7 +45,7 @@
 
     def test_in_each_interval_the_aggregators_reach_every_relay(self) -> None:
         aggregators = [
-            FakeHost(health_checks=True, relays=100, number=n, health_check_price=DEAR_HEALTH_CHECK) for n in range(4)
+            FakeHost(health_checks=True, relays=100, number=n, health_check_price=COSTLY_HEALTH_CHECK) for n in range(4)
         ]
         for _ in range(4):
             reached = list[int | None]()
@@ -55,13 +55,13 @@
             self.assertEqual(list(range(4, 100)), sorted(peer for peer in reached if peer is not None))
 
     def test_an_aggregator_reports_endpoints_where_it_alone_has_attempts(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=COSTLY_HEALTH_CHECK)
         attempt = host.attempts(host.send_request())[0]
         entries = [entry for tell in host.sent_gossip() if tell.peer not in range(4) for entry in tell.entries]
         self.assertIn(InFlightCount(attempt.endpoint, 1), entries)
 
     def test_aggregators_forget_what_a_dead_relay_had_in_flight(self) -> None:
-        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(health_checks=True, relays=100, number=0, health_check_price=COSTLY_HEALTH_CHECK)
         host.balancer.gossip_received(40, [InFlightCount(host.endpoints[0], 9)])
         host.sent_gossip()
         host.advance(SECOND)
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -14,7 +14,7 @@
     RequestClass,
     RolloutPhase,
 )
-from tests.fake_decisions_host import DEAR_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
+from tests.fake_decisions_host import COSTLY_HEALTH_CHECK, IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
 class FinalActions(unittest.TestCase):
@@ -81,7 +81,7 @@
         self.assertEqual([type(action) for action in host.final_actions(request)], [RejectRequest])
 
     def test_where_checks_are_dear_none_is_sent_and_the_endpoint_with_least_in_flight_is_taken(self) -> None:
-        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=DEAR_HEALTH_CHECK)
+        host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=COSTLY_HEALTH_CHECK)
         for _ in range(6):
             host.balancer.gossip_received(0, [InFlightCount(host.endpoints[0], 4)])
             self.assertIs(host.attempts(host.send_request())[0].endpoint, host.endpoints[1])
@@ -118,7 +118,7 @@
 
     def host(self, number: int) -> FakeHost:
         return FakeHost(
-            endpoints=40, health_checks=True, relays=100, number=number, health_check_price=DEAR_HEALTH_CHECK
+            endpoints=40, health_checks=True, relays=100, number=number, health_check_price=COSTLY_HEALTH_CHECK
         )
 
     def sent_shares(self, host: FakeHost, took: int | None) -> dict[RequestClass, float]:
