--- a/lanelead/decisions/endpoint_selection.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -92,8 +92,8 @@
     ) -> EndpointPair:
         """Return two endpoints (or one, or none) of the first candidate pools that have any.
 
-        `canary_bias` is the factor by which the newest build's cost may exceed the others'; `already_checked` are endpoints
-        whose health was checked for this request in vain.
+        `canary_bias` is the factor by which the newest build's cost may exceed the others'; `already_checked` are
+        endpoints whose health was checked for this request in vain.
         """
         for pools in candidates:
             pair = self._select_by_build(pools, request, canary_bias, now, already_checked)
@@ -144,8 +144,9 @@
     def _connection_subset(self, endpoints: Endpoints, now: Ticks) -> EndpointPair:
         """Return a sample of the endpoints that this relay keeps connections to.
 
-        They are a quarter as many as requests come while an idle connection lasts. All relays have the
-        endpoints in the same order, and each relay's subset begins where its number lies in that order. Guards against connections that are used once.
+        They are a quarter as many as requests come while an idle connection lasts. All relays have the endpoints in
+        the same order, and each relay's subset begins where its number lies in that order. Guards against connections
+        that are used once.
         """
         requests = self._traffic.received.read(now) * self._idle_timeout / (4 * SECOND)
         if not self._idle_timeout:
