--- a/lanelead/decisions/balancer.py
+++ b/lanelead/decisions/balancer.py
@@ -68,7 +68,7 @@
         """Begin to route a request."""
         self._traffic.received.add(self.now, 1)
         self._rates[request.request_class].add(self.now, 1)
-        self._exposure_budget.earn(request, self._endpoints.ready_by_build, self.now)
+        self._exposure_budget.credit_request(request, self._endpoints.ready_by_build, self.now)
         self._scheduler.start(request, self._route(request))
 
     def response_started(self, attempt: Attempt) -> None:
--- a/lanelead/decisions/counters.py
+++ b/lanelead/decisions/counters.py
@@ -81,7 +81,7 @@
         self._balance = 0.0  # attempts less credit, since the beginning
         self._minima: deque[tuple[Ticks, float]] = deque()  # rising balances, the oldest first
 
-    def earn(self, credit: float) -> None:
+    def add_credit(self, credit: float) -> None:
         """Add credit, in attempts."""
         self._balance -= credit
 
@@ -91,7 +91,7 @@
             self._minima.popleft()
         return min(0.0, self._minima[0][1] - self._balance) if self._minima else 0.0
 
-    def spend(self, now: Ticks) -> None:
+    def charge(self, now: Ticks) -> None:
         """Count one attempt at time `now`."""
         while self._minima and self._minima[-1][1] >= self._balance:
             self._minima.pop()
@@ -109,10 +109,10 @@
 
     def refill(self, credit: float, token_limit: float) -> None:
         """Earn credit, and tokens for as much of it as the limit allows."""
-        self.earn(credit)
+        self.add_credit(credit)
         self.tokens = min(self.tokens + min(credit, token_limit), self._depth)
 
-    def spend(self, now: Ticks) -> None:
+    def charge(self, now: Ticks) -> None:
         """Count one attempt, and take one token."""
-        super().spend(now)
+        super().charge(now)
         self.tokens -= 1
--- a/lanelead/decisions/exposure_budget.py
+++ b/lanelead/decisions/exposure_budget.py
@@ -67,7 +67,7 @@
             self._buckets[key] = bucket
         return bucket
 
-    def earn(self, request: Request, ready_by_build: dict[int, list[EndpointState]], now: Ticks) -> None:
+    def credit_request(self, request: Request, ready_by_build: dict[int, list[EndpointState]], now: Ticks) -> None:
         """Credit each canary for a request received.
 
         The tokens earned are no more than the canary's share of endpoints, or its endpoints would fill up.
@@ -114,10 +114,10 @@
         bucket = self._bucket(build, request.request_class)
         return min(self._limits.uncounted_attempts + bucket.minimum_balance(now), bucket.tokens) >= needed
 
-    def spend(self, build: int, request: Request, now: Ticks) -> None:
+    def charge(self, build: int, request: Request, now: Ticks) -> None:
         """Count an attempt at a build."""
         if self.is_canary(build):
-            self._bucket(build, request.request_class).spend(now)
+            self._bucket(build, request.request_class).charge(now)
 
     def record_success(self, build: int, request: Request) -> None:
         """Bind the key of a request that the newest build answered to that build."""
--- a/lanelead/decisions/request_routing.py
+++ b/lanelead/decisions/request_routing.py
@@ -31,7 +31,7 @@
         self._scheduler = RequestScheduler(self._start_attempt, lambda action: self.actions.append(action))
 
     def client_left(self, request: Request) -> None:
-        """End a request that nobody waits for: a client's, or one that has its answer."""
+        """End a request that has its final answer, or whose client left; cancel its attempts in flight."""
         if request.finished:
             return
         request.finished = True
@@ -160,8 +160,8 @@
         attempt = Attempt(request, endpoint, len(request.attempts), self.now, timeout)
         request.attempts.append(attempt)
         endpoint.in_flight[attempt] = None
-        self._exposure_budget.spend(endpoint.build, request, self.now)
-        self._spillover.spend(endpoint)
+        self._exposure_budget.charge(endpoint.build, request, self.now)
+        self._spillover.take_token(endpoint)
         endpoint.slow_start_attempts.append(self.now)
         self.actions.append(StartAttempt(attempt))
 
--- a/lanelead/decisions/zone_spillover.py
+++ b/lanelead/decisions/zone_spillover.py
@@ -222,7 +222,7 @@
             return False
         return tier.diverted_share <= 0.9 or request.request_class.idempotency is Idempotency.IDEMPOTENT
 
-    def spend(self, endpoint: EndpointState) -> None:
+    def take_token(self, endpoint: EndpointState) -> None:
         """Take a token for an attempt outside the first tier."""
         if not self.tiers:
             return
--- a/lanelead/testbed/simulation/policies.py
+++ b/lanelead/testbed/simulation/policies.py
@@ -1,4 +1,4 @@
-"""Other ways to spill, for comparison only: with the face of `zones.Spill`, never used by a relay."""
+"""Other ways to spill over, for comparison only, with the methods of `ZoneSpillover`: never used by a relay."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
     def record_outcomes(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
     def forget(self, request: Request) -> None: ...
-    def spend(self, server: EndpointState) -> None: ...
+    def take_token(self, server: EndpointState) -> None: ...
 
     def is_degraded(self, server: EndpointState) -> bool:
         return False
--- a/tests/test_zone_spillover.py
+++ b/tests/test_zone_spillover.py
@@ -131,7 +131,7 @@
             fixture.run(0.2)
             while fixture.spillover.tiers[1].tokens >= 1:
                 sent += 1
-                fixture.spillover.spend(fixture.endpoints["b"][0])
+                fixture.spillover.take_token(fixture.endpoints["b"][0])
         limit = fixture.spillover.foreign_rate_limit(1)
         self.assertAlmostEqual(limit, 0.9 * 10, delta=1.5)
         self.assertLessEqual(sent, limit * 10 + 10)
@@ -238,7 +238,7 @@
             self.assertNotEqual(fixture.first_tier(NON_IDEMPOTENT_CLASS), [0])
             while fixture.spillover.tiers[1].tokens >= 1:
                 sent += 1
-                fixture.spillover.spend(fixture.endpoints["b"][0])
+                fixture.spillover.take_token(fixture.endpoints["b"][0])
         self.assertLessEqual(sent, 10 * 10 + 10)  # it knows of no size of its own: what it takes is the limit
         self.back(fixture)
         fixture.run(30)
