--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -19,7 +19,7 @@
     Tenant,
     Ticks,
 )
-from lanelead.decisions.zone_spillover import ANYWHERE
+from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE
 from lanelead.http_relay.client_listener import ClientListener
 from lanelead.http_relay.connection_pool import PoolLimits
 from lanelead.http_relay.feed_clients import FeedClients
@@ -97,17 +97,17 @@
         limits = service.duties.figures(settings.discovery == "subscribe")
         self._tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
         decisions: Decisions = Balancer(
-            place=records.place(settings),
+            position=records.place(settings),
             request_classes=request_classes,
             tenants=self._tenants,
             quota=quota.figures(settings.peers is not None),
             limits=limits,
-            trial=service.trial.figures(),
-            poll=service.poll.figures(),
+            canary_limits=service.trial.figures(),
+            voting_rules=service.poll.figures(),
             prices=records.TARIFF,
             rng=Random(settings.seed * 65537 + settings.number),
             now=self.clock(),
-            preference=ANYWHERE if settings.spill is None else settings.spill.figures(),
+            preference=NO_ZONE_PREFERENCE if settings.spill is None else settings.spill.figures(),
         )
         if wrapper is not None:
             decisions = wrapper(decisions)
