--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -20,12 +20,12 @@
 import msgspec
 
 from lanelead.http.client import call
-from lanelead.migrations.executor import Client
-from lanelead.migrations.migration_log import Record
+from lanelead.migrations.client import MigrationStoreClient
+from lanelead.migrations.migration_log import MigrationLog
 from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, SchemaCheck
 from lanelead.settings.records import Address, Batch, Demands, Step, Steps
-from lanelead.store.migration_store import Ledger
-from lanelead.testbed.emulators.crash_injection import Apart, Trial
+from lanelead.store.migration_store import MigrationStore
+from lanelead.testbed.emulators.crash_injection import CrashTrial, StoreProcess
 from lanelead.testbed.scenarios.processes import free_ports
 
 WRITE = "INSERT INTO filed (op) VALUES (:op)"
@@ -56,13 +56,13 @@
     return sorted(times)
 
 
-def beside(trial: Trial, plan: Steps | None, seconds: float, rate: float) -> tuple[list[float], float]:
-    place = trial.place()
+def beside(trial: CrashTrial, plan: Steps | None, seconds: float, rate: float) -> tuple[list[float], float]:
+    place = trial.start_store()
     done = [0.0]
 
     def run() -> None:
         began = time.perf_counter()
-        Trial(plan, trial.folder, trial.start).go(place, ttl=5.0)  # type: ignore[arg-type]
+        CrashTrial(plan, trial.folder, trial.launch).run(place, ttl=5.0)  # type: ignore[arg-type]
         done[0] = time.perf_counter() - began
 
     thread = threading.Thread(target=run)
@@ -87,7 +87,7 @@
         db.executemany("INSERT INTO t (id) VALUES (?)", ((n,) for n in range(rows)))
         db.commit()
         db.close()
-        trial = Trial(backfill(1, 1, 1), folder, lambda file: Apart(file, lambda: free_ports(1)[0]))
+        trial = CrashTrial(backfill(1, 1, 1), folder, lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
         base, _ = beside(trial, None, seconds, rate)
         click.echo("filings beside | median, 99th of 100, most: as ratios to none | backfill took, s")
         for said, plan in (
@@ -100,9 +100,9 @@
             click.echo(f"{said} | {', '.join(f'{part:.2f}' for part in parts)} | {took:.1f}")
         many = 300
         steps = [Step(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)]
-        place = trial.place()
+        place = trial.start_store()
         began = time.perf_counter()
-        Trial(Steps("many", steps, []), folder, trial.start).go(place, ttl=5.0)
+        CrashTrial(Steps("many", steps, []), folder, trial.launch).run(place, ttl=5.0)
         click.echo(f"{many} steps, one after another: {many / (time.perf_counter() - began):.0f} a second")
         place.close()
         long_record(folder)
@@ -111,9 +111,9 @@
 def long_record(folder: Path, many: int = 100_000) -> None:
     """A record of so many entries: its size, and how long a relay that knows nothing reads it."""
     file = folder / "long.db"
-    ledger = Ledger(file)
-    ledger.db.execute("PRAGMA synchronous=OFF")
-    token = ledger.lease(LeaseRequest("one", 60_000))
+    ledger = MigrationStore(file)
+    ledger.connection.execute("PRAGMA synchronous=OFF")
+    token = ledger.acquire_lease(LeaseRequest("one", 60_000))
     plan = Steps("p", [Step("s", "expand", [], ["x"], ["y"], 1000.0)], [])
     ledger.append(AppendRequest(token, 0, LogEntry("plan", text=msgspec.json.encode(plan).decode())))
     empty = file.stat().st_size
@@ -127,15 +127,15 @@
             )
         ):
             ledger.append(AppendRequest(token, number + after, entry))
-    ledger.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    ledger.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     ledger.close()
-    place = Apart(file, lambda: free_ports(1)[0])
+    place = StoreProcess(file, lambda: free_ports(1)[0])
 
     async def read() -> float:
-        client, record = Client(Address("127.0.0.1", place.port)), Record()
+        client, record = MigrationStoreClient(Address("127.0.0.1", place.port)), MigrationLog()
         began = time.perf_counter()
-        await client.read(record)
-        assert record.seq >= many, record.seq
+        await client.read_log(record)
+        assert record.last_seq >= many, record.last_seq
         return time.perf_counter() - began
 
     times = [asyncio.run(read()) for _ in range(3)]
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -26,15 +26,21 @@
 
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
-from lanelead.testbed.emulators.crash_injection import Apart, Filer, Trial, check, counted
+from lanelead.testbed.emulators.crash_injection import (
+    CrashTrial,
+    StoreProcess,
+    WriteTraffic,
+    find_violations,
+    with_tally,
+)
 from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.testbed.scenarios.runner import plan_file
 
 
-def trial(folder: str) -> Trial:
+def trial(folder: str) -> CrashTrial:
     plan = read(plan_file("offers"))
     assert isinstance(plan, Steps)
-    return Trial(counted(plan), Path(folder), lambda file: Apart(file, lambda: free_ports(1)[0]))
+    return CrashTrial(with_tally(plan), Path(folder), lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
 
 
 def one(job: tuple[str, str, int]) -> tuple[str, str, int, list[str], int, float]:
@@ -42,32 +48,32 @@
     kind, where, number = job
     with tempfile.TemporaryDirectory() as folder:
         mine = trial(folder)
-        place = mine.place()
-        mine.go(place, "take")
-        filer = Filer(place.port, mine.plan)
+        place = mine.start_store()
+        mine.run(place, "take")
+        filer = WriteTraffic(place.port, mine.plan)
         try:
             if kind in ("runner killed", "runner stopped"):
                 wrong, took = _runner(mine, place, kind, number)
             else:
-                place.order(kind=kind, at=where, skip=number, size=0.3)
+                place.inject(kind=kind, at=where, skip=number, size=0.3)
                 began = time.monotonic()
-                stop = mine.go(place, ttl=0.2)
-                wrong = check(place.file, mine.plan)
-                if not stop.good:
-                    stop = mine.go(place, "resume", name="two", ttl=0.2)
-                wrong += [] if stop.good else [stop.text]
+                stop = mine.run(place, ttl=0.2)
+                wrong = find_violations(place.file, mine.plan)
+                if not stop.succeeded:
+                    stop = mine.run(place, "resume", name="two", ttl=0.2)
+                wrong += [] if stop.succeeded else [stop.message]
                 took = time.monotonic() - began
-            wrong += check(place.file, mine.plan, whole=True)
+            wrong += find_violations(place.file, mine.plan, whole=True)
         except Exception as fault:  # told with the case, not lost with the pool
             wrong, took = [repr(fault)], 0.0
         finally:
             filer.close()
             place.close()
-        wrong += filer.misfits[:3]
-        return kind, where, number, wrong, sum(filer.filed.values()), took
+        wrong += filer.failures[:3]
+        return kind, where, number, wrong, sum(filer.writes.values()), took
 
 
-def _runner(mine: Trial, place: Any, kind: str, number: int) -> tuple[list[str], float]:
+def _runner(mine: CrashTrial, place: Any, kind: str, number: int) -> tuple[list[str], float]:
     file = mine.folder / "plan.json"
     file.write_bytes(msgspec.json.encode(mine.plan))
     word = "SIGKILL" if kind == "runner killed" else "SIGSTOP"
@@ -85,10 +91,10 @@
     while process.poll() is None and status.read_text().rpartition(")")[2].split()[0] not in "TZ":
         time.sleep(0.005)
     began = time.monotonic()
-    wrong = check(place.file, mine.plan)
-    stop = mine.go(place, "resume", name="two", ttl=0.2)
+    wrong = find_violations(place.file, mine.plan)
+    stop = mine.run(place, "resume", name="two", ttl=0.2)
     took = time.monotonic() - began
-    wrong += [] if stop.good else [stop.text]
+    wrong += [] if stop.succeeded else [stop.message]
     process.send_signal(signal.SIGCONT)
     said = process.communicate(timeout=30)[0].decode().strip()
     if kind == "runner stopped" and "taken over" not in said and "all done" not in said:
@@ -102,10 +108,10 @@
 def main(procs: int, every: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
         mine = trial(folder)
-        place, points = mine.place(), list[str]()
-        mine.go(place, "take")
-        filer = Filer(place.port, mine.plan)
-        mine.go(place, at=points.append)
+        place, points = mine.start_store(), list[str]()
+        mine.run(place, "take")
+        filer = WriteTraffic(place.port, mine.plan)
+        mine.run(place, at=points.append)
         filer.close()
         place.close()
     jobs = [(kind, points[n], n) for kind in ("runner killed", "runner stopped") for n in range(0, len(points), every)]
--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -14,9 +14,9 @@
 
 import click
 
-from lanelead.migrations.runner import Goal
+from lanelead.migrations.runner import Goal, Operation
 from lanelead.settings.records import Batch, Demands, Need, Step, Steps
-from lanelead.testbed.simulation.migrations import ALL, Found, Guards, search
+from lanelead.testbed.simulation.migrations import ALL_CHECKS, SafetyChecks, SearchResult, search
 
 
 def plan(many: int) -> Steps:
@@ -34,20 +34,24 @@
     return Steps("p", steps, builds)
 
 
-CASES = {"run and run": ("run", "run"), "run and undo": ("run", "undo"), "run and resume": ("run", "resume")}
+CASES: dict[str, tuple[Operation, ...]] = {
+    "run and run": ("run", "run"),
+    "run and undo": ("run", "undo"),
+    "run and resume": ("run", "resume"),
+}
 OUT = {
-    "the fence": Guards(fence=False),
-    "marks": Guards(marks=False),
-    "waiting for relays": Guards(closing=False),
-    "intent before effect": Guards(intent_first=False),
+    "the fence": SafetyChecks(fencing=False),
+    "marks": SafetyChecks(effect_marks=False),
+    "waiting for relays": SafetyChecks(barrier=False),
+    "intent before effect": SafetyChecks(intent_first=False),
 }
 
 
-def one(job: tuple[int, str, int, str]) -> tuple[int, str, int, str, Found, float]:
+def one(job: tuple[int, str, int, str]) -> tuple[int, str, int, str, SearchResult, float]:
     many, case, faults, without = job
-    goals = [Goal(plan(many), what, past_back=True) for what in CASES[case]]
+    goals = [Goal(plan(many), what, allow_ending_rollback=True) for what in CASES[case]]
     began = time.perf_counter()
-    found = search((goals[0], goals[1]), faults, OUT.get(without, ALL), most=20_000_000)
+    found = search((goals[0], goals[1]), faults, OUT.get(without, ALL_CHECKS), most=20_000_000)
     return many, case, faults, without, found, time.perf_counter() - began
 
 
@@ -61,7 +65,7 @@
     click.echo("steps | runners | faults | without | states | ends | found")
     with multiprocessing.Pool(procs) as pool:
         for many, case, faults, without, found, _ in pool.imap(one, jobs):
-            said = f"{found.breach} (after {found.path} steps)" if found.breach else "no breach"
+            said = f"{found.violation} (after {found.path_length} steps)" if found.violation else "no breach"
             click.echo(f"{many} | {case} | {faults} | {without or '-'} | {found.states} | {found.ends} | {said}")
 
 
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -350,7 +350,7 @@
         assert readiness is not None
 
         def path() -> bytes:
-            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
+            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.log.last_seq)
 
         await self._follow(
             "steps", path, feed, lambda line: self.driver.migrations_read(decode(line, MigrationLogPage))
@@ -362,7 +362,7 @@
         assert readiness is not None
         while True:
             await asyncio.sleep(feed.least_wait_ms / 1000)
-            if owed := readiness.owes(self.clock()):
+            if owed := readiness.acknowledgement_due(self.clock()):
                 body = encode(AcknowledgeRequest(self._settings.number, owed))
                 limit = feed.silence_ms / 1000
                 try:
@@ -371,7 +371,7 @@
                     self._log.warning("store not told", reason=str(fault))
                     continue
                 if answer.status == 200:
-                    readiness.seen = max(readiness.seen, owed)
+                    readiness.acknowledged_seq = max(readiness.acknowledged_seq, owed)
                     self._log.info("traffic ended for a step", closing=owed)
 
     async def _fetch(self) -> None:
--- a/lanelead/migrations/__init__.py
+++ b/lanelead/migrations/__init__.py
@@ -1,1 +1,1 @@
-"""Ordered schema and data steps: a plan, its record, who runs it, and which builds may get traffic."""
+"""Ordered schema and data migrations: plans, their log, and the runner that carries them out."""
--- a/lanelead/migrations/backoff.py
+++ b/lanelead/migrations/backoff.py
@@ -1,32 +1,34 @@
-"""The pace of a long backfill: a bounded rate that yields to lookups. Without I/O; times in seconds.
+"""The pace of a backfill: a bounded rate that yields to requests. Without I/O; times in seconds.
 
-A batch holds the store's one writer for as long as it takes, and whatever is filed meanwhile waits. So a
-batch is cut to what takes `hold` at most, the rate is never above what the plan allows, and the store is left
-alone at least as long as the batch before kept it. It could be slow on a store that others keep busy: that
-is meant.
+A batch holds the store's only writer for as long as it takes, and other writes wait meanwhile. So a batch shrinks until
+it takes `max_hold_seconds` at most, the rate stays below the plan's, and after each batch the store is left alone
+for at least as long as the batch took. On a store that others keep busy a backfill is slow; that is intended.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LEAST = 10  # rows of a batch, however slow the store
+MIN_BATCH_ROWS = 10  # however slow the store is
 
 
 @dataclass
-class Pace:
-    most: int  # rows of a batch
-    rate: float  # rows a second
-    hold: float  # seconds that a batch may take
-    rows: int = 0
+class BatchPacer:
+    """The size of the next batch, and the wait before it."""
+
+    max_rows: int
+    max_rows_per_second: float
+    max_hold_seconds: float
+    rows: int = 0  # of the next batch; 0: a quarter of max_rows
 
     def __post_init__(self) -> None:
-        self.rows = self.rows or min(self.most, max(LEAST, self.most // 4))
-
-    def after(self, rows: int, took: float) -> float:
-        """A batch of so many rows took so long: how long to wait before the next."""
-        if took > self.hold:
-            self.rows = max(min(LEAST, self.most), int(self.rows * max(0.25, self.hold / took)))
-        elif took < self.hold / 2:
-            self.rows = min(self.most, self.rows + max(1, self.rows // 4))
-        return max(took, rows / self.rate - took)
+        self.rows = self.rows or min(self.max_rows, max(MIN_BATCH_ROWS, self.max_rows // 4))
+
+    def wait_after_batch(self, rows: int, seconds: float) -> float:
+        """Takes in a batch of `rows` rows that took `seconds`; returns the seconds to wait before the next."""
+        if seconds > self.max_hold_seconds:
+            shrunk = int(self.rows * max(0.25, self.max_hold_seconds / seconds))
+            self.rows = max(min(MIN_BATCH_ROWS, self.max_rows), shrunk)
+        elif seconds < self.max_hold_seconds / 2:
+            self.rows = min(self.max_rows, self.rows + max(1, self.rows // 4))
+        return max(seconds, rows / self.max_rows_per_second - seconds)
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead steps`: check, plan, status, run, undo and resume; and `lanelead store`."""
+"""`lanelead migrations`: check, plan, status, run, undo and resume; and `lanelead store`."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 import os
 import socket
 import sys
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -14,43 +16,64 @@
 from tqdm import tqdm
 
 from lanelead.logs import logger
-from lanelead.migrations.executor import Away, Client, Conductor
-from lanelead.migrations.migration_log import Broken, Record, Stand
-from lanelead.migrations.plan import check as check_plans
-from lanelead.migrations.plan import ordered
-from lanelead.migrations.runner import Goal, Stop
+from lanelead.migrations.calls import RunResult
+from lanelead.migrations.client import MigrationStoreClient
+from lanelead.migrations.errors import InvalidEntryError, StoreUnavailableError
+from lanelead.migrations.executor import ExecutorOptions, MigrationExecutor
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
+from lanelead.migrations.plan import check_plans, execution_order
+from lanelead.migrations.runner import Goal, Operation
 from lanelead.protocols.migrations import EffectProgress
 from lanelead.settings.cue import Unfit
 from lanelead.settings.read import spotted
 from lanelead.settings.records import Address, Steps
 
+EXIT_UNUSABLE = 2  # plans, arguments or a store that can't be used
+EXIT_INCOMPLETE = 3  # a step is under way or has failed
 
-def load(files: tuple[str, ...]) -> list[Steps]:
+
+@dataclass(frozen=True)
+class RunArguments:
+    """The arguments of run, undo and resume, by their names on the command line. Times in seconds."""
+
+    file: str
+    store: str
+    to: str = ""
+    past_back: bool = False
+    without_relay: tuple[int, ...] = ()
+    ttl: float = 5.0
+    patience: float = 30.0
+    console: bool = False
+
+
+def load_plans(files: tuple[str, ...]) -> list[Steps]:
     """The plans of some files, checked alone and together; ends the program with 2 where they are unfit."""
-    plans, bad = list[tuple[Steps, Any]](), False
+    plans: list[tuple[Steps, Any]] = []
+    failed = False
     for file in files:
         try:
             record, spots = spotted(file)
         except Unfit as unfit:
             click.echo(str(unfit), err=True)
-            bad = True
+            failed = True
             continue
         if not isinstance(record, Steps):
-            click.echo(f"{file}: expected a plan of steps", err=True)
-            bad = True
+            click.echo(f"{file}: expected a migration plan (steps: ...)", err=True)
+            failed = True
             continue
         plans.append((record, spots))
     try:
         check_plans(plans)
     except Unfit as unfit:
         click.echo(str(unfit), err=True)
-        bad = True
-    if bad:
-        sys.exit(2)
+        failed = True
+    if failed:
+        sys.exit(EXIT_UNUSABLE)
     return [plan for plan, _ in plans]
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
+    """The address HOST:PORT; without a host, on loopback. Raises click.BadParameter."""
     host, _, port = text.rpartition(":")
     if not port.isdecimal() or not 0 < int(port) < 65536:
         raise click.BadParameter(f"{text!r}: expected HOST:PORT")
@@ -59,7 +82,7 @@
 
 @click.group()
 def migrations() -> None:
-    """Ordered schema and data steps: checked, run, resumed and undone, with a record in the store."""
+    """Ordered schema and data migrations: checked, run, resumed and undone, with a log in the store."""
 
 
 STORE = click.option("--store", required=True, help="The store's HOST:PORT.")
@@ -69,100 +92,118 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
     """Checks plans, alone and together; says all that is wrong, and exits with 2 where anything is."""
-    for plan in load(files):
+    for plan in load_plans(files):
         click.echo(f"{plan.name}: {len(plan.steps)} steps, {len(plan.builds)} builds, good")
 
 
 @migrations.command()
 @click.argument("file", type=click.Path())
-@click.option("--store", help="HOST:PORT of a store, whose record takes the plan up: nothing is run.")
+@click.option("--store", help="HOST:PORT of a store, whose log takes the plan up: nothing is run.")
 def plan(file: str, store: str | None) -> None:
     """The order in which FILE's steps run, and what each does to the builds' readiness.
 
-    With `--store` the plan is taken up too: from then on its builds wait for what they need."""
-    (found,) = load((file,))
-    record = Record()
-    record.plan(found)
-    for number, step in enumerate(ordered(found), 1):
-        mark = record.marks[step.name]
-        before = [build for build in record.builds() if record.ready(build)]
-        ends = record.takes(mark, "apply")
-        mark.stand = Stand.DONE
-        opens = [build for build in record.builds() if record.ready(build) and build not in before]
-        words = [step.kind, "can't be undone"] if not step.undoing else [step.kind]
-        words += [f"then build {build} may have traffic" for build in opens]
-        words += [f"from its start on no way back to build {build}" for build in ends]
-        click.echo(f"{number:3}  {step.name:24} {', '.join(words)}")
+    With `--store` the plan is taken up too: from then on its builds wait for what they need.
+    """
+    (found,) = load_plans((file,))
+    log = MigrationLog()
+    log.register_plan(found)
+    for number, step in enumerate(execution_order(found), 1):
+        state = log.steps[step.name]
+        ready_before = [build for build in log.builds() if log.is_ready(build)]
+        ended = log.builds_ended_by(state, "apply")
+        state.status = StepStatus.DONE
+        ready_after = [build for build in log.builds() if log.is_ready(build)]
+        remarks = [step.kind] if step.undoing else [step.kind, "can't be undone"]
+        remarks += [f"then build {build} may have traffic" for build in ready_after if build not in ready_before]
+        remarks += [f"from its start on no rollback to build {build}" for build in ended]
+        click.echo(f"{number:3}  {step.name:24} {', '.join(remarks)}")
     if store is not None:
-        start("take", file, store, "", False, (), 5.0, 30.0, False)
+        execute("take", RunArguments(file, store))
 
 
 @migrations.command()
 @STORE
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 def status(store: str, as_json: bool) -> None:
-    """Where each step stands, which builds may have traffic, and until when back is possible. Exits with 3
-    where a step is under way or has failed."""
-    where = address(store)
-
-    async def read() -> tuple[Record, EffectProgress | None]:
-        client, record = Client(where), Record()
-        await client.read(record)
-        mark = record.under_way() or record.failed()
-        if mark is None or not mark.intent:
-            return record, None
-        marks = await client.ask("GET", f"/marks?intent={mark.intent}", EffectProgress)
-        return record, marks if isinstance(marks, EffectProgress) else None
+    """The status of each step, which builds may have traffic, and until when a rollback is possible.
 
+    Exits with 3 where a step is under way or has failed.
+    """
+    address = parse_address(store)
     try:
-        record, marks = asyncio.run(read())
-    except (Away, Broken) as fault:
-        click.echo(f"{store}: {fault}", err=True)
-        sys.exit(2)
+        log, progress = asyncio.run(read_status(address))
+    except (StoreUnavailableError, InvalidEntryError) as error:
+        click.echo(f"{store}: {error}", err=True)
+        sys.exit(EXIT_UNUSABLE)
     if as_json:
-        click.echo(msgspec.json.encode(shown(record, marks)).decode())
+        click.echo(msgspec.json.encode(status_document(log, progress)).decode())
     else:
-        for line in told(record, marks):
+        for line in status_lines(log, progress):
             click.echo(line)
-    sys.exit(3 if record.under_way() or record.failed() else 0)
-
-
-def shown(record: Record, marks: EffectProgress | None) -> dict[str, Any]:
-    rows = [
-        {"step": m.step.name, "plan": m.plan, "stand": m.stand.value, "way": m.way, "text": m.text}
-        for m in record.marks.values()
+    sys.exit(EXIT_INCOMPLETE if log.active_step() or log.failed_step() else 0)
+
+
+async def read_status(address: Address) -> tuple[MigrationLog, EffectProgress | None]:
+    """A store's log, and the progress of its active or failed step.
+
+    Raises StoreUnavailableError and InvalidEntryError.
+    """
+    client = MigrationStoreClient(address)
+    log = MigrationLog()
+    await client.read_log(log)
+    state = log.active_step() or log.failed_step()
+    if state is None or not state.intent_seq:
+        return log, None
+    progress = await client.call("GET", f"/marks?intent={state.intent_seq}", EffectProgress)
+    return log, progress if isinstance(progress, EffectProgress) else None
+
+
+def status_document(log: MigrationLog, progress: EffectProgress | None) -> dict[str, Any]:
+    """The status as a JSON document."""
+    steps = [
+        {
+            "step": state.step.name,
+            "plan": state.plan_name,
+            "stand": state.status.value,
+            "way": state.direction,
+            "text": state.failure_reason,
+        }
+        for state in log.steps.values()
     ]
     builds = [
-        {"build": build, "ready": record.ready(build), "back_ends_with": record.back_ends_with(build)}
-        for build in record.builds()
+        {"build": build, "ready": log.is_ready(build), "back_ends_with": log.rollback_ended_by(build)}
+        for build in log.builds()
     ]
-    had = None if marks is None else msgspec.to_builtins(marks)
-    return {"seq": record.seq, "steps": rows, "builds": builds, "had": had}
+    had = None if progress is None else msgspec.to_builtins(progress)
+    return {"seq": log.last_seq, "steps": steps, "builds": builds, "had": had}
 
 
-def told(record: Record, marks: EffectProgress | None) -> list[str]:
-    lines = list[str]()
-    if not record.marks:
+def status_lines(log: MigrationLog, progress: EffectProgress | None) -> list[str]:
+    """The status as lines for people."""
+    if not log.steps:
         return ["no plan has been taken up"]
-    for mark in record.marks.values():
-        words = mark.stand.value
-        if mark.stand in (Stand.CLOSING, Stand.INTENDED, Stand.FAILED):
-            words += f" to {mark.way}"
-            if marks is not None and mark.stand is not Stand.CLOSING:
-                words += f", {marks.parts} parts had"
-                words += f", up to key {marks.cursor}" if marks.cursor is not None else ""
-            words += f": {mark.text}" if mark.text else ""
-        lines.append(f"{mark.step.name:24} {words}")
-    for build in record.builds():
-        ends = record.back_ends_with(build)
-        words = "may have traffic" if record.ready(build) else "may have none"
-        lines.append(f"build {build:<18} {words}{f', until {ends!r} begins' if ends else ''}")
+    lines: list[str] = []
+    for state in log.steps.values():
+        text = state.status.value
+        if state.active or state.status is StepStatus.FAILED:
+            text += f" to {state.direction}"
+            if progress is not None and state.status is not StepStatus.AT_BARRIER:
+                text += f", {progress.parts} parts applied"
+                text += f", up to key {progress.cursor}" if progress.cursor is not None else ""
+            text += f": {state.failure_reason}" if state.failure_reason else ""
+        lines.append(f"{state.step.name:24} {text}")
+    for build in log.builds():
+        ending_step = log.rollback_ended_by(build)
+        text = "may have traffic" if log.is_ready(build) else "may have none"
+        text += f", until {ending_step!r} begins" if ending_step else ""
+        lines.append(f"build {build:<18} {text}")
     return lines
 
 
-def options(command: Any) -> Any:
+def run_options(command: Callable[..., None]) -> Callable[..., None]:
+    """The options of run, undo and resume; see RunArguments."""
     for option in (
-        click.option("--past-back", is_flag=True, help="Steps may make a way back impossible."),
+        click.option("--past-back", is_flag=True, help="Steps may make a rollback impossible."),
         click.option("--without-relay", multiple=True, type=click.IntRange(0), help="It is gone for good."),
         click.option("--ttl", default=5.0, type=click.FloatRange(0.2, 3600), help="Seconds of a lease."),
         click.option(
@@ -180,73 +221,72 @@
     return command
 
 
-def start(
-    what: str,
-    file: str,
-    store: str,
-    to: str,
-    past_back: bool,
-    without_relay: tuple[int, ...],
-    ttl: float,
-    patience: float,
-    console: bool,
-) -> None:
-    where, (found,) = address(store), load((file,))
-    goal = Goal(found, what, to, past_back)
-    stop = asyncio.run(conduct(goal, where, frozenset(without_relay), ttl, patience, console))
-    click.echo(stop.text, err=not stop.good)
-    sys.exit(0 if stop.good else 3)
-
-
-async def conduct(
-    goal: Goal, where: Address, without: frozenset[int], ttl: float, patience: float, console: bool
-) -> Stop:
+def execute(operation: Operation, arguments: RunArguments) -> None:
+    """Runs an operation, prints its result, and ends the program with 0, or with 3 where it did not succeed."""
+    address = parse_address(arguments.store)
+    (plan,) = load_plans((arguments.file,))
+    goal = Goal(plan, operation, arguments.to, arguments.past_back)
+    result = asyncio.run(run_to_result(goal, address, arguments))
+    click.echo(result.message, err=not result.succeeded)
+    sys.exit(0 if result.succeeded else EXIT_INCOMPLETE)
+
+
+async def run_to_result(goal: Goal, address: Address, arguments: RunArguments) -> RunResult:
+    """Runs a goal on a store, with log events on standard error, and a bar of a backfill's rows on a terminal."""
     name = f"{socket.gethostname()[:40]}-{os.getpid()}"
-    log = logger("console" if console else "json").bind(runner=name)
-    # A bar where somebody looks on, and nothing but the log elsewhere.
+    run_logger = logger("console" if arguments.console else "json").bind(runner=name)
     with tqdm(unit="row", file=sys.stderr, disable=None) as bar:
 
-        def moved(record: Record, marks: EffectProgress | None) -> None:
-            mark = record.under_way()
-            if marks is not None and mark is not None and mark.step.batch:
-                bar.set_description(mark.step.name)
-                bar.update(marks.rows - bar.n)
+        def show_progress(log: MigrationLog, progress: EffectProgress | None) -> None:
+            active = log.active_step()
+            if progress is not None and active is not None and active.step.batch:
+                bar.set_description(active.step.name)
+                bar.update(progress.rows - bar.n)
 
-        client = Client(where)
-        conductor = Conductor(goal, name, client, ttl, log, moved, patience=patience, without=without)
-        return await conductor.run()
+        options = ExecutorOptions(arguments.ttl, arguments.patience, frozenset(arguments.without_relay))
+        executor = MigrationExecutor(
+            goal,
+            name,
+            MigrationStoreClient(address),
+            options=options,
+            logger=run_logger,
+            on_progress=show_progress,
+        )
+        return await executor.run()
 
 
 @migrations.command()
-@options
-def run(**given: Any) -> None:
-    """Runs FILE's steps in order, up to `--to` or all; goes on where an earlier run was interrupted. Exits
-    with 3 where it can't, and the record says why."""
-    start("run", **given)
+@run_options
+def run(**arguments: Any) -> None:
+    """Runs FILE's steps in order, up to `--to` or all; goes on where an earlier run was interrupted.
+
+    Exits with 3 where it can't, and the log says why.
+    """
+    execute("run", RunArguments(**arguments))
 
 
 @migrations.command()
-@options
-def undo(**given: Any) -> None:
+@run_options
+def undo(**arguments: Any) -> None:
     """Undoes FILE's steps, the last first, down to and with `--to` or all."""
-    start("undo", **given)
+    execute("undo", RunArguments(**arguments))
 
 
 @migrations.command()
-@options
-def resume(**given: Any) -> None:
+@run_options
+def resume(**arguments: Any) -> None:
     """Tries again what has failed, from where it stopped, and goes on."""
-    start("resume", **given)
+    execute("resume", RunArguments(**arguments))
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--port", default=0, type=click.IntRange(0, 65535), help="0: any free one.")
 def store(file: str, port: int) -> None:
-    """Serves the embedded store of steps, the SQLite FILE, on loopback until SIGTERM."""
+    """Serves the embedded migration store, the SQLite FILE, on loopback until SIGTERM."""
     from lanelead.store.service import run as serve
 
     if not Path(file).resolve().parent.is_dir():
         click.echo(f"{file}: no such folder", err=True)
-        sys.exit(2)
+        sys.exit(EXIT_UNUSABLE)
     serve(file, port)
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -1,21 +1,36 @@
-"""Carries out what a runner wants, by calls to the store; decides nothing itself."""
+"""Carries out a runner's calls to the migration store; decides nothing itself."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from collections.abc import Callable
-from typing import Any, TypeVar
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
-from lanelead.http.client import CallFailedError, call
-from lanelead.http.responses import HttpResponse
-from lanelead.migrations import runner
-from lanelead.migrations.backoff import Pace
-from lanelead.migrations.migration_log import Broken, Record
-from lanelead.migrations.runner import Goal, Reply, Runner, Want
-from lanelead.protocols.feeds import MessageError, decode, encode
+from lanelead.migrations.backoff import BatchPacer
+from lanelead.migrations.calls import (
+    AcquireLease,
+    AppendEntry,
+    ApplyPart,
+    CallCompleted,
+    CallRejected,
+    LeaseGranted,
+    OutcomeUnknown,
+    PendingCall,
+    QueryProgress,
+    QueryUnacknowledged,
+    ReadLog,
+    Reply,
+    RunResult,
+    WaitingForRelays,
+)
+from lanelead.migrations.client import MigrationStoreClient
+from lanelead.migrations.errors import AcknowledgementTimeoutError, InvalidEntryError, StoreUnavailableError
+from lanelead.migrations.migration_log import MigrationLog
+from lanelead.migrations.runner import Goal, Runner
 from lanelead.protocols.migrations import (
     AppendReply,
     AppendRequest,
@@ -24,200 +39,198 @@
     Lease,
     LeaseRequest,
     LoggedEntry,
-    MigrationLogPage,
     RejectedCall,
+    UnacknowledgedRelays,
 )
-from lanelead.protocols.migrations import UnacknowledgedRelays as UnseenAnswer
-from lanelead.settings.records import Address
-
-T = TypeVar("T", bound=msgspec.Struct)
-CALL = 5.0  # seconds for a call that has no limit of its own
 
+RETRY_DELAY_SECONDS = 0.05
+MAX_LEASE_POLL_SECONDS = 0.1
+ACKNOWLEDGEMENT_POLL_SECONDS = 0.02
 
-class Away(Exception):
-    """The store could not be asked; the text says why."""
 
+@dataclass(frozen=True)
+class ExecutorOptions:
+    """How long to hold and wait.
 
-class GivenUp(Exception):
-    """Relays have not seen a closing in time; the text says which."""
+    lease_ttl_seconds: after which the lease ends unless renewed.
+    patience_seconds: how long to wait for the store, for another runner's lease, and for relays.
+    without_relays: relays that are gone for good: barriers do not wait for them.
+    """
 
+    lease_ttl_seconds: float = 5.0
+    patience_seconds: float = 30.0
+    without_relays: frozenset[int] = frozenset()
 
-class Client:
-    """Calls to the store. A call ends in its answer, in Refusal, or is unknown: Away."""
 
-    def __init__(self, address: Address) -> None:
-        self._address, self._loop = address, asyncio.get_running_loop()
+DEFAULT_OPTIONS = ExecutorOptions()
 
-    async def ask(
-        self, method: str, path: str, kind: type[T], body: msgspec.Struct | None = None, limit: float = CALL
-    ) -> T | RejectedCall:
-        text = b"" if body is None else encode(body)
-        try:
-            answer: HttpResponse = await call(self._loop, self._address, method, path.encode(), text, limit)
-            if answer.status == 200:
-                return msgspec.json.decode(answer.body, type=kind)
-            if answer.status in (400, 409, 422):
-                return decode(answer.body, RejectedCall)
-        except TimeoutError:
-            raise Away(f"no answer in {limit:g} s") from None
-        except (CallFailedError, MessageError, msgspec.MsgspecError) as fault:
-            raise Away(str(fault)) from None
-        raise Away(f"status {answer.status}")
 
-    async def read(self, record: Record) -> None:
-        """Brings a record up to date. Raises Away, or Broken where the entries follow no rules."""
-        while True:
-            page = await self.ask("GET", f"/record?since={record.seq}", MigrationLogPage)
-            if isinstance(page, RejectedCall):
-                raise Away(page.text)
-            for logged in page.entries:
-                record.add(logged)
-            if record.seq >= page.last or not page.entries:
-                return
+class MigrationExecutor:
+    """One runner at work.
 
-
-class Conductor:
-    """One runner at work. `at` is called around every request: tests end the process there."""
+    logger: a structlog logger for the run's events; None: none.
+    on_progress: called after each call with the log, and the progress of the active intent where it is known.
+    at: called before and after each call with a point's name: tests end the process there.
+    """
 
     def __init__(
         self,
         goal: Goal,
         name: str,
-        client: Client,
-        ttl: float = 5.0,
-        log: Any = None,
-        moved: Callable[[Record, EffectProgress | None], None] = lambda record, marks: None,
+        client: MigrationStoreClient,
+        *,
+        options: ExecutorOptions = DEFAULT_OPTIONS,
+        logger: Any = None,
+        on_progress: Callable[[MigrationLog, EffectProgress | None], None] = lambda log, progress: None,
         at: Callable[[str], None] = lambda point: None,
-        patience: float = 30.0,
-        without: frozenset[int] = frozenset(),
     ) -> None:
-        self._name, self._client, self._ttl, self._log = name, client, ttl, log
-        self._moved, self._at, self._patience, self._without = moved, at, patience, without
-        self.record, self.runner = Record(), Runner(goal)
-        self._paces = dict[int, Pace]()
-
-    async def run(self) -> runner.Stop:
-        """Until the goal is reached or can't be; the record says where it stands either way."""
-        silent_since = None
+        self._name = name
+        self._client = client
+        self._options = options
+        self._logger = logger
+        self._on_progress = on_progress
+        self._at = at
+        self.log = MigrationLog()
+        self.runner = Runner(goal)
+        self._pacers: dict[int, BatchPacer] = {}  # by intent
+
+    async def run(self) -> RunResult:
+        """Runs until the goal is reached or can't be; the log says how far it came either way."""
+        unavailable_since = None
         while True:
-            want = self.runner.want(self.record)
-            if isinstance(want, runner.Stop):
-                await self._release()
-                return want
-            name = type(want).__name__.lower()
-            self._at(f"{name}.before")
+            call = self.runner.next_call(self.log)
+            if isinstance(call, RunResult):
+                await self._release_lease()
+                return call
+            self._at(f"{call.name}.before")
+            reply: Reply
             try:
-                reply = await self._do(want)
-                silent_since = None
-            except Away as fault:
-                reply = runner.Unknown(str(fault))
-                silent_since = silent_since or time.monotonic()
-                self._say("the store gave no answer", wanted=name, reason=str(fault))
-                if time.monotonic() - silent_since > self._patience:
-                    text = f"the store is away: {fault}; run again to find out where it stands"
-                    return runner.Stop(False, text)
-                await asyncio.sleep(0.05)
-            except GivenUp as fault:
-                await self._release()
-                return runner.Stop(False, str(fault))
-            except Broken as fault:
-                return runner.Stop(False, f"the record is not to be understood: {fault}")
-            self._at(f"{name}.after")
-            self.runner = self.runner.heard(want, reply)
-            self._moved(self.record, self.runner.marks)
-
-    def _say(self, text: str, **facts: Any) -> None:
-        if self._log is not None:
-            self._log.info(text, **facts)
-
-    async def _release(self) -> None:
+                reply = await self._carry_out(call)
+                unavailable_since = None
+            except StoreUnavailableError as error:
+                reply = OutcomeUnknown(str(error))
+                unavailable_since = unavailable_since or time.monotonic()
+                self._log_event("migration store unavailable", call=call.name, reason=str(error))
+                if time.monotonic() - unavailable_since > self._options.patience_seconds:
+                    return RunResult(False, f"the store is unavailable: {error}; run again to find out where it stands")
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
+            except AcknowledgementTimeoutError as error:
+                await self._release_lease()
+                return RunResult(False, str(error))
+            except InvalidEntryError as error:
+                return RunResult(False, f"the migration log is invalid: {error}")
+            self._at(f"{call.name}.after")
+            self.runner = self.runner.after_reply(call, reply)
+            self._on_progress(self.log, self.runner.progress)
+
+    def _log_event(self, event: str, **fields: Any) -> None:
+        if self._logger is not None:
+            self._logger.info(event, **fields)
+
+    async def _release_lease(self) -> None:
         if self.runner.token:
             try:
-                await self._client.ask("POST", "/release", Lease, Lease(self.runner.token))
-            except Away:
-                return  # it ends by itself
-
-    async def _do(self, want: Want) -> Reply:
-        match want:
-            case runner.Take():
-                return await self._take()
-            case runner.Read():
-                await self._client.read(self.record)
-                return runner.Done()
-            case runner.Append():
-                return await self._append(want)
-            case runner.Ask(intent):
-                marks = await self._client.ask("GET", f"/marks?intent={intent}", EffectProgress)
-                return _refused(marks) if isinstance(marks, RejectedCall) else marks
-            case runner.Unseen(closing):
-                return await self._unseen(closing)
-            case runner.Apply():
-                return await self._apply(want)
-            case runner.Stop():
-                raise AssertionError("nothing is wanted any more")
-
-    async def _take(self) -> Reply:
-        """Where another runner has the lease, it is waited for: it may be dead, and its lease end."""
+                await self._client.call("POST", "/release", Lease, Lease(self.runner.token))
+            except StoreUnavailableError:
+                return  # the lease ends by itself
+
+    async def _carry_out(self, call: PendingCall) -> Reply:
+        match call:
+            case AcquireLease():
+                return await self._acquire_lease()
+            case ReadLog():
+                await self._client.read_log(self.log)
+                return CallCompleted()
+            case AppendEntry():
+                return await self._append(call)
+            case QueryProgress(intent_seq):
+                progress = await self._client.call("GET", f"/marks?intent={intent_seq}", EffectProgress)
+                return _rejection(progress) if isinstance(progress, RejectedCall) else progress
+            case QueryUnacknowledged(barrier_seq):
+                return await self._wait_for_relays(barrier_seq)
+            case ApplyPart():
+                return await self._apply(call)
+            case RunResult():
+                raise AssertionError("a result is not a call")
+
+    async def _acquire_lease(self) -> Reply:
+        """Waits while another runner has the lease: it may be dead, and its lease end."""
         began = time.monotonic()
+        ttl_seconds = self._options.lease_ttl_seconds
         while True:
-            told = await self._client.ask("POST", "/lease", Lease, LeaseRequest(self._name, self._ttl * 1000))
-            if not isinstance(told, RejectedCall):
-                self._say("lease", token=told.token)
-                return runner.Token(told.token)
-            if told.why != "held" or time.monotonic() - began > self._patience:
-                return _refused(told)
-            await asyncio.sleep(min(0.1, self._ttl / 4))
-
-    async def _append(self, want: runner.Append) -> Reply:
-        ask = AppendRequest(want.token, want.after, want.entry)
-        told = await self._client.ask("POST", "/record", AppendReply, ask)
-        if isinstance(told, RejectedCall):
-            return _refused(told)
-        entry = want.entry
-        self.record.add(LoggedEntry(told.seq, want.token, self._name, 0.0, entry))
-        self._say("written", kind=entry.kind, step=entry.step, way=entry.way, seq=told.seq)
-        return runner.Done()
-
-    async def _unseen(self, closing: int) -> Reply:
-        began, said = time.monotonic(), list[int]()
+            reply = await self._client.call("POST", "/lease", Lease, LeaseRequest(self._name, ttl_seconds * 1000))
+            if not isinstance(reply, RejectedCall):
+                self._log_event("lease acquired", token=reply.token)
+                return LeaseGranted(reply.token)
+            if reply.reason != "held" or time.monotonic() - began > self._options.patience_seconds:
+                return _rejection(reply)
+            await asyncio.sleep(min(MAX_LEASE_POLL_SECONDS, ttl_seconds / 4))
+
+    async def _append(self, call: AppendEntry) -> Reply:
+        entry = call.entry
+        request = AppendRequest(call.token, call.after_seq, entry)
+        reply = await self._client.call("POST", "/record", AppendReply, request)
+        if isinstance(reply, RejectedCall):
+            return _rejection(reply)
+        self.log.append(LoggedEntry(reply.seq, call.token, self._name, 0.0, entry))
+        self._log_event(
+            "log entry appended", kind=entry.kind, step=entry.step, direction=entry.direction, seq=reply.seq
+        )
+        return CallCompleted()
+
+    async def _wait_for_relays(self, barrier_seq: int) -> Reply:
+        """Waits until all relays have acknowledged a barrier. Raises AcknowledgementTimeoutError."""
+        began = time.monotonic()
+        logged_relays: list[int] = []
+        token = self.runner.token
         while True:
-            told = await self._client.ask("GET", f"/unseen?closing={closing}", UnseenAnswer)
-            if isinstance(told, RejectedCall):
-                return _refused(told)
-            for relay in [relay for relay in told.relays if relay in self._without]:
-                self._say("a relay is taken for gone", relay=relay)
-                await self._client.ask("POST", "/forget", ForgetRequest, ForgetRequest(self.runner.token, relay))
-            if not told.relays:
-                return runner.Waiting(())
-            if time.monotonic() - began > self._patience:
-                text = f"relays {told.relays} have not seen that traffic must end: nothing was changed yet; "
-                raise GivenUp(text + "run again, undo, or say --without-relay for one that is gone for good")
-            if told.relays != said:
-                said = told.relays
-                self._say("waiting for relays", relays=said)
-            await asyncio.sleep(0.02)
-            renewed = await self._client.ask("POST", "/renew", Lease, Lease(self.runner.token))
+            reply = await self._client.call("GET", f"/unseen?closing={barrier_seq}", UnacknowledgedRelays)
+            if isinstance(reply, RejectedCall):
+                return _rejection(reply)
+            for relay in reply.relays:
+                if relay in self._options.without_relays:
+                    self._log_event("relay forgotten", relay=relay)
+                    await self._client.call("POST", "/forget", ForgetRequest, ForgetRequest(token, relay))
+            if not reply.relays:
+                return WaitingForRelays(())
+            if time.monotonic() - began > self._options.patience_seconds:
+                raise AcknowledgementTimeoutError(reply.relays)
+            if reply.relays != logged_relays:
+                logged_relays = reply.relays
+                self._log_event("waiting for relays", relays=logged_relays)
+            await asyncio.sleep(ACKNOWLEDGEMENT_POLL_SECONDS)
+            renewed = await self._client.call("POST", "/renew", Lease, Lease(token))
             if isinstance(renewed, RejectedCall):
-                return _refused(renewed)
-
-    async def _apply(self, want: runner.Apply) -> Reply:
-        ask, pace = want.ask, None
-        mark = self.record.under_way()
-        if want.batched and ask.span is not None and mark is not None and (batch := mark.step.batch):
-            most = max(1, min(batch.rows, int(batch.rate)))  # so that no wait outlasts a lease
-            fresh = Pace(most, batch.rate, batch.hold_ms / 1000)
-            pace = self._paces.setdefault(ask.intent, fresh)
-            ask = msgspec.structs.replace(ask, span=msgspec.structs.replace(ask.span, rows=pace.rows))
+                return _rejection(renewed)
+
+    async def _apply(self, call: ApplyPart) -> Reply:
+        request = call.request
+        active = self.log.active_step()
+        pacer = self._pacer(call)
+        if pacer is not None and request.batch_range is not None:
+            batch_range = msgspec.structs.replace(request.batch_range, max_rows=pacer.rows)
+            request = msgspec.structs.replace(request, batch_range=batch_range)
         began = time.monotonic()
-        told = await self._client.ask("POST", "/apply", EffectProgress, ask, want.limit_ms / 1000)
-        if isinstance(told, RejectedCall):
-            self._say("not done", step=mark.step.name if mark else "", why=told.why, reason=told.text)
-            return _refused(told)
-        if pace is not None and not told.finished:
-            rows = min(pace.rows, told.rows)
-            await asyncio.sleep(pace.after(rows, time.monotonic() - began))
-        return told
-
-
-def _refused(told: RejectedCall) -> Reply:
-    return runner.Refused(told.why, told.text)
+        reply = await self._client.call("POST", "/apply", EffectProgress, request, call.timeout_ms / 1000)
+        if isinstance(reply, RejectedCall):
+            step = active.step.name if active else ""
+            self._log_event("part rejected", step=step, reason=reply.reason, message=reply.message)
+            return _rejection(reply)
+        if pacer is not None and not reply.finished:
+            rows = min(pacer.rows, reply.rows)
+            await asyncio.sleep(pacer.wait_after_batch(rows, time.monotonic() - began))
+        return reply
+
+    def _pacer(self, call: ApplyPart) -> BatchPacer | None:
+        """The pacer of a backfill's intent; None for other steps."""
+        active = self.log.active_step()
+        if not call.batched or active is None or active.step.batch is None:
+            return None
+        batch = active.step.batch
+        max_rows = max(1, min(batch.rows, int(batch.rate)))  # so that no wait outlasts a lease
+        fresh = BatchPacer(max_rows, batch.rate, batch.hold_ms / 1000)
+        return self._pacers.setdefault(call.request.intent_seq, fresh)
+
+
+def _rejection(rejected: RejectedCall) -> CallRejected:
+    return CallRejected(rejected.reason, rejected.message)
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -1,17 +1,17 @@
-"""The record of steps, read into what may run next, which builds may get traffic, and whether back is open.
+"""The migration log, read into what may run next, which builds may get traffic, and whether a rollback is possible.
 
-The rules; an entry that breaks one is refused, and changes nothing:
+The rules; an entry that breaks one is rejected, and changes nothing:
 
- 1  a plan's steps are new names, and a plan is taken up only while no step is under way
- 2  one step is under way at a time; while one has failed, nothing else begins
- 3  a step is applied when all that it comes after is done, and undone when nothing done comes after it
- 4  a step that can't be undone is not
- 5  an intent that takes a build's readiness away names the closing before it
- 6  an outcome follows its own intent, once; what failed is resumed, undone, or dropped where nothing was had
+ 1  the steps of a plan have new names, and a plan is registered only while no step is active
+ 2  one step is active at a time; while one has failed, no other begins
+ 3  a step is applied when all steps that it comes after are done, and undone when no step that is done comes after it
+ 4  a step that can't be undone is not undone
+ 5  an intent that ends a build's readiness names the barrier entry before it
+ 6  an outcome follows its own intent, once; a failed step is resumed, undone, or dropped where no part was applied
 
-A build is ready at a stage when its needs up to that stage are done and no step of its `until` has begun. A
-closing counts as begun: relays withhold from then on, and the store lets the intent in only when all have
-seen it. All of this is without I/O and without a clock.
+A build is ready at a rollout stage when its needs up to that stage are done and no step of its `until` has begun. A
+barrier counts as begun: relays withhold traffic from then on, and the store accepts the intent only when all of them
+have acknowledged the barrier. All of this is without I/O and without a clock.
 """
 
 from __future__ import annotations
@@ -21,206 +21,250 @@
 
 import msgspec
 
-from lanelead.migrations.plan import ordered
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.plan import execution_order
 from lanelead.protocols.migrations import Direction, LogEntry, LoggedEntry
 from lanelead.settings.records import Demands, Step, Steps
 
 
-class Broken(Exception):
-    """An entry that the rules refuse; the text says which and why."""
+class StepStatus(Enum):
+    """Where a step is; the values are the words that `lanelead migrations status` prints."""
 
-
-class Stand(Enum):
-    WAITING = "waiting"
-    CLOSING = "closing"  # relays are being told; nothing has been changed
-    INTENDED = "intended"  # it may have been changed: known only by asking for its marks
+    PENDING = "waiting"
+    AT_BARRIER = "closing"  # relays are asked to acknowledge; nothing has been changed
+    IN_PROGRESS = "intended"  # something may have been changed: the store knows how much
     DONE = "done"
     FAILED = "failed"
 
 
 @dataclass(slots=True, eq=False)
-class Mark:
-    """Where one step stands."""
+class StepState:
+    """The state of one step.
+
+    intent_seq, barrier_seq: the entries of its last intent and barrier; 0 where there was none.
+    failure_reason, parts_applied: of its last failure.
+    """
 
     step: Step
-    plan: str
-    stand: Stand = Stand.WAITING
-    way: Direction = "apply"
-    intent: int = 0  # the entry whose effects are had or to be had
-    closing: int = 0
-    text: str = ""
-    parts: int = 0
+    plan_name: str
+    status: StepStatus = StepStatus.PENDING
+    direction: Direction = "apply"
+    intent_seq: int = 0
+    barrier_seq: int = 0
+    failure_reason: str = ""
+    parts_applied: int = 0
 
     @property
-    def open(self) -> bool:
-        return self.stand in (Stand.CLOSING, Stand.INTENDED)
+    def active(self) -> bool:
+        """Is the step being applied or undone?"""
+        return self.status in (StepStatus.AT_BARRIER, StepStatus.IN_PROGRESS)
+
 
+class MigrationLog:
+    """The state that the log's entries up to `last_seq` make."""
 
-class Record:
     def __init__(self) -> None:
-        self.seq = 0
+        self.last_seq = 0
         self.plans: dict[str, Steps] = {}
-        self.marks: dict[str, Mark] = {}  # in the order in which steps run
-        self._demands: dict[int, list[Demands]] = {}  # by build
-
-    def copy(self) -> Record:
-        """One that goes on by itself."""
-        other = Record()
-        other.seq, other.plans = self.seq, dict(self.plans)
-        other.marks = {name: replace(mark) for name, mark in self.marks.items()}
-        other._demands = {build: list(some) for build, some in self._demands.items()}
+        self.steps: dict[str, StepState] = {}  # in execution order
+        self._build_requirements: dict[int, list[Demands]] = {}
+
+    def copy(self) -> MigrationLog:
+        """An independent copy."""
+        other = MigrationLog()
+        other.last_seq = self.last_seq
+        other.plans = dict(self.plans)
+        other.steps = {name: replace(state) for name, state in self.steps.items()}
+        other._build_requirements = {build: list(some) for build, some in self._build_requirements.items()}
         return other
 
-    def add(self, logged: LoggedEntry) -> None:
-        """Raises Broken."""
-        if logged.seq != self.seq + 1:
-            raise Broken(f"entry {logged.seq} after {self.seq}")
+    # Writing
+
+    def append(self, logged: LoggedEntry) -> None:
+        """Adds the next entry. Raises InvalidEntryError, and then changes nothing."""
+        if logged.seq != self.last_seq + 1:
+            raise InvalidEntryError(f"entry {logged.seq} after {self.last_seq}")
         entry = logged.entry
         if entry.kind == "plan":
-            self._plan(entry)
+            self._append_plan(entry)
         else:
-            self._step(entry, logged.seq)
-        self.seq = logged.seq
+            self._append_step_entry(entry, logged.seq)
+        self.last_seq = logged.seq
 
-    def allows(self, entry: LogEntry) -> str:
-        """Why the rules refuse an entry; empty where they don't."""
-        if entry.kind == "plan":
-            return ""
-        mark = self.marks.get(entry.step)
-        return f"no step {entry.step!r}" if mark is None else self._refusal(mark, entry)
+    def register_plan(self, plan: Steps) -> None:
+        """Adds a plan, all of whose steps are pending. Raises InvalidEntryError."""
+        if plan.name in self.plans:
+            raise InvalidEntryError(f"plan {plan.name!r} is in the log already", rule=1)
+        for step in plan.steps:
+            if step.name in self.steps:
+                raise InvalidEntryError(f"plan {self.steps[step.name].plan_name!r} claims {step.name!r}", rule=1)
+        self.plans[plan.name] = plan
+        for step in execution_order(plan):
+            self.steps[step.name] = StepState(step, plan.name)
+        for requirements in plan.builds:
+            self._build_requirements.setdefault(requirements.build, []).append(requirements)
+
+    def _append_plan(self, entry: LogEntry) -> None:
+        try:
+            plan = msgspec.json.decode(entry.text, type=Steps)
+        except msgspec.MsgspecError as error:
+            raise InvalidEntryError(f"not a plan: {error}") from None
+        if self.active_step() or self.failed_step():
+            raise InvalidEntryError("a step is active or has failed", rule=1)
+        self.register_plan(plan)
+
+    def _append_step_entry(self, entry: LogEntry, seq: int) -> None:
+        violation = self.violation(entry)
+        if violation is not None:
+            raise violation
+        state = self.steps[entry.step]
+        match entry.kind:
+            case "closing":
+                state.status = StepStatus.AT_BARRIER
+                state.direction = entry.direction
+                state.barrier_seq = seq
+            case "intent":
+                state.status = StepStatus.IN_PROGRESS
+                state.direction = entry.direction
+                state.intent_seq = seq
+                state.parts_applied = 0
+            case "done":
+                state.status = StepStatus.DONE if state.direction == "apply" else StepStatus.PENDING
+                state.failure_reason = ""
+            case "failed":
+                state.status = StepStatus.FAILED
+                state.failure_reason = entry.text
+                state.parts_applied = entry.parts_applied
+            case "resumed":
+                state.status = StepStatus.IN_PROGRESS
+            case "dropped":
+                state.status = StepStatus.PENDING if state.direction == "apply" else StepStatus.DONE
+                state.failure_reason = ""
 
     # Reading
 
-    def under_way(self) -> Mark | None:
-        return next((mark for mark in self.marks.values() if mark.open), None)
+    def active_step(self) -> StepState | None:
+        """The step that is being applied or undone."""
+        return next((state for state in self.steps.values() if state.active), None)
 
-    def failed(self) -> Mark | None:
-        return next((mark for mark in self.marks.values() if mark.stand is Stand.FAILED), None)
+    def failed_step(self) -> StepState | None:
+        """The step that has failed."""
+        return next((state for state in self.steps.values() if state.status is StepStatus.FAILED), None)
 
-    def done(self, name: str) -> bool:
-        return self.marks[name].stand is Stand.DONE
+    def is_done(self, name: str) -> bool:
+        """Has a step been applied? Raises KeyError where no plan has it."""
+        return self.steps[name].status is StepStatus.DONE
 
-    def begun(self, name: str) -> bool:
-        return self.marks[name].stand is not Stand.WAITING
+    def has_begun(self, name: str) -> bool:
+        """Has a step begun, or ended? Raises KeyError where no plan has it."""
+        return self.steps[name].status is not StepStatus.PENDING
 
     def builds(self) -> list[int]:
-        return sorted(self._demands)
+        """The builds that the plans name, in order."""
+        return sorted(self._build_requirements)
 
-    def ready(self, build: int, stage: int = 0, but: Mark | None = None, way: Direction = "apply") -> bool:
-        """May a build have traffic at a stage of its trial? `but`: as if that step had begun that way.
+    def is_ready(
+        self, build: int, stage: int = 0, assumed: StepState | None = None, direction: Direction = "apply"
+    ) -> bool:
+        """May a build have traffic at a rollout stage?
 
-        A build that no plan names counts as the nearest before it that one does, or as the first of all.
+        assumed: judge as if this step had begun in that direction.
+        A build that no plan names counts as the nearest earlier one that is named, or as the first of all.
         """
         named = self.builds()
         if not named:
             return True
         nearest = max((other for other in named if other <= build), default=named[0])
-        for demands in self._demands[nearest]:
-            for need in demands.needs:
-                hit = but is not None and but.step.name == need.step and way == "undo"
-                if need.stage <= stage and (hit or not self.done(need.step)):
+        assumed_applied = assumed.step.name if assumed is not None and direction == "apply" else None
+        assumed_undone = assumed.step.name if assumed is not None and direction == "undo" else None
+        for requirements in self._build_requirements[nearest]:
+            for need in requirements.needs:
+                if need.stage <= stage and (need.step == assumed_undone or not self.is_done(need.step)):
                     return False
-            for name in demands.until:
-                if self.begun(name) or (but is not None and but.step.name == name and way == "apply"):
+            for name in requirements.until:
+                if name == assumed_applied or self.has_begun(name):
                     return False
         return True
 
-    def takes(self, mark: Mark, way: Direction) -> list[int]:
-        """The builds that are ready now and would not be any more once a step has begun that way."""
-        return [b for b in self.builds() if self.ready(b) and not self.ready(b, 0, mark, way)]
+    def builds_ended_by(self, state: StepState, direction: Direction) -> list[int]:
+        """The builds that are ready now and would no longer be once the step begins in that direction."""
+        return [
+            build for build in self.builds() if self.is_ready(build) and not self.is_ready(build, 0, state, direction)
+        ]
 
-    def after(self, mark: Mark) -> list[Mark]:
-        """The steps that come right after one."""
-        return [other for other in self.marks.values() if mark.step.name in other.step.after]
+    def dependents(self, state: StepState) -> list[StepState]:
+        """The steps that come directly after one."""
+        return [other for other in self.steps.values() if state.step.name in other.step.after]
 
-    def back_ends_with(self, build: int) -> str | None:
-        """The first step still to come that would make a way back to a build impossible."""
-        if not self.ready(build):
+    def rollback_ended_by(self, build: int) -> str | None:
+        """The first pending step that would make a rollback to a build impossible."""
+        if not self.is_ready(build):
             return None
-        for mark in self.marks.values():
-            if mark.stand is Stand.WAITING and build in self.takes(mark, "apply"):
-                return mark.step.name
+        for state in self.steps.values():
+            if state.status is StepStatus.PENDING and build in self.builds_ended_by(state, "apply"):
+                return state.step.name
         return None
 
     # Rules
 
-    def _plan(self, entry: LogEntry) -> None:
-        try:
-            plan = msgspec.json.decode(entry.text, type=Steps)
-        except msgspec.MsgspecError as fault:
-            raise Broken(f"no plan: {fault}") from None
-        if self.under_way() or self.failed():
-            raise Broken("rule 1: a step is under way")
-        self.plan(plan)
-
-    def plan(self, plan: Steps) -> None:
-        """Takes up a plan, all of whose steps wait. Raises Broken."""
-        if plan.name in self.plans:
-            raise Broken(f"rule 1: plan {plan.name!r} is in the record already")
-        for step in plan.steps:
-            if step.name in self.marks:
-                raise Broken(f"rule 1: plan {self.marks[step.name].plan!r} claims {step.name!r}")
-        self.plans[plan.name] = plan
-        for step in ordered(plan):
-            self.marks[step.name] = Mark(step, plan.name)
-        for demands in plan.builds:
-            self._demands.setdefault(demands.build, []).append(demands)
-
-    def _step(self, entry: LogEntry, seq: int) -> None:
-        mark = self.marks.get(entry.step)
-        if mark is None:
-            raise Broken(f"no step {entry.step!r}")
-        if why := self._refusal(mark, entry):
-            raise Broken(why)
-        match entry.kind:
-            case "closing":
-                mark.stand, mark.way, mark.closing = Stand.CLOSING, entry.way, seq
-            case "intent":
-                mark.stand, mark.way, mark.intent, mark.parts = Stand.INTENDED, entry.way, seq, 0
-            case "done":
-                mark.stand = Stand.DONE if mark.way == "apply" else Stand.WAITING
-                mark.text = ""
-            case "failed":
-                mark.stand, mark.text, mark.parts = Stand.FAILED, entry.text, entry.parts
-            case "resumed":
-                mark.stand = Stand.INTENDED
-            case "dropped":
-                mark.stand = Stand.WAITING if mark.way == "apply" else Stand.DONE
-                mark.text = ""
-
-    def _refusal(self, mark: Mark, entry: LogEntry) -> str:
-        name, stand, other = mark.step.name, mark.stand, self.under_way() or self.failed()
+    def violation(self, entry: LogEntry) -> InvalidEntryError | None:
+        """The error with which a step's entry would be rejected; None where it may be appended."""
+        if entry.kind == "plan":
+            return None
+        state = self.steps.get(entry.step)
+        if state is None:
+            return InvalidEntryError(f"no step {entry.step!r}")
         if entry.kind in ("closing", "intent"):
-            if other not in (None, mark):
-                assert other is not None
-                return f"rule 2: {other.step.name!r} is {other.stand.value}"
-            if entry.kind == "closing" and stand is Stand.CLOSING:
-                return f"rule 2: {name!r} is closing already"
-            if stand is Stand.CLOSING and (entry.way, entry.closed) != (mark.way, mark.closing):
-                return f"rule 5: {name!r} was closed by entry {mark.closing} to {mark.way} it"
-            if stand is not Stand.CLOSING and entry.kind == "intent" and self.takes(mark, entry.way):
-                return f"rule 5: no closing, and builds {self.takes(mark, entry.way)} would lose their state"
-            return self._apply(mark) if entry.way == "apply" else self._undo(mark)
-        if entry.kind in ("done", "failed") and (stand is not Stand.INTENDED or entry.way != mark.way):
-            return f"rule 6: {name!r} is {stand.value}, with no intent to {entry.way} it"
-        if entry.kind == "resumed" and stand is not Stand.FAILED:
-            return f"rule 6: {name!r} has not failed"
-        if entry.kind == "dropped" and stand is not Stand.CLOSING and (stand is not Stand.FAILED or mark.parts):
-            return f"rule 6: {name!r} is {stand.value}, and some of it was had"
-        return ""
-
-    def _apply(self, mark: Mark) -> str:
-        if mark.stand not in (Stand.WAITING, Stand.CLOSING):
-            return f"rule 6: {mark.step.name!r} is {mark.stand.value}"
-        if missing := [name for name in mark.step.after if not self.done(name)]:
-            return f"rule 3: {missing[0]!r} is not done"
-        return ""
-
-    def _undo(self, mark: Mark) -> str:
-        if not mark.step.undoing:
-            return f"rule 4: {mark.step.name!r} can't be undone"
-        if mark.stand not in (Stand.DONE, Stand.FAILED, Stand.CLOSING):
-            return f"rule 6: {mark.step.name!r} is {mark.stand.value}"
-        if later := [other for other in self.after(mark) if other.stand is not Stand.WAITING]:
-            return f"rule 3: {later[0].step.name!r} comes after it, and is {later[0].stand.value}"
-        return ""
+            return self._begin_violation(state, entry)
+        return _outcome_violation(state, entry)
+
+    def _begin_violation(self, state: StepState, entry: LogEntry) -> InvalidEntryError | None:
+        other = self.active_step() or self.failed_step()
+        if other is not None and other is not state:
+            return InvalidEntryError(f"{other.step.name!r} is {other.status.value}", rule=2)
+        name = state.step.name
+        if state.status is StepStatus.AT_BARRIER:
+            if entry.kind == "closing":
+                return InvalidEntryError(f"{name!r} is at its barrier already", rule=2)
+            if entry.direction != state.direction or entry.barrier_seq != state.barrier_seq:
+                return InvalidEntryError(
+                    f"the barrier of {name!r} is entry {state.barrier_seq}, {state.direction}", rule=5
+                )
+        elif entry.kind == "intent":
+            ended = self.builds_ended_by(state, entry.direction)
+            if ended:
+                return InvalidEntryError(f"no barrier entry, and builds {ended} would lose their state", rule=5)
+        return self._apply_violation(state) if entry.direction == "apply" else self._undo_violation(state)
+
+    def _apply_violation(self, state: StepState) -> InvalidEntryError | None:
+        if state.status not in (StepStatus.PENDING, StepStatus.AT_BARRIER):
+            return InvalidEntryError(f"{state.step.name!r} is {state.status.value}", rule=6)
+        for name in state.step.after:
+            if not self.is_done(name):
+                return InvalidEntryError(f"{name!r} is not done", rule=3)
+        return None
+
+    def _undo_violation(self, state: StepState) -> InvalidEntryError | None:
+        name = state.step.name
+        if not state.step.undoing:
+            return InvalidEntryError(f"{name!r} can't be undone", rule=4)
+        if state.status not in (StepStatus.DONE, StepStatus.FAILED, StepStatus.AT_BARRIER):
+            return InvalidEntryError(f"{name!r} is {state.status.value}", rule=6)
+        for later in self.dependents(state):
+            if later.status is not StepStatus.PENDING:
+                return InvalidEntryError(f"{later.step.name!r} comes after it, and is {later.status.value}", rule=3)
+        return None
+
+
+def _outcome_violation(state: StepState, entry: LogEntry) -> InvalidEntryError | None:
+    name = state.step.name
+    status = state.status
+    if entry.kind in ("done", "failed"):
+        if status is not StepStatus.IN_PROGRESS or entry.direction != state.direction:
+            return InvalidEntryError(f"{name!r} is {status.value}, with no intent to {entry.direction} it", rule=6)
+    elif entry.kind == "resumed":
+        if status is not StepStatus.FAILED:
+            return InvalidEntryError(f"{name!r} has not failed", rule=6)
+    elif status is not StepStatus.AT_BARRIER and (status is not StepStatus.FAILED or state.parts_applied):
+        return InvalidEntryError(f"{name!r} is {status.value}, and parts of it may be applied", rule=6)
+    return None
--- a/lanelead/migrations/readiness.py
+++ b/lanelead/migrations/readiness.py
@@ -1,11 +1,10 @@
-"""What the record of steps means for one relay: which builds count as not there, and what it has seen.
+"""What the migration log means for one relay: which builds may have traffic, and which barriers it may acknowledge.
 
-Without I/O and without a clock of its own. The relay's driver asks it in three places: when units are listed,
-right before a trip's first byte, and when the decisions vote 'on'.
+Without I/O and without a clock of its own. The relay's driver asks in three places: when endpoints are listed, right
+before an attempt's first byte, and when the decisions vote to promote.
 
-A relay that has not yet heard the record knows no build's needs: it sends only to the earliest build that is
-listed. A relay that has lost the store goes on with what it knew: whoever runs a step that takes a build's
-state away waits for it.
+A relay that has not yet received the log knows no build's needs: it sends only to the earliest build that is listed. A
+relay that has lost the store goes on with what it knew: whoever runs a step that ends a build's readiness waits for it.
 """
 
 from __future__ import annotations
@@ -13,77 +12,90 @@
 from collections.abc import Iterable
 
 from lanelead.decisions.interface import Attempt, Ticks
-from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
 from lanelead.protocols.feeds import MessageError
 from lanelead.protocols.migrations import LoggedEntry
 
-LAST = 1 << 30  # past every stage: all needs of a build that is released
+RELEASED_STAGE = 1 << 30  # past every stage: all needs of a released build
 
 
 class Readiness:
-    """`grace`: how long after its outer limit a trip whose end was not heard may still run at its unit."""
+    """Follows the log, the rollout and the attempts in flight of one relay.
+
+    grace: how long after its timeout an attempt with an unknown end may still run at its endpoint.
+    quiet_until: until then, attempts of an earlier process of this relay may still run: nothing is acknowledged.
+    """
 
     def __init__(self, grace: Ticks, quiet_until: Ticks) -> None:
-        self.record = Record()
-        self._heard = False
-        self._earliest: int | None = None
-        self._trial, self._stage = -1, LAST  # the build that the desk last told of, and its stage
+        self.log = MigrationLog()
+        self._log_received = False
+        self._earliest_build: int | None = None
+        self._rollout_build = -1
+        self._rollout_stage = RELEASED_STAGE
         self._grace = grace
-        self._out: dict[Attempt, int] = {}  # trips under way, with the build that each was sent to
-        self._until: dict[int, Ticks] = {}  # by build, when the last of those with no known end may be over
-        # What an earlier life of this relay sent may still run: it can't vouch for that any sooner.
+        self._in_flight: dict[Attempt, int] = {}  # with the build that each was sent to
+        self._may_run_until: dict[int, Ticks] = {}  # by build, for attempts with an unknown end
         self._quiet_until = quiet_until
-        self.seen = 0  # what the store has been told
+        self.acknowledged_seq = 0  # the last barrier that the store knows to be acknowledged
+
+    # Events
 
-    # What is told
+    def entries_received(self, entries: Iterable[LoggedEntry]) -> None:
+        """Adds entries to the log, passing over known ones: a stream that began anew repeats them.
 
-    def hear(self, entries: Iterable[LoggedEntry]) -> None:
-        """Raises Malformed where the entries follow no rules; what came before them stays."""
-        self._heard = True
+        Raises MessageError where an entry breaks a rule; the entries before it are kept.
+        """
+        self._log_received = True
         for logged in entries:
-            if logged.seq <= self.record.seq:
-                continue  # a stream that began anew tells some again
+            if logged.seq <= self.log.last_seq:
+                continue
             try:
-                self.record.add(logged)
-            except Broken as fault:
-                raise MessageError(f"record of steps: {fault}") from None
-
-    def listed(self, builds: Iterable[int]) -> None:
-        self._earliest = min(builds, default=self._earliest)
-
-    def news(self, build: int, stage: int, trial: bool) -> None:
-        self._trial, self._stage = build, stage if trial else LAST
-
-    def sent(self, build: int, attempt: Attempt) -> None:
-        self._out[attempt] = build
-
-    def ended(self, attempt: Attempt, known: bool) -> None:
-        """`known`: the unit has answered, or never had it; else it may still be running there."""
-        build = self._out.pop(attempt, None)
+                self.log.append(logged)
+            except InvalidEntryError as error:
+                raise MessageError(f"migration log: {error}") from None
+
+    def builds_listed(self, builds: Iterable[int]) -> None:
+        """Takes in the builds of all listed endpoints."""
+        self._earliest_build = min(builds, default=self._earliest_build)
+
+    def rollout_changed(self, build: int, stage: int, trial: bool) -> None:
+        """Takes in the rollout's build and stage. `trial`: it is a canary, not yet released or rolled back."""
+        self._rollout_build = build
+        self._rollout_stage = stage if trial else RELEASED_STAGE
+
+    def attempt_sent(self, build: int, attempt: Attempt) -> None:
+        """An attempt's first byte is about to be written."""
+        self._in_flight[attempt] = build
+
+    def attempt_ended(self, attempt: Attempt, known: bool) -> None:
+        """An attempt has ended. `known`: the endpoint has replied or never got it; else it may still run there."""
+        build = self._in_flight.pop(attempt, None)
         if build is not None and not known:
             over = attempt.sent_at + attempt.timeout + self._grace
-            self._until[build] = max(over, self._until.get(build, 0))
-
-    # What is asked
-
-    def open(self, build: int) -> bool:
-        """May a build have traffic now? If not, it counts as not there."""
-        if not self._heard:
-            return self._earliest is None or build <= self._earliest
-        if build == self._trial:
-            return self.record.ready(build, self._stage)
-        return self.record.ready(build, LAST if build < self._trial else 0)
-
-    def votes_on(self, build: int, stage: int) -> bool:
-        """May the build be voted on past a stage? The next stage's needs must be done first."""
-        return self._heard and self.record.ready(build, stage + 1)
-
-    def owes(self, now: Ticks) -> int:
-        """The closing that the store may be told is seen; 0: none, or not yet."""
-        mark = self.record.under_way()
-        if mark is None or mark.stand is not Stand.CLOSING or mark.closing <= self.seen:
+            self._may_run_until[build] = max(over, self._may_run_until.get(build, 0))
+
+    # Queries
+
+    def accepts_traffic(self, build: int) -> bool:
+        """May a build have traffic now? If not, its endpoints count as draining."""
+        if not self._log_received:
+            return self._earliest_build is None or build <= self._earliest_build
+        if build == self._rollout_build:
+            return self.log.is_ready(build, self._rollout_stage)
+        return self.log.is_ready(build, RELEASED_STAGE if build < self._rollout_build else 0)
+
+    def allows_promotion(self, build: int, stage: int) -> bool:
+        """May the build be promoted past a stage? The next stage's needs have to be done first."""
+        return self._log_received and self.log.is_ready(build, stage + 1)
+
+    def acknowledgement_due(self, now: Ticks) -> int:
+        """The sequence number of the barrier that may be acknowledged now; 0: none, or not yet."""
+        state = self.log.active_step()
+        if state is None or state.status is not StepStatus.AT_BARRIER or state.barrier_seq <= self.acknowledged_seq:
             return 0
         if now < self._quiet_until:
             return 0
-        may_run = {*self._out.values(), *(build for build, until in self._until.items() if until > now)}
-        return mark.closing if all(self.open(build) for build in may_run) else 0
+        lingering = (build for build, until in self._may_run_until.items() if until > now)
+        may_run = {*self._in_flight.values(), *lingering}
+        return state.barrier_seq if all(self.accepts_traffic(build) for build in may_run) else 0
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -1,251 +1,241 @@
-"""What a runner of steps does next, given the record as it knows it. Without I/O, and without a clock.
+"""What a migration runner does next, given the log as it knows it. Without I/O, and without a clock.
 
-A runner's own state is small and is never trusted: whatever it does not know (its request timed out, its
-connection was cut, it stood still) it settles in one way: it takes a new lease, whose token fences off all
-that it or any other sent before, reads the record, and asks which effects were had. Only then is 'no mark'
-final.
+A runner's own state is small and is never trusted: whatever it does not know (its call timed out, its connection was
+cut, its process was suspended) it settles in one way: it acquires a new lease, whose fencing token invalidates all
+calls that it or any other runner sent before, reads the log, and asks how much of the intent has been applied. Only
+then is the answer "nothing" final.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
+from typing import Literal
 
 import msgspec
 
-from lanelead.migrations.migration_log import Mark, Record, Stand
+from lanelead.migrations.calls import (
+    AcquireLease,
+    AppendEntry,
+    ApplyPart,
+    CallCompleted,
+    CallRejected,
+    LeaseGranted,
+    OutcomeUnknown,
+    PendingCall,
+    QueryProgress,
+    QueryUnacknowledged,
+    ReadLog,
+    Reply,
+    RunResult,
+    WaitingForRelays,
+)
+from lanelead.migrations.migration_log import MigrationLog, StepState, StepStatus
 from lanelead.protocols.migrations import ApplyRequest, BatchRange, Direction, EffectProgress, LogEntry
 from lanelead.settings.records import Steps
 
-TRIES = 4  # for one intent whose outcome stays unknown, before it is written as failed
+MAX_ATTEMPTS = 4  # for one intent whose outcome stays unknown, before it is logged as failed
+MAX_FAILURE_REASON_CHARACTERS = 500
+
+Operation = Literal["run", "undo", "resume", "take"]  # take: only register the plan, so that its builds are withheld
 
 
 @dataclass(frozen=True)
 class Goal:
-    """What the operator asked for. `to`: the last step to apply, or the last to undo; empty: all."""
+    """What the operator asked for.
+
+    last_step: the last step to apply, or the last to undo; empty: all.
+    allow_ending_rollback: steps may make a rollback impossible.
+    """
 
     plan: Steps = field(compare=False)
-    what: str = "run"  # run, undo, resume, or take: only take the plan up, so that its builds are withheld
-    to: str = ""
-    past_back: bool = False  # steps may make a way back impossible
+    operation: Operation = "run"
+    last_step: str = ""
+    allow_ending_rollback: bool = False
 
     @property
-    def body(self) -> str:
+    def plan_json(self) -> str:
+        """The plan as the log has it."""
         return msgspec.json.encode(self.plan).decode()
 
 
-# What it wants done
-
-
-@dataclass(frozen=True)
-class Take:
-    """A lease, in place of any that this runner has."""
-
-
-@dataclass(frozen=True)
-class Read:
-    since: int
-
-
-@dataclass(frozen=True)
-class Append:
-    token: int
-    after: int
-    entry: LogEntry
-
-
 @dataclass(frozen=True)
-class Ask:
-    """Which effects of an intent were had?"""
-
-    intent: int
-
-
-@dataclass(frozen=True)
-class Apply:
-    ask: ApplyRequest
-    limit_ms: float
-    batched: bool
-
-
-@dataclass(frozen=True)
-class Unseen:
-    """Which relays have not seen a closing?"""
-
-    closing: int
-
-
-@dataclass(frozen=True)
-class Stop:
-    good: bool
-    text: str
-
-
-Want = Take | Read | Append | Ask | Apply | Unseen | Stop
-
-# What it hears
-
-
-@dataclass(frozen=True)
-class Token:
-    token: int
-
-
-@dataclass(frozen=True)
-class Done:
-    """The request was carried out; the record was read, or the entry written."""
-
-
-@dataclass(frozen=True)
-class Refused:
-    why: str
-    text: str = ""
-
-
-@dataclass(frozen=True)
-class Unknown:
-    """It may have been carried out, or may yet be."""
-
-    text: str = ""
-
-
-@dataclass(frozen=True)
-class Waiting:
-    """Relays that have not seen the closing."""
-
-    relays: tuple[int, ...]
-
-
-Reply = Token | Done | Refused | Unknown | Waiting | EffectProgress
+class Runner:
+    """The state of a runner between two calls.
 
+    token: of its lease; 0: none.
+    progress: of the active intent; None: not asked yet.
+    acknowledged: all relays have acknowledged the active barrier.
+    attempts: at the active intent, with an unknown outcome.
+    failure_reason: why the store rejected the active part.
+    has_resumed: a failed step was resumed once; a second failure ends the run.
+    """
 
-@dataclass(frozen=True)
-class Runner:
     goal: Goal
     token: int = 0
-    read: bool = False
-    marks: EffectProgress | None = None  # of the intent under way; None: not asked yet
-    seen: bool = False  # all relays have seen the closing under way
-    tries: int = 0
-    failure: str = ""  # why the store would not do the effect
-    resumed: bool = False  # what had failed was resumed once: a second failure is told
-    stopped: Stop | None = None
-
-    def want(self, record: Record) -> Want:
-        if self.stopped is not None:
-            return self.stopped
+    log_read: bool = False
+    progress: EffectProgress | None = None
+    acknowledged: bool = False
+    attempts: int = 0
+    failure_reason: str = ""
+    has_resumed: bool = False
+    result: RunResult | None = None
+
+    def next_call(self, log: MigrationLog) -> PendingCall:
+        """The next call to the store, or the result."""
+        if self.result is not None:
+            return self.result
         if not self.token:
-            return Take()
-        if not self.read:
-            return Read(record.seq)
-        if self.goal.plan.name not in record.plans:
-            if record.under_way() or record.failed():
-                return Stop(False, "a step of another plan is under way")
-            return self._write(record, LogEntry("plan", text=self.goal.body))
-        if record.plans[self.goal.plan.name] != self.goal.plan:
-            return Stop(False, f"the record has another plan named {self.goal.plan.name!r}")
-        if self.goal.what == "take":
-            return Stop(True, "taken up: its builds have traffic as its steps allow")
-        if (mark := record.under_way()) is not None:
-            return self._closing(record, mark) if mark.stand is Stand.CLOSING else self._intended(record, mark)
-        if (mark := record.failed()) is not None:
-            return self._failed(record, mark)
-        return self._next(record)
-
-    def _write(self, record: Record, entry: LogEntry) -> Append:
-        return Append(self.token, record.seq, entry)
-
-    def _closing(self, record: Record, mark: Mark) -> Want:
-        if self.goal.what == "undo" and mark.way == "apply":  # nothing was changed: traffic may go on
-            return self._write(record, LogEntry("dropped", mark.step.name, mark.way))
-        if not self.seen:
-            return Unseen(mark.closing)
-        return self._write(record, LogEntry("intent", mark.step.name, mark.way, mark.closing))
-
-    def _intended(self, record: Record, mark: Mark) -> Want:
-        if self.marks is None:
-            return Ask(mark.intent)
-        name, had = mark.step.name, self.marks
-        if had.finished:
-            return self._write(record, LogEntry("done", name, mark.way))
-        giving_up = self.goal.what == "undo" and mark.way == "apply"
-        why = self.failure or ("given up" if giving_up else "")
-        if not why and self.tries >= TRIES:
-            why = "its outcome could not be had"
-        if why:
-            return self._write(record, LogEntry("failed", name, mark.way, parts=had.parts, text=why[:500]))
-        statements = mark.step.apply if mark.way == "apply" else mark.step.undoing
-        span, batch = None, mark.step.batch
-        if batch is not None and any(":low" in text for text in statements):
-            span = BatchRange(batch.table, batch.key, batch.rows, had.cursor)
-        ask = ApplyRequest(self.token, mark.intent, had.parts, tuple(statements), span)
-        return Apply(ask, mark.step.limit_ms, span is not None)
-
-    def _failed(self, record: Record, mark: Mark) -> Want:
-        name = mark.step.name
-        told = f"{name!r} failed to {mark.way} after {mark.parts} parts: {mark.text}"
-        if self.goal.what == "undo" and mark.way == "apply":
-            if not mark.parts:
-                return self._write(record, LogEntry("dropped", name, mark.way))
-            return self._begin(record, mark, "undo")
-        if self.goal.what == "run" or self.resumed:
-            return Stop(False, told)
-        return self._write(record, LogEntry("resumed", name, mark.way))
-
-    def _next(self, record: Record) -> Want:
-        marks = [mark for mark in record.marks.values() if mark.plan == self.goal.plan.name]
-        names = [mark.step.name for mark in marks]
-        if self.goal.to and self.goal.to not in names:
-            return Stop(False, f"no step {self.goal.to!r} in plan {self.goal.plan.name!r}")
-        if self.goal.what == "undo":
-            for mark in reversed(marks):
-                if mark.stand is Stand.DONE:
-                    return self._begin(record, mark, "undo")
-                if mark.step.name == self.goal.to:
+            return AcquireLease()
+        if not self.log_read:
+            return ReadLog(log.last_seq)
+        plan = self.goal.plan
+        if plan.name not in log.plans:
+            if log.active_step() or log.failed_step():
+                return RunResult(False, "a step of another plan is under way")
+            return self._append(log, LogEntry("plan", text=self.goal.plan_json))
+        if log.plans[plan.name] != plan:
+            return RunResult(False, f"the log has another plan named {plan.name!r}")
+        if self.goal.operation == "take":
+            return RunResult(True, "taken up: its builds have traffic as its steps allow")
+        return self._step_call(log)
+
+    def _step_call(self, log: MigrationLog) -> PendingCall:
+        active = log.active_step()
+        if active is not None and active.status is StepStatus.AT_BARRIER:
+            return self._at_barrier(log, active)
+        if active is not None:
+            return self._in_progress(log, active)
+        failed = log.failed_step()
+        if failed is not None:
+            return self._after_failure(log, failed)
+        return self._next_step(log)
+
+    def _append(self, log: MigrationLog, entry: LogEntry) -> AppendEntry:
+        return AppendEntry(self.token, log.last_seq, entry)
+
+    def _at_barrier(self, log: MigrationLog, state: StepState) -> PendingCall:
+        name = state.step.name
+        if self.goal.operation == "undo" and state.direction == "apply":  # nothing was changed: traffic may go on
+            return self._append(log, LogEntry("dropped", name, state.direction))
+        if not self.acknowledged:
+            return QueryUnacknowledged(state.barrier_seq)
+        return self._append(log, LogEntry("intent", name, state.direction, state.barrier_seq))
+
+    def _in_progress(self, log: MigrationLog, state: StepState) -> PendingCall:
+        if self.progress is None:
+            return QueryProgress(state.intent_seq)
+        if self.progress.finished:
+            return self._append(log, LogEntry("done", state.step.name, state.direction))
+        failure = self._failure_of(state)
+        if failure:
+            text = failure[:MAX_FAILURE_REASON_CHARACTERS]
+            parts = self.progress.parts
+            return self._append(
+                log, LogEntry("failed", state.step.name, state.direction, parts_applied=parts, text=text)
+            )
+        return self._apply_part(state, self.progress)
+
+    def _failure_of(self, state: StepState) -> str:
+        """Why the active step is to be logged as failed; empty where it goes on."""
+        if self.failure_reason:
+            return self.failure_reason
+        if self.goal.operation == "undo" and state.direction == "apply":
+            return "given up"
+        if self.attempts >= MAX_ATTEMPTS:
+            return "its outcome could not be determined"
+        return ""
+
+    def _apply_part(self, state: StepState, progress: EffectProgress) -> ApplyPart:
+        step = state.step
+        statements = tuple(step.apply if state.direction == "apply" else step.undoing)
+        batch_range = None
+        if step.batch is not None and any(":low" in text for text in statements):
+            batch_range = BatchRange(step.batch.table, step.batch.key, step.batch.rows, progress.cursor)
+        request = ApplyRequest(self.token, state.intent_seq, progress.parts, statements, batch_range)
+        return ApplyPart(request, step.limit_ms, batch_range is not None)
+
+    def _after_failure(self, log: MigrationLog, state: StepState) -> PendingCall:
+        name = state.step.name
+        if self.goal.operation == "undo" and state.direction == "apply":
+            if not state.parts_applied:
+                return self._append(log, LogEntry("dropped", name, state.direction))
+            return self._begin_step(log, state, "undo")
+        if self.goal.operation == "run" or self.has_resumed:
+            failure = f"{name!r} failed to {state.direction} after {state.parts_applied} parts: {state.failure_reason}"
+            return RunResult(False, failure)
+        return self._append(log, LogEntry("resumed", name, state.direction))
+
+    def _next_step(self, log: MigrationLog) -> PendingCall:
+        plan, last_step = self.goal.plan, self.goal.last_step
+        states = [state for state in log.steps.values() if state.plan_name == plan.name]
+        if last_step and last_step not in [state.step.name for state in states]:
+            return RunResult(False, f"no step {last_step!r} in plan {plan.name!r}")
+        if self.goal.operation == "undo":
+            for state in reversed(states):
+                if state.status is StepStatus.DONE:
+                    return self._begin_step(log, state, "undo")
+                if state.step.name == last_step:
                     break
-            return Stop(True, "undone")
-        for mark in marks:
-            if mark.stand is Stand.WAITING:
-                return self._begin(record, mark, "apply")
-            if mark.step.name == self.goal.to:
+            return RunResult(True, "undone")
+        for state in states:
+            if state.status is StepStatus.PENDING:
+                return self._begin_step(log, state, "apply")
+            if state.step.name == last_step:
                 break
-        return Stop(True, "all done")
-
-    def _begin(self, record: Record, mark: Mark, way: Direction) -> Want:
-        name, taken = mark.step.name, record.takes(mark, way)
-        if taken and way == "apply" and not self.goal.past_back:
-            return Stop(False, f"{name!r} would make a way back to build {taken[0]} impossible: say --past-back")
-        entry = LogEntry("closing", name, way) if taken else LogEntry("intent", name, way)
-        if why := record.allows(entry):
-            return Stop(False, why)
-        return self._write(record, entry)
-
-    def heard(self, want: Want, reply: Reply) -> Runner:
-        """The runner after a reply to what it wanted. What was read or written is added elsewhere."""
+        return RunResult(True, "all done")
+
+    def _begin_step(self, log: MigrationLog, state: StepState, direction: Direction) -> PendingCall:
+        name = state.step.name
+        ended = log.builds_ended_by(state, direction)
+        if ended and direction == "apply" and not self.goal.allow_ending_rollback:
+            return RunResult(False, f"{name!r} would make a rollback to build {ended[0]} impossible: say --past-back")
+        entry = LogEntry("closing", name, direction) if ended else LogEntry("intent", name, direction)
+        violation = log.violation(entry)
+        if violation is not None:
+            return RunResult(False, str(violation))
+        return self._append(log, entry)
+
+    def after_reply(self, call: PendingCall, reply: Reply) -> Runner:
+        """The runner after a reply to its call. What was read or appended is added to the log elsewhere."""
         match reply:
-            case Unknown():  # fence off what may still be under way, then read and ask
-                tries = self.tries + isinstance(want, Apply)
-                return replace(self, token=0, read=False, marks=None, seen=False, tries=tries)
-            case Refused("behind"):
-                return replace(self, read=False, marks=None, seen=False)
-            case Refused("fenced"):
-                return replace(self, stopped=Stop(False, "another runner has taken over"))
-            case Refused("failed", text) if isinstance(want, Apply):
-                return replace(self, failure=text or "the store would not", marks=None)
-            case Refused("unseen"):
-                return replace(self, seen=False)
-            case Refused(why, text):
-                return replace(self, stopped=Stop(False, text or why))
-            case Token(token):
-                return replace(self, token=token, read=False, marks=None, seen=False)
-            case Waiting(relays):
-                return replace(self, seen=not relays)
+            case OutcomeUnknown():  # fence off what may still be under way, then read and ask
+                attempts = self.attempts + isinstance(call, ApplyPart)
+                return replace(self._without_knowledge(), token=0, attempts=attempts)
+            case CallRejected():
+                return self._after_rejection(call, reply)
+            case LeaseGranted(token):
+                return replace(self._without_knowledge(), token=token)
+            case WaitingForRelays(relays):
+                return replace(self, acknowledged=not relays)
             case EffectProgress():
-                return replace(self, marks=reply, tries=0 if isinstance(want, Apply) else self.tries)
-            case Done():
-                if isinstance(want, Append):
-                    entry, goal = want.entry, self.goal
-                    resumed = self.resumed or entry.kind == "resumed"
-                    if goal.what == "resume" and entry.way == "undo" and entry.kind in ("resumed", "done"):
-                        goal = replace(goal, what="undo", to=entry.step)  # what is resumed is a way back
-                    return replace(self, goal=goal, marks=None, seen=False, tries=0, failure="", resumed=resumed)
-                return replace(self, read=True)
+                return replace(self, progress=reply, attempts=0 if isinstance(call, ApplyPart) else self.attempts)
+            case CallCompleted():
+                return self._after_append(call.entry) if isinstance(call, AppendEntry) else replace(self, log_read=True)
+
+    def _without_knowledge(self) -> Runner:
+        return replace(self, log_read=False, progress=None, acknowledged=False)
+
+    def _after_rejection(self, call: PendingCall, rejected: CallRejected) -> Runner:
+        if rejected.reason == "behind":
+            return self._without_knowledge()
+        if rejected.reason == "fenced":
+            return replace(self, result=RunResult(False, "another runner has taken over"))
+        if rejected.reason == "failed" and isinstance(call, ApplyPart):
+            return replace(self, failure_reason=rejected.message or "the store rejected it", progress=None)
+        if rejected.reason == "unseen":
+            return replace(self, acknowledged=False)
+        return replace(self, result=RunResult(False, rejected.message or rejected.reason))
+
+    def _after_append(self, entry: LogEntry) -> Runner:
+        goal = self.goal
+        if goal.operation == "resume" and entry.direction == "undo" and entry.kind in ("resumed", "done"):
+            goal = replace(goal, operation="undo", last_step=entry.step)  # what is resumed is a rollback
+        return replace(
+            self,
+            goal=goal,
+            progress=None,
+            acknowledged=False,
+            attempts=0,
+            failure_reason="",
+            has_resumed=self.has_resumed or entry.kind == "resumed",
+        )
--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -269,22 +269,22 @@
                 self._listings.pop(record.endpoint, None)
             else:
                 self._listings[record.endpoint] = record
-        self.readiness.listed(record.build for record in self._listings.values())
+        self.readiness.builds_listed(record.build for record in self._listings.values())
         return [self._as_ready(record) for record in records]
 
     def _as_ready(self, record: EndpointRecord) -> EndpointRecord:
         assert self.readiness is not None
-        if record.status is not EndpointStatus.READY or self.readiness.open(record.build):
+        if record.status is not EndpointStatus.READY or self.readiness.accepts_traffic(record.build):
             return record
         return replace(record, status=EndpointStatus.DRAINING)
 
     def migrations_read(self, page: MigrationLogPage) -> None:
         """The record of steps has grown. Raises Malformed where it follows no rules."""
         assert self.readiness is not None
-        if page.last < self.readiness.record.seq:  # another store, or an old copy: what it says is not this
-            raise MessageError(f"a record of {page.last} entries, of which {self.readiness.record.seq} were read")
+        if page.last_seq < self.readiness.log.last_seq:  # another store, or an old copy: what it says is not this
+            raise MessageError(f"a record of {page.last_seq} entries, of which {self.readiness.log.last_seq} were read")
         self._now()
-        self.readiness.hear(page.entries)
+        self.readiness.entries_received(page.entries)
         self._relist()
         self._carry()
 
@@ -312,7 +312,7 @@
             age = int(line.age_ms * 10)
             news = RolloutState(line.build, line.stage, ROLLOUT_PHASES[line.phase], line.cap, age, answer, word)
         if self.readiness is not None and line is not None:
-            self.readiness.news(line.build, line.stage, line.phase == "trial")
+            self.readiness.rollout_changed(line.build, line.stage, line.phase == "trial")
             self._relist()
         self.decisions.rollout_updated(news)
         self._carry()
@@ -338,7 +338,7 @@
         place = self.destinations.get(attempt.endpoint)
         if place is None or attempt.endpoint.status is not EndpointStatus.READY or attempt.request.finished:
             return None
-        if self.readiness is not None and not self.readiness.open(place.build):
+        if self.readiness is not None and not self.readiness.accepts_traffic(place.build):
             return None
         return place
 
@@ -352,7 +352,7 @@
                 AttemptOutcome.CONNECT_FAILED,
                 AttemptOutcome.NOT_SENT,
             )
-            self.readiness.ended(attempt, known)
+            self.readiness.attempt_ended(attempt, known)
 
     def tick(self) -> None:
         """Handles all timers that have fallen due."""
@@ -456,7 +456,7 @@
         self.counters.attempts += 1
         self._at(attempt.sent_at + attempt.timeout, attempt)
         if self.readiness is not None and (place := self.destinations.get(attempt.endpoint)) is not None:
-            self.readiness.sent(place.build, attempt)
+            self.readiness.attempt_sent(place.build, attempt)
         self._host.start_attempt(attempt, pending)
 
     def _do_rest(self, action: Action) -> None:
@@ -486,7 +486,7 @@
 
     def _vote(self, vote: CastVote) -> None:
         """No 'on' past the stage whose needs are not done: it is as if the call had not been made."""
-        ready = self.readiness is None or self.readiness.votes_on(vote.build, vote.stage)
+        ready = self.readiness is None or self.readiness.allows_promotion(vote.build, vote.stage)
         if vote.verdict is Verdict.PROMOTE and not ready:
             self.counters.withheld_votes += 1
             self._unsaid += 1
--- a/lanelead/settings/definitions.cue
+++ b/lanelead/settings/definitions.cue
@@ -275,7 +275,7 @@
 	kill_after?: number & >0
 }
 
-// A plan of schema and data steps, and which builds work on which states of it. See docs/steps.md.
+// A plan of schema and data steps, and which builds work on which states of it. See docs/migrations.md.
 
 #Ident: string & =~"^[A-Za-z_][A-Za-z0-9_]{0,63}$"
 #Sql:   string & =~"[A-Za-z]"
--- a/lanelead/store/__init__.py
+++ b/lanelead/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store that holds the record of steps and has their effects: SQLite behind a small HTTP service."""
+"""The migration store, which holds the migration log and applies its steps: SQLite behind a small HTTP service."""
--- a/lanelead/store/migration_store.py
+++ b/lanelead/store/migration_store.py
@@ -1,13 +1,13 @@
-"""The store's side of steps, on SQLite: lease, record, marks and effects, each call one transaction.
+"""The migration store on SQLite: lease, log, acknowledgements and effects; each call is one transaction.
 
- lease    one at a time; its token grows with each, and what comes under an earlier one is refused
- record   an entry is written only right after the last that its writer knows
- closing  an intent that waits for a closing is let in only when every relay that was told has seen it
- effect   an effect and its mark are one transaction; a mark that is there is not made again
+ lease    one at a time; its fencing token grows with each, and calls under an earlier one are rejected
+ log      an entry is appended only right after the last that its writer knows
+ barrier  an intent that waits for a barrier is accepted only when every registered relay has acknowledged it
+ effect   a part's effect and its progress are one transaction; a part whose progress is recorded is not applied again
 
-The clock that a lease ends by is the store's own; no other is asked. WAL and synchronous FULL: what was
-answered is on disk. A step's statements may not touch the store's own tables, end the transaction, attach a
-file or set a pragma; SQLite's authorizer refuses them.
+A lease ends by the store's own clock; no other clock is asked. WAL and synchronous FULL: what was replied is on disk. A
+step's statements may not touch the store's own tables, end the transaction, attach a file or set a pragma; SQLite's
+authorizer rejects them.
 """
 
 from __future__ import annotations
@@ -29,21 +29,22 @@
     LogEntry,
     LoggedEntry,
     MigrationLogPage,
+    RejectionReason,
 )
 
-OURS = "ll_"
-TABLES = f"""
-CREATE TABLE IF NOT EXISTS {OURS}lease (one INTEGER PRIMARY KEY CHECK (one = 1), token INTEGER NOT NULL,
+TABLE_PREFIX = "ll_"
+SCHEMA = f"""
+CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}lease (one INTEGER PRIMARY KEY CHECK (one = 1), token INTEGER NOT NULL,
     runner TEXT NOT NULL, until REAL NOT NULL, ttl REAL NOT NULL);
-CREATE TABLE IF NOT EXISTS {OURS}record (seq INTEGER PRIMARY KEY, token INTEGER NOT NULL,
+CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}record (seq INTEGER PRIMARY KEY, token INTEGER NOT NULL,
     runner TEXT NOT NULL, at REAL NOT NULL, body BLOB NOT NULL);
-CREATE TABLE IF NOT EXISTS {OURS}marks (intent INTEGER NOT NULL, part INTEGER NOT NULL, cursor INTEGER,
+CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}marks (intent INTEGER NOT NULL, part INTEGER NOT NULL, cursor INTEGER,
     more INTEGER NOT NULL, rows INTEGER NOT NULL, PRIMARY KEY (intent, part)) WITHOUT ROWID;
-CREATE TABLE IF NOT EXISTS {OURS}seen (relay INTEGER PRIMARY KEY, seq INTEGER NOT NULL);
+CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}seen (relay INTEGER PRIMARY KEY, seq INTEGER NOT NULL);
 """
-LOWEST = -(2**63)  # below every key
-PAGE = 5000  # entries of one answer
-FORBIDDEN = frozenset(
+LOWEST_KEY = -(2**63)  # SQLite's lowest integer: below every key
+PAGE_ENTRIES = 5000
+FORBIDDEN_ACTIONS = frozenset(
     {
         sqlite3.SQLITE_TRANSACTION,
         sqlite3.SQLITE_SAVEPOINT,
@@ -54,204 +55,252 @@
 )
 
 
-class Denied(Exception):
-    """Nothing was changed. `why` is a word of protocols.steps.Refusal."""
+class StoreRejectedError(Exception):
+    """A call was rejected, and nothing was changed. `reason`: see protocols.migrations.RejectedCall."""
 
-    def __init__(self, why: str, text: str = "") -> None:
-        super().__init__(text or why)
-        self.why, self.text = why, text
+    def __init__(self, reason: RejectionReason, message: str = "") -> None:
+        super().__init__(message or reason)
+        self.reason: RejectionReason = reason
+        self.message = message
 
 
-def _nothing(point: str) -> None: ...
+def _no_fault(point: str) -> None: ...
 
 
-class Ledger:
-    """`at` is called at named points, in and around the transactions: stand-ins cause their faults there."""
+class MigrationStore:
+    """A store's file.
+
+    clock: seconds, which leases end by; may start anew with the process.
+    fault_hook: called at named points in and around the transactions; the emulated store injects its faults there.
+    """
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.monotonic) -> None:
-        self._clock, self.at = clock, _nothing
-        self._db = sqlite3.connect(file, isolation_level=None)
-        self._db.execute("PRAGMA journal_mode=WAL")
-        self._db.execute("PRAGMA synchronous=FULL")
-        self._db.executescript(TABLES)
-        # The clock may start anew with the process: a lease that was given before ends a whole term later.
-        # One that was released stays so.
-        self._db.execute(f"UPDATE {OURS}lease SET until = ? + ttl WHERE until != 0", (clock(),))
+        self._clock = clock
+        self.fault_hook = _no_fault
+        self._connection = sqlite3.connect(file, isolation_level=None)
+        self._connection.execute("PRAGMA journal_mode=WAL")
+        self._connection.execute("PRAGMA synchronous=FULL")
+        self._connection.executescript(SCHEMA)
+        # The clock may have started anew: a lease that was granted before ends a whole term from now. A lease that was
+        # released stays so.
+        self._connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl WHERE until != 0", (clock(),))
 
     def close(self) -> None:
-        self._db.close()
+        """Closes the file."""
+        self._connection.close()
 
     @property
-    def db(self) -> sqlite3.Connection:
-        return self._db
+    def connection(self) -> sqlite3.Connection:
+        """The connection to the file, for tests and the emulated store."""
+        return self._connection
 
     @contextmanager
-    def _change(self, point: str) -> Iterator[sqlite3.Connection]:
+    def _transaction(self, point: str) -> Iterator[sqlite3.Connection]:
         """One transaction: all of what is inside, or nothing."""
-        self.at(f"{point}.before")
-        self._db.execute("BEGIN IMMEDIATE")
+        self.fault_hook(f"{point}.before")
+        self._connection.execute("BEGIN IMMEDIATE")
         try:
-            yield self._db
-            self.at(f"{point}.commit")
-            self._db.execute("COMMIT")
+            yield self._connection
+            self.fault_hook(f"{point}.commit")
+            self._connection.execute("COMMIT")
         except BaseException:
-            if self._db.in_transaction:
-                self._db.execute("ROLLBACK")
+            if self._connection.in_transaction:
+                self._connection.execute("ROLLBACK")
             raise
-        self.at(f"{point}.after")
+        self.fault_hook(f"{point}.after")
 
     # Lease
 
-    def lease(self, ask: LeaseRequest) -> int:
-        """A new token. Raises Denied('held') while another runner's lease lasts."""
-        with self._change("lease") as db:
-            row = db.execute(f"SELECT token, runner, until FROM {OURS}lease").fetchone()
+    def acquire_lease(self, request: LeaseRequest) -> int:
+        """Grants the lease and returns its token. Raises StoreRejectedError ("held") while another runner has it."""
+        with self._transaction("lease") as connection:
+            row = connection.execute(f"SELECT token, runner, until FROM {TABLE_PREFIX}lease").fetchone()
             token, runner, until = row or (0, "", 0.0)
             left = until - self._clock()
-            if row and runner != ask.runner and left > 0:
-                raise Denied("held", f"{runner} runs steps, for {left:.1f} s more unless it renews")
-            ttl = ask.ttl_ms / 1000
-            db.execute(
-                f"INSERT OR REPLACE INTO {OURS}lease VALUES (1, ?, ?, ?, ?)",
-                (token + 1, ask.runner, self._clock() + ttl, ttl),
+            if row and runner != request.runner and left > 0:
+                raise StoreRejectedError("held", f"{runner} has the lease, for {left:.1f} s more unless it renews")
+            ttl_seconds = request.ttl_ms / 1000
+            connection.execute(
+                f"INSERT OR REPLACE INTO {TABLE_PREFIX}lease VALUES (1, ?, ?, ?, ?)",
+                (token + 1, request.runner, self._clock() + ttl_seconds, ttl_seconds),
             )
             return int(token) + 1
 
-    def renew(self, token: int) -> None:
-        with self._change("renew") as db:
-            self._fence(db, token)
+    def renew_lease(self, token: int) -> None:
+        """Extends the lease by its term. Raises StoreRejectedError ("fenced")."""
+        with self._transaction("renew") as connection:
+            self._require_token(connection, token)
 
-    def release(self, token: int) -> None:
-        """The runner has stopped: another need not wait for its lease to end."""
-        with self._change("release") as db:
-            db.execute(f"UPDATE {OURS}lease SET until = 0 WHERE token = ?", (token,))
+    def release_lease(self, token: int) -> None:
+        """Ends the lease, so that another runner need not wait for its end."""
+        with self._transaction("release") as connection:
+            connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = 0 WHERE token = ?", (token,))
 
-    def _fence(self, db: sqlite3.Connection, token: int) -> str:
-        row = db.execute(f"SELECT token, runner FROM {OURS}lease").fetchone()
+    def _require_token(self, connection: sqlite3.Connection, token: int) -> str:
+        """Checks that a token is the last one, renews its lease, and returns its runner."""
+        row = connection.execute(f"SELECT token, runner FROM {TABLE_PREFIX}lease").fetchone()
         if row is None or row[0] != token:
-            raise Denied("fenced", f"token {token}, of which {row[0] if row else 0} is the last")
-        # Whoever holds the last token goes on holding it: nobody else has come since.
-        db.execute(f"UPDATE {OURS}lease SET until = ? + ttl", (self._clock(),))
+            raise StoreRejectedError("fenced", f"token {token}, while the last is {row[0] if row else 0}")
+        # The holder of the last token keeps the lease even past its end: no other runner has come since.
+        connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl", (self._clock(),))
         return str(row[1])
 
-    # Record
-
-    def last(self) -> int:
-        return int(self._db.execute(f"SELECT COALESCE(MAX(seq), 0) FROM {OURS}record").fetchone()[0])
-
-    def append(self, ask: AppendRequest) -> LoggedEntry:
-        with self._change("append") as db:
-            runner = self._fence(db, ask.token)
-            last = self.last()
-            if ask.after != last:
-                raise Denied("behind", f"the record stands at {last}")
-            if ask.entry.closed and (relays := self.unseen(ask.entry.closed)):
-                raise Denied("unseen", f"relays {relays}")
-            logged = LoggedEntry(last + 1, ask.token, runner, time.time() * 1000, ask.entry)
-            body = msgspec.json.encode(ask.entry)
-            db.execute(
-                f"INSERT INTO {OURS}record VALUES (?, ?, ?, ?, ?)",
+    # Log
+
+    def last_seq(self) -> int:
+        """The sequence number of the last entry; 0: none."""
+        row = self._connection.execute(f"SELECT COALESCE(MAX(seq), 0) FROM {TABLE_PREFIX}record").fetchone()
+        return int(row[0])
+
+    def append(self, request: AppendRequest) -> LoggedEntry:
+        """Appends an entry. Raises StoreRejectedError ("fenced", "behind", "unseen")."""
+        with self._transaction("append") as connection:
+            runner = self._require_token(connection, request.token)
+            last_seq = self.last_seq()
+            if request.after_seq != last_seq:
+                raise StoreRejectedError("behind", f"the log ends at {last_seq}")
+            barrier_seq = request.entry.barrier_seq
+            relays = self.unacknowledged_relays(barrier_seq) if barrier_seq else []
+            if relays:
+                raise StoreRejectedError("unseen", f"relays {relays}")
+            logged = LoggedEntry(last_seq + 1, request.token, runner, time.time() * 1000, request.entry)
+            body = msgspec.json.encode(request.entry)
+            connection.execute(
+                f"INSERT INTO {TABLE_PREFIX}record VALUES (?, ?, ?, ?, ?)",
                 (logged.seq, logged.token, runner, logged.at_ms, body),
             )
         return logged
 
-    def page(self, since: int, many: int = PAGE) -> MigrationLogPage:
-        rows = self._db.execute(
-            f"SELECT seq, token, runner, at, body FROM {OURS}record WHERE seq > ? ORDER BY seq LIMIT ?",
-            (since, many),
+    def read_page(self, since_seq: int, max_entries: int = PAGE_ENTRIES) -> MigrationLogPage:
+        """The entries after `since_seq`, `max_entries` at most."""
+        rows = self._connection.execute(
+            f"SELECT seq, token, runner, at, body FROM {TABLE_PREFIX}record WHERE seq > ? ORDER BY seq LIMIT ?",
+            (since_seq, max_entries),
         )
         entries = [
             LoggedEntry(seq, token, runner, at, msgspec.json.decode(body, type=LogEntry))
             for seq, token, runner, at, body in rows
         ]
-        return MigrationLogPage(entries, self.last())
+        return MigrationLogPage(entries, self.last_seq())
 
     # Relays
 
-    def told(self, relay: int) -> None:
-        """A relay is about to be told of the record: from now on closings wait for it."""
-        if self._db.execute(f"SELECT 1 FROM {OURS}seen WHERE relay = ?", (relay,)).fetchone() is None:
-            with self._change("told") as db:
-                db.execute(f"INSERT INTO {OURS}seen VALUES (?, 0)", (relay,))
-
-    def seen(self, relay: int, seq: int) -> None:
-        with self._change("seen") as db:
-            db.execute(
-                f"INSERT INTO {OURS}seen VALUES (?, ?) ON CONFLICT (relay) DO UPDATE SET seq = MAX(seq, excluded.seq)",
-                (relay, min(seq, self.last())),
+    def register_relay(self, relay: int) -> None:
+        """A relay is about to receive the log: from now on barriers wait for it."""
+        query = f"SELECT 1 FROM {TABLE_PREFIX}seen WHERE relay = ?"
+        if self._connection.execute(query, (relay,)).fetchone() is None:
+            with self._transaction("told") as connection:
+                connection.execute(f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, 0)", (relay,))
+
+    def acknowledge(self, relay: int, seq: int) -> None:
+        """A relay acknowledges all entries up to `seq`; what is not in the log yet is not acknowledged."""
+        with self._transaction("seen") as connection:
+            connection.execute(
+                f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, ?) "
+                "ON CONFLICT (relay) DO UPDATE SET seq = MAX(seq, excluded.seq)",
+                (relay, min(seq, self.last_seq())),
             )
 
-    def unseen(self, closing: int) -> list[int]:
-        rows = self._db.execute(f"SELECT relay FROM {OURS}seen WHERE seq < ? ORDER BY relay", (closing,))
+    def unacknowledged_relays(self, barrier_seq: int) -> list[int]:
+        """The registered relays that have not acknowledged an entry, in order."""
+        rows = self._connection.execute(
+            f"SELECT relay FROM {TABLE_PREFIX}seen WHERE seq < ? ORDER BY relay", (barrier_seq,)
+        )
         return [int(row[0]) for row in rows]
 
-    def forget(self, token: int, relay: int) -> None:
-        with self._change("forget") as db:
-            self._fence(db, token)
-            db.execute(f"DELETE FROM {OURS}seen WHERE relay = ?", (relay,))
+    def forget_relay(self, token: int, relay: int) -> None:
+        """Barriers no longer wait for a relay. Raises StoreRejectedError ("fenced")."""
+        with self._transaction("forget") as connection:
+            self._require_token(connection, token)
+            connection.execute(f"DELETE FROM {TABLE_PREFIX}seen WHERE relay = ?", (relay,))
 
     # Effects
 
-    def marks(self, intent: int) -> EffectProgress:
-        row = self._db.execute(
-            f"SELECT COUNT(*), COALESCE(SUM(rows), 0) FROM {OURS}marks WHERE intent = ?", (intent,)
+    def progress(self, intent_seq: int) -> EffectProgress:
+        """How much of an intent has been applied."""
+        row = self._connection.execute(
+            f"SELECT COUNT(*), COALESCE(SUM(rows), 0) FROM {TABLE_PREFIX}marks WHERE intent = ?", (intent_seq,)
         ).fetchone()
         if not row[0]:
             return EffectProgress(0)
-        cursor, more = self._db.execute(
-            f"SELECT cursor, more FROM {OURS}marks WHERE intent = ? ORDER BY part DESC LIMIT 1", (intent,)
+        cursor, more = self._connection.execute(
+            f"SELECT cursor, more FROM {TABLE_PREFIX}marks WHERE intent = ? ORDER BY part DESC LIMIT 1", (intent_seq,)
         ).fetchone()
         return EffectProgress(row[0], cursor, not more, row[1])
 
-    def apply(self, ask: ApplyRequest) -> EffectProgress:
-        """Has the effect of one part, unless its mark is there. Raises Denied; then nothing of it was had."""
+    def apply_part(self, request: ApplyRequest) -> EffectProgress:
+        """Applies one part, unless it is recorded as applied, and returns the intent's progress.
+
+        Raises StoreRejectedError ("fenced", "no intent", "failed"); then nothing of the part was applied.
+        """
         try:
-            with self._change("apply") as db:
-                self._fence(db, ask.token)
-                row = db.execute(f"SELECT body FROM {OURS}record WHERE seq = ?", (ask.intent,)).fetchone()
-                if row is None or msgspec.json.decode(row[0], type=LogEntry).kind != "intent":
-                    raise Denied("no intent", f"entry {ask.intent} is none")
-                had = db.execute(
-                    f"SELECT 1 FROM {OURS}marks WHERE intent = ? AND part = ?", (ask.intent, ask.part)
+            with self._transaction("apply") as connection:
+                self._require_token(connection, request.token)
+                self._require_intent(connection, request.intent_seq)
+                recorded = connection.execute(
+                    f"SELECT 1 FROM {TABLE_PREFIX}marks WHERE intent = ? AND part = ?",
+                    (request.intent_seq, request.part),
                 ).fetchone()
-                if had is None:
-                    self._effect(db, ask)
-        except sqlite3.Error as fault:
-            raise Denied("failed", f"{type(fault).__name__}: {fault}") from None
-        return self.marks(ask.intent)
-
-    def _effect(self, db: sqlite3.Connection, ask: ApplyRequest) -> None:
-        cursor, more, rows, values = None, False, 0, dict[str, int | None]()
-        if ask.span is not None:
-            cursor, more, rows = self._reach(db, ask.span)
-            values = {"low": LOWEST if ask.span.low is None else ask.span.low, "high": cursor}
-        if ask.span is None or cursor is not None:
-            db.set_authorizer(_authorize)
-            try:
-                for number, text in enumerate(ask.statements):
-                    if number == len(ask.statements) - 1:
-                        self.at("apply.mid")
-                    db.execute(text, {name: value for name, value in values.items() if f":{name}" in text})
-            finally:
-                db.set_authorizer(None)
-        if cursor is None and ask.span is not None:
-            cursor = ask.span.low
-        db.execute(f"INSERT INTO {OURS}marks VALUES (?, ?, ?, ?, ?)", (ask.intent, ask.part, cursor, more, rows))
-
-    def _reach(self, db: sqlite3.Connection, span: BatchRange) -> tuple[int | None, bool, int]:
-        """The last key of the next batch, or none where no row is left; whether more follow; how many."""
-        low = LOWEST if span.low is None else span.low
-        key, table = f'"{span.key}"', f'"{span.table}"'
-        found = self._db.execute(
-            f"SELECT {key} FROM {table} WHERE {key} > ? ORDER BY {key} LIMIT ?", (low, span.rows + 1)
+                if recorded is None:
+                    self._apply_and_record(connection, request)
+        except sqlite3.Error as error:
+            raise StoreRejectedError("failed", f"{type(error).__name__}: {error}") from None
+        return self.progress(request.intent_seq)
+
+    def _require_intent(self, connection: sqlite3.Connection, seq: int) -> None:
+        row = connection.execute(f"SELECT body FROM {TABLE_PREFIX}record WHERE seq = ?", (seq,)).fetchone()
+        if row is None or msgspec.json.decode(row[0], type=LogEntry).kind != "intent":
+            raise StoreRejectedError("no intent", f"entry {seq} is not an intent")
+
+    def _apply_and_record(self, connection: sqlite3.Connection, request: ApplyRequest) -> None:
+        batch = request.batch_range
+        cursor: int | None = None
+        more = False
+        rows = 0
+        if batch is None:
+            self._execute_statements(connection, request.statements, {})
+        else:
+            cursor, more, rows = self._batch_end(batch)
+            if cursor is None:
+                cursor = batch.after_key
+            else:
+                low = LOWEST_KEY if batch.after_key is None else batch.after_key
+                self._execute_statements(connection, request.statements, {"low": low, "high": cursor})
+        connection.execute(
+            f"INSERT INTO {TABLE_PREFIX}marks VALUES (?, ?, ?, ?, ?)",
+            (request.intent_seq, request.part, cursor, more, rows),
+        )
+
+    def _execute_statements(
+        self, connection: sqlite3.Connection, statements: tuple[str, ...], values: dict[str, int]
+    ) -> None:
+        """Executes a plan's statements under the authorizer, each with those of the values that it names."""
+        connection.set_authorizer(_authorize)
+        try:
+            for number, text in enumerate(statements):
+                if number == len(statements) - 1:
+                    self.fault_hook("apply.mid")
+                connection.execute(text, {name: value for name, value in values.items() if f":{name}" in text})
+        finally:
+            connection.set_authorizer(None)
+
+    def _batch_end(self, batch: BatchRange) -> tuple[int | None, bool, int]:
+        """The last key of a batch, None where no row is left; whether more rows follow; the batch's rows."""
+        low = LOWEST_KEY if batch.after_key is None else batch.after_key
+        key = f'"{batch.key}"'
+        table = f'"{batch.table}"'
+        found = self._connection.execute(
+            f"SELECT {key} FROM {table} WHERE {key} > ? ORDER BY {key} LIMIT ?", (low, batch.max_rows + 1)
         )
-        rows = [int(row[0]) for row in found]
-        if not rows:
+        keys = [int(row[0]) for row in found]
+        if not keys:
             return None, False, 0
-        return rows[: span.rows][-1], len(rows) > span.rows, min(len(rows), span.rows)
+        in_batch = keys[: batch.max_rows]
+        return in_batch[-1], len(keys) > batch.max_rows, len(in_batch)
 
 
 def _authorize(action: int, first: str | None, second: str | None, *_: str | None) -> int:
-    if action in FORBIDDEN or any((name or "").lower().startswith(OURS) for name in (first, second)):
+    """SQLite's authorizer: denies forbidden actions, and any that name the store's own tables."""
+    if action in FORBIDDEN_ACTIONS or any((name or "").lower().startswith(TABLE_PREFIX) for name in (first, second)):
         return sqlite3.SQLITE_DENY
     return sqlite3.SQLITE_OK
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -1,10 +1,10 @@
-"""The store as a process: HTTP/1.1 calls and a stream of the record, in front of one ledger.
+"""The migration store as a process: HTTP/1.1 calls and a stream of the log, in front of one MigrationStore.
 
     POST /lease, /renew, /release, /record, /apply, /seen, /forget
     GET  /record, /marks, /unseen, /record/watch
 
-docs/protocols.md has the bodies. A call is answered when it is on disk, or with a refusal that says that
-nothing was changed.
+docs/protocols.md has the bodies. A call is replied to when its change is on disk, or with a RejectedCall, which says
+that nothing was changed.
 """
 
 from __future__ import annotations
@@ -35,146 +35,186 @@
     RejectedCall,
     UnacknowledgedRelays,
 )
-from lanelead.store.migration_store import Denied, Ledger
+from lanelead.store.migration_store import MigrationStore, StoreRejectedError
 
-FIELDS = [(b"content-type", b"application/json")]
-LINE = 500  # entries of one line
-STATUS = {"malformed": 400, "failed": 422}
+JSON_HEADERS = [(b"content-type", b"application/json")]
+WATCH_LINE_ENTRIES = 500
+HEARTBEAT_INTERVAL_SECONDS = 1
+MAX_QUERY_DIGITS = 15  # below 2**53
+STATUS_OK = 200
+STATUS_NOT_FOUND = 404
+STATUS_CONFLICT = 409  # of a rejection for any other reason than these
+STATUS_OF_REASON = {"malformed": 400, "failed": 422}
 
+Query = dict[str, int]
+Call = Callable[[HttpRequest, Query], msgspec.Struct]
 
-class Store:
-    def __init__(self, ledger: Ledger) -> None:
-        self.ledger = ledger
-        self._watchers: dict[ServerConnection, int] = {}  # with the last entry that was told
+
+class MigrationStoreServer:
+    """Serves one store on loopback."""
+
+    def __init__(self, store: MigrationStore) -> None:
+        self.store = store
+        self._watchers: dict[ServerConnection, int] = {}  # with the last entry that was sent
         self._server: asyncio.Server | None = None
-        self._heart: asyncio.Task[None] | None = None
-        self._calls: dict[tuple[str, str], Callable[[HttpRequest, dict[str, int]], msgspec.Struct]] = {
-            ("POST", "/lease"): lambda ask, _: Lease(self.ledger.lease(decode(ask.body, LeaseRequest))),
-            ("POST", "/release"): lambda ask, _: self._release(decode(ask.body, Lease)),
-            ("POST", "/renew"): lambda ask, _: self._renew(decode(ask.body, Lease)),
-            ("POST", "/record"): lambda ask, _: self._append(decode(ask.body, AppendRequest)),
-            ("POST", "/apply"): lambda ask, _: self.ledger.apply(decode(ask.body, ApplyRequest)),
-            ("POST", "/seen"): lambda ask, _: self._seen(decode(ask.body, AcknowledgeRequest)),
-            ("POST", "/forget"): lambda ask, _: self._forget(decode(ask.body, ForgetRequest)),
-            ("GET", "/record"): lambda _, query: self.ledger.page(query.get("since", 0)),
-            ("GET", "/marks"): lambda _, query: self.ledger.marks(query.get("intent", 0)),
-            ("GET", "/unseen"): lambda _, query: UnacknowledgedRelays(self.ledger.unseen(query.get("closing", 0))),
+        self._heartbeat_task: asyncio.Task[None] | None = None
+        self._calls: dict[tuple[str, str], Call] = {
+            ("POST", "/lease"): self._acquire_lease,
+            ("POST", "/release"): self._release_lease,
+            ("POST", "/renew"): self._renew_lease,
+            ("POST", "/record"): self._append,
+            ("POST", "/apply"): lambda request, _: self.store.apply_part(decode(request.body, ApplyRequest)),
+            ("POST", "/seen"): self._acknowledge,
+            ("POST", "/forget"): self._forget_relay,
+            ("GET", "/record"): lambda _, query: self.store.read_page(query.get("since", 0)),
+            ("GET", "/marks"): lambda _, query: self.store.progress(query.get("intent", 0)),
+            ("GET", "/unseen"): self._unacknowledged_relays,
         }
 
-    async def open(self, port: int) -> int:
+    async def start(self, port: int) -> int:
+        """Listens on a port (0: any free one), and returns it. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(self.heard), "127.0.0.1", port, backlog=512, reuse_address=True
+            lambda: ServerConnection(self.request_received), "127.0.0.1", port, backlog=512, reuse_address=True
         )
-        self._heart = loop.create_task(self._beat())
+        self._heartbeat_task = loop.create_task(self._send_heartbeats())
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
+        """Stops listening, resets the watchers' connections, and closes the store."""
         if self._server is not None:
             self._server.close()
-        if self._heart is not None:
-            self._heart.cancel()
-        for caller in list(self._watchers):
-            caller.reset()
-        self.ledger.close()
-
-    async def _beat(self) -> None:
-        while True:
-            await asyncio.sleep(1)
-            for caller in list(self._watchers):
-                self._catch_up(caller)  # guards against an entry on disk whose call was cut before it was told
-                caller.write(chunk(b"\n"))
-
-    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        split = urlsplit(ask.target.decode("latin-1"))
-        if split.path == "/record/watch" and ask.method == "GET":
-            self._watch(caller, _numbers(split.query))
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
+        for connection in list(self._watchers):
+            connection.reset()
+        self.store.close()
+
+    # Calls
+
+    def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Replies to a request, or begins a stream."""
+        split = urlsplit(request.target.decode("latin-1"))
+        query = _integers(split.query)
+        if split.path == "/record/watch" and request.method == "GET":
+            self._watch(connection, query)
             return
-        status, body = self.handle(ask.method, split.path, ask, _numbers(split.query))
-        caller.write(serialization.response(status, FIELDS, body, ask.keep))
-        if not ask.keep:
-            caller.close()
+        status, body = self.handle(request.method, split.path, request, query)
+        connection.write(serialization.response(status, JSON_HEADERS, body, request.keep))
+        if not request.keep:
+            connection.close()
 
-    def handle(self, method: str, path: str, ask: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
+    def handle(self, method: str, path: str, request: HttpRequest, query: Query) -> tuple[int, bytes]:
+        """The status and body of the reply to a call."""
         call = self._calls.get((method, path))
         if call is None:
-            return 404, encode(RejectedCall("malformed", f"no call {method} {path}"))
+            return STATUS_NOT_FOUND, encode(RejectedCall("malformed", f"no call {method} {path}"))
         try:
-            return 200, encode(call(ask, query))
-        except MessageError as fault:
-            return 400, encode(RejectedCall("malformed", str(fault)))
-        except sqlite3.Error as fault:  # rolled back: a full disk, say
-            return 422, encode(RejectedCall("failed", f"{type(fault).__name__}: {fault}"))
-        except Denied as denied:
-            return STATUS.get(denied.why, 409), encode(RejectedCall(denied.why, denied.text))  # type: ignore[arg-type]
-
-    def _append(self, ask: AppendRequest) -> AppendReply:
-        logged = self.ledger.append(ask)
-        self.written(logged)
-        return AppendReply(logged.seq)
-
-    def written(self, logged: LoggedEntry) -> None:
-        """An entry is on disk: whoever watches is told."""
-        for caller in list(self._watchers):
-            self._catch_up(caller)
-
-    def _release(self, lease: Lease) -> Lease:
-        self.ledger.release(lease.token)
+            return STATUS_OK, encode(call(request, query))
+        except MessageError as error:
+            rejected = RejectedCall("malformed", str(error))
+        except sqlite3.Error as error:  # rolled back: the disk is full, for example
+            rejected = RejectedCall("failed", f"{type(error).__name__}: {error}")
+        except StoreRejectedError as error:
+            rejected = RejectedCall(error.reason, error.message)
+        return STATUS_OF_REASON.get(rejected.reason, STATUS_CONFLICT), encode(rejected)
+
+    def _acquire_lease(self, request: HttpRequest, _: Query) -> Lease:
+        return Lease(self.store.acquire_lease(decode(request.body, LeaseRequest)))
+
+    def _release_lease(self, request: HttpRequest, _: Query) -> Lease:
+        lease = decode(request.body, Lease)
+        self.store.release_lease(lease.token)
         return lease
 
-    def _renew(self, lease: Lease) -> Lease:
-        self.ledger.renew(lease.token)
+    def _renew_lease(self, request: HttpRequest, _: Query) -> Lease:
+        lease = decode(request.body, Lease)
+        self.store.renew_lease(lease.token)
         return lease
 
-    def _seen(self, ask: AcknowledgeRequest) -> AcknowledgeRequest:
-        self.ledger.seen(ask.relay, ask.seq)
-        return ask
+    def _append(self, request: HttpRequest, _: Query) -> AppendReply:
+        logged = self.store.append(decode(request.body, AppendRequest))
+        self.entry_written(logged)
+        return AppendReply(logged.seq)
 
-    def _forget(self, ask: ForgetRequest) -> ForgetRequest:
-        self.ledger.forget(ask.token, ask.relay)
-        return ask
+    def _acknowledge(self, request: HttpRequest, _: Query) -> AcknowledgeRequest:
+        acknowledgement = decode(request.body, AcknowledgeRequest)
+        self.store.acknowledge(acknowledgement.relay, acknowledgement.seq)
+        return acknowledgement
 
-    def _watch(self, caller: ServerConnection, query: dict[str, int]) -> None:
-        # On disk before a word is said: from then on no closing goes on without this relay.
-        if "relay" in query:
-            self.ledger.told(query["relay"])
-        caller.write(STREAM)
-        self._watchers[caller] = query.get("since", 0)
-        caller.lost.append(lambda: self._leave(caller))
-        caller.write(chunk(encode(self.ledger.page(query.get("since", 0), 0)) + b"\n"))  # so that it knows
-        self._catch_up(caller)
+    def _forget_relay(self, request: HttpRequest, _: Query) -> ForgetRequest:
+        forgotten = decode(request.body, ForgetRequest)
+        self.store.forget_relay(forgotten.token, forgotten.relay)
+        return forgotten
+
+    def _unacknowledged_relays(self, _: HttpRequest, query: Query) -> UnacknowledgedRelays:
+        return UnacknowledgedRelays(self.store.unacknowledged_relays(query.get("closing", 0)))
 
-    def _leave(self, caller: ServerConnection) -> None:
-        self._watchers.pop(caller, None)
+    # Streams
 
-    def _catch_up(self, caller: ServerConnection) -> None:
+    def entry_written(self, logged: LoggedEntry) -> None:
+        """Sends an entry, which is on disk, to all watchers."""
+        for connection in list(self._watchers):
+            self._send_new_entries(connection)
+
+    def _watch(self, connection: ServerConnection, query: Query) -> None:
+        # On disk before anything is sent: from then on no barrier is passed without this relay.
+        if "relay" in query:
+            self.store.register_relay(query["relay"])
+        since_seq = query.get("since", 0)
+        connection.write(STREAM)
+        self._watchers[connection] = since_seq
+        connection.lost.append(lambda: self._stop_watching(connection))
+        # A page without entries, so that the watcher knows the last entry.
+        connection.write(chunk(encode(self.store.read_page(since_seq, 0)) + b"\n"))
+        self._send_new_entries(connection)
+
+    def _stop_watching(self, connection: ServerConnection) -> None:
+        self._watchers.pop(connection, None)
+
+    def _send_new_entries(self, connection: ServerConnection) -> None:
         while True:
-            page = self.ledger.page(self._watchers[caller], LINE)
+            page = self.store.read_page(self._watchers[connection], WATCH_LINE_ENTRIES)
             if not page.entries:
                 return
-            caller.write(chunk(encode(page) + b"\n"))
-            self._watchers[caller] = page.entries[-1].seq
+            connection.write(chunk(encode(page) + b"\n"))
+            self._watchers[connection] = page.entries[-1].seq
+
+    async def _send_heartbeats(self) -> None:
+        while True:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+            for connection in list(self._watchers):
+                # An entry may be on disk whose call was cut before it was sent to the watchers.
+                self._send_new_entries(connection)
+                connection.write(chunk(b"\n"))
 
 
-def _numbers(query: str) -> dict[str, int]:
-    """The query's whole numbers; what is none is as if it were not there."""
+def _integers(query: str) -> Query:
+    """The query's non-negative integers; other values are passed over."""
     found = parse_qs(query)
-    return {name: int(some[0]) for name, some in found.items() if some[0].isdecimal() and len(some[0]) < 16}
+    return {
+        name: int(values[0])
+        for name, values in found.items()
+        if values[0].isdecimal() and len(values[0]) <= MAX_QUERY_DIGITS
+    }
 
 
-async def serve(store: Store, port: int) -> None:
-    """Until SIGTERM or SIGINT. The line `ready PORT` on standard output says that it listens."""
-    over, loop = asyncio.Event(), asyncio.get_running_loop()
+async def serve(server: MigrationStoreServer, port: int) -> None:
+    """Serves until SIGTERM or SIGINT. The line `ready PORT` on standard output says that it listens."""
+    stopped = asyncio.Event()
+    loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
-    sys.stdout.write(f"ready {await store.open(port)}\n")
+        loop.add_signal_handler(number, stopped.set)
+    sys.stdout.write(f"ready {await server.start(port)}\n")
     sys.stdout.flush()
-    await over.wait()
-    store.close()
+    await stopped.wait()
+    server.close()
 
 
 def run(file: str, port: int) -> None:
-    async def whole() -> None:
-        await serve(Store(Ledger(file)), port)
+    """Serves a file in this process until SIGTERM or SIGINT."""
+
+    async def serve_file() -> None:
+        await serve(MigrationStoreServer(MigrationStore(file)), port)
 
-    uvloop.run(whole())
+    uvloop.run(serve_file())
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -179,7 +179,7 @@
     settings = read(sys.argv[2])
     assert isinstance(settings, Relay)
     if sys.argv[1] == "steps":  # every build that is listed may have traffic, whatever the record says
-        for name in ("open", "votes_on"):
+        for name in ("accepts_traffic", "allows_promotion"):
             setattr(Readiness, name, lambda *_: True)
     run(settings, settings.log, SEAMS[sys.argv[1]])
 
--- a/lanelead/testbed/scenarios/verifier.py
+++ b/lanelead/testbed/scenarios/verifier.py
@@ -30,7 +30,8 @@
 
 import msgspec
 
-from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
 from lanelead.protocols.migrations import LoggedEntry
 from lanelead.settings import records
 from lanelead.testbed.emulators.event_recording import BadCapture, read
@@ -373,7 +374,7 @@
 
 
 def _steps(capture: Capture, finding: Finding) -> None:
-    record, had = Record(), set[tuple[int, int]]()
+    record, had = MigrationLog(), set[tuple[int, int]]()
     shut: dict[int, float | None] = {}  # since when a build has no traffic, by the record
     spans: dict[int, Spans] = defaultdict(Spans)
     facts = sorted((*capture["entry"], *capture["effect_asked"]), key=lambda fact: fact["t"])
@@ -383,16 +384,16 @@
             continue
         logged = msgspec.convert({key: fact[key] for key in LoggedEntry.__struct_fields__}, LoggedEntry)
         try:
-            record.add(logged)
-        except Broken as fault:
+            record.append(logged)
+        except InvalidEntryError as fault:
             finding.breach(f"entry {logged.seq}: {fault}")
             return
         finding.seen += 1
         for build in record.builds():
-            if record.ready(build) and (since := shut.get(build)) is not None:
+            if record.is_ready(build) and (since := shut.get(build)) is not None:
                 spans[build].add(since, fact["t"])
                 shut[build] = None
-            elif not record.ready(build) and shut.get(build) is None:
+            elif not record.is_ready(build) and shut.get(build) is None:
                 shut[build] = fact["t"]
     for build, since in shut.items():
         if since is not None:
@@ -406,16 +407,16 @@
         if (start := next(within, None)) is not None and not capture.still(attempt):
             late = attempt["t"] - start
             finding.breach(f"{attempt['id']} sent to build {attempt['build']}, {late:.1f} s after it had to wait")
-    if (mark := record.under_way()) is not None:
-        finding.breach(f"{mark.step.name!r} is {mark.stand.value} at the end")
+    if (mark := record.active_step()) is not None:
+        finding.breach(f"{mark.step.name!r} is {mark.status.value} at the end")
 
 
-def _effect_of_step(fact: Fact, record: Record, had: set[tuple[int, int]], finding: Finding) -> None:
+def _effect_of_step(fact: Fact, record: MigrationLog, had: set[tuple[int, int]], finding: Finding) -> None:
     if fact["status"] != 200:
         return
     finding.seen += 1
-    mark, at = record.under_way(), (fact["intent"], fact["part"])
-    if mark is None or mark.stand is not Stand.INTENDED or mark.intent != fact["intent"]:
+    mark, at = record.active_step(), (fact["intent"], fact["part"])
+    if mark is None or mark.status is not StepStatus.IN_PROGRESS or mark.intent_seq != fact["intent"]:
         finding.breach(f"part {fact['part']} of intent {fact['intent']} had, which is not under way")
     if fact["said"]["parts"] != len({part for intent, part in had | {at} if intent == at[0]}):
         finding.breach(f"intent {fact['intent']}: {fact['said']['parts']} parts had, of which some unasked")
--- a/lanelead/testbed/simulation/migrations.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -11,252 +11,262 @@
 from dataclasses import dataclass, replace
 from functools import lru_cache
 
-from lanelead.migrations import runner
-from lanelead.migrations.migration_log import Broken, Mark, Record, Stand
-from lanelead.migrations.runner import Append, Apply, Goal, Reply, Runner, Want
+from lanelead.migrations import calls
+from lanelead.migrations.calls import AppendEntry, ApplyPart, PendingCall, Reply
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepState, StepStatus
+from lanelead.migrations.runner import Goal, Runner
 from lanelead.protocols.migrations import ApplyRequest, EffectProgress, LogEntry, LoggedEntry
 
-PARTS = 2  # of a backfill
+BACKFILL_PARTS = 2  # of a backfill
 
 
-class Breach(Exception):
+class InvariantViolationError(Exception):
     """Something happened that must not in any order; the text says what."""
 
 
 @lru_cache(maxsize=200_000)
-def folded(entries: tuple[LogEntry, ...]) -> Record:
+def replayed(entries: tuple[LogEntry, ...]) -> MigrationLog:
     """The record that some entries make; not to be changed."""
     if not entries:
-        return Record()
-    record, entry = folded(entries[:-1]).copy(), entries[-1]
+        return MigrationLog()
+    record, entry = replayed(entries[:-1]).copy(), entries[-1]
     try:
-        record.add(LoggedEntry(len(entries), 0, "", 0.0, entry))
-    except Broken as fault:
-        raise Breach(f"entry {len(entries)}, {entry.kind} of {entry.step!r}: {fault}") from None
+        record.append(LoggedEntry(len(entries), 0, "", 0.0, entry))
+    except InvalidEntryError as fault:
+        raise InvariantViolationError(f"entry {len(entries)}, {entry.kind} of {entry.step!r}: {fault}") from None
     return record
 
 
 @dataclass(frozen=True)
-class Guards:
+class SafetyChecks:
     """What the store and the runners guard; a search without one must find a breach."""
 
-    fence: bool = True
-    marks: bool = True
-    closing: bool = True
+    fencing: bool = True
+    effect_marks: bool = True
+    barrier: bool = True
     intent_first: bool = True
 
 
-ALL = Guards()
+ALL_CHECKS = SafetyChecks()
 
 
 @dataclass(frozen=True)
-class Shop:
+class StoreModel:
     """The store, and one relay that watches it."""
 
     entries: tuple[LogEntry, ...] = ()
     token: int = 0
-    had: tuple[tuple[int, int], ...] = ()  # effects in the order in which they were had: (intent, part)
-    seen: int = 0
+    effects: tuple[tuple[int, int], ...] = ()  # effects in the order in which they were had: (intent, part)
+    acknowledged_seq: int = 0
 
-    def marks(self, intent: int) -> EffectProgress:
-        parts = sum(1 for of, _ in dict.fromkeys(self.had) if of == intent)
-        return EffectProgress(parts, None, parts >= self.parts(intent))
+    def progress(self, intent: int) -> EffectProgress:
+        parts = sum(1 for of, _ in dict.fromkeys(self.effects) if of == intent)
+        return EffectProgress(parts, None, parts >= self.parts_of(intent))
 
-    def parts(self, intent: int) -> int:
+    def parts_of(self, intent: int) -> int:
         entry = self.entries[intent - 1]
-        return PARTS if folded(self.entries[:intent]).marks[entry.step].step.kind == "backfill" else 1
+        return BACKFILL_PARTS if replayed(self.entries[:intent]).steps[entry.step].step.kind == "backfill" else 1
 
-    def do(self, want: Want, guards: Guards) -> tuple[Shop, Reply]:
+    def carry_out(self, want: PendingCall, guards: SafetyChecks) -> tuple[StoreModel, Reply]:
         """The store after a request, and its reply."""
         match want:
-            case runner.Take():
-                return replace(self, token=self.token + 1), runner.Token(self.token + 1)
-            case runner.Read():
-                return self, runner.Done()
-            case runner.Ask(intent):
-                return self, self.marks(intent) if guards.marks else EffectProgress(0)
-            case runner.Unseen(closing):
-                return self, runner.Waiting(() if self.seen >= closing or not guards.closing else (0,))
-            case Append(token, after, entry):
-                if guards.fence and token != self.token:
-                    return self, runner.Refused("fenced")
+            case calls.AcquireLease():
+                return replace(self, token=self.token + 1), calls.LeaseGranted(self.token + 1)
+            case calls.ReadLog():
+                return self, calls.CallCompleted()
+            case calls.QueryProgress(intent):
+                return self, self.progress(intent) if guards.effect_marks else EffectProgress(0)
+            case calls.QueryUnacknowledged(closing):
+                return self, calls.WaitingForRelays(
+                    () if self.acknowledged_seq >= closing or not guards.barrier else (0,)
+                )
+            case AppendEntry(token, after, entry):
+                if guards.fencing and token != self.token:
+                    return self, calls.CallRejected("fenced")
                 if after != len(self.entries):
-                    return self, runner.Refused("behind")
-                if entry.closed > self.seen and guards.closing:
-                    return self, runner.Refused("unseen")
-                return replace(self, entries=(*self.entries, entry)), runner.Done()
-            case Apply(ask, _, _):
+                    return self, calls.CallRejected("behind")
+                if entry.barrier_seq > self.acknowledged_seq and guards.barrier:
+                    return self, calls.CallRejected("unseen")
+                return replace(self, entries=(*self.entries, entry)), calls.CallCompleted()
+            case ApplyPart(ask, _, _):
                 return self._apply(ask, guards)
-            case runner.Stop():
+            case calls.RunResult():
                 raise AssertionError("it wants nothing")
 
-    def _apply(self, ask: ApplyRequest, guards: Guards) -> tuple[Shop, Reply]:
-        if guards.fence and ask.token != self.token:
-            return self, runner.Refused("fenced")
+    def _apply(self, ask: ApplyRequest, guards: SafetyChecks) -> tuple[StoreModel, Reply]:
+        if guards.fencing and ask.token != self.token:
+            return self, calls.CallRejected("fenced")
         if guards.intent_first:
-            entry = self.entries[ask.intent - 1] if ask.intent <= len(self.entries) else None
+            entry = self.entries[ask.intent_seq - 1] if ask.intent_seq <= len(self.entries) else None
             if entry is None or entry.kind != "intent":
-                return self, runner.Refused("no intent")
-        if (ask.intent, ask.part) in self.had and guards.marks:
-            return self, self.marks(ask.intent)
-        after = replace(self, had=(*self.had, (ask.intent, ask.part)))
-        after.judge()
-        return after, after.marks(ask.intent)
-
-    def judge(self) -> None:
+                return self, calls.CallRejected("no intent")
+        if (ask.intent_seq, ask.part) in self.effects and guards.effect_marks:
+            return self, self.progress(ask.intent_seq)
+        after = replace(self, effects=(*self.effects, (ask.intent_seq, ask.part)))
+        after.check_last_effect()
+        return after, after.progress(ask.intent_seq)
+
+    def check_last_effect(self) -> None:
         """Was the last effect one that may be had? Raises Breach."""
-        intent, part = self.had[-1]
-        if (intent, part) in self.had[:-1]:
-            raise Breach(f"part {part} of intent {intent} was had twice")
-        record = folded(self.entries)
-        mark = record.under_way()
-        if mark is None or mark.stand is not Stand.INTENDED or mark.intent != intent:
-            raise Breach(f"part {part} of intent {intent} was had while the record says otherwise")
-        if self.entries[intent - 1].closed > self.seen:
-            raise Breach(f"intent {intent} was carried out before the relay had seen its closing")
-        state = self.state()
-        if mark.way == "apply" and any(state.get(name, 0) != self._whole(name) for name in mark.step.after):
-            raise Breach(f"{mark.step.name!r} before what it comes after")
-
-    def _whole(self, name: str) -> int:
-        return PARTS if folded(self.entries).marks[name].step.kind == "backfill" else 1
-
-    def state(self) -> dict[str, int]:
+        intent, part = self.effects[-1]
+        if (intent, part) in self.effects[:-1]:
+            raise InvariantViolationError(f"part {part} of intent {intent} was had twice")
+        record = replayed(self.entries)
+        mark = record.active_step()
+        if mark is None or mark.status is not StepStatus.IN_PROGRESS or mark.intent_seq != intent:
+            raise InvariantViolationError(f"part {part} of intent {intent} was had while the record says otherwise")
+        if self.entries[intent - 1].barrier_seq > self.acknowledged_seq:
+            raise InvariantViolationError(f"intent {intent} was carried out before the relay had seen its closing")
+        state = self.applied_parts()
+        if mark.direction == "apply" and any(state.get(name, 0) != self.whole_parts(name) for name in mark.step.after):
+            raise InvariantViolationError(f"{mark.step.name!r} before what it comes after")
+
+    def whole_parts(self, name: str) -> int:
+        return BACKFILL_PARTS if replayed(self.entries).steps[name].step.kind == "backfill" else 1
+
+    def applied_parts(self) -> dict[str, int]:
         """How many parts of each step stand in the schema; an undo takes all of them."""
         found = dict[str, int]()
-        for intent, _ in self.had:
+        for intent, _ in self.effects:
             entry = self.entries[intent - 1]
-            found[entry.step] = found.get(entry.step, 0) + 1 if entry.way == "apply" else 0
+            found[entry.step] = found.get(entry.step, 0) + 1 if entry.direction == "apply" else 0
         return found
 
 
-class Reversed(Runner):
+class EffectBeforeIntentRunner(Runner):
     """A planted fault: it has the effect first, and writes the intent after."""
 
-    def want(self, record: Record) -> Want:
-        want = super().want(record)
-        if isinstance(want, Append) and want.entry.kind == "intent" and self.marks is None:
-            mark: Mark = record.marks[want.entry.step]
-            ask = ApplyRequest(self.token, record.seq + 1, 0, tuple(mark.step.apply))
-            return Apply(ask, 1.0, False)
+    def next_call(self, record: MigrationLog) -> PendingCall:
+        want = super().next_call(record)
+        if isinstance(want, AppendEntry) and want.entry.kind == "intent" and self.progress is None:
+            mark: StepState = record.steps[want.entry.step]
+            ask = ApplyRequest(self.token, record.last_seq + 1, 0, tuple(mark.step.apply))
+            return ApplyPart(ask, 1.0, False)
         return want
 
 
 @dataclass(frozen=True)
-class Clerk:
+class RunnerProcess:
     """A runner's process: what it is, and how much of the record it has read. None: it has died."""
 
     runner: Runner
-    known: int = 0
+    known_entries: int = 0
 
-    def want(self, shop: Shop) -> Want:
-        return self.runner.want(folded(shop.entries[: self.known]))
+    def next_call(self, shop: StoreModel) -> PendingCall:
+        return self.runner.next_call(replayed(shop.entries[: self.known_entries]))
 
-    def heard(self, want: Want, reply: Reply, shop: Shop) -> Clerk:
-        known = self.known
-        if isinstance(reply, runner.Done):
-            known = known + 1 if isinstance(want, Append) else len(shop.entries)
-        return Clerk(self.runner.heard(want, reply), known)
+    def after_reply(self, want: PendingCall, reply: Reply, shop: StoreModel) -> RunnerProcess:
+        known = self.known_entries
+        if isinstance(reply, calls.CallCompleted):
+            known = known + 1 if isinstance(want, AppendEntry) else len(shop.entries)
+        return RunnerProcess(self.runner.after_reply(want, reply), known)
 
 
 @dataclass(frozen=True)
-class Scene:
+class ModelState:
     """All of it at one moment. `late`: requests whose sender has given up, still to be carried out."""
 
-    shop: Shop
-    clerks: tuple[Clerk, ...]
-    late: tuple[Want, ...] = ()
-    faults: int = 0  # left to happen
+    store: StoreModel
+    processes: tuple[RunnerProcess, ...]
+    late_calls: tuple[PendingCall, ...] = ()
+    faults_left: int = 0  # left to happen
 
-    def next(self, guards: Guards, fresh: tuple[Runner, ...]) -> Iterator[Scene]:
+    def successors(self, guards: SafetyChecks, fresh: tuple[Runner, ...]) -> Iterator[ModelState]:
         """Every scene that may come right after. Raises Breach."""
-        if self.shop.seen < len(self.shop.entries):
-            yield replace(self, shop=replace(self.shop, seen=len(self.shop.entries)))
-        for place, want in enumerate(self.late):
-            shop, _ = self.shop.do(want, guards)
-            yield replace(self, shop=shop, late=(*self.late[:place], *self.late[place + 1 :]))
-        for place, clerk in enumerate(self.clerks):
-            want = clerk.want(self.shop)
-            if isinstance(want, runner.Stop):
+        if self.store.acknowledged_seq < len(self.store.entries):
+            yield replace(self, store=replace(self.store, acknowledged_seq=len(self.store.entries)))
+        for place, want in enumerate(self.late_calls):
+            shop, _ = self.store.carry_out(want, guards)
+            yield replace(self, store=shop, late_calls=(*self.late_calls[:place], *self.late_calls[place + 1 :]))
+        for place, clerk in enumerate(self.processes):
+            want = clerk.next_call(self.store)
+            if isinstance(want, calls.RunResult):
                 continue
-            yield from self._step(place, clerk, want, guards, fresh)
+            yield from self.process_steps(place, clerk, want, guards, fresh)
 
-    def _with(self, place: int, clerk: Clerk) -> tuple[Clerk, ...]:
-        return (*self.clerks[:place], clerk, *self.clerks[place + 1 :])
+    def with_process(self, place: int, clerk: RunnerProcess) -> tuple[RunnerProcess, ...]:
+        return (*self.processes[:place], clerk, *self.processes[place + 1 :])
 
-    def _step(self, place: int, clerk: Clerk, want: Want, guards: Guards, fresh: tuple[Runner, ...]) -> Iterator[Scene]:
-        shop, reply = self.shop.do(want, guards)
-        yield replace(self, shop=shop, clerks=self._with(place, clerk.heard(want, reply, shop)))
-        if not self.faults:
+    def process_steps(
+        self, place: int, clerk: RunnerProcess, want: PendingCall, guards: SafetyChecks, fresh: tuple[Runner, ...]
+    ) -> Iterator[ModelState]:
+        shop, reply = self.store.carry_out(want, guards)
+        yield replace(self, store=shop, processes=self.with_process(place, clerk.after_reply(want, reply, shop)))
+        if not self.faults_left:
             return
-        one = replace(self, faults=self.faults - 1)
-        ignorant = clerk.heard(want, runner.Unknown(), shop)
-        dead = Clerk(fresh[place])
-        yield replace(one, shop=shop, clerks=self._with(place, ignorant))  # the reply was lost
-        yield replace(one, shop=shop, clerks=self._with(place, dead))  # it was killed right after
-        if isinstance(want, Append | Apply):
-            late = (*self.late, want)
-            yield replace(one, late=late, clerks=self._with(place, ignorant))  # carried out later, or never
-            yield replace(one, late=late, clerks=self._with(place, dead))
+        one = replace(self, faults_left=self.faults_left - 1)
+        ignorant = clerk.after_reply(want, calls.OutcomeUnknown(), shop)
+        dead = RunnerProcess(fresh[place])
+        yield replace(one, store=shop, processes=self.with_process(place, ignorant))  # the reply was lost
+        yield replace(one, store=shop, processes=self.with_process(place, dead))  # it was killed right after
+        if isinstance(want, AppendEntry | ApplyPart):
+            late = (*self.late_calls, want)
+            yield replace(
+                one, late_calls=late, processes=self.with_process(place, ignorant)
+            )  # carried out later, or never
+            yield replace(one, late_calls=late, processes=self.with_process(place, dead))
 
 
 @dataclass
-class Found:
+class SearchResult:
     states: int = 0
     ends: int = 0
-    breach: str = ""
-    path: int = 0  # steps to the breach
+    violation: str = ""
+    path_length: int = 0  # steps to the breach
 
 
-def search(goals: tuple[Goal, ...], faults: int, guards: Guards = ALL, most: int = 3_000_000) -> Found:
+def search(
+    goals: tuple[Goal, ...], faults: int, guards: SafetyChecks = ALL_CHECKS, most: int = 3_000_000
+) -> SearchResult:
     """Every order of two runners' requests, with so many faults in all, breadth first. Ends at a breach, or
     raises OverflowError past `most` states."""
-    kind = Runner if guards.intent_first else Reversed
+    kind = Runner if guards.intent_first else EffectBeforeIntentRunner
     fresh = tuple(kind(goal) for goal in goals)
-    start = Scene(Shop(), tuple(Clerk(one) for one in fresh), (), faults)
-    found, seen, queue = Found(), {start}, deque([(start, 0)])
-    ends = set[Shop]()
+    start = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in fresh), (), faults)
+    found, seen, queue = SearchResult(), {start}, deque([(start, 0)])
+    ends = set[StoreModel]()
     while queue:
         scene, depth = queue.popleft()
-        quiet = not scene.late
+        quiet = not scene.late_calls
         try:
             moved = False
-            for after in scene.next(guards, fresh):
-                moved = moved or after.clerks != scene.clerks
+            for after in scene.successors(guards, fresh):
+                moved = moved or after.processes != scene.processes
                 if after not in seen:
                     seen.add(after)
                     queue.append((after, depth + 1))
-            if quiet and not moved and scene.shop not in ends:
-                ends.add(scene.shop)
-                settle(scene.shop, goals[0], guards)
-        except Breach as breach:
-            return Found(len(seen), len(ends), str(breach), depth)
+            if quiet and not moved and scene.store not in ends:
+                ends.add(scene.store)
+                run_to_completion(scene.store, goals[0], guards)
+        except InvariantViolationError as breach:
+            return SearchResult(len(seen), len(ends), str(breach), depth)
         if len(seen) > most:
             raise OverflowError(f"over {most} states")
     found.states, found.ends = len(seen), len(ends)
     return found
 
 
-def settle(shop: Shop, goal: Goal, guards: Guards) -> Shop:
+def run_to_completion(shop: StoreModel, goal: Goal, guards: SafetyChecks) -> StoreModel:
     """What a runner makes of an end, undisturbed: it must reach its goal, each effect had once."""
-    clerk = Clerk(Runner(replace(goal, what="resume", past_back=True)))
+    clerk = RunnerProcess(Runner(replace(goal, operation="resume", allow_ending_rollback=True)))
     for _ in range(400):
-        want = clerk.want(shop)
-        if isinstance(want, runner.Stop):
-            if not want.good:
-                raise Breach(f"it can't be resumed: {want.text}")
-            wrong = [m.step.name for m in folded(shop.entries).marks.values() if m.stand is not Stand.DONE]
-            state = shop.state()
-            wrong += [step.name for step in goal.plan.steps if state.get(step.name) != shop._whole(step.name)]
+        want = clerk.next_call(shop)
+        if isinstance(want, calls.RunResult):
+            if not want.succeeded:
+                raise InvariantViolationError(f"it can't be resumed: {want.message}")
+            wrong = [m.step.name for m in replayed(shop.entries).steps.values() if m.status is not StepStatus.DONE]
+            state = shop.applied_parts()
+            wrong += [step.name for step in goal.plan.steps if state.get(step.name) != shop.whole_parts(step.name)]
             if wrong:
                 # Resuming a way back ends in the way back: what is undone is whole.
-                if clerk.runner.goal.what == "undo" and all(
-                    state.get(name, 0) in (0, shop._whole(name)) for name in wrong
+                if clerk.runner.goal.operation == "undo" and all(
+                    state.get(name, 0) in (0, shop.whole_parts(name)) for name in wrong
                 ):
                     return shop
-                raise Breach(f"not as the record says: {wrong}")
+                raise InvariantViolationError(f"not as the record says: {wrong}")
             return shop
-        shop = replace(shop, seen=len(shop.entries))
-        shop, reply = shop.do(want, guards)
-        clerk = clerk.heard(want, reply, shop)
-    raise Breach("it never ends")
+        shop = replace(shop, acknowledged_seq=len(shop.entries))
+        shop, reply = shop.carry_out(want, guards)
+        clerk = clerk.after_reply(want, reply, shop)
+    raise InvariantViolationError("it never ends")
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -15,7 +15,7 @@
 from lanelead.testbed.emulators.event_recording import BadCapture
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.scenarios.verifier import Finding, Verdict, judge
-from tests.test_steps import ONE_AFTER_ANOTHER
+from tests.test_migration_runner import ONE_AFTER_ANOTHER
 
 
 class Papers:
@@ -352,7 +352,7 @@
         papers.day = msgspec.structs.replace(papers.day, steps=StepsOfDay(0, []))
         papers.up("d", 0.0, build=2)
         rows = [
-            (1.0, LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).body)),
+            (1.0, LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)),
             (2.0, LogEntry("intent", "a")),
             (3.0, LogEntry("done", "a")),
             *rest,
--- a/tests/test_join.py
+++ b/tests/test_migration_readiness.py
@@ -13,10 +13,10 @@
 from lanelead.protocols.feeds import MessageError, RolloutMessage
 from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, LoggedEntry, MigrationLogPage
 from lanelead.settings.records import Demands, Need, Steps
-from lanelead.store.migration_store import Ledger
-from lanelead.testbed.emulators.migration_store import FaultyStore
+from lanelead.store.migration_store import MigrationStore
+from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
 from tests.test_driver import ANSWER, LANES, SECOND, Stage
-from tests.test_steps import plan, step, through
+from tests.test_migration_runner import plan, step, through
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
 PLAN: Steps = plan(
@@ -25,7 +25,7 @@
     step("end", "b", kind="contract"),
     builds=(Demands(1, [], ["end"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
 )
-TAKEN = LogEntry("plan", text=Goal(PLAN).body)
+TAKEN = LogEntry("plan", text=Goal(PLAN).plan_json)
 
 
 def page(*entries: LogEntry, since: int = 0) -> MigrationLogPage:
@@ -36,7 +36,7 @@
 class OnTheModule(unittest.TestCase):
     def readiness(self, *entries: LogEntry) -> Readiness:
         found = Readiness(SECOND, 0)
-        found.hear(page(TAKEN, *entries).entries)
+        found.entries_received(page(TAKEN, *entries).entries)
         return found
 
     def trip(self, sent: int = 0) -> Attempt:
@@ -45,53 +45,55 @@
 
     def test_before_the_record_is_heard_only_the_earliest_listed_build_is_there(self) -> None:
         readiness = Readiness(SECOND, 0)
-        readiness.listed([2, 1, 2])
-        self.assertEqual((readiness.open(1), readiness.open(2)), (True, False))
-        readiness.hear([])
-        self.assertTrue(readiness.open(2))
+        readiness.builds_listed([2, 1, 2])
+        self.assertEqual((readiness.accepts_traffic(1), readiness.accepts_traffic(2)), (True, False))
+        readiness.entries_received([])
+        self.assertTrue(readiness.accepts_traffic(2))
 
     def test_a_build_waits_for_the_needs_of_its_stage_and_a_vote_for_the_next_ones(self) -> None:
         readiness = self.readiness(*through("a"))
-        readiness.news(2, 0, True)
-        self.assertEqual((readiness.open(2), readiness.votes_on(2, 0)), (True, False))
-        readiness.news(2, 1, True)
-        self.assertFalse(readiness.open(2))
-        readiness.hear(page(*through("b"), since=3).entries)
-        self.assertEqual((readiness.open(2), readiness.votes_on(2, 0)), (True, True))
+        readiness.rollout_changed(2, 0, True)
+        self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, False))
+        readiness.rollout_changed(2, 1, True)
+        self.assertFalse(readiness.accepts_traffic(2))
+        readiness.entries_received(page(*through("b"), since=3).entries)
+        self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, True))
 
     def test_a_closing_is_seen_when_nothing_is_out_that_it_forbids(self) -> None:
         readiness = self.readiness(*through("a", "b"))
         mine, other = self.trip(), self.trip()
-        readiness.sent(1, mine)
-        readiness.sent(2, other)
-        self.assertEqual(readiness.owes(0), 0)
-        readiness.hear(page(LogEntry("closing", "end"), since=5).entries)
-        self.assertEqual((readiness.open(1), readiness.owes(0)), (False, 0))
-        readiness.ended(mine, True)
-        self.assertEqual(readiness.owes(0), 6)
-        readiness.seen = 6
-        self.assertEqual(readiness.owes(0), 0)
+        readiness.attempt_sent(1, mine)
+        readiness.attempt_sent(2, other)
+        self.assertEqual(readiness.acknowledgement_due(0), 0)
+        readiness.entries_received(page(LogEntry("closing", "end"), since=5).entries)
+        self.assertEqual((readiness.accepts_traffic(1), readiness.acknowledgement_due(0)), (False, 0))
+        readiness.attempt_ended(mine, True)
+        self.assertEqual(readiness.acknowledgement_due(0), 6)
+        readiness.acknowledged_seq = 6
+        self.assertEqual(readiness.acknowledgement_due(0), 0)
 
     def test_a_trip_with_no_known_end_may_still_run_until_its_limit_and_the_grace(self) -> None:
         readiness = self.readiness(*through("a", "b"), LogEntry("closing", "end"))
         lost = self.trip(100)
-        readiness.sent(1, lost)
-        readiness.ended(lost, False)
-        self.assertEqual(readiness.owes(100 + 3 * SECOND - 1), 0)
-        self.assertEqual(readiness.owes(100 + 3 * SECOND), 6)
+        readiness.attempt_sent(1, lost)
+        readiness.attempt_ended(lost, False)
+        self.assertEqual(readiness.acknowledgement_due(100 + 3 * SECOND - 1), 0)
+        self.assertEqual(readiness.acknowledgement_due(100 + 3 * SECOND), 6)
 
     def test_a_relay_that_has_just_started_does_not_vouch_for_its_earlier_life(self) -> None:
         readiness = Readiness(SECOND, 5 * SECOND)
-        readiness.hear(page(TAKEN, *through("a", "b"), LogEntry("closing", "end")).entries)
-        self.assertEqual((readiness.owes(5 * SECOND - 1), readiness.owes(5 * SECOND)), (0, 6))
+        readiness.entries_received(page(TAKEN, *through("a", "b"), LogEntry("closing", "end")).entries)
+        self.assertEqual(
+            (readiness.acknowledgement_due(5 * SECOND - 1), readiness.acknowledgement_due(5 * SECOND)), (0, 6)
+        )
 
     def test_a_record_that_follows_no_rules_is_refused_and_what_came_before_stays(self) -> None:
         readiness = self.readiness(*through("a"))
         with self.assertRaises(MessageError):
-            readiness.hear(page(LogEntry("done", "b"), since=3).entries)
-        self.assertTrue(readiness.open(2))
-        readiness.hear(page(TAKEN, *through("a")).entries)  # a stream that begins anew
-        self.assertEqual(readiness.record.seq, 3)
+            readiness.entries_received(page(LogEntry("done", "b"), since=3).entries)
+        self.assertTrue(readiness.accepts_traffic(2))
+        readiness.entries_received(page(TAKEN, *through("a")).entries)  # a stream that begins anew
+        self.assertEqual(readiness.log.last_seq, 3)
 
 
 class OnTheDriver(unittest.TestCase):
@@ -157,14 +159,14 @@
     @live
     async def test_a_relay_withholds_lets_go_and_says_when_it_has_seen_a_closing(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            store = FaultyStore(Ledger(Path(folder, "store.db")))
-            port = await store.open(0)
-            token = store.ledger.lease(LeaseRequest("test", 60_000))
+            store = FaultyMigrationStoreServer(MigrationStore(Path(folder, "store.db")))
+            port = await store.start(0)
+            token = store.store.acquire_lease(LeaseRequest("test", 60_000))
 
             def write(*entries: LogEntry) -> int:
                 for entry in entries:
-                    store.written(store.ledger.append(AppendRequest(token, store.ledger.last(), entry)))
-                return store.ledger.last()
+                    store.entry_written(store.store.append(AppendRequest(token, store.store.last_seq(), entry)))
+                return store.store.last_seq()
 
             write(TAKEN)
             old, new = ScriptedUnit("old", says(b"old")), ScriptedUnit("new", says(b"new"))
@@ -186,7 +188,7 @@
                 while b"old" in (seen := await bodies(5)):
                     await asyncio.sleep(0.05)
                 self.assertEqual(seen, {b"new"})
-                while store.ledger.unseen(last):
+                while store.store.unacknowledged_relays(last):
                     await asyncio.sleep(0.05)
                 store.close()  # it goes on with what it knew
                 await asyncio.sleep(0.2)
