--- a/tests/test_steps.py
+++ b/tests/test_migration_runner.py
@@ -15,14 +15,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from lanelead.cli import main
-from lanelead.migrations import runner
-from lanelead.migrations.backoff import Pace
-from lanelead.migrations.migration_log import Broken, Record, Stand
-from lanelead.migrations.plan import ordered
-from lanelead.migrations.runner import Goal, Runner
+from lanelead.migrations import calls
+from lanelead.migrations.backoff import BatchPacer
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
+from lanelead.migrations.plan import execution_order
+from lanelead.migrations.runner import MAX_ATTEMPTS, Goal, Operation, Runner
 from lanelead.protocols.migrations import LogEntry, LoggedEntry
 from lanelead.settings.records import Batch, Demands, Need, Step, Steps
-from lanelead.testbed.simulation.migrations import ALL, Breach, Clerk, Guards, Scene, Shop, folded, search, settle
+from lanelead.testbed.simulation.migrations import (
+    ALL_CHECKS,
+    InvariantViolationError,
+    ModelState,
+    RunnerProcess,
+    SafetyChecks,
+    StoreModel,
+    replayed,
+    run_to_completion,
+    search,
+)
 
 PLANS = Path(__file__).parent.parent / "lanelead" / "testbed" / "scenarios" / "plans"
 
@@ -46,11 +57,11 @@
 )
 
 
-def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> Record:
-    record = Record()
+def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> MigrationLog:
+    record = MigrationLog()
     body = msgspec.json.encode(of).decode()
     for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
-        record.add(LoggedEntry(seq, 1, "r", 0.0, entry))
+        record.append(LoggedEntry(seq, 1, "r", 0.0, entry))
     return record
 
 
@@ -78,13 +89,13 @@
         for path in PLANS.glob("*.cue"):
             self.assertEqual(CliRunner().invoke(main, ["steps", "check", str(path)]).exit_code, 0)
         shown = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
-        self.assertIn("no way back to build 1", shown)
-        self.assertEqual([s.name for s in ordered(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
+        self.assertIn("no rollback to build 1", shown)
+        self.assertEqual([s.name for s in execution_order(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
 
     def test_what_is_wrong_is_said_before_anything_runs_with_line_and_reason(self) -> None:
         for old, new, said in (
             ('after: ["a"]', 'after: ["x"]', "'x', expected a step of this plan"),
-            ('undo: ["y"]}', 'undo: ["y"], after: ["b"]}', "in no circle"),
+            ('undo: ["y"]}', 'undo: ["y"], after: ["b"]}', "without a cycle"),
             ('name: "b"', 'name: "a"', "a name used once"),
             ('"expand"', '"backfill"', "the batches of a backfill"),
             ('until: ["b"]', 'until: ["a"]', "only those end a build"),
@@ -116,27 +127,27 @@
 class Records(unittest.TestCase):
     def test_a_build_gets_traffic_when_its_needs_are_done_stage_by_stage(self) -> None:
         record = written()
-        self.assertEqual((record.ready(1), record.ready(2)), (True, False))
+        self.assertEqual((record.is_ready(1), record.is_ready(2)), (True, False))
         record = written(*through("a"))
-        self.assertEqual((record.ready(2, 0), record.ready(2, 1)), (True, False))
+        self.assertEqual((record.is_ready(2, 0), record.is_ready(2, 1)), (True, False))
         record = written(*through("a", "b"))
-        self.assertTrue(record.ready(2, 1))
+        self.assertTrue(record.is_ready(2, 1))
 
     def test_a_step_that_is_intended_or_failed_is_not_done(self) -> None:
-        for rest in ([], [LogEntry("failed", "a", parts=0, text="x")]):
-            self.assertFalse(written(LogEntry("intent", "a"), *rest).ready(2))
+        for rest in ([], [LogEntry("failed", "a", parts_applied=0, text="x")]):
+            self.assertFalse(written(LogEntry("intent", "a"), *rest).is_ready(2))
 
     def test_a_build_that_no_plan_names_counts_as_its_neighbour(self) -> None:
         record = written()
-        self.assertEqual([record.ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
-        self.assertTrue(Record().ready(7))
+        self.assertEqual([record.is_ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
+        self.assertTrue(MigrationLog().is_ready(7))
 
     def test_back_is_said_to_end_before_it_does(self) -> None:
         record = written(*through("a", "b", "c"))
-        self.assertEqual(record.back_ends_with(1), "d")
-        self.assertIsNone(record.back_ends_with(2))
+        self.assertEqual(record.rollback_ended_by(1), "d")
+        self.assertIsNone(record.rollback_ended_by(2))
         record = written(*through("a", "b", "c"), LogEntry("closing", "d"))
-        self.assertFalse(record.ready(1))
+        self.assertFalse(record.is_ready(1))
 
     def test_entries_that_break_a_rule_are_refused_and_change_nothing(self) -> None:
         body = msgspec.json.encode(ONE_AFTER_ANOTHER).decode()
@@ -150,112 +161,114 @@
             (through("a", "b"), LogEntry("closing", "a", "undo"), 3),
             (through("a", "b", "c"), LogEntry("intent", "d"), 5),
             (
-                [*through("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", closed=8)],
+                [*through("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", barrier_seq=8)],
                 LogEntry("closing", "d", "undo"),
                 4,
             ),
             ([], LogEntry("done", "a"), 6),
             (through("a"), LogEntry("done", "a"), 6),
             ([], LogEntry("resumed", "a"), 6),
-            ([LogEntry("intent", "a"), LogEntry("failed", "a", parts=1)], LogEntry("dropped", "a"), 6),
+            ([LogEntry("intent", "a"), LogEntry("failed", "a", parts_applied=1)], LogEntry("dropped", "a"), 6),
         ):
             record = written(*before)
-            stands = [mark.stand for mark in record.marks.values()]
-            with self.assertRaisesRegex(Broken, f"rule {number}"):
-                record.add(LoggedEntry(record.seq + 1, 1, "r", 0.0, entry))
-            self.assertEqual([mark.stand for mark in record.marks.values()], stands)
-        with self.assertRaises(Broken):  # a gap
-            written().add(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
+            stands = [mark.status for mark in record.steps.values()]
+            with self.assertRaisesRegex(InvalidEntryError, f"rule {number}"):
+                record.append(LoggedEntry(record.last_seq + 1, 1, "r", 0.0, entry))
+            self.assertEqual([mark.status for mark in record.steps.values()], stands)
+        with self.assertRaises(InvalidEntryError):  # a gap
+            written().append(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
 
 
 class Running(unittest.TestCase):
     def test_a_run_writes_intent_before_effect_and_outcome_after(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, past_back=True))
+        shop = self.play(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
         kinds = [(entry.kind, entry.step) for entry in shop.entries]
         self.assertEqual(kinds[1:3], [("intent", "a"), ("done", "a")])
         self.assertEqual(kinds[-3:], [("closing", "d"), ("intent", "d"), ("done", "d")])
-        self.assertEqual(shop.state(), {"a": 1, "b": 2, "c": 1, "d": 1})
+        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1, "d": 1})
 
-    def play(self, goal: Goal, shop: Shop = Shop()) -> Shop:  # noqa: B008
-        clerk = Clerk(Runner(goal))
+    def play(self, goal: Goal, shop: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
+        clerk = RunnerProcess(Runner(goal))
         for _ in range(200):
-            want = clerk.want(shop)
-            if isinstance(want, runner.Stop):
+            want = clerk.next_call(shop)
+            if isinstance(want, calls.RunResult):
                 self.said = want
                 return shop
-            shop = replace(shop, seen=len(shop.entries))
-            shop, reply = shop.do(want, ALL)
-            clerk = clerk.heard(want, reply, shop)
+            shop = replace(shop, acknowledged_seq=len(shop.entries))
+            shop, reply = shop.carry_out(want, ALL_CHECKS)
+            clerk = clerk.after_reply(want, reply, shop)
         raise AssertionError("it never ends")
 
     def test_it_stops_before_a_way_back_ends_and_says_so(self) -> None:
         shop = self.play(Goal(ONE_AFTER_ANOTHER))
-        self.assertFalse(self.said.good)
-        self.assertIn("way back to build 1 impossible", self.said.text)
-        self.assertEqual(shop.state(), {"a": 1, "b": 2, "c": 1})
+        self.assertFalse(self.said.succeeded)
+        self.assertIn("rollback to build 1 impossible", self.said.message)
+        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
     def test_what_failed_stays_failed_until_it_is_resumed(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, to="a"))
-        clerk = Clerk(Runner(Goal(ONE_AFTER_ANOTHER)))
+        shop = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        clerk = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
         parts = 0
         for _ in range(50):
-            want = clerk.want(shop)
-            if isinstance(want, runner.Stop):
+            want = clerk.next_call(shop)
+            if isinstance(want, calls.RunResult):
                 break
-            if isinstance(want, runner.Apply) and parts:
-                reply: runner.Reply = runner.Refused("failed", "disk full")
+            if isinstance(want, calls.ApplyPart) and parts:
+                reply: calls.Reply = calls.CallRejected("failed", "disk full")
             else:
-                parts += isinstance(want, runner.Apply)
-                shop, reply = shop.do(want, ALL)
-            clerk = clerk.heard(want, reply, shop)
-        mark = folded(shop.entries).failed()
+                parts += isinstance(want, calls.ApplyPart)
+                shop, reply = shop.carry_out(want, ALL_CHECKS)
+            clerk = clerk.after_reply(want, reply, shop)
+        mark = replayed(shop.entries).failed_step()
         assert mark is not None
-        self.assertEqual((mark.step.name, mark.parts, mark.text), ("b", 1, "disk full"))
+        self.assertEqual((mark.step.name, mark.parts_applied, mark.failure_reason), ("b", 1, "disk full"))
         self.assertEqual(self.play(Goal(ONE_AFTER_ANOTHER), shop).entries, shop.entries)
-        self.assertIn("after 1 parts: disk full", self.said.text)
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "resume", to="c"), shop)
-        self.assertEqual(shop.state(), {"a": 1, "b": 2, "c": 1})
+        self.assertIn("after 1 parts: disk full", self.said.message)
+        shop = self.play(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), shop)
+        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
     def test_a_half_done_step_is_undone_and_an_untouched_one_dropped(self) -> None:
-        body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).body)
-        half = Shop(
-            (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts=1)), 1, ((2, 0), (4, 0))
+        body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)
+        half = StoreModel(
+            (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
+            1,
+            ((2, 0), (4, 0)),
         )
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo", to="b"), half)
-        self.assertEqual(folded(shop.entries).marks["b"].stand, Stand.WAITING)
-        self.assertEqual(shop.state()["b"], 0)
-        none = Shop((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
+        shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), half)
+        self.assertEqual(replayed(shop.entries).steps["b"].status, StepStatus.PENDING)
+        self.assertEqual(shop.applied_parts()["b"], 0)
+        none = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
         shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
-        self.assertEqual((shop.entries[-1].kind, shop.had), ("dropped", ()))
+        self.assertEqual((shop.entries[-1].kind, shop.effects), ("dropped", ()))
 
     def test_a_way_back_takes_the_later_builds_traffic_away_first(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, to="a"))
+        shop = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
         shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), shop)
         self.assertEqual([entry.kind for entry in shop.entries[-3:]], ["closing", "intent", "done"])
-        self.assertEqual(shop.state(), {"a": 0})
+        self.assertEqual(shop.applied_parts(), {"a": 0})
 
     def test_an_outcome_that_is_never_known_ends_as_failed(self) -> None:
-        clerk, shop, asked = Clerk(Runner(Goal(plan(step("a"))))), Shop(), 0
+        clerk, shop, asked = RunnerProcess(Runner(Goal(plan(step("a"))))), StoreModel(), 0
         for _ in range(60):
-            want = clerk.want(shop)
-            if isinstance(want, runner.Stop):
+            want = clerk.next_call(shop)
+            if isinstance(want, calls.RunResult):
                 break
-            if isinstance(want, runner.Apply):
-                reply: runner.Reply = runner.Unknown()
+            if isinstance(want, calls.ApplyPart):
+                reply: calls.Reply = calls.OutcomeUnknown()
                 asked += 1
             else:
-                shop, reply = shop.do(want, ALL)
-            clerk = clerk.heard(want, reply, shop)
-        self.assertEqual((asked, shop.entries[-1].kind), (runner.TRIES, "failed"))
+                shop, reply = shop.carry_out(want, ALL_CHECKS)
+            clerk = clerk.after_reply(want, reply, shop)
+        self.assertEqual((asked, shop.entries[-1].kind), (MAX_ATTEMPTS, "failed"))
 
     def test_a_backfill_yields_it_shrinks_its_batches_and_waits_as_long_as_they_took(self) -> None:
-        pace = Pace(1000, 10_000, 0.02, 800)
-        self.assertAlmostEqual(pace.after(800, 0.08), 0.08)
+        pace = BatchPacer(1000, 10_000, 0.02, 800)
+        self.assertAlmostEqual(pace.wait_after_batch(800, 0.08), 0.08)
         self.assertEqual(pace.rows, 200)
-        self.assertAlmostEqual(pace.after(200, 0.001), 0.019)  # the rate bounds it where the store is quick
+        self.assertAlmostEqual(pace.wait_after_batch(200, 0.001), 0.019)  # the rate bounds it where the store is quick
         self.assertGreater(pace.rows, 200)
         for _ in range(30):
-            pace.after(pace.rows, 1.0)
+            pace.wait_after_batch(pace.rows, 1.0)
         self.assertEqual(pace.rows, 10)
 
 
@@ -271,35 +284,35 @@
 
     def test_two_runners_that_run_the_same_plan(self) -> None:
         found = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
-        self.assertEqual(found.breach, "")
+        self.assertEqual(found.violation, "")
         self.assertGreater(found.states, 1000)
         self.assertGreater(found.ends, 3)
 
     def test_one_that_runs_and_one_that_undoes(self) -> None:
-        goals = Goal(self.ENDS, past_back=True), Goal(self.ENDS, "undo")
-        self.assertEqual(search(goals, faults=1).breach, "")
+        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+        self.assertEqual(search(goals, faults=1).violation, "")
 
     def test_without_the_fence_a_late_effect_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO, "undo")
-        self.assertIn("while the record says otherwise", search(goals, 1, Guards(fence=False)).breach)
+        self.assertIn("while the record says otherwise", search(goals, 1, SafetyChecks(fencing=False)).violation)
 
     def test_without_marks_an_effect_had_twice_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO)
-        self.assertIn("twice", search(goals, 1, Guards(marks=False)).breach)
+        self.assertIn("twice", search(goals, 1, SafetyChecks(effect_marks=False)).violation)
 
     def test_an_effect_before_its_intent_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO)
-        self.assertIn("while the record says otherwise", search(goals, 1, Guards(intent_first=False)).breach)
+        self.assertIn("while the record says otherwise", search(goals, 1, SafetyChecks(intent_first=False)).violation)
 
     def test_without_waiting_for_relays_a_change_under_traffic_is_found(self) -> None:
-        goals = Goal(self.ENDS, past_back=True), Goal(self.ENDS, "undo")
-        self.assertIn("before the relay had seen", search(goals, 1, Guards(closing=False)).breach)
+        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+        self.assertIn("before the relay had seen", search(goals, 1, SafetyChecks(barrier=False)).violation)
 
 
 class Longer(RuleBasedStateMachine):
     """The same for plans of up to nine steps, orders drawn at random, and three runners with any goal."""
 
-    guards = ALL
+    guards = ALL_CHECKS
 
     @initialize(data=st.data(), many=st.integers(3, 9))
     def begin(self, data: Any, many: int) -> None:
@@ -312,13 +325,14 @@
         needs = [Need(s.name, 0) for s in steps[: many // 2]]
         builds = (Demands(1, [], ["last"], ""), Demands(2, needs, [], ""))
         self.plan = plan(*steps, builds=builds)
-        self.fresh = tuple(Runner(Goal(self.plan, what, past_back=True)) for what in ("run", "undo", "resume"))
-        self.scene = Scene(Shop(), tuple(Clerk(one) for one in self.fresh), (), 12)
+        operations: tuple[Operation, ...] = ("run", "undo", "resume")
+        self.fresh = tuple(Runner(Goal(self.plan, what, allow_ending_rollback=True)) for what in operations)
+        self.scene = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in self.fresh), (), 12)
 
     @rule(data=st.data(), many=st.integers(1, 8))
     def go_on(self, data: Any, many: int) -> None:
         for _ in range(many):
-            rows = list(self.scene.next(self.guards, self.fresh))
+            rows = list(self.scene.successors(self.guards, self.fresh))
             if not rows:
                 return
             self.scene = rows[data.draw(st.integers(0, len(rows) - 1))]
@@ -326,29 +340,29 @@
     @rule(who=st.integers(0, 2), many=st.integers(1, 40))
     def one_goes_on(self, who: int, many: int) -> None:
         for _ in range(many):
-            want = self.scene.clerks[who].want(self.scene.shop)
-            if isinstance(want, runner.Stop):
+            want = self.scene.processes[who].next_call(self.scene.store)
+            if isinstance(want, calls.RunResult):
                 return
-            rows = self.scene._step(who, self.scene.clerks[who], want, self.guards, self.fresh)
+            rows = self.scene.process_steps(who, self.scene.processes[who], want, self.guards, self.fresh)
             self.scene = next(rows)
 
     @rule(who=st.integers(0, 2))
     def begin_again(self, who: int) -> None:
-        clerks = self.scene._with(who, Clerk(self.fresh[who]))
-        self.scene = replace(self.scene, clerks=clerks)
+        clerks = self.scene.with_process(who, RunnerProcess(self.fresh[who]))
+        self.scene = replace(self.scene, processes=clerks)
 
     @invariant()
     def the_record_is_clear(self) -> None:
         if hasattr(self, "scene"):
-            folded(self.scene.shop.entries)
+            replayed(self.scene.store.entries)
 
     def teardown(self) -> None:
-        if hasattr(self, "scene") and not self.scene.late:
-            settle(self.scene.shop, Goal(self.plan), self.guards)
+        if hasattr(self, "scene") and not self.scene.late_calls:
+            run_to_completion(self.scene.store, Goal(self.plan), self.guards)
 
 
 class LongerUnfenced(Longer):
-    guards = Guards(fence=False)
+    guards = SafetyChecks(fencing=False)
 
 
 BOUND = settings(
@@ -367,7 +381,7 @@
     def test_the_random_orders_find_a_missing_fence_too(self) -> None:
         case = LongerUnfenced.TestCase
         case.settings = settings(BOUND, max_examples=200, phases=[Phase.generate])
-        with self.assertRaises(Breach):
+        with self.assertRaises(InvariantViolationError):
             case("runTest").debug()
 
 
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -16,7 +16,7 @@
 from lanelead.protocols.configuration import Accept, AcceptedProposal, Ballot, Change, Entry, Prepare, Proposal
 from lanelead.protocols.migrations import AppendRequest, ApplyRequest, BatchRange, LeaseRequest
 from lanelead.protocols.migrations import LogEntry as Step
-from lanelead.store.migration_store import Ledger
+from lanelead.store.migration_store import MigrationStore
 
 PINNED = Path(__file__).parent / "pinned"
 CLOCK = 1_000.0
@@ -60,16 +60,16 @@
 
 def write_migrations(file: Path) -> None:
     """A store's file: a runner's lease, a plan, an intent with part of its effect, a watching relay."""
-    ledger = Ledger(file, lambda: CLOCK)
-    ledger.db.execute("CREATE TABLE offers (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
-    ledger.db.execute("INSERT INTO offers (id) VALUES (1), (2), (3)")
-    token = ledger.lease(LeaseRequest("runner-1", 5000))
+    ledger = MigrationStore(file, lambda: CLOCK)
+    ledger.connection.execute("CREATE TABLE offers (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
+    ledger.connection.execute("INSERT INTO offers (id) VALUES (1), (2), (3)")
+    token = ledger.acquire_lease(LeaseRequest("runner-1", 5000))
     ledger.append(AppendRequest(token, 0, Step("plan", text="a plan")))
-    ledger.told(3)
+    ledger.register_relay(3)
     ledger.append(AppendRequest(token, 1, Step("intent", "widen")))
     statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-    ledger.apply(ApplyRequest(token, 2, 0, (statement,), BatchRange("offers", "id", 2)))
-    ledger.seen(3, 1)
+    ledger.apply_part(ApplyRequest(token, 2, 0, (statement,), BatchRange("offers", "id", 2)))
+    ledger.acknowledge(3, 1)
     ledger.close()
 
 
@@ -118,14 +118,14 @@
 
 
 class MigrationsFile(PinnedFiles):
-    def open(self) -> Ledger:
-        ledger = Ledger(self.copied("migrations.sqlite"), lambda: CLOCK)
+    def open(self) -> MigrationStore:
+        ledger = MigrationStore(self.copied("migrations.sqlite"), lambda: CLOCK)
         self.addCleanup(ledger.close)
         return ledger
 
     def test_record_lease_marks_and_relays_are_read(self) -> None:
         ledger = self.open()
-        entries = ledger.page(0).entries
+        entries = ledger.read_page(0).entries
         self.assertEqual(
             [(e.seq, e.token, e.runner, e.entry.kind, e.entry.step) for e in entries],
             [
@@ -133,20 +133,20 @@
                 (2, 1, "runner-1", "intent", "widen"),
             ],
         )
-        marks = ledger.marks(2)
+        marks = ledger.progress(2)
         self.assertEqual((marks.parts, marks.cursor, marks.finished, marks.rows), (1, 2, False, 2))
-        self.assertEqual(ledger.unseen(2), [3])
-        self.assertEqual(ledger.unseen(1), [])
+        self.assertEqual(ledger.unacknowledged_relays(2), [3])
+        self.assertEqual(ledger.unacknowledged_relays(1), [])
 
     def test_the_file_is_written_on(self) -> None:
         ledger = self.open()
-        token = ledger.lease(LeaseRequest("runner-1", 5000))
+        token = ledger.acquire_lease(LeaseRequest("runner-1", 5000))
         self.assertEqual(token, 2)
         statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-        marks = ledger.apply(ApplyRequest(token, 2, 1, (statement,), BatchRange("offers", "id", 2, 2)))
+        marks = ledger.apply_part(ApplyRequest(token, 2, 1, (statement,), BatchRange("offers", "id", 2, 2)))
         self.assertEqual((marks.parts, marks.finished, marks.rows), (2, True, 3))
         self.assertEqual(ledger.append(AppendRequest(token, 2, Step("done", "widen"))).seq, 3)
-        self.assertEqual([n for (n,) in ledger.db.execute("SELECT n FROM offers ORDER BY id")], [1, 1, 1])
+        self.assertEqual([n for (n,) in ledger.connection.execute("SELECT n FROM offers ORDER BY id")], [1, 1, 1])
 
     def test_what_is_written_today_is_what_was_written_then(self) -> None:
         write_migrations(self.folder / "today.sqlite")
