--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -51,7 +51,7 @@
     many, case, faults, without = job
     goals = [Goal(plan(many), what, allow_ending_rollback=True) for what in CASES[case]]
     began = time.perf_counter()
-    found = search((goals[0], goals[1]), faults, OUT.get(without, ALL_CHECKS), most=20_000_000)
+    found = search((goals[0], goals[1]), faults, OUT.get(without, ALL_CHECKS), max_states=20_000_000)
     return many, case, faults, without, found, time.perf_counter() - began
 
 
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -175,14 +175,14 @@
         if not named:
             return True
         nearest = max((other for other in named if other <= build), default=named[0])
-        assumed_applied = assumed.step.name if assumed is not None and direction == "apply" else None
-        assumed_undone = assumed.step.name if assumed is not None and direction == "undo" else None
         for requirements in self._build_requirements[nearest]:
             for need in requirements.needs:
-                if need.stage <= stage and (need.step == assumed_undone or not self.is_done(need.step)):
+                undone = assumed is not None and assumed.step.name == need.step and direction == "undo"
+                if need.stage <= stage and (undone or not self.is_done(need.step)):
                     return False
             for name in requirements.until:
-                if name == assumed_applied or self.has_begun(name):
+                applied = assumed is not None and assumed.step.name == name and direction == "apply"
+                if applied or self.has_begun(name):
                     return False
         return True
 
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -1,4 +1,4 @@
-"""Stories of plans, their record and their runner; and a search through every order of what can happen."""
+"""Migration plans, their log and their runner; and a search of every order of calls and faults."""
 
 from __future__ import annotations
 
@@ -58,42 +58,42 @@
 
 
 def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> MigrationLog:
-    record = MigrationLog()
+    log = MigrationLog()
     body = msgspec.json.encode(of).decode()
     for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
-        record.append(LoggedEntry(seq, 1, "r", 0.0, entry))
-    return record
+        log.append(LoggedEntry(seq, 1, "r", 0.0, entry))
+    return log
 
 
 def through(*names: str) -> list[LogEntry]:
     return [entry for name in names for entry in (LogEntry("intent", name), LogEntry("done", name))]
 
 
-class Plans(unittest.TestCase):
+class PlanChecks(unittest.TestCase):
     GOOD = (
         'steps: {name: "p", steps: [{name: "a", kind: "expand", apply: ["x"], undo: ["y"]}, '
         '{name: "b", kind: "contract", after: ["a"], apply: ["x"], undo: "never"}], '
         'builds: [{build: 1, until: ["b"]}, {build: 2, needs: [{step: "a"}]}]}'
     )
 
-    def refused(self, *texts: str) -> str:
-        with tempfile.TemporaryDirectory() as folder:
-            files = [Path(folder, f"{n}.cue") for n in range(len(texts))]
+    def rejected(self, *texts: str) -> str:
+        with tempfile.TemporaryDirectory() as directory:
+            files = [Path(directory, f"{n}.cue") for n in range(len(texts))]
             for file, text in zip(files, texts, strict=True):
                 file.write_text(text)
             result = CliRunner().invoke(main, ["steps", "check", *map(str, files)])
             self.assertEqual(result.exit_code, 2, result.output)
             return result.output
 
-    def test_a_good_plan_is_good_and_its_order_is_told(self) -> None:
+    def test_a_good_plan_passes_and_its_order_is_printed(self) -> None:
         for path in PLANS.glob("*.cue"):
             self.assertEqual(CliRunner().invoke(main, ["steps", "check", str(path)]).exit_code, 0)
         shown = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
         self.assertIn("no rollback to build 1", shown)
         self.assertEqual([s.name for s in execution_order(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
 
-    def test_what_is_wrong_is_said_before_anything_runs_with_line_and_reason(self) -> None:
-        for old, new, said in (
+    def test_each_fault_of_a_plan_is_reported_with_line_and_reason(self) -> None:
+        for original, replacement, message in (
             ('after: ["a"]', 'after: ["x"]', "'x', expected a step of this plan"),
             ('undo: ["y"]}', 'undo: ["y"], after: ["b"]}', "without a cycle"),
             ('name: "b"', 'name: "a"', "a name used once"),
@@ -114,42 +114,42 @@
             ('undo: ["y"]', 'undo: "later"', "undo"),
             ('undo: ["y"]', 'undone: ["y"]', "undone"),
         ):
-            text = self.GOOD.replace(old, new, 1)
-            self.assertNotEqual(text, self.GOOD, old)
-            shown = self.refused(text)
-            self.assertIn(said, shown)
+            text = self.GOOD.replace(original, replacement, 1)
+            self.assertNotEqual(text, self.GOOD, original)
+            shown = self.rejected(text)
+            self.assertIn(message, shown)
             self.assertRegex(shown, r"0\.cue:1:\d+")
 
-    def test_two_plans_that_claim_a_name_are_refused_together(self) -> None:
-        self.assertIn("which plan 'p' claims", self.refused(self.GOOD, self.GOOD.replace('"p"', '"q"')))
+    def test_two_plans_that_claim_a_name_are_rejected_together(self) -> None:
+        self.assertIn("which plan 'p' claims", self.rejected(self.GOOD, self.GOOD.replace('"p"', '"q"')))
 
 
-class Records(unittest.TestCase):
+class MigrationLogRules(unittest.TestCase):
     def test_a_build_gets_traffic_when_its_needs_are_done_stage_by_stage(self) -> None:
-        record = written()
-        self.assertEqual((record.is_ready(1), record.is_ready(2)), (True, False))
-        record = written(*through("a"))
-        self.assertEqual((record.is_ready(2, 0), record.is_ready(2, 1)), (True, False))
-        record = written(*through("a", "b"))
-        self.assertTrue(record.is_ready(2, 1))
-
-    def test_a_step_that_is_intended_or_failed_is_not_done(self) -> None:
+        log = written()
+        self.assertEqual((log.is_ready(1), log.is_ready(2)), (True, False))
+        log = written(*through("a"))
+        self.assertEqual((log.is_ready(2, 0), log.is_ready(2, 1)), (True, False))
+        log = written(*through("a", "b"))
+        self.assertTrue(log.is_ready(2, 1))
+
+    def test_a_step_that_is_in_progress_or_failed_is_not_done(self) -> None:
         for rest in ([], [LogEntry("failed", "a", parts_applied=0, text="x")]):
             self.assertFalse(written(LogEntry("intent", "a"), *rest).is_ready(2))
 
-    def test_a_build_that_no_plan_names_counts_as_its_neighbour(self) -> None:
-        record = written()
-        self.assertEqual([record.is_ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
+    def test_a_build_that_no_plan_names_counts_as_the_nearest_earlier_one(self) -> None:
+        log = written()
+        self.assertEqual([log.is_ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
         self.assertTrue(MigrationLog().is_ready(7))
 
-    def test_back_is_said_to_end_before_it_does(self) -> None:
-        record = written(*through("a", "b", "c"))
-        self.assertEqual(record.rollback_ended_by(1), "d")
-        self.assertIsNone(record.rollback_ended_by(2))
-        record = written(*through("a", "b", "c"), LogEntry("closing", "d"))
-        self.assertFalse(record.is_ready(1))
+    def test_the_step_that_ends_a_rollback_is_known_before_it_begins(self) -> None:
+        log = written(*through("a", "b", "c"))
+        self.assertEqual(log.rollback_ended_by(1), "d")
+        self.assertIsNone(log.rollback_ended_by(2))
+        log = written(*through("a", "b", "c"), LogEntry("closing", "d"))
+        self.assertFalse(log.is_ready(1))
 
-    def test_entries_that_break_a_rule_are_refused_and_change_nothing(self) -> None:
+    def test_entries_that_break_a_rule_are_rejected_and_change_nothing(self) -> None:
         body = msgspec.json.encode(ONE_AFTER_ANOTHER).decode()
         for before, entry, number in (
             ([], LogEntry("plan", text=body), 1),
@@ -170,110 +170,110 @@
             ([], LogEntry("resumed", "a"), 6),
             ([LogEntry("intent", "a"), LogEntry("failed", "a", parts_applied=1)], LogEntry("dropped", "a"), 6),
         ):
-            record = written(*before)
-            stands = [mark.status for mark in record.steps.values()]
+            log = written(*before)
+            statuses = [state.status for state in log.steps.values()]
             with self.assertRaisesRegex(InvalidEntryError, f"rule {number}"):
-                record.append(LoggedEntry(record.last_seq + 1, 1, "r", 0.0, entry))
-            self.assertEqual([mark.status for mark in record.steps.values()], stands)
+                log.append(LoggedEntry(log.last_seq + 1, 1, "r", 0.0, entry))
+            self.assertEqual([state.status for state in log.steps.values()], statuses)
         with self.assertRaises(InvalidEntryError):  # a gap
             written().append(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
 
 
-class Running(unittest.TestCase):
-    def test_a_run_writes_intent_before_effect_and_outcome_after(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
-        kinds = [(entry.kind, entry.step) for entry in shop.entries]
+class RunnerDecisions(unittest.TestCase):
+    def test_a_run_logs_intent_before_effect_and_outcome_after(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
+        kinds = [(entry.kind, entry.step) for entry in store.entries]
         self.assertEqual(kinds[1:3], [("intent", "a"), ("done", "a")])
         self.assertEqual(kinds[-3:], [("closing", "d"), ("intent", "d"), ("done", "d")])
-        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1, "d": 1})
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1, "d": 1})
 
-    def play(self, goal: Goal, shop: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
-        clerk = RunnerProcess(Runner(goal))
+    def play(self, goal: Goal, store: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
+        process = RunnerProcess(Runner(goal))
         for _ in range(200):
-            want = clerk.next_call(shop)
-            if isinstance(want, calls.RunResult):
-                self.said = want
-                return shop
-            shop = replace(shop, acknowledged_seq=len(shop.entries))
-            shop, reply = shop.carry_out(want, ALL_CHECKS)
-            clerk = clerk.after_reply(want, reply, shop)
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
+                self.result = call
+                return store
+            store = replace(store, acknowledged_seq=len(store.entries))
+            store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
         raise AssertionError("it never ends")
 
-    def test_it_stops_before_a_way_back_ends_and_says_so(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER))
-        self.assertFalse(self.said.succeeded)
-        self.assertIn("rollback to build 1 impossible", self.said.message)
-        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1})
+    def test_it_stops_before_a_rollback_becomes_impossible_and_says_so(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER))
+        self.assertFalse(self.result.succeeded)
+        self.assertIn("rollback to build 1 impossible", self.result.message)
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
-    def test_what_failed_stays_failed_until_it_is_resumed(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
-        clerk = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
+    def test_a_failed_step_stays_failed_until_it_is_resumed(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        process = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
         parts = 0
         for _ in range(50):
-            want = clerk.next_call(shop)
-            if isinstance(want, calls.RunResult):
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
                 break
-            if isinstance(want, calls.ApplyPart) and parts:
+            if isinstance(call, calls.ApplyPart) and parts:
                 reply: calls.Reply = calls.CallRejected("failed", "disk full")
             else:
-                parts += isinstance(want, calls.ApplyPart)
-                shop, reply = shop.carry_out(want, ALL_CHECKS)
-            clerk = clerk.after_reply(want, reply, shop)
-        mark = replayed(shop.entries).failed_step()
-        assert mark is not None
-        self.assertEqual((mark.step.name, mark.parts_applied, mark.failure_reason), ("b", 1, "disk full"))
-        self.assertEqual(self.play(Goal(ONE_AFTER_ANOTHER), shop).entries, shop.entries)
-        self.assertIn("after 1 parts: disk full", self.said.message)
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), shop)
-        self.assertEqual(shop.applied_parts(), {"a": 1, "b": 2, "c": 1})
-
-    def test_a_half_done_step_is_undone_and_an_untouched_one_dropped(self) -> None:
+                parts += isinstance(call, calls.ApplyPart)
+                store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
+        state = replayed(store.entries).failed_step()
+        assert state is not None
+        self.assertEqual((state.step.name, state.parts_applied, state.failure_reason), ("b", 1, "disk full"))
+        self.assertEqual(self.play(Goal(ONE_AFTER_ANOTHER), store).entries, store.entries)
+        self.assertIn("after 1 parts: disk full", self.result.message)
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), store)
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
+
+    def test_a_partly_applied_step_is_undone_and_an_untouched_one_dropped(self) -> None:
         body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)
         half = StoreModel(
             (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
             1,
             ((2, 0), (4, 0)),
         )
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), half)
-        self.assertEqual(replayed(shop.entries).steps["b"].status, StepStatus.PENDING)
-        self.assertEqual(shop.applied_parts()["b"], 0)
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), half)
+        self.assertEqual(replayed(store.entries).steps["b"].status, StepStatus.PENDING)
+        self.assertEqual(store.applied_parts()["b"], 0)
         none = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
-        self.assertEqual((shop.entries[-1].kind, shop.effects), ("dropped", ()))
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
+        self.assertEqual((store.entries[-1].kind, store.effects), ("dropped", ()))
 
-    def test_a_way_back_takes_the_later_builds_traffic_away_first(self) -> None:
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
-        shop = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), shop)
-        self.assertEqual([entry.kind for entry in shop.entries[-3:]], ["closing", "intent", "done"])
-        self.assertEqual(shop.applied_parts(), {"a": 0})
+    def test_an_undo_ends_the_later_builds_traffic_first(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), store)
+        self.assertEqual([entry.kind for entry in store.entries[-3:]], ["closing", "intent", "done"])
+        self.assertEqual(store.applied_parts(), {"a": 0})
 
-    def test_an_outcome_that_is_never_known_ends_as_failed(self) -> None:
-        clerk, shop, asked = RunnerProcess(Runner(Goal(plan(step("a"))))), StoreModel(), 0
+    def test_an_outcome_that_stays_unknown_is_logged_as_failed(self) -> None:
+        process, store, apply_calls = RunnerProcess(Runner(Goal(plan(step("a"))))), StoreModel(), 0
         for _ in range(60):
-            want = clerk.next_call(shop)
-            if isinstance(want, calls.RunResult):
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
                 break
-            if isinstance(want, calls.ApplyPart):
+            if isinstance(call, calls.ApplyPart):
                 reply: calls.Reply = calls.OutcomeUnknown()
-                asked += 1
+                apply_calls += 1
             else:
-                shop, reply = shop.carry_out(want, ALL_CHECKS)
-            clerk = clerk.after_reply(want, reply, shop)
-        self.assertEqual((asked, shop.entries[-1].kind), (MAX_ATTEMPTS, "failed"))
-
-    def test_a_backfill_yields_it_shrinks_its_batches_and_waits_as_long_as_they_took(self) -> None:
-        pace = BatchPacer(1000, 10_000, 0.02, 800)
-        self.assertAlmostEqual(pace.wait_after_batch(800, 0.08), 0.08)
-        self.assertEqual(pace.rows, 200)
-        self.assertAlmostEqual(pace.wait_after_batch(200, 0.001), 0.019)  # the rate bounds it where the store is quick
-        self.assertGreater(pace.rows, 200)
+                store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
+        self.assertEqual((apply_calls, store.entries[-1].kind), (MAX_ATTEMPTS, "failed"))
+
+    def test_a_backfill_shrinks_slow_batches_and_waits_as_long_as_they_took(self) -> None:
+        pacer = BatchPacer(1000, 10_000, 0.02, 800)
+        self.assertAlmostEqual(pacer.wait_after_batch(800, 0.08), 0.08)
+        self.assertEqual(pacer.rows, 200)
+        self.assertAlmostEqual(pacer.wait_after_batch(200, 0.001), 0.019)  # the rate bounds it where the store is quick
+        self.assertGreater(pacer.rows, 200)
         for _ in range(30):
-            pace.wait_after_batch(pace.rows, 1.0)
-        self.assertEqual(pace.rows, 10)
+            pacer.wait_after_batch(pacer.rows, 1.0)
+        self.assertEqual(pacer.rows, 10)
 
 
-class EveryOrder(unittest.TestCase):
-    """Two runners, one store: every order of their requests, with faults; see testbed/simulation/migrations.py."""
+class EveryCallOrder(unittest.TestCase):
+    """Two runners, one store: every order of their calls, with faults; see testbed/simulation/migrations.py."""
 
     TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(Demands(1, [], [], ""),))
     ENDS = plan(
@@ -283,86 +283,86 @@
     )
 
     def test_two_runners_that_run_the_same_plan(self) -> None:
-        found = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
-        self.assertEqual(found.violation, "")
-        self.assertGreater(found.states, 1000)
-        self.assertGreater(found.ends, 3)
+        result = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
+        self.assertEqual(result.violation, "")
+        self.assertGreater(result.states, 1000)
+        self.assertGreater(result.ends, 3)
 
     def test_one_that_runs_and_one_that_undoes(self) -> None:
         goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
         self.assertEqual(search(goals, faults=1).violation, "")
 
-    def test_without_the_fence_a_late_effect_is_found(self) -> None:
+    def test_without_fencing_a_late_effect_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO, "undo")
-        self.assertIn("while the record says otherwise", search(goals, 1, SafetyChecks(fencing=False)).violation)
+        self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(fencing=False)).violation)
 
-    def test_without_marks_an_effect_had_twice_is_found(self) -> None:
+    def test_without_effect_marks_a_repeated_effect_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO)
         self.assertIn("twice", search(goals, 1, SafetyChecks(effect_marks=False)).violation)
 
     def test_an_effect_before_its_intent_is_found(self) -> None:
         goals = Goal(self.TWO), Goal(self.TWO)
-        self.assertIn("while the record says otherwise", search(goals, 1, SafetyChecks(intent_first=False)).violation)
+        self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(intent_first=False)).violation)
 
     def test_without_waiting_for_relays_a_change_under_traffic_is_found(self) -> None:
         goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
-        self.assertIn("before the relay had seen", search(goals, 1, SafetyChecks(barrier=False)).violation)
+        self.assertIn("before the relay had acknowledged", search(goals, 1, SafetyChecks(barrier=False)).violation)
 
 
-class Longer(RuleBasedStateMachine):
-    """The same for plans of up to nine steps, orders drawn at random, and three runners with any goal."""
+class RandomOrders(RuleBasedStateMachine):
+    """The same for plans of up to nine steps, orders drawn at random, and three runners with any operation."""
 
-    guards = ALL_CHECKS
+    checks = ALL_CHECKS
 
-    @initialize(data=st.data(), many=st.integers(3, 9))
-    def begin(self, data: Any, many: int) -> None:
+    @initialize(data=st.data(), count=st.integers(3, 9))
+    def begin(self, data: Any, count: int) -> None:
         steps = []
-        for number in range(many):
+        for number in range(count):
             after = data.draw(st.sets(st.integers(0, number - 1), max_size=2)) if number else set()
             kind = data.draw(st.sampled_from(["expand", "backfill"]))
             steps.append(step(f"s{number}", *(f"s{n}" for n in sorted(after)), kind=kind))
         steps.append(step("last", *(s.name for s in steps), kind="contract", undo=False))
-        needs = [Need(s.name, 0) for s in steps[: many // 2]]
+        needs = [Need(s.name, 0) for s in steps[: count // 2]]
         builds = (Demands(1, [], ["last"], ""), Demands(2, needs, [], ""))
         self.plan = plan(*steps, builds=builds)
         operations: tuple[Operation, ...] = ("run", "undo", "resume")
-        self.fresh = tuple(Runner(Goal(self.plan, what, allow_ending_rollback=True)) for what in operations)
-        self.scene = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in self.fresh), (), 12)
-
-    @rule(data=st.data(), many=st.integers(1, 8))
-    def go_on(self, data: Any, many: int) -> None:
-        for _ in range(many):
-            rows = list(self.scene.successors(self.guards, self.fresh))
-            if not rows:
+        self.fresh = tuple(Runner(Goal(self.plan, operation, allow_ending_rollback=True)) for operation in operations)
+        self.state = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in self.fresh), (), 12)
+
+    @rule(data=st.data(), count=st.integers(1, 8))
+    def any_process_goes_on(self, data: Any, count: int) -> None:
+        for _ in range(count):
+            states = list(self.state.successors(self.checks, self.fresh))
+            if not states:
                 return
-            self.scene = rows[data.draw(st.integers(0, len(rows) - 1))]
+            self.state = states[data.draw(st.integers(0, len(states) - 1))]
 
-    @rule(who=st.integers(0, 2), many=st.integers(1, 40))
-    def one_goes_on(self, who: int, many: int) -> None:
-        for _ in range(many):
-            want = self.scene.processes[who].next_call(self.scene.store)
-            if isinstance(want, calls.RunResult):
+    @rule(who=st.integers(0, 2), count=st.integers(1, 40))
+    def one_process_goes_on(self, who: int, count: int) -> None:
+        for _ in range(count):
+            call = self.state.processes[who].next_call(self.state.store)
+            if isinstance(call, calls.RunResult):
                 return
-            rows = self.scene.process_steps(who, self.scene.processes[who], want, self.guards, self.fresh)
-            self.scene = next(rows)
+            states = self.state.process_steps(who, call, self.checks, self.fresh)
+            self.state = next(states)
 
     @rule(who=st.integers(0, 2))
-    def begin_again(self, who: int) -> None:
-        clerks = self.scene.with_process(who, RunnerProcess(self.fresh[who]))
-        self.scene = replace(self.scene, processes=clerks)
+    def process_restarts(self, who: int) -> None:
+        processes = self.state.with_process(who, RunnerProcess(self.fresh[who]))
+        self.state = replace(self.state, processes=processes)
 
     @invariant()
-    def the_record_is_clear(self) -> None:
-        if hasattr(self, "scene"):
-            replayed(self.scene.store.entries)
+    def the_log_follows_its_rules(self) -> None:
+        if hasattr(self, "state"):
+            replayed(self.state.store.entries)
 
     def teardown(self) -> None:
-        if hasattr(self, "scene") and not self.scene.late_calls:
-            run_to_completion(self.scene.store, Goal(self.plan), self.guards)
+        if hasattr(self, "state") and not self.state.late_calls:
+            run_to_completion(self.state.store, Goal(self.plan), self.checks)
 
 
-class LongerUnfenced(Longer):
-    guards = SafetyChecks(fencing=False)
+class RandomOrdersWithoutFencing(RandomOrders):
+    checks = SafetyChecks(fencing=False)
 
 
 BOUND = settings(
@@ -373,13 +373,13 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-LongerOrders = Longer.TestCase
-LongerOrders.settings = BOUND
+RandomOrdersTest = RandomOrders.TestCase
+RandomOrdersTest.settings = BOUND
 
 
-class Planted(unittest.TestCase):
-    def test_the_random_orders_find_a_missing_fence_too(self) -> None:
-        case = LongerUnfenced.TestCase
+class SeededFault(unittest.TestCase):
+    def test_the_random_orders_find_missing_fencing_too(self) -> None:
+        case = RandomOrdersWithoutFencing.TestCase
         case.settings = settings(BOUND, max_examples=200, phases=[Phase.generate])
         with self.assertRaises(InvariantViolationError):
             case("runTest").debug()
