--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -25,7 +25,8 @@
 from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, SchemaCheck
 from lanelead.settings.records import Address, Batch, Demands, Step, Steps
 from lanelead.store.migration_store import MigrationStore
-from lanelead.testbed.emulators.crash_injection import CrashTrial, StoreProcess
+from lanelead.testbed.emulators.crash_injection import CrashTrial
+from lanelead.testbed.emulators.running_stores import StoreProcess
 from lanelead.testbed.scenarios.processes import free_ports
 
 WRITE = "INSERT INTO filed (op) VALUES (:op)"
@@ -62,7 +63,7 @@
 
     def run() -> None:
         began = time.perf_counter()
-        CrashTrial(plan, trial.folder, trial.launch).run(place, ttl=5.0)  # type: ignore[arg-type]
+        CrashTrial(plan, trial.folder, trial.launch).run(place, lease_ttl_seconds=5.0)  # type: ignore[arg-type]
         done[0] = time.perf_counter() - began
 
     thread = threading.Thread(target=run)
@@ -102,7 +103,7 @@
         steps = [Step(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)]
         place = trial.start_store()
         began = time.perf_counter()
-        CrashTrial(Steps("many", steps, []), folder, trial.launch).run(place, ttl=5.0)
+        CrashTrial(Steps("many", steps, []), folder, trial.launch).run(place, lease_ttl_seconds=5.0)
         click.echo(f"{many} steps, one after another: {many / (time.perf_counter() - began):.0f} a second")
         place.close()
         long_record(folder)
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -26,13 +26,10 @@
 
 from lanelead.settings.read import read
 from lanelead.settings.records import Steps
-from lanelead.testbed.emulators.crash_injection import (
-    CrashTrial,
-    StoreProcess,
-    WriteTraffic,
-    find_violations,
-    with_tally,
-)
+from lanelead.testbed.emulators.crash_injection import CrashTrial
+from lanelead.testbed.emulators.migration_checker import find_violations, with_tally
+from lanelead.testbed.emulators.running_stores import StoreProcess
+from lanelead.testbed.emulators.write_traffic import WriteTraffic
 from lanelead.testbed.scenarios.processes import free_ports
 from lanelead.testbed.scenarios.runner import plan_file
 
@@ -57,10 +54,10 @@
             else:
                 place.inject(kind=kind, at=where, skip=number, size=0.3)
                 began = time.monotonic()
-                stop = mine.run(place, ttl=0.2)
+                stop = mine.run(place, lease_ttl_seconds=0.2)
                 wrong = find_violations(place.file, mine.plan)
                 if not stop.succeeded:
-                    stop = mine.run(place, "resume", name="two", ttl=0.2)
+                    stop = mine.run(place, "resume", name="two", lease_ttl_seconds=0.2)
                 wrong += [] if stop.succeeded else [stop.message]
                 took = time.monotonic() - began
             wrong += find_violations(place.file, mine.plan, whole=True)
@@ -92,7 +89,7 @@
         time.sleep(0.005)
     began = time.monotonic()
     wrong = find_violations(place.file, mine.plan)
-    stop = mine.run(place, "resume", name="two", ttl=0.2)
+    stop = mine.run(place, "resume", name="two", lease_ttl_seconds=0.2)
     took = time.monotonic() - began
     wrong += [] if stop.succeeded else [stop.message]
     process.send_signal(signal.SIGCONT)
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -1,13 +1,14 @@
-"""The store of steps with faults, and with a place where units file effectful lookups, for tests and days.
+"""The migration store with seeded faults, and with a table that endpoints write to, for tests and scenarios.
 
-Run as `python -m lanelead.testbed.emulators.migration_store FILE PORT [FOLDER]`; it is told what to do by lines on its
-standard input, so that its socket carries what the store's would. One order acts once, after `skip` others:
+Run as `python -m lanelead.testbed.emulators.migration_store FILE PORT [FOLDER]`; faults are requested by JSON lines on
+its standard input (see StoreFault), so that its socket carries what a real store's would. A fault acts once, after
+`skip` other occasions, unless it says "from now on":
 
- refuse, early   answers 503 before anything is done; never answers, and does nothing
- drop, hang      does it, and closes the connection without an answer; does it, and never answers
- late            does it only some seconds later, and never answers
- cut, kill       at a named point of a transaction: rolls back and resets; kills its own process
- full, slow      from now on: no page more fits on the disk; every effect takes so many seconds
+ refuse, early   replies 503 before anything is done; never replies, and does nothing
+ drop, hang      carries the call out, and closes the connection without a reply; carries it out, and never replies
+ late            carries the call out only `size` seconds later, and never replies
+ cut, kill       at a named point of a transaction: rolls back and resets the connection; kills its own process
+ full, slow      from now on: no page more fits on the disk (`on`: false ends this); every effect takes `size` seconds
 """
 
 from __future__ import annotations
@@ -34,91 +35,120 @@
 from lanelead.store.service import MigrationStoreServer, serve
 from lanelead.testbed.emulators.event_recording import Tap
 
+TRANSACTION_FAULTS = ("kill", "cut")
+CALL_FAULTS = ("refuse", "early", "drop", "hang", "late")
+UNLIMITED_PAGES = 2**30
+UNLIMITED_ENTRIES = 10**6
+
 
 class ConnectionCutError(Exception):
-    pass
+    """A seeded cut inside a transaction: it is rolled back, and the connection reset."""
+
+
+class StoreFault(msgspec.Struct):
+    """A requested fault. `at`: the path of the call, or the point of the transaction, that it acts on."""
+
+    kind: str
+    at: str = ""
+    skip: int = 0
+    size: float = 0.0
+    on: bool = True
 
 
 class FaultyMigrationStoreServer(MigrationStoreServer):
-    def __init__(self, ledger: MigrationStore, tap: Tap | None = None) -> None:
-        super().__init__(ledger)
-        self._tap, self._pending_faults = tap, list[dict[str, Any]]()
+    """A store that injects faults and records what passes; `tap` takes the events."""
+
+    def __init__(self, store: MigrationStore, tap: Tap | None = None) -> None:
+        super().__init__(store)
+        self._tap = tap
+        self._pending_faults: list[StoreFault] = []
         self._apply_delay_seconds = 0.0
         self._log = MigrationLog()
-        ledger.fault_hook = self._transaction_point
-        for logged in ledger.read_page(0, 10**6).entries:
+        store.fault_hook = self._transaction_point
+        for logged in store.read_page(0, UNLIMITED_ENTRIES).entries:
             self._log.append(logged)
 
-    def record_event(self, what: str, **facts: Any) -> None:
+    def record_event(self, event: str, **fields: Any) -> None:
+        """Records an event for the verifier."""
         if self._tap is not None:
-            self._tap.note(what, **facts)
+            self._tap.note(event, **fields)
 
     # Faults
 
     def inject(self, order: dict[str, Any]) -> None:
-        if order["kind"] == "slow":
-            self._apply_delay_seconds = order["size"]
-        elif order["kind"] == "full":
+        """Takes a fault, as a StoreFault's fields. Raises msgspec.ValidationError."""
+        fault = msgspec.convert(order, StoreFault)
+        if fault.kind == "slow":
+            self._apply_delay_seconds = fault.size
+        elif fault.kind == "full":
             pages = self.store.connection.execute("PRAGMA page_count").fetchone()[0]
-            self.store.connection.execute(f"PRAGMA max_page_count = {pages if order.get('on', True) else 2**30}")
+            self.store.connection.execute(f"PRAGMA max_page_count = {pages if fault.on else UNLIMITED_PAGES}")
         else:
-            self._pending_faults.append(order)
+            self._pending_faults.append(fault)
         self.record_event("order", **order)
 
-    def _fault_due(self, kinds: tuple[str, ...], where: str) -> dict[str, Any] | None:
-        for order in self._pending_faults:
-            if order["kind"] in kinds and order["at"] == where:
-                order["skip"] = order.get("skip", 0) - 1
-                if order["skip"] < 0:
-                    self._pending_faults.remove(order)
-                    self.record_event("fault", kind=order["kind"], at=where)
-                    return order
+    def _fault_due(self, kinds: tuple[str, ...], at: str) -> StoreFault | None:
+        """Takes the first fault that is due on this occasion; counts it for those that still skip some."""
+        for fault in self._pending_faults:
+            if fault.kind in kinds and fault.at == at:
+                fault.skip -= 1
+                if fault.skip < 0:
+                    self._pending_faults.remove(fault)
+                    self.record_event("fault", kind=fault.kind, at=at)
+                    return fault
         return None
 
     def _transaction_point(self, point: str) -> None:
         if point == "apply.mid" and self._apply_delay_seconds:
             time.sleep(self._apply_delay_seconds)
-        order = self._fault_due(("kill", "cut"), point)
-        if order is not None and order["kind"] == "kill":
+        fault = self._fault_due(TRANSACTION_FAULTS, point)
+        if fault is not None and fault.kind == "kill":
             os.kill(os.getpid(), signal.SIGKILL)
-        elif order is not None:
+        elif fault is not None:
             raise ConnectionCutError
 
-    def request_received(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        path = ask.target.partition(b"?")[0].decode("latin-1")
+    # Calls
+
+    def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Serves a request, with the fault that is due."""
+        path = request.target.partition(b"?")[0].decode("latin-1")
         if path == "/file":
-            self._check_schema(caller, ask)
+            self._check_schema(connection, request)
             return
-        order = self._fault_due(("refuse", "early", "drop", "hang", "late"), path)
-        kind = order["kind"] if order is not None else ""
-        if kind == "refuse":
-            caller.write(serialization.response(503, (), b"", False))
-            caller.close()
-        elif kind == "early":
-            return
-        elif kind == "late":
-            assert order is not None
-            asyncio.get_running_loop().call_later(order["size"], self._serve, ServerConnection(lambda *_: None), ask)
-        elif kind in ("drop", "hang"):
-            self._serve(ServerConnection(lambda *_: None), ask)
-            if kind == "drop":
-                caller.reset()
+        fault = self._fault_due(CALL_FAULTS, path)
+        if fault is None:
+            self._serve(connection, request)
         else:
-            self._serve(caller, ask)
-
-    def _serve(self, caller: ServerConnection, ask: HttpRequest) -> None:
+            self._serve_with_fault(connection, request, fault)
+
+    def _serve_with_fault(self, connection: ServerConnection, request: HttpRequest, fault: StoreFault) -> None:
+        nobody = ServerConnection(lambda *_: None)  # takes the reply that is not to be sent
+        match fault.kind:
+            case "refuse":
+                connection.write(serialization.response(503, (), b"", False))
+                connection.close()
+            case "late":
+                asyncio.get_running_loop().call_later(fault.size, self._serve, nobody, request)
+            case "hang":
+                self._serve(nobody, request)
+            case "drop":
+                self._serve(nobody, request)
+                connection.reset()
+
+    def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
         try:
-            super().request_received(caller, ask)
+            super().request_received(connection, request)
         except ConnectionCutError:
             self.record_new_entries()
-            caller.reset()
+            connection.reset()
 
-    # What passed
+    # Recording
 
-    def handle(self, method: str, path: str, ask: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
-        status, body = super().handle(method, path, ask, query)
+    def handle(self, method: str, path: str, request: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
+        """Records effects, acknowledgements and leases besides."""
+        status, body = super().handle(method, path, request, query)
         if path == "/apply":
-            sent = msgspec.json.decode(ask.body) if status in (200, 409, 422) else {}
+            sent = msgspec.json.decode(request.body) if status in (200, 409, 422) else {}
             self.record_event(
                 "effect_asked",
                 status=status,
@@ -128,60 +158,65 @@
                 said=msgspec.json.decode(body),
             )
         elif path in ("/seen", "/lease", "/forget"):
-            self.record_event("said", path=path, status=status, body=msgspec.json.decode(ask.body))
+            self.record_event("said", path=path, status=status, body=msgspec.json.decode(request.body))
         return status, body
 
     def entry_written(self, logged: LoggedEntry) -> None:
+        """Records the entry before the watchers get it."""
         self.record_new_entries()
         super().entry_written(logged)
 
     def record_new_entries(self) -> None:
-        """Takes note of all that is on disk: an entry may be, though its call was cut."""
+        """Records all entries on disk that are not yet: one may be there though its call was cut."""
         for logged in self.store.read_page(self._log.last_seq).entries:
             self._log.append(logged)
             self.record_event("entry", **msgspec.to_builtins(logged))
             self.entry_recorded(logged)
 
-    def entry_recorded(self, logged: LoggedEntry) -> None: ...
+    def entry_recorded(self, logged: LoggedEntry) -> None:
+        """Called with each recorded entry; for subclasses."""
 
-    def _check_schema(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        """A unit writes what an effectful lookup is for, as its build does, into the schema as it stands."""
+    def _check_schema(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Carries out the write of an endpoint's effectful request, as its build does, on the current schema."""
         try:
-            told = decode(ask.body, SchemaCheck)
-        except MessageError as fault:
-            caller.write(serialization.response(400, (), str(fault).encode(), ask.keep))
+            check = decode(request.body, SchemaCheck)
+        except MessageError as error:
+            connection.write(serialization.response(400, (), str(error).encode(), request.keep))
             return
-        ready, why = self._log.is_ready(told.build), ""
+        ready = self._log.is_ready(check.build)
+        failure = ""
         try:
-            if told.write:
-                self.store.connection.execute(told.write, {"op": told.op} if ":op" in told.write else {})
-        except sqlite3.Error as fault:
-            why = str(fault)
-        self.record_event("filed", build=told.build, op=told.op, ready=ready, why=why, seq=self._log.last_seq)
-        status = 409 if why else 200
-        body = encode(RejectedCall("failed", why)) if why else b"{}"
-        caller.write(serialization.response(status, (), body, ask.keep))
+            if check.write:
+                self.store.connection.execute(check.write, {"op": check.op} if ":op" in check.write else {})
+        except sqlite3.Error as error:
+            failure = str(error)
+        self.record_event("filed", build=check.build, op=check.op, ready=ready, why=failure, seq=self._log.last_seq)
+        status = 409 if failure else 200
+        body = encode(RejectedCall("failed", failure)) if failure else b"{}"
+        connection.write(serialization.response(status, (), body, request.keep))
 
 
 async def _run(file: str, port: int, folder: str | None) -> None:
     tap = Tap(Path(folder), "store") if folder else None
-    store = FaultyMigrationStoreServer(MigrationStore(file), tap)
+    server = FaultyMigrationStoreServer(MigrationStore(file), tap)
     reader = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    loop = asyncio.get_running_loop()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    async def orders() -> None:
+    async def take_faults() -> None:
         while line := await reader.readline():
-            store.inject(msgspec.json.decode(line))
+            server.inject(msgspec.json.decode(line))
             sys.stdout.write("told\n")
             sys.stdout.flush()
-        os.kill(os.getpid(), signal.SIGTERM)  # whoever started it has gone
+        os.kill(os.getpid(), signal.SIGTERM)  # the process that started this one has ended
 
-    task = asyncio.get_running_loop().create_task(orders())
-    await serve(store, port)
+    task = loop.create_task(take_faults())
+    await serve(server, port)
     task.cancel()
 
 
 def main() -> None:
+    """Serves FILE at PORT until SIGTERM; with FOLDER, events are recorded there."""
     uvloop.run(_run(sys.argv[1], int(sys.argv[2]), sys.argv[3] if len(sys.argv) > 3 else None))
 
 
