--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -1,4 +1,4 @@
-"""What the record of steps means for a relay: on the module, on the driver, and over sockets."""
+"""What the migration log means for a relay: in the module, in the driver, and over sockets."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
     step("end", "b", kind="contract"),
     builds=(Demands(1, [], ["end"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
 )
-TAKEN = LogEntry("plan", text=Goal(PLAN).plan_json)
+PLAN_ENTRY = LogEntry("plan", text=Goal(PLAN).plan_json)
 
 
 def page(*entries: LogEntry, since: int = 0) -> MigrationLogPage:
-    rows = [LoggedEntry(since + n, 1, "r", 0.0, entry) for n, entry in enumerate(entries, 1)]
-    return MigrationLogPage(rows, since + len(rows))
+    logged = [LoggedEntry(since + n, 1, "r", 0.0, entry) for n, entry in enumerate(entries, 1)]
+    return MigrationLogPage(logged, since + len(logged))
 
 
-class OnTheModule(unittest.TestCase):
+class ReadinessRules(unittest.TestCase):
     def readiness(self, *entries: LogEntry) -> Readiness:
         found = Readiness(SECOND, 0)
-        found.entries_received(page(TAKEN, *entries).entries)
+        found.entries_received(page(PLAN_ENTRY, *entries).entries)
         return found
 
-    def trip(self, sent: int = 0) -> Attempt:
+    def attempt(self, sent: int = 0) -> Attempt:
         request = Request(LANES[0], None, None, sent, sent + 2 * SECOND)
         return Attempt(request, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
 
-    def test_before_the_record_is_heard_only_the_earliest_listed_build_is_there(self) -> None:
+    def test_before_the_log_is_received_only_the_earliest_listed_build_has_traffic(self) -> None:
         readiness = Readiness(SECOND, 0)
         readiness.builds_listed([2, 1, 2])
         self.assertEqual((readiness.accepts_traffic(1), readiness.accepts_traffic(2)), (True, False))
         readiness.entries_received([])
         self.assertTrue(readiness.accepts_traffic(2))
 
-    def test_a_build_waits_for_the_needs_of_its_stage_and_a_vote_for_the_next_ones(self) -> None:
+    def test_a_build_waits_for_the_needs_of_its_stage_and_a_promotion_for_the_next_ones(self) -> None:
         readiness = self.readiness(*through("a"))
         readiness.rollout_changed(2, 0, True)
         self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, False))
@@ -59,56 +59,56 @@
         readiness.entries_received(page(*through("b"), since=3).entries)
         self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, True))
 
-    def test_a_closing_is_seen_when_nothing_is_out_that_it_forbids(self) -> None:
+    def test_a_barrier_is_acknowledged_when_nothing_is_in_flight_that_it_forbids(self) -> None:
         readiness = self.readiness(*through("a", "b"))
-        mine, other = self.trip(), self.trip()
-        readiness.attempt_sent(1, mine)
-        readiness.attempt_sent(2, other)
+        forbidden, allowed = self.attempt(), self.attempt()
+        readiness.attempt_sent(1, forbidden)
+        readiness.attempt_sent(2, allowed)
         self.assertEqual(readiness.acknowledgement_due(0), 0)
         readiness.entries_received(page(LogEntry("closing", "end"), since=5).entries)
         self.assertEqual((readiness.accepts_traffic(1), readiness.acknowledgement_due(0)), (False, 0))
-        readiness.attempt_ended(mine, True)
+        readiness.attempt_ended(forbidden, True)
         self.assertEqual(readiness.acknowledgement_due(0), 6)
         readiness.acknowledged_seq = 6
         self.assertEqual(readiness.acknowledgement_due(0), 0)
 
-    def test_a_trip_with_no_known_end_may_still_run_until_its_limit_and_the_grace(self) -> None:
+    def test_an_attempt_with_an_unknown_end_may_still_run_until_its_timeout_and_the_grace(self) -> None:
         readiness = self.readiness(*through("a", "b"), LogEntry("closing", "end"))
-        lost = self.trip(100)
-        readiness.attempt_sent(1, lost)
-        readiness.attempt_ended(lost, False)
+        unknown_end = self.attempt(100)
+        readiness.attempt_sent(1, unknown_end)
+        readiness.attempt_ended(unknown_end, False)
         self.assertEqual(readiness.acknowledgement_due(100 + 3 * SECOND - 1), 0)
         self.assertEqual(readiness.acknowledgement_due(100 + 3 * SECOND), 6)
 
-    def test_a_relay_that_has_just_started_does_not_vouch_for_its_earlier_life(self) -> None:
+    def test_a_relay_that_has_just_started_does_not_acknowledge_for_its_earlier_process(self) -> None:
         readiness = Readiness(SECOND, 5 * SECOND)
-        readiness.entries_received(page(TAKEN, *through("a", "b"), LogEntry("closing", "end")).entries)
+        readiness.entries_received(page(PLAN_ENTRY, *through("a", "b"), LogEntry("closing", "end")).entries)
         self.assertEqual(
             (readiness.acknowledgement_due(5 * SECOND - 1), readiness.acknowledgement_due(5 * SECOND)), (0, 6)
         )
 
-    def test_a_record_that_follows_no_rules_is_refused_and_what_came_before_stays(self) -> None:
+    def test_a_log_that_breaks_a_rule_is_rejected_and_what_came_before_stays(self) -> None:
         readiness = self.readiness(*through("a"))
         with self.assertRaises(MessageError):
             readiness.entries_received(page(LogEntry("done", "b"), since=3).entries)
         self.assertTrue(readiness.accepts_traffic(2))
-        readiness.entries_received(page(TAKEN, *through("a")).entries)  # a stream that begins anew
+        readiness.entries_received(page(PLAN_ENTRY, *through("a")).entries)  # a stream that begins anew
         self.assertEqual(readiness.log.last_seq, 3)
 
 
-class OnTheDriver(unittest.TestCase):
+class ReadinessInTheDriver(unittest.TestCase):
     def setUp(self) -> None:
         self.stage = Stage()
         self.driver = self.stage.driver
         self.driver.readiness = Readiness(SECOND, 0)
-        self.driver.migrations_read(page(TAKEN))
+        self.driver.migrations_read(page(PLAN_ENTRY))
         self.stage.listed("full", *(self.stage.row(n, build=1 + n % 2) for n in range(4)))
         self.driver.rollout_read(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
-    def builds(self, many: int = 40) -> set[int]:
-        """The builds that lookups go to."""
+    def builds(self, count: int = 40) -> set[int]:
+        """The builds that requests go to."""
         before = len(self.stage.hands.sent)
-        for _ in range(many):
+        for _ in range(count):
             self.stage.hands.now += SECOND // 10
             self.driver.tick()
             self.stage.ask()
@@ -117,27 +117,27 @@
                     self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
         return {self.driver.destinations[attempt.endpoint].build for _, attempt in self.stage.hands.sent[before:]}
 
-    def test_a_build_has_no_trip_until_its_step_is_done_and_then_has_some(self) -> None:
+    def test_a_build_has_no_attempt_until_its_step_is_done_and_then_has_some(self) -> None:
         self.assertEqual(self.builds(), {1})
         self.driver.migrations_read(page(*through("a"), since=1))
         self.stage.run(30 * SECOND)  # what the earlier build did lately is forgotten
         self.assertIn(2, self.builds())
 
-    def test_a_record_that_has_become_shorter_is_refused_and_what_was_known_stays(self) -> None:
+    def test_a_log_that_has_become_shorter_is_rejected_and_what_was_known_stays(self) -> None:
         self.driver.migrations_read(page(*through("a"), since=1))
         with self.assertRaisesRegex(MessageError, "1 entries, of which 3 were read"):
-            self.driver.migrations_read(page(TAKEN))
+            self.driver.migrations_read(page(PLAN_ENTRY))
         self.stage.run(30 * SECOND)
         self.assertIn(2, self.builds())
 
-    def test_a_trip_that_was_chosen_before_a_closing_is_not_written_after_it(self) -> None:
+    def test_an_attempt_that_was_chosen_before_a_barrier_is_not_written_after_it(self) -> None:
         self.stage.ask()
         attempt = self.stage.hands.sent[-1][1]
         self.assertIsNotNone(self.driver.destination_of(attempt))
         self.driver.migrations_read(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
         self.assertIsNone(self.driver.destination_of(attempt))
 
-    def test_a_vote_on_past_the_stage_waits_and_a_vote_back_does_not(self) -> None:
+    def test_a_vote_to_promote_past_the_stage_waits_and_one_to_roll_back_does_not(self) -> None:
         self.driver.migrations_read(page(*through("a"), since=1))
         self.driver.decisions.actions += [CastVote(2, 0, Verdict.PROMOTE), CastVote(2, 0, Verdict.ROLL_BACK)]
         self.driver._carry()
@@ -148,27 +148,27 @@
         self.driver._carry()
         self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.PROMOTE)
 
-    def test_a_unit_that_drains_stays_draining_whatever_its_build_may(self) -> None:
+    def test_an_endpoint_that_drains_stays_draining_whatever_its_build_may(self) -> None:
         self.stage.listed("changes", *(self.stage.row(n, build=2, condition="draining") for n in (1, 3)))
         self.driver.migrations_read(page(*through("a"), since=1))
         self.stage.run(30 * SECOND)
         self.assertEqual(self.builds(), {1})
 
 
-class OverSockets(unittest.TestCase):
+class ReadinessOverSockets(unittest.TestCase):
     @live
-    async def test_a_relay_withholds_lets_go_and_says_when_it_has_seen_a_closing(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            store = FaultyMigrationStoreServer(MigrationStore(Path(folder, "store.db")))
-            port = await store.start(0)
-            token = store.store.acquire_lease(LeaseRequest("test", 60_000))
+    async def test_a_relay_withholds_releases_and_acknowledges_a_barrier(self) -> None:
+        with tempfile.TemporaryDirectory() as directory:
+            server = FaultyMigrationStoreServer(MigrationStore(Path(directory, "store.db")))
+            port = await server.start(0)
+            token = server.store.acquire_lease(LeaseRequest("test", 60_000))
 
             def write(*entries: LogEntry) -> int:
                 for entry in entries:
-                    store.entry_written(store.store.append(AppendRequest(token, store.store.last_seq(), entry)))
-                return store.store.last_seq()
+                    server.entry_written(server.store.append(AppendRequest(token, server.store.last_seq(), entry)))
+                return server.store.last_seq()
 
-            write(TAKEN)
+            write(PLAN_ENTRY)
             old, new = ScriptedUnit("old", says(b"old")), ScriptedUnit("new", says(b"new"))
             feed = f"steps: {{address: port: {port}, least_wait_ms: 20}}"
             async with town(old, new, top=feed) as place:
@@ -176,8 +176,8 @@
                 place.desk.offer(2)
                 client = await Client.to(place)
 
-                async def bodies(many: int) -> set[bytes]:
-                    return {(await client.ask("GET", "/x"))[2] for _ in range(many)}
+                async def bodies(count: int) -> set[bytes]:
+                    return {(await client.ask("GET", "/x"))[2] for _ in range(count)}
 
                 await asyncio.sleep(0.3)
                 self.assertEqual(await bodies(30), {b"old"})
@@ -188,9 +188,9 @@
                 while b"old" in (seen := await bodies(5)):
                     await asyncio.sleep(0.05)
                 self.assertEqual(seen, {b"new"})
-                while store.store.unacknowledged_relays(last):
+                while server.store.unacknowledged_relays(last):
                     await asyncio.sleep(0.05)
-                store.close()  # it goes on with what it knew
+                server.close()  # it goes on with what it knew
                 await asyncio.sleep(0.2)
                 self.assertEqual(await bodies(10), {b"new"})
                 self.assertFalse(state_of(place)["feeds"]["steps"])
