--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -23,7 +23,7 @@
 
 from lanelead.migrations.errors import InvalidEntryError
 from lanelead.migrations.plan import execution_order
-from lanelead.protocols.migrations import Direction, LogEntry, LoggedEntry
+from lanelead.protocols.migrations import BARRIER, Direction, LogEntry, LoggedEntry
 from lanelead.settings.records import Demands, Step, Steps
 
 
@@ -118,11 +118,12 @@
         if violation is not None:
             raise violation
         state = self.steps[entry.step]
+        if entry.kind == BARRIER:
+            state.status = StepStatus.AT_BARRIER
+            state.direction = entry.direction
+            state.barrier_seq = seq
+            return
         match entry.kind:
-            case "closing":
-                state.status = StepStatus.AT_BARRIER
-                state.direction = entry.direction
-                state.barrier_seq = seq
             case "intent":
                 state.status = StepStatus.IN_PROGRESS
                 state.direction = entry.direction
@@ -214,7 +215,7 @@
         state = self.steps.get(entry.step)
         if state is None:
             return InvalidEntryError(f"no step {entry.step!r}")
-        if entry.kind in ("closing", "intent"):
+        if entry.kind in (BARRIER, "intent"):
             return self._begin_violation(state, entry)
         return _outcome_violation(state, entry)
 
@@ -224,7 +225,7 @@
             return InvalidEntryError(f"{other.step.name!r} is {other.status.value}", rule=2)
         name = state.step.name
         if state.status is StepStatus.AT_BARRIER:
-            if entry.kind == "closing":
+            if entry.kind == BARRIER:
                 return InvalidEntryError(f"{name!r} is at its barrier already", rule=2)
             if entry.direction != state.direction or entry.barrier_seq != state.barrier_seq:
                 return InvalidEntryError(
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -30,7 +30,15 @@
     WaitingForRelays,
 )
 from lanelead.migrations.migration_log import MigrationLog, StepState, StepStatus
-from lanelead.protocols.migrations import ApplyRequest, BatchRange, Direction, EffectProgress, LogEntry
+from lanelead.protocols.migrations import (
+    BARRIER,
+    UNACKNOWLEDGED,
+    ApplyRequest,
+    BatchRange,
+    Direction,
+    EffectProgress,
+    LogEntry,
+)
 from lanelead.settings.records import Steps
 
 MAX_ATTEMPTS = 4  # for one intent whose outcome stays unknown, before it is logged as failed
@@ -166,7 +174,8 @@
         return self._append(log, LogEntry("resumed", name, state.direction))
 
     def _next_step(self, log: MigrationLog) -> PendingCall:
-        plan, last_step = self.goal.plan, self.goal.last_step
+        plan = self.goal.plan
+        last_step = self.goal.last_step
         states = [state for state in log.steps.values() if state.plan_name == plan.name]
         if last_step and last_step not in [state.step.name for state in states]:
             return RunResult(False, f"no step {last_step!r} in plan {plan.name!r}")
@@ -189,7 +198,7 @@
         ended = log.builds_ended_by(state, direction)
         if ended and direction == "apply" and not self.goal.allow_ending_rollback:
             return RunResult(False, f"{name!r} would make a rollback to build {ended[0]} impossible: say --past-back")
-        entry = LogEntry("closing", name, direction) if ended else LogEntry("intent", name, direction)
+        entry = LogEntry(BARRIER if ended else "intent", name, direction)
         violation = log.violation(entry)
         if violation is not None:
             return RunResult(False, str(violation))
@@ -222,7 +231,7 @@
             return replace(self, result=RunResult(False, "another runner has taken over"))
         if rejected.reason == "failed" and isinstance(call, ApplyPart):
             return replace(self, failure_reason=rejected.message or "the store rejected it", progress=None)
-        if rejected.reason == "unseen":
+        if rejected.reason == UNACKNOWLEDGED:
             return replace(self, acknowledged=False)
         return replace(self, result=RunResult(False, rejected.message or rejected.reason))
 
--- a/lanelead/protocols/migrations.py
+++ b/lanelead/protocols/migrations.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from typing import Annotated, Final, Literal
 
 import msgspec
 from msgspec import Meta
@@ -14,9 +14,10 @@
 from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
 Direction = Literal["apply", "undo"]
-# "closing" is the barrier entry: relays stop sending to the builds that the step ends, and acknowledge it.
 EntryKind = Literal["plan", "closing", "intent", "done", "failed", "resumed", "dropped"]
 RejectionReason = Literal["held", "fenced", "behind", "unseen", "failed", "no intent", "malformed"]
+BARRIER: Final = "closing"  # the entry after which relays withhold the builds that the step ends, and acknowledge
+UNACKNOWLEDGED: Final = "unseen"
 Ident = Annotated[str, Meta(pattern=r"^[A-Za-z_][A-Za-z0-9_]{0,63}$")]
 Statement = Annotated[str, Meta(max_length=65536)]
 
--- a/lanelead/store/migration_store.py
+++ b/lanelead/store/migration_store.py
@@ -21,6 +21,7 @@
 import msgspec
 
 from lanelead.protocols.migrations import (
+    UNACKNOWLEDGED,
     AppendRequest,
     ApplyRequest,
     BatchRange,
@@ -162,7 +163,7 @@
             barrier_seq = request.entry.barrier_seq
             relays = self.unacknowledged_relays(barrier_seq) if barrier_seq else []
             if relays:
-                raise StoreRejectedError("unseen", f"relays {relays}")
+                raise StoreRejectedError(UNACKNOWLEDGED, f"relays {relays} have not acknowledged entry {barrier_seq}")
             logged = LoggedEntry(last_seq + 1, request.token, runner, time.time() * 1000, request.entry)
             body = msgspec.json.encode(request.entry)
             connection.execute(
@@ -189,12 +190,12 @@
         """A relay is about to receive the log: from now on barriers wait for it."""
         query = f"SELECT 1 FROM {TABLE_PREFIX}seen WHERE relay = ?"
         if self._connection.execute(query, (relay,)).fetchone() is None:
-            with self._transaction("told") as connection:
+            with self._transaction("register") as connection:
                 connection.execute(f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, 0)", (relay,))
 
     def acknowledge(self, relay: int, seq: int) -> None:
         """A relay acknowledges all entries up to `seq`; what is not in the log yet is not acknowledged."""
-        with self._transaction("seen") as connection:
+        with self._transaction("acknowledge") as connection:
             connection.execute(
                 f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, ?) "
                 "ON CONFLICT (relay) DO UPDATE SET seq = MAX(seq, excluded.seq)",
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -20,7 +20,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, Literal
 
 import msgspec
 import uvloop
@@ -35,6 +35,7 @@
 from lanelead.store.service import MigrationStoreServer, serve
 from lanelead.testbed.emulators.event_recording import Tap
 
+FaultKind = Literal["refuse", "early", "drop", "hang", "late", "cut", "kill", "full", "slow"]
 TRANSACTION_FAULTS = ("kill", "cut")
 CALL_FAULTS = ("refuse", "early", "drop", "hang", "late")
 UNLIMITED_PAGES = 2**30
@@ -48,7 +49,7 @@
 class StoreFault(msgspec.Struct):
     """A requested fault. `at`: the path of the call, or the point of the transaction, that it acts on."""
 
-    kind: str
+    kind: FaultKind
     at: str = ""
     skip: int = 0
     size: float = 0.0
--- a/lanelead/testbed/emulators/running_stores.py
+++ b/lanelead/testbed/emulators/running_stores.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from lanelead.protocols.migrations import LoggedEntry
+from lanelead.protocols.migrations import BARRIER, LoggedEntry
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
 
@@ -38,7 +38,7 @@
 
     def entry_recorded(self, logged: LoggedEntry) -> None:
         """Acknowledges a barrier entry a moment later."""
-        if logged.entry.kind == "closing":
+        if logged.entry.kind == BARRIER:
             loop = asyncio.get_running_loop()
             loop.call_later(ACKNOWLEDGEMENT_DELAY_SECONDS, self.store.acknowledge, 0, logged.seq)
 
--- a/lanelead/testbed/simulation/migrations.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -30,7 +30,7 @@
 from lanelead.migrations.errors import InvalidEntryError
 from lanelead.migrations.migration_log import MigrationLog, StepStatus
 from lanelead.migrations.runner import Goal, Runner
-from lanelead.protocols.migrations import ApplyRequest, EffectProgress, LogEntry, LoggedEntry
+from lanelead.protocols.migrations import UNACKNOWLEDGED, ApplyRequest, EffectProgress, LogEntry, LoggedEntry
 
 BACKFILL_PARTS = 2
 MAX_CALLS_TO_COMPLETION = 400
@@ -123,7 +123,7 @@
         if call.after_seq != len(self.entries):
             return self, CallRejected("behind")
         if checks.barrier and call.entry.barrier_seq > self.acknowledged_seq:
-            return self, CallRejected("unseen")
+            return self, CallRejected(UNACKNOWLEDGED)
         return replace(self, entries=(*self.entries, call.entry)), CallCompleted()
 
     def _apply(self, request: ApplyRequest, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
