--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -108,7 +108,7 @@
         place, points = mine.start_store(), list[str]()
         mine.run(place, "take")
         filer = WriteTraffic(place.port, mine.plan)
-        mine.run(place, at=points.append)
+        mine.run(place, on_point=points.append)
         filer.close()
         place.close()
     jobs = [(kind, points[n], n) for kind in ("runner killed", "runner stopped") for n in range(0, len(points), every)]
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -70,7 +70,7 @@
 
     logger: a structlog logger for the run's events; None: none.
     on_progress: called after each call with the log, and the progress of the active intent where it is known.
-    at: called before and after each call with a point's name: tests end the process there.
+    on_point: called before and after each call with a point's name: tests end the process there.
     """
 
     def __init__(
@@ -82,14 +82,14 @@
         options: ExecutorOptions = DEFAULT_OPTIONS,
         logger: Any = None,
         on_progress: Callable[[MigrationLog, EffectProgress | None], None] = lambda log, progress: None,
-        at: Callable[[str], None] = lambda point: None,
+        on_point: Callable[[str], None] = lambda point: None,
     ) -> None:
         self._name = name
         self._client = client
         self._options = options
         self._logger = logger
         self._on_progress = on_progress
-        self._at = at
+        self._on_point = on_point
         self.log = MigrationLog()
         self.runner = Runner(goal)
         self._pacers: dict[int, BatchPacer] = {}  # by intent
@@ -102,7 +102,7 @@
             if isinstance(call, RunResult):
                 await self._release_lease()
                 return call
-            self._at(f"{call.name}.before")
+            self._on_point(f"{call.name}.before")
             reply: Reply
             try:
                 reply = await self._carry_out(call)
@@ -119,7 +119,7 @@
                 return RunResult(False, str(error))
             except InvalidEntryError as error:
                 return RunResult(False, f"the migration log is invalid: {error}")
-            self._at(f"{call.name}.after")
+            self._on_point(f"{call.name}.after")
             self.runner = self.runner.after_reply(call, reply)
             self._on_progress(self.log, self.runner.progress)
 
--- a/lanelead/migrations/readiness.py
+++ b/lanelead/migrations/readiness.py
@@ -59,19 +59,19 @@
         """Takes in the builds of all listed endpoints."""
         self._earliest_build = min(builds, default=self._earliest_build)
 
-    def rollout_changed(self, build: int, stage: int, trial: bool) -> None:
-        """Takes in the rollout's build and stage. `trial`: it is a canary, not yet released or rolled back."""
+    def rollout_changed(self, build: int, stage: int, canary: bool) -> None:
+        """Takes in the rollout's build and stage. `canary`: the build is not yet promoted or rolled back."""
         self._rollout_build = build
-        self._rollout_stage = stage if trial else RELEASED_STAGE
+        self._rollout_stage = stage if canary else RELEASED_STAGE
 
     def attempt_sent(self, build: int, attempt: Attempt) -> None:
         """An attempt's first byte is about to be written."""
         self._in_flight[attempt] = build
 
-    def attempt_ended(self, attempt: Attempt, known: bool) -> None:
-        """An attempt has ended. `known`: the endpoint has replied or never got it; else it may still run there."""
+    def attempt_ended(self, attempt: Attempt, end_known: bool) -> None:
+        """An attempt has ended. `end_known`: the endpoint has replied or never got it; else it may still run there."""
         build = self._in_flight.pop(attempt, None)
-        if build is not None and not known:
+        if build is not None and not end_known:
             over = attempt.sent_at + attempt.timeout + self._grace
             self._may_run_until[build] = max(over, self._may_run_until.get(build, 0))
 
--- a/lanelead/testbed/emulators/crash_injection.py
+++ b/lanelead/testbed/emulators/crash_injection.py
@@ -39,10 +39,12 @@
     """Stands for SIGKILL: nothing below may catch it and clean up."""
 
 
-async def _execute(goal: Goal, port: int, name: str, lease_ttl_seconds: float, at: Callable[[str], None]) -> RunResult:
+async def _execute(
+    goal: Goal, port: int, name: str, lease_ttl_seconds: float, on_point: Callable[[str], None]
+) -> RunResult:
     client = MigrationStoreClient(Address("127.0.0.1", port))
     options = ExecutorOptions(lease_ttl_seconds, PATIENCE_SECONDS)
-    return await MigrationExecutor(goal, name, client, options=options, at=at).run()
+    return await MigrationExecutor(goal, name, client, options=options, on_point=on_point).run()
 
 
 @dataclass
@@ -71,20 +73,20 @@
         store: RunningStore,
         operation: Operation = "run",
         *,
-        at: Callable[[str], None] = lambda point: None,
+        on_point: Callable[[str], None] = lambda point: None,
         name: str = "one",
         lease_ttl_seconds: float = LEASE_TTL_SECONDS,
     ) -> RunResult:
-        """A whole run in this thread. `at`: see MigrationExecutor. Raises RunnerKilledError where `at` does."""
+        """A whole run in this thread. Raises RunnerKilledError where `on_point` does; see MigrationExecutor."""
         goal = Goal(self.plan, operation, allow_ending_rollback=True)
-        return asyncio.run(_execute(goal, store.port, name, lease_ttl_seconds, at))
+        return asyncio.run(_execute(goal, store.port, name, lease_ttl_seconds, on_point))
 
     def points_of_run(self) -> list[str]:
         """The points of a whole run, in order. Raises AssertionError where it goes wrong without a fault."""
         store = self.start_store()
         points: list[str] = []
         try:
-            self.run(store, at=points.append)
+            self.run(store, on_point=points.append)
             violations = find_violations(store.file, self.plan, whole=True)
             if violations:
                 raise AssertionError(violations)
@@ -97,7 +99,7 @@
         store = self.start_store()
         left = number
 
-        def at(point: str) -> None:
+        def on_point(point: str) -> None:
             nonlocal left
             left -= 1
             if left < 0:
@@ -105,7 +107,7 @@
 
         try:
             with contextlib.suppress(RunnerKilledError):
-                self.run(store, at=at)
+                self.run(store, on_point=on_point)
             violations = find_violations(store.file, self.plan)
             return violations + self._resumed(store)
         finally:
@@ -120,7 +122,7 @@
         def run_other() -> None:
             others.append(self.run(store, "resume", name="two"))
 
-        def at(point: str) -> None:
+        def on_point(point: str) -> None:
             nonlocal left
             left -= 1
             if left == -1:
@@ -129,7 +131,7 @@
                 thread.join()
 
         try:
-            result = self.run(store, at=at)
+            result = self.run(store, on_point=on_point)
             violations = [] if others and others[0].succeeded else [f"the other: {others}"]
             if "taken over" not in result.message and "all done" not in result.message:
                 violations.append(f"the late one: {result.message}")
@@ -162,7 +164,7 @@
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Steps)
     left = int(sys.argv[3])
 
-    def at(point: str) -> None:
+    def on_point(point: str) -> None:
         nonlocal left
         left -= 1
         if left == -1:
@@ -170,7 +172,7 @@
 
     goal = Goal(plan, allow_ending_rollback=True)
     name = f"crash-{os.getpid()}"
-    result = asyncio.run(_execute(goal, int(sys.argv[2]), name, PROCESS_LEASE_TTL_SECONDS, at))
+    result = asyncio.run(_execute(goal, int(sys.argv[2]), name, PROCESS_LEASE_TTL_SECONDS, on_point))
     sys.stdout.write(result.message + "\n")
 
 
