--- a/lanelead/http_relay/feed_clients.py
+++ b/lanelead/http_relay/feed_clients.py
@@ -204,7 +204,7 @@
         readiness = self._readiness()
 
         def path() -> bytes:
-            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.record.seq)
+            return b"/record/watch?relay=%d&since=%d" % (self._settings.number, readiness.log.last_seq)
 
         await self._follow(MIGRATIONS, path, feed, self._migrations_received)
 
@@ -217,7 +217,7 @@
         limit = feed.silence_ms / 1000
         while True:
             await asyncio.sleep(feed.least_wait_ms / 1000)
-            due = readiness.owes(self._clock())
+            due = readiness.acknowledgement_due(self._clock())
             if not due:
                 continue
             body = encode(AcknowledgeRequest(self._settings.number, due))
@@ -227,5 +227,5 @@
                 self._log.warning("migration not acknowledged", reason=str(error))
                 continue
             if response.status == 200:
-                readiness.seen = max(readiness.seen, due)
+                readiness.acknowledged_seq = max(readiness.acknowledged_seq, due)
                 self._log.info("migration acknowledged: its traffic has ended", entry=due)
--- a/lanelead/testbed/scenarios/rules/migrations.py
+++ b/lanelead/testbed/scenarios/rules/migrations.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from lanelead.migrations.migration_log import Broken, Record, Stand
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
 from lanelead.protocols.migrations import LoggedEntry
 from lanelead.testbed.scenarios.rules.findings import Finding
 from lanelead.testbed.scenarios.rules.recording import CLOCK_SLACK_SECONDS, Intervals, RecordedEvent, Recording
@@ -17,7 +18,7 @@
     def __init__(self, recording: Recording, finding: Finding) -> None:
         self._recording = recording
         self._finding = finding
-        self._log = Record()
+        self._log = MigrationLog()
         self._effects_had: set[tuple[int, int]] = set()
         self._closed_since: dict[int, float | None] = {}  # since when a build has no traffic, by the log
         self._closed: dict[int, Intervals] = defaultdict(Intervals)
@@ -27,8 +28,8 @@
             return
         self._check_filed()
         self._check_attempts()
-        if (mark := self._log.under_way()) is not None:
-            self._finding.breach(f"{mark.step.name!r} is {mark.stand.value} at the end")
+        if (mark := self._log.active_step()) is not None:
+            self._finding.breach(f"{mark.step.name!r} is {mark.status.value} at the end")
 
     def _read_log(self) -> bool:
         """Goes through the log with its effects; false where it follows no rules."""
@@ -39,8 +40,8 @@
                 continue
             logged = msgspec.convert({key: event[key] for key in LoggedEntry.__struct_fields__}, LoggedEntry)
             try:
-                self._log.add(logged)
-            except Broken as error:
+                self._log.append(logged)
+            except InvalidEntryError as error:
                 self._finding.breach(f"entry {logged.seq}: {error}")
                 return False
             self._finding.seen += 1
@@ -52,7 +53,7 @@
 
     def _note_closed_builds(self, now: float) -> None:
         for build in self._log.builds():
-            ready = self._log.ready(build)
+            ready = self._log.is_ready(build)
             since = self._closed_since.get(build)
             if ready and since is not None:
                 self._closed[build].add(since, now)
@@ -65,8 +66,8 @@
             return
         self._finding.seen += 1
         intent = event["intent"]
-        mark = self._log.under_way()
-        if mark is None or mark.stand is not Stand.INTENDED or mark.intent != intent:
+        mark = self._log.active_step()
+        if mark is None or mark.status is not StepStatus.IN_PROGRESS or mark.intent_seq != intent:
             self._finding.breach(f"part {event['part']} of intent {intent} had, which is not under way")
         self._effects_had.add((intent, event["part"]))
         parts = {part for other, part in self._effects_had if other == intent}
--- a/lanelead/testbed/simulation/migrations.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -1,6 +1,6 @@
-"""Runners, one store and all that can go wrong between them, as values: for a search through every order.
+"""Migration runners, one store and all that can go wrong between them, as values: for a search of every order.
 
-Nothing here has a clock: a lease may end at any moment, a relay see a closing at any later one, a request be
+Nothing here has a clock: a lease may end at any moment, a relay acknowledge a barrier at any later one, a call be
 carried out long after its sender gave up on it. What is true in every order is true of every clock.
 """
 
@@ -11,252 +11,316 @@
 from dataclasses import dataclass, replace
 from functools import lru_cache
 
-from lanelead.migrations import runner
-from lanelead.migrations.migration_log import Broken, Mark, Record, Stand
-from lanelead.migrations.runner import Append, Apply, Goal, Reply, Runner, Want
-from lanelead.protocols.migrations import ApplyRequest, EffectProgress, LogEntry, LoggedEntry
-
-PARTS = 2  # of a backfill
-
-
-class Breach(Exception):
-    """Something happened that must not in any order; the text says what."""
+from lanelead.migrations.calls import (
+    AcquireLease,
+    AppendEntry,
+    ApplyPart,
+    CallCompleted,
+    CallRejected,
+    LeaseGranted,
+    OutcomeUnknown,
+    PendingCall,
+    QueryProgress,
+    QueryUnacknowledged,
+    ReadLog,
+    Reply,
+    RunResult,
+    WaitingForRelays,
+)
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
+from lanelead.migrations.runner import Goal, Runner
+from lanelead.protocols.migrations import UNACKNOWLEDGED, ApplyRequest, EffectProgress, LogEntry, LoggedEntry
+
+BACKFILL_PARTS = 2
+MAX_CALLS_TO_COMPLETION = 400
+MAX_STATES = 3_000_000
+
+
+class InvariantViolationError(Exception):
+    """Something happened that must not happen in any order; the text says what."""
 
 
 @lru_cache(maxsize=200_000)
-def folded(entries: tuple[LogEntry, ...]) -> Record:
-    """The record that some entries make; not to be changed."""
+def replayed(entries: tuple[LogEntry, ...]) -> MigrationLog:
+    """The log that some entries make; not to be changed. Raises InvariantViolationError."""
     if not entries:
-        return Record()
-    record, entry = folded(entries[:-1]).copy(), entries[-1]
+        return MigrationLog()
+    log = replayed(entries[:-1]).copy()
+    entry = entries[-1]
     try:
-        record.add(LoggedEntry(len(entries), 0, "", 0.0, entry))
-    except Broken as fault:
-        raise Breach(f"entry {len(entries)}, {entry.kind} of {entry.step!r}: {fault}") from None
-    return record
+        log.append(LoggedEntry(len(entries), 0, "", 0.0, entry))
+    except InvalidEntryError as error:
+        raise InvariantViolationError(f"entry {len(entries)}, {entry.kind} of {entry.step!r}: {error}") from None
+    return log
 
 
 @dataclass(frozen=True)
-class Guards:
-    """What the store and the runners guard; a search without one must find a breach."""
-
-    fence: bool = True
-    marks: bool = True
-    closing: bool = True
+class SafetyChecks:
+    """The checks of the store and the runners; a search without one must find a violation.
+
+    fencing: the store rejects calls under an earlier token.
+    effect_marks: the store applies no part that is recorded as applied.
+    barrier: an intent waits for the relays' acknowledgement.
+    intent_first: the intent is logged before its effect.
+    """
+
+    fencing: bool = True
+    effect_marks: bool = True
+    barrier: bool = True
     intent_first: bool = True
 
 
-ALL = Guards()
+ALL_CHECKS = SafetyChecks()
 
 
 @dataclass(frozen=True)
-class Shop:
-    """The store, and one relay that watches it."""
+class StoreModel:
+    """The store, and one relay that watches it.
+
+    effects: (intent, part) of each effect, in the order in which they were applied.
+    acknowledged_seq: the last entry that the relay has acknowledged.
+    """
 
     entries: tuple[LogEntry, ...] = ()
     token: int = 0
-    had: tuple[tuple[int, int], ...] = ()  # effects in the order in which they were had: (intent, part)
-    seen: int = 0
-
-    def marks(self, intent: int) -> EffectProgress:
-        parts = sum(1 for of, _ in dict.fromkeys(self.had) if of == intent)
-        return EffectProgress(parts, None, parts >= self.parts(intent))
-
-    def parts(self, intent: int) -> int:
-        entry = self.entries[intent - 1]
-        return PARTS if folded(self.entries[:intent]).marks[entry.step].step.kind == "backfill" else 1
-
-    def do(self, want: Want, guards: Guards) -> tuple[Shop, Reply]:
-        """The store after a request, and its reply."""
-        match want:
-            case runner.Take():
-                return replace(self, token=self.token + 1), runner.Token(self.token + 1)
-            case runner.Read():
-                return self, runner.Done()
-            case runner.Ask(intent):
-                return self, self.marks(intent) if guards.marks else EffectProgress(0)
-            case runner.Unseen(closing):
-                return self, runner.Waiting(() if self.seen >= closing or not guards.closing else (0,))
-            case Append(token, after, entry):
-                if guards.fence and token != self.token:
-                    return self, runner.Refused("fenced")
-                if after != len(self.entries):
-                    return self, runner.Refused("behind")
-                if entry.closed > self.seen and guards.closing:
-                    return self, runner.Refused("unseen")
-                return replace(self, entries=(*self.entries, entry)), runner.Done()
-            case Apply(ask, _, _):
-                return self._apply(ask, guards)
-            case runner.Stop():
-                raise AssertionError("it wants nothing")
-
-    def _apply(self, ask: ApplyRequest, guards: Guards) -> tuple[Shop, Reply]:
-        if guards.fence and ask.token != self.token:
-            return self, runner.Refused("fenced")
-        if guards.intent_first:
-            entry = self.entries[ask.intent - 1] if ask.intent <= len(self.entries) else None
-            if entry is None or entry.kind != "intent":
-                return self, runner.Refused("no intent")
-        if (ask.intent, ask.part) in self.had and guards.marks:
-            return self, self.marks(ask.intent)
-        after = replace(self, had=(*self.had, (ask.intent, ask.part)))
-        after.judge()
-        return after, after.marks(ask.intent)
-
-    def judge(self) -> None:
-        """Was the last effect one that may be had? Raises Breach."""
-        intent, part = self.had[-1]
-        if (intent, part) in self.had[:-1]:
-            raise Breach(f"part {part} of intent {intent} was had twice")
-        record = folded(self.entries)
-        mark = record.under_way()
-        if mark is None or mark.stand is not Stand.INTENDED or mark.intent != intent:
-            raise Breach(f"part {part} of intent {intent} was had while the record says otherwise")
-        if self.entries[intent - 1].closed > self.seen:
-            raise Breach(f"intent {intent} was carried out before the relay had seen its closing")
-        state = self.state()
-        if mark.way == "apply" and any(state.get(name, 0) != self._whole(name) for name in mark.step.after):
-            raise Breach(f"{mark.step.name!r} before what it comes after")
-
-    def _whole(self, name: str) -> int:
-        return PARTS if folded(self.entries).marks[name].step.kind == "backfill" else 1
-
-    def state(self) -> dict[str, int]:
-        """How many parts of each step stand in the schema; an undo takes all of them."""
-        found = dict[str, int]()
-        for intent, _ in self.had:
-            entry = self.entries[intent - 1]
-            found[entry.step] = found.get(entry.step, 0) + 1 if entry.way == "apply" else 0
-        return found
-
-
-class Reversed(Runner):
-    """A planted fault: it has the effect first, and writes the intent after."""
-
-    def want(self, record: Record) -> Want:
-        want = super().want(record)
-        if isinstance(want, Append) and want.entry.kind == "intent" and self.marks is None:
-            mark: Mark = record.marks[want.entry.step]
-            ask = ApplyRequest(self.token, record.seq + 1, 0, tuple(mark.step.apply))
-            return Apply(ask, 1.0, False)
-        return want
+    effects: tuple[tuple[int, int], ...] = ()
+    acknowledged_seq: int = 0
+
+    def progress(self, intent_seq: int) -> EffectProgress:
+        """How much of an intent has been applied, as the store would reply."""
+        parts = sum(1 for intent, _ in dict.fromkeys(self.effects) if intent == intent_seq)
+        return EffectProgress(parts, None, parts >= self.parts_of(intent_seq))
+
+    def parts_of(self, intent_seq: int) -> int:
+        """The parts that complete an intent."""
+        entry = self.entries[intent_seq - 1]
+        kind = replayed(self.entries[:intent_seq]).steps[entry.step].step.kind
+        return BACKFILL_PARTS if kind == "backfill" else 1
+
+    def carry_out(self, call: PendingCall, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
+        """The store after a call, and its reply. Raises InvariantViolationError."""
+        match call:
+            case AcquireLease():
+                return replace(self, token=self.token + 1), LeaseGranted(self.token + 1)
+            case ReadLog():
+                return self, CallCompleted()
+            case QueryProgress(intent_seq):
+                return self, self.progress(intent_seq) if checks.effect_marks else EffectProgress(0)
+            case QueryUnacknowledged(barrier_seq):
+                passed = self.acknowledged_seq >= barrier_seq or not checks.barrier
+                return self, WaitingForRelays(() if passed else (0,))
+            case AppendEntry():
+                return self._append(call, checks)
+            case ApplyPart(request, _, _):
+                return self._apply(request, checks)
+            case RunResult():
+                raise AssertionError("a result is not a call")
+
+    def _append(self, call: AppendEntry, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
+        if checks.fencing and call.token != self.token:
+            return self, CallRejected("fenced")
+        if call.after_seq != len(self.entries):
+            return self, CallRejected("behind")
+        if checks.barrier and call.entry.barrier_seq > self.acknowledged_seq:
+            return self, CallRejected(UNACKNOWLEDGED)
+        return replace(self, entries=(*self.entries, call.entry)), CallCompleted()
+
+    def _apply(self, request: ApplyRequest, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
+        if checks.fencing and request.token != self.token:
+            return self, CallRejected("fenced")
+        if checks.intent_first:
+            logged = request.intent_seq <= len(self.entries)
+            if not logged or self.entries[request.intent_seq - 1].kind != "intent":
+                return self, CallRejected("no intent")
+        if checks.effect_marks and (request.intent_seq, request.part) in self.effects:
+            return self, self.progress(request.intent_seq)
+        after = replace(self, effects=(*self.effects, (request.intent_seq, request.part)))
+        after.check_last_effect()
+        return after, after.progress(request.intent_seq)
+
+    def check_last_effect(self) -> None:
+        """Raises InvariantViolationError where the last effect was not to be applied."""
+        intent_seq, part = self.effects[-1]
+        effect = f"part {part} of intent {intent_seq}"
+        if (intent_seq, part) in self.effects[:-1]:
+            raise InvariantViolationError(f"{effect} was applied twice")
+        active = replayed(self.entries).active_step()
+        if active is None or active.status is not StepStatus.IN_PROGRESS or active.intent_seq != intent_seq:
+            raise InvariantViolationError(f"{effect} was applied while the log says otherwise")
+        if self.entries[intent_seq - 1].barrier_seq > self.acknowledged_seq:
+            raise InvariantViolationError(f"{effect} was applied before the relay had acknowledged its barrier")
+        applied = self.applied_parts()
+        if active.direction == "apply" and any(
+            applied.get(name, 0) != self.whole_parts(name) for name in active.step.after
+        ):
+            raise InvariantViolationError(f"{active.step.name!r} before what it comes after")
+
+    def whole_parts(self, name: str) -> int:
+        """The parts of a step that is wholly applied."""
+        return BACKFILL_PARTS if replayed(self.entries).steps[name].step.kind == "backfill" else 1
+
+    def applied_parts(self) -> dict[str, int]:
+        """How many parts of each step are in the schema; an undo removes all of them."""
+        parts: dict[str, int] = {}
+        for intent_seq, _ in self.effects:
+            entry = self.entries[intent_seq - 1]
+            parts[entry.step] = parts.get(entry.step, 0) + 1 if entry.direction == "apply" else 0
+        return parts
+
+
+class EffectBeforeIntentRunner(Runner):
+    """A seeded fault: it applies the effect first, and logs the intent after."""
+
+    def next_call(self, log: MigrationLog) -> PendingCall:
+        """The call of a correct runner, but the effect where that logs an intent."""
+        call = super().next_call(log)
+        if isinstance(call, AppendEntry) and call.entry.kind == "intent" and self.progress is None:
+            statements = tuple(log.steps[call.entry.step].step.apply)
+            return ApplyPart(ApplyRequest(self.token, log.last_seq + 1, 0, statements), 1.0, False)
+        return call
 
 
 @dataclass(frozen=True)
-class Clerk:
-    """A runner's process: what it is, and how much of the record it has read. None: it has died."""
+class RunnerProcess:
+    """A runner's process: the runner's state, and how many entries of the log it has read."""
 
     runner: Runner
-    known: int = 0
+    known_entries: int = 0
 
-    def want(self, shop: Shop) -> Want:
-        return self.runner.want(folded(shop.entries[: self.known]))
+    def next_call(self, store: StoreModel) -> PendingCall:
+        """The runner's next call, given the log as it has read it."""
+        return self.runner.next_call(replayed(store.entries[: self.known_entries]))
 
-    def heard(self, want: Want, reply: Reply, shop: Shop) -> Clerk:
-        known = self.known
-        if isinstance(reply, runner.Done):
-            known = known + 1 if isinstance(want, Append) else len(shop.entries)
-        return Clerk(self.runner.heard(want, reply), known)
+    def after_reply(self, call: PendingCall, reply: Reply, store: StoreModel) -> RunnerProcess:
+        """The process after a reply; `store` as it is after the call."""
+        known_entries = self.known_entries
+        if isinstance(reply, CallCompleted):
+            known_entries = known_entries + 1 if isinstance(call, AppendEntry) else len(store.entries)
+        return RunnerProcess(self.runner.after_reply(call, reply), known_entries)
 
 
 @dataclass(frozen=True)
-class Scene:
-    """All of it at one moment. `late`: requests whose sender has given up, still to be carried out."""
-
-    shop: Shop
-    clerks: tuple[Clerk, ...]
-    late: tuple[Want, ...] = ()
-    faults: int = 0  # left to happen
-
-    def next(self, guards: Guards, fresh: tuple[Runner, ...]) -> Iterator[Scene]:
-        """Every scene that may come right after. Raises Breach."""
-        if self.shop.seen < len(self.shop.entries):
-            yield replace(self, shop=replace(self.shop, seen=len(self.shop.entries)))
-        for place, want in enumerate(self.late):
-            shop, _ = self.shop.do(want, guards)
-            yield replace(self, shop=shop, late=(*self.late[:place], *self.late[place + 1 :]))
-        for place, clerk in enumerate(self.clerks):
-            want = clerk.want(self.shop)
-            if isinstance(want, runner.Stop):
-                continue
-            yield from self._step(place, clerk, want, guards, fresh)
-
-    def _with(self, place: int, clerk: Clerk) -> tuple[Clerk, ...]:
-        return (*self.clerks[:place], clerk, *self.clerks[place + 1 :])
-
-    def _step(self, place: int, clerk: Clerk, want: Want, guards: Guards, fresh: tuple[Runner, ...]) -> Iterator[Scene]:
-        shop, reply = self.shop.do(want, guards)
-        yield replace(self, shop=shop, clerks=self._with(place, clerk.heard(want, reply, shop)))
-        if not self.faults:
+class ModelState:
+    """All of the model at one moment.
+
+    late_calls: calls whose sender has given up, which may still be carried out.
+    faults_left: the number of faults that may still happen.
+    """
+
+    store: StoreModel
+    processes: tuple[RunnerProcess, ...]
+    late_calls: tuple[PendingCall, ...] = ()
+    faults_left: int = 0
+
+    def successors(self, checks: SafetyChecks, fresh: tuple[Runner, ...]) -> Iterator[ModelState]:
+        """Every state that may come right after. `fresh`: the runners as they start anew.
+
+        Raises InvariantViolationError.
+        """
+        if self.store.acknowledged_seq < len(self.store.entries):
+            yield replace(self, store=replace(self.store, acknowledged_seq=len(self.store.entries)))
+        for index, call in enumerate(self.late_calls):
+            store, _ = self.store.carry_out(call, checks)
+            yield replace(self, store=store, late_calls=(*self.late_calls[:index], *self.late_calls[index + 1 :]))
+        for index, process in enumerate(self.processes):
+            call = process.next_call(self.store)
+            if not isinstance(call, RunResult):
+                yield from self.process_steps(index, call, checks, fresh)
+
+    def with_process(self, index: int, process: RunnerProcess) -> tuple[RunnerProcess, ...]:
+        """The processes, with one replaced."""
+        return (*self.processes[:index], process, *self.processes[index + 1 :])
+
+    def process_steps(
+        self, index: int, call: PendingCall, checks: SafetyChecks, fresh: tuple[Runner, ...]
+    ) -> Iterator[ModelState]:
+        """Every state that may come after a process's call: first without, then with a fault."""
+        process = self.processes[index]
+        store, reply = self.store.carry_out(call, checks)
+        yield replace(self, store=store, processes=self.with_process(index, process.after_reply(call, reply, store)))
+        if not self.faults_left:
             return
-        one = replace(self, faults=self.faults - 1)
-        ignorant = clerk.heard(want, runner.Unknown(), shop)
-        dead = Clerk(fresh[place])
-        yield replace(one, shop=shop, clerks=self._with(place, ignorant))  # the reply was lost
-        yield replace(one, shop=shop, clerks=self._with(place, dead))  # it was killed right after
-        if isinstance(want, Append | Apply):
-            late = (*self.late, want)
-            yield replace(one, late=late, clerks=self._with(place, ignorant))  # carried out later, or never
-            yield replace(one, late=late, clerks=self._with(place, dead))
+        faulty = replace(self, faults_left=self.faults_left - 1)
+        ignorant = self.with_process(index, process.after_reply(call, OutcomeUnknown(), store))
+        restarted = self.with_process(index, RunnerProcess(fresh[index]))
+        yield replace(faulty, store=store, processes=ignorant)  # the reply was lost
+        yield replace(faulty, store=store, processes=restarted)  # the process was killed right after
+        if isinstance(call, AppendEntry | ApplyPart):
+            late_calls = (*self.late_calls, call)  # carried out later, or never
+            yield replace(faulty, late_calls=late_calls, processes=ignorant)
+            yield replace(faulty, late_calls=late_calls, processes=restarted)
 
 
 @dataclass
-class Found:
+class SearchResult:
+    """What a search has found. `violation`: empty where there is none; `path_length`: the steps to it."""
+
     states: int = 0
     ends: int = 0
-    breach: str = ""
-    path: int = 0  # steps to the breach
+    violation: str = ""
+    path_length: int = 0
+
 
+def search(
+    goals: tuple[Goal, ...], faults: int, checks: SafetyChecks = ALL_CHECKS, max_states: int = MAX_STATES
+) -> SearchResult:
+    """Every order of the calls of one runner a goal, with so many faults in all, breadth first.
 
-def search(goals: tuple[Goal, ...], faults: int, guards: Guards = ALL, most: int = 3_000_000) -> Found:
-    """Every order of two runners' requests, with so many faults in all, breadth first. Ends at a breach, or
-    raises OverflowError past `most` states."""
-    kind = Runner if guards.intent_first else Reversed
+    Ends at a violation, or raises OverflowError past `max_states`.
+    """
+    kind = Runner if checks.intent_first else EffectBeforeIntentRunner
     fresh = tuple(kind(goal) for goal in goals)
-    start = Scene(Shop(), tuple(Clerk(one) for one in fresh), (), faults)
-    found, seen, queue = Found(), {start}, deque([(start, 0)])
-    ends = set[Shop]()
+    start = ModelState(StoreModel(), tuple(RunnerProcess(runner) for runner in fresh), (), faults)
+    seen = {start}
+    queue = deque([(start, 0)])
+    ends: set[StoreModel] = set()
     while queue:
-        scene, depth = queue.popleft()
-        quiet = not scene.late
+        state, depth = queue.popleft()
         try:
             moved = False
-            for after in scene.next(guards, fresh):
-                moved = moved or after.clerks != scene.clerks
+            for after in state.successors(checks, fresh):
+                moved = moved or after.processes != state.processes
                 if after not in seen:
                     seen.add(after)
                     queue.append((after, depth + 1))
-            if quiet and not moved and scene.shop not in ends:
-                ends.add(scene.shop)
-                settle(scene.shop, goals[0], guards)
-        except Breach as breach:
-            return Found(len(seen), len(ends), str(breach), depth)
-        if len(seen) > most:
-            raise OverflowError(f"over {most} states")
-    found.states, found.ends = len(seen), len(ends)
-    return found
-
-
-def settle(shop: Shop, goal: Goal, guards: Guards) -> Shop:
-    """What a runner makes of an end, undisturbed: it must reach its goal, each effect had once."""
-    clerk = Clerk(Runner(replace(goal, what="resume", past_back=True)))
-    for _ in range(400):
-        want = clerk.want(shop)
-        if isinstance(want, runner.Stop):
-            if not want.good:
-                raise Breach(f"it can't be resumed: {want.text}")
-            wrong = [m.step.name for m in folded(shop.entries).marks.values() if m.stand is not Stand.DONE]
-            state = shop.state()
-            wrong += [step.name for step in goal.plan.steps if state.get(step.name) != shop._whole(step.name)]
-            if wrong:
-                # Resuming a way back ends in the way back: what is undone is whole.
-                if clerk.runner.goal.what == "undo" and all(
-                    state.get(name, 0) in (0, shop._whole(name)) for name in wrong
-                ):
-                    return shop
-                raise Breach(f"not as the record says: {wrong}")
-            return shop
-        shop = replace(shop, seen=len(shop.entries))
-        shop, reply = shop.do(want, guards)
-        clerk = clerk.heard(want, reply, shop)
-    raise Breach("it never ends")
+            if not state.late_calls and not moved and state.store not in ends:
+                ends.add(state.store)
+                run_to_completion(state.store, goals[0], checks)
+        except InvariantViolationError as violation:
+            return SearchResult(len(seen), len(ends), str(violation), depth)
+        if len(seen) > max_states:
+            raise OverflowError(f"over {max_states} states")
+    return SearchResult(len(seen), len(ends))
+
+
+def run_to_completion(store: StoreModel, goal: Goal, checks: SafetyChecks) -> StoreModel:
+    """What a runner makes of an end, undisturbed: it must reach its goal, each effect applied once.
+
+    Raises InvariantViolationError.
+    """
+    process = RunnerProcess(Runner(replace(goal, operation="resume", allow_ending_rollback=True)))
+    for _ in range(MAX_CALLS_TO_COMPLETION):
+        call = process.next_call(store)
+        if isinstance(call, RunResult):
+            _check_completion(store, process.runner.goal, call)
+            return store
+        store = replace(store, acknowledged_seq=len(store.entries))
+        store, reply = store.carry_out(call, checks)
+        process = process.after_reply(call, reply, store)
+    raise InvariantViolationError("it never ends")
+
+
+def _check_completion(store: StoreModel, goal: Goal, result: RunResult) -> None:
+    if not result.succeeded:
+        raise InvariantViolationError(f"it can't be resumed: {result.message}")
+    states = replayed(store.entries).steps.values()
+    applied = store.applied_parts()
+    wrong = [state.step.name for state in states if state.status is not StepStatus.DONE]
+    wrong += [step.name for step in goal.plan.steps if applied.get(step.name) != store.whole_parts(step.name)]
+    if not wrong:
+        return
+    # Resuming a rollback ends in the rollback: what is undone is wholly undone.
+    if goal.operation == "undo" and all(applied.get(name, 0) in (0, store.whole_parts(name)) for name in wrong):
+        return
+    raise InvariantViolationError(f"not as the log says: {wrong}")
--- /dev/null
+++ b/tests/test_migration_runner.py
@@ -0,0 +1,389 @@
+"""Migration plans, their log and their runner; and a search of every order of calls and faults."""
+
+from __future__ import annotations
+
+import tempfile
+import unittest
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from click.testing import CliRunner
+from hypothesis import HealthCheck, Phase, settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+
+from lanelead.cli import main
+from lanelead.migrations import calls
+from lanelead.migrations.backoff import BatchPacer
+from lanelead.migrations.errors import InvalidEntryError
+from lanelead.migrations.migration_log import MigrationLog, StepStatus
+from lanelead.migrations.plan import execution_order
+from lanelead.migrations.runner import MAX_ATTEMPTS, Goal, Operation, Runner
+from lanelead.protocols.migrations import LogEntry, LoggedEntry
+from lanelead.settings.records import Batch, Demands, Need, Step, Steps
+from lanelead.testbed.simulation.migrations import (
+    ALL_CHECKS,
+    InvariantViolationError,
+    ModelState,
+    RunnerProcess,
+    SafetyChecks,
+    StoreModel,
+    replayed,
+    run_to_completion,
+    search,
+)
+
+PLANS = Path(__file__).parent.parent / "lanelead" / "testbed" / "scenarios" / "plans"
+
+
+def step(name: str, *after: str, kind: str = "expand", undo: bool = True) -> Step:
+    batch = Batch("t", "id", 10, 1e6, 25) if kind == "backfill" else None
+    texts = [f"{name} :low"] if batch else [name]
+    return Step(name, kind, list(after), texts, texts if undo else "never", 1000.0, batch)
+
+
+def plan(*steps: Step, builds: tuple[Demands, ...] = (), name: str = "p") -> Steps:
+    return Steps(name, list(steps), list(builds))
+
+
+ONE_AFTER_ANOTHER = plan(
+    step("a"),
+    step("b", "a", kind="backfill"),
+    step("c", "b"),
+    step("d", "c", kind="contract", undo=False),
+    builds=(Demands(1, [], ["d"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
+)
+
+
+def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> MigrationLog:
+    log = MigrationLog()
+    body = msgspec.json.encode(of).decode()
+    for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
+        log.append(LoggedEntry(seq, 1, "r", 0.0, entry))
+    return log
+
+
+def through(*names: str) -> list[LogEntry]:
+    return [entry for name in names for entry in (LogEntry("intent", name), LogEntry("done", name))]
+
+
+class PlanChecks(unittest.TestCase):
+    GOOD = (
+        'steps: {name: "p", steps: [{name: "a", kind: "expand", apply: ["x"], undo: ["y"]}, '
+        '{name: "b", kind: "contract", after: ["a"], apply: ["x"], undo: "never"}], '
+        'builds: [{build: 1, until: ["b"]}, {build: 2, needs: [{step: "a"}]}]}'
+    )
+
+    def rejected(self, *texts: str) -> str:
+        with tempfile.TemporaryDirectory() as directory:
+            files = [Path(directory, f"{n}.cue") for n in range(len(texts))]
+            for file, text in zip(files, texts, strict=True):
+                file.write_text(text)
+            result = CliRunner().invoke(main, ["steps", "check", *map(str, files)])
+            self.assertEqual(result.exit_code, 2, result.output)
+            return result.output
+
+    def test_a_good_plan_passes_and_its_order_is_printed(self) -> None:
+        for path in PLANS.glob("*.cue"):
+            self.assertEqual(CliRunner().invoke(main, ["steps", "check", str(path)]).exit_code, 0)
+        shown = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
+        self.assertIn("no rollback to build 1", shown)
+        self.assertEqual([s.name for s in execution_order(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
+
+    def test_each_fault_of_a_plan_is_reported_with_line_and_reason(self) -> None:
+        for original, replacement, message in (
+            ('after: ["a"]', 'after: ["x"]', "'x', expected a step of this plan"),
+            ('undo: ["y"]}', 'undo: ["y"], after: ["b"]}', "without a cycle"),
+            ('name: "b"', 'name: "a"', "a name used once"),
+            ('"expand"', '"backfill"', "the batches of a backfill"),
+            ('until: ["b"]', 'until: ["a"]', "only those end a build"),
+            (
+                '{build: 1, until: ["b"]}',
+                '{build: 1, until: ["b"], needs: [{step: "b"}]}',
+                "works only until",
+            ),
+            ('needs: [{step: "a"}]', 'needs: [{step: "b"}]', "builds 1 and 2 both work"),
+            (
+                '{build: 2, needs: [{step: "a"}]}',
+                '{build: 2, until: ["b"]}',
+                "no later build of the plan works",
+            ),
+            ("build: 2", "build: 1", "a build named once"),
+            ('undo: ["y"]', 'undo: "later"', "undo"),
+            ('undo: ["y"]', 'undone: ["y"]', "undone"),
+        ):
+            text = self.GOOD.replace(original, replacement, 1)
+            self.assertNotEqual(text, self.GOOD, original)
+            shown = self.rejected(text)
+            self.assertIn(message, shown)
+            self.assertRegex(shown, r"0\.cue:1:\d+")
+
+    def test_two_plans_that_claim_a_name_are_rejected_together(self) -> None:
+        self.assertIn("which plan 'p' claims", self.rejected(self.GOOD, self.GOOD.replace('"p"', '"q"')))
+
+
+class MigrationLogRules(unittest.TestCase):
+    def test_a_build_gets_traffic_when_its_needs_are_done_stage_by_stage(self) -> None:
+        log = written()
+        self.assertEqual((log.is_ready(1), log.is_ready(2)), (True, False))
+        log = written(*through("a"))
+        self.assertEqual((log.is_ready(2, 0), log.is_ready(2, 1)), (True, False))
+        log = written(*through("a", "b"))
+        self.assertTrue(log.is_ready(2, 1))
+
+    def test_a_step_that_is_in_progress_or_failed_is_not_done(self) -> None:
+        for rest in ([], [LogEntry("failed", "a", parts_applied=0, text="x")]):
+            self.assertFalse(written(LogEntry("intent", "a"), *rest).is_ready(2))
+
+    def test_a_build_that_no_plan_names_counts_as_the_nearest_earlier_one(self) -> None:
+        log = written()
+        self.assertEqual([log.is_ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
+        self.assertTrue(MigrationLog().is_ready(7))
+
+    def test_the_step_that_ends_a_rollback_is_known_before_it_begins(self) -> None:
+        log = written(*through("a", "b", "c"))
+        self.assertEqual(log.rollback_ended_by(1), "d")
+        self.assertIsNone(log.rollback_ended_by(2))
+        log = written(*through("a", "b", "c"), LogEntry("closing", "d"))
+        self.assertFalse(log.is_ready(1))
+
+    def test_entries_that_break_a_rule_are_rejected_and_change_nothing(self) -> None:
+        body = msgspec.json.encode(ONE_AFTER_ANOTHER).decode()
+        for before, entry, number in (
+            ([], LogEntry("plan", text=body), 1),
+            ([], LogEntry("plan", text=body.replace('"p"', '"q"')), 1),
+            ([LogEntry("intent", "a")], LogEntry("plan", text=body), 1),
+            ([LogEntry("intent", "a")], LogEntry("intent", "b"), 2),
+            ([], LogEntry("intent", "b"), 3),
+            (through("a", "b"), LogEntry("intent", "a", "undo"), 5),
+            (through("a", "b"), LogEntry("closing", "a", "undo"), 3),
+            (through("a", "b", "c"), LogEntry("intent", "d"), 5),
+            (
+                [*through("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", barrier_seq=8)],
+                LogEntry("closing", "d", "undo"),
+                4,
+            ),
+            ([], LogEntry("done", "a"), 6),
+            (through("a"), LogEntry("done", "a"), 6),
+            ([], LogEntry("resumed", "a"), 6),
+            ([LogEntry("intent", "a"), LogEntry("failed", "a", parts_applied=1)], LogEntry("dropped", "a"), 6),
+        ):
+            log = written(*before)
+            statuses = [state.status for state in log.steps.values()]
+            with self.assertRaisesRegex(InvalidEntryError, f"rule {number}"):
+                log.append(LoggedEntry(log.last_seq + 1, 1, "r", 0.0, entry))
+            self.assertEqual([state.status for state in log.steps.values()], statuses)
+        with self.assertRaises(InvalidEntryError):  # a gap
+            written().append(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
+
+
+class RunnerDecisions(unittest.TestCase):
+    def test_a_run_logs_intent_before_effect_and_outcome_after(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
+        kinds = [(entry.kind, entry.step) for entry in store.entries]
+        self.assertEqual(kinds[1:3], [("intent", "a"), ("done", "a")])
+        self.assertEqual(kinds[-3:], [("closing", "d"), ("intent", "d"), ("done", "d")])
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1, "d": 1})
+
+    def play(self, goal: Goal, store: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
+        process = RunnerProcess(Runner(goal))
+        for _ in range(200):
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
+                self.result = call
+                return store
+            store = replace(store, acknowledged_seq=len(store.entries))
+            store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
+        raise AssertionError("it never ends")
+
+    def test_it_stops_before_a_rollback_becomes_impossible_and_says_so(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER))
+        self.assertFalse(self.result.succeeded)
+        self.assertIn("rollback to build 1 impossible", self.result.message)
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
+
+    def test_a_failed_step_stays_failed_until_it_is_resumed(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        process = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
+        parts = 0
+        for _ in range(50):
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
+                break
+            if isinstance(call, calls.ApplyPart) and parts:
+                reply: calls.Reply = calls.CallRejected("failed", "disk full")
+            else:
+                parts += isinstance(call, calls.ApplyPart)
+                store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
+        state = replayed(store.entries).failed_step()
+        assert state is not None
+        self.assertEqual((state.step.name, state.parts_applied, state.failure_reason), ("b", 1, "disk full"))
+        self.assertEqual(self.play(Goal(ONE_AFTER_ANOTHER), store).entries, store.entries)
+        self.assertIn("after 1 parts: disk full", self.result.message)
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), store)
+        self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
+
+    def test_a_partly_applied_step_is_undone_and_an_untouched_one_dropped(self) -> None:
+        body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)
+        half = StoreModel(
+            (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
+            1,
+            ((2, 0), (4, 0)),
+        )
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), half)
+        self.assertEqual(replayed(store.entries).steps["b"].status, StepStatus.PENDING)
+        self.assertEqual(store.applied_parts()["b"], 0)
+        none = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
+        self.assertEqual((store.entries[-1].kind, store.effects), ("dropped", ()))
+
+    def test_an_undo_ends_the_later_builds_traffic_first(self) -> None:
+        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), store)
+        self.assertEqual([entry.kind for entry in store.entries[-3:]], ["closing", "intent", "done"])
+        self.assertEqual(store.applied_parts(), {"a": 0})
+
+    def test_an_outcome_that_stays_unknown_is_logged_as_failed(self) -> None:
+        process, store, apply_calls = RunnerProcess(Runner(Goal(plan(step("a"))))), StoreModel(), 0
+        for _ in range(60):
+            call = process.next_call(store)
+            if isinstance(call, calls.RunResult):
+                break
+            if isinstance(call, calls.ApplyPart):
+                reply: calls.Reply = calls.OutcomeUnknown()
+                apply_calls += 1
+            else:
+                store, reply = store.carry_out(call, ALL_CHECKS)
+            process = process.after_reply(call, reply, store)
+        self.assertEqual((apply_calls, store.entries[-1].kind), (MAX_ATTEMPTS, "failed"))
+
+    def test_a_backfill_shrinks_slow_batches_and_waits_as_long_as_they_took(self) -> None:
+        pacer = BatchPacer(1000, 10_000, 0.02, 800)
+        self.assertAlmostEqual(pacer.wait_after_batch(800, 0.08), 0.08)
+        self.assertEqual(pacer.rows, 200)
+        self.assertAlmostEqual(pacer.wait_after_batch(200, 0.001), 0.019)  # the rate bounds it where the store is quick
+        self.assertGreater(pacer.rows, 200)
+        for _ in range(30):
+            pacer.wait_after_batch(pacer.rows, 1.0)
+        self.assertEqual(pacer.rows, 10)
+
+
+class EveryCallOrder(unittest.TestCase):
+    """Two runners, one store: every order of their calls, with faults; see testbed/simulation/migrations.py."""
+
+    TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(Demands(1, [], [], ""),))
+    ENDS = plan(
+        step("a"),
+        step("d", "a", kind="contract"),
+        builds=(Demands(1, [], ["d"], ""), Demands(2, [Need("a", 0)], [], "")),
+    )
+
+    def test_two_runners_that_run_the_same_plan(self) -> None:
+        result = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
+        self.assertEqual(result.violation, "")
+        self.assertGreater(result.states, 1000)
+        self.assertGreater(result.ends, 3)
+
+    def test_one_that_runs_and_one_that_undoes(self) -> None:
+        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+        self.assertEqual(search(goals, faults=1).violation, "")
+
+    def test_without_fencing_a_late_effect_is_found(self) -> None:
+        goals = Goal(self.TWO), Goal(self.TWO, "undo")
+        self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(fencing=False)).violation)
+
+    def test_without_effect_marks_a_repeated_effect_is_found(self) -> None:
+        goals = Goal(self.TWO), Goal(self.TWO)
+        self.assertIn("twice", search(goals, 1, SafetyChecks(effect_marks=False)).violation)
+
+    def test_an_effect_before_its_intent_is_found(self) -> None:
+        goals = Goal(self.TWO), Goal(self.TWO)
+        self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(intent_first=False)).violation)
+
+    def test_without_waiting_for_relays_a_change_under_traffic_is_found(self) -> None:
+        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+        self.assertIn("before the relay had acknowledged", search(goals, 1, SafetyChecks(barrier=False)).violation)
+
+
+class RandomOrders(RuleBasedStateMachine):
+    """The same for plans of up to nine steps, orders drawn at random, and three runners with any operation."""
+
+    checks = ALL_CHECKS
+
+    @initialize(data=st.data(), count=st.integers(3, 9))
+    def begin(self, data: Any, count: int) -> None:
+        steps = []
+        for number in range(count):
+            after = data.draw(st.sets(st.integers(0, number - 1), max_size=2)) if number else set()
+            kind = data.draw(st.sampled_from(["expand", "backfill"]))
+            steps.append(step(f"s{number}", *(f"s{n}" for n in sorted(after)), kind=kind))
+        steps.append(step("last", *(s.name for s in steps), kind="contract", undo=False))
+        needs = [Need(s.name, 0) for s in steps[: count // 2]]
+        builds = (Demands(1, [], ["last"], ""), Demands(2, needs, [], ""))
+        self.plan = plan(*steps, builds=builds)
+        operations: tuple[Operation, ...] = ("run", "undo", "resume")
+        self.fresh = tuple(Runner(Goal(self.plan, operation, allow_ending_rollback=True)) for operation in operations)
+        self.state = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in self.fresh), (), 12)
+
+    @rule(data=st.data(), count=st.integers(1, 8))
+    def any_process_goes_on(self, data: Any, count: int) -> None:
+        for _ in range(count):
+            states = list(self.state.successors(self.checks, self.fresh))
+            if not states:
+                return
+            self.state = states[data.draw(st.integers(0, len(states) - 1))]
+
+    @rule(who=st.integers(0, 2), count=st.integers(1, 40))
+    def one_process_goes_on(self, who: int, count: int) -> None:
+        for _ in range(count):
+            call = self.state.processes[who].next_call(self.state.store)
+            if isinstance(call, calls.RunResult):
+                return
+            states = self.state.process_steps(who, call, self.checks, self.fresh)
+            self.state = next(states)
+
+    @rule(who=st.integers(0, 2))
+    def process_restarts(self, who: int) -> None:
+        processes = self.state.with_process(who, RunnerProcess(self.fresh[who]))
+        self.state = replace(self.state, processes=processes)
+
+    @invariant()
+    def the_log_follows_its_rules(self) -> None:
+        if hasattr(self, "state"):
+            replayed(self.state.store.entries)
+
+    def teardown(self) -> None:
+        if hasattr(self, "state") and not self.state.late_calls:
+            run_to_completion(self.state.store, Goal(self.plan), self.checks)
+
+
+class RandomOrdersWithoutFencing(RandomOrders):
+    checks = SafetyChecks(fencing=False)
+
+
+BOUND = settings(
+    max_examples=60,
+    stateful_step_count=25,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
+RandomOrdersTest = RandomOrders.TestCase
+RandomOrdersTest.settings = BOUND
+
+
+class SeededFault(unittest.TestCase):
+    def test_the_random_orders_find_missing_fencing_too(self) -> None:
+        case = RandomOrdersWithoutFencing.TestCase
+        case.settings = settings(BOUND, max_examples=200, phases=[Phase.generate])
+        with self.assertRaises(InvariantViolationError):
+            case("runTest").debug()
+
+
+if __name__ == "__main__":
+    unittest.main()
