--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -10,7 +10,7 @@
 from benchmarks.slopes.hollow_relay import NEWS, UNITS, ZONES, driver, opening, settings
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.http import serialization
-from lanelead.postgres_relay.discovery_client import LONGEST
+from lanelead.postgres_relay.discovery_client import MAX_LIST_BYTES
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, ListedEndpoint, read_endpoint_list
 from lanelead.runtime.driver import DecisionDriver
@@ -46,12 +46,12 @@
 
 
 def decoded(text: bytes) -> None:
-    read_endpoint_list(decode(text, EndpointList, LONGEST))
+    read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES))
 
 
 def taken_in(driver: DecisionDriver, texts: list[bytes]) -> float:
     """Microseconds for one of the lists, which are taken in again and again, in turn."""
-    lists = [read_endpoint_list(decode(text, EndpointList, LONGEST)) for text in texts]
+    lists = [read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)) for text in texts]
 
     def all_of_them() -> None:
         for each in lists:
@@ -63,7 +63,7 @@
 def filled(texts: list[bytes]) -> DecisionDriver:
     made = driver(opening(settings()))
     for text in texts:
-        made.endpoints_listed(read_endpoint_list(decode(text, EndpointList, LONGEST)), 0)
+        made.endpoints_listed(read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)), 0)
     return made
 
 
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -137,7 +137,7 @@
 
 
 def made(file: Path) -> Balancer:
-    told = load(str(file)).opening
+    told = load(str(file)).parameters
     return decisions(told, told.request_classes(), told.tenants(), 3600 * SECOND)
 
 
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -39,7 +39,7 @@
 )
 from lanelead.decisions.rollout import Rollout
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
-from lanelead.protocols.platform import VERDICTS, encode_call
+from lanelead.protocols.platform import VERDICT_NAMES, encode_call
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.settings.records import Poll, Trial
@@ -266,7 +266,7 @@
             {
                 "build": vote.build,
                 "stage": vote.stage,
-                "verdict": VERDICTS[vote.verdict],
+                "verdict": VERDICT_NAMES[vote.verdict],
             },
         )
         word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict]))  # type: ignore[arg-type]
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -22,7 +22,7 @@
 import structlog
 
 from lanelead.http import serialization
-from lanelead.postgres_relay.discovery_client import HOLD, Discovery, Held
+from lanelead.postgres_relay.discovery_client import WATCH_HOLD_SECONDS, DiscoveryClient, ListState
 from lanelead.protocols.feeds import EndpointListMessage, encode
 from lanelead.protocols.platform import EndpointList, ListedEndpoint, read_endpoint_list
 
@@ -83,7 +83,7 @@
     """Processor time, in seconds, of this thread for so many watches, and how many came."""
     loop, heard = asyncio.get_running_loop(), list[EndpointListMessage]()
     log = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
-    feed = Discovery(loop, f"127.0.0.1:{port}", Held(0), read_endpoint_list, heard.append, Random(37), log)
+    feed = DiscoveryClient(loop, f"127.0.0.1:{port}", ListState(0), read_endpoint_list, heard.append, Random(37), log)
     spoken = 0
     came = asyncio.Event()
 
@@ -93,7 +93,7 @@
         if spoken > many:
             came.set()
 
-    feed.spoke = spoke
+    feed.on_received = spoke
     run = loop.create_task(feed.run())
     began = time.thread_time()
     async with asyncio.timeout(60):
@@ -136,14 +136,14 @@
     watches = total = 0
     begun, moved = Counter[int](), Counter[int]()
     for _ in range(relays):
-        at, known = rng.uniform(0, HOLD), 0
+        at, known = rng.uniform(0, WATCH_HOLD_SECONDS), 0
         while at < seconds:
             watches += 1
             begun[int(at)] += 1
             ends, then = at, bisect_right(changes, at)
             if then == known:  # nothing new: held until something is, or time is up
-                due = changes[known] if known < len(changes) else at + HOLD
-                ends = min(at + HOLD, due)
+                due = changes[known] if known < len(changes) else at + WATCH_HOLD_SECONDS
+                ends = min(at + WATCH_HOLD_SECONDS, due)
                 then = bisect_right(changes, ends)
             spoken = asked + size(then - known)
             total += spoken
--- a/lanelead/pgwire/messages.py
+++ b/lanelead/pgwire/messages.py
@@ -4,13 +4,13 @@
 
 from struct import Struct
 
-HEAD = Struct("!ci")  # the type, and a length that counts itself but not the type
+HEADER = Struct("!ci")  # the type, and a length that counts itself but not the type
 VERSION = 196608  # 3.0
 SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80877103, 80877104, 80877102
 
 
 def message(kind: bytes, body: bytes = b"") -> bytes:
-    return HEAD.pack(kind, len(body) + 4) + body
+    return HEADER.pack(kind, len(body) + 4) + body
 
 
 def startup(user: str, database: str) -> bytes:
@@ -39,7 +39,7 @@
     + message(b"K", bytes(8))
     + READY
 )
-OLDER = message(b"v", VERSION.to_bytes(4, "big") + bytes(4))  # NegotiateProtocolVersion: 3.0
+NEGOTIATE_PROTOCOL_VERSION = message(b"v", VERSION.to_bytes(4, "big") + bytes(4))  # NegotiateProtocolVersion: 3.0
 
 
 def error(code: str, text: str, detail: str | None = None, fatal: bool = False) -> bytes:
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -17,228 +17,237 @@
 
 from lanelead.decisions.interface import Attempt, Tenant, Ticks
 from lanelead.pgwire import messages, statements
-from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
+from lanelead.pgwire.clients import ClientReader, EncryptionRequest, Event, ProtocolViolation, Query, Startup
 from lanelead.pgwire.servers import QueryResult
-from lanelead.postgres_relay.load_reports import still
+from lanelead.postgres_relay.load_reports import is_idle_socket
 from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 
-BUFFER = 32768  # bytes read at once
-AT_ONCE = 64  # commands of one read: of more, none is taken
-PIPELINED = 128  # commands of one connection that wait for answers: one more is refused, in its place
-MOST_HELD = 1 << 20  # bytes of the commands that wait: with more, the same
-MOST_SLOTS = 1024  # answers in order, those refusals among them, at most
-MOST_OWED = 1 << 18  # bytes of answers that a client leaves unread: with more, no command of its is read
-MOST_DISCARDED = 1 << 22  # bytes read from a client behind what can't be read, at most
-LINGER = 0.25  # seconds for a client to read the last that it was sent
-REFUSED, LEAVING = "53300", "57P03"  # both are refusals: trying again is harmless
+READ_BUFFER_BYTES = 32768  # bytes read at once
+MAX_COMMANDS_PER_READ = 64  # commands of one read: of more, none is taken
+MAX_PIPELINED_REQUESTS = 128  # commands of one connection that wait for answers: one more is refused, in its place
+MAX_PENDING_BYTES = 1 << 20  # bytes of the commands that wait: with more, the same
+MAX_RESPONSE_SLOTS = 1024  # answers in order, those refusals among them, at most
+MAX_UNWRITTEN_BYTES = 1 << 18  # bytes of answers that a client leaves unread: with more, no command of its is read
+MAX_DISCARDED_BYTES = 1 << 22  # bytes read from a client behind what can't be read, at most
+CLOSE_LINGER_SECONDS = 0.25  # seconds for a client to read the last that it was sent
+# SQLSTATE codes of rejections: the request never ran, and a retry elsewhere is harmless.
+TOO_MANY_CONNECTIONS = "53300"
+CANNOT_CONNECT_NOW = "57P03"
 
 
-class House(Protocol):
+class ConnectionOwner(Protocol):
     """What a connection needs of the front that took it in."""
 
     loop: asyncio.AbstractEventLoop
     driver: DecisionDriver
-    members: Mapping[str, Tenant]
-    longest: int
-    early: Ticks
-    open: dict[str, None]  # ids of lookups without an answer yet
-    after: Callable[[], None]
-    clients: dict[Client, None]
-    unasked: dict[Client, None]
-    unreadable: int
-    condemned: int
-    refused: int
-    end: float | None  # when all has to be answered, once the relay is told to stop
-
-    def refusal(self, outcome: RequestOutcome, back: Ticks) -> bytes: ...
-
-
-class Slot:
+    tenants: Mapping[str, Tenant]
+    max_query_bytes: int
+    response_slack: Ticks
+    open_request_ids: dict[str, None]  # ids of lookups without an answer yet
+    after_event: Callable[[], None]
+    clients: dict[ClientConnection, None]
+    without_request: dict[ClientConnection, None]
+    unreadable_statements: int
+    protocol_violations: int
+    rejections: int
+    drain_deadline: float | None  # when all has to be answered, once the relay is told to stop
+
+    def error_response(self, outcome: RequestOutcome, back: Ticks) -> bytes: ...
+
+
+class ResponseSlot:
     """A command's place in the order of answers."""
 
-    __slots__ = ("due", "size", "text", "ticket")
+    __slots__ = ("deadline", "pending", "response", "size")
 
     def __init__(
         self, pending: PendingRequest | None, text: bytes | None, due: float = math.inf, size: int = 0
     ) -> None:
-        self.ticket, self.text, self.due = pending, text, due  # when it is owed, on the loop's clock
+        self.pending, self.response, self.deadline = pending, text, due  # when it is owed, on the loop's clock
         self.size = size  # bytes of its command
 
 
-class Client:
+class ClientConnection:
     """One connection. It ends once all that is owed is written if it is `closing`, either because what it
     sent can't be read (`judged`), or because the relay stops (`leaving`)."""
 
     __slots__ = (
-        "asked",
-        "began",
         "closing",
-        "discarded",
-        "front",
-        "held",
-        "judged",
-        "leaving",
-        "moved",
-        "owed",
-        "paused",
+        "discarded_bytes",
+        "draining",
+        "has_requested",
+        "last_activity",
+        "listener",
+        "opened_at",
+        "pending_bytes",
         "reader",
         "reading",
-        "shut",
+        "reading_paused",
         "slots",
         "sock",
+        "unwritten",
+        "violation_at",
+        "write_closed",
         "writing",
     )
 
-    def __init__(self, front: House, sock: socket.socket) -> None:
-        self.front, self.sock = front, sock
-        self.reader = ClientReader(front.longest)
-        self.slots: deque[Slot] = deque()
-        self.held = 0  # bytes of the commands that wait
-        self.owed = bytearray()  # answers that the kernel did not take
-        self.asked = False  # it has asked for something that could be read
-        self.closing = self.leaving = False
-        self.judged: float | None = None  # when what can't be read came
-        self.shut = False  # nothing more is written
-        self.discarded = 0
-        self.began = self.moved = front.loop.time()
+    def __init__(self, front: ConnectionOwner, sock: socket.socket) -> None:
+        self.listener, self.sock = front, sock
+        self.reader = ClientReader(front.max_query_bytes)
+        self.slots: deque[ResponseSlot] = deque()
+        self.pending_bytes = 0  # bytes of the commands that wait
+        self.unwritten = bytearray()  # answers that the kernel did not take
+        self.has_requested = False  # it has asked for something that could be read
+        self.closing = self.draining = False
+        self.violation_at: float | None = None  # when what can't be read came
+        self.write_closed = False  # nothing more is written
+        self.discarded_bytes = 0
+        self.opened_at = self.last_activity = front.loop.time()
         self.writing = False
         self.reading = True
-        self.paused = False  # not read for now: too much is owed
-        front.loop.add_reader(sock, self._read)
+        self.reading_paused = False  # not read for now: too much is owed
+        front.loop.add_reader(sock, self._on_readable)
 
     @property
-    def quiet(self) -> bool:
-        return not self.slots and not self.owed
+    def owes_nothing(self) -> bool:
+        return not self.slots and not self.unwritten
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is owed, nothing has begun, and nothing waits to be read."""
-        return self.quiet and not self.reader.inside and still(self.sock)
+        return self.owes_nothing and not self.reader.has_partial_message and is_idle_socket(self.sock)
 
     # Reading
 
-    def _read(self) -> None:
-        if self._take() >= 0:
-            if self.leaving and self.asked:  # its first request after all: it ends with that
+    def _on_readable(self) -> None:
+        if self._receive() >= 0:
+            if self.draining and self.has_requested:  # its first request after all: it ends with that
                 self.closing = True
             self.flush()
-        self.front.after()
+        self.listener.after_event()
 
-    def _take(self) -> int:
+    def _receive(self) -> int:
         """Takes in what has come, a bufferful at most: how many bytes, or -1 where the connection is over."""
         try:
-            data = self.sock.recv(BUFFER)
+            data = self.sock.recv(READ_BUFFER_BYTES)
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError:
             data = b""
         if not data:
-            self.gone()
+            self.on_disconnect()
             return -1
-        if self.judged is not None:
+        if self.violation_at is not None:
             # Read only to notice its end, and lest a reset destroy the error that it is owed.
-            self.discarded += len(data)
-            if self.discarded > MOST_DISCARDED:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.stop_reading()
             return len(data)
-        self.moved = self.front.loop.time()
+        self.last_activity = self.listener.loop.time()
         events = self.reader.feed(data)
         # Hundreds of commands at once: none of them is taken.
-        if len(events) > AT_ONCE and sum(type(event) is Query for event in events) > AT_ONCE:
-            self.reader.over = True
-            events = [Fault("54000", f"more than {AT_ONCE} commands at once")]
+        if (
+            len(events) > MAX_COMMANDS_PER_READ
+            and sum(type(event) is Query for event in events) > MAX_COMMANDS_PER_READ
+        ):
+            self.reader.finished = True
+            events = [ProtocolViolation("54000", f"more than {MAX_COMMANDS_PER_READ} commands at once")]
         for event in events:
-            self._heard(event)
+            self._handle_event(event)
         return len(data) if self.sock.fileno() >= 0 else -1
 
-    def _heard(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if type(event) is Query:
-            if len(self.slots) >= MOST_SLOTS:
-                self.reader.over = True
-                self.condemn("54000", f"more than {MOST_SLOTS} commands wait for their answers")
+            if len(self.slots) >= MAX_RESPONSE_SLOTS:
+                self.reader.finished = True
+                self.close_with_violation("54000", f"more than {MAX_RESPONSE_SLOTS} commands wait for their answers")
             else:
-                self._asked(event.text)
+                self._handle_query(event.text)
         elif type(event) is Startup:
-            self._say(messages.OLDER + messages.WELCOME if event.newer else messages.WELCOME)
-        elif type(event) is Encryption:
-            self._say(messages.NO_ENCRYPTION)
-        elif type(event) is Fault:
-            self.condemn(event.code, event.text)
+            self._queue_response(
+                messages.NEGOTIATE_PROTOCOL_VERSION + messages.WELCOME if event.newer_version else messages.WELCOME
+            )
+        elif type(event) is EncryptionRequest:
+            self._queue_response(messages.NO_ENCRYPTION)
+        elif type(event) is ProtocolViolation:
+            self.close_with_violation(event.code, event.text)
         else:
-            self.gone()
+            self.on_disconnect()
 
-    def _say(self, text: bytes) -> None:
-        self.slots.append(Slot(None, text))
+    def _queue_response(self, text: bytes) -> None:
+        self.slots.append(ResponseSlot(None, text))
 
-    def _asked(self, text: bytes) -> None:
+    def _handle_query(self, text: bytes) -> None:
         if not text.strip():
-            self._has_asked()
-            self._say(messages.EMPTY)
+            self._mark_requested()
+            self._queue_response(messages.EMPTY)
             return
-        front = self.front
+        front = self.listener
         try:
-            statement = statements.read(text)
-            request_class = front.driver.request_classes.get(statement.lane)
+            statement = statements.parse_statement(text)
+            request_class = front.driver.request_classes.get(statement.request_class)
             if request_class is None:
                 raise statements.StatementError("no such class")
-            if statement.ident in front.open:
+            if statement.request_id in front.open_request_ids:
                 raise statements.StatementError("a request with this id is open")
         except statements.StatementError as fault:
-            front.unreadable += 1
-            self._say(messages.error("42601", str(fault)) + messages.READY)
+            front.unreadable_statements += 1
+            self._queue_response(messages.error("42601", str(fault)) + messages.READY)
             return
-        self._has_asked()
+        self._mark_requested()
         if self.closing and self.slots:  # the relay stops, and this came behind what was taken in time
-            front.refused += 1
-            self._say(front.refusal(RequestOutcome.REJECTED, 0))
+            front.rejections += 1
+            self._queue_response(front.error_response(RequestOutcome.REJECTED, 0))
             return
         # Guards against one connection that holds all that the relay may: it is told so, command by command,
         # since whoever writes its requests one behind another is owed an answer to each.
-        if len(self.slots) >= PIPELINED or (self.held and self.held + len(text) > MOST_HELD):
-            front.refused += 1
-            self._say(front.refusal(RequestOutcome.REJECTED, 0))
+        if len(self.slots) >= MAX_PIPELINED_REQUESTS or (
+            self.pending_bytes and self.pending_bytes + len(text) > MAX_PENDING_BYTES
+        ):
+            front.rejections += 1
+            self._queue_response(front.error_response(RequestOutcome.REJECTED, 0))
             return
-        pending = PendingRequest(statement.ident, statement, self._replied)
-        front.open[statement.ident] = None
-        left = min(int(statement.left_ms * 10), request_class.timeout) - front.early
-        if front.end is not None:
-            left = min(left, int((front.end - front.loop.time()) * 10_000))
-        self.held += len(text)
-        self.slots.append(Slot(pending, None, front.loop.time() + left / 10_000, len(text)))
-        tenant = front.members.get(statement.member) if statement.member else None
-        front.driver.receive(pending, request_class, tenant, statement.key, left, statement.again, statement.write)
-
-    def _has_asked(self) -> None:
-        self.asked = True
-        self.front.unasked.pop(self, None)
-
-    def condemn(self, code: str, text: str) -> None:
+        pending = PendingRequest(statement.request_id, statement, self._on_response)
+        front.open_request_ids[statement.request_id] = None
+        left = min(int(statement.time_left_ms * 10), request_class.timeout) - front.response_slack
+        if front.drain_deadline is not None:
+            left = min(left, int((front.drain_deadline - front.loop.time()) * 10_000))
+        self.pending_bytes += len(text)
+        self.slots.append(ResponseSlot(pending, None, front.loop.time() + left / 10_000, len(text)))
+        tenant = front.tenants.get(statement.tenant) if statement.tenant else None
+        front.driver.receive(pending, request_class, tenant, statement.key, left, statement.idempotent, statement.write)
+
+    def _mark_requested(self) -> None:
+        self.has_requested = True
+        self.listener.without_request.pop(self, None)
+
+    def close_with_violation(self, code: str, text: str) -> None:
         """An error that ends the connection, behind what is owed already; nothing more is taken."""
-        if self.judged is not None:
+        if self.violation_at is not None:
             return
-        self.front.condemned += 1
-        self.closing, self.judged = True, self.front.loop.time()
-        self._say(messages.error(code, text, fatal=True))
+        self.listener.protocol_violations += 1
+        self.closing, self.violation_at = True, self.listener.loop.time()
+        self._queue_response(messages.error(code, text, fatal=True))
 
     def stop_reading(self) -> None:
         if self.reading:
             self.reading = False
-            self.front.loop.remove_reader(self.sock)
+            self.listener.loop.remove_reader(self.sock)
 
     # Answers
 
-    def _replied(
+    def _on_response(
         self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, back: Ticks
     ) -> None:
-        self.front.open.pop(pending.id, None)
-        slot = next((slot for slot in self.slots if slot.ticket is pending), None)
+        self.listener.open_request_ids.pop(pending.id, None)
+        slot = next((slot for slot in self.slots if slot.pending is pending), None)
         if slot is None:
             return
         if outcome is RequestOutcome.SUCCEEDED:
             assert isinstance(answer, QueryResult)
-            slot.text = answer.raw + messages.READY
+            slot.response = answer.raw + messages.READY
         else:
-            slot.text = self.front.refusal(outcome, back)
+            slot.response = self.listener.error_response(outcome, back)
         if self.slots[0] is slot:
             self.flush()
 
@@ -247,136 +256,136 @@
         if self.sock.fileno() < 0:
             return
         ready = []
-        while self.slots and (text := self.slots[0].text) is not None:
+        while self.slots and (text := self.slots[0].response) is not None:
             ready.append(text)
-            self.held -= self.slots.popleft().size
+            self.pending_bytes -= self.slots.popleft().size
         if ready:
-            self.moved = self.front.loop.time()
-            self.owed += b"".join(ready)
+            self.last_activity = self.listener.loop.time()
+            self.unwritten += b"".join(ready)
             if not self.writing:
                 self._write()
-            self._heed()
-        if self.closing and self.quiet:
-            self._last()
+            self._apply_backpressure()
+        if self.closing and self.owes_nothing:
+            self._finish()
 
     def _write(self) -> None:
         try:
-            size = self.sock.send(self.owed)
+            size = self.sock.send(self.unwritten)
         except (BlockingIOError, InterruptedError):
             size = 0
         except OSError:
-            self.owed.clear()
-            self.front.loop.call_soon(self.gone)
+            self.unwritten.clear()
+            self.listener.loop.call_soon(self.on_disconnect)
             return
         if size:  # guards against cutting off one that reads slowly, but reads
-            self.moved = self.front.loop.time()
-        del self.owed[:size]
-        if self.owed and not self.writing:
+            self.last_activity = self.listener.loop.time()
+        del self.unwritten[:size]
+        if self.unwritten and not self.writing:
             self.writing = True
-            self.front.loop.add_writer(self.sock, self._more)
-        elif not self.owed and self.writing:
+            self.listener.loop.add_writer(self.sock, self._on_writable)
+        elif not self.unwritten and self.writing:
             self.writing = False
-            self.front.loop.remove_writer(self.sock)
+            self.listener.loop.remove_writer(self.sock)
 
-    def _heed(self) -> None:
+    def _apply_backpressure(self) -> None:
         """Guards against answers without bound for one that asks and does not read, and against breaking
         off the answers of one that reads: its next commands wait in the kernel. Whoever takes nothing for
         long is ended by the sweep."""
         if self.sock.fileno() < 0:
             return
-        if not self.paused and len(self.owed) > MOST_OWED:
-            self.paused = True
-            self.front.loop.remove_reader(self.sock)
-        elif self.paused and 2 * len(self.owed) <= MOST_OWED:
-            self.paused = False
+        if not self.reading_paused and len(self.unwritten) > MAX_UNWRITTEN_BYTES:
+            self.reading_paused = True
+            self.listener.loop.remove_reader(self.sock)
+        elif self.reading_paused and 2 * len(self.unwritten) <= MAX_UNWRITTEN_BYTES:
+            self.reading_paused = False
             if self.reading:
-                self.front.loop.add_reader(self.sock, self._read)
+                self.listener.loop.add_reader(self.sock, self._on_readable)
 
-    def _more(self) -> None:
+    def _on_writable(self) -> None:
         self._write()
-        self._heed()
-        if self.closing and self.quiet:
-            self._last()
+        self._apply_backpressure()
+        if self.closing and self.owes_nothing:
+            self._finish()
 
-    def _last(self) -> None:
+    def _finish(self) -> None:
         """All is written: the client gets a moment to read it, since closing with bytes unread resets."""
-        if self.shut or self.sock.fileno() < 0:
+        if self.write_closed or self.sock.fileno() < 0:
             return
-        if self.judged is None:
-            if self.reader.inside:  # half a request has come: a close would lose it
+        if self.violation_at is None:
+            if self.reader.has_partial_message:  # half a request has come: a close would lose it
                 return
-            if not still(self.sock):  # a request has come behind the last: it is read, and answered
-                self.front.loop.call_soon(self._read)
+            if not is_idle_socket(self.sock):  # a request has come behind the last: it is read, and answered
+                self.listener.loop.call_soon(self._on_readable)
                 return
             self.stop_reading()  # what crosses the end stays unread: its client sends it once more
-        self.shut = True
+        self.write_closed = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-        self.front.loop.call_later(LINGER, self.close)
+        self.listener.loop.call_later(CLOSE_LINGER_SECONDS, self.close)
 
     # Ends
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """The relay stops: what has come on this connection is taken in, and it ends when that is answered.
         One that has not asked yet is left open for now, since its request may be on its way."""
         if self.closing:
             return
-        while self._take() > 0 and not self.closing:
+        while self._receive() > 0 and not self.closing:
             pass
         if self.sock.fileno() < 0:
             return
-        self.leaving = True
-        if self.asked:
+        self.draining = True
+        if self.has_requested:
             self.closing = True
         self.flush()
 
-    def refuse(self, code: str, text: str) -> None:
+    def close_with_rejection(self, code: str, text: str) -> None:
         """Ends a connection whose next request has not come whole, with a refusal that tells its client to
         go elsewhere. It is the answer to whatever crosses it, which is dropped: a request that is refused
         must never run."""
-        if self.judged is not None or self.shut or self.sock.fileno() < 0:
+        if self.violation_at is not None or self.write_closed or self.sock.fileno() < 0:
             return
-        self.front.refused += 1
-        self.closing, self.judged = True, self.front.loop.time()
-        self._say(messages.error(code, text, fatal=True))
+        self.listener.rejections += 1
+        self.closing, self.violation_at = True, self.listener.loop.time()
+        self._queue_response(messages.error(code, text, fatal=True))
         self.flush()
 
-    def turn_off(self, text: str) -> None:
+    def evict(self, text: str) -> None:
         """The same, for its place at once: nothing has come on it that was not read."""
         with contextlib.suppress(OSError):
-            self.sock.send(messages.error(REFUSED, text, fatal=True))
+            self.sock.send(messages.error(TOO_MANY_CONNECTIONS, text, fatal=True))
         self.close()
 
-    def break_off(self, by: float = math.inf) -> int:
+    def fail_requests(self, by: float = math.inf) -> int:
         """What was taken, and was owed by then, has had its moment: it may have run, and gets its final
         answer now. How many there were."""
         late = [
-            (slot, slot.ticket)
+            (slot, slot.pending)
             for slot in self.slots
-            if slot.ticket is not None and slot.text is None and slot.due <= by
+            if slot.pending is not None and slot.response is None and slot.deadline <= by
         ]
         for slot, pending in late:
-            self.front.open.pop(pending.id, None)
-            slot.text = self.front.refusal(RequestOutcome.FAILED, 0)
+            self.listener.open_request_ids.pop(pending.id, None)
+            slot.response = self.listener.error_response(RequestOutcome.FAILED, 0)
         self.flush()
         for _, pending in late:  # by the loop: what fails there must not keep others from their answers
-            self.front.loop.call_soon(self.front.driver.client_left, pending)
+            self.listener.loop.call_soon(self.listener.driver.client_left, pending)
         return len(late)
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         """The client is not there any more: no answer is owed."""
         slots, self.slots = self.slots, deque()
         self.close()
         for slot in slots:
-            if slot.ticket is not None and slot.text is None:
-                self.front.open.pop(slot.ticket.id, None)
-                self.front.driver.client_left(slot.ticket)
+            if slot.pending is not None and slot.response is None:
+                self.listener.open_request_ids.pop(slot.pending.id, None)
+                self.listener.driver.client_left(slot.pending)
 
     def close(self) -> None:
         if self.sock.fileno() < 0:
             return
-        self.front.loop.remove_reader(self.sock)
-        self.front.loop.remove_writer(self.sock)
+        self.listener.loop.remove_reader(self.sock)
+        self.listener.loop.remove_writer(self.sock)
         self.sock.close()
-        self.front.clients.pop(self, None)
-        self.front.unasked.pop(self, None)
+        self.listener.clients.pop(self, None)
+        self.listener.without_request.pop(self, None)
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -14,30 +14,30 @@
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
 from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 
-LONGEST = 16 << 20  # bytes of the file, which holds the last list of units
+MAX_FILE_BYTES = 16 << 20  # bytes of the file, which holds the last list of units
 
 
-class Limits(msgspec.Struct, frozen=True):
+class ProcessLimits(msgspec.Struct, frozen=True):
     sockets: Annotated[int, Meta(ge=16)] = 1024
     cores: float = 1.0
     memory_mb: float = 128.0
 
 
-class Platform(msgspec.Struct, frozen=True):
+class PlatformConfig(msgspec.Struct, frozen=True):
     address: str
     news: StageMessage
 
 
-class SourceAt(msgspec.Struct, frozen=True):
+class ConfigurationSource(msgspec.Struct, frozen=True):
     address: str
     zone: Annotated[str, Meta(max_length=64)] = ""
     region: Annotated[str, Meta(max_length=64)] = ""
 
 
-class Following(msgspec.Struct, frozen=True):
+class ConfigurationSources(msgspec.Struct, frozen=True):
     """The section `configuration` of a relay's file; without it nothing is followed."""
 
-    sources: Annotated[list[SourceAt], Meta(min_length=1, max_length=64)]
+    sources: Annotated[list[ConfigurationSource], Meta(min_length=1, max_length=64)]
     zone: Annotated[str, Meta(max_length=64)] = ""
     region: Annotated[str, Meta(max_length=64)] = ""
     catch_up_bytes_per_s: Annotated[float, Meta(ge=1024, le=1e9)] = 65536.0
@@ -45,29 +45,29 @@
     most_bytes: Annotated[int, Meta(ge=1024, le=1 << 33)] = 64 << 20
 
 
-class Config(msgspec.Struct, frozen=True):
+class RelayConfig(msgspec.Struct, frozen=True):
     name: str
     listen: str
     discovery: str
     seed: str
-    platform: Platform
+    platform: PlatformConfig
     settings: dict[str, Any]
-    limits: Limits = Limits()
+    limits: ProcessLimits = ProcessLimits()
     known: EndpointList = EndpointList(0, True, [])
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
-    configuration: Following | None = None
+    configuration: ConfigurationSources | None = None
 
     @property
-    def opening(self) -> ParameterReader:
+    def parameters(self) -> ParameterReader:
         return ParameterReader([*pairs_of(self.settings)])
 
 
-def load(path: str) -> Config:
+def load(path: str) -> RelayConfig:
     """Raises Malformed, with what is wrong and what to do; no part of a bad file is used."""
     try:
-        config = decode(Path(path).read_bytes(), Config, LONGEST)
+        config = decode(Path(path).read_bytes(), RelayConfig, MAX_FILE_BYTES)
     except OSError as fault:
         raise MessageError(f"cannot read {path}: {fault.strerror}") from None
     for name, text in (("listen", config.listen), ("discovery", config.discovery)):
@@ -84,7 +84,7 @@
     except ValueError:
         raise MessageError(f"seed: {config.seed[:40]!r}; must be a hexadecimal number") from None
     try:
-        opening = config.opening
+        opening = config.parameters
     except RecursionError:
         raise MessageError("settings: nested too deep") from None
     check(opening)
@@ -101,7 +101,7 @@
         raise MessageError(f"{name}: {text[:80]!r}; must be an address and a port") from None
 
 
-def path() -> str:
+def path_from_environment() -> str:
     if not (found := os.environ.get("NODE_CONFIG", "")):
         raise MessageError("NODE_CONFIG is not set")
     return found
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -13,58 +13,58 @@
 
 from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
 from lanelead.pgwire.servers import ServerReader
-from lanelead.postgres_relay.load_reports import still
+from lanelead.postgres_relay.load_reports import is_idle_socket
 from lanelead.runtime.driver import Destination
 
-WEAR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
-REST = 0.01  # seconds that an answered one is left alone; second answers were seen 2 to 3 ms late
+IDLE_LIMIT_FACTOR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
+REUSE_DELAY_SECONDS = 0.01  # seconds that an answered one is left alone; second answers were seen 2 to 3 ms late
 
 
-class Link:
+class UpstreamConnection:
     """One connection to a unit."""
 
     __slots__ = (
-        "asked",
-        "began",
+        "attempt",
+        "connect_timer",
         "connected",
-        "late",
+        "health_check",
+        "health_check_started",
+        "health_check_timer",
+        "last_activity",
         "pool",
-        "probe",
+        "query_sent",
         "reader",
-        "rest",
-        "rested",
-        "since",
+        "reusable_at",
         "sock",
-        "timer",
-        "trip",
+        "unsent",
         "writing",
     )
 
-    def __init__(self, sock: socket.socket, pool: Pool, longest: int) -> None:
+    def __init__(self, sock: socket.socket, pool: EndpointPool, longest: int) -> None:
         self.sock, self.pool, self.reader = sock, pool, ServerReader(longest, b"vitals")
-        self.trip: Attempt | None = None  # that goes, or is to go, over it
-        self.probe: Endpoint | None = None
+        self.attempt: Attempt | None = None  # that goes, or is to go, over it
+        self.health_check: Endpoint | None = None
         self.connected = False  # the unit has welcomed it
-        self.asked = False  # the question's last byte was handed over
-        self.rest = memoryview(b"")  # of the question, where the kernel took only a part
+        self.query_sent = False  # the question's last byte was handed over
+        self.unsent = memoryview(b"")  # of the question, where the kernel took only a part
         self.writing = False
-        self.since = 0.0  # when it fell idle, or when the last bytes of an answer came
-        self.rested = 0.0  # when it may carry another question
-        self.began = 0.0  # when a probe set out
-        self.timer: asyncio.TimerHandle | None = None  # it has to have come up by then
-        self.late: asyncio.TimerHandle | None = None  # its probe has to be answered by then
+        self.last_activity = 0.0  # when it fell idle, or when the last bytes of an answer came
+        self.reusable_at = 0.0  # when it may carry another question
+        self.health_check_started = 0.0  # when a probe set out
+        self.connect_timer: asyncio.TimerHandle | None = None  # it has to have come up by then
+        self.health_check_timer: asyncio.TimerHandle | None = None  # its probe has to be answered by then
 
 
-class Pool:
+class EndpointPool:
     """The connections to one life of a unit."""
 
     def __init__(self, place: Destination) -> None:
-        self.place = place
-        self.idle: list[Link] = []  # the one used last at the end
-        self.left = False
+        self.destination = place
+        self.idle: list[UpstreamConnection] = []  # the one used last at the end
+        self.retired = False
 
 
-class Pools:
+class ConnectionPool:
     """All connections to units. What passes on them is the matter of who inherits this: `_more` is called
     when one may be written to, `_never_came_up` when it was not welcomed in time."""
 
@@ -78,78 +78,82 @@
         log: Any,
     ) -> None:
         self._loop, self._log = loop, log
-        self._connect_limit, self._idle_limit, self._most = connect_limit, idle_limit * WEAR, most
-        self._longest = longest
-        self._pools: dict[Endpoint, Pool] = {}
-        self.links: dict[Link, None] = {}
-        self.opened = self.short = 0
-
-    def _more(self, link: Link) -> None:
+        self._connect_limit, self._idle_limit, self._max_connections = (
+            connect_limit,
+            idle_limit * IDLE_LIMIT_FACTOR,
+            most,
+        )
+        self._max_response_bytes = longest
+        self._pools: dict[Endpoint, EndpointPool] = {}
+        self.connections: dict[UpstreamConnection, None] = {}
+        self.opened = self.descriptor_shortages = 0
+
+    def _on_writable(self, link: UpstreamConnection) -> None:
         raise NotImplementedError
 
-    def _never_came_up(self, link: Link) -> None:
+    def _on_connect_timeout(self, link: UpstreamConnection) -> None:
         raise NotImplementedError
 
-    def _pool(self, unit: Endpoint, place: Destination) -> Pool:
+    def _pool_for(self, unit: Endpoint, place: Destination) -> EndpointPool:
         pool = self._pools.get(unit)
-        if pool is None or pool.place != place:
+        if pool is None or pool.destination != place:
             if pool is not None:
-                self._empty(pool)
-                pool.left = True
-            pool = self._pools[unit] = Pool(place)
+                self._close_idle_in(pool)
+                pool.retired = True
+            pool = self._pools[unit] = EndpointPool(place)
         return pool
 
-    def _idle(self, pool: Pool) -> Link | None:
+    def _take_idle(self, pool: EndpointPool) -> UpstreamConnection | None:
         """The connection used last that has rested and is still of use: nothing unasked has come on it, nor
         its end."""
         now = self._loop.time()
         for link in reversed(pool.idle.copy()):
-            if link.rested > now:
+            if link.reusable_at > now:
                 continue
-            if still(link.sock):
+            if is_idle_socket(link.sock):
                 pool.idle.remove(link)
                 return link
-            self._end(link)
+            self._close_connection(link)
         return None
 
-    def _open(self, pool: Pool) -> Link | None:
+    def _open_connection(self, pool: EndpointPool) -> UpstreamConnection | None:
         """None where all descriptors are in use; the longest idle connection makes room."""
-        if len(self.links) >= self._most:
+        if len(self.connections) >= self._max_connections:
             pools = [other for other in self._pools.values() if other.idle]
             if not pools:
-                self.short += 1
+                self.descriptor_shortages += 1
                 return None
-            self._end(min(pools, key=lambda other: other.idle[0].since).idle.pop(0))
+            self._close_connection(min(pools, key=lambda other: other.idle[0].last_activity).idle.pop(0))
         try:
-            sock = socket.socket(socket.AF_INET6 if ":" in pool.place.host else socket.AF_INET)
+            sock = socket.socket(socket.AF_INET6 if ":" in pool.destination.host else socket.AF_INET)
         except OSError as fault:  # the process has no descriptor left
             self._log.warning("no connection", reason=str(fault))
-            self.short += 1
+            self.descriptor_shortages += 1
             return None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = Link(sock, pool, self._longest)
-        self.links[link] = None
+        link = UpstreamConnection(sock, pool, self._max_response_bytes)
+        self.connections[link] = None
         self.opened += 1
-        link.since = self._loop.time()
-        link.timer = self._loop.call_later(self._connect_limit, self._never_came_up, link)
+        link.last_activity = self._loop.time()
+        link.connect_timer = self._loop.call_later(self._connect_limit, self._on_connect_timeout, link)
         with contextlib.suppress(OSError):  # in progress, or failed: the writer finds that out
-            sock.connect((pool.place.host, pool.place.port))
-        self._loop.add_writer(sock, self._more, link)
+            sock.connect((pool.destination.host, pool.destination.port))
+        self._loop.add_writer(sock, self._on_writable, link)
         return link
 
-    def _keep(self, link: Link) -> None:
-        if link.pool.left:
-            self._end(link)
+    def _keep_idle(self, link: UpstreamConnection) -> None:
+        if link.pool.retired:
+            self._close_connection(link)
             return
-        link.since = self._loop.time()
+        link.last_activity = self._loop.time()
         link.pool.idle.append(link)
 
-    def _end(self, link: Link) -> None:
-        if link not in self.links:
+    def _close_connection(self, link: UpstreamConnection) -> None:
+        if link not in self.connections:
             return
-        del self.links[link]
-        for timer in (link.timer, link.late):
+        del self.connections[link]
+        for timer in (link.connect_timer, link.health_check_timer):
             if timer is not None:
                 timer.cancel()
         self._loop.remove_reader(link.sock)
@@ -158,25 +162,25 @@
         if link in link.pool.idle:
             link.pool.idle.remove(link)
 
-    def _empty(self, pool: Pool) -> None:
+    def _close_idle_in(self, pool: EndpointPool) -> None:
         for link in list(pool.idle):
-            self._end(link)
+            self._close_connection(link)
 
     def close_idle(self, unit: Endpoint) -> None:
         if (pool := self._pools.get(unit)) is not None:
-            self._empty(pool)
+            self._close_idle_in(pool)
 
-    def _wear(self) -> None:
+    def _close_worn(self) -> None:
         """Ends connections idle for long, and the pools of units that are gone."""
         now = self._loop.time()
         for unit, pool in list(self._pools.items()):
-            while pool.idle and pool.idle[0].since < now - self._idle_limit:
-                self._end(pool.idle[0])
+            while pool.idle and pool.idle[0].last_activity < now - self._idle_limit:
+                self._close_connection(pool.idle[0])
             if unit.status is EndpointStatus.REMOVED:
-                self._empty(pool)
-                pool.left = True
+                self._close_idle_in(pool)
+                pool.retired = True
                 del self._pools[unit]
 
-    def shut(self) -> None:
-        for link in list(self.links):
-            self._end(link)
+    def close_all(self) -> None:
+        for link in list(self.connections):
+            self._close_connection(link)
--- a/lanelead/postgres_relay/endpoint_list_decoder.py
+++ b/lanelead/postgres_relay/endpoint_list_decoder.py
@@ -9,32 +9,32 @@
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.runtime.driver import DecisionDriver
 
-NAMED = 5  # refused entries that one line of the log names
+MAX_LOGGED_ENTRIES = 5  # refused entries that one line of the log names
 
 
-class Lists:
+class EndpointListDecoder:
     """`offset`: what Unix time lacks of the driver's clock, in ticks; `refused`: entries so far."""
 
     def __init__(self, driver: DecisionDriver, offset: Ticks, log: Any) -> None:
         self._driver, self._offset, self._log = driver, offset, log
-        self.refused = 0
+        self.rejected_entries = 0
 
-    def read(self, found: EndpointList) -> EndpointListMessage:
+    def decode(self, found: EndpointList) -> EndpointListMessage:
         refused: list[RejectedEntry] = []
-        taken = read_endpoint_list(found, self._last, refused)
+        taken = read_endpoint_list(found, self._last_known, refused)
         if refused:
-            self.refused += len(refused)
+            self.rejected_entries += len(refused)
             self._log.warning(
                 "entries refused",
                 version=found.version,
                 many=len(refused),
-                first=[entry.id[:64] for entry in refused[:NAMED]],
+                first=[entry.id[:64] for entry in refused[:MAX_LOGGED_ENTRIES]],
                 reason=refused[0].reason,
                 remedy="put these entries right at discovery; what counted of these units last still counts",
             )
         return taken
 
-    def _last(self, name: str) -> EndpointMessage | None:
+    def _last_known(self, name: str) -> EndpointMessage | None:
         """A unit as it was told of last; None where it is not known, or gone."""
         unit = self._driver.registry.by_name.get(name)
         place = self._driver.destinations.get(unit) if unit is not None else None
--- a/lanelead/postgres_relay/event_loop_monitor.py
+++ b/lanelead/postgres_relay/event_loop_monitor.py
@@ -6,34 +6,34 @@
 import time
 
 
-class Pauses:
+class EventLoopMonitor:
     """The longest since they were last begun anew, seconds: `lag` of the loop, `pause` of the collector."""
 
     def __init__(self) -> None:
-        self.lag = self.pause = self._began = 0.0
+        self.loop_lag_seconds = self.gc_pause_seconds = self._gc_started = 0.0
 
-    def watch(self) -> None:
-        gc.callbacks.append(self._collected)
+    def start(self) -> None:
+        gc.callbacks.append(self._on_gc)
 
-    def end(self) -> None:
-        gc.callbacks.remove(self._collected)
+    def stop(self) -> None:
+        gc.callbacks.remove(self._on_gc)
 
-    def late(self, seconds: float) -> None:
-        self.lag = max(self.lag, seconds)
+    def record_lag(self, seconds: float) -> None:
+        self.loop_lag_seconds = max(self.loop_lag_seconds, seconds)
 
-    def anew(self) -> None:
-        self.lag = self.pause = 0.0
+    def reset(self) -> None:
+        self.loop_lag_seconds = self.gc_pause_seconds = 0.0
 
-    def _collected(self, phase: str, info: dict[str, int]) -> None:
+    def _on_gc(self, phase: str, info: dict[str, int]) -> None:
         if phase == "start":
-            self._began = time.monotonic()
+            self._gc_started = time.monotonic()
         else:
-            self.pause = max(self.pause, time.monotonic() - self._began)
+            self.gc_pause_seconds = max(self.gc_pause_seconds, time.monotonic() - self._gc_started)
 
     def state(self) -> dict[str, float]:
         return {
-            "lag_ms": round(self.lag * 1000, 1),
-            "pause_ms": round(self.pause * 1000, 1),
+            "lag_ms": round(self.loop_lag_seconds * 1000, 1),
+            "pause_ms": round(self.gc_pause_seconds * 1000, 1),
             "cpu_s": round(time.process_time(), 2),
             "memory_mb": resident_mb(),
         }
--- a/lanelead/postgres_relay/gossip_transport.py
+++ b/lanelead/postgres_relay/gossip_transport.py
@@ -11,10 +11,10 @@
 from lanelead.protocols import datagrams
 from lanelead.protocols.platform import parse_address
 
-AT_ONCE = 64  # letters read in one turn, so that a flood leaves time for lookups
+MAX_DATAGRAMS_PER_TURN = 64  # letters read in one turn, so that a flood leaves time for lookups
 
 
-class Letters:
+class GossipTransport:
     """`heard` is called with a peer's number and what it wrote; `after` once all that has come is read."""
 
     def __init__(
@@ -26,11 +26,11 @@
         after: Callable[[], None],
         log: Any,
     ) -> None:
-        self._loop, self._number, self._heard, self._after, self._log = loop, number, heard, after, log
+        self._loop, self._number, self._on_gossip, self._after_batch, self._log = loop, number, heard, after, log
         self._peers = [parse_address(text) for text in peers]
-        self._number_at = {place: number for number, place in enumerate(self._peers)}
+        self._peer_by_address = {place: number for number, place in enumerate(self._peers)}
         self._sock: socket.socket | None = None
-        self.dropped = 0
+        self.dropped_datagrams = 0
 
     def open(self, host: str, port: int) -> None:
         """Without its address the relay goes on alone, as it does where all letters are lost."""
@@ -43,9 +43,9 @@
             sock.close()
             return
         self._sock = sock
-        self._loop.add_reader(sock, self._read)
+        self._loop.add_reader(sock, self._on_readable)
 
-    def tell(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+    def send(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         """To one peer, or to all; such messages may be lost."""
         if self._sock is None:
             return
@@ -56,21 +56,21 @@
                 with contextlib.suppress(OSError):
                     self._sock.sendto(datagrams.encode_plain(payload), place)
 
-    def _read(self) -> None:
+    def _on_readable(self) -> None:
         assert self._sock is not None
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data, place = self._sock.recvfrom(512)
             except BlockingIOError:
                 break
             except OSError:
                 continue
-            number, payload = self._number_at.get(place[:2]), datagrams.decode_plain(data)
+            number, payload = self._peer_by_address.get(place[:2]), datagrams.decode_plain(data)
             if number is None or number == self._number or payload is None:
-                self.dropped += 1
+                self.dropped_datagrams += 1
             else:
-                self._heard(number, payload)
-        self._after()
+                self._on_gossip(number, payload)
+        self._after_batch()
 
     def close(self) -> None:
         if self._sock is not None:
--- a/lanelead/postgres_relay/load_reports.py
+++ b/lanelead/postgres_relay/load_reports.py
@@ -8,7 +8,7 @@
 from lanelead.decisions.interface import LoadReport
 
 
-def report_of(text: bytes | None, names: frozenset[str]) -> LoadReport | None:
+def parse_load_report(text: bytes | None, names: frozenset[str]) -> LoadReport | None:
     """The figures that the settings name; None where there is no report that can be read."""
     if not text or not names:
         return None
@@ -26,7 +26,7 @@
     return found or None
 
 
-def still(sock: socket.socket) -> bool:
+def is_idle_socket(sock: socket.socket) -> bool:
     """Nothing waits to be read, nor has the other end gone."""
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/lanelead/postgres_relay/main.py
+++ b/lanelead/postgres_relay/main.py
@@ -9,19 +9,19 @@
 import uvloop
 
 from lanelead.logs import logger
-from lanelead.postgres_relay.config import load, path
+from lanelead.postgres_relay.config import load, path_from_environment
 from lanelead.postgres_relay.service import Service
 from lanelead.protocols.feeds import MessageError
 
-HELD = {signal.SIGHUP, signal.SIGTERM}
+BLOCKED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}
 
 
 def run(form: str) -> None:
     """Serves until SIGTERM. A configuration that can't be read ends the process with one line and 2."""
     # Until its handler stands a signal would end the process at whatever it is doing: it waits for that.
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
-        where = path()
+        where = path_from_environment()
         config = load(where)
     except MessageError as fault:
         print(f"lanelead: configuration: {fault}", file=sys.stderr)
@@ -35,8 +35,8 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 20, 50)
-        service.answer_signals()
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD)
+        service.install_signal_handlers()
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
         await service.run(config)
 
     uvloop.run(serve())
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -9,7 +9,7 @@
 
 # Fields by path, with the least that each may be, and whether it may be just that. Under `requestClasses.N.`
 # and `accounts.N.` for each class and each account.
-CLASS = {
+CLASS_MINIMUMS = {
     "aimMs": (0.0, False),
     "deadlineMs": (0.0, False),
     "credit": (0.0, True),
@@ -17,8 +17,8 @@
     "windowMs": (0.0, True),
     "aimStretch": (0.0, True),
 }
-ACCOUNT = {"quotaPerS": (0.0, True), "share": (0.0, True)}
-ONCE = {
+ACCOUNT_MINIMUMS = {"quotaPerS": (0.0, True), "share": (0.0, True)}
+MINIMUMS = {
     "instances": (1.0, True),
     "me": (0.0, True),
     "tickMs": (0.0, True),
@@ -37,8 +37,8 @@
     "familyInfo.voteTtlMs": (0.0, False),
 }
 # Without these a relay could do nothing, or do harm; docs/crossings.md names the defaults of all others.
-NEEDED = ("aimMs", "deadlineMs", "repeat", "name")
-NEEDED_ONCE = (
+REQUIRED_CLASS_FIELDS = ("aimMs", "deadlineMs", "repeat", "name")
+REQUIRED_FIELDS = (
     "instances",
     "allowed.connectTimeoutMs",
     "allowed.openCap",
@@ -59,23 +59,23 @@
 def _check(opening: ParameterReader) -> None:
     if not opening.whole("requestClasses.count"):
         raise MessageError("settings.requestClasses: none; name at least one class")
-    for path in NEEDED_ONCE:
-        _needed(opening, path)
-    for path, (least, itself) in ONCE.items():
-        _least(opening, path, least, itself)
+    for path in REQUIRED_FIELDS:
+        _check_present(opening, path)
+    for path, (least, itself) in MINIMUMS.items():
+        _check_minimum(opening, path, least, itself)
     names = set()
     for number in range(opening.whole("requestClasses.count")):
         at = f"requestClasses.{number}."
-        for field in NEEDED:
-            _needed(opening, at + field)
-        for field, (least, itself) in CLASS.items():
-            _least(opening, at + field, least, itself)
+        for field in REQUIRED_CLASS_FIELDS:
+            _check_present(opening, at + field)
+        for field, (least, itself) in CLASS_MINIMUMS.items():
+            _check_minimum(opening, at + field, least, itself)
         if (name := opening.word(at + "name")) in names:
             raise MessageError(f"settings.{at}name: {name} is there twice; give each class a name of its own")
         names.add(name)
     for number in range(opening.whole("accounts.count")):
-        for field, (least, itself) in ACCOUNT.items():
-            _least(opening, f"accounts.{number}.{field}", least, itself)
+        for field, (least, itself) in ACCOUNT_MINIMUMS.items():
+            _check_minimum(opening, f"accounts.{number}.{field}", least, itself)
     if opening.number("me") >= opening.number("instances"):
         raise MessageError("settings.me: must be under settings.instances; number the relays from 0")
     shares, caps = opening.numbers("familyInfo.shares"), opening.numbers("familyInfo.mostShares")
@@ -92,12 +92,12 @@
         read()
 
 
-def _needed(opening: ParameterReader, path: str) -> None:
+def _check_present(opening: ParameterReader, path: str) -> None:
     if opening.word(path) == "-":
         raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
 
 
-def _least(opening: ParameterReader, path: str, least: float, itself: bool) -> None:
+def _check_minimum(opening: ParameterReader, path: str, least: float, itself: bool) -> None:
     try:
         value = opening.number(path, least if itself else 1.0)
     except Unread as fault:
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -15,17 +15,17 @@
 from lanelead.pgwire import messages
 from lanelead.pgwire.servers import Progress, QueryResult
 from lanelead.pgwire.statements import Statement
-from lanelead.postgres_relay.connection_pool import REST, Link, Pools
-from lanelead.postgres_relay.load_reports import report_of, still
+from lanelead.postgres_relay.connection_pool import REUSE_DELAY_SECONDS, ConnectionPool, UpstreamConnection
+from lanelead.postgres_relay.load_reports import is_idle_socket, parse_load_report
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
 
-BUFFER = 65536  # bytes read at once
-STARTUP = messages.startup("app", "shop")
-TURNED_AWAY = "53300"
-PROBE = messages.query(b"SHOW vitals")
+READ_BUFFER_BYTES = 65536  # bytes read at once
+STARTUP_MESSAGE = messages.startup("app", "shop")
+REJECTED_CODE = "53300"
+HEALTH_CHECK_QUERY = messages.query(b"SHOW vitals")
 
 
-class Links(Pools):
+class UpstreamRequests(ConnectionPool):
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -37,260 +37,266 @@
         log: Any,
     ) -> None:
         super().__init__(loop, connect_limit, idle_limit, most, longest, log)
-        self._names = names
+        self._report_names = names
         self.driver: DecisionDriver
-        self.after: Callable[[], None] = lambda: None
-        self.waiting: list[Attempt] = []  # trips to set out
-        self._probes: list[Endpoint] = []  # and units to probe
-        self._out: dict[Attempt, tuple[PendingRequest, Link | None]] = {}
-        self.reused = self.spoilt = 0
-        self.refused = self.unwelcome = 0  # connections that were refused, and that never came up
+        self.after_event: Callable[[], None] = lambda: None
+        self._waiting_attempts: list[Attempt] = []  # trips to set out
+        self._waiting_health_checks: list[Endpoint] = []  # and units to probe
+        self._in_flight: dict[Attempt, tuple[PendingRequest, UpstreamConnection | None]] = {}
+        self.reused_connections = self.malformed_responses = 0
+        self.refused_connections = self.handshake_timeouts = 0  # connections that were refused, and that never came up
 
     # Trips
 
-    def send(self, attempt: Attempt, pending: PendingRequest) -> None:
+    def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         """Notes a trip; `set_out` sends it."""
-        self._out[attempt] = pending, None
-        self.waiting.append(attempt)
+        self._in_flight[attempt] = pending, None
+        self._waiting_attempts.append(attempt)
 
-    def probe(self, unit: Endpoint) -> None:
+    def enqueue_health_check(self, unit: Endpoint) -> None:
         """Notes a probe; `set_out` sends it."""
-        self._probes.append(unit)
+        self._waiting_health_checks.append(unit)
 
-    def set_out(self) -> None:
+    def start_waiting(self) -> None:
         """Sends what was noted. Not from within a call of the driver's: what fails at once is told to it."""
-        while self.waiting or self._probes:
-            attempts, self.waiting = self.waiting, []
-            units, self._probes = self._probes, []
+        while self._waiting_attempts or self._waiting_health_checks:
+            attempts, self._waiting_attempts = self._waiting_attempts, []
+            units, self._waiting_health_checks = self._waiting_health_checks, []
             for attempt in attempts:
-                self.go(attempt)
+                self._start_attempt(attempt)
             for unit in units:
-                self._probe(unit)
+                self._start_health_check(unit)
 
-    def abandon(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Waits no longer for it; says whether it may have run."""
-        _, link = self._out.pop(attempt, (None, None))
+        _, link = self._in_flight.pop(attempt, (None, None))
         if link is None:
             return False
-        link.trip = None
+        link.attempt = None
         if link.connected:  # what is still connecting becomes an idle one
-            self._end(link)
-        return link.asked
+            self._close_connection(link)
+        return link.query_sent
 
-    def go(self, attempt: Attempt) -> None:
-        entry = self._out.get(attempt)
+    def _start_attempt(self, attempt: Attempt) -> None:
+        entry = self._in_flight.get(attempt)
         if entry is None:  # given up in the same breath
             return
         place = self.driver.destination_of(attempt)
         if place is None:
-            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
             return
-        pool = self._pool(attempt.endpoint, place)
-        link = self._idle(pool)
+        pool = self._pool_for(attempt.endpoint, place)
+        link = self._take_idle(pool)
         if link is not None:
-            self.reused += 1
-        elif (link := self._open(pool)) is None:
-            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
+            self.reused_connections += 1
+        elif (link := self._open_connection(pool)) is None:
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
             return
-        link.trip, self._out[attempt] = attempt, (entry[0], link)
+        link.attempt, self._in_flight[attempt] = attempt, (entry[0], link)
         if link.connected:
-            self._ask(link, self._text(attempt, entry[0].message))
+            self._send_query(link, self._statement_text(attempt, entry[0].message))
 
-    def _text(self, attempt: Attempt, statement: Statement) -> bytes:
+    def _statement_text(self, attempt: Attempt, statement: Statement) -> bytes:
         left = attempt.sent_at + attempt.timeout - self.driver.decisions.now
-        return messages.query(statement.text(max(1, left // 10)))
+        return messages.query(statement.render(max(1, left // 10)))
 
-    def _ask(self, link: Link, text: bytes) -> None:
-        link.reader.expect()
-        link.asked = False
+    def _send_query(self, link: UpstreamConnection, text: bytes) -> None:
+        link.reader.begin_response()
+        link.query_sent = False
         try:
             size = link.sock.send(text)
         except (BlockingIOError, InterruptedError):
             size = 0
         except OSError:
-            self._broken(link, "broke before its question")
+            self._fail_connection(link, "broke before its question")
             return
         if size == len(text):
-            link.asked = True
+            link.query_sent = True
         else:
-            link.rest, link.writing = memoryview(text)[size:], True
-            self._loop.add_writer(link.sock, self._more, link)
+            link.unsent, link.writing = memoryview(text)[size:], True
+            self._loop.add_writer(link.sock, self._on_writable, link)
 
-    def _more(self, link: Link) -> None:
+    def _on_writable(self, link: UpstreamConnection) -> None:
         """Writes what the kernel did not take at first, or finds out how a connection came up."""
         if not link.writing:
-            self._up(link)
+            self._on_connected(link)
             return
         try:
-            link.rest = link.rest[link.sock.send(link.rest) :]
+            link.unsent = link.unsent[link.sock.send(link.unsent) :]
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._broken(link, "broke within its question")
-            self.after()
+            self._fail_connection(link, "broke within its question")
+            self.after_event()
             return
-        if not link.rest:
-            link.asked, link.writing = True, False
+        if not link.unsent:
+            link.query_sent, link.writing = True, False
             self._loop.remove_writer(link.sock)
 
-    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, answer: QueryResult | None) -> None:
-        if self._out.pop(attempt, None) is not None:
-            report = report_of(answer.report, self._names) if answer else None
+    def _attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, answer: QueryResult | None) -> None:
+        if self._in_flight.pop(attempt, None) is not None:
+            report = parse_load_report(answer.report, self._report_names) if answer else None
             self.driver.attempt_ended(attempt, outcome, answer, report)
 
     # What comes back
 
-    def _read(self, link: Link) -> None:
+    def _on_readable(self, link: UpstreamConnection) -> None:
         try:
-            data = link.sock.recv(BUFFER)
+            data = link.sock.recv(READ_BUFFER_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
         if not data:
-            self._broken(link, "ended")
-            self.after()
+            self._fail_connection(link, "ended")
+            self.after_event()
             return
-        rested, link.since = self._loop.time() - link.since, self._loop.time()
+        rested, link.last_activity = self._loop.time() - link.last_activity, self._loop.time()
         progress = link.reader.feed(data)
         if progress is Progress.WAITING:
             return
-        if progress is Progress.SPOILT:
-            self.spoilt += 1
-            idle = round(rested * 1000, 1) if link.trip is None and link.probe is None else None
+        if progress is Progress.MALFORMED:
+            self.malformed_responses += 1
+            idle = round(rested * 1000, 1) if link.attempt is None and link.health_check is None else None
             self._log.info("spoilt answer", reason=link.reader.reason[:120], idle_ms=idle)
-            self._broken(link, "spoilt")
+            self._fail_connection(link, "spoilt")
         elif not link.connected:
-            self._welcomed(link)
-        elif link.writing and link.reader.answer and link.reader.answer.code != TURNED_AWAY:
+            self._on_ready(link)
+        elif link.writing and link.reader.response and link.reader.response.error_code != REJECTED_CODE:
             # A unit begins once its question's last byte has come: this answers something else.
-            self.spoilt += 1
+            self.malformed_responses += 1
             self._log.info("spoilt answer", reason="it came before its question was written whole")
-            self._broken(link, "early")
+            self._fail_connection(link, "early")
         else:
-            self._answered(link)
-        self.after()
+            self._on_response(link)
+        self.after_event()
 
-    def _welcomed(self, link: Link) -> None:
+    def _on_ready(self, link: UpstreamConnection) -> None:
         link.connected = True
-        if link.timer is not None:
-            link.timer.cancel()
-            link.timer = None
-        attempt = link.trip
+        if link.connect_timer is not None:
+            link.connect_timer.cancel()
+            link.connect_timer = None
+        attempt = link.attempt
         if attempt is not None:
-            if self.driver.destination_of(attempt) != link.pool.place:
-                link.trip = None
-                self._ended(attempt, AttemptOutcome.NOT_SENT, None)
+            if self.driver.destination_of(attempt) != link.pool.destination:
+                link.attempt = None
+                self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
             else:
-                self._ask(link, self._text(attempt, self._out[attempt][0].message))
+                self._send_query(link, self._statement_text(attempt, self._in_flight[attempt][0].message))
                 return
-        elif link.probe is not None:
-            self._ask(link, PROBE)
+        elif link.health_check is not None:
+            self._send_query(link, HEALTH_CHECK_QUERY)
             return
-        self._keep(link)
+        self._keep_idle(link)
 
-    def _answered(self, link: Link) -> None:
-        answer = link.reader.answer
+    def _on_response(self, link: UpstreamConnection) -> None:
+        answer = link.reader.response
         assert answer is not None
-        attempt, link.trip = link.trip, None
-        probe, link.probe = link.probe, None
-        whole, link.asked = link.asked, False
-        link.rested = self._loop.time() + REST
+        attempt, link.attempt = link.attempt, None
+        probe, link.health_check = link.health_check, None
+        whole, link.query_sent = link.query_sent, False
+        link.reusable_at = self._loop.time() + REUSE_DELAY_SECONDS
         if link.reader.ready and whole:
-            self._keep(link)
+            self._keep_idle(link)
         else:
-            self._end(link)
+            self._close_connection(link)
         if attempt is not None:
-            if answer.code is None:
+            if answer.error_code is None:
                 outcome = AttemptOutcome.SUCCEEDED
-            elif answer.code == TURNED_AWAY:
+            elif answer.error_code == REJECTED_CODE:
                 outcome = AttemptOutcome.REJECTED
             else:
                 outcome = AttemptOutcome.ERROR
-            self._ended(attempt, outcome, answer)
+            self._attempt_ended(attempt, outcome, answer)
         if probe is not None:
-            report = report_of(answer.value, self._names) if answer.code is None else None
-            self._probed(probe, AttemptOutcome.SUCCEEDED if answer.code is None else AttemptOutcome.ERROR, link, report)
+            report = parse_load_report(answer.value, self._report_names) if answer.error_code is None else None
+            self._health_check_ended(
+                probe, AttemptOutcome.SUCCEEDED if answer.error_code is None else AttemptOutcome.ERROR, link, report
+            )
 
-    def _broken(self, link: Link, reason: str) -> None:
+    def _fail_connection(self, link: UpstreamConnection, reason: str) -> None:
         """The connection is of no more use. What was asked whole on it may have run."""
-        attempt, link.trip = link.trip, None
-        probe, link.probe = link.probe, None
-        asked = link.asked
-        self._end(link)
+        attempt, link.attempt = link.attempt, None
+        probe, link.health_check = link.health_check, None
+        asked = link.query_sent
+        self._close_connection(link)
         if attempt is not None:
-            self._ended(attempt, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
+            self._attempt_ended(attempt, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
         if probe is not None:
-            self._probed(probe, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, link, None)
+            self._health_check_ended(
+                probe, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, link, None
+            )
 
-    def _up(self, link: Link) -> None:
+    def _on_connected(self, link: UpstreamConnection) -> None:
         self._loop.remove_writer(link.sock)
         try:
             fault = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if fault or link.sock.send(STARTUP) != len(STARTUP):
+            if fault or link.sock.send(STARTUP_MESSAGE) != len(STARTUP_MESSAGE):
                 raise OSError(fault, "not connected")
         except OSError:
-            self.refused += 1
-            self._broken(link, "refused")
-            self.after()
+            self.refused_connections += 1
+            self._fail_connection(link, "refused")
+            self.after_event()
             return
-        self._loop.add_reader(link.sock, self._read, link)
+        self._loop.add_reader(link.sock, self._on_readable, link)
 
-    def _never_came_up(self, link: Link) -> None:
-        link.timer = None
-        if link in self.links and not link.connected:
-            self.unwelcome += 1
-            self._broken(link, "never came up")
-            self.after()
+    def _on_connect_timeout(self, link: UpstreamConnection) -> None:
+        link.connect_timer = None
+        if link in self.connections and not link.connected:
+            self.handshake_timeouts += 1
+            self._fail_connection(link, "never came up")
+            self.after_event()
 
     def sweep(self) -> None:
         """To be called a few times a second: idle connections that are worn, pools of units that are gone,
         and answers that stopped in the middle."""
-        self._wear()
+        self._close_worn()
         now = self._loop.time()
         # Guards against a unit that says a length and sends less: the trip would wait for its whole time.
-        stalled = [link for link in self.links if link.connected and link.trip and link.reader.began]
+        stalled = [link for link in self.connections if link.connected and link.attempt and link.reader.response_begun]
         for link in stalled:
             # What waits to be read was the relay's own delay, and is no fault of the unit's.
-            if link.since < now - self._connect_limit and still(link.sock):
-                self.spoilt += 1
+            if link.last_activity < now - self._connect_limit and is_idle_socket(link.sock):
+                self.malformed_responses += 1
                 self._log.info("spoilt answer", reason="it stopped in the middle")
-                self._broken(link, "stalled")
-        self.after()
+                self._fail_connection(link, "stalled")
+        self.after_event()
 
     # Probes
 
-    def _probe(self, unit: Endpoint) -> None:
+    def _start_health_check(self, unit: Endpoint) -> None:
         place = self.driver.destinations.get(unit)
         if place is None:
-            self._loop.call_soon(self._unprobed, unit)
+            self._loop.call_soon(self._health_check_not_sent, unit)
             return
-        pool = self._pool(unit, place)
-        link = self._idle(pool) or self._open(pool)
+        pool = self._pool_for(unit, place)
+        link = self._take_idle(pool) or self._open_connection(pool)
         if link is None:
-            self._loop.call_soon(self._unprobed, unit)
+            self._loop.call_soon(self._health_check_not_sent, unit)
             return
-        link.probe, link.began = unit, self._loop.time()
-        link.late = self._loop.call_later(self._connect_limit, self._probe_late, link)
+        link.health_check, link.health_check_started = unit, self._loop.time()
+        link.health_check_timer = self._loop.call_later(self._connect_limit, self._on_health_check_timeout, link)
         if link.connected:
-            self._ask(link, PROBE)
+            self._send_query(link, HEALTH_CHECK_QUERY)
 
-    def _probe_late(self, link: Link) -> None:
-        link.late = None
-        if (unit := link.probe) is not None:
-            link.probe = None
-            self._end(link)
-            self._probed(unit, AttemptOutcome.TIMED_OUT, link, None)
-            self.after()
+    def _on_health_check_timeout(self, link: UpstreamConnection) -> None:
+        link.health_check_timer = None
+        if (unit := link.health_check) is not None:
+            link.health_check = None
+            self._close_connection(link)
+            self._health_check_ended(unit, AttemptOutcome.TIMED_OUT, link, None)
+            self.after_event()
 
-    def _unprobed(self, unit: Endpoint) -> None:
+    def _health_check_not_sent(self, unit: Endpoint) -> None:
         self.driver.health_checked(unit, AttemptOutcome.CONNECT_FAILED, 0, None)
-        self.after()
+        self.after_event()
 
-    def _probed(self, unit: Endpoint, outcome: AttemptOutcome, link: Link, report: LoadReport | None) -> None:
+    def _health_check_ended(
+        self, unit: Endpoint, outcome: AttemptOutcome, link: UpstreamConnection, report: LoadReport | None
+    ) -> None:
         # Guards against the timer of this probe ending a later one on the same connection.
-        if link.late is not None:
-            link.late.cancel()
-            link.late = None
-        took: Ticks = max(0, int((self._loop.time() - link.began) * 10_000))
+        if link.health_check_timer is not None:
+            link.health_check_timer.cancel()
+            link.health_check_timer = None
+        took: Ticks = max(0, int((self._loop.time() - link.health_check_started) * 10_000))
         self.driver.health_checked(unit, outcome, took, report)
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -24,12 +24,17 @@
     decode,
 )
 
-PHASES = {"testing": "trial", "recalling": "reverting", "live": "released", "recalled": "withdrawn"}
-STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
-VERDICTS = {Verdict.ABSTAIN: "abstain", Verdict.PROMOTE: "promote", Verdict.HOLD: "pause", Verdict.ROLL_BACK: "abort"}
+ROLLOUT_PHASES = {"testing": "trial", "recalling": "reverting", "live": "released", "recalled": "withdrawn"}
+ENDPOINT_STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+VERDICT_NAMES = {
+    Verdict.ABSTAIN: "abstain",
+    Verdict.PROMOTE: "promote",
+    Verdict.HOLD: "pause",
+    Verdict.ROLL_BACK: "abort",
+}
 # A host that can't be one raises other errors than OSError when connected to, which nobody catches.
-LABEL = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
-ADDRESS = rf"^{LABEL}(\.{LABEL})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
+HOST_LABEL_PATTERN = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
+ADDRESS_PATTERN = rf"^{HOST_LABEL_PATTERN}(\.{HOST_LABEL_PATTERN})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
 ERROR_OUTCOMES = {
     "too_many_calls": AttemptOutcome.REJECTED,
     "out_of_date": AttemptOutcome.NOT_SENT,
@@ -46,7 +51,7 @@
     age_ms: NonNegativeFloat
 
     def line(self) -> RolloutMessage:
-        return RolloutMessage(self.build, self.stage, PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
+        return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
 
 
 class RpcError(msgspec.Struct, frozen=True):
@@ -66,7 +71,7 @@
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
     id: Annotated[str, Meta(min_length=1, max_length=64)]
-    addr: Annotated[str, Meta(max_length=270, pattern=ADDRESS)]
+    addr: Annotated[str, Meta(max_length=270, pattern=ADDRESS_PATTERN)]
     state: Literal["active", "leaving", "left"]
     zone: str = ""
     kind: str = ""
@@ -114,7 +119,7 @@
         port,
         point.zone,
         point.revision_no,
-        STATES[point.state],  # type: ignore[arg-type]
+        ENDPOINT_STATES[point.state],  # type: ignore[arg-type]
         point.cell,
         point.kind,
         point.started_ms or None,
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -15,8 +15,8 @@
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http import serialization
 from lanelead.http.server import STREAM, chunk
-from lanelead.postgres_relay.config import Following, SourceAt
-from lanelead.postgres_relay.configuration_client import Feed
+from lanelead.postgres_relay.config import ConfigurationSource, ConfigurationSources
+from lanelead.postgres_relay.configuration_client import ConfigurationClient
 from lanelead.protocols.configuration import Entry, WatchLine
 from lanelead.protocols.feeds import encode
 from tests.configurationhand import change
@@ -138,10 +138,12 @@
 
     def __init__(self, machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
         self.log, self.changed, self.puts = Log(), list[str](), 0
-        sources = [SourceAt(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
+        sources = [ConfigurationSource(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
-        following = Following(sources, **more)
-        self.feed = Feed(asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log)
+        following = ConfigurationSources(sources, **more)
+        self.feed = ConfigurationClient(
+            asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log
+        )
 
     def _put(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
         self.puts += 1
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -202,7 +202,7 @@
         path = str(self.folder / "config.json")
         config = load(path)
         self.relay = Service(config, path, structlog.wrap_logger(self.log, processors=[]))
-        self.relay.answer_signals()
+        self.relay.install_signal_handlers()
         self.run = asyncio.create_task(self.relay.run(config))
         await self.until(lambda: self.said("listening") > 0 or self.run.done() or not listening)
 
@@ -316,8 +316,8 @@
 
     async def rested(self) -> None:
         """Until the relay would use each connection to a unit again."""
-        links, loop = self.relay.links.links, asyncio.get_running_loop()
-        await self.until(lambda: all(link.rested <= loop.time() for link in links))
+        links, loop = self.relay.upstream.connections, asyncio.get_running_loop()
+        await self.until(lambda: all(link.reusable_at <= loop.time() for link in links))
 
     def said(self, event: str) -> int:
         return sum(call.kwargs.get("event") == event for call in self.log.calls)
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -12,7 +12,7 @@
 from lanelead.configuration.follower import Follower
 from lanelead.configuration.value_types import TenantValue
 from lanelead.http.server import STREAM, chunk
-from lanelead.postgres_relay.configuration_client import LONGEST
+from lanelead.postgres_relay.configuration_client import MAX_RESPONSE_BYTES
 from lanelead.protocols.configuration import BUCKET_COUNT as ALL
 from lanelead.protocols.configuration import Buckets, Entry, WatchLine
 from lanelead.protocols.feeds import MAX_LINE_BYTES as LINE
@@ -223,7 +223,7 @@
             (BUCKETS, answers(410, b"{}")),
             (BUCKETS, answers(200, b'{"version":1,"buckets":{"x":[]}}')),
             (BUCKETS, answers(200, b'{"version":1,"buckets":{}}')),
-            (BUCKETS, answers(200, b" " * (LONGEST + 1))),
+            (BUCKETS, answers(200, b" " * (MAX_RESPONSE_BYTES + 1))),
         ]
 
         async def one(number: int, path: str, bad: Answer) -> None:
@@ -252,7 +252,7 @@
                 asked.append(min(place.part, len(place.missing)))
                 numbers = place.missing[: place.part]
                 text = encode(usual(1, numbers))
-                await at.answer(writer, 200, text if len(asked) > 1 else b" " * (LONGEST + 1))
+                await at.answer(writer, 200, text if len(asked) > 1 else b" " * (MAX_RESPONSE_BYTES + 1))
 
             machine.says[BUCKETS] = large
             async with following([machine], FILE) as relay:
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -26,8 +26,8 @@
     read,
 )
 from lanelead.decisions.interface import DeduplicationScope, Idempotency, RequestClass, Tenant
-from lanelead.postgres_relay.applied_configuration import InForce as Relay
-from lanelead.postgres_relay.applied_configuration import changed
+from lanelead.postgres_relay.applied_configuration import AppliedConfiguration as Relay
+from lanelead.postgres_relay.applied_configuration import changed_entries
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
 from tests.configurationhand import change, entry
 
@@ -272,15 +272,15 @@
             "accounts": [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": 1}, {"name": "c", "quotaPerS": 1}]
         }
         new = {"accounts": [{"name": "a", "quotaPerS": -1}, {"name": "b", "quotaPerS": 2}]}
-        keys, values, faults = changed(old, new)
+        keys, values, faults = changed_entries(old, new)
         self.assertEqual((["tenant/b", "tenant/c"], ["tenant/a"]), (keys, [fault.key for fault in faults]))
         self.assertEqual({"tenant/b": TenantValue(2.0)}, values)
-        self.assertEqual([], changed(old, old)[0])
+        self.assertEqual([], changed_entries(old, old)[0])
 
     def test_figures_of_a_class_that_are_removed_stay_as_they_were(self) -> None:
         request_class = RequestClass(
             "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
         )
         here = Relay(dict[str, Tenant](), {"read": request_class}, lambda _: None)
-        self.assertEqual([], here.put(["class/read", "route/x"], {}))
+        self.assertEqual([], here.apply(["class/read", "route/x"], {}))
         self.assertEqual((8000, 15000), (request_class.latency_objective, request_class.timeout))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -10,19 +10,19 @@
 
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener as fronts
-from lanelead.postgres_relay.client_connection import Client
+from lanelead.postgres_relay.client_connection import ClientConnection
 from tests.platform import Client as Caller
 from tests.platform import Held, Platform, Unit, platform, statement
 from tests.town import live
 
 
-def met(place: Platform, sock: socket.socket) -> Client:
+def met(place: Platform, sock: socket.socket) -> ClientConnection:
     """The relay's end of a plain client's connection."""
-    return next(c for c in place.relay.front.clients if c.sock.getpeername() == sock.getsockname())
+    return next(c for c in place.relay.listener.clients if c.sock.getpeername() == sock.getsockname())
 
 
-async def taken_in(place: Platform, sock: socket.socket) -> Client:
-    await place.until(lambda: any(c.sock.getpeername() == sock.getsockname() for c in place.relay.front.clients))
+async def taken_in(place: Platform, sock: socket.socket) -> ClientConnection:
+    await place.until(lambda: any(c.sock.getpeername() == sock.getsockname() for c in place.relay.listener.clients))
     return met(place, sock)
 
 
@@ -31,8 +31,8 @@
     client = await place.client()
     client.send("1a")
     await place.until(lambda: len(place.units[0].queries) == 1)
-    drained = asyncio.create_task(place.relay.front.drain(0, 3))
-    await place.until(lambda: all(c.closing for c in place.relay.front.clients))
+    drained = asyncio.create_task(place.relay.listener.drain(0, 3))
+    await place.until(lambda: all(c.closing for c in place.relay.listener.clients))
     return client, drained
 
 
@@ -47,13 +47,13 @@
     @live
     async def test_all_that_waits_in_the_kernel_is_taken_and_answered(self) -> None:
         async with platform(Unit("u0"), Unit("u1"), Unit("u2")) as place:
-            front, sock = place.relay.front, place.plain()
+            front, sock = place.relay.listener, place.plain()
             client = await taken_in(place, sock)
             await place.until(lambda: client.reader.started)
             sock.sendall(b"".join(messages.query(wide(number)) for number in range(3)))
-            client.leave()  # 150 KB have come, and the relay has read none of it
-            self.assertEqual(len(front.open), 3)
-            place.relay.after()
+            client.drain()  # 150 KB have come, and the relay has read none of it
+            self.assertEqual(len(front.open_request_ids), 3)
+            place.relay.after_event()
             found = await place.heard(sock)
             for number in range(3):
                 self.assertIn(b"value of %da" % number, found)
@@ -62,7 +62,7 @@
     async def test_a_crowd_in_the_queue_is_taken_in_whole(self) -> None:
         async with platform(Unit("u0"), Unit("u1"), sockets=900) as place:
             socks = [place.plain(statement(f"{number:x}")) for number in range(200)]
-            drained = asyncio.create_task(place.relay.front.drain(0, 3))
+            drained = asyncio.create_task(place.relay.listener.drain(0, 3))
             for number, sock in enumerate(socks):
                 found = await place.heard(sock)
                 self.assertTrue(b"value of %x" % number in found or b"C53300" in found, found[-80:])
@@ -72,9 +72,9 @@
     async def test_one_that_never_asked_may_ask_for_a_moment_and_is_then_sent_elsewhere(self) -> None:
         async with platform(Unit("u0")) as place:
             asks, silent = await place.client(), await place.client()
-            with mock.patch.object(fronts, "LINGER", 0.5):
-                drained = asyncio.create_task(place.relay.front.drain(0, 3))
-                await place.until(lambda: all(c.leaving for c in place.relay.front.clients))
+            with mock.patch.object(fronts, "CLOSE_LINGER_SECONDS", 0.5):
+                drained = asyncio.create_task(place.relay.listener.drain(0, 3))
+                await place.until(lambda: all(c.draining for c in place.relay.listener.clients))
                 self.assertTrue((await asks.ask("1a"))["D"].endswith(b"value of 1a"))
                 self.assertEqual(await asks.reader.read(), b"")
                 self.assertEqual((await silent.answer())["C"], b"57P03")
@@ -86,9 +86,9 @@
             client, text = await place.client(), messages.query(statement("2a"))
             await client.ask("1a")
             client.writer.write(text[:40])
-            await place.until(lambda: any(c.reader.inside for c in place.relay.front.clients))
-            drained = asyncio.create_task(place.relay.front.drain(0, 3))
-            await place.until(lambda: any(c.closing for c in place.relay.front.clients))
+            await place.until(lambda: any(c.reader.has_partial_message for c in place.relay.listener.clients))
+            drained = asyncio.create_task(place.relay.listener.drain(0, 3))
+            await place.until(lambda: any(c.closing for c in place.relay.listener.clients))
             client.writer.write(text[40:])
             self.assertTrue((await client.answer())["D"].endswith(b"value of 2a"))
             self.assertEqual(await client.reader.read(), b"")
@@ -101,7 +101,7 @@
             client, drained = await stopping(place)
             client.writer.close()
             await place.until(lambda: place.relay.driver.counters.abandoned == 1)
-            await place.until(lambda: not place.relay.links.links)  # and its trip was called off
+            await place.until(lambda: not place.relay.upstream.connections)  # and its trip was called off
             await drained
 
     @live
@@ -110,7 +110,7 @@
         async with platform(unit) as place:
             client, drained = await stopping(place)
             client.send("2a")
-            await place.until(lambda: place.relay.front.refused == 1)
+            await place.until(lambda: place.relay.listener.rejections == 1)
             unit.may.release()
             self.assertTrue((await client.answer())["D"].endswith(b"value of 1a"))
             self.assertEqual((await client.answer())["C"], b"53300")
@@ -125,15 +125,15 @@
             client = await taken_in(place, sock)
             await place.until(lambda: client.reader.started)
             sock.sendall(messages.query(statement("1a")))
-            client.leave()
-            place.relay.after()
-            await place.until(lambda: client.shut)
+            client.drain()
+            place.relay.after_event()
+            await place.until(lambda: client.write_closed)
             sock.sendall(messages.query(statement("2a")))  # its client has not seen the end yet
-            await place.until(lambda: client not in place.relay.front.clients)
+            await place.until(lambda: client not in place.relay.listener.clients)
             found = await place.heard(sock)
             self.assertIn(b"value of 1a", found)
             self.assertNotIn(b"2a", found)
-            self.assertEqual((place.relay.driver.counters.received, client.discarded), (1, 0))
+            self.assertEqual((place.relay.driver.counters.received, client.discarded_bytes), (1, 0))
 
     @live
     async def test_what_would_wait_longer_than_the_process_lives_is_broken_off(self) -> None:
@@ -142,15 +142,15 @@
             client = await place.client()
             client.send("1a", left=1400)
             await place.until(lambda: len(unit.queries) == 1)
-            await place.relay.front.drain(0, 0.1)
+            await place.relay.listener.drain(0, 0.1)
             self.assertEqual((await client.answer())["C"], b"58000")
-            self.assertEqual((place.relay.front.clients, place.relay.driver.pending), ({}, {}))
+            self.assertEqual((place.relay.listener.clients, place.relay.driver.pending), ({}, {}))
 
     @live
     async def test_after_sigterm_no_lookup_is_given_longer_than_the_process_lives(self) -> None:
         async with platform(Unit("u0")) as place:
-            client, front = await place.client(), place.relay.front
-            front.end = asyncio.get_running_loop().time() + 0.3
+            client, front = await place.client(), place.relay.listener
+            front.drain_deadline = asyncio.get_running_loop().time() + 0.3
             with mock.patch.object(place.relay.driver, "receive", wraps=place.relay.driver.receive) as take:
                 await client.ask("1a", left=1400)
             self.assertLessEqual(take.call_args.args[4], 3000)
@@ -162,7 +162,7 @@
             client = await taken_in(place, sock)
             await place.until(lambda: client.reader.started)
             sock.sendall(messages.query(statement("1a")))
-            client.refuse("57P03", "go elsewhere")  # the relay has read none of it
+            client.close_with_rejection("57P03", "go elsewhere")  # the relay has read none of it
             found = await place.heard(sock)
             self.assertEqual((found.count(b"SFATAL"), b"value of" in found), (1, False))
             self.assertEqual((place.units[0].queries, place.relay.driver.counters.received), ([], 0))
@@ -173,17 +173,19 @@
             sock = place.plain()
             client = await taken_in(place, sock)
             await place.until(lambda: client.reader.started)
-            with mock.patch.object(Client, "refuse", autospec=True, side_effect=Client.refuse) as refuse:
-                with mock.patch.object(fronts, "LINGER", 0):
+            with mock.patch.object(
+                ClientConnection, "close_with_rejection", autospec=True, side_effect=ClientConnection.close_with_rejection
+            ) as refuse:
+                with mock.patch.object(fronts, "CLOSE_LINGER_SECONDS", 0):
 
-                    def leave(one: Client) -> None:
-                        if one.leaving:  # the second look, right before it would be refused
+                    def leave(one: ClientConnection) -> None:
+                        if one.draining:  # the second look, right before it would be refused
                             sock.sendall(messages.query(statement("1a")))
                         kept(one)
 
-                    kept = Client.leave
-                    with mock.patch.object(Client, "leave", leave):
-                        await place.relay.front.drain(0, 3)
+                    kept = ClientConnection.drain
+                    with mock.patch.object(ClientConnection, "drain", leave):
+                        await place.relay.listener.drain(0, 3)
                 self.assertEqual(refuse.call_count, 0)
             self.assertIn(b"value of 1a", await place.heard(sock))
 
@@ -192,28 +194,28 @@
     @live
     async def test_a_client_that_leaves_while_its_lookup_waits_is_noticed(self) -> None:
         unit = Held()
-        with mock.patch.object(fronts, "MOMENT", 60):
+        with mock.patch.object(fronts, "VIOLATION_GRACE_SECONDS", 60):
             async with platform(unit) as place:
                 client = await place.client()
                 client.send("1a")
                 client.writer.write(b"\0noise")
-                await place.until(lambda: place.relay.front.condemned == 1 and len(unit.queries) == 1)
+                await place.until(lambda: place.relay.listener.protocol_violations == 1 and len(unit.queries) == 1)
                 client.writer.close()
                 await place.until(lambda: place.relay.driver.counters.abandoned == 1)
-                await place.until(lambda: not place.relay.links.links)
+                await place.until(lambda: not place.relay.upstream.connections)
 
     @live
     async def test_a_flood_behind_it_is_read_up_to_a_bound_and_hurts_nobody(self) -> None:
-        with mock.patch("lanelead.postgres_relay.client_connection.MOST_DISCARDED", 100_000):
+        with mock.patch("lanelead.postgres_relay.client_connection.MAX_DISCARDED_BYTES", 100_000):
             async with platform(Held("u0"), Unit("u1")) as place:
                 rude, sock = await place.client(), place.plain(statement("1a"))
                 rude.send("2a")
                 rude.writer.write(b"\0noise")
-                await place.until(lambda: place.relay.front.condemned == 1)
-                judged = next(c for c in place.relay.front.clients if c.judged is not None)
+                await place.until(lambda: place.relay.listener.protocol_violations == 1)
+                judged = next(c for c in place.relay.listener.clients if c.violation_at is not None)
                 rude.writer.write(b"x" * 10_000_000)
                 await place.until(lambda: not judged.reading or judged.sock.fileno() < 0)
-                self.assertLess(judged.discarded, 200_000)
+                self.assertLess(judged.discarded_bytes, 200_000)
                 met(place, sock)
                 self.assertIn("D", await (await place.client()).ask("3a", left=1400))
 
@@ -226,34 +228,34 @@
             clients = [await taken_in(place, sock) for sock in socks]
             await place.until(lambda: all(client.reader.started for client in clients))
             for number, (sock, client) in enumerate(zip(socks, clients, strict=True)):
-                client.moved -= 100  # the relay stood still meanwhile
-                client.began -= 100
-                client.asked = number == 0
+                client.last_activity -= 100  # the relay stood still meanwhile
+                client.opened_at -= 100
+                client.has_requested = number == 0
                 sock.sendall(messages.query(statement(f"{number}a")))
-            place.relay.front.sweep()
+            place.relay.listener.sweep()
             self.assertEqual([client.closing for client in clients], [False, False])
             await place.until(lambda: place.relay.driver.counters.succeeded == 2)
 
     @live
     async def test_one_that_says_nothing_is_told_to_go_elsewhere(self) -> None:
-        with mock.patch.object(fronts, "SILENCE", 0.1):
+        with mock.patch.object(fronts, "SILENCE_TIMEOUT_SECONDS", 0.1):
             async with platform(Unit("u0")) as place:
                 self.assertEqual((await (await place.client()).answer())["C"], b"57P03")
 
     @live
     async def test_room_is_made_only_where_nothing_waits(self) -> None:
         async with platform(Unit("u0"), sockets=64) as place:
-            front = place.relay.front
-            socks = [place.plain() for _ in range(front._most)]
+            front = place.relay.listener
+            socks = [place.plain() for _ in range(front._max_connections)]
             for sock in socks:
                 client = await taken_in(place, sock)
                 await place.until(lambda client=client: client.reader.started)  # type: ignore[misc]
-                client.began -= 1
+                client.opened_at -= 1
             for sock in socks[:-1]:
                 sock.sendall(messages.query(statement(f"{socks.index(sock):x}")))
             asks = place.plain(statement("ff"))
             front._accept()  # before any of those is read
-            self.assertEqual((front.evicted, front.turned_off), (1, 0))
+            self.assertEqual((front.evicted_connections, front.rejected_connections), (1, 0))
             self.assertIn(b"C53300", await place.heard(socks[-1]))
             await place.until(lambda: place.relay.driver.counters.succeeded == len(socks))
             asks.close()
@@ -262,21 +264,24 @@
     async def test_a_full_house_turns_off_with_a_refusal(self) -> None:
         unit = Held()
         async with platform(unit, Held("u1"), sockets=64) as place:
-            front = place.relay.front
-            for number in range(front._most):
+            front = place.relay.listener
+            for number in range(front._max_connections):
                 place.plain(statement(f"{number:x}"))
-            await place.until(lambda: len(front.open) == front._most)
+            await place.until(lambda: len(front.open_request_ids) == front._max_connections)
             socks = [place.plain(statement(f"f{number:x}")) for number in range(20)]
             front._accept()
-            self.assertEqual((front.turned_off, front.evicted, len(front.open)), (20, 0, front._most))
+            self.assertEqual(
+                (front.rejected_connections, front.evicted_connections, len(front.open_request_ids)),
+                (20, 0, front._max_connections),
+            )
             for sock in socks:
                 self.assertIn(b"C53300", await place.heard(sock))
-            await place.until(lambda: not front._turned)
+            await place.until(lambda: not front._rejected_sockets)
 
     @live
     async def test_no_descriptor_left_makes_no_loop_that_spins(self) -> None:
         async with platform(Unit("u0")) as place:
-            front, sock = place.relay.front, place.relay.front._sock
+            front, sock = place.relay.listener, place.relay.listener._sock
             assert sock is not None
             empty = mock.Mock(wraps=sock)
             empty.accept = mock.Mock(side_effect=OSError(errno.EMFILE, "none left"))
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -35,7 +35,7 @@
 class Starting(unittest.TestCase):
     @live
     async def test_without_a_list_it_listens_and_refuses_harmlessly(self) -> None:
-        with mock.patch.object(services, "FIRST", 0.05):
+        with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(Unit("u0"), known=False, silent=True) as place:
                 client = await place.client()
                 self.assertEqual((await client.ask("1a", "file"))["C"], b"53300")
@@ -47,7 +47,7 @@
 
     @live
     async def test_sigterm_before_the_first_list_ends_it_unheard(self) -> None:
-        with mock.patch.object(services, "FIRST", 60):
+        with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 60):
             async with platform(Unit("u0"), known=False, silent=True, listening=False) as place:
                 place.relay.stop()
                 await place.run
@@ -57,7 +57,7 @@
 class Watches(unittest.TestCase):
     @live
     async def test_a_silent_watch_is_given_up_and_the_whole_list_is_asked_for(self) -> None:
-        with mock.patch.multiple(discovery_client, HOLD=0.1, LATE=0.2):
+        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=0.1, RESPONSE_GRACE_SECONDS=0.2):
             async with platform(Unit("u0"), Unit("u1")) as place:
                 await place.until(lambda: place.relay.state()["discovery"])
                 place.answers.clear()
@@ -89,10 +89,10 @@
 
     @live
     async def test_a_discovery_that_counts_anew_is_believed_after_a_while(self) -> None:
-        with mock.patch.object(discovery_client, "INSISTS", 0.3):
+        with mock.patch.object(discovery_client, "VERSION_RESET_SECONDS", 0.3):
             async with platform(Unit("u0"), Unit("u1")) as place:
                 place.turn(place.units[0], "active")
-                await place.until(lambda: place.relay._held.version == 2)
+                await place.until(lambda: place.relay._list_state.version == 2)
                 place.states["u1"], place.version = "leaving", 1
                 place.spoil = [b"noise\r\n\r\n"]  # its next answer is a whole list, of an older version
                 await place.until(lambda: condition(place, "u1") == "draining")
@@ -148,7 +148,7 @@
             await old.until(lambda: condition(old, "u1") == "draining")
             new.version, new.states["u1"] = 5, "leaving"
             new.answers.set()
-            await old.until(lambda: old.relay._held.version == 5)
+            await old.until(lambda: old.relay._list_state.version == 5)
             asked = len(old.lists)
             old.turn(old.units[0], "leaving")  # the earlier one's watch ended
             await old.until(lambda: old.relay.state()["discovery"])
@@ -167,8 +167,8 @@
             gone = {**TRIAL, "phase": "recalled", "cap": 0.0}
             with mock.patch.object(old.relay.driver, "rollout_read", wraps=old.relay.driver.rollout_read) as news:
                 # In one breath: the new desk has spoken, and the earlier one says what was so before.
-                earlier, newest = list(old.relay._desk._running)
-                newest._line(decode(told(gone), RpcMessage))
+                earlier, newest = list(old.relay._rollout_handover._running)
+                newest._handle_message(decode(told(gone), RpcMessage))
                 self.assertEqual(heard(old), (2, 0.0))
                 old.desks[0].write(told(TRIAL))
                 await old.until(lambda: earlier._sock is None)
@@ -199,7 +199,9 @@
                 place.relay.reload()
             await place.until(lambda: place.relay.state()["desk"] and place.relay.state()["discovery"])
             relay = place.relay
-            await place.until(lambda: (len(relay._desk._running), len(relay._discovery._running)) == (1, 1))
+            await place.until(
+                lambda: (len(relay._rollout_handover._running), len(relay._discovery_handover._running)) == (1, 1)
+            )
             await place.until(lambda: len(relay._tasks) <= 3)  # two feeds, and the sweep
 
     @live
@@ -233,12 +235,14 @@
         async with platform(Unit("u0")) as place:
             path = place.folder / "config.json"
             whole = path.read_text()
-            feeds_before = place.relay._desk.newest, place.relay._discovery.newest
+            feeds_before = place.relay._rollout_handover.newest, place.relay._discovery_handover.newest
             for text in (None, whole[: len(whole) // 2], whole.replace('"openCap": 1000', '"openCap": 0')):
                 path.unlink() if text is None else path.write_text(text)
                 place.relay.reload()
             self.assertEqual(place.said("configuration not read anew: all stays as it was"), 3)
-            self.assertEqual((place.relay._desk.newest, place.relay._discovery.newest), feeds_before)
+            self.assertEqual(
+                (place.relay._rollout_handover.newest, place.relay._discovery_handover.newest), feeds_before
+            )
             self.assertIn("D", await (await place.client()).ask("1a"))
 
 
--- a/tests/test_crossings_idle.py
+++ b/tests/test_crossings_idle.py
@@ -61,7 +61,7 @@
 
     @live
     async def test_an_empty_list_at_the_start_and_then_changes(self) -> None:
-        with mock.patch.object(services, "FIRST", 0.05):
+        with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(Unit("u0"), known=False, silent=True) as place, agent() as disc:
                 move(place, disc.port)
                 watch = await disc.watch(1)
--- a/tests/test_crossings_kills.py
+++ b/tests/test_crossings_kills.py
@@ -186,13 +186,15 @@
     async def test_who_never_asked_is_known_without_looking_at_all(self) -> None:
         # The crowd day: each of 770 connections a second had all 500 looked at, half of what it cost.
         async with platform(Unit("u0")) as place:
-            front = place.relay.front
+            front = place.relay.listener
             asks, leaves = await place.client(), place.plain()
             place.plain()
             await place.until(lambda: len(front.clients) == 3)
-            self.assertEqual(list(front.clients), list(front.unasked))
+            self.assertEqual(list(front.clients), list(front.without_request))
             await asks.ask("1a")
             leaves.close()
             await place.until(lambda: len(front.clients) == 2)
-            self.assertEqual([client for client in front.clients if not client.asked], list(front.unasked))
-            self.assertEqual(1, len(front.unasked))
+            self.assertEqual(
+                [client for client in front.clients if not client.has_requested], list(front.without_request)
+            )
+            self.assertEqual(1, len(front.without_request))
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -51,12 +51,12 @@
             watch.tell(11, entry(stays), full=True)
             await disc.next()
             self.assertEqual(condition(place, out.name), "removed")
-            place.relay.links.sweep()
+            place.relay.upstream.sweep()
             let(out)
             await one_answer(self, client, "1a")
             await place.until(lambda: out.ended == out.connections)
-            self.assertEqual(place.relay.links.links, {})
-            self.assertEqual([unit.status.value for unit in place.relay.links._pools], [])
+            self.assertEqual(place.relay.upstream.connections, {})
+            self.assertEqual([unit.status.value for unit in place.relay.upstream._pools], [])
 
     @live
     async def test_it_comes_back_while_its_trip_is_out(self) -> None:
@@ -79,11 +79,11 @@
                 self.assertIn("T", await client.ask(f"{number}f"))
             client.send("1a", "file")
             await place.until(lambda: b"id=1a" in out.queries[-1])
-            before, kept = len(out.queries), len(place.relay.links.links)
+            before, kept = len(out.queries), len(place.relay.upstream.connections)
             watch.tell(12, entry(stays, state="leaving"), full=True)
             watch = await disc.next()
             if swept:
-                place.relay.links.sweep()
+                place.relay.upstream.sweep()
             there: Unit = out
             if "addr" in fields:
                 fields["addr"], there = f"127.0.0.1:{elsewhere.port}", elsewhere
@@ -103,13 +103,13 @@
             self.assertEqual(len([query for query in out.queries if b"id=1a" in query]), 1)
             self.assertEqual(len(out.queries), before + (there is out))
             await place.rested()
-            place.relay.links.sweep()
+            place.relay.upstream.sweep()
             same = there is out and not fields and not swept  # its connections are those of the same life
-            self.assertLessEqual(len(place.relay.links.links), kept + 1 if same else 1)
+            self.assertLessEqual(len(place.relay.upstream.connections), kept + 1 if same else 1)
             watch.tell(14, entry(stays), full=True)
             await disc.next()
-            place.relay.links.sweep()
-            self.assertEqual(place.relay.links.links, {})
+            place.relay.upstream.sweep()
+            self.assertEqual(place.relay.upstream.connections, {})
         for writer in elsewhere.writers:
             writer.close()
         elsewhere.server.close()
@@ -268,7 +268,7 @@
             place.relay.reload()
             await new.watch(11, entry(place.units[0]))
             other = Service(load(str(path)), str(path), place.relay._log)
-            self.assertEqual((len(other.driver.destinations), other._lists.refused), (1, len(BAD)))
+            self.assertEqual((len(other.driver.destinations), other._list_decoder.rejected_entries), (1, len(BAD)))
 
 
 class Lists(unittest.TestCase):
@@ -294,7 +294,7 @@
             call = await disc.next()
             self.assertTrue(call.whole)
             self.assertEqual(state(place, "refused_lists"), len(texts))
-            self.assertEqual((condition(place, "u1"), place.relay._held.version), ("ready", 10))
+            self.assertEqual((condition(place, "u1"), place.relay._list_state.version), ("ready", 10))
             self.assertIn("T", await (await place.client()).ask("1a"))
             self.assertEqual((place.said("feed down"), place.said("list refused")), (1, 1))
             call.tell(11, *left)
@@ -303,7 +303,7 @@
     @live
     async def test_one_that_is_too_long(self) -> None:
         async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
-            with mock.patch.object(discovery_client, "LONGEST", 5000):
+            with mock.patch.object(discovery_client, "MAX_LIST_BYTES", 5000):
                 watch.tell(11, entry(place.units[0], note="x" * 5000), full=True)
                 call = await disc.next()
                 self.assertEqual((call.whole, state(place, "refused_lists")), (True, 1))
@@ -318,11 +318,11 @@
             (await new.next()).tell(50, entry(place.units[1], state="leaving"), full=False)
             call = await new.next()
             self.assertEqual((call.whole, condition(place, "u1")), (True, "ready"))
-            self.assertEqual((place.relay._held.version, state(place, "refused_lists")), (10, 1))
+            self.assertEqual((place.relay._list_state.version, state(place, "refused_lists")), (10, 1))
 
     @live
     async def test_from_the_start_on_it_is_said_why(self) -> None:
-        with mock.patch.object(services, "FIRST", 0.05):
+        with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(Unit("u0"), known=False, silent=True) as place:
                 text = b'{"version":1,"full":1,"servers":[]}'
                 place.spoil = [serialization.response(200, (), text, keep=False)] * 3
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -13,7 +13,7 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_connection as clients
 from lanelead.postgres_relay import client_listener as fronts
-from lanelead.postgres_relay.client_connection import Client
+from lanelead.postgres_relay.client_connection import ClientConnection
 from tests.platform import Held, Platform, Unit, platform, row, statement
 from tests.test_crossings_clients import taken_in
 from tests.test_crossings_units import known
@@ -23,7 +23,7 @@
 class Pieces:
     """A connection whose every piece has been read by the relay before the next one is sent."""
 
-    def __init__(self, place: Platform, sock: socket.socket, client: Client) -> None:
+    def __init__(self, place: Platform, sock: socket.socket, client: ClientConnection) -> None:
         self.place, self.sock, self.client = place, sock, client
         self.seen = 0
         take = client.reader.feed
@@ -65,9 +65,9 @@
     return one
 
 
-def aged(client: Client, seconds: float) -> None:
+def aged(client: ClientConnection, seconds: float) -> None:
     """It came so much earlier, and its last bytes just now."""
-    client.began -= seconds
+    client.opened_at -= seconds
 
 
 class ByteByByte(unittest.TestCase):
@@ -77,7 +77,7 @@
             one = await pieces(place)
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a")))
             await place.until(lambda: place.relay.driver.counters.succeeded == 1)
-            one.client.leave()
+            one.client.drain()
             found = await place.heard(one.sock)
             self.assertEqual((found.count(b"value of 1a"), found.count(b"SERROR")), (1, 0))
 
@@ -85,23 +85,23 @@
     async def test_slow_but_steady_over_the_time_to_ask_is_not_cut_off(self) -> None:
         """The startup and the first query take longer than SILENCE, and no pause between bytes does."""
         async with platform(Unit("u0")) as place:
-            one, front = await pieces(place), place.relay.front
+            one, front = await pieces(place), place.relay.listener
             for part in (messages.startup("app", "shop"), messages.query(statement("1a"))):
                 await one.send(part[:-1], 16)
-                aged(one.client, fronts.SILENCE + 1)
+                aged(one.client, fronts.SILENCE_TIMEOUT_SECONDS + 1)
                 front.sweep()
                 await one.send(part[-1:])
                 front.sweep()
             await place.until(lambda: place.relay.driver.counters.succeeded == 1)
-            self.assertEqual((front.refused, front.condemned), (0, 0))
+            self.assertEqual((front.rejections, front.protocol_violations), (0, 0))
 
     @live
     async def test_one_that_is_slow_for_ever_is_told_to_go_elsewhere(self) -> None:
         async with platform(Unit("u0")) as place:
             one = await pieces(place)
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a"))[:9], 64)
-            aged(one.client, fronts.IDLE + 1)
-            place.relay.front.sweep()
+            aged(one.client, fronts.IDLE_TIMEOUT_SECONDS + 1)
+            place.relay.listener.sweep()
             found = await place.heard(one.sock)
             self.assertIn(b"C57P03", found)
 
@@ -110,15 +110,15 @@
         async with platform(Unit("u0")) as place:
             one = await pieces(place)
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a"))[:30], 64)
-            one.client.moved -= fronts.SILENCE + 1
-            place.relay.front.sweep()
+            one.client.last_activity -= fronts.SILENCE_TIMEOUT_SECONDS + 1
+            place.relay.listener.sweep()
             self.assertIn(b"C08P01", await place.heard(one.sock))
             self.assertEqual(place.units[0].queries, [])
 
     @live
     async def test_a_used_connection_may_be_slow_over_the_time_to_ask_too(self) -> None:
         async with platform(Unit("u0")) as place:
-            one, front, text = await pieces(place), place.relay.front, messages.query(statement("2a"))
+            one, front, text = await pieces(place), place.relay.listener, messages.query(statement("2a"))
             await one.send(messages.startup("app", "shop") + messages.query(statement("1a")), 64)
             await place.until(lambda: place.relay.driver.counters.succeeded == 1)
             await one.send(text[:-1], 16)
@@ -157,7 +157,7 @@
             one, text = await pieces(place), messages.query(statement("1a"))
             await one.send(messages.startup("app", "shop") + text[:40], 64)
             os.kill(os.getpid(), signal.SIGTERM)
-            await place.until(lambda: place.relay.front._sock is None and one.client.leaving)
+            await place.until(lambda: place.relay.listener._sock is None and one.client.draining)
             await one.send(text[40:])
             found = await place.heard(one.sock)
             self.assertEqual((found.count(b"value of 1a"), found.count(b"SFATAL")), (1, 0))
@@ -174,7 +174,7 @@
                     await one.send(messages.query(statement("1a")), 256)
                     await place.until(lambda place=place: place.relay.driver.counters.succeeded == 1)  # type: ignore
                 await one.send(text[:40], 64)
-                await place.relay.front.drain(0, 0.1)
+                await place.relay.listener.drain(0, 0.1)
                 found = await place.heard(one.sock)
                 self.assertEqual(found.count(b"C57P03"), 1, (asked, found))
                 self.assertEqual(len(place.units[0].queries), int(asked))
@@ -188,9 +188,9 @@
                 caller.send("1a")
                 await place.until(lambda unit=unit: len(unit.queries) == 1)  # type: ignore[misc]
                 caller.writer.write(text[:40])
-                (client,) = place.relay.front.clients
-                await place.until(lambda client=client: client.reader.inside)  # type: ignore[misc]
-                drained = asyncio.create_task(place.relay.front.drain(0, 3))
+                (client,) = place.relay.listener.clients
+                await place.until(lambda client=client: client.reader.has_partial_message)  # type: ignore[misc]
+                drained = asyncio.create_task(place.relay.listener.drain(0, 3))
                 await place.until(lambda client=client: client.closing)  # type: ignore[misc]
                 if late:
                     unit.may.release()
@@ -200,7 +200,7 @@
                     unit.may.release()
                     self.assertTrue((await caller.answer())["D"].endswith(b"value of 2a"))
                 else:
-                    await place.until(lambda place=place: place.relay.front.refused == 1)  # type: ignore
+                    await place.until(lambda place=place: place.relay.listener.rejections == 1)  # type: ignore
                     unit.may.release()
                     self.assertTrue((await caller.answer())["D"].endswith(b"value of 1a"))
                     self.assertEqual((await caller.answer())["C"], b"53300")
@@ -216,12 +216,12 @@
         async with platform(Unit("u0"), Unit("u1"), Unit("u2"), sockets=900) as place:
             for cut in range(1, len(whole)):
                 one = await pieces(place)
-                with mock.patch.object(place.relay.front, "open", {}):  # ids come again
+                with mock.patch.object(place.relay.listener, "open_request_ids", {}):  # ids come again
                     await one.send(messages.startup("app", "shop"), 64)
                     await one.send(whole[:cut], len(whole))
                     await one.send(whole[cut:], len(whole))
                     await place.until(lambda one=one: not one.client.slots)  # type: ignore[misc]
-                    one.client.leave()
+                    one.client.drain()
                     found = await place.heard(one.sock)
                 at = [found.find(b"value of %da" % number) for number in range(3)]
                 self.assertTrue(0 < at[0] < at[1] < at[2], (cut, found))
@@ -237,11 +237,11 @@
             await place.until(lambda: len(unit.queries) == 1)
             unit.may.release()
             await place.until(lambda: place.relay.driver.counters.succeeded == 1)
-            place.relay.front.sweep()
+            place.relay.listener.sweep()
             unit.may.release()
             await one.send(text[50:], 4096)
             await place.until(lambda: place.relay.driver.counters.succeeded == 2)
-            one.client.leave()
+            one.client.drain()
             found = await place.heard(one.sock)
             self.assertLess(0, found.find(b"value of 1a"))
             self.assertLess(found.find(b"value of 1a"), found.find(b"value of 2a"))
@@ -255,7 +255,7 @@
         async def large(unit: Unit, text: bytes) -> bytes:
             return row(text.split(b"id=")[1].split(b",")[0] + b"x" * 65_000) + messages.READY
 
-        with mock.patch.object(fronts, "SILENCE", 60):
+        with mock.patch.object(fronts, "SILENCE_TIMEOUT_SECONDS", 60):
             async with platform(*(Unit(f"u{number}", large) for number in range(3))) as place:
                 one = await slow(place)
                 sock = one.sock
@@ -263,11 +263,11 @@
                 asked = [messages.query(statement(f"{number:x}a")) for number in range(rest)]
                 await one.send(b"".join(asked[: rest // 2]), 16_384)
                 await place.until(lambda: not one.client.slots)
-                self.assertGreater(len(one.client.owed), clients.MOST_OWED)
+                self.assertGreater(len(one.client.unwritten), clients.MAX_UNWRITTEN_BYTES)
                 sock.sendall(b"".join(asked[rest // 2 :]))  # behind them, while nothing is read
                 for _ in range(5):
                     await asyncio.sleep(0)
-                self.assertTrue(one.client.paused)
+                self.assertTrue(one.client.reading_paused)
                 self.assertEqual(place.relay.driver.counters.received, rest // 2)
                 sock.setblocking(False)
                 found, loop = b"", asyncio.get_running_loop()
@@ -277,39 +277,39 @@
                     found += more
                 at = [found.find(b"%xax" % number) for number in range(rest)]
                 self.assertEqual((at, min(at) > 0), (sorted(at), True))
-                self.assertFalse(one.client.paused)
+                self.assertFalse(one.client.reading_paused)
 
     @live
     async def test_one_that_reads_slowly_is_not_taken_for_one_that_does_not_read(self) -> None:
         async with platform(Unit("u0")) as place:
             one = await slow(place)
             client = one.client
-            client.owed += bytes(8_000_000)
-            client._more()
-            client.moved -= 100
-            was = len(client.owed)
+            client.unwritten += bytes(8_000_000)
+            client._on_writable()
+            client.last_activity -= 100
+            was = len(client.unwritten)
             one.sock.recv(100_000)
-            await place.until(lambda: len(client.owed) < was)  # some more of it went
-            place.relay.front.sweep()
+            await place.until(lambda: len(client.unwritten) < was)  # some more of it went
+            place.relay.listener.sweep()
             self.assertFalse(one.gone)
 
     @live
     async def test_an_error_within_the_relay_leaves_nobody_without_an_answer(self) -> None:
         async with platform(Unit("u0")) as place:
-            client, front = await place.client(), place.relay.front
+            client, front = await place.client(), place.relay.listener
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda _, what: None)
             with mock.patch.object(place.relay.driver.decisions, "request_received", side_effect=ZeroDivisionError):
                 client.send("1a", left=300)
                 answer = await client.answer()
             self.assertEqual(answer["C"], b"58000")
-            self.assertEqual((front.overdue, front.open, place.relay.driver.pending), (1, {}, {}))
+            self.assertEqual((front.overdue_requests, front.open_request_ids, place.relay.driver.pending), (1, {}, {}))
             self.assertTrue((await client.ask("2a"))["D"].endswith(b"value of 2a"))
 
     @live
     async def test_what_waits_behind_what_can_not_be_read_is_broken_off(self) -> None:
         unit = Held()
-        with mock.patch.object(fronts, "MOMENT", 0.05):
+        with mock.patch.object(fronts, "VIOLATION_GRACE_SECONDS", 0.05):
             async with platform(unit) as place:
                 caller = await place.client()
                 caller.send("1a")
@@ -324,11 +324,11 @@
         one = await pieces(place)
         await one.send(messages.startup("app", "shop"), 64)
         texts = [messages.query(statement(f"{number:03x}a")) for number in range(many)]
-        for first in range(0, many, clients.AT_ONCE):
-            await one.send(b"".join(texts[first : first + clients.AT_ONCE]), 1 << 20)
-        (client,) = place.relay.front.clients
-        await place.until(lambda: len(client.slots) == many or client.judged is not None)
-        client.break_off()
+        for first in range(0, many, clients.MAX_COMMANDS_PER_READ):
+            await one.send(b"".join(texts[first : first + clients.MAX_COMMANDS_PER_READ]), 1 << 20)
+        (client,) = place.relay.listener.clients
+        await place.until(lambda: len(client.slots) == many or client.violation_at is not None)
+        client.fail_requests()
         client.closing = True
         client.flush()
         found = await place.heard(one.sock)
@@ -345,20 +345,20 @@
     @live
     async def test_of_more_than_may_wait_each_one_over_is_refused_in_its_place(self) -> None:
         async with platform(Held(), Held("u1"), Held("u2")) as place:
-            codes = await self.behind(place, clients.PIPELINED + 20)
-            self.assertEqual(place.relay.driver.counters.received, clients.PIPELINED)
-            self.assertEqual(codes, [b"58000"] * clients.PIPELINED + [b"53300"] * 20)
+            codes = await self.behind(place, clients.MAX_PIPELINED_REQUESTS + 20)
+            self.assertEqual(place.relay.driver.counters.received, clients.MAX_PIPELINED_REQUESTS)
+            self.assertEqual(codes, [b"58000"] * clients.MAX_PIPELINED_REQUESTS + [b"53300"] * 20)
 
     @live
     async def test_so_is_one_over_the_bytes_that_may_wait(self) -> None:
-        with mock.patch.object(clients, "MOST_HELD", 3 * len(statement("000a"))):
+        with mock.patch.object(clients, "MAX_PENDING_BYTES", 3 * len(statement("000a"))):
             async with platform(Held(), Held("u1"), Held("u2")) as place:
                 codes = await self.behind(place, 6)
                 self.assertEqual(codes, [b"58000"] * 3 + [b"53300"] * 3)
 
     @live
     async def test_over_all_bounds_the_connection_ends_behind_its_answers(self) -> None:
-        with mock.patch.object(clients, "MOST_SLOTS", 140):
+        with mock.patch.object(clients, "MAX_RESPONSE_SLOTS", 140):
             async with platform(Held(), Held("u1"), Held("u2")) as place:
                 codes = await self.behind(place, 150)
                 self.assertEqual(codes, [b"58000"] * 128 + [b"53300"] * 12 + [b"54000"])
@@ -368,7 +368,7 @@
         async with platform(Held(), Held("u1"), Held("u2")) as place:
             one = await pieces(place)
             await one.send(messages.startup("app", "shop"), 64)
-            texts = [messages.query(statement(f"{number:x}a")) for number in range(clients.AT_ONCE + 1)]
+            texts = [messages.query(statement(f"{number:x}a")) for number in range(clients.MAX_COMMANDS_PER_READ + 1)]
             await one.send(b"".join(texts), 1 << 20)
             found = await place.heard(one.sock)
             self.assertEqual((found.count(b"C54000"), found.count(b"C58000")), (1, 0))
@@ -376,10 +376,10 @@
 
     @live
     async def test_one_that_takes_nothing_is_ended_by_the_sweep(self) -> None:
-        with mock.patch.object(fronts, "SILENCE", 0.05):
+        with mock.patch.object(fronts, "SILENCE_TIMEOUT_SECONDS", 0.05):
             async with platform(Unit("u0")) as place:
                 one = await slow(place)
-                one.client.owed += bytes(8_000_000)
-                one.client._more()
-                self.assertTrue(one.client.paused)
+                one.client.unwritten += bytes(8_000_000)
+                one.client._on_writable()
+                self.assertTrue(one.client.reading_paused)
                 await place.until(lambda: one.gone)  # it takes nothing: the sweep ends it
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -35,7 +35,7 @@
     async with agent() as old, platform(*units) as place:
         move(place, old.port)
         watch = await old.watch(10, *(entry(unit) for unit in units))
-        await place.until(lambda: len(place.relay._discovery._running) == 1)
+        await place.until(lambda: len(place.relay._discovery_handover._running) == 1)
         yield place, old, watch
 
 
@@ -126,7 +126,7 @@
 
     @live
     async def test_a_new_one_that_counts_anew_is_believed_while_the_old_one_goes_on(self) -> None:
-        with mock.patch.object(discovery_client, "INSISTS", 0.3):
+        with mock.patch.object(discovery_client, "VERSION_RESET_SECONDS", 0.3):
             async with town(Unit("u0"), Unit("u1")) as (place, old, watch), agent() as new:
                 move(place, new.port)
 
@@ -148,21 +148,22 @@
                 for other in others:
                     other.cancel()
                 self.assertEqual(place.said("discovery counts anew"), 1)
-                self.assertEqual(len(place.relay._discovery._running), 1)
+                self.assertEqual(len(place.relay._discovery_handover._running), 1)
 
     @live
     async def test_many_moves_to_addresses_that_say_nothing_leave_few_feeds(self) -> None:
         async with town(Unit("u0"), Unit("u1")) as (place, _, watch), agent() as new:
             place.speaks = False
-            for _ in range(3 * feed_handover.MOST):
+            for _ in range(3 * feed_handover.MAX_RUNNING_FEEDS):
                 move(place, new.port)
             relay = place.relay
             self.assertEqual(
-                (len(relay._discovery._running), len(relay._desk._running)), (feed_handover.MOST, feed_handover.MOST)
+                (len(relay._discovery_handover._running), len(relay._rollout_handover._running)),
+                (feed_handover.MAX_RUNNING_FEEDS, feed_handover.MAX_RUNNING_FEEDS),
             )
             watch.tell(11, entry(place.units[1], state="leaving"))  # the one that counts is still heard
             await place.until(lambda: condition(place, "u1") == "draining")
-            while len(relay._discovery._running) > 1:
+            while len(relay._discovery_handover._running) > 1:
                 call = await new.next()
                 call.tell(11, entry(place.units[0]), entry(place.units[1], state="leaving"))
                 await asyncio.sleep(0)
@@ -180,7 +181,7 @@
 
     @live
     async def test_after_many_good_answers(self) -> None:
-        with mock.patch.object(discovery_client, "HOLD", 0.5):
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", 0.5):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 for version in range(11, 211):
                     watch.tell(version, entry(place.units[0]))
@@ -192,7 +193,7 @@
 
     @live
     async def test_right_after_a_move(self) -> None:
-        with mock.patch.object(discovery_client, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, _, _), agent() as new:
                 move(place, new.port)
                 watch = await new.watch(10, *(entry(unit) for unit in place.units))
@@ -200,7 +201,7 @@
 
     @live
     async def test_with_a_part_of_an_answer_sent(self) -> None:
-        with mock.patch.object(discovery_client, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 version = 10
                 missed = [entry(place.units[1], state="leaving"), entry(place.units[0])]
@@ -215,7 +216,7 @@
 
     @live
     async def test_bytes_that_drip_are_silence_too(self) -> None:
-        with mock.patch.object(discovery_client, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 text = serialization.response(200, (), body(11, *map(entry, place.units)) + b" " * 10_000, keep=False)
 
@@ -230,7 +231,7 @@
 
     @live
     async def test_calls_for_the_whole_list_that_are_silent_as_well(self) -> None:
-        with mock.patch.object(discovery_client, "HOLD", SOON):
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 for _ in range(3):
                     await watch.over.wait()
@@ -248,12 +249,12 @@
             call.tell(11, entry(place.units[0]), entry(place.units[1], state="leaving"))
             await place.until(lambda: condition(place, "u1") == "draining")
             took = asyncio.get_running_loop().time() - began
-            self.assertLess(took, discovery_client.HOLD + 2)
-            self.assertGreaterEqual(took, discovery_client.HOLD)
+            self.assertLess(took, discovery_client.WATCH_HOLD_SECONDS + 2)
+            self.assertGreaterEqual(took, discovery_client.WATCH_HOLD_SECONDS)
 
     @live
     async def test_old_copies_with_silence_between_them_are_not_insisting(self) -> None:
-        with mock.patch.multiple(discovery_client, HOLD=SOON, INSISTS=0.5):
+        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SOON, VERSION_RESET_SECONDS=0.5):
             async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
                 watch.tell(11, entry(place.units[1], state="leaving"))
                 silent = await disc.next()
@@ -268,7 +269,7 @@
     @live
     async def test_while_the_relay_itself_drains(self) -> None:
         """A lookup that waits after SIGTERM, and comes back, is not sent to a unit that leaves meanwhile."""
-        with mock.patch.multiple(discovery_client, HOLD=SOON, LATE=0.2):
+        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SOON, RESPONSE_GRACE_SECONDS=0.2):
             async with town(Turned("u0"), Turned("u1")) as (place, disc, watch):
                 client, first, other = await waits(place, "1a")
                 place.relay.stop()
@@ -302,6 +303,6 @@
             await new.open(port)
             await new.watch(12, entry(place.units[0]), entry(place.units[1], state="leaving"))
             self.assertEqual(condition(place, "u1"), "draining")
-            self.assertEqual(len(place.relay._discovery._running), 1)
+            self.assertEqual(len(place.relay._discovery_handover._running), 1)
             self.assertIn("T", await client.ask("9c"))
             await new.die()
--- a/tests/test_crossings_units.py
+++ b/tests/test_crossings_units.py
@@ -13,7 +13,7 @@
 from lanelead.decisions.interface import AttemptOutcome
 from lanelead.decisions.interface import Endpoint as Known
 from lanelead.pgwire.messages import READY, error, query
-from lanelead.postgres_relay.connection_pool import Link
+from lanelead.postgres_relay.connection_pool import UpstreamConnection
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
 from tests.platform import Client, Hand, Held, Platform, Unit, good, platform, row, statement
@@ -23,7 +23,7 @@
 def in_hand(place: Platform) -> Hand:
     """The clock and the timers of the relay's connections to units, in the test's hand."""
     hand = Hand(asyncio.get_running_loop())
-    place.relay.links._loop = cast(asyncio.AbstractEventLoop, hand)
+    place.relay.upstream._loop = cast(asyncio.AbstractEventLoop, hand)
     return hand
 
 
@@ -31,15 +31,15 @@
     return place.relay.driver.registry.by_name[name]
 
 
-def idle(place: Platform, name: str = "u0") -> list[Link]:
-    return place.relay.links._pools[known(place, name)].idle
+def idle(place: Platform, name: str = "u0") -> list[UpstreamConnection]:
+    return place.relay.upstream._pools[known(place, name)].idle
 
 
 def tell(place: Platform, **fields: Any) -> None:
     """The relay is told of the first unit anew, at once."""
     found = json.loads(place.list_of(place.units[:1], full=False))
     found["servers"][0] |= fields
-    place.relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+    place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
 
 
 class Probes(unittest.TestCase):
@@ -47,19 +47,19 @@
     async def test_the_timer_of_an_earlier_probe_ends_no_later_one(self) -> None:
         unit = Held()
         async with platform(unit) as place:
-            hand, links, heard = in_hand(place), place.relay.links, mock.Mock()
+            hand, links, heard = in_hand(place), place.relay.upstream, mock.Mock()
             with mock.patch.object(place.relay.driver, "health_checked", heard):
                 unit.may.release()
                 place.relay.check_health(known(place))
-                place.relay.after()
+                place.relay.after_event()
                 await place.until(lambda: heard.call_count == 1)
                 hand.on(0.2)  # the second sets out 0.05 s before the first one's time is over
                 place.relay.check_health(known(place))
-                place.relay.after()
+                place.relay.after_event()
                 await place.until(lambda: len(unit.queries) == 2)
-                self.assertEqual((unit.connections, len(links.links)), (1, 1))
+                self.assertEqual((unit.connections, len(links.connections)), (1, 1))
                 hand.on(0.1)
-                self.assertEqual((heard.call_count, len(links.links)), (1, 1))
+                self.assertEqual((heard.call_count, len(links.connections)), (1, 1))
                 unit.may.release()
                 await place.until(lambda: heard.call_count == 2)
                 self.assertEqual([call.args[1] for call in heard.call_args_list], [AttemptOutcome.SUCCEEDED] * 2)
@@ -73,7 +73,7 @@
             with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
                 place.relay.check_health(known(place))
                 self.assertEqual(heard.call_count, 0)
-                place.relay.after()
+                place.relay.after_event()
                 self.assertEqual(heard.call_args.args[1], AttemptOutcome.CONNECT_FAILED)
 
 
@@ -109,8 +109,8 @@
             for number in range(8):
                 await client.ask(f"{number}a")
                 await place.rested()
-            links = place.relay.links
-            for link in links.links:
+            links = place.relay.upstream
+            for link in links.connections:
                 link.sock.shutdown(socket.SHUT_WR)
             self.assertIn("D", await client.ask("9a", "file"))  # effectful, and yet it goes on
             self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
@@ -174,7 +174,7 @@
                     client.writer.write(query(wide.replace("id=1a", f"id={number}a").encode()))
                     answer = await client.answer()
                     self.assertTrue(answer["D"].endswith(b"value of %da" % number), answer)
-            self.assertGreaterEqual(place.relay.links.spoilt, 1)
+            self.assertGreaterEqual(place.relay.upstream.malformed_responses, 1)
             self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
         server.close()
 
@@ -229,7 +229,7 @@
             place.units[0].welcomes.set()
             await place.until(lambda: len(idle(place)) == 1)
             self.assertIn("D", await (await place.client()).ask("2a"))
-            self.assertEqual((place.units[0].connections, len(place.relay.links.links)), (1, 1))
+            self.assertEqual((place.units[0].connections, len(place.relay.upstream.connections)), (1, 1))
 
     @live
     async def test_one_that_is_never_welcomed_ends_and_its_trip_never_ran(self) -> None:
@@ -240,7 +240,7 @@
             await place.until(lambda: known(place).status.value == "draining")
             hand.on(0.3)
             self.assertEqual((await client.answer())["C"], b"53300")  # a shed: it never ran
-            self.assertEqual(place.relay.links.links, {})
+            self.assertEqual(place.relay.upstream.connections, {})
 
 
 class Repeats(unittest.TestCase):
@@ -274,12 +274,12 @@
     @live
     async def test_no_timer_stays_behind_an_end(self) -> None:
         async with platform(Unit("u0")) as place:
-            hand, links = in_hand(place), place.relay.links
+            hand, links = in_hand(place), place.relay.upstream
             place.units[0].welcomes.clear()
             place.relay.check_health(known(place))
-            place.relay.after()
+            place.relay.after_event()
             await place.until(lambda: place.units[0].connections == 1)
-            links.shut()
+            links.close_all()
             with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
                 hand.on(1)
                 self.assertEqual(heard.call_count, 0)
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -10,7 +10,11 @@
 from lanelead.configuration.value_types import ClassValue, TenantValue
 from lanelead.decisions.interface import DeduplicationScope, Idempotency, RequestClass, Tenant
 from lanelead.postgres_relay import service as services
-from lanelead.postgres_relay.applied_configuration import InForce, entries, without_figures
+from lanelead.postgres_relay.applied_configuration import (
+    AppliedConfiguration,
+    classes_without_values,
+    entries_of_settings,
+)
 from tests.platform import SETTINGS, Platform, Unit, platform
 from tests.town import live
 
@@ -24,30 +28,32 @@
 
 class Entries(unittest.TestCase):
     def test_a_file_says_the_same_as_its_entries(self) -> None:
-        found = dict(entries(SETTINGS))
+        found = dict(entries_of_settings(SETTINGS))
         self.assertEqual({"tenant/m", "class/read", "class/file"}, set(found))
         self.assertEqual({"quota_per_s": 100.0, "share": 1.0}, json.loads(found["tenant/m"]))
-        self.assertEqual([], entries({}))
-        self.assertNotIn("aimMs", without_figures(SETTINGS)[0])
+        self.assertEqual([], entries_of_settings({}))
+        self.assertNotIn("aimMs", classes_without_values(SETTINGS)[0])
 
     def test_tenants_come_change_and_go_and_the_sum_is_told(self) -> None:
         old, sums = Tenant("a", 5.0, 0.1), list[float]()
         tenants, request_classes = {"a": old}, dict[str, RequestClass]()
-        here = InForce(tenants, request_classes, sums.append)
-        self.assertEqual([], here.put(["tenant/b"], {"tenant/b": TenantValue(7.0, 0.2)}))
-        here.put(["tenant/a"], {"tenant/a": TenantValue(6.0, 0.3)})
+        here = AppliedConfiguration(tenants, request_classes, sums.append)
+        self.assertEqual([], here.apply(["tenant/b"], {"tenant/b": TenantValue(7.0, 0.2)}))
+        here.apply(["tenant/a"], {"tenant/a": TenantValue(6.0, 0.3)})
         self.assertIs(tenants["a"], old)  # lookups under way hold it
         self.assertEqual((6.0, 0.3, 12.0, 13.0), (old.quota, old.share, *sums))
-        here.put(["tenant/a", "tenant/none"], {})
+        here.apply(["tenant/a", "tenant/none"], {})
         self.assertEqual((["b"], 7.0), (list(tenants), sums[-1]))
 
     def test_a_class_takes_its_figures_and_one_that_nobody_named_is_given_back(self) -> None:
         request_class = RequestClass(
             "read", 8000, 15000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
         )
-        here = InForce({}, {"read": request_class}, lambda _: None)
+        here = AppliedConfiguration({}, {"read": request_class}, lambda _: None)
         figures = ClassValue(400.0, 900.0, 2.0, 0.5)
-        self.assertEqual(["class/x"], here.put(["class/read", "class/x"], {"class/read": figures, "class/x": figures}))
+        self.assertEqual(
+            ["class/x"], here.apply(["class/read", "class/x"], {"class/read": figures, "class/x": figures})
+        )
         self.assertEqual(
             (4000, 9000, 2.0, 0.5),
             (request_class.latency_objective, request_class.timeout, request_class.value, request_class.late_value),
@@ -67,7 +73,7 @@
             classes[0] |= {"aimMs": 300.0, "deadlineMs": 700.0}
             rewritten(place, accounts=accounts, requestClasses=classes, instances=5)
             relay.reload()
-            self.assertEqual(["m", "n"], list(relay.front.members))
+            self.assertEqual(["m", "n"], list(relay.listener.tenants))
             figures = relay.driver.decisions.parameters
             self.assertEqual(
                 (48.0, 24.0, 3000, 8000),
@@ -93,9 +99,9 @@
 class Sweeps(unittest.TestCase):
     @live
     async def test_a_sweep_that_fails_once_is_not_the_last(self) -> None:
-        with mock.patch.object(services, "SWEEP", 0.01):
+        with mock.patch.object(services, "SWEEP_INTERVAL_SECONDS", 0.01):
             async with platform(Unit("u0")) as place:
-                sweep, seen = place.relay.front.sweep, list[int]()
+                sweep, seen = place.relay.listener.sweep, list[int]()
 
                 def once() -> None:
                     seen.append(1)
@@ -103,7 +109,7 @@
                         raise ZeroDivisionError
                     sweep()
 
-                place.relay.front.sweep = once  # type: ignore[method-assign]
+                place.relay.listener.sweep = once  # type: ignore[method-assign]
                 await place.until(lambda: len(seen) > 3)
                 self.assertEqual(1, place.said("a sweep failed"))
                 self.assertIn("overdue", place.relay.state())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 from lanelead.pgwire import messages
 from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import client_listener
-from lanelead.postgres_relay.load_reports import report_of
+from lanelead.postgres_relay.load_reports import parse_load_report
 from lanelead.protocols import datagrams
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
@@ -93,7 +93,7 @@
             await place.until(lambda: bool(place.units[0].queries))
             self.assertEqual((await (await place.client()).ask("1a"))["C"], b"42601")  # open
             client.writer.close()
-            await place.until(lambda: not place.relay.front.open)
+            await place.until(lambda: not place.relay.listener.open_request_ids)
             self.assertEqual(place.relay.driver.pending, {})
 
 
@@ -156,7 +156,7 @@
             answer = await client.ask("1a", "file", left=300)
             self.assertEqual(answer["C"], b"58000")
             self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.TIMED_OUT: 1})
-            self.assertEqual(len(place.relay.links.links), 0)
+            self.assertEqual(len(place.relay.upstream.connections), 0)
 
 
 class Spoilt(unittest.TestCase):
@@ -183,12 +183,12 @@
         async with platform(says(whole[:30])) as place:
             client = await place.client()
             client.send("1a")
-            links = place.relay.links
-            await place.until(lambda: any(link.reader.began for link in links.links if link.connected))
+            links = place.relay.upstream
+            await place.until(lambda: any(link.reader.response_begun for link in links.connections if link.connected))
             # The rest comes, and the relay, held up meanwhile, looks for stopped answers before it reads.
             os.write(place.units[0].writers[0].get_extra_info("socket").fileno(), whole[30:])
-            for link in links.links:
-                link.since -= 10
+            for link in links.connections:
+                link.last_activity -= 10
             links.sweep()
             self.assertTrue((await client.answer())["D"].endswith(b"value"))
 
@@ -214,10 +214,10 @@
 class Health(unittest.TestCase):
     def test_a_report_that_cannot_be_read_is_none(self) -> None:
         names = frozenset(("waiting", "cpu"))
-        self.assertEqual(report_of(b"waiting=7,cpu=0.5,new=1", names), {"waiting": 7.0, "cpu": 0.5})
+        self.assertEqual(parse_load_report(b"waiting=7,cpu=0.5,new=1", names), {"waiting": 7.0, "cpu": 0.5})
         for text in (None, b"", b"\xff\xfe", b"waiting", b"waiting=x", b"waiting=nan", b"waiting=-1", b"a=1"):
-            self.assertIsNone(report_of(text, names), text)
-        self.assertIsNone(report_of(b"waiting=7", frozenset()))
+            self.assertIsNone(parse_load_report(text, names), text)
+        self.assertIsNone(parse_load_report(b"waiting=7", frozenset()))
 
     @live
     async def test_what_a_probe_tells(self) -> None:
@@ -245,7 +245,7 @@
             self.assertEqual(place.units[0].connections, 1)
             found = json.loads(place.list_of(place.units, full=False))
             found["servers"][0]["revision_no"] = 2
-            place.relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+            place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             self.assertIn("D", await client.ask("3a"))
             self.assertEqual(place.units[0].connections, 2)
             await place.until(lambda: place.units[0].ended == 1)
@@ -256,7 +256,7 @@
     async def test_each_gets_an_error_or_an_end_and_no_trip(self) -> None:
         start = messages.startup("app", "shop")
         many = b"".join(messages.query(statement(str(n))) for n in range(300))
-        with mock.patch.multiple(client_listener, SILENCE=0.3):
+        with mock.patch.multiple(client_listener, SILENCE_TIMEOUT_SECONDS=0.3):
             async with platform(Unit("u0")) as place:
                 for text in (
                     b"GET / HTTP/1.1\r\n\r\n",
@@ -284,7 +284,7 @@
                     self.assertNotIn(b"DataRow", found)
                 self.assertEqual(place.units[0].queries, [])
                 self.assertIn("D", await (await place.client()).ask("1a"))
-                await place.until(lambda: len(place.relay.front.clients) <= 1 + 4)
+                await place.until(lambda: len(place.relay.listener.clients) <= 1 + 4)
 
     @live
     async def test_what_was_taken_before_is_still_answered(self) -> None:
@@ -302,14 +302,14 @@
 
     @live
     async def test_or_broken_off_after_a_moment(self) -> None:
-        with mock.patch.multiple(client_listener, MOMENT=0.2):
+        with mock.patch.multiple(client_listener, VIOLATION_GRACE_SECONDS=0.2):
             async with platform(Unit("u0", silent)) as place:
                 client = await place.client()
                 client.send("1a")
                 client.writer.write(b"\0noise")
                 self.assertEqual((await client.answer())["C"], b"58000")
                 self.assertEqual((await client.answer())["C"], b"08P01")
-                self.assertEqual((place.relay.driver.pending, place.relay.front.open), ({}, {}))
+                self.assertEqual((place.relay.driver.pending, place.relay.listener.open_request_ids), ({}, {}))
 
     @live
     async def test_a_crowd_that_says_nothing_leaves_room_for_those_who_ask(self) -> None:
@@ -321,7 +321,7 @@
             await asyncio.sleep(0.15)
             self.assertIn("D", await asks.ask("2a"))
             self.assertIn("D", await (await place.client()).ask("3a"))
-            self.assertLessEqual(len(place.relay.front.clients), 20)
+            self.assertLessEqual(len(place.relay.listener.clients), 20)
 
 
 class Feeds(unittest.TestCase):
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -99,14 +99,14 @@
                             {"id": f"s{number}-{n}", "addr": f"127.0.0.1:{1 + n}", "state": state} for n in range(10)
                         ]
                         found = {"version": 2, "full": False, "servers": rows}
-                        relay._listed(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+                        relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             for number in range(60):
                 client = await place.client()
                 await client.ask(f"{number:x}")
                 client.writer.close()
                 await place.rested()
-            relay.links.sweep()
-            await place.until(lambda: not relay.front.clients)
+            relay.upstream.sweep()
+            await place.until(lambda: not relay.listener.clients)
             driver = relay.driver
             sizes = [
                 len(table)
@@ -116,10 +116,10 @@
                     driver.registry.names,
                     driver.registry.short_ids,
                     driver.pending,
-                    relay.links._pools,
-                    relay.links._out,
-                    relay.links.links,
-                    relay.front.open,
+                    relay.upstream._pools,
+                    relay.upstream._in_flight,
+                    relay.upstream.connections,
+                    relay.listener.open_request_ids,
                     driver._gone,
                 )
             ]
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lanelead.pgwire import clients, messages, statements
-from lanelead.pgwire.clients import ClientReader, Encryption, Fault, Query, Startup, Terminate
+from lanelead.pgwire.clients import ClientReader, EncryptionRequest, ProtocolViolation, Query, Startup, Terminate
 from lanelead.pgwire.messages import READY, message
 from lanelead.pgwire.servers import Progress, ServerReader
 from tests.platform import row
@@ -23,7 +23,7 @@
 def unit_reader() -> ServerReader:
     reader = ServerReader(4096, b"vitals")
     assert reader.feed(messages.WELCOME) is Progress.READY
-    reader.expect()
+    reader.begin_response()
     return reader
 
 
@@ -44,43 +44,43 @@
             reader.feed(START)
         for part in parts:
             reader.feed(part)
-            self.assertLessEqual(len(reader._rest), clients.LONGEST_STARTUP)
+            self.assertLessEqual(len(reader._rest), clients.MAX_STARTUP_BYTES)
 
     def test_a_length_is_refused_before_its_bytes_come(self) -> None:
         for size in (-5, 0, 3, 107, 2**31 - 1):
             reader = ClientReader(100)
             reader.feed(START)
             events = reader.feed(b"Q" + size.to_bytes(4, "big", signed=True))
-            self.assertIsInstance(events[0], Fault, size)
+            self.assertIsInstance(events[0], ProtocolViolation, size)
             self.assertEqual(reader.feed(b"x" * 1000), [])  # nothing more is read
-        self.assertIsInstance(ClientReader(100).feed(b"GET / HTTP/1.1\r\n")[0], Fault)
+        self.assertIsInstance(ClientReader(100).feed(b"GET / HTTP/1.1\r\n")[0], ProtocolViolation)
 
     def test_what_is_not_a_simple_query(self) -> None:
         for text in (message(b"P", b"\0"), message(b"S"), b"\xff\0\0\0\4", b"Q\0\0\0\4", b"Q\0\0\0\7a\0b"):
             reader = ClientReader(100)
             reader.feed(START)
-            self.assertIsInstance(reader.feed(text)[0], Fault, text)
-        wants = messages.HEAD.pack(b"\0", 8)[:0] + (8).to_bytes(4, "big") + (80877103).to_bytes(4, "big")
+            self.assertIsInstance(reader.feed(text)[0], ProtocolViolation, text)
+        wants = messages.HEADER.pack(b"\0", 8)[:0] + (8).to_bytes(4, "big") + (80877103).to_bytes(4, "big")
         reader = ClientReader(100)
-        self.assertEqual(reader.feed(wants + START), [Encryption(), Startup(False)])
+        self.assertEqual(reader.feed(wants + START), [EncryptionRequest(), Startup(False)])
 
 
 class Statements(unittest.TestCase):
     def test_passed_on_unchanged_but_for_the_time(self) -> None:
-        found = statements.read(SELECT)
-        self.assertEqual((found.ident, found.lane, found.member, found.key), ("1f", "read", "m", "ab12"))
-        self.assertEqual(found.text(77), SELECT.replace(b"d=480", b"d=77"))
-        found = statements.read(INSERT)
-        self.assertEqual((found.write, found.again, found.left_ms, found.member), (True, True, 9.5, None))
-        self.assertEqual(found.text(8), INSERT.replace(b"d=9.5", b"d=8"))
+        found = statements.parse_statement(SELECT)
+        self.assertEqual((found.request_id, found.request_class, found.tenant, found.key), ("1f", "read", "m", "ab12"))
+        self.assertEqual(found.render(77), SELECT.replace(b"d=480", b"d=77"))
+        found = statements.parse_statement(INSERT)
+        self.assertEqual((found.write, found.idempotent, found.time_left_ms, found.tenant), (True, True, 9.5, None))
+        self.assertEqual(found.render(8), INSERT.replace(b"d=9.5", b"d=8"))
 
     def test_names_are_the_customers_own_but_for_what_ends_a_pair_or_the_comment(self) -> None:
         for name in ("acme/eu", "a@b", "50%+", "Ισόρροπος", "x" * 128):
-            found = statements.read(SELECT.replace(b"c=read,", b"c=" + name.encode() + b","))
-            self.assertEqual((found.lane, found.member), (name, "m"))
+            found = statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + name.encode() + b","))
+            self.assertEqual((found.request_class, found.tenant), (name, "m"))
         for wrong in (b"a*/b", b"a/*b", b"a,b", b"a b", b"\xff\xfe", b"x" * 129):
             with self.assertRaises(statements.StatementError):
-                statements.read(SELECT.replace(b"c=read,", b"c=" + wrong + b","))
+                statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + wrong + b","))
 
     def test_what_no_client_of_the_platform_sends(self) -> None:
         for old, new in (
@@ -100,14 +100,14 @@
             (b" */", b" */;SELECT 1"),
         ):
             with self.assertRaises(statements.StatementError, msg=new):
-                statements.read(SELECT.replace(old, new, 1))
+                statements.parse_statement(SELECT.replace(old, new, 1))
         with self.assertRaises(statements.StatementError):
-            statements.read(INSERT.replace(b"9f03", b"9f0"))
+            statements.parse_statement(INSERT.replace(b"9f03", b"9f0"))
 
     @given(st.binary(max_size=200))
     def test_noise_is_never_a_statement(self, text: bytes) -> None:
         with self.assertRaises(statements.StatementError):
-            statements.read(text)
+            statements.parse_statement(text)
 
 
 class Units(unittest.TestCase):
@@ -118,15 +118,15 @@
             if cut > last:
                 reader.feed(ANSWER[last:cut])
             last = cut
-        assert reader.answer is not None
-        self.assertEqual((reader.answer.value, reader.answer.raw), (b"\x00\xffvalue", row(b"\x00\xffvalue")))
-        self.assertEqual((reader.answer.report, reader.ready), (b"inflight=7,util=0.5", True))
+        assert reader.response is not None
+        self.assertEqual((reader.response.value, reader.response.raw), (b"\x00\xffvalue", row(b"\x00\xffvalue")))
+        self.assertEqual((reader.response.report, reader.ready), (b"inflight=7,util=0.5", True))
 
     def test_errors_have_their_code(self) -> None:
         reader = unit_reader()
-        self.assertIs(reader.feed(messages.error("53300", "full") + READY), Progress.ANSWERED)
-        assert reader.answer is not None
-        self.assertEqual((reader.answer.code, reader.ready), ("53300", True))
+        self.assertIs(reader.feed(messages.error("53300", "full") + READY), Progress.RESPONDED)
+        assert reader.response is not None
+        self.assertEqual((reader.response.error_code, reader.ready), ("53300", True))
 
     def test_spoilt_answers_are_never_whole(self) -> None:
         good = row(b"value")
@@ -152,22 +152,22 @@
             message(b"H"),
         ):
             reader = unit_reader()
-            self.assertIs(reader.feed(spoilt), Progress.SPOILT, spoilt)
-            self.assertIsNone(reader.answer, spoilt)
+            self.assertIs(reader.feed(spoilt), Progress.MALFORMED, spoilt)
+            self.assertIsNone(reader.response, spoilt)
 
     def test_half_an_answer_is_awaited(self) -> None:
         reader, good = unit_reader(), row(b"value")
         told = [reader.feed(good[at : at + 1]) for at in range(len(good))]
-        self.assertEqual(told, [Progress.WAITING] * (len(good) - 1) + [Progress.ANSWERED])
+        self.assertEqual(told, [Progress.WAITING] * (len(good) - 1) + [Progress.RESPONDED])
 
     def test_what_comes_behind_a_good_answer_only_ends_the_connection(self) -> None:
         for behind in (row(b"value") + READY, b"\0noise", b"T", READY):
             reader = unit_reader()
-            self.assertIs(reader.feed(row(b"value") + READY + behind), Progress.ANSWERED, behind)
-            assert reader.answer is not None
-            self.assertEqual((reader.answer.value, reader.ready), (b"value", False))
+            self.assertIs(reader.feed(row(b"value") + READY + behind), Progress.RESPONDED, behind)
+            assert reader.response is not None
+            self.assertEqual((reader.response.value, reader.ready), (b"value", False))
         reader = unit_reader()
-        self.assertIs(reader.feed(row(b"value") + b"\0noise"), Progress.ANSWERED)
+        self.assertIs(reader.feed(row(b"value") + b"\0noise"), Progress.RESPONDED)
         self.assertFalse(reader.ready)
 
     @settings(max_examples=300)
@@ -175,6 +175,6 @@
     def test_no_bytes_crash_it_or_fill_it(self, parts: list[bytes]) -> None:
         reader = unit_reader()
         for part in parts:
-            if reader.feed(part) is Progress.SPOILT:
+            if reader.feed(part) is Progress.MALFORMED:
                 break
             self.assertLessEqual(len(reader._rest), 4096 + 5)
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -37,7 +37,7 @@
     "platform.endpoint": platform.ListedEndpoint,
     "platform.endpoints": platform.EndpointList,
     "platform.label": platform.EndpointLabel,
-    "platform.node-config": config.Config,
+    "platform.node-config": config.RelayConfig,
     "configuration.entry": configuration.Entry,
     "configuration.change": configuration.Change,
     "configuration.line": configuration.WatchLine,
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -83,14 +83,14 @@
         "JSON-RPC": [
             platform.encode_call(1, "Events.Watch"),
             platform.encode_call(2, "Rollout.Judge", params),
-            *(platform.VERDICTS[verdict].encode() for verdict in Verdict),
+            *(platform.VERDICT_NAMES[verdict].encode() for verdict in Verdict),
         ],
         "PostgreSQL": [
             messages.startup("user", "database"),
             messages.query(b"SELECT 1"),
             messages.WELCOME,
             messages.EMPTY,
-            messages.OLDER,
+            messages.NEGOTIATE_PROTOCOL_VERSION,
             messages.NO_ENCRYPTION,
             messages.error("53300", "text", "detail"),
             messages.error("08P01", "text", fatal=True),
--- a/tests/test_slopes_votes.py
+++ b/tests/test_slopes_votes.py
@@ -6,7 +6,7 @@
 
 from benchmarks.slopes import watching
 from benchmarks.slopes.voting import Release, poll_of
-from lanelead.postgres_relay.discovery_client import HOLD
+from lanelead.postgres_relay.discovery_client import WATCH_HOLD_SECONDS
 
 
 class Voting(unittest.TestCase):
@@ -28,7 +28,7 @@
 class Watching(unittest.TestCase):
     def test_without_changes_a_relay_watches_once_a_hold(self) -> None:
         seen = watching.play(10, 100.0, [], 90)
-        self.assertAlmostEqual(10 * 100 / (HOLD + watching.CALL), seen.watches, delta=10)
+        self.assertAlmostEqual(10 * 100 / (WATCH_HOLD_SECONDS + watching.CALL), seen.watches, delta=10)
         self.assertEqual(seen.watches * (90 + len(watching.answer(0))), seen.bytes)
 
     def test_each_relay_is_told_of_each_change_once(self) -> None:
