--- a/benchmarks/slopes/moving.py
+++ b/benchmarks/slopes/moving.py
@@ -150,7 +150,7 @@
         since: float | None = self.started if self.started >= self.wrote else None
         up: dict[str, float] = {}
         for at, row in self.said():
-            if row["event"] == "configuration read anew":
+            if row["event"] == "configuration reloaded":
                 since, up = (at, {}) if row["discovery"] == discovery else (None, {})
             elif row["event"] == "feed up" and since is not None:
                 up.setdefault(row["feed"], at)
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -127,7 +127,7 @@
         idle = spent_s(node.pid) - before
         before, began = spent_s(node.pid), time.monotonic()
         node.signal(signal.SIGHUP)
-        node.until("configuration read anew")
+        node.until("configuration reloaded")
         found["reload.cpu"] = max(0.0, spent_s(node.pid) - before - idle * (time.monotonic() - began))
         time.sleep(0.3)
         found |= {"reload.resident": resident_mb(node.pid), "reload.peak": peak_mb(node.pid)}
@@ -156,7 +156,7 @@
     notes = {
         "start.cpu": f"from exec to 'listening', Python's own start in it; {process}",
         "resident": f"at 'listening'; {process}",
-        "reload.cpu": f"SIGHUP to 'configuration read anew', in one piece of the loop: nothing is answered "
+        "reload.cpu": f"SIGHUP to 'configuration reloaded', in one piece of the loop: nothing is answered "
         f"meanwhile; nothing has changed in it; {process}",
         "reload.resident": f"0.3 s after the reload; {process}",
         "reload.peak": f"the most ever, start and reload in it; {process}",
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -83,7 +83,15 @@
     """Processor time, in seconds, of this thread for so many watches, and how many came."""
     loop, heard = asyncio.get_running_loop(), list[EndpointListMessage]()
     log = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
-    feed = DiscoveryClient(loop, f"127.0.0.1:{port}", ListState(0), read_endpoint_list, heard.append, Random(37), log)
+    feed = DiscoveryClient(
+        loop,
+        address=f"127.0.0.1:{port}",
+        state=ListState(0),
+        decode_list=read_endpoint_list,
+        on_list=heard.append,
+        rng=Random(37),
+        log=log,
+    )
     spoken = 0
     came = asyncio.Event()
 
--- a/lanelead/postgres_relay/applied_configuration.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -1,5 +1,6 @@
-"""Tenants' and classes' figures put in force at a running relay: as its file says at SIGHUP, or as the
-configuration that it follows does. Nothing here decides."""
+"""Puts the values of tenants and request classes in force at a running relay: those of its file at SIGHUP, or
+those of the configuration that it follows. Nothing is decided here.
+"""
 
 from __future__ import annotations
 
@@ -9,59 +10,77 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.value_types import AppliedValues as Values
-from lanelead.configuration.value_types import ClassValue, EntryValue, InvalidValueError, TenantValue, split
+from lanelead.configuration.value_types import (
+    AppliedValues,
+    ClassValue,
+    EntryValue,
+    InvalidValueError,
+    TenantValue,
+    split,
+)
 from lanelead.decisions.interface import RequestClass, Tenant
 
+# Names in a relay's file.
 TENANTS_SETTING = "accounts"
 CLASSES_SETTING = "requestClasses"
 CLASS_VALUE_FIELDS = {"aimMs": "aim_ms", "deadlineMs": "deadline_ms", "credit": "credit", "lateWorth": "late_worth"}
+MAX_DOCUMENT_BYTES = 1 << 40  # the file's size is bounded where it is read
 
 
 def entries_of_settings(settings: Mapping[str, Any]) -> list[tuple[str, bytes]]:
-    """What a file's settings say, as entries of a configuration."""
-    found = list[tuple[str, bytes]]()
+    """The tenants and classes of a file's settings, as keys and JSON values of a configuration."""
+    entries = list[tuple[str, bytes]]()
     for row in settings.get(TENANTS_SETTING) or ():
         value = {"quota_per_s": row.get("quotaPerS") or 0.0, "share": row.get("share") or 0.0}
-        found.append((f"tenant/{row.get('name', '-')}", msgspec.json.encode(value)))
+        entries.append((f"tenant/{row.get('name', '-')}", msgspec.json.encode(value)))
     for row in settings.get(CLASSES_SETTING) or ():
-        figures = {name: row[field] for field, name in CLASS_VALUE_FIELDS.items() if row.get(field) is not None}
-        found.append((f"class/{row.get('name', '-')}", msgspec.json.encode(figures)))
-    return found
+        values = {name: row[field] for field, name in CLASS_VALUE_FIELDS.items() if row.get(field) is not None}
+        entries.append((f"class/{row.get('name', '-')}", msgspec.json.encode(values)))
+    return entries
 
 
 def classes_without_values(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
-    """The classes, but for what may change without a restart."""
-    return [
-        {field: value for field, value in row.items() if field not in CLASS_VALUE_FIELDS}
-        for row in settings.get(CLASSES_SETTING) or ()
-    ]
+    """The classes, without the fields that may change while the relay runs."""
+    rows = settings.get(CLASSES_SETTING) or ()
+    return [{field: value for field, value in row.items() if field not in CLASS_VALUE_FIELDS} for row in rows]
 
 
 def changed_entries(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[list[str], Mapping[str, EntryValue], list[InvalidValueError]]:
-    """The keys that a file says otherwise now, the values of all, and what is unfit, not among the keys."""
-    before, now = dict(entries_of_settings(old)), dict(entries_of_settings(new))
-    document, values = Document(len(now) + 1, 1 << 40), Values()
-    document.load(now.items())
-    _, faults = values.take(document, list(now))
-    unfit = {fault.key: None for fault in faults}
-    keys = [key for key in {**before, **now} if before.get(key) != now.get(key) and key not in unfit]
-    return keys, values.values, faults
+    """The keys whose values differ between two settings, all new values, and the errors of invalid entries,
+    whose keys are not among the first.
+    """
+    before = dict(entries_of_settings(old))
+    after = dict(entries_of_settings(new))
+    document = Document(len(after) + 1, MAX_DOCUMENT_BYTES)
+    document.load(after.items())
+    values = AppliedValues()
+    _, errors = values.take(document, list(after))
+    invalid = {error.key: None for error in errors}
+    keys = [key for key in {**before, **after} if before.get(key) != after.get(key) and key not in invalid]
+    return keys, values.values, errors
 
 
 class AppliedConfiguration:
-    """`members` and `lanes` are the relay's own tables, by name; `retold` hears the sum of all quotas."""
+    """`tenants` and `request_classes` are the relay's own tables by name, which are changed in place;
+    `on_total_quota` is called with the sum of all quotas, in requests per second.
+    """
 
     def __init__(
-        self, tenants: dict[str, Tenant], request_classes: Mapping[str, RequestClass], retold: Callable[[float], None]
+        self,
+        tenants: dict[str, Tenant],
+        request_classes: Mapping[str, RequestClass],
+        on_total_quota: Callable[[float], None],
     ) -> None:
-        self._tenants, self._request_classes, self._on_total_quota = tenants, request_classes, retold
+        self._tenants = tenants
+        self._request_classes = request_classes
+        self._on_total_quota = on_total_quota
 
     def apply(self, keys: Iterable[str], values: Mapping[str, EntryValue]) -> list[str]:
-        """Puts these keys' values in force; gives those that name no class of the settings. A lookup under
-        way keeps the time limit that it was taken with."""
+        """Puts these keys' values in force; returns the keys of classes that the settings do not have. A request
+        in flight keeps the deadline that it was received with.
+        """
         unknown = list[str]()
         for key in keys:
             kind, name = split(key)
@@ -72,18 +91,20 @@
                 unknown.append(key)
             elif isinstance(value, ClassValue):
                 request_class = self._request_classes[name]
-                request_class.latency_objective, request_class.timeout = (
-                    int(value.aim_ms * 10),
-                    int(value.deadline_ms * 10),
-                )
-                request_class.value, request_class.late_value = value.credit, value.late_worth
+                request_class.latency_objective = int(value.aim_ms * 10)
+                request_class.timeout = int(value.deadline_ms * 10)
+                request_class.value = value.credit
+                request_class.late_value = value.late_worth
         self._on_total_quota(sum(tenant.quota for tenant in self._tenants.values()))
         return unknown
 
     def _apply_tenant(self, name: str, value: EntryValue | None) -> None:
         if not isinstance(value, TenantValue):
             self._tenants.pop(name, None)
-        elif (tenant := self._tenants.get(name)) is not None:
-            tenant.quota, tenant.share = value.quota_per_s, value.share
-        else:
+            return
+        tenant = self._tenants.get(name)
+        if tenant is None:
             self._tenants[name] = Tenant(name, value.quota_per_s, value.share)
+        else:
+            tenant.quota = value.quota_per_s
+            tenant.share = value.share
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -1,4 +1,7 @@
-"""What the platform tells a relay: NODE_CONFIG, a JSON file, whose settings are read by path."""
+"""The relay's file, whose path is in NODE_CONFIG: JSON, whose settings are read by path.
+
+Field names are those of the file.
+"""
 
 from __future__ import annotations
 
@@ -14,21 +17,27 @@
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
 from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
 
-MAX_FILE_BYTES = 16 << 20  # bytes of the file, which holds the last list of units
+MAX_FILE_BYTES = 16 << 20  # the file holds the last endpoint list
 
 
 class ProcessLimits(msgspec.Struct, frozen=True):
+    """What the process may use; `sockets` is the number of descriptors."""
+
     sockets: Annotated[int, Meta(ge=16)] = 1024
     cores: float = 1.0
     memory_mb: float = 128.0
 
 
 class PlatformConfig(msgspec.Struct, frozen=True):
+    """The rollout platform's address, and the rollout's stage when the file was written."""
+
     address: str
     news: StageMessage
 
 
 class ConfigurationSource(msgspec.Struct, frozen=True):
+    """A replica from which the configuration can be followed."""
+
     address: str
     zone: Annotated[str, Meta(max_length=64)] = ""
     region: Annotated[str, Meta(max_length=64)] = ""
@@ -46,6 +55,8 @@
 
 
 class RelayConfig(msgspec.Struct, frozen=True):
+    """The whole file. `seed` is a hexadecimal number; `known` the last endpoint list."""
+
     name: str
     listen: str
     discovery: str
@@ -61,40 +72,47 @@
 
     @property
     def parameters(self) -> ParameterReader:
+        """A reader of the settings; raises RecursionError where they are nested too deep."""
         return ParameterReader([*pairs_of(self.settings)])
 
 
 def load(path: str) -> RelayConfig:
-    """Raises Malformed, with what is wrong and what to do; no part of a bad file is used."""
+    """Reads and checks a file. Raises MessageError, which says what is wrong and what to do: no part of a bad
+    file is used.
+    """
     try:
         config = decode(Path(path).read_bytes(), RelayConfig, MAX_FILE_BYTES)
-    except OSError as fault:
-        raise MessageError(f"cannot read {path}: {fault.strerror}") from None
-    for name, text in (("listen", config.listen), ("discovery", config.discovery)):
-        _address(name, text)
-    _address("platform.address", config.platform.address)
-    if config.peer_listen:
-        _address("peer_listen", config.peer_listen)
-    for number, text in enumerate(config.peers):
-        _address(f"peers.{number}", text)
-    for number, source in enumerate(config.configuration.sources if config.configuration else ()):
-        _address(f"configuration.sources.{number}.address", source.address)
+    except OSError as error:
+        raise MessageError(f"cannot read {path}: {error.strerror}") from None
+    _check_addresses(config)
     try:
         int(config.seed, 16)
     except ValueError:
         raise MessageError(f"seed: {config.seed[:40]!r}; must be a hexadecimal number") from None
     try:
-        opening = config.parameters
+        parameters = config.parameters
     except RecursionError:
         raise MessageError("settings: nested too deep") from None
-    check(opening)
-    stages = max(1, len(opening.numbers("familyInfo.shares")))
+    check(parameters)
+    stages = max(1, len(parameters.numbers("familyInfo.shares")))
     if config.platform.news.stage >= stages:
         raise MessageError(f"platform.news.stage: {config.platform.news.stage}, of {stages} in the settings")
     return config
 
 
-def _address(name: str, text: str) -> None:
+def _check_addresses(config: RelayConfig) -> None:
+    _check_address("listen", config.listen)
+    _check_address("discovery", config.discovery)
+    _check_address("platform.address", config.platform.address)
+    if config.peer_listen:
+        _check_address("peer_listen", config.peer_listen)
+    for number, text in enumerate(config.peers):
+        _check_address(f"peers.{number}", text)
+    for number, source in enumerate(config.configuration.sources if config.configuration else ()):
+        _check_address(f"configuration.sources.{number}.address", source.address)
+
+
+def _check_address(name: str, text: str) -> None:
     try:
         parse_address(text)
     except MessageError:
@@ -102,6 +120,8 @@
 
 
 def path_from_environment() -> str:
-    if not (found := os.environ.get("NODE_CONFIG", "")):
+    """The file's path; raises MessageError where NODE_CONFIG is not set."""
+    path = os.environ.get("NODE_CONFIG", "")
+    if not path:
         raise MessageError("NODE_CONFIG is not set")
-    return found
+    return path
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -1,6 +1,6 @@
-"""A follower of the configuration on sockets: one watch at a source, and calls for buckets.
+"""Follows the configuration over HTTP: one watch of a source, and calls for buckets of entries.
 
-What is followed, from whom, and what comes into force when, lanelead/configuration/follower.py decides.
+lanelead/configuration/follower.py decides what is followed, from which source, and what comes into force when.
 """
 
 from __future__ import annotations
@@ -23,47 +23,56 @@
 from lanelead.protocols.platform import parse_address
 from lanelead.settings.records import Address
 
-MAX_RESPONSE_BYTES = 4 << 20  # bytes of an answer
+MAX_RESPONSE_BYTES = 4 << 20
+MAX_WAIT_SECONDS = 60.0
+MIN_WAIT_SECONDS = 0.01
+MAX_LOGGED_ERRORS = 10
 
 
 class ConfigurationClient:
-    """`changed` is called with the keys whose values in force have changed; `values` holds all that are."""
+    """Calls `on_change` with the keys whose values in force have changed, and all values that are in force.
+
+    `number` is the relay's, `entries` those of its file. Raises MessageError where the entries exceed the limits.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
+        *,
         number: int,
         following: ConfigurationSources,
         entries: Sequence[tuple[str, bytes]],
-        changed: Callable[[Sequence[str], Mapping[str, EntryValue]], None],
+        on_change: Callable[[Sequence[str], Mapping[str, EntryValue]], None],
         rng: Random,
         log: Any,
     ) -> None:
-        self._loop, self._on_change, self._log = loop, changed, log
+        self._loop = loop
+        self._on_change = on_change
+        self._log = log
         self._sources = [Address(*parse_address(source.address)) for source in following.sources]
         places = [Place(source.zone, source.region, source.address) for source in following.sources]
         document = Document(following.most_entries, following.most_bytes)
         try:
             document.load(entries)
-        except Refused as fault:
-            raise MessageError(f"configuration: {fault}") from None
+        except Refused as error:
+            raise MessageError(f"configuration: {error}") from None
         self.values = Values()
         self.values.take(document, list(document.entries))
         here = Place(following.zone, following.region)
         self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, rng, loop.time())
-        self._tasks: dict[asyncio.Task[None], int | None] = {}  # what runs, and of which source's watch
+        self._tasks: dict[asyncio.Task[None], int | None] = {}  # with the source, of those that a Leave cancels
         self._woken = asyncio.Event()
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Follows until it is cancelled."""
         try:
             while True:
                 self._woken.clear()
                 self._run_actions()
-                wait = max(0.01, self.follower.due - self._loop.time())
+                wait = max(MIN_WAIT_SECONDS, self.follower.due - self._loop.time())
                 with suppress(TimeoutError):
                     # Not wait_for, which loses a cancellation that comes as the event does (Python 3.11).
-                    async with asyncio.timeout(min(wait, 60.0)):
+                    async with asyncio.timeout(min(wait, MAX_WAIT_SECONDS)):
                         await self._woken.wait()
                 self.follower.tick(self._loop.time())
         finally:
@@ -91,12 +100,12 @@
                         self._log.warning(text, reason=reason, remedy=remedy)
 
     def _apply_entries(self, version: int, keys: Sequence[str]) -> None:
-        changed, faults = self.values.take(self.follower.document, keys)
-        for fault in faults[:10]:
+        changed, errors = self.values.take(self.follower.document, keys)
+        for error in errors[:MAX_LOGGED_ERRORS]:
             self._log.warning(
                 "an entry of the configuration was refused",
                 version=version,
-                reason=str(fault),
+                reason=str(error),
                 remedy="its last good value stays in force",
             )
         self.follower.refused = list(self.values.refused)
@@ -111,8 +120,9 @@
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.pop(task, None)
-        if not task.cancelled() and (fault := task.exception()) is not None:
-            self._log.error("following the configuration failed", exc_info=fault)
+        error = None if task.cancelled() else task.exception()
+        if error is not None:
+            self._log.error("following the configuration failed", exc_info=error)
         self._woken.set()
 
     def _cancel_source(self, source: int) -> None:
@@ -128,14 +138,14 @@
             async for text in stream(self._loop, self._sources[source], path, 2 * SILENCE):
                 self.follower.line(source, decode(text, WatchLine, MAX_RESPONSE_BYTES), self._loop.time())
                 self._woken.set()
-        except (CallFailedError, MessageError, TimeoutError) as fault:
-            reason = str(fault)
+        except (CallFailedError, MessageError, TimeoutError) as error:
+            reason = str(error)
         self.follower.ended(source, reason, self._loop.time())
 
     async def _outline(self, source: int) -> None:
         try:
-            answer = await self._request(source, b"/configuration/outline")
-            outline = decode(answer, DigestTree, MAX_RESPONSE_BYTES)
+            body = await self._request(source, b"/configuration/outline")
+            outline = decode(body, DigestTree, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
@@ -144,20 +154,20 @@
     async def _buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
         named = ",".join(str(number) for number in numbers).encode()
         try:
-            answer = await self._request(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
-            buckets = decode(answer, Buckets, MAX_RESPONSE_BYTES)
+            body = await self._request(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
+            buckets = decode(body, Buckets, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
             self.follower.gone(source, self._loop.time())
         else:
-            self.follower.bucketed(source, buckets, len(answer), self._loop.time())
+            self.follower.bucketed(source, buckets, len(body), self._loop.time())
 
     async def _request(self, source: int, path: bytes) -> bytes:
-        answer = await call(self._loop, self._sources[source], "GET", path, b"", ANSWER)
-        if answer.status != 200:
-            raise CallFailedError(f"status {answer.status}")
-        return bytes(answer.body)
+        response = await call(self._loop, self._sources[source], "GET", path, b"", ANSWER)
+        if response.status != 200:
+            raise CallFailedError(f"status {response.status}")
+        return bytes(response.body)
 
     async def _report_applied(self, source: int, body: bytes) -> None:
-        """A word that is lost is said again within seconds."""
+        """A report that is lost is repeated within seconds."""
         with suppress(CallFailedError, TimeoutError):
             await call(self._loop, self._sources[source], "POST", b"/configuration/applied", body, ANSWER)
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to units: a pool to each life of a unit, and what of them may be used again.
+"""Upstream connections: one pool for each endpoint and start of it, and which connections may be reused.
 
-A connection carries one question at a time, and another only after a whole answer with nothing behind it, and
-after a rest: an answer's second copy may come some milliseconds late, and would pass for the next one's.
+A connection carries one request at a time. It is reused only after a complete response with nothing behind it,
+and after a delay: a duplicated response may arrive some milliseconds late and would pass for the next one.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import asyncio
 import contextlib
 import socket
+from dataclasses import dataclass
 from typing import Any
 
 from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
@@ -16,12 +17,22 @@
 from lanelead.postgres_relay.load_reports import is_idle_socket
 from lanelead.runtime.driver import Destination
 
-IDLE_LIMIT_FACTOR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
-REUSE_DELAY_SECONDS = 0.01  # seconds that an answered one is left alone; second answers were seen 2 to 3 ms late
+IDLE_LIMIT_FACTOR = 0.6  # of the endpoint's own idle timeout, so that this side closes first
+REUSE_DELAY_SECONDS = 0.01  # duplicated responses arrive 2 to 3 ms late
+
+
+@dataclass(frozen=True)
+class PoolLimits:
+    """Timeouts in seconds; `idle_timeout` is that after which the endpoint closes an idle connection."""
+
+    connect_timeout: float
+    idle_timeout: float
+    max_connections: int
+    max_response_bytes: int
 
 
 class UpstreamConnection:
-    """One connection to a unit."""
+    """One connection to an endpoint. Times are the event loop's, in seconds."""
 
     __slots__ = (
         "attempt",
@@ -40,147 +51,155 @@
         "writing",
     )
 
-    def __init__(self, sock: socket.socket, pool: EndpointPool, longest: int) -> None:
-        self.sock, self.pool, self.reader = sock, pool, ServerReader(longest, b"vitals")
-        self.attempt: Attempt | None = None  # that goes, or is to go, over it
+    def __init__(self, sock: socket.socket, pool: EndpointPool, max_response_bytes: int) -> None:
+        self.sock = sock
+        self.pool = pool
+        self.reader = ServerReader(max_response_bytes, b"vitals")
+        self.attempt: Attempt | None = None  # running on it, or to run once it is connected
         self.health_check: Endpoint | None = None
-        self.connected = False  # the unit has welcomed it
-        self.query_sent = False  # the question's last byte was handed over
-        self.unsent = memoryview(b"")  # of the question, where the kernel took only a part
+        self.connected = False  # the endpoint has sent its ReadyForQuery
+        self.query_sent = False  # the kernel has taken the query's last byte
+        self.unsent = memoryview(b"")  # the rest of a query that the kernel took in part
         self.writing = False
-        self.last_activity = 0.0  # when it fell idle, or when the last bytes of an answer came
-        self.reusable_at = 0.0  # when it may carry another question
-        self.health_check_started = 0.0  # when a probe set out
-        self.connect_timer: asyncio.TimerHandle | None = None  # it has to have come up by then
-        self.health_check_timer: asyncio.TimerHandle | None = None  # its probe has to be answered by then
+        self.last_activity = 0.0  # when it fell idle, or when response bytes last arrived
+        self.reusable_at = 0.0
+        self.health_check_started = 0.0
+        self.connect_timer: asyncio.TimerHandle | None = None
+        self.health_check_timer: asyncio.TimerHandle | None = None
 
 
 class EndpointPool:
-    """The connections to one life of a unit."""
+    """The connections to one start of an endpoint."""
 
-    def __init__(self, place: Destination) -> None:
-        self.destination = place
-        self.idle: list[UpstreamConnection] = []  # the one used last at the end
+    def __init__(self, destination: Destination) -> None:
+        self.destination = destination
+        self.idle: list[UpstreamConnection] = []  # the most recently used last
         self.retired = False
 
 
 class ConnectionPool:
-    """All connections to units. What passes on them is the matter of who inherits this: `_more` is called
-    when one may be written to, `_never_came_up` when it was not welcomed in time."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        connect_limit: float,
-        idle_limit: float,
-        most: int,
-        longest: int,
-        log: Any,
-    ) -> None:
-        self._loop, self._log = loop, log
-        self._connect_limit, self._idle_limit, self._max_connections = (
-            connect_limit,
-            idle_limit * IDLE_LIMIT_FACTOR,
-            most,
-        )
-        self._max_response_bytes = longest
+    """All upstream connections. A subclass handles what passes on them, by the two methods that it overrides."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, log: Any) -> None:
+        self._loop = loop
+        self._log = log
+        self._connect_timeout = limits.connect_timeout
+        self._idle_limit = limits.idle_timeout * IDLE_LIMIT_FACTOR
+        self._max_connections = limits.max_connections
+        self._max_response_bytes = limits.max_response_bytes
         self._pools: dict[Endpoint, EndpointPool] = {}
         self.connections: dict[UpstreamConnection, None] = {}
-        self.opened = self.descriptor_shortages = 0
+        self.opened = 0
+        self.descriptor_shortages = 0
 
-    def _on_writable(self, link: UpstreamConnection) -> None:
+    def _on_writable(self, connection: UpstreamConnection) -> None:
+        """The connection came up, failed to, or takes more bytes."""
         raise NotImplementedError
 
-    def _on_connect_timeout(self, link: UpstreamConnection) -> None:
+    def _on_connect_timeout(self, connection: UpstreamConnection) -> None:
+        """The connection was not ready for a query in time."""
         raise NotImplementedError
 
-    def _pool_for(self, unit: Endpoint, place: Destination) -> EndpointPool:
-        pool = self._pools.get(unit)
-        if pool is None or pool.destination != place:
+    def _pool_for(self, endpoint: Endpoint, destination: Destination) -> EndpointPool:
+        """The endpoint's pool; a new one where its address or start has changed."""
+        pool = self._pools.get(endpoint)
+        if pool is None or pool.destination != destination:
             if pool is not None:
-                self._close_idle_in(pool)
-                pool.retired = True
-            pool = self._pools[unit] = EndpointPool(place)
+                self._retire(pool)
+            pool = EndpointPool(destination)
+            self._pools[endpoint] = pool
         return pool
 
     def _take_idle(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """The connection used last that has rested and is still of use: nothing unasked has come on it, nor
-        its end."""
+        """Takes the most recently used reusable connection; closes those with unsolicited bytes or an end."""
         now = self._loop.time()
-        for link in reversed(pool.idle.copy()):
-            if link.reusable_at > now:
+        for connection in reversed(pool.idle.copy()):
+            if connection.reusable_at > now:
                 continue
-            if is_idle_socket(link.sock):
-                pool.idle.remove(link)
-                return link
-            self._close_connection(link)
+            if is_idle_socket(connection.sock):
+                pool.idle.remove(connection)
+                return connection
+            self._close_connection(connection)
         return None
 
     def _open_connection(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """None where all descriptors are in use; the longest idle connection makes room."""
-        if len(self.connections) >= self._max_connections:
-            pools = [other for other in self._pools.values() if other.idle]
-            if not pools:
-                self.descriptor_shortages += 1
-                return None
-            self._close_connection(min(pools, key=lambda other: other.idle[0].last_activity).idle.pop(0))
+        """Starts to connect; None where all descriptors are in use and no idle connection can be closed."""
+        if len(self.connections) >= self._max_connections and not self._close_longest_idle():
+            self.descriptor_shortages += 1
+            return None
+        destination = pool.destination
         try:
-            sock = socket.socket(socket.AF_INET6 if ":" in pool.destination.host else socket.AF_INET)
-        except OSError as fault:  # the process has no descriptor left
-            self._log.warning("no connection", reason=str(fault))
+            sock = socket.socket(socket.AF_INET6 if ":" in destination.host else socket.AF_INET)
+        except OSError as error:  # the process has no descriptor left
+            self._log.warning("cannot open an upstream connection", reason=str(error))
             self.descriptor_shortages += 1
             return None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = UpstreamConnection(sock, pool, self._max_response_bytes)
-        self.connections[link] = None
+        connection = UpstreamConnection(sock, pool, self._max_response_bytes)
+        self.connections[connection] = None
         self.opened += 1
-        link.last_activity = self._loop.time()
-        link.connect_timer = self._loop.call_later(self._connect_limit, self._on_connect_timeout, link)
-        with contextlib.suppress(OSError):  # in progress, or failed: the writer finds that out
-            sock.connect((pool.destination.host, pool.destination.port))
-        self._loop.add_writer(sock, self._on_writable, link)
-        return link
-
-    def _keep_idle(self, link: UpstreamConnection) -> None:
-        if link.pool.retired:
-            self._close_connection(link)
+        connection.last_activity = self._loop.time()
+        connection.connect_timer = self._loop.call_later(self._connect_timeout, self._on_connect_timeout, connection)
+        with contextlib.suppress(OSError):  # in progress, or failed: `_on_writable` finds out
+            sock.connect((destination.host, destination.port))
+        self._loop.add_writer(sock, self._on_writable, connection)
+        return connection
+
+    def _close_longest_idle(self) -> bool:
+        pools = [pool for pool in self._pools.values() if pool.idle]
+        if not pools:
+            return False
+        longest = min(pools, key=lambda pool: pool.idle[0].last_activity)
+        self._close_connection(longest.idle.pop(0))
+        return True
+
+    def _keep_idle(self, connection: UpstreamConnection) -> None:
+        if connection.pool.retired:
+            self._close_connection(connection)
             return
-        link.last_activity = self._loop.time()
-        link.pool.idle.append(link)
+        connection.last_activity = self._loop.time()
+        connection.pool.idle.append(connection)
 
-    def _close_connection(self, link: UpstreamConnection) -> None:
-        if link not in self.connections:
+    def _close_connection(self, connection: UpstreamConnection) -> None:
+        if connection not in self.connections:
             return
-        del self.connections[link]
-        for timer in (link.connect_timer, link.health_check_timer):
+        del self.connections[connection]
+        for timer in (connection.connect_timer, connection.health_check_timer):
             if timer is not None:
                 timer.cancel()
-        self._loop.remove_reader(link.sock)
-        self._loop.remove_writer(link.sock)
-        link.sock.close()
-        if link in link.pool.idle:
-            link.pool.idle.remove(link)
+        self._loop.remove_reader(connection.sock)
+        self._loop.remove_writer(connection.sock)
+        connection.sock.close()
+        if connection in connection.pool.idle:
+            connection.pool.idle.remove(connection)
 
     def _close_idle_in(self, pool: EndpointPool) -> None:
-        for link in list(pool.idle):
-            self._close_connection(link)
-
-    def close_idle(self, unit: Endpoint) -> None:
-        if (pool := self._pools.get(unit)) is not None:
+        for connection in list(pool.idle):
+            self._close_connection(connection)
+
+    def _retire(self, pool: EndpointPool) -> None:
+        """Closes its idle connections now, and the others as their requests end."""
+        self._close_idle_in(pool)
+        pool.retired = True
+
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Closes the endpoint's idle connections."""
+        pool = self._pools.get(endpoint)
+        if pool is not None:
             self._close_idle_in(pool)
 
     def _close_worn(self) -> None:
-        """Ends connections idle for long, and the pools of units that are gone."""
-        now = self._loop.time()
-        for unit, pool in list(self._pools.items()):
-            while pool.idle and pool.idle[0].last_activity < now - self._idle_limit:
+        """Closes connections that were idle for too long, and drops the pools of removed endpoints."""
+        oldest = self._loop.time() - self._idle_limit
+        for endpoint, pool in list(self._pools.items()):
+            while pool.idle and pool.idle[0].last_activity < oldest:
                 self._close_connection(pool.idle[0])
-            if unit.status is EndpointStatus.REMOVED:
-                self._close_idle_in(pool)
-                pool.retired = True
-                del self._pools[unit]
+            if endpoint.status is EndpointStatus.REMOVED:
+                self._retire(pool)
+                del self._pools[endpoint]
 
     def close_all(self) -> None:
-        for link in list(self.connections):
-            self._close_connection(link)
+        """Closes every connection; requests on them get no outcome."""
+        for connection in list(self.connections):
+            self._close_connection(connection)
--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery: one watch after the other, each call within moments of the last answer."""
+"""The client of discovery: one watch after another, each call right after the last response."""
 
 from __future__ import annotations
 
@@ -12,118 +12,138 @@
 from lanelead.protocols.platform import EndpointList, parse_address
 from lanelead.settings.records import Address
 
-WATCH_HOLD_SECONDS = 2.0  # seconds a watch may wait; far inside the time after which a change counts as told
-RESPONSE_GRACE_SECONDS = 0.5  # and so many more for its answer
+WATCH_HOLD_SECONDS = 2.0  # for which a watch may wait; far less than the time after which a relay counts as notified
+RESPONSE_GRACE_SECONDS = 0.5  # for the response after that
 RETRY_DELAY_SECONDS = 0.1  # after a failure, with a random part
-VERSION_RESET_SECONDS = (
-    2.0  # seconds that discovery names older versions only, before it is believed to have begun anew
-)
-MAX_LIST_BYTES = 16 << 20  # bytes of a list
-REFUSAL_LOG_INTERVAL_SECONDS = 5.0  # seconds from one line on refused lists to the next
+VERSION_RESET_SECONDS = 2.0  # of older versions only, after which discovery is taken to have restarted
+MAX_LIST_BYTES = 16 << 20
+REJECTION_LOG_INTERVAL_SECONDS = 5.0
 
 
 class ListState:
-    """The version that the relay's list is of, whoever told it; and how many lists were refused."""
+    """The version of the endpoint list in force, whoever sent it, and how many lists were rejected."""
 
     def __init__(self, version: int) -> None:
-        self.version, self.rejected_lists = version, 0
+        self.version = version
+        self.rejected_lists = 0
 
 
 class OutdatedListError(MessageError):
-    """A list of an older version than the one that is known."""
+    """A list of an older version than the one in force."""
 
 
 class DiscoveryClient:
-    """Calls `heard` with each list and each change. What can't be read, and silence, lead to a whole list."""
+    """Calls `on_list` with each snapshot and each change; an error or a timeout leads to a snapshot next.
+
+    `on_received` is called before that, and `connected` tells whether the last call succeeded.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        where: str,
-        held: ListState,
-        read: Callable[[EndpointList], EndpointListMessage],
-        heard: Callable[[EndpointListMessage], None],
+        *,
+        address: str,
+        state: ListState,
+        decode_list: Callable[[EndpointList], EndpointListMessage],
+        on_list: Callable[[EndpointListMessage], None],
         rng: Random,
         log: Any,
     ) -> None:
-        self._loop, self._address, self._on_list = loop, Address(*parse_address(where)), heard
-        self._state, self._decode_list, self._snapshot_needed = held, read, True
-        self._rng, self._log = rng, log
-        # Since when older versions only have come, without a break. Each feed has its own: an earlier
-        # discovery that goes on until this one is believed would end the doubt with each of its answers.
+        self._loop = loop
+        self._address = Address(*parse_address(address))
+        self._state = state
+        self._decode_list = decode_list
+        self._on_list = on_list
+        self._rng = rng
+        self._log = log
+        self._snapshot_needed = True
+        # Since when only older versions have come, without a break. Each client has its own: an earlier
+        # discovery that goes on until this one is accepted would end the doubt with each of its responses.
         self._older_since: float | None = None
-        self._quiet_until = 0.0  # until when refused lists are counted alone
+        self._quiet_until = 0.0  # until then rejected lists are counted, but not logged
         self.on_received: Callable[[], None] = lambda: None
-        self.connected = self._stopped = False
+        self.connected = False
+        self._stopped = False
 
     def stop(self) -> None:
+        """Ends the client: nothing more is passed on."""
         self._stopped = True
 
     async def run(self) -> None:
+        """Polls until stopped."""
         while not self._stopped:
             try:
                 await self._poll()
                 continue
-            except (CallFailedError, MessageError, TimeoutError) as fault:
+            except (CallFailedError, MessageError, TimeoutError) as error:
                 if self.connected:
                     self._log.warning(
                         "feed down",
                         feed="discovery",
-                        reason=str(fault) or "silent",
+                        reason=str(error) or "silent",
                         remedy="look at discovery's agent; the last good list stays",
                     )
-                self._count_refusal(fault)
+                self._count_rejection(error)
             except Exception:
-                # Guards against a fault of ours on one list that would leave the relay without any for good.
-                self._log.exception("a list could not be taken in")
-            self.connected, self._snapshot_needed = False, True
+                self._log.exception("an endpoint list could not be applied")
+            self.connected = False
+            self._snapshot_needed = True
             await asyncio.sleep(RETRY_DELAY_SECONDS * self._rng.uniform(0.5, 1.5))
 
     async def _poll(self) -> None:
-        path, limit, held = b"/v1/endpoints", RESPONSE_GRACE_SECONDS, self._state
+        path = b"/v1/endpoints"
+        timeout = RESPONSE_GRACE_SECONDS
+        state = self._state
         if not self._snapshot_needed:
-            path += b"?from=%d&hold_ms=%d" % (held.version, WATCH_HOLD_SECONDS * 1000)
-            limit += WATCH_HOLD_SECONDS
-        answer = await call(self._loop, self._address, "GET", path, b"", limit)
-        if answer.status != 200:
-            raise CallFailedError(f"status {answer.status}")
-        found = decode(answer.body, EndpointList, MAX_LIST_BYTES)
-        if self._snapshot_needed and not found.full:
+            path += b"?from=%d&hold_ms=%d" % (state.version, WATCH_HOLD_SECONDS * 1000)
+            timeout += WATCH_HOLD_SECONDS
+        response = await call(self._loop, self._address, "GET", path, b"", timeout)
+        if response.status != 200:
+            raise CallFailedError(f"status {response.status}")
+        received = decode(response.body, EndpointList, MAX_LIST_BYTES)
+        if self._snapshot_needed and not received.full:
             raise MessageError("changes, where the whole list was asked for")
-        if found.version < held.version:
-            self._check_older(found)
+        if received.version < state.version:
+            self._check_older(received)
         if self._stopped:
             return
-        told = self._decode_list(found)
+        message = self._decode_list(received)
         self.on_received()
         if not self.connected:
-            self._log.info("feed up", feed="discovery", version=found.version, units=len(found.servers))
-        self.connected, self._snapshot_needed, held.version, self._older_since = True, False, found.version, None
-        if found.full or found.servers:
-            self._on_list(told)
-
-    def _count_refusal(self, fault: Exception) -> None:
-        """Counts a list that was refused. Guards against a discovery whose lists can't be read from the start
-        on, and that only looks silent; and against old copies with silence between them."""
-        if not isinstance(fault, OutdatedListError):
+            self._log.info("feed up", feed="discovery", version=received.version, endpoints=len(received.servers))
+        self.connected = True
+        self._snapshot_needed = False
+        state.version = received.version
+        self._older_since = None
+        if received.full or received.servers:
+            self._on_list(message)
+
+    def _count_rejection(self, error: Exception) -> None:
+        """Counts a rejected list, and logs it: a discovery whose lists cannot be read from the start only looks
+        silent otherwise.
+        """
+        if not isinstance(error, OutdatedListError):
             self._older_since = None
-        if not isinstance(fault, MessageError):
+        if not isinstance(error, MessageError):
             return
         self._state.rejected_lists += 1
-        if (now := self._loop.time()) >= self._quiet_until:
-            self._quiet_until = now + REFUSAL_LOG_INTERVAL_SECONDS
+        now = self._loop.time()
+        if now >= self._quiet_until:
+            self._quiet_until = now + REJECTION_LOG_INTERVAL_SECONDS
             self._log.warning(
-                "list refused",
-                reason=str(fault),
-                refused=self._state.rejected_lists,
+                "endpoint list rejected",
+                reason=str(error),
+                rejected=self._state.rejected_lists,
                 remedy="put right what discovery's agent sends; the last good list stays",
             )
 
-    def _check_older(self, found: EndpointList) -> None:
-        """Guards against an old copy of the list, by which units that drain would be ready again. One that
-        says the same for long has begun to count anew."""
-        held, now = self._state, self._loop.time()
-        self._older_since = self._older_since if self._older_since is not None else now
-        if not found.full or now < self._older_since + VERSION_RESET_SECONDS:
-            raise OutdatedListError(f"version {found.version}, where {held.version} is known")
-        self._log.warning("discovery counts anew", version=found.version, known=held.version)
+    def _check_older(self, received: EndpointList) -> None:
+        """Raises OutdatedListError for an old copy of the list, by which draining endpoints would be ready again.
+        Discovery that sends snapshots of old versions for long has restarted its versions.
+        """
+        now = self._loop.time()
+        if self._older_since is None:
+            self._older_since = now
+        if not received.full or now < self._older_since + VERSION_RESET_SECONDS:
+            raise OutdatedListError(f"version {received.version}, where {self._state.version} is known")
+        self._log.warning("discovery restarted its versions", version=received.version, known=self._state.version)
--- a/lanelead/postgres_relay/endpoint_list_decoder.py
+++ b/lanelead/postgres_relay/endpoint_list_decoder.py
@@ -1,4 +1,4 @@
-"""Discovery's lists as this relay takes them in: an entry that can't be read is refused alone."""
+"""Decodes discovery's lists for this relay: an entry that cannot be read is rejected alone."""
 
 from __future__ import annotations
 
@@ -9,47 +9,51 @@
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from lanelead.runtime.driver import DecisionDriver
 
-MAX_LOGGED_ENTRIES = 5  # refused entries that one line of the log names
+MAX_LOGGED_ENTRIES = 5
 
 
 class EndpointListDecoder:
-    """`offset`: what Unix time lacks of the driver's clock, in ticks; `refused`: entries so far."""
+    """`clock_offset`: the driver's clock minus Unix time, in ticks; `rejected_entries`: since the start."""
 
-    def __init__(self, driver: DecisionDriver, offset: Ticks, log: Any) -> None:
-        self._driver, self._offset, self._log = driver, offset, log
+    def __init__(self, driver: DecisionDriver, clock_offset: Ticks, log: Any) -> None:
+        self._driver = driver
+        self._clock_offset = clock_offset
+        self._log = log
         self.rejected_entries = 0
 
-    def decode(self, found: EndpointList) -> EndpointListMessage:
-        refused: list[RejectedEntry] = []
-        taken = read_endpoint_list(found, self._last_known, refused)
-        if refused:
-            self.rejected_entries += len(refused)
+    def decode(self, received: EndpointList) -> EndpointListMessage:
+        """The list as the driver takes it; rejected entries are counted and logged."""
+        rejected: list[RejectedEntry] = []
+        message = read_endpoint_list(received, self._last_known, rejected)
+        if rejected:
+            self.rejected_entries += len(rejected)
             self._log.warning(
-                "entries refused",
-                version=found.version,
-                many=len(refused),
-                first=[entry.id[:64] for entry in refused[:MAX_LOGGED_ENTRIES]],
-                reason=refused[0].reason,
-                remedy="put these entries right at discovery; what counted of these units last still counts",
+                "endpoint entries rejected",
+                version=received.version,
+                count=len(rejected),
+                first=[entry.id[:64] for entry in rejected[:MAX_LOGGED_ENTRIES]],
+                reason=rejected[0].reason,
+                remedy="put these entries right at discovery; the last good entries of these endpoints still count",
             )
-        return taken
+        return message
 
     def _last_known(self, name: str) -> EndpointMessage | None:
-        """A unit as it was told of last; None where it is not known, or gone."""
-        unit = self._driver.registry.by_name.get(name)
-        place = self._driver.destinations.get(unit) if unit is not None else None
-        if unit is None or place is None or unit.status is EndpointStatus.REMOVED:
+        """The entry in force of an endpoint; None where it is not known, or removed."""
+        endpoint = self._driver.registry.by_name.get(name)
+        destination = self._driver.destinations.get(endpoint) if endpoint is not None else None
+        if endpoint is None or destination is None or endpoint.status is EndpointStatus.REMOVED:
             return None
-        started = (place.started_at - self._offset) / 10 if place.started_at else None
+        started_at = destination.started_at
+        started_ms = (started_at - self._clock_offset) / 10 if started_at else None
         return EndpointMessage(
             name,
-            place.host,
-            place.port,
-            unit.zone,
-            unit.build,
-            "ready" if unit.status is EndpointStatus.READY else "draining",
-            unit.cell,
-            unit.kind,
-            started,
-            unit.capacity,
+            destination.host,
+            destination.port,
+            endpoint.zone,
+            endpoint.build,
+            "ready" if endpoint.status is EndpointStatus.READY else "draining",
+            endpoint.cell,
+            endpoint.kind,
+            started_ms,
+            endpoint.capacity,
         )
--- a/lanelead/postgres_relay/event_loop_monitor.py
+++ b/lanelead/postgres_relay/event_loop_monitor.py
@@ -1,28 +1,37 @@
-"""How late the relay's process is, and what it holds: for the state that it writes to its log."""
+"""How late the event loop is, and what the process uses: for the state document."""
 
 from __future__ import annotations
 
 import gc
 import time
 
+PAGE_BYTES = 4096
+
 
 class EventLoopMonitor:
-    """The longest since they were last begun anew, seconds: `lag` of the loop, `pause` of the collector."""
+    """The longest delays since the last `reset`, in seconds: of the event loop, and by the garbage collector."""
 
     def __init__(self) -> None:
-        self.loop_lag_seconds = self.gc_pause_seconds = self._gc_started = 0.0
+        self.loop_lag_seconds = 0.0
+        self.gc_pause_seconds = 0.0
+        self._gc_started = 0.0
 
     def start(self) -> None:
+        """Begins to time the garbage collector."""
         gc.callbacks.append(self._on_gc)
 
     def stop(self) -> None:
+        """Ends what `start` began."""
         gc.callbacks.remove(self._on_gc)
 
     def record_lag(self, seconds: float) -> None:
+        """A timer of the loop fired this much too late."""
         self.loop_lag_seconds = max(self.loop_lag_seconds, seconds)
 
     def reset(self) -> None:
-        self.loop_lag_seconds = self.gc_pause_seconds = 0.0
+        """Forgets the longest delays."""
+        self.loop_lag_seconds = 0.0
+        self.gc_pause_seconds = 0.0
 
     def _on_gc(self, phase: str, info: dict[str, int]) -> None:
         if phase == "start":
@@ -31,17 +40,19 @@
             self.gc_pause_seconds = max(self.gc_pause_seconds, time.monotonic() - self._gc_started)
 
     def state(self) -> dict[str, float]:
+        """The fields of the state document."""
         return {
-            "lag_ms": round(self.loop_lag_seconds * 1000, 1),
-            "pause_ms": round(self.gc_pause_seconds * 1000, 1),
+            "loop_lag_ms": round(self.loop_lag_seconds * 1000, 1),
+            "gc_pause_ms": round(self.gc_pause_seconds * 1000, 1),
             "cpu_s": round(time.process_time(), 2),
             "memory_mb": resident_mb(),
         }
 
 
 def resident_mb() -> float:
+    """The process's resident memory in megabytes (proc(5), statm); 0 where it cannot be read."""
     try:
         with open("/proc/self/statm") as file:
-            return round(int(file.read().split()[1]) * 4096 / 1e6, 1)
+            return round(int(file.read().split()[1]) * PAGE_BYTES / 1e6, 1)
     except (OSError, ValueError, IndexError):
         return 0.0
--- a/lanelead/postgres_relay/feed_handover.py
+++ b/lanelead/postgres_relay/feed_handover.py
@@ -1,4 +1,4 @@
-"""One feed after another: the earlier one goes on until its heir has spoken, and then ends."""
+"""Replaces one feed by another: the earlier one goes on until the new one has received something."""
 
 from __future__ import annotations
 
@@ -6,16 +6,20 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Generic, Protocol, TypeVar
 
-MAX_RUNNING_FEEDS = 4  # feeds of one kind at once: the one that counts, and the newest
+MAX_RUNNING_FEEDS = 4  # of one kind: the one in force, and the newest
 
 
 class Feed(Protocol):
-    on_received: Callable[[], None]  # to be called before what it hears is handed on
+    """A client that is replaced when its address changes."""
 
-    async def run(self) -> None: ...
+    on_received: Callable[[], None]  # to be called before what was received is passed on
+
+    async def run(self) -> None:
+        """Receives until stopped or cancelled."""
+        ...
 
     def stop(self) -> None:
-        """Nothing more is heard of it from now on."""
+        """Nothing more is passed on from now on."""
         ...
 
 
@@ -23,22 +27,26 @@
 
 
 class FeedHandover(Generic[FeedT]):
-    """What was written to the relay counts as told, by an earlier feed too: cut off at once, its last word
-    would be lost, and until the heir is there nothing would be heard at all. Once the heir has spoken, an
-    earlier one's word may be older than what is known, and is not wanted any more."""
+    """The running feeds of one kind.
+
+    What was written to the relay counts as received, by an earlier feed too: stopped at once, its last message
+    would be lost, and until the new feed is connected nothing would be received at all. Once the new feed has
+    received something, an earlier one's messages may be outdated and are not wanted any more.
+    """
 
-    def __init__(self, task: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]) -> None:
-        self._start_task = task
+    def __init__(self, start_task: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]) -> None:
+        self._start_task = start_task
         self._running: dict[FeedT, asyncio.Task[None]] = {}  # in the order of their start
         self.newest: FeedT
 
     def start(self, feed: FeedT) -> None:
+        """Runs `feed`, which replaces the others as soon as it has received something."""
         self.newest = feed
         feed.on_received = lambda: self._on_received(feed)
         self._running[feed] = self._start_task(feed.run())
-        # Guards against feeds that pile up, with a connection and calls each, where no heir ever speaks.
-        for mute in list(self._running)[1 : 1 - MAX_RUNNING_FEEDS]:
-            self._stop(mute)
+        # Guards against feeds that pile up, with a connection and calls each, where no new one ever connects.
+        for unresponsive in list(self._running)[1 : 1 - MAX_RUNNING_FEEDS]:
+            self._stop(unresponsive)
 
     def _on_received(self, feed: FeedT) -> None:
         for earlier in list(self._running):
--- a/lanelead/postgres_relay/load_reports.py
+++ b/lanelead/postgres_relay/load_reports.py
@@ -1,4 +1,4 @@
-"""What units tell of themselves, and whether a connection stands still."""
+"""Endpoints' load reports, and whether a socket has anything to read."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 
 
 def parse_load_report(text: bytes | None, names: frozenset[str]) -> LoadReport | None:
-    """The figures that the settings name; None where there is no report that can be read."""
+    """The fields in `names` of a report `name=value,name=value`; None where it has none or cannot be read."""
     if not text or not names:
         return None
-    found: LoadReport = {}
+    report: LoadReport = {}
     for pair in text.split(b","):
-        name, mark, word = pair.partition(b"=")
+        name, separator, number = pair.partition(b"=")
         try:
-            value = float(word)
+            value = float(number)
         except ValueError:
             return None
-        if not mark or not math.isfinite(value) or value < 0:
+        if not separator or not math.isfinite(value) or value < 0:
             return None
-        if (known := name.decode("latin-1").strip()) in names:
-            found[known] = value
-    return found or None
+        field = name.decode("latin-1").strip()
+        if field in names:
+            report[field] = value
+    return report or None
 
 
 def is_idle_socket(sock: socket.socket) -> bool:
-    """Nothing waits to be read, nor has the other end gone."""
+    """Nothing waits to be read, and the other end has not closed."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
--- a/lanelead/postgres_relay/main.py
+++ b/lanelead/postgres_relay/main.py
@@ -14,27 +14,30 @@
 from lanelead.protocols.feeds import MessageError
 
 BLOCKED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}
+GC_THRESHOLDS = (5_000, 20, 50)
 
 
 def run(form: str) -> None:
-    """Serves until SIGTERM. A configuration that can't be read ends the process with one line and 2."""
-    # Until its handler stands a signal would end the process at whatever it is doing: it waits for that.
+    """Serves until SIGTERM; `form` is the log's. A configuration that cannot be read ends the process with one
+    line on standard error and exit code 2.
+    """
+    # Before its handler is installed a signal would end the process: it waits for that.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
-        where = path_from_environment()
-        config = load(where)
-    except MessageError as fault:
-        print(f"lanelead: configuration: {fault}", file=sys.stderr)
+        path = path_from_environment()
+        config = load(path)
+    except MessageError as error:
+        print(f"lanelead: configuration: {error}", file=sys.stderr)
         raise SystemExit(2) from None
     log = logger(form)
 
     async def serve() -> None:
-        service = Service(config, where, log)
-        # What was made up to here lives as long as the process: left to the collector it would be walked
-        # again and again while lookups wait.
+        service = Service(config, path, log)
+        # Objects created up to here live as long as the process: the collector would traverse them again and
+        # again while requests wait.
         gc.collect()
         gc.freeze()
-        gc.set_threshold(5_000, 20, 50)
+        gc.set_threshold(*GC_THRESHOLDS)
         service.install_signal_handlers()
         signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
         await service.run(config)
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -1,40 +1,53 @@
-"""What the settings must say before a relay may start, field by field. What is missing has the default named
-here or is refused; nothing is guessed from another deployment's figures."""
+"""What the settings must contain before a relay may start, field by field. A missing field has the default named
+here or is refused; nothing is guessed from another deployment's values.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from lanelead.protocols.feeds import MessageError
-from lanelead.runtime.parameter_reader import ParameterError as Unread
-from lanelead.runtime.parameter_reader import ParameterReader
+from lanelead.runtime.parameter_reader import ParameterError, ParameterReader
+
+
+class Minimum(NamedTuple):
+    """The least value of a field, and whether the field may have just that."""
+
+    value: float
+    inclusive: bool
 
-# Fields by path, with the least that each may be, and whether it may be just that. Under `requestClasses.N.`
-# and `accounts.N.` for each class and each account.
+
+AT_LEAST_0 = Minimum(0.0, True)
+AT_LEAST_1 = Minimum(1.0, True)
+OVER_0 = Minimum(0.0, False)
+
+# By field under `requestClasses.N.` for each class, under `accounts.N.` for each tenant, and by path.
 CLASS_MINIMUMS = {
-    "aimMs": (0.0, False),
-    "deadlineMs": (0.0, False),
-    "credit": (0.0, True),
-    "lateWorth": (0.0, True),
-    "windowMs": (0.0, True),
-    "aimStretch": (0.0, True),
+    "aimMs": OVER_0,
+    "deadlineMs": OVER_0,
+    "credit": AT_LEAST_0,
+    "lateWorth": AT_LEAST_0,
+    "windowMs": AT_LEAST_0,
+    "aimStretch": AT_LEAST_0,
 }
-ACCOUNT_MINIMUMS = {"quotaPerS": (0.0, True), "share": (0.0, True)}
+TENANT_MINIMUMS = {"quotaPerS": AT_LEAST_0, "share": AT_LEAST_0}
 MINIMUMS = {
-    "instances": (1.0, True),
-    "me": (0.0, True),
-    "tickMs": (0.0, True),
-    "allowed.attemptsCap": (1.0, True),
-    "allowed.openCap": (1.0, True),
-    "allowed.connectTimeoutMs": (0.0, False),
-    "allowed.connIdleMs": (0.0, True),
-    "allowed.maxRetryAfterMs": (0.0, True),
-    "contract.answerSlackMs": (0.0, True),
-    "contract.coldFrom": (0.0, True),
-    "contract.coldMs": (0.0, True),
-    "contract.fallMultiple": (0.0, False),
-    "contract.fallMs": (0.0, True),
-    "familyInfo.apiTimeoutMs": (0.0, False),
-    "familyInfo.countedOverMs": (0.0, False),
-    "familyInfo.voteTtlMs": (0.0, False),
+    "instances": AT_LEAST_1,
+    "me": AT_LEAST_0,
+    "tickMs": AT_LEAST_0,
+    "allowed.attemptsCap": AT_LEAST_1,
+    "allowed.openCap": AT_LEAST_1,
+    "allowed.connectTimeoutMs": OVER_0,
+    "allowed.connIdleMs": AT_LEAST_0,
+    "allowed.maxRetryAfterMs": AT_LEAST_0,
+    "contract.answerSlackMs": AT_LEAST_0,
+    "contract.coldFrom": AT_LEAST_0,
+    "contract.coldMs": AT_LEAST_0,
+    "contract.fallMultiple": OVER_0,
+    "contract.fallMs": AT_LEAST_0,
+    "familyInfo.apiTimeoutMs": OVER_0,
+    "familyInfo.countedOverMs": OVER_0,
+    "familyInfo.voteTtlMs": OVER_0,
 }
 # Without these a relay could do nothing, or do harm; docs/crossings.md names the defaults of all others.
 REQUIRED_CLASS_FIELDS = ("aimMs", "deadlineMs", "repeat", "name")
@@ -48,59 +61,72 @@
 )
 
 
-def check(opening: ParameterReader) -> None:
-    """Raises Malformed, which names the field and what to do."""
+def check(parameters: ParameterReader) -> None:
+    """Raises MessageError, which names the first wrong field and what to do."""
     try:
-        _check(opening)
-    except Unread as fault:
-        raise MessageError(f"settings: {fault}") from None
+        _check_counts_and_minimums(parameters)
+        _check_relations(parameters)
+        _read_all(parameters)
+    except ParameterError as error:
+        raise MessageError(f"settings: {error}") from None
 
 
-def _check(opening: ParameterReader) -> None:
-    if not opening.whole("requestClasses.count"):
+def _check_counts_and_minimums(parameters: ParameterReader) -> None:
+    if not parameters.whole("requestClasses.count"):
         raise MessageError("settings.requestClasses: none; name at least one class")
     for path in REQUIRED_FIELDS:
-        _check_present(opening, path)
-    for path, (least, itself) in MINIMUMS.items():
-        _check_minimum(opening, path, least, itself)
-    names = set()
-    for number in range(opening.whole("requestClasses.count")):
-        at = f"requestClasses.{number}."
-        for field in REQUIRED_CLASS_FIELDS:
-            _check_present(opening, at + field)
-        for field, (least, itself) in CLASS_MINIMUMS.items():
-            _check_minimum(opening, at + field, least, itself)
-        if (name := opening.word(at + "name")) in names:
-            raise MessageError(f"settings.{at}name: {name} is there twice; give each class a name of its own")
-        names.add(name)
-    for number in range(opening.whole("accounts.count")):
-        for field, (least, itself) in ACCOUNT_MINIMUMS.items():
-            _check_minimum(opening, f"accounts.{number}.{field}", least, itself)
-    if opening.number("me") >= opening.number("instances"):
+        _check_present(parameters, path)
+    for path, minimum in MINIMUMS.items():
+        _check_minimum(parameters, path, minimum)
+    names: set[str] = set()
+    for number in range(parameters.whole("requestClasses.count")):
+        _check_class(parameters, f"requestClasses.{number}.", names)
+    for number in range(parameters.whole("accounts.count")):
+        for field, minimum in TENANT_MINIMUMS.items():
+            _check_minimum(parameters, f"accounts.{number}.{field}", minimum)
+
+
+def _check_class(parameters: ParameterReader, prefix: str, names: set[str]) -> None:
+    """Checks one class; `names` are those of the classes before it."""
+    for field in REQUIRED_CLASS_FIELDS:
+        _check_present(parameters, prefix + field)
+    for field, minimum in CLASS_MINIMUMS.items():
+        _check_minimum(parameters, prefix + field, minimum)
+    name = parameters.word(prefix + "name")
+    if name in names:
+        raise MessageError(f"settings.{prefix}name: {name} is there twice; give each class a name of its own")
+    names.add(name)
+
+
+def _check_relations(parameters: ParameterReader) -> None:
+    if parameters.number("me") >= parameters.number("instances"):
         raise MessageError("settings.me: must be under settings.instances; number the relays from 0")
-    shares, caps = opening.numbers("familyInfo.shares"), opening.numbers("familyInfo.mostShares")
-    if len(shares) != len(caps) or any(not 0 <= share <= 1 for share in (*shares, *caps)):
+    shares = parameters.numbers("familyInfo.shares")
+    limits = parameters.numbers("familyInfo.mostShares")
+    if len(shares) != len(limits) or any(not 0 <= share <= 1 for share in (*shares, *limits)):
         raise MessageError("settings.familyInfo.mostShares: as many as shares, each from 0 to 1")
-    for read in (
-        opening.request_classes,
-        opening.tenants,
-        opening.service_limits,
-        opening.canary_limits,
-        opening.voting_rules,
-        opening.prices,
-    ):
-        read()
-
-
-def _check_present(opening: ParameterReader, path: str) -> None:
-    if opening.word(path) == "-":
+
+
+def _read_all(parameters: ParameterReader) -> None:
+    """Reads all records once, for the errors that this raises."""
+    parameters.request_classes()
+    parameters.tenants()
+    parameters.service_limits()
+    parameters.canary_limits()
+    parameters.voting_rules()
+    parameters.prices()
+
+
+def _check_present(parameters: ParameterReader, path: str) -> None:
+    if parameters.word(path) == "-":
         raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
 
 
-def _check_minimum(opening: ParameterReader, path: str, least: float, itself: bool) -> None:
+def _check_minimum(parameters: ParameterReader, path: str, minimum: Minimum) -> None:
+    least, inclusive = minimum
     try:
-        value = opening.number(path, least if itself else 1.0)
-    except Unread as fault:
-        raise MessageError(f"settings.{path}: {fault}") from None
-    if value < least or (value == least and not itself):
-        raise MessageError(f"settings.{path}: {value:g}; must be {'at least' if itself else 'over'} {least:g}")
+        value = parameters.number(path, least if inclusive else 1.0)
+    except ParameterError as error:
+        raise MessageError(f"settings.{path}: {error}") from None
+    if value < least or (value == least and not inclusive):
+        raise MessageError(f"settings.{path}: {value:g}; must be {'at least' if inclusive else 'over'} {least:g}")
--- /dev/null
+++ b/lanelead/postgres_relay/state_document.py
@@ -0,0 +1,52 @@
+"""The relay's counters as the fields of its state document, which it writes to its log."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lanelead.postgres_relay.client_listener import ClientListener
+from lanelead.postgres_relay.upstream_requests import UpstreamRequests
+from lanelead.runtime.driver import DecisionDriver
+
+
+def request_counts(driver: DecisionDriver) -> dict[str, Any]:
+    """Requests and attempts since the start."""
+    counters = driver.counters
+    return {
+        "received": counters.received,
+        "succeeded": counters.succeeded,
+        "rejected": counters.rejected,
+        "failed": counters.failed,
+        "abandoned": counters.abandoned,
+        "over_limit": counters.over_limit,
+        "attempts": counters.attempts,
+        "attempt_outcomes": {outcome.value: count for outcome, count in counters.outcomes.items()},
+        "pending": len(driver.pending),
+    }
+
+
+def client_counts(listener: ClientListener) -> dict[str, int]:
+    """Client connections now, and what was rejected or ended since the start."""
+    return {
+        "client_connections": len(listener.clients),
+        "unreadable_statements": listener.unreadable_statements,
+        "protocol_violations": listener.protocol_violations,
+        "evicted_connections": listener.evicted_connections,
+        "rejected_connections": listener.rejected_connections,
+        "rejections": listener.rejections,
+        "overdue_requests": listener.overdue_requests,
+    }
+
+
+def upstream_counts(driver: DecisionDriver, upstream: UpstreamRequests) -> dict[str, int]:
+    """Endpoints and upstream connections now, and what happened on connections since the start."""
+    return {
+        "endpoints": len(driver.destinations),
+        "upstream_connections": len(upstream.connections),
+        "opened_connections": upstream.opened,
+        "reused_connections": upstream.reused_connections,
+        "refused_connections": upstream.refused_connections,
+        "handshake_timeouts": upstream.handshake_timeouts,
+        "malformed_responses": upstream.malformed_responses,
+        "descriptor_shortages": upstream.descriptor_shortages,
+    }
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -142,7 +142,13 @@
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
         following = ConfigurationSources(sources, **more)
         self.feed = ConfigurationClient(
-            asyncio.get_running_loop(), 7, following, entries, self._put, Random(5), self.log
+            asyncio.get_running_loop(),
+            number=7,
+            following=following,
+            entries=entries,
+            on_change=self._put,
+            rng=Random(5),
+            log=self.log,
         )
 
     def _put(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -174,7 +174,10 @@
             client = await taken_in(place, sock)
             await place.until(lambda: client.reader.started)
             with mock.patch.object(
-                ClientConnection, "close_with_rejection", autospec=True, side_effect=ClientConnection.close_with_rejection
+                ClientConnection,
+                "close_with_rejection",
+                autospec=True,
+                side_effect=ClientConnection.close_with_rejection,
             ) as refuse:
                 with mock.patch.object(fronts, "CLOSE_LINGER_SECONDS", 0):
 
--- a/tests/test_crossings_feeds.py
+++ b/tests/test_crossings_feeds.py
@@ -39,10 +39,10 @@
             async with platform(Unit("u0"), known=False, silent=True) as place:
                 client = await place.client()
                 self.assertEqual((await client.ask("1a", "file"))["C"], b"53300")
-                self.assertEqual(place.said("no list of units yet"), 1)
+                self.assertEqual(place.said("no endpoint list yet"), 1)
                 self.assertLessEqual(len(place.lists), 2)  # it did not wait for calls to go by
                 place.answers.set()
-                await place.until(lambda: place.relay.state()["units"] == 1)
+                await place.until(lambda: place.relay.state()["endpoints"] == 1)
                 self.assertIn("D", await client.ask("2a", "file"))
 
     @live
@@ -59,7 +59,7 @@
     async def test_a_silent_watch_is_given_up_and_the_whole_list_is_asked_for(self) -> None:
         with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=0.1, RESPONSE_GRACE_SECONDS=0.2):
             async with platform(Unit("u0"), Unit("u1")) as place:
-                await place.until(lambda: place.relay.state()["discovery"])
+                await place.until(lambda: place.relay.state()["discovery_connected"])
                 place.answers.clear()
                 place.turn(place.units[1], "leaving")  # told on no watch
                 await place.until(lambda: place.said("feed down") == 1)
@@ -69,7 +69,7 @@
     @live
     async def test_an_old_copy_turns_no_unit_back(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as place:
-            await place.until(lambda: place.relay.state()["discovery"])
+            await place.until(lambda: place.relay.state()["discovery_connected"])
             place.turn(place.units[1], "leaving")
             await place.until(lambda: condition(place, "u1") == "draining")
             place.states["u1"], place.version = "active", 1
@@ -83,7 +83,7 @@
                 place.relay.driver, "endpoints_listed", wraps=place.relay.driver.endpoints_listed
             ) as taken:
                 await place.until(lambda: not place.spoil)
-                await place.until(lambda: place.relay.state()["discovery"] and taken.call_count > 0)
+                await place.until(lambda: place.relay.state()["discovery_connected"] and taken.call_count > 0)
             self.assertEqual({call.args[0].version for call in taken.call_args_list}, {2})
             self.assertEqual(condition(place, "u1"), "draining")
 
@@ -96,12 +96,12 @@
                 place.states["u1"], place.version = "leaving", 1
                 place.spoil = [b"noise\r\n\r\n"]  # its next answer is a whole list, of an older version
                 await place.until(lambda: condition(place, "u1") == "draining")
-                self.assertEqual(place.said("discovery counts anew"), 1)
+                self.assertEqual(place.said("discovery restarted its versions"), 1)
 
     @live
     async def test_a_list_may_be_indented_and_come_in_pieces(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as place:
-            await place.until(lambda: place.relay.state()["discovery"])
+            await place.until(lambda: place.relay.state()["discovery_connected"])
             place.states["u1"], place.version = "leaving", 10
             body = json.dumps(json.loads(place.list_of(place.units)), indent=2).encode()
             place.states["u1"], place.version = "active", 1
@@ -113,7 +113,7 @@
     @live
     async def test_a_list_of_some_mebibytes_is_read(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as place:
-            await place.until(lambda: place.relay.state()["discovery"])
+            await place.until(lambda: place.relay.state()["discovery_connected"])
             place.states["u1"], place.version = "leaving", 10
             body = place.list_of(place.units).replace(b'"north"', b'"%s"' % (b"z" * 1_100_000))
             place.states["u1"], place.version = "active", 1
@@ -124,14 +124,14 @@
     @live
     async def test_half_a_body_changes_nothing(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as place:
-            await place.until(lambda: place.relay.state()["discovery"])
+            await place.until(lambda: place.relay.state()["discovery_connected"])
             place.states["u1"] = "leaving"
             text = serialization.response(200, (), place.list_of(place.units), keep=False)
             place.states["u1"] = "active"
             place.spoil = [text[:-40]]
             place.turn(place.units[0], "active")
             await place.until(lambda: place.said("feed down") == 1)
-            await place.until(lambda: place.relay.state()["discovery"])
+            await place.until(lambda: place.relay.state()["discovery_connected"])
             self.assertEqual(condition(place, "u1"), "ready")
 
 
@@ -139,7 +139,7 @@
     @live
     async def test_the_earlier_discovery_counts_until_the_new_one_has_spoken(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as old, platform(Unit("u0"), Unit("u1")) as new:
-            await old.until(lambda: old.relay.state()["discovery"])
+            await old.until(lambda: old.relay.state()["discovery_connected"])
             new.answers.clear()
             old.write(new.ports())
             old.relay.reload()
@@ -151,13 +151,13 @@
             await old.until(lambda: old.relay._list_state.version == 5)
             asked = len(old.lists)
             old.turn(old.units[0], "leaving")  # the earlier one's watch ended
-            await old.until(lambda: old.relay.state()["discovery"])
+            await old.until(lambda: old.relay.state()["discovery_connected"])
             self.assertEqual((len(old.lists), condition(old, "u0")), (asked, "ready"))
 
     @live
     async def test_the_earlier_desk_counts_until_the_new_one_has_spoken_and_not_after(self) -> None:
         async with platform(Unit("u0")) as old, platform(Unit("u0")) as new:
-            await old.until(lambda: old.relay.state()["desk"])
+            await old.until(lambda: old.relay.state()["rollout_connected"])
             new.speaks = False
             old.write(new.ports())
             old.relay.reload()
@@ -177,7 +177,7 @@
     @live
     async def test_a_vote_under_way_at_the_move_gets_its_end(self) -> None:
         async with platform(Unit("u0")) as old, platform(Unit("u0")) as new:
-            await old.until(lambda: old.relay.state()["desk"])
+            await old.until(lambda: old.relay.state()["rollout_connected"])
             old.judge = lambda call: None
             with mock.patch.object(old.relay.driver, "rollout_read", wraps=old.relay.driver.rollout_read) as news:
                 old.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
@@ -185,7 +185,7 @@
                 old.write(new.ports())
                 old.relay.reload()
                 await old.until(lambda: (None, True, AttemptOutcome.TIMED_OUT) in [c.args for c in news.call_args_list])
-                await old.until(lambda: old.relay.state()["desk"])
+                await old.until(lambda: old.relay.state()["rollout_connected"])
                 new.judge = lambda call: answered(call["id"], NEWS)
                 old.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                 await old.until(
@@ -197,7 +197,9 @@
         async with platform(Unit("u0")) as place:
             for _ in range(12):
                 place.relay.reload()
-            await place.until(lambda: place.relay.state()["desk"] and place.relay.state()["discovery"])
+            await place.until(
+                lambda: place.relay.state()["rollout_connected"] and place.relay.state()["discovery_connected"]
+            )
             relay = place.relay
             await place.until(
                 lambda: (len(relay._rollout_handover._running), len(relay._discovery_handover._running)) == (1, 1)
@@ -207,7 +209,7 @@
     @live
     async def test_a_move_while_it_stops_is_followed_and_one_after_that_is_not(self) -> None:
         async with platform(Unit("u0")) as old, platform(Unit("u0")) as new:
-            await old.until(lambda: old.relay.state()["desk"])
+            await old.until(lambda: old.relay.state()["rollout_connected"])
             old.write(new.ports())
             old.relay.stop()
             await old.until(lambda: old.said("draining") == 1)
@@ -216,7 +218,7 @@
             await old.run
             old.relay.reload()
             self.assertEqual(old.relay._tasks, {})
-            self.assertEqual(old.said("configuration read anew"), 1)
+            self.assertEqual(old.said("configuration reloaded"), 1)
 
     @live
     async def test_what_else_has_changed_in_the_file_is_said_and_left(self) -> None:
@@ -227,7 +229,7 @@
             config["settings"]["allowed"] = {**config["settings"]["allowed"], "attemptsCap": 1}
             path.write_text(json.dumps(config))
             place.relay.reload()
-            said = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "configuration read anew"]
+            said = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "configuration reloaded"]
             self.assertEqual(said[0]["ignored_until_restart"], ["limits", "settings.allowed"])
 
     @live
@@ -239,7 +241,7 @@
             for text in (None, whole[: len(whole) // 2], whole.replace('"openCap": 1000', '"openCap": 0')):
                 path.unlink() if text is None else path.write_text(text)
                 place.relay.reload()
-            self.assertEqual(place.said("configuration not read anew: all stays as it was"), 3)
+            self.assertEqual(place.said("configuration not reloaded: the old one stays in force"), 3)
             self.assertEqual(
                 (place.relay._rollout_handover.newest, place.relay._discovery_handover.newest), feeds_before
             )
@@ -250,11 +252,11 @@
     @live
     async def test_news_of_a_stage_that_the_settings_do_not_have_is_dropped(self) -> None:
         async with platform(Unit("u0")) as place:
-            await place.until(lambda: place.relay.state()["desk"])
+            await place.until(lambda: place.relay.state()["rollout_connected"])
             place.desks[0].write(told({**TRIAL, "stage": 7}))
             await place.until(lambda: place.said("feed down") == 1)
             self.assertEqual(heard(place)[0], 1)
-            await place.until(lambda: place.relay.state()["desk"])
+            await place.until(lambda: place.relay.state()["rollout_connected"])
 
 
 class Settings(unittest.TestCase):
--- a/tests/test_crossings_idle.py
+++ b/tests/test_crossings_idle.py
@@ -104,7 +104,7 @@
     async def test_news_of_a_released_build_whose_stage_the_settings_do_not_have(self) -> None:
         """All units are of that build: as one on trial they would get a fifth of the lookups."""
         async with town(Unit("u0"), Unit("u1")) as (place, disc, watch):
-            await place.until(lambda: state(place, "desk"))
+            await place.until(lambda: state(place, "rollout_connected"))
             watch.tell(11, *(entry(unit, revision_no=2) for unit in place.units), full=True)
             await disc.next()
             place.desks[-1].write(told({**TRIAL, "stage": 7, "phase": "live", "cap": 1.0}))
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -127,7 +127,7 @@
             )
             await disc.next()
             self.assertEqual((condition(place, "u0"), condition(place, "u1")), ("draining", "ready"))
-            self.assertEqual(state(place, "refused_entries"), 0)
+            self.assertEqual(state(place, "rejected_entries"), 0)
 
 
 BAD: list[dict[str, Any]] = [
@@ -169,17 +169,17 @@
                         watch.tell(version, entry(u0), entry(u1, **bad), entry(u2, state=other), full=full)
                         watch = await disc.next()
                         self.assertIn(b"from=%d&" % version, watch.target, bad)
-                        self.assertEqual(state(place, "refused_entries"), refused, bad)
+                        self.assertEqual(state(place, "rejected_entries"), refused, bad)
                         seen = [condition(place, f"u{n}") for n in range(3)]
                         self.assertEqual(seen, ["ready", "ready", "draining" if other == "leaving" else "ready"])
             watch.tell(version + 1, entry(u0, state="leaving"), entry(u2, state="leaving"))
             await disc.next()
             self.assertIn("T", await (await place.client()).ask("1a"))
             self.assertEqual(len(u1.queries), 1)
-            self.assertEqual((place.said("feed down"), state(place, "refused_lists")), (0, 0))
-            lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "entries refused"]
+            self.assertEqual((place.said("feed down"), state(place, "rejected_lists")), (0, 0))
+            lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "endpoint entries rejected"]
             self.assertEqual(len(lines), refused)
-            self.assertEqual((lines[0]["many"], lines[0]["first"]), (1, ["u1"]))
+            self.assertEqual((lines[0]["count"], lines[0]["first"]), (1, ["u1"]))
             self.assertIn("discovery", lines[0]["remedy"])
 
     @live
@@ -190,7 +190,7 @@
                 watch.tell(11, entry(u0), entry(u1, state="leaving", weight=0), full=full)
                 await disc.next()
                 self.assertEqual((condition(place, "u0"), condition(place, "u1")), ("ready", "draining"))
-                self.assertEqual(state(place, "refused_entries"), 1)
+                self.assertEqual(state(place, "rejected_entries"), 1)
 
     @live
     async def test_what_names_nobody_known_is_passed_over(self) -> None:
@@ -210,10 +210,10 @@
             ]
             watch.tell(11, *more, entry(u0), full=True)
             watch = await disc.next()
-            self.assertEqual((state(place, "refused_entries"), state(place, "units")), (len(more), 1))
+            self.assertEqual((state(place, "rejected_entries"), state(place, "endpoints")), (len(more), 1))
             watch.tell(12, *more, entry(u0))
             await disc.next()
-            self.assertEqual((state(place, "refused_entries"), state(place, "units")), (2 * len(more), 1))
+            self.assertEqual((state(place, "rejected_entries"), state(place, "endpoints")), (2 * len(more), 1))
             self.assertIn("T", await (await place.client()).ask("1a"))
 
     @live
@@ -224,13 +224,13 @@
             watch = await disc.next()
             relay, door = place.relay, place.relay.driver.registry
             self.assertEqual(relay.driver.destinations[door.by_name["u1"]].port, u1.port)
-            self.assertEqual((condition(place, "u1"), state(place, "refused_entries")), ("ready", 1))
+            self.assertEqual((condition(place, "u1"), state(place, "rejected_entries")), ("ready", 1))
             watch.tell(12, entry(u0), entry(u0), entry(u1), full=True)  # twice and alike: nothing is wrong
             watch = await disc.next()
-            self.assertEqual((condition(place, "u0"), state(place, "refused_entries")), ("ready", 1))
+            self.assertEqual((condition(place, "u0"), state(place, "rejected_entries")), ("ready", 1))
             watch.tell(13, entry(u1, state="leaving"), entry(u0), entry(u1), entry(u1), full=True)
             watch = await disc.next()
-            self.assertEqual((condition(place, "u1"), state(place, "refused_entries")), ("draining", 2))
+            self.assertEqual((condition(place, "u1"), state(place, "rejected_entries")), ("draining", 2))
 
     def test_what_was_refused_leaves_a_unit_as_it_was(self) -> None:
         at = {"id": "u1", "addr": "10.0.0.1:5432", "state": "active", "started_ms": 1_700_000_000_123.0}
@@ -293,10 +293,10 @@
                 call.answer(text)
             call = await disc.next()
             self.assertTrue(call.whole)
-            self.assertEqual(state(place, "refused_lists"), len(texts))
+            self.assertEqual(state(place, "rejected_lists"), len(texts))
             self.assertEqual((condition(place, "u1"), place.relay._list_state.version), ("ready", 10))
             self.assertIn("T", await (await place.client()).ask("1a"))
-            self.assertEqual((place.said("feed down"), place.said("list refused")), (1, 1))
+            self.assertEqual((place.said("feed down"), place.said("endpoint list rejected")), (1, 1))
             call.tell(11, *left)
             await place.until(lambda: condition(place, "u1") == "draining")
 
@@ -306,7 +306,7 @@
             with mock.patch.object(discovery_client, "MAX_LIST_BYTES", 5000):
                 watch.tell(11, entry(place.units[0], note="x" * 5000), full=True)
                 call = await disc.next()
-                self.assertEqual((call.whole, state(place, "refused_lists")), (True, 1))
+                self.assertEqual((call.whole, state(place, "rejected_lists")), (True, 1))
                 self.assertEqual(condition(place, "u1"), "ready")
                 call.tell(11, entry(place.units[0]))
                 await place.until(lambda: condition(place, "u1") == "removed")
@@ -318,7 +318,7 @@
             (await new.next()).tell(50, entry(place.units[1], state="leaving"), full=False)
             call = await new.next()
             self.assertEqual((call.whole, condition(place, "u1")), (True, "ready"))
-            self.assertEqual((place.relay._list_state.version, state(place, "refused_lists")), (10, 1))
+            self.assertEqual((place.relay._list_state.version, state(place, "rejected_lists")), (10, 1))
 
     @live
     async def test_from_the_start_on_it_is_said_why(self) -> None:
@@ -327,8 +327,8 @@
                 text = b'{"version":1,"full":1,"servers":[]}'
                 place.spoil = [serialization.response(200, (), text, keep=False)] * 3
                 place.answers.set()
-                await place.until(lambda: state(place, "units") == 1)
-                lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "list refused"]
+                await place.until(lambda: state(place, "endpoints") == 1)
+                lines = [c.kwargs for c in place.log.calls if c.kwargs.get("event") == "endpoint list rejected"]
                 self.assertEqual(len(lines), 1)
                 self.assertIn("full", lines[0]["reason"])
-                self.assertEqual(state(place, "refused_lists"), 3)
+                self.assertEqual(state(place, "rejected_lists"), 3)
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -147,7 +147,7 @@
             one, text = await pieces(place), messages.query(statement("1a"))
             await one.send(messages.startup("app", "shop") + text[:40], 64)
             os.kill(os.getpid(), signal.SIGHUP)
-            await place.until(lambda: place.said("configuration read anew") == 1)
+            await place.until(lambda: place.said("configuration reloaded") == 1)
             await one.send(text[40:], 64)
             await place.until(lambda: place.relay.driver.counters.succeeded == 1)
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -147,7 +147,7 @@
                     await place.until(lambda: condition(place, "u1") == "draining")
                 for other in others:
                     other.cancel()
-                self.assertEqual(place.said("discovery counts anew"), 1)
+                self.assertEqual(place.said("discovery restarted its versions"), 1)
                 self.assertEqual(len(place.relay._discovery_handover._running), 1)
 
     @live
@@ -264,7 +264,7 @@
                     silent = await disc.next()
                     self.assertTrue(silent.whole)
                     self.assertEqual(condition(place, "u1"), "draining")
-                self.assertEqual(place.said("discovery counts anew"), 0)
+                self.assertEqual(place.said("discovery restarted its versions"), 0)
 
     @live
     async def test_while_the_relay_itself_drains(self) -> None:
--- a/tests/test_inforce.py
+++ b/tests/test_inforce.py
@@ -79,9 +79,9 @@
                 (48.0, 24.0, 3000, 8000),
                 (figures.total_quota, figures.relay_quota, figures.shortest_objective, figures.longest_objective),
             )
-            (told,) = [call.kwargs for call in place.log.calls if call.args and "read anew" in str(call.args[0])] or [
-                call.kwargs for call in place.log.calls if call.kwargs.get("event") == "configuration read anew"
-            ]
+            (told,) = [
+                call.kwargs for call in place.log.calls if call.args and "configuration reloaded" in str(call.args[0])
+            ] or [call.kwargs for call in place.log.calls if call.kwargs.get("event") == "configuration reloaded"]
             self.assertEqual(["settings.instances"], told["ignored_until_restart"])
             client = await place.client()
             self.assertTrue((await client.ask("1a"))["D"].endswith(b"value of 1a"))
@@ -112,4 +112,4 @@
                 place.relay.listener.sweep = once  # type: ignore[method-assign]
                 await place.until(lambda: len(seen) > 3)
                 self.assertEqual(1, place.said("a sweep failed"))
-                self.assertIn("overdue", place.relay.state())
+                self.assertIn("overdue_requests", place.relay.state())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -79,7 +79,7 @@
         async with platform(Unit("u0")) as place:
             place.turn(place.units[0], "leaving")
             client = await place.client()
-            await place.until(lambda: place.relay.state()["units"] == 1 and len(place.lists) > 2)
+            await place.until(lambda: place.relay.state()["endpoints"] == 1 and len(place.lists) > 2)
             answer = await client.ask("1a", "file")
             self.assertEqual(answer["C"], b"53300")
             self.assertGreater(int(answer["M"] and answer["D"]), 0)
@@ -342,7 +342,7 @@
     @live
     async def test_what_came_of_a_vote(self) -> None:
         async with platform(Unit("u0")) as place:
-            await place.until(lambda: place.relay.state()["desk"])
+            await place.until(lambda: place.relay.state()["rollout_connected"])
             heard: list[tuple[bool, AttemptOutcome]] = []
             decisions = place.relay.driver.decisions
             for answer, outcome in (
@@ -357,7 +357,7 @@
                     decisions, "rollout_updated", lambda news: heard.append((news.answers_vote, news.outcome))
                 ):
                     place.judge = answer
-                    await place.until(lambda: place.relay.state()["desk"])
+                    await place.until(lambda: place.relay.state()["rollout_connected"])
                     place.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                     await place.until(lambda: any(answer for answer, _ in heard))
                 self.assertIn((True, outcome), heard)
@@ -368,7 +368,7 @@
     @live
     async def test_news_counts_as_soon_as_it_comes(self) -> None:
         async with platform(Unit("u0")) as place:
-            await place.until(lambda: place.relay.state()["desk"])
+            await place.until(lambda: place.relay.state()["rollout_connected"])
             news = {**NEWS, "build": 2, "stage": 0, "phase": "testing", "cap": 0.2}
             place.desks[0].write(told(news))
             exposure = place.relay.driver.decisions._exposure  # type: ignore[attr-defined]
@@ -379,7 +379,7 @@
     @live
     async def test_a_fault_of_ours_on_one_line_or_list_ends_no_feed(self) -> None:
         async with platform(Unit("u0"), Unit("u1")) as place:
-            await place.until(lambda: place.relay.state()["desk"])
+            await place.until(lambda: place.relay.state()["rollout_connected"])
             driver, faults = place.relay.driver, [ValueError("ours")] * 2
             with (
                 mock.patch.object(driver, "rollout_read", mock.Mock(side_effect=faults.pop())),
@@ -387,9 +387,11 @@
             ):
                 place.desks[0].write(told(NEWS))
                 place.turn(place.units[1], "leaving")
-                await place.until(lambda: place.said("the desk's connection failed") > 0)
-                await place.until(lambda: place.said("a list could not be taken in") > 0)
-            await place.until(lambda: place.relay.state()["desk"] and place.relay.state()["discovery"])
+                await place.until(lambda: place.said("the rollout connection failed") > 0)
+                await place.until(lambda: place.said("an endpoint list could not be applied") > 0)
+            await place.until(
+                lambda: place.relay.state()["rollout_connected"] and place.relay.state()["discovery_connected"]
+            )
             await place.until(lambda: driver.registry.by_name["u1"].status.value == "draining")
 
     @live
@@ -403,4 +405,4 @@
         async with platform(Unit("u0")) as place:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(datagrams.encode_plain(b""), ("127.0.0.1", place.letters))
-                await place.until(lambda: place.relay.state()["dropped"] == 1)
+                await place.until(lambda: place.relay.state()["dropped_datagrams"] == 1)
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -115,7 +115,7 @@
                 one.process.send_signal(signal.SIGTERM)
             await one.until("draining")
             one.process.send_signal(signal.SIGHUP)
-            await one.until("configuration read anew")
+            await one.until("configuration reloaded")
             one.process.send_signal(signal.SIGINT)
             may.set()
             self.assertTrue((await client.answer())["D"].endswith(b"value of 1a"))
@@ -134,7 +134,7 @@
                 self.assertIn("D", await client.answer())
             one.process.send_signal(signal.SIGTERM)
             self.assertEqual(await one.ended(), 0)
-            self.assertGreaterEqual(one.said("configuration read anew"), 1)
+            self.assertGreaterEqual(one.said("configuration reloaded"), 1)
 
     @live
     async def test_sigkill_frees_its_address_for_the_next(self) -> None:
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -49,19 +49,19 @@
     @live
     async def test_sighup_moves_the_feeds_and_disturbs_nothing(self) -> None:
         async with platform(Unit("u0")) as old, platform(Unit("u1")) as new:
-            await old.until(lambda: old.relay.state()["desk"])
+            await old.until(lambda: old.relay.state()["rollout_connected"])
             config = old.folder / "config.json"
             whole = config.read_text()
             config.write_text(whole[:50])
             old.relay.reload()
-            self.assertEqual(old.said("configuration not read anew: all stays as it was"), 1)
+            self.assertEqual(old.said("configuration not reloaded: the old one stays in force"), 1)
             old.write(new.ports())
             client = await old.client()
             client.send("1a")
             old.relay.reload()
             old.relay.reload()  # twice in quick succession
             self.assertIn("D", await client.answer())
-            await old.until(lambda: len(new.desks) >= 2 and old.relay.state()["desk"])
+            await old.until(lambda: len(new.desks) >= 2 and old.relay.state()["rollout_connected"])
             await old.until(
                 lambda: any(
                     unit.short_id and unit.status.value == "ready"
