--- a/lanelead/pgwire/messages.py
+++ b/lanelead/pgwire/messages.py
@@ -1,4 +1,4 @@
-"""What is written: whole messages as bytes ('Message Formats' in PostgreSQL's manual)."""
+"""Encodes messages as bytes ('Message Formats' in PostgreSQL's manual)."""
 
 from __future__ import annotations
 
@@ -6,24 +6,31 @@
 
 HEADER = Struct("!ci")  # the type, and a length that counts itself but not the type
 VERSION = 196608  # 3.0
-SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80877103, 80877104, 80877102
+# Codes in place of a version, in the first message of a connection.
+SSL_REQUEST = 80877103
+GSS_REQUEST = 80877104
+CANCEL_REQUEST = 80877102
 
 
 def message(kind: bytes, body: bytes = b"") -> bytes:
+    """A message of this type."""
     return HEADER.pack(kind, len(body) + 4) + body
 
 
 def startup(user: str, database: str) -> bytes:
-    words = ("user", user, "database", database, "")
-    body = VERSION.to_bytes(4, "big") + b"".join(word.encode() + b"\0" for word in words)
+    """StartupMessage of protocol 3.0."""
+    parameters = ("user", user, "database", database, "")
+    body = VERSION.to_bytes(4, "big") + b"".join(text.encode() + b"\0" for text in parameters)
     return (len(body) + 4).to_bytes(4, "big") + body
 
 
 def query(text: bytes) -> bytes:
+    """Query, a simple one."""
     return message(b"Q", text + b"\0")
 
 
 def status(name: str, value: str) -> bytes:
+    """ParameterStatus."""
     return message(b"S", name.encode() + b"\0" + value.encode() + b"\0")
 
 
@@ -43,8 +50,9 @@
 
 
 def error(code: str, text: str, detail: str | None = None, fatal: bool = False) -> bytes:
+    """ErrorResponse; `code` is a SQLSTATE code, `fatal` tells that the connection ends."""
     severity = "FATAL" if fatal else "ERROR"
     fields = [("S", severity), ("V", severity), ("C", code), ("M", text)]
     fields += [] if detail is None else [("D", detail)]
-    body = b"".join(mark.encode() + word.encode() + b"\0" for mark, word in fields)
+    body = b"".join(letter.encode() + field.encode() + b"\0" for letter, field in fields)
     return message(b"E", body + b"\0")
--- a/lanelead/pgwire/servers.py
+++ b/lanelead/pgwire/servers.py
@@ -1,7 +1,9 @@
-"""What a link reads from a unit: bytes in, and whether there is one whole, well-formed answer.
+"""Reads what an endpoint sends: bytes in, and whether there is one complete, well-formed response.
 
-One question is out at a time. An answer is whole with its CommandComplete or ErrorResponse; the connection is
-of use again only once ReadyForQuery has come too, with nothing behind it. What does not fit spoils it.
+One query is in flight at a time. A response is complete with its CommandComplete or ErrorResponse; the connection
+can be reused only once ReadyForQuery has come too, with nothing behind it. Anything else is malformed.
+
+Source: 'Message Formats' in PostgreSQL's manual. Message types are compared as the byte that they are.
 """
 
 from __future__ import annotations
@@ -14,19 +16,33 @@
 COLUMN_COUNT = Struct("!h")
 COLUMN_COUNT_AND_SIZE = Struct("!hi")
 IGNORED_MESSAGES = frozenset(b"NA")  # notices and notifications, at any time
+RESPONSE_MESSAGES = frozenset(b"TDCE")
+KNOWN_MESSAGES = frozenset(b"TDCEZSRKNA")
+
+AUTHENTICATION = ord("R")
+BACKEND_KEY_DATA = ord("K")
+COMMAND_COMPLETE = ord("C")
+DATA_ROW = ord("D")
+ERROR_RESPONSE = ord("E")
+PARAMETER_STATUS = ord("S")
+READY_FOR_QUERY = ord("Z")
+ROW_DESCRIPTION = ord("T")
 
 
 class Progress(Enum):
+    """What `ServerReader.feed` has found."""
+
     WAITING = "waiting"
-    READY = "ready"  # the unit has welcomed this connection
-    RESPONDED = "answered"  # see `answer`
-    MALFORMED = "spoilt"  # see `reason`
+    READY = "ready"  # the endpoint has accepted the connection
+    RESPONDED = "responded"  # see `response`
+    MALFORMED = "malformed"  # see `reason`
 
 
 @dataclass(slots=True)
 class QueryResult:
-    """A row, as the messages that it came in and as its value, or an error's code. `report`: the text of the
-    ParameterStatus that the reader looks for."""
+    """A row, as the messages that it came in (`raw`) and as its value, or an error's SQLSTATE code and text.
+    `report`: the value of the ParameterStatus that the reader looks for.
+    """
 
     raw: bytes = b""
     value: bytes | None = None
@@ -36,120 +52,143 @@
 
 
 def error_fields(body: bytes) -> dict[str, str] | None:
-    """None where the fields don't fill the message."""
+    """An ErrorResponse's fields by their letters; None where they don't fill the message."""
     if len(body) < 2 or body[-2:] != b"\0\0":
         return None
-    words = body[:-2].split(b"\0")
-    if b"" in words:
+    fields = body[:-2].split(b"\0")
+    if b"" in fields:
         return None
-    return {chr(word[0]): word[1:].decode("utf-8", "replace") for word in words}
+    return {chr(field[0]): field[1:].decode("utf-8", "replace") for field in fields}
 
 
 class ServerReader:
-    def __init__(self, longest: int, report: bytes) -> None:
-        self._rest, self._max_response_bytes, self._report_name = b"", longest, report
-        self.ready = False  # welcomed, and nothing is out
+    """`max_response_bytes` bounds one message; `report_name` is the ParameterStatus to look for.
+
+    `ready`: the connection was accepted, and no query is in flight.
+    """
+
+    def __init__(self, max_response_bytes: int, report_name: bytes) -> None:
+        self._rest = b""
+        self._max_response_bytes = max_response_bytes
+        self._report_name = report_name
+        self.ready = False
         self._awaiting_response = False
         self._raw: list[bytes] = []
-        self._answer = QueryResult()
+        self._result = QueryResult()
         self.response: QueryResult | None = None
         self.reason = ""
 
     @property
     def response_begun(self) -> bool:
-        """Part of an answer has come."""
+        """Part of a response has come."""
         return bool(self._rest or self._raw)
 
     def begin_response(self) -> None:
-        """A question goes out."""
-        self._awaiting_response, self.ready = True, False
-        self._raw, self._answer, self.response = [], QueryResult(), None
+        """To be called when a query is sent: forgets the last response."""
+        self._awaiting_response = True
+        self.ready = False
+        self._raw = []
+        self._result = QueryResult()
+        self.response = None
 
     def feed(self, data: bytes) -> Progress:
-        data = self._rest + data if self._rest else data
-        at, end, before = 0, len(data), self.response
-        while at < end:
+        """Takes bytes as they come; a message may end in a later call."""
+        if self._rest:
+            data = self._rest + data
+        start = 0
+        end = len(data)
+        before = self.response
+        while start < end:
             if self.ready:
-                return self._malformed("unasked bytes", before)
-            kind = data[at]
-            if kind not in b"TDCEZSRKNA":
+                return self._malformed("unsolicited bytes", before)
+            kind = data[start]
+            if kind not in KNOWN_MESSAGES:
                 return self._malformed(f"message type {kind}", before)
-            if end - at < 5:
+            if end - start < 5:
                 break
-            size = LENGTH.unpack_from(data, at + 1)[0]
+            size = LENGTH.unpack_from(data, start + 1)[0]
             if not 4 <= size <= self._max_response_bytes:
                 return self._malformed(f"a message of {size} bytes", before)
-            stop = at + 1 + size
+            stop = start + 1 + size
             if stop > end:
                 break
-            if not self._message(kind, data, at, stop):
+            if kind in RESPONSE_MESSAGES:
+                accepted = self._response_message(kind, data, start, stop)
+            else:
+                accepted = self._control_message(kind, data, start + 5, stop)
+            if not accepted:
                 return self._malformed(f"message {chr(kind)} out of place or malformed", before)
-            at = stop
-        self._rest = data[at:]
+            start = stop
+        self._rest = data[start:]
+        return self._progress()
+
+    def _progress(self) -> Progress:
         if self.response is not None:
             return Progress.RESPONDED
         return Progress.READY if self.ready else Progress.WAITING
 
     def _malformed(self, reason: str, before: QueryResult | None) -> Progress:
-        """What comes behind a whole answer does not spoil it, but the connection is of no more use."""
-        self.ready, self.reason = False, reason
+        """What comes behind a complete response leaves that valid, but the connection cannot be reused."""
+        self.ready = False
+        self.reason = reason
         return Progress.RESPONDED if self.response is not None and before is None else Progress.MALFORMED
 
-    def _message(self, kind: int, data: bytes, at: int, stop: int) -> bool:
-        body = at + 5
+    def _control_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
+        """Takes a message that is no part of a response; returns whether it is well-formed and in place."""
         if kind in IGNORED_MESSAGES:
             return True
-        if kind == 0x53:  # S: ParameterStatus
-            words = data[body:stop].split(b"\0")
-            if len(words) != 3 or words[2]:
+        if kind == PARAMETER_STATUS:
+            fields = data[body:stop].split(b"\0")
+            if len(fields) != 3 or fields[2]:
                 return False
-            if words[0] == self._report_name:
-                self._answer.report = words[1]
+            if fields[0] == self._report_name:
+                self._result.report = fields[1]
             return True
-        if kind == 0x5A:  # Z: ReadyForQuery
+        if kind == READY_FOR_QUERY:
             if stop - body != 1 or data[body] not in b"ITE" or (self._awaiting_response and self.response is None):
                 return False
-            self.ready, self._awaiting_response = True, False
+            self.ready = True
+            self._awaiting_response = False
             return True
-        if not self._awaiting_response:  # the welcome
-            if kind == 0x52:
-                return data[body:stop] == b"\0\0\0\0"
-            return kind == 0x4B
-        if self.response is not None:
+        if self._awaiting_response:
+            return False
+        return kind == BACKEND_KEY_DATA or data[body:stop] == b"\0\0\0\0"  # AuthenticationOk
+
+    def _response_message(self, kind: int, data: bytes, start: int, stop: int) -> bool:
+        """Takes a part of a response; returns whether it is well-formed and in place."""
+        if not self._awaiting_response or self.response is not None:
             return False
-        if kind == 0x45:  # E
+        body = start + 5
+        if kind == ERROR_RESPONSE:
             fields = error_fields(data[body:stop])
             if fields is None or "C" not in fields:
                 return False
-            self._answer.error_code, self._answer.error_text = fields["C"], fields.get("M", "")
-            self.response = self._answer
+            self._result.error_code = fields["C"]
+            self._result.error_text = fields.get("M", "")
+            self.response = self._result
             return True
-        if not self._row(kind, data, body, stop):
+        if not self._row_message(kind, data, body, stop):
             return False
-        self._raw.append(data[at:stop])
-        if kind == 0x43:
-            self._answer.raw, self.response = b"".join(self._raw), self._answer
+        self._raw.append(data[start:stop])
+        if kind == COMMAND_COMPLETE:
+            self._result.raw = b"".join(self._raw)
+            self.response = self._result
         return True
 
-    def _row(self, kind: int, data: bytes, body: int, stop: int) -> bool:
-        """One RowDescription of one column, one DataRow, CommandComplete, in this order."""
-        place = len(self._raw)
-        if kind == 0x54:
-            name = data.find(b"\0", body + 2, stop)
-            one = stop - body >= 21 and COLUMN_COUNT.unpack_from(data, body)[0] == 1
-            return place == 0 and one and name >= 0 and stop - name == 19
-        if kind == 0x44:
-            if place != 1 or stop - body < 6:
+    def _row_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
+        """One RowDescription of one column, one DataRow, one CommandComplete, in this order."""
+        position = len(self._raw)
+        if kind == ROW_DESCRIPTION:
+            name_end = data.find(b"\0", body + 2, stop)
+            one_column = stop - body >= 21 and COLUMN_COUNT.unpack_from(data, body)[0] == 1
+            return position == 0 and one_column and name_end >= 0 and stop - name_end == 19
+        if kind == DATA_ROW:
+            if position != 1 or stop - body < 6:
                 return False
             columns, size = COLUMN_COUNT_AND_SIZE.unpack_from(data, body)
             if columns != 1 or size != stop - body - 6:
                 return False
-            self._answer.value = data[body + 6 : stop]
+            self._result.value = data[body + 6 : stop]
             return True
         tag = data[body:stop]
-        return (
-            kind == 0x43
-            and place == 2
-            and tag.startswith((b"SELECT ", b"INSERT ", b"SHOW"))
-            and tag.find(b"\0") == len(tag) - 1
-        )
+        return position == 2 and tag.startswith((b"SELECT ", b"INSERT ", b"SHOW")) and tag.find(b"\0") == len(tag) - 1
--- a/lanelead/pgwire/statements.py
+++ b/lanelead/pgwire/statements.py
@@ -1,6 +1,6 @@
-"""The platform's statements: one of two forms, with a comment of names and values behind it.
+"""Parses the platform's statements: one of two forms, followed by a comment of names and values.
 
-What is not in one of these forms never reaches a unit.
+What is not in one of these forms never reaches an endpoint.
 """
 
 from __future__ import annotations
@@ -19,11 +19,13 @@
 
 
 class StatementError(Exception):
-    """The text says what is wrong, for whoever sent it."""
+    """The statement cannot be parsed; the text tells its sender what is wrong."""
 
 
 @dataclass(slots=True)
 class Statement:
+    """A request. `key` is the item's id, `prefix` and `suffix` are the text before and after the time left."""
+
     request_id: str
     request_class: str
     tenant: str | None
@@ -31,50 +33,53 @@
     time_left_ms: float
     idempotent: bool
     write: bool
-    prefix: bytes  # all that stands before the time, and all behind it
+    prefix: bytes
     suffix: bytes
 
-    def render(self, left_ms: int) -> bytes:
-        """The same with the time that is left now."""
-        return b"%s%d%s" % (self.prefix, left_ms, self.suffix)
+    def render(self, time_left_ms: int) -> bytes:
+        """The statement's text with another time left."""
+        return b"%s%d%s" % (self.prefix, time_left_ms, self.suffix)
 
 
 def parse_statement(text: bytes) -> Statement:
+    """Raises StatementError."""
     form = STATEMENT_PATTERN.match(text)
     if form is None:
         raise StatementError("not a statement of the platform's, or no comment behind it")
-    found, insert, value, comment = form.groups()
+    selected, inserted, value, comment = form.groups()
     if value is not None and len(value) % 2:
         raise StatementError("invalid hexadecimal data: odd number of digits")
-    words: dict[bytes, bytes] = {}
-    at, limit = form.start(4), (0, 0)
+    values: dict[bytes, bytes] = {}
+    start = form.start(4)
+    time_left = slice(0, 0)
     for pair in comment.split(b","):
-        name, mark, word = pair.partition(b"=")
-        if not mark or name in words or not COMMENT_VALUE_PATTERN.match(word):
+        name, separator, item = pair.partition(b"=")
+        if not separator or name in values or not COMMENT_VALUE_PATTERN.match(item):
             raise StatementError("the comment is no list of names and values")
-        words[name] = word
+        values[name] = item
         if name == b"d":
-            limit = at + 2, at + len(pair)
-        at += len(pair) + 1
-    if b"id" not in words:
+            time_left = slice(start + 2, start + len(pair))
+        start += len(pair) + 1
+    if b"id" not in values:
         raise StatementError("no id")
-    if b"c" not in words:
+    if b"c" not in values:
         raise StatementError("no class")
-    if not MILLISECONDS_PATTERN.match(words.get(b"d", b"")) or not float(words[b"d"]) > 0:
+    if not MILLISECONDS_PATTERN.match(values.get(b"d", b"")) or not float(values[b"d"]) > 0:
         raise StatementError("d is no positive number of milliseconds")
     try:
-        ident, request_class = words[b"id"].decode(), words[b"c"].decode()
-        tenant = words[b"t"].decode() if b"t" in words else None
+        request_id = values[b"id"].decode()
+        request_class = values[b"c"].decode()
+        tenant = values[b"t"].decode() if b"t" in values else None
     except UnicodeDecodeError:
         raise StatementError("a name is not UTF-8") from None
     return Statement(
-        request_id=ident,
+        request_id=request_id,
         request_class=request_class,
         tenant=tenant,
-        key=(found or insert).decode(),
-        time_left_ms=float(words[b"d"]),
-        idempotent=words.get(b"r") == b"1",
-        write=insert is not None,
-        prefix=text[: limit[0]],
-        suffix=text[limit[1] :],
+        key=(selected or inserted).decode(),
+        time_left_ms=float(values[b"d"]),
+        idempotent=values.get(b"r") == b"1",
+        write=inserted is not None,
+        prefix=text[: time_left.start],
+        suffix=text[time_left.stop :],
     )
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -1,7 +1,7 @@
-"""The platform's words: JSON-RPC 2.0, one object a line, and discovery's lists, read into the relay's own.
+"""The platform's messages: JSON-RPC 2.0, one object a line, and discovery's endpoint lists.
 
-Names that are not known here are skipped; what a record must have, it must have in the right form. Of a list,
-an entry that can't be read is refused alone: the others count.
+Unknown fields are skipped; the fields of a record must be present and valid. Field names are those of the wire. Of
+a list, an entry that cannot be read is rejected alone: the others count.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
     Verdict.HOLD: "pause",
     Verdict.ROLL_BACK: "abort",
 }
-# A host that can't be one raises other errors than OSError when connected to, which nobody catches.
+# An invalid host name would raise other errors than OSError when it is connected to.
 HOST_LABEL_PATTERN = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
 ADDRESS_PATTERN = rf"^{HOST_LABEL_PATTERN}(\.{HOST_LABEL_PATTERN})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
 ERROR_OUTCOMES = {
     "too_many_calls": AttemptOutcome.REJECTED,
     "out_of_date": AttemptOutcome.NOT_SENT,
-}  # any other error: it did not count
+}  # by error message; any other is AttemptOutcome.ERROR: the vote did not count
 
 
 class StageMessage(msgspec.Struct, frozen=True):
-    """Where the newest build stands."""
+    """The rollout of the newest build: its stage and phase, the exposure limit `cap`, and the stage's age."""
 
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
@@ -51,15 +51,18 @@
     age_ms: NonNegativeFloat
 
     def line(self) -> RolloutMessage:
+        """The same as the driver takes it."""
         return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
 
 
 class RpcError(msgspec.Struct, frozen=True):
+    """The error of a JSON-RPC response."""
+
     message: str
 
 
 class RpcMessage(msgspec.Struct, frozen=True):
-    """An answer (with an id) or a notification (with a method)."""
+    """A response (with an id) or a notification (with a method)."""
 
     jsonrpc: Literal["2.0"]
     id: int | None = None
@@ -70,6 +73,8 @@
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
+    """An entry of discovery's list. `started_ms` is Unix time, 0 where it is not known."""
+
     id: Annotated[str, Meta(min_length=1, max_length=64)]
     addr: Annotated[str, Meta(max_length=270, pattern=ADDRESS_PATTERN)]
     state: Literal["active", "leaving", "left"]
@@ -82,53 +87,56 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True):
+    """A snapshot (`full`) or changes; each entry is a ListedEndpoint, if it can be read."""
+
     version: NonNegativeInt
     full: bool
-    servers: Annotated[list[msgspec.Raw], Meta(max_length=20000)]  # each an Endpoint, if it can be read
+    servers: Annotated[list[msgspec.Raw], Meta(max_length=20000)]
 
 
 class EndpointLabel(msgspec.Struct, frozen=True):
-    """What may still be read of an entry that is no Endpoint."""
+    """What may still be read of an entry that is not a valid ListedEndpoint."""
 
     id: Any = None
     state: Any = None
 
 
 class RejectedEntry(NamedTuple):
-    """An entry that can't be read: which unit it names, if it does, and why it is refused."""
+    """An entry that was rejected: its endpoint's id, empty if it cannot be read, and why."""
 
     id: str
     reason: str
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Host and port of `host:port`, where an IPv6 host is in brackets; raises MessageError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise MessageError(f"not an address: {text[:80]!r}")
     return host.strip("[]"), int(port)
 
 
-def _row(raw: msgspec.Raw) -> EndpointMessage:
-    """Raises Malformed. One clock is read by all machines: Unix time."""
+def _decode_entry(raw: msgspec.Raw) -> EndpointMessage:
+    """Raises MessageError."""
     text = bytes(raw)
-    point = decode(text, ListedEndpoint, len(text))  # the list's length is bounded already
-    host, port = parse_address(point.addr)
+    entry = decode(text, ListedEndpoint, len(text))  # the list's length is bounded already
+    host, port = parse_address(entry.addr)
     return EndpointMessage(
-        point.id,
+        entry.id,
         host,
         port,
-        point.zone,
-        point.revision_no,
-        ENDPOINT_STATES[point.state],  # type: ignore[arg-type]
-        point.cell,
-        point.kind,
-        point.started_ms or None,
-        point.weight,
+        entry.zone,
+        entry.revision_no,
+        ENDPOINT_STATES[entry.state],  # type: ignore[arg-type]
+        entry.cell,
+        entry.kind,
+        entry.started_ms or None,
+        entry.weight,
     )
 
 
-def _label(raw: msgspec.Raw) -> tuple[str, bool]:
-    """Which unit an entry names that can't be read, and whether it says that the unit wants nothing new."""
+def _decode_label(raw: msgspec.Raw) -> tuple[str, bool]:
+    """The id in an invalid entry, empty if it cannot be read, and whether the endpoint leaves."""
     try:
         text = bytes(raw)
         label = decode(text, EndpointLabel, len(text))
@@ -137,55 +145,91 @@
     return label.id if isinstance(label.id, str) else "", label.state in ("leaving", "left")
 
 
-def _nobody(name: str) -> EndpointMessage | None:
+def _nothing_known(name: str) -> EndpointMessage | None:
     return None
 
 
+class _Rejection(NamedTuple):
+    reason: str
+    leaves: bool  # any of the endpoint's entries says that it leaves
+
+
+class _ListReader:
+    """One list while it is read: the valid entries by endpoint, and the rejected ones."""
+
+    def __init__(self, full: bool, last_known: Callable[[str], EndpointMessage | None]) -> None:
+        self._full = full
+        self._last_known = last_known
+        self.entries: dict[str, EndpointMessage] = {}
+        self.unnamed: list[RejectedEntry] = []
+        self.rejections: dict[str, _Rejection] = {}
+
+    def take(self, raw: msgspec.Raw) -> None:
+        """Takes the next entry."""
+        try:
+            entry = _decode_entry(raw)
+        except MessageError as error:
+            name, leaves = _decode_label(raw)
+            if name:
+                self._reject(name, str(error), leaves)
+            else:
+                self.unnamed.append(RejectedEntry("", str(error)))
+            return
+        earlier = self.entries.get(entry.unit, entry)
+        self.entries[entry.unit] = entry
+        if self._full and earlier != entry:
+            leaves = {entry.condition, earlier.condition} != {"ready"}
+            self._reject(entry.unit, "told twice, and differently", leaves)
+
+    def _reject(self, name: str, reason: str, leaves: bool) -> None:
+        earlier = self.rejections.get(name)
+        self.rejections[name] = _Rejection(reason, leaves or (earlier is not None and earlier.leaves))
+        if not self._full and leaves:
+            known = self.entries.get(name) or self._last_known(name)
+            if known:
+                self.entries[name] = msgspec.structs.replace(known, condition="draining")
+
+    def apply_last_known(self) -> None:
+        """In a snapshot, puts the last known entry in place of each rejected one."""
+        for name, rejection in self.rejections.items():
+            self.entries.pop(name, None)
+            known = self._last_known(name)
+            if known:
+                leaves = rejection.leaves
+                self.entries[name] = msgspec.structs.replace(known, condition="draining") if leaves else known
+
+
 def read_endpoint_list(
-    found: EndpointList,
-    last: Callable[[str], EndpointMessage | None] = _nobody,
-    refused: list[RejectedEntry] | None = None,
+    received: EndpointList,
+    last_known: Callable[[str], EndpointMessage | None] = _nothing_known,
+    rejected: list[RejectedEntry] | None = None,
 ) -> EndpointListMessage:
-    """Discovery's list as the driver takes it; `refused` gets the entries that were refused, `last` says
-    what counts of a unit so far, which goes on for a refused one. Yet one told as leaving gets nothing new,
-    whatever else of its entry is wrong. A whole list that tells a unit twice and differently is refused for
-    that unit; among changes the last word counts."""
-    refusals = refused if refused is not None else []
-    rows: dict[str, EndpointMessage] = {}
-    bad: dict[str, tuple[str, bool]] = {}  # by name: why, and whether any entry says that it leaves
-    for raw in found.servers:
-        try:
-            row = _row(raw)
-        except MessageError as fault:
-            name, leaves, reason = *_label(raw), str(fault)
-            if not name:
-                refusals.append(RejectedEntry("", reason))
-                continue
-        else:
-            other = rows.get(row.unit, row)
-            rows[row.unit] = row
-            if not found.full or other == row:
-                continue
-            name, reason = row.unit, "told twice, and differently"
-            leaves = {row.condition, other.condition} != {"ready"}
-        bad[name] = reason, leaves or bad.get(name, ("", False))[1]
-        if not found.full and leaves and (kept := rows.get(name) or last(name)):
-            rows[name] = msgspec.structs.replace(kept, condition="draining")
-    if found.full:
-        for name, (_, leaves) in bad.items():
-            rows.pop(name, None)
-            if kept := last(name):
-                rows[name] = msgspec.structs.replace(kept, condition="draining") if leaves else kept
-    refusals += [RejectedEntry(name, reason) for name, (reason, _) in bad.items()]
-    return EndpointListMessage("full" if found.full else "changes", found.version, 0.0, list(rows.values()))
-
-
-def encode_call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
-    call: dict[str, Any] = {"jsonrpc": "2.0", "id": number, "method": method}
+    """Discovery's list as the driver takes it; rejected entries are added to `rejected`.
+
+    For a rejected entry the endpoint's `last_known` one goes on to count; but an endpoint that leaves gets nothing
+    new, whatever else of its entry is wrong. A snapshot with two different entries of an endpoint is rejected for
+    that endpoint; among changes the last entry counts.
+    """
+    reader = _ListReader(received.full, last_known)
+    for raw in received.servers:
+        reader.take(raw)
+    if received.full:
+        reader.apply_last_known()
+    if rejected is not None:
+        rejected += reader.unnamed
+        rejected += [RejectedEntry(name, rejection.reason) for name, rejection in reader.rejections.items()]
+    entries = list(reader.entries.values())
+    return EndpointListMessage("full" if received.full else "changes", received.version, 0.0, entries)
+
+
+def encode_call(call_id: int, method: str, params: dict[str, Any] | None = None) -> bytes:
+    """A JSON-RPC request as one line."""
+    call: dict[str, Any] = {"jsonrpc": "2.0", "id": call_id, "method": method}
     if params is not None:
         call["params"] = params
     return msgspec.json.encode(call) + b"\n"
 
 
 def decode_stage(raw: msgspec.Raw) -> StageMessage:
+    """Raises MessageError."""
     return decode(bytes(raw), StageMessage)
