--- a/lanelead/pgwire/servers.py
+++ b/lanelead/pgwire/servers.py
@@ -17,7 +17,7 @@
 COLUMN_COUNT_AND_SIZE = Struct("!hi")
 IGNORED_MESSAGES = frozenset(b"NA")  # notices and notifications, at any time
 RESPONSE_MESSAGES = frozenset(b"TDCE")
-KNOWN_MESSAGES = frozenset(b"TDCEZSRKNA")
+CONTROL_MESSAGES = frozenset(b"ZSRKNA")
 
 AUTHENTICATION = ord("R")
 BACKEND_KEY_DATA = ord("K")
@@ -93,8 +93,7 @@
 
     def feed(self, data: bytes) -> Progress:
         """Takes bytes as they come; a message may end in a later call."""
-        if self._rest:
-            data = self._rest + data
+        data = self._rest + data if self._rest else data
         start = 0
         end = len(data)
         before = self.response
@@ -102,7 +101,8 @@
             if self.ready:
                 return self._malformed("unsolicited bytes", before)
             kind = data[start]
-            if kind not in KNOWN_MESSAGES:
+            in_response = kind in RESPONSE_MESSAGES
+            if not in_response and kind not in CONTROL_MESSAGES:
                 return self._malformed(f"message type {kind}", before)
             if end - start < 5:
                 break
@@ -112,7 +112,7 @@
             stop = start + 1 + size
             if stop > end:
                 break
-            if kind in RESPONSE_MESSAGES:
+            if in_response:
                 accepted = self._response_message(kind, data, start, stop)
             else:
                 accepted = self._control_message(kind, data, start + 5, stop)
@@ -120,9 +120,6 @@
                 return self._malformed(f"message {chr(kind)} out of place or malformed", before)
             start = stop
         self._rest = data[start:]
-        return self._progress()
-
-    def _progress(self) -> Progress:
         if self.response is not None:
             return Progress.RESPONDED
         return Progress.READY if self.ready else Progress.WAITING
--- a/lanelead/pgwire/statements.py
+++ b/lanelead/pgwire/statements.py
@@ -51,14 +51,16 @@
         raise StatementError("invalid hexadecimal data: odd number of digits")
     values: dict[bytes, bytes] = {}
     start = form.start(4)
-    time_left = slice(0, 0)
+    time_start = 0
+    time_end = 0
     for pair in comment.split(b","):
         name, separator, item = pair.partition(b"=")
         if not separator or name in values or not COMMENT_VALUE_PATTERN.match(item):
             raise StatementError("the comment is no list of names and values")
         values[name] = item
         if name == b"d":
-            time_left = slice(start + 2, start + len(pair))
+            time_start = start + 2
+            time_end = start + len(pair)
         start += len(pair) + 1
     if b"id" not in values:
         raise StatementError("no id")
@@ -80,6 +82,6 @@
         time_left_ms=float(values[b"d"]),
         idempotent=values.get(b"r") == b"1",
         write=inserted is not None,
-        prefix=text[: time_left.start],
-        suffix=text[time_left.stop :],
+        prefix=text[:time_start],
+        suffix=text[time_end:],
     )
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -164,22 +164,27 @@
         self.unnamed: list[RejectedEntry] = []
         self.rejections: dict[str, _Rejection] = {}
 
-    def take(self, raw: msgspec.Raw) -> None:
-        """Takes the next entry."""
-        try:
-            entry = _decode_entry(raw)
-        except MessageError as error:
-            name, leaves = _decode_label(raw)
-            if name:
-                self._reject(name, str(error), leaves)
-            else:
-                self.unnamed.append(RejectedEntry("", str(error)))
-            return
-        earlier = self.entries.get(entry.unit, entry)
-        self.entries[entry.unit] = entry
-        if self._full and earlier != entry:
-            leaves = {entry.condition, earlier.condition} != {"ready"}
-            self._reject(entry.unit, "told twice, and differently", leaves)
+    def take(self, raws: list[msgspec.Raw]) -> None:
+        """Takes all entries."""
+        entries = self.entries
+        for raw in raws:
+            try:
+                entry = _decode_entry(raw)
+            except MessageError as error:
+                self._reject_invalid(raw, str(error))
+                continue
+            earlier = entries.get(entry.unit)
+            entries[entry.unit] = entry
+            if self._full and earlier is not None and earlier != entry:
+                leaves = {entry.condition, earlier.condition} != {"ready"}
+                self._reject(entry.unit, "told twice, and differently", leaves)
+
+    def _reject_invalid(self, raw: msgspec.Raw, reason: str) -> None:
+        name, leaves = _decode_label(raw)
+        if name:
+            self._reject(name, reason, leaves)
+        else:
+            self.unnamed.append(RejectedEntry("", reason))
 
     def _reject(self, name: str, reason: str, leaves: bool) -> None:
         earlier = self.rejections.get(name)
@@ -211,8 +216,7 @@
     that endpoint; among changes the last entry counts.
     """
     reader = _ListReader(received.full, last_known)
-    for raw in received.servers:
-        reader.take(raw)
+    reader.take(received.servers)
     if received.full:
         reader.apply_last_known()
     if rejected is not None:
