--- a/benchmarks/slopes/configuration.py
+++ b/benchmarks/slopes/configuration.py
@@ -27,7 +27,7 @@
 from benchmarks.slopes.series import Series, processor_us
 from lanelead.postgres_relay.config import load
 from lanelead.postgres_relay.service import Service
-from tests.platform import NEWS, SETTINGS
+from tests.postgres_platform import SETTINGS, STAGE
 
 SUBJECT = "configuration"
 ROUNDS = 3  # changes of each kind at each size; the middle one is kept
@@ -163,7 +163,7 @@
     if busy:
         client = await node.client()
         client.send(f"b{node.fleet.next()}", "file", 2950)
-        waits = asyncio.create_task(client.answer())
+        waits = asyncio.create_task(client.response())
         await asyncio.sleep(0.1)
     began = time.time()
     node.signal(signal.SIGTERM)
@@ -207,7 +207,7 @@
                     counts["closed between"] += 1
                     break
                 try:
-                    answer = await client.ask(ident)
+                    answer = await client.request(ident)
                     word = "answered" if "D" in answer and "T" in answer else answer["C"].decode()
                 finally:
                     counts[word] += 1
@@ -252,7 +252,7 @@
         "seed": "7f",
         "discovery": "127.0.0.1:9",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "platform": {"address": "127.0.0.1:9", "news": NEWS},
+        "platform": {"address": "127.0.0.1:9", "news": STAGE},
         "settings": {**SETTINGS, "accounts": accounts},
         "known": {"version": 1, "full": True, "servers": []},
     }
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -109,7 +109,7 @@
 
 async def serve(sizes: list[int]) -> None:
     loop = asyncio.get_running_loop()
-    hosts = [endpoint(place).addr.partition(":")[0] for place in range(max(sizes))]
+    hosts = [endpoint(place).address.partition(":")[0] for place in range(max(sizes))]
     first = await loop.create_server(Unit, hosts[0], 0, backlog=1024)
     port = first.sockets[0].getsockname()[1]
     kept: list[Any] = [first]
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -24,14 +24,14 @@
     number = place + 1
     return ListedEndpoint(
         id=f"offers-{place % 300:03d}-{place:05d}",
-        addr=f"127.1.{number >> 8}.{number & 255}:{port}",
+        address=f"127.1.{number >> 8}.{number & 255}:{port}",
         state=state,
         zone=ZONES[place % len(ZONES)],
         kind="std-2c",
         cell=place % 60,
         weight=1.0,
         started_ms=1_790_000_000_000.0 + place,
-        revision_no=NEWS["build"],
+        build=NEWS["build"],
     )
 
 
--- a/benchmarks/slopes/moving.py
+++ b/benchmarks/slopes/moving.py
@@ -22,7 +22,8 @@
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
 from lanelead.pgwire import messages
-from tests.platform import NEWS, SETTINGS, Client, Platform, Unit, answered, good, told
+from tests.postgres_platform import SETTINGS, STAGE, Platform, PostgresClient, stage_notification, vote_response
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 
 ROOT = Path(__file__).parents[2]
 HOLD = 2.0  # seconds that discovery holds a watch on which nothing changes
@@ -35,7 +36,7 @@
 class Feeds:
     """Discovery and the desk at one pair of ports."""
 
-    def __init__(self, units: list[Unit]) -> None:
+    def __init__(self, units: list[ScriptedEndpoint]) -> None:
         self._units, self.watches, self.whole = units, 0, 0
         self._desks: dict[asyncio.StreamWriter, None] = {}
 
@@ -69,9 +70,9 @@
             while line := await reader.readline():
                 call = json.loads(line)
                 if call["method"] == "Events.Watch":
-                    writer.write(b'{"jsonrpc":"2.0","id":%d,"result":true}\n' % call["id"] + told(NEWS))
+                    writer.write(b'{"jsonrpc":"2.0","id":%d,"result":true}\n' % call["id"] + stage_notification(STAGE))
                 else:
-                    writer.write(answered(call["id"], NEWS))
+                    writer.write(vote_response(call["id"], STAGE))
         del self._desks[writer]
         writer.close()
 
@@ -161,15 +162,15 @@
         assert self.process is not None
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
-    async def client(self, limit: float = 30.0) -> Client:
+    async def client(self, limit: float = 30.0) -> PostgresClient:
         """A connection that has been let in; tries until there is one."""
         async with asyncio.timeout(limit):
             while True:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
+                    client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
                     self.fleet.writers.append(client.writer)
                     client.writer.write(messages.startup("app", "shop"))
-                    if "Z" in await client.answer():
+                    if "Z" in await client.response():
                         return client
                 await asyncio.sleep(0.01)
 
@@ -178,7 +179,7 @@
         while True:
             client = await self.client()
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                answer = await client.ask(f"f{self.fleet.next()}", left=2900)
+                answer = await client.request(f"f{self.fleet.next()}", left=2900)
                 if "D" in answer and "T" in answer:
                     client.writer.close()
                     return time.time()
@@ -226,7 +227,7 @@
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "peer_listen": f"127.0.0.1:{node.letters}",
             "peers": [f"127.0.0.1:{other.letters}" for other in self.nodes],
-            "platform": {"address": f"127.0.0.1:{self.feeds[self.at].desk}", "news": NEWS},
+            "platform": {"address": f"127.0.0.1:{self.feeds[self.at].desk}", "news": STAGE},
             "settings": settings,
             "known": self.known,
         }
@@ -259,17 +260,17 @@
             await asyncio.sleep(step)
 
 
-async def slow_or_good(unit: Unit, text: bytes) -> bytes | None:
+async def slow_or_good(unit: ScriptedEndpoint, text: bytes) -> bytes | None:
     """A request of the class `file` is never answered; any other at once."""
     if b"c=file" in text:
         await asyncio.sleep(60)
-    return await good(unit, text)
+    return await echo_id(unit, text)
 
 
 @contextlib.asynccontextmanager
 async def fleet(many: int) -> AsyncIterator[Fleet]:
     """`many` relays that run, each with both feeds up, before two units."""
-    units = [Unit(f"u{number}", slow_or_good) for number in range(2)]
+    units = [ScriptedEndpoint(f"u{number}", slow_or_good) for number in range(2)]
     feeds = [Feeds(units), Feeds(units)]
     with tempfile.TemporaryDirectory() as folder:
         await asyncio.gather(*(unit.open() for unit in units), *(feed.open() for feed in feeds))
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -44,7 +44,7 @@
 from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
 from lanelead.settings.records import Poll, Trial
 from lanelead.testbed.emulators.vote_counting import Polling
-from tests.platform import answered, told
+from tests.postgres_platform import stage_notification, vote_response
 
 UNITS = 26  # of the earlier build
 ASKS = 8.0  # requests a second and relay
@@ -256,7 +256,7 @@
 
     def _tell(self, seat: Seat) -> None:
         line = self.desk.line()
-        self.news += len(told(_state(line)))
+        self.news += len(stage_notification(_state(line)))
         seat.hear(line)
 
     def cast(self, seat: Seat, vote: CastVote, number: int, back: float) -> None:
@@ -271,7 +271,7 @@
         )
         word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict]))  # type: ignore[arg-type]
         assert line is not None
-        size = len(text) + len(answered(number, _state(line)))
+        size = len(text) + len(vote_response(number, _state(line)))
         self.casts.append(Cast(self.now - self.began, vote.stage, word, size))
         outcome = VOTE_OUTCOMES[word]
         self.later(back, lambda: seat.hear(line, True, outcome))
--- a/lanelead/postgres_relay/__init__.py
+++ b/lanelead/postgres_relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on the platform: its configuration, front, links, feeds and signals, around the one driver."""
+"""The relay on the operators' platform: client listener, upstream requests, feeds and signals around one driver."""
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -1,6 +1,6 @@
 """The relay's file, whose path is in NODE_CONFIG: JSON, whose settings are read by path.
 
-Field names are those of the file.
+Field names are those of the file, but where `name=` maps them.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     """The rollout platform's address, and the rollout's stage when the file was written."""
 
     address: str
-    news: StageMessage
+    rollout: StageMessage = msgspec.field(name="news")
 
 
 class ConfigurationSource(msgspec.Struct, frozen=True):
@@ -95,8 +95,8 @@
         raise MessageError("settings: nested too deep") from None
     check(parameters)
     stages = max(1, len(parameters.numbers("familyInfo.shares")))
-    if config.platform.news.stage >= stages:
-        raise MessageError(f"platform.news.stage: {config.platform.news.stage}, of {stages} in the settings")
+    if config.platform.rollout.stage >= stages:
+        raise MessageError(f"platform.news.stage: {config.platform.rollout.stage}, of {stages} in the settings")
     return config
 
 
--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -110,12 +110,12 @@
         message = self._decode_list(received)
         self.on_received()
         if not self.connected:
-            self._log.info("feed up", feed="discovery", version=received.version, endpoints=len(received.servers))
+            self._log.info("feed up", feed="discovery", version=received.version, endpoints=len(received.entries))
         self.connected = True
         self._snapshot_needed = False
         state.version = received.version
         self._older_since = None
-        if received.full or received.servers:
+        if received.full or received.entries:
             self._on_list(message)
 
     def _count_rejection(self, error: Exception) -> None:
--- a/lanelead/postgres_relay/rollout_client.py
+++ b/lanelead/postgres_relay/rollout_client.py
@@ -150,7 +150,7 @@
 
     def _handle_message(self, message: RpcMessage) -> None:
         if message.method == "stage":
-            stage = decode_stage(message.params).line()
+            stage = decode_stage(message.params).to_rollout_message()
             self.on_received()
             self._notify(stage, False, AttemptOutcome.SUCCEEDED)
         elif message.method is not None:  # ping, and what later platforms may send
@@ -165,7 +165,7 @@
         if message.error is not None:
             outcome = ERROR_OUTCOMES.get(message.error.message, AttemptOutcome.ERROR)
         else:
-            stage = decode_stage(message.result).line()
+            stage = decode_stage(message.result).to_rollout_message()
             outcome = AttemptOutcome.SUCCEEDED
         self._pending_votes.pop(call_id).cancel()
         self._notify(stage, True, outcome)
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -117,10 +117,10 @@
         # All machines share Unix time, in which discovery gives the start times of endpoints.
         self._clock_offset = self._clock.now() - int(time.time() * 10_000)
         self._list_decoder = EndpointListDecoder(self.driver, self._clock_offset, self._log)
-        if config.known.servers:
+        if config.known.entries:
             self._on_endpoint_list(self._list_decoder.decode(config.known))
         self._list_state = ListState(config.known.version)
-        self.driver.rollout_read(config.platform.news.line(), False, AttemptOutcome.SUCCEEDED)
+        self.driver.rollout_read(config.platform.rollout.to_rollout_message(), False, AttemptOutcome.SUCCEEDED)
         self._discovery_handover: FeedHandover[DiscoveryClient] = FeedHandover(self._start_task)
         self._rollout_handover: FeedHandover[RolloutClient] = FeedHandover(self._start_task)
         self._gossip_transport = GossipTransport(
@@ -217,7 +217,7 @@
             self._gossip_transport.open(*parse_address(config.peer_listen))
         if config.configuration is not None:
             self._follow_configuration(config, config.configuration)
-        if not config.known.servers:
+        if not config.known.entries:
             await self._wait_for_first_list()
         if not self._stop.is_set():  # stopped before it listened: no request was taken
             await self._serve(*parse_address(config.listen))
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -1,7 +1,7 @@
 """The platform's messages: JSON-RPC 2.0, one object a line, and discovery's endpoint lists.
 
-Unknown fields are skipped; the fields of a record must be present and valid. Field names are those of the wire. Of
-a list, an entry that cannot be read is rejected alone: the others count.
+Unknown fields are skipped; the fields of a record must be present and valid. Field names are those of the wire, but
+where `name=` maps them. Of a list, an entry that cannot be read is rejected alone: the others count.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
 
 
 class StageMessage(msgspec.Struct, frozen=True):
-    """The rollout of the newest build: its stage and phase, the exposure limit `cap`, and the stage's age."""
+    """The rollout of the newest build: its stage and phase, its exposure limit, and the stage's age."""
 
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
     phase: Literal["testing", "recalling", "live", "recalled"]
-    cap: Annotated[float, Meta(ge=0, le=1)]
+    exposure_limit: Annotated[float, Meta(ge=0, le=1)] = msgspec.field(name="cap")
     age_ms: NonNegativeFloat
 
-    def line(self) -> RolloutMessage:
+    def to_rollout_message(self) -> RolloutMessage:
         """The same as the driver takes it."""
-        return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.cap, self.age_ms)  # type: ignore[arg-type]
+        return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.exposure_limit, self.age_ms)  # type: ignore[arg-type]
 
 
 class RpcError(msgspec.Struct, frozen=True):
@@ -76,14 +76,14 @@
     """An entry of discovery's list. `started_ms` is Unix time, 0 where it is not known."""
 
     id: Annotated[str, Meta(min_length=1, max_length=64)]
-    addr: Annotated[str, Meta(max_length=270, pattern=ADDRESS_PATTERN)]
+    address: Annotated[str, Meta(max_length=270, pattern=ADDRESS_PATTERN)] = msgspec.field(name="addr")
     state: Literal["active", "leaving", "left"]
     zone: str = ""
     kind: str = ""
     cell: NonNegativeInt = 0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
     started_ms: NonNegativeFloat = 0.0
-    revision_no: BuildNumber = 0
+    build: BuildNumber = msgspec.field(default=0, name="revision_no")
 
 
 class EndpointList(msgspec.Struct, frozen=True):
@@ -91,7 +91,7 @@
 
     version: NonNegativeInt
     full: bool
-    servers: Annotated[list[msgspec.Raw], Meta(max_length=20000)]
+    entries: Annotated[list[msgspec.Raw], Meta(max_length=20000)] = msgspec.field(name="servers")
 
 
 class EndpointLabel(msgspec.Struct, frozen=True):
@@ -120,13 +120,13 @@
     """Raises MessageError."""
     text = bytes(raw)
     entry = decode(text, ListedEndpoint, len(text))  # the list's length is bounded already
-    host, port = parse_address(entry.addr)
+    host, port = parse_address(entry.address)
     return EndpointMessage(
         entry.id,
         host,
         port,
         entry.zone,
-        entry.revision_no,
+        entry.build,
         ENDPOINT_STATES[entry.state],  # type: ignore[arg-type]
         entry.cell,
         entry.kind,
@@ -216,7 +216,7 @@
     that endpoint; among changes the last entry counts.
     """
     reader = _ListReader(received.full, last_known)
-    reader.take(received.servers)
+    reader.take(received.entries)
     if received.full:
         reader.apply_last_known()
     if rejected is not None:
--- a/tests/agent.py
+++ b/tests/discovery_emulator.py
@@ -11,12 +11,13 @@
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
-from tests.platform import Platform, Unit
+from tests.postgres_platform import Platform
+from tests.scripted_endpoints import ScriptedEndpoint
 
-WHOLE = b"/v1/endpoints"
+SNAPSHOT_PATH = b"/v1/endpoints"
 
 
-def entry(unit: Unit, **fields: Any) -> dict[str, Any]:
+def entry(unit: ScriptedEndpoint, **fields: Any) -> dict[str, Any]:
     """A unit's entry; a field given as None is left out."""
     found = {
         "id": unit.name,
@@ -32,67 +33,67 @@
     return {name: value for name, value in (found | fields).items() if value is not None}
 
 
-def body(version: int, *entries: Any, full: bool = False) -> bytes:
+def list_body(version: int, *entries: Any, full: bool = False) -> bytes:
     return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
-class Call:
+class DiscoveryCall:
     """One call to discovery. `over`: the relay has ended it, or it was answered."""
 
     def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
         self._caller, self.target = caller, ask.target
-        self.over = asyncio.Event()
-        caller.lost.append(self.over.set)
+        self.ended = asyncio.Event()
+        caller.lost.append(self.ended.set)
 
     @property
-    def whole(self) -> bool:
-        return self.target == WHOLE
+    def is_snapshot(self) -> bool:
+        return self.target == SNAPSHOT_PATH
 
-    def part(self, text: bytes) -> None:
+    def write(self, text: bytes) -> None:
         self._caller.write(text)
 
     def end(self) -> None:
         self._caller.close()
 
-    def answer(self, text: bytes) -> None:
-        self.part(serialization.response(200, (), text, keep=False))
+    def write_response(self, text: bytes) -> None:
+        self.write(serialization.response(200, (), text, keep=False))
         self.end()
 
-    def tell(self, version: int, *entries: Any, full: bool | None = None) -> None:
+    def respond(self, version: int, *entries: Any, full: bool | None = None) -> None:
         """The whole list where it was asked for, changes where those were, or as `full` says."""
-        self.answer(body(version, *entries, full=self.whole if full is None else full))
+        self.write_response(list_body(version, *entries, full=self.is_snapshot if full is None else full))
 
 
-class Agent:
+class DiscoveryEmulator:
     def __init__(self) -> None:
-        self._calls: asyncio.Queue[Call] = asyncio.Queue()
+        self._calls: asyncio.Queue[DiscoveryCall] = asyncio.Queue()
         self._callers: list[ServerConnection] = []
 
     async def open(self, port: int = 0) -> None:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(self._heard, self._callers.append), "127.0.0.1", port
+            lambda: ServerConnection(self._on_request, self._callers.append), "127.0.0.1", port
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def _heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        self._calls.put_nowait(Call(caller, ask))
+    def _on_request(self, caller: ServerConnection, ask: HttpRequest) -> None:
+        self._calls.put_nowait(DiscoveryCall(caller, ask))
 
-    async def next(self) -> Call:
+    async def next(self) -> DiscoveryCall:
         return await self._calls.get()
 
-    async def watch(self, version: int, *entries: Any) -> Call:
+    async def watch(self, version: int, *entries: Any) -> DiscoveryCall:
         """Answers calls for the whole list until a watch follows, and gives that: on a machine that stands
         still the relay may have given one up that was answered."""
         call = await self.next()
-        assert call.whole, call.target
-        while call.whole:
-            call.tell(version, *entries)
+        assert call.is_snapshot, call.target
+        while call.is_snapshot:
+            call.respond(version, *entries)
             call = await self.next()
-        assert call.target.startswith(WHOLE + b"?from=%d&" % version), call.target
+        assert call.target.startswith(SNAPSHOT_PATH + b"?from=%d&" % version), call.target
         return call
 
-    async def die(self) -> None:
+    async def kill(self) -> None:
         """From now on its address refuses, and what was open on it is reset."""
         self._server.close()
         for caller in self._callers:
@@ -101,16 +102,16 @@
 
 
 @contextlib.asynccontextmanager
-async def agent() -> AsyncIterator[Agent]:
-    found = Agent()
+async def discovery() -> AsyncIterator[DiscoveryEmulator]:
+    found = DiscoveryEmulator()
     await found.open()
     try:
         yield found
     finally:
-        await found.die()
+        await found.kill()
 
 
-def move(place: Platform, port: int) -> None:
+def move_discovery(place: Platform, port: int) -> None:
     """SIGHUP, with a configuration whose discovery is at this port; the desk stays."""
     place.write([port, place.ports()[1]])
     place.relay.reload()
--- a/tests/test_inforce.py
+++ b/tests/test_applied_configuration.py
@@ -15,11 +15,12 @@
     classes_without_values,
     entries_of_settings,
 )
-from tests.platform import SETTINGS, Platform, Unit, platform
+from tests.postgres_platform import SETTINGS, Platform, platform
+from tests.scripted_endpoints import ScriptedEndpoint
 from tests.town import live
 
 
-def rewritten(place: Platform, **settings: Any) -> None:
+def rewrite_settings(place: Platform, **settings: Any) -> None:
     file = place.folder / "config.json"
     config = json.loads(file.read_text())
     config["settings"] = {**config["settings"], **settings}
@@ -60,10 +61,10 @@
         )
 
 
-class Hangup(unittest.TestCase):
+class Reload(unittest.TestCase):
     @live
     async def test_tenants_and_figures_of_the_file_are_in_force_without_a_restart(self) -> None:
-        async with platform(Unit("u0")) as place:
+        async with platform(ScriptedEndpoint("u0")) as place:
             relay = place.relay
             accounts = [
                 {"name": "m", "quotaPerS": 40.0, "share": 1.0},
@@ -71,7 +72,7 @@
             ]
             classes = json.loads(json.dumps(SETTINGS["requestClasses"]))
             classes[0] |= {"aimMs": 300.0, "deadlineMs": 700.0}
-            rewritten(place, accounts=accounts, requestClasses=classes, instances=5)
+            rewrite_settings(place, accounts=accounts, requestClasses=classes, instances=5)
             relay.reload()
             self.assertEqual(["m", "n"], list(relay.listener.tenants))
             figures = relay.driver.decisions.parameters
@@ -84,14 +85,14 @@
             ] or [call.kwargs for call in place.log.calls if call.kwargs.get("event") == "configuration reloaded"]
             self.assertEqual(["settings.instances"], told["ignored_until_restart"])
             client = await place.client()
-            self.assertTrue((await client.ask("1a"))["D"].endswith(b"value of 1a"))
+            self.assertTrue((await client.request("1a"))["D"].endswith(b"value of 1a"))
             relay.reload()  # the same once more changes nothing
-            self.assertEqual(1, place.said("configuration in force"))
+            self.assertEqual(1, place.logged("configuration in force"))
 
     @live
     async def test_an_unfit_figure_is_refused_and_the_last_good_one_stays(self) -> None:
-        async with platform(Unit("u0")) as place:
-            rewritten(place, accounts=[{"name": "m", "quotaPerS": 30.0, "share": 7.0}])
+        async with platform(ScriptedEndpoint("u0")) as place:
+            rewrite_settings(place, accounts=[{"name": "m", "quotaPerS": 30.0, "share": 7.0}])
             place.relay.reload()
             self.assertEqual(100.0, place.relay.driver.decisions.parameters.total_quota)
 
@@ -100,7 +101,7 @@
     @live
     async def test_a_sweep_that_fails_once_is_not_the_last(self) -> None:
         with mock.patch.object(services, "SWEEP_INTERVAL_SECONDS", 0.01):
-            async with platform(Unit("u0")) as place:
+            async with platform(ScriptedEndpoint("u0")) as place:
                 sweep, seen = place.relay.listener.sweep, list[int]()
 
                 def once() -> None:
@@ -111,5 +112,5 @@
 
                 place.relay.listener.sweep = once  # type: ignore[method-assign]
                 await place.until(lambda: len(seen) > 3)
-                self.assertEqual(1, place.said("a sweep failed"))
+                self.assertEqual(1, place.logged("a sweep failed"))
                 self.assertIn("overdue_requests", place.relay.state())
--- /dev/null
+++ b/tests/test_client_violations.py
@@ -0,0 +1,91 @@
+"""Clients that break the protocol or fall silent."""
+
+from __future__ import annotations
+
+import asyncio
+import unittest
+from unittest import mock
+
+from lanelead.pgwire import messages
+from lanelead.postgres_relay import client_listener
+from tests.postgres_platform import platform, statement
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
+from tests.town import live
+
+
+async def no_response(unit: ScriptedEndpoint, text: bytes) -> bytes:
+    await asyncio.sleep(5)
+    return b""
+
+
+class ClientViolations(unittest.TestCase):
+    @live
+    async def test_each_gets_an_error_or_an_end_and_no_trip(self) -> None:
+        start = messages.startup("app", "shop")
+        many = b"".join(messages.query(statement(str(n))) for n in range(300))
+        with mock.patch.multiple(client_listener, SILENCE_TIMEOUT_SECONDS=0.3):
+            async with platform(ScriptedEndpoint("u0")) as place:
+                for text in (
+                    b"GET / HTTP/1.1\r\n\r\n",
+                    b"\xff" * 5000,
+                    start + b"\0" * 5000,
+                    start + b"P\0\0\0\4",
+                    start + b"Q\xff\xff\xff\xff",
+                    start + b"Q\x7f\xff\xff\xff" + b"x" * 100_000,
+                    start + messages.query(b"SELECT 1"),
+                    start + messages.query(statement("1", request_class="none")),
+                    start + messages.query(statement("1").replace(b"d=1400", b"d=soon")),
+                    start + many,
+                    start + messages.query(statement("1"))[:-9],
+                    b"",
+                    start,
+                    start[:9],
+                    b"\0\0\0\x08\4\xd2\x16\x2e",
+                ):
+                    client = await place.client(start=False)
+                    client.writer.write(text)
+                    found = b""
+                    while b"SERROR\0" not in found and (more := await client.reader.read(65536)):
+                        found += more
+                    self.assertNotIn(b"C53300", found, text[:50])
+                    self.assertNotIn(b"DataRow", found)
+                self.assertEqual(place.endpoints[0].queries, [])
+                self.assertIn("D", await (await place.client()).request("1a"))
+                await place.until(lambda: len(place.relay.listener.clients) <= 1 + 4)
+
+    @live
+    async def test_what_was_taken_before_is_still_answered(self) -> None:
+        async def slow(unit: ScriptedEndpoint, text: bytes) -> bytes:
+            await asyncio.sleep(0.1)
+            return await echo_id(unit, text)
+
+        async with platform(ScriptedEndpoint("u0", slow)) as place:
+            client = await place.client()
+            client.send("1a")
+            client.writer.write(b"\0noise")
+            self.assertTrue((await client.response())["D"].endswith(b"value of 1a"))
+            self.assertEqual((await client.response())["C"], b"08P01")
+            self.assertEqual(await client.reader.read(), b"")
+
+    @live
+    async def test_or_broken_off_after_a_moment(self) -> None:
+        with mock.patch.multiple(client_listener, VIOLATION_GRACE_SECONDS=0.2):
+            async with platform(ScriptedEndpoint("u0", no_response)) as place:
+                client = await place.client()
+                client.send("1a")
+                client.writer.write(b"\0noise")
+                self.assertEqual((await client.response())["C"], b"58000")
+                self.assertEqual((await client.response())["C"], b"08P01")
+                self.assertEqual((place.relay.driver.pending, place.relay.listener.open_request_ids), ({}, {}))
+
+    @live
+    async def test_a_crowd_that_says_nothing_leaves_room_for_those_who_ask(self) -> None:
+        async with platform(ScriptedEndpoint("u0"), sockets=64) as place:
+            asks = await place.client()
+            await asks.request("1a")
+            for _ in range(60):
+                await place.client(start=False)
+            await asyncio.sleep(0.15)
+            self.assertIn("D", await asks.request("2a"))
+            self.assertIn("D", await (await place.client()).request("3a"))
+            self.assertLessEqual(len(place.relay.listener.clients), 20)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -19,8 +19,9 @@
 from tests import hollow
 from tests.fake import FakeHost
 from tests.hollow import SECOND, play
-from tests.platform import Platform, Unit, free_port, good, platform
-from tests.test_node_processes import ROOT, Relay
+from tests.postgres_platform import Platform, free_port, platform
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
+from tests.test_postgres_relay_processes import ROOT, Relay
 from tests.town import live
 
 RELAYS = (24, 40, 60)
@@ -108,12 +109,12 @@
         """Each one's part of a unit is a sixth of a request in a second; the units stay cold throughout."""
         at: dict[str, list[float]] = {}
 
-        async def noted(unit: Unit, text: bytes) -> bytes:
+        async def noted(unit: ScriptedEndpoint, text: bytes) -> bytes:
             at.setdefault(unit.name, []).append(time.monotonic())
-            return await good(unit, text)
+            return await echo_id(unit, text)
 
         with mock.patch.object(Platform, "list_of", cold_list):
-            async with platform(*(Unit(f"u{number}", noted) for number in range(4))) as place:
+            async with platform(*(ScriptedEndpoint(f"u{number}", noted) for number in range(4))) as place:
                 async with contextlib.AsyncExitStack() as stack:
                     relays = [await stack.enter_async_context(cold_relay(place, n)) for n in range(6)]
                     for one in relays:
@@ -125,7 +126,7 @@
             self.assertLessEqual(window, may + 2 * sqrt(may) + 2)
 
 
-def cold_list(place: Platform, units: list[Unit], full: bool = True) -> bytes:
+def cold_list(place: Platform, units: list[ScriptedEndpoint], full: bool = True) -> bytes:
     """As the platform's own, but that all units have just started."""
     told = json.loads(LIST_OF(place, units, full))
     for row in told["servers"]:
@@ -138,7 +139,7 @@
     client, many = await one.client(), 0
     while True:
         many += 1
-        answer = await client.ask(f"{number}a{many:x}")
+        answer = await client.request(f"{number}a{many:x}")
         if "E" not in answer:
             assert "D" in answer, answer
             return
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -21,7 +21,8 @@
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode, encode
 from tests.machinegroup import Group, group
-from tests.platform import SETTINGS, Platform, Unit, free_port, platform
+from tests.postgres_platform import SETTINGS, Platform, free_port, platform
+from tests.scripted_endpoints import ScriptedEndpoint
 from tests.tcpwires import TcpWires
 from tests.town import live
 
@@ -105,7 +106,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet() -> AsyncIterator[Fleet]:
-    async with group(MACHINES) as machines, platform(Unit("u0"), listening=False) as place:
+    async with group(MACHINES) as machines, platform(ScriptedEndpoint("u0"), listening=False) as place:
         found = Fleet(machines, place)
         await found.wires.open([*machines.ports, *found.ports])
         first = [("tenant/m", b'{"quota_per_s":100.0,"share":1.0}')]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,7 +19,8 @@
 from lanelead.protocols import datagrams
 from lanelead.runtime.endpoint_registry import HEAD, STEP, UNTOLD
 from lanelead.testbed.emulators.fault_proxy import Wires
-from tests.platform import SETTINGS, Client, Platform, Unit, free_port, good
+from tests.postgres_platform import SETTINGS, Platform, PostgresClient, free_port
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
 RELAYS, HUBS, AIM = 15, 4, 800
@@ -82,16 +83,16 @@
                 writer.close()
                 break
 
-    async def client(self, number: int) -> Client:
+    async def client(self, number: int) -> PostgresClient:
         while True:
             try:
-                client = Client(*await asyncio.open_connection("127.0.0.1", self.ports[number]))
+                client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.ports[number]))
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
             self.place.writers.append(client.writer)
             client.writer.write(messages.startup("app", "shop"))
-            await client.answer()
+            await client.response()
             return client
 
     async def told(self, enough: Callable[[int], bool]) -> None:
@@ -101,30 +102,30 @@
             if len(payload) >= HEAD and payload[1] != UNTOLD and enough(payload[1] * STEP // 10):
                 return
 
-    async def flood(self, clients: list[tuple[int, Client]]) -> None:
-        async def one(number: int, client: Client) -> None:
+    async def flood(self, clients: list[tuple[int, PostgresClient]]) -> None:
+        async def one(number: int, client: PostgresClient) -> None:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # its relay was killed
                 while True:
                     self.turn += 1
-                    answer = await client.ask(f"{number}-{self.turn}")
+                    answer = await client.request(f"{number}-{self.turn}")
                     self.answered += 1
                     if answer.get("C") == b"53300":
                         self.shed.append(answer)
 
         await asyncio.gather(*(one(number, client) for number, client in clients))
 
-    async def ask(self, clients: dict[int, Client], rounds: int, request_class: str = "read") -> int:
+    async def ask(self, clients: dict[int, PostgresClient], rounds: int, request_class: str = "read") -> int:
         """Each client asks in turn, `rounds` times; how many got a value."""
         values = 0
         for _ in range(rounds):
             self.turn += 1
-            answers = [client.ask(f"{number}-{self.turn}", request_class) for number, client in clients.items()]
+            answers = [client.request(f"{number}-{self.turn}", request_class) for number, client in clients.items()]
             values += sum("E" not in answer for answer in await asyncio.gather(*answers))
         return values
 
 
 @contextlib.asynccontextmanager
-async def fleet(units: list[Unit]) -> AsyncIterator[Fleet]:
+async def fleet(units: list[ScriptedEndpoint]) -> AsyncIterator[Fleet]:
     with tempfile.TemporaryDirectory() as name:
         place = Platform(Path(name), units, 256)
         await place.open()
@@ -143,14 +144,14 @@
             await place.close()
 
 
-def slow(unit: Unit) -> None:
+def slow(unit: ScriptedEndpoint) -> None:
     """It answers one question at a time, and takes 0.15 s for each."""
     one = asyncio.Lock()
 
-    async def script(this: Unit, text: bytes) -> bytes:
+    async def script(this: ScriptedEndpoint, text: bytes) -> bytes:
         async with one:
             await asyncio.sleep(0.15)
-        return await good(this, text)
+        return await echo_id(this, text)
 
     unit.script = script
 
@@ -158,7 +159,7 @@
 class Overload(unittest.TestCase):
     @live
     async def test_hubs_tell_how_long_trips_take_and_relays_shed_until_the_flood_is_over(self) -> None:
-        units = [Unit(f"u{number}") for number in range(4)]
+        units = [ScriptedEndpoint(f"u{number}") for number in range(4)]
         for unit in units:
             slow(unit)
         async with fleet(units) as relays:
@@ -180,7 +181,7 @@
 
     @live
     async def test_with_all_letters_lost_and_hubs_killed_each_serves_on_alone(self) -> None:
-        units = [Unit(f"u{number}") for number in range(4)]
+        units = [ScriptedEndpoint(f"u{number}") for number in range(4)]
         async with fleet(units) as relays:
             clients = {number: await relays.client(number) for number in range(HUBS, RELAYS)}
             relays.wires.set(loss=0.2, delay=0.2, spread=0.8, double=0.1)
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -30,7 +30,7 @@
 )
 from lanelead.runtime.short_ids import long_id_of
 from tests.fake import EFFECTFUL, PURE, FakeHost
-from tests.platform import Held, Unit
+from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
 from tests.test_marks import A, B, C, door, letters, read
 from tests.town import live
@@ -119,7 +119,7 @@
 class Processes(unittest.TestCase):
     @live
     async def test_hubs_tell_of_a_silent_unit_and_not_of_the_other_with_its_mark(self) -> None:
-        units = [Held(A), Unit(B), Held(C)]
+        units = [HeldEndpoint(A), ScriptedEndpoint(B), HeldEndpoint(C)]
         ear, marks = door(A, B, C), list[int]()
 
         async def told(relays: Fleet) -> None:
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -11,7 +11,7 @@
 from lanelead.pgwire.clients import ClientReader, EncryptionRequest, ProtocolViolation, Query, Startup, Terminate
 from lanelead.pgwire.messages import READY, message
 from lanelead.pgwire.servers import Progress, ServerReader
-from tests.platform import row
+from tests.scripted_endpoints import row
 
 START = messages.startup("app", "shop")
 TALK = START + messages.query(b"SELECT 1") + messages.query(b"") + message(b"X")
--- a/tests/test_node_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 from lanelead.pgwire import messages
-from tests.platform import Client, Platform, Unit, free_port, good, platform
+from tests.postgres_platform import Platform, PostgresClient, free_port, platform
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
 ROOT = Path(__file__).parent.parent
@@ -45,11 +46,11 @@
                 raise AssertionError(f"it ended with {self.process.returncode} before {event!r}: {self.log}")
             await asyncio.sleep(0.01)
 
-    async def client(self) -> Client:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def client(self) -> PostgresClient:
+        client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
         self.place.writers.append(client.writer)
         client.writer.write(messages.startup("app", "shop"))
-        await client.answer()
+        await client.response()
         return client
 
     async def ended(self) -> int:
@@ -59,11 +60,11 @@
 
 
 @contextlib.asynccontextmanager
-async def relay(*units: Unit, known: bool = True, silent: bool = False) -> AsyncIterator[Relay]:
+async def relay(*units: ScriptedEndpoint, known: bool = True, silent: bool = False) -> AsyncIterator[Relay]:
     """A process that the same discovery, desk and units serve as the relay in this one."""
     async with platform(*units) as place:
         if silent:
-            place.answers.clear()
+            place.discovery_responds.clear()
         config = json.loads((place.folder / "config.json").read_text())
         port = free_port()
         config |= {"listen": f"127.0.0.1:{port}", "peer_listen": "", "peers": []}
@@ -89,10 +90,10 @@
             await found.ended()
 
 
-class Signals(unittest.TestCase):
+class ProcessSignals(unittest.TestCase):
     @live
     async def test_sigterm_while_it_waits_for_its_first_list(self) -> None:
-        async with relay(Unit("u0"), known=False, silent=True) as one:
+        async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as one:
             await one.until("told")
             one.process.send_signal(signal.SIGTERM)
             self.assertEqual(await one.ended(), 0)
@@ -102,15 +103,15 @@
     async def test_sigterm_and_more_of_them_while_it_answers_what_it_took(self) -> None:
         may = asyncio.Event()
 
-        async def held(unit: Unit, text: bytes) -> bytes:
+        async def held(unit: ScriptedEndpoint, text: bytes) -> bytes:
             await may.wait()
-            return await good(unit, text)
+            return await echo_id(unit, text)
 
-        async with relay(Unit("u0", held)) as one:
+        async with relay(ScriptedEndpoint("u0", held)) as one:
             await one.until("listening")
             client = await one.client()
             client.send("1a")
-            await one.place.until(lambda: len(one.place.units[0].queries) == 1)
+            await one.place.until(lambda: len(one.place.endpoints[0].queries) == 1)
             for _ in range(3):
                 one.process.send_signal(signal.SIGTERM)
             await one.until("draining")
@@ -118,27 +119,27 @@
             await one.until("configuration reloaded")
             one.process.send_signal(signal.SIGINT)
             may.set()
-            self.assertTrue((await client.answer())["D"].endswith(b"value of 1a"))
+            self.assertTrue((await client.response())["D"].endswith(b"value of 1a"))
             self.assertEqual(await one.ended(), 0)
             self.assertEqual((one.said("draining"), one.said("stopped")), (1, 1))
 
     @live
     async def test_sighup_many_at_once_disturbs_no_lookup(self) -> None:
-        async with relay(Unit("u0"), Unit("u1")) as one:
+        async with relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as one:
             await one.until("listening")
             client = await one.client()
             for number in range(5):
                 client.send(f"{number}a")
                 one.process.send_signal(signal.SIGHUP)
                 one.process.send_signal(signal.SIGHUP)
-                self.assertIn("D", await client.answer())
+                self.assertIn("D", await client.response())
             one.process.send_signal(signal.SIGTERM)
             self.assertEqual(await one.ended(), 0)
             self.assertGreaterEqual(one.said("configuration reloaded"), 1)
 
     @live
     async def test_sigkill_frees_its_address_for_the_next(self) -> None:
-        async with relay(Unit("u0")) as one:
+        async with relay(ScriptedEndpoint("u0")) as one:
             await one.until("listening")
             client = await one.client()
             one.process.kill()
@@ -155,7 +156,7 @@
             )
             two = Relay(one.place, again, one.port)
             await two.until("listening")
-            self.assertIn("D", await (await two.client()).ask("1a"))
+            self.assertIn("D", await (await two.client()).request("1a"))
             again.send_signal(signal.SIGTERM)
             self.assertEqual(await two.ended(), 0)
 
@@ -200,7 +201,7 @@
         self.assertIn("listen", done.stderr)
 
 
-class Build(unittest.TestCase):
+class Builds(unittest.TestCase):
     """`build` of deploy/balancer.toml, in a folder of its own, with stand-ins for what it calls."""
 
     def _play(self, folder: Path, install: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_node_signals.py
+++ b/tests/test_postgres_relay_signals.py
@@ -16,31 +16,34 @@
 from lanelead.pgwire import messages
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from tests.platform import Unit, good, platform
+from tests.postgres_platform import platform
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
 
 class Signals(unittest.TestCase):
     @live
     async def test_sigterm_serves_who_still_comes_and_answers_all_it_took(self) -> None:
-        async def slow(unit: Unit, text: bytes) -> bytes:
+        async def slow(unit: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.7)
-            return await good(unit, text)
+            return await echo_id(unit, text)
 
-        async with platform(Unit("u0", slow), Unit("u1", slow), Unit("u2", slow)) as place:
+        async with platform(
+            ScriptedEndpoint("u0", slow), ScriptedEndpoint("u1", slow), ScriptedEndpoint("u2", slow)
+        ) as place:
             held, idle, new = await place.client(), await place.client(), await place.client()
             idle.writer.write(messages.query(b""))
-            self.assertIn("I", await idle.answer())
+            self.assertIn("I", await idle.response())
             held.send("1a")
             os.kill(os.getpid(), signal.SIGTERM)
-            await place.until(lambda: place.said("draining") == 1)
+            await place.until(lambda: place.logged("draining") == 1)
             late = await place.client()
             late.send("2a")
-            self.assertTrue((await held.answer())["D"].endswith(b"value of 1a"))
-            self.assertTrue((await late.answer())["D"].endswith(b"value of 2a"))
+            self.assertTrue((await held.response())["D"].endswith(b"value of 1a"))
+            self.assertTrue((await late.response())["D"].endswith(b"value of 2a"))
             # Between requests it may be closed without a word; one that never asked is told to go elsewhere.
             self.assertEqual(await idle.reader.read(), b"")
-            self.assertEqual((await new.answer())["C"], b"57P03")
+            self.assertEqual((await new.response())["C"], b"57P03")
             self.assertEqual(await new.reader.read(), b"")
             await place.run
             with self.assertRaises(OSError):
@@ -48,20 +51,20 @@
 
     @live
     async def test_sighup_moves_the_feeds_and_disturbs_nothing(self) -> None:
-        async with platform(Unit("u0")) as old, platform(Unit("u1")) as new:
+        async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u1")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
             config = old.folder / "config.json"
             whole = config.read_text()
             config.write_text(whole[:50])
             old.relay.reload()
-            self.assertEqual(old.said("configuration not reloaded: the old one stays in force"), 1)
+            self.assertEqual(old.logged("configuration not reloaded: the old one stays in force"), 1)
             old.write(new.ports())
             client = await old.client()
             client.send("1a")
             old.relay.reload()
             old.relay.reload()  # twice in quick succession
-            self.assertIn("D", await client.answer())
-            await old.until(lambda: len(new.desks) >= 2 and old.relay.state()["rollout_connected"])
+            self.assertIn("D", await client.response())
+            await old.until(lambda: len(new.rollout_writers) >= 2 and old.relay.state()["rollout_connected"])
             await old.until(
                 lambda: any(
                     unit.short_id and unit.status.value == "ready"
@@ -69,8 +72,8 @@
                     if name == "u1"
                 )
             )
-            self.assertTrue((await client.ask("2a"))["D"].endswith(b"value of 2a"))
-            self.assertTrue(new.units[0].queries)  # the new list names u1 alone
+            self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
+            self.assertTrue(new.endpoints[0].queries)  # the new list names u1 alone
 
     def test_a_configuration_that_cannot_be_read_ends_it_with_one_line(self) -> None:
         for text in ("", "{}", '{"name": "n0"'):
@@ -90,7 +93,7 @@
 class LongDays(unittest.TestCase):
     @live
     async def test_tables_forget_units_ids_and_connections(self) -> None:
-        async with platform(Unit("u0")) as place:
+        async with platform(ScriptedEndpoint("u0")) as place:
             relay = place.relay
             with mock.patch.object(relay.driver, "_memory", 0):
                 for number in range(300):
@@ -102,9 +105,9 @@
                         relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             for number in range(60):
                 client = await place.client()
-                await client.ask(f"{number:x}")
+                await client.request(f"{number:x}")
                 client.writer.close()
-                await place.rested()
+                await place.until_reusable()
             relay.upstream.sweep()
             await place.until(lambda: not relay.listener.clients)
             driver = relay.driver
--- a/tests/test_crossings_kills.py
+++ b/tests/test_sigkill_races.py
@@ -12,22 +12,23 @@
 from pathlib import Path
 
 from lanelead.pgwire import messages
-from tests.platform import Held, Unit, platform, statement
-from tests.test_node_processes import ROOT, Relay, relay
+from tests.postgres_platform import platform, statement
+from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
+from tests.test_postgres_relay_processes import ROOT, Relay, relay
 from tests.town import live
 
 ASKED = messages.startup("app", "shop") + messages.query(statement("1a"))
 ESTABLISHED = "01"
 
 
-def hexed(place: tuple[str, int]) -> str:
+def address_in_proc(place: tuple[str, int]) -> str:
     return f"{int.from_bytes(socket.inet_aton(place[0]), 'little'):08X}:{place[1]:04X}"
 
 
 def inode(sock: socket.socket) -> int | None:
     """Of the other end of a connection on this machine: 0 while it waits in its listener's queue, the
     kernel's number of its descriptor once it is accepted, None where there is none."""
-    ends = hexed(sock.getpeername()), hexed(sock.getsockname())
+    ends = address_in_proc(sock.getpeername()), address_in_proc(sock.getsockname())
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         words = line.split()
         if (words[1], words[2]) == ends and words[3] == ESTABLISHED:
@@ -49,7 +50,7 @@
 def connected(one: Relay, data: bytes = b"") -> socket.socket:
     sock = socket.create_connection(("127.0.0.1", one.port))
     sock.sendall(data)
-    one.place.plains.append(sock)
+    one.place.raw_sockets.append(sock)
     return sock
 
 
@@ -84,14 +85,14 @@
 
 def idents(one: Relay) -> list[bytes]:
     """Of the requests that reached a unit."""
-    return [text.split(b"id=")[1].split(b",")[0] for unit in one.place.units for text in unit.queries]
+    return [text.split(b"id=")[1].split(b",")[0] for unit in one.place.endpoints for text in unit.queries]
 
 
-class Kills(unittest.TestCase):
+class SigkillRaces(unittest.TestCase):
     @live
     async def test_accepted_and_unread_is_reset_and_never_runs(self) -> None:
         """With a request's bytes in it, with a part of them, and without any."""
-        async with relay(Unit("u0")) as one, contextlib.AsyncExitStack() as stack:
+        async with relay(ScriptedEndpoint("u0")) as one, contextlib.AsyncExitStack() as stack:
             await one.until("listening")
             socks = [connected(one) for _ in range(3)]
             for sock in socks:
@@ -101,14 +102,14 @@
             socks[1].sendall(ASKED[:60])
             await killed(one)
             for sock in socks:
-                self.assertEqual(await one.place.heard(sock), b"")
+                self.assertEqual(await one.place.read_to_end(sock), b"")
             two = await next_one(one, stack)
-            self.assertIn("D", await (await two.client()).ask("2a"))
+            self.assertIn("D", await (await two.client()).request("2a"))
             self.assertEqual(idents(two), [b"2a"])
 
     @live
     async def test_the_queue_of_one_that_is_killed_is_reset_and_the_next_one_reads_none_of_it(self) -> None:
-        async with relay(Unit("u0")) as one, contextlib.AsyncExitStack() as stack:
+        async with relay(ScriptedEndpoint("u0")) as one, contextlib.AsyncExitStack() as stack:
             await one.until("listening")
             await stopped(one)
             socks = [connected(one, ASKED) for _ in range(20)]
@@ -116,13 +117,13 @@
             await killed(one)
             two = await next_one(one, stack)
             for sock in socks:
-                self.assertEqual(await one.place.heard(sock), b"")
-            self.assertIn("D", await (await two.client()).ask("2a"))
+                self.assertEqual(await one.place.read_to_end(sock), b"")
+            self.assertIn("D", await (await two.client()).request("2a"))
             self.assertEqual(idents(two), [b"2a"])
 
     @live
     async def test_what_waits_in_the_next_ones_queue_is_answered_in_full(self) -> None:
-        async with relay(Unit("u0"), Unit("u1")) as one, contextlib.AsyncExitStack() as stack:
+        async with relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as one, contextlib.AsyncExitStack() as stack:
             await one.until("listening")
             await killed(one)
             with self.assertRaises(ConnectionRefusedError):
@@ -135,14 +136,14 @@
             two.process.send_signal(signal.SIGCONT)
             two.process.send_signal(signal.SIGTERM)  # so that each connection ends once it is answered
             for number, sock in enumerate(socks):
-                found = await one.place.heard(sock)
+                found = await one.place.read_to_end(sock)
                 self.assertTrue(b"value of %x" % number in found or b"C53300" in found, found)
             self.assertEqual(await two.ended(), 0)
 
     @live
     async def test_kills_again_and_again_at_one_address(self) -> None:
         """Each time one connection is held, one waits with its request, one has its lookup at a unit."""
-        unit = Held()
+        unit = HeldEndpoint()
         async with relay(unit) as one, contextlib.AsyncExitStack() as stack:
             await one.until("listening")
             now = one
@@ -156,17 +157,17 @@
                 for caller in (held, asks):
                     with contextlib.suppress(ConnectionError):
                         self.assertEqual(await caller.reader.read(), b"")
-                self.assertEqual(await one.place.heard(waits), b"")
-                unit.may.release()  # an answer for a process that is gone
+                self.assertEqual(await one.place.read_to_end(waits), b"")
+                unit.permits.release()  # an answer for a process that is gone
                 now = await next_one(now, stack)
-            unit.may.release()
-            answer = await (await now.client()).ask("ff")
+            unit.permits.release()
+            answer = await (await now.client()).request("ff")
             self.assertTrue(answer["D"].endswith(b"value of ff"))
             self.assertEqual(idents(now), [b"0a", b"1a", b"2a", b"ff"])
 
     @live
     async def test_an_answer_written_before_the_kill_arrives_whole(self) -> None:
-        async with relay(Unit("u0")) as one:
+        async with relay(ScriptedEndpoint("u0")) as one:
             await one.until("listening")
             sock = connected(one, ASKED)
             loop, seen = asyncio.get_running_loop(), b""
@@ -181,17 +182,17 @@
             self.assertTrue(found.endswith(messages.READY))
 
 
-class Crowd(unittest.TestCase):
+class ManyConnections(unittest.TestCase):
     @live
     async def test_who_never_asked_is_known_without_looking_at_all(self) -> None:
         # The crowd day: each of 770 connections a second had all 500 looked at, half of what it cost.
-        async with platform(Unit("u0")) as place:
+        async with platform(ScriptedEndpoint("u0")) as place:
             front = place.relay.listener
-            asks, leaves = await place.client(), place.plain()
-            place.plain()
+            asks, leaves = await place.client(), place.raw_client()
+            place.raw_client()
             await place.until(lambda: len(front.clients) == 3)
             self.assertEqual(list(front.clients), list(front.without_request))
-            await asks.ask("1a")
+            await asks.request("1a")
             leaves.close()
             await place.until(lambda: len(front.clients) == 2)
             self.assertEqual(
--- /dev/null
+++ b/tests/test_upstream_requests.py
@@ -0,0 +1,250 @@
+"""Requests through the relay on the platform: outcomes of attempts, malformed responses, health checks."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+import unittest
+from unittest import mock
+
+from lanelead.decisions.interface import AttemptOutcome
+from lanelead.pgwire import messages
+from lanelead.pgwire.messages import READY
+from lanelead.postgres_relay.load_reports import parse_load_report
+from lanelead.protocols.feeds import decode
+from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from tests.postgres_platform import platform, statement
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id, row
+from tests.town import live
+
+FULL = messages.error("53300", "full") + READY
+WRONG = messages.error("XX000", "internal") + READY
+
+
+async def reset(unit: ScriptedEndpoint, text: bytes) -> None:
+    return None
+
+
+async def no_response(unit: ScriptedEndpoint, text: bytes) -> bytes:
+    await asyncio.sleep(5)
+    return b""
+
+
+def responding(*answers: bytes) -> ScriptedEndpoint:
+    """A unit that gives these answers in turn, and good ones afterwards."""
+    rest = list(answers)
+
+    async def script(unit: ScriptedEndpoint, text: bytes) -> bytes:
+        return rest.pop(0) if rest else await echo_id(unit, text)
+
+    return ScriptedEndpoint("u0", script)
+
+
+class Requests(unittest.TestCase):
+    @live
+    async def test_a_value_passes_byte_for_byte_and_the_statement_unchanged(self) -> None:
+        value = bytes(range(256)) * 200
+        async with platform(responding(row(value) + READY)) as place:
+            client = await place.client()
+            client.writer.write(messages.query(statement("1a", left=1000, more=",r=1")))
+            answer = await client.response()
+            self.assertEqual(answer["D"], b"\0\1" + len(value).to_bytes(4, "big") + value)
+            before, _, left = place.endpoints[0].queries[0].partition(b",d=")
+            self.assertEqual(before, statement("1a").partition(b",d=")[0])
+            self.assertTrue(left.endswith(b",r=1 */") and 0 < int(left.split(b",")[0]) < 1000, left)
+
+    @live
+    async def test_a_query_behind_the_startup_and_several_at_once_are_answered_in_order(self) -> None:
+        async def slow_first(unit: ScriptedEndpoint, text: bytes) -> bytes:
+            await asyncio.sleep(0.2 if b"id=1," in text else 0)
+            return await echo_id(unit, text)
+
+        units = [ScriptedEndpoint(f"u{n}", slow_first) for n in range(4)]
+        async with platform(*units) as place:
+            client = await place.client(start=False)
+            client.writer.write((8).to_bytes(4, "big") + (80877103).to_bytes(4, "big"))
+            self.assertEqual(await client.reader.readexactly(1), b"N")
+            client.writer.write(messages.startup("app", "shop") + messages.query(b""))
+            client.writer.write(b"".join(messages.query(statement(str(n))) for n in (1, 2, 3)))
+            self.assertIn("R", await client.response())
+            self.assertIn("I", await client.response())
+            for number in (1, 2, 3):
+                self.assertTrue((await client.response())["D"].endswith(b"value of %d" % number))
+
+    @live
+    async def test_a_shed_is_at_once_with_a_time_to_come_back(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as place:
+            place.change_state(place.endpoints[0], "leaving")
+            client = await place.client()
+            await place.until(lambda: place.relay.state()["endpoints"] == 1 and len(place.list_requests) > 2)
+            answer = await client.request("1a", "file")
+            self.assertEqual(answer["C"], b"53300")
+            self.assertGreater(int(answer["M"] and answer["D"]), 0)
+            self.assertEqual(place.endpoints[0].queries, [])
+
+    @live
+    async def test_a_client_that_goes_away_frees_its_id(self) -> None:
+        async with platform(ScriptedEndpoint("u0", no_response)) as place:
+            client = await place.client()
+            client.send("1a")
+            await place.until(lambda: bool(place.endpoints[0].queries))
+            self.assertEqual((await (await place.client()).request("1a"))["C"], b"42601")  # open
+            client.writer.close()
+            await place.until(lambda: not place.relay.listener.open_request_ids)
+            self.assertEqual(place.relay.driver.pending, {})
+
+
+class AttemptOutcomes(unittest.TestCase):
+    """PROTOCOL's table: has it run? A row each; an effectful lookup goes on only where it never ran."""
+
+    @live
+    async def test_turned_away_never_ran(self) -> None:
+        async with platform(responding(FULL), ScriptedEndpoint("u1")) as place:
+            client = await place.client()
+            for number in range(6):
+                self.assertIn("D", await client.request(str(number), "file"))
+            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.REJECTED), 1)
+
+    @live
+    async def test_an_error_and_a_reset_may_have_run(self) -> None:
+        for script, outcome in ((responding(WRONG).script, AttemptOutcome.ERROR), (reset, AttemptOutcome.RESET)):
+            async with platform(ScriptedEndpoint("u0", script)) as place:
+                client = await place.client()
+                answer = await client.request("1a", "file")
+                self.assertEqual(answer["C"], b"58000")
+                self.assertEqual(len(place.endpoints[0].queries), 1)
+                self.assertEqual(place.relay.driver.counters.outcomes, {outcome: 1})
+
+    @live
+    async def test_a_pure_one_is_tried_elsewhere(self) -> None:
+        async with platform(ScriptedEndpoint("u0", reset), ScriptedEndpoint("u1")) as place:
+            client = await place.client()
+            for number in range(6):
+                self.assertIn("D", await client.request(str(number)))
+            self.assertTrue(place.endpoints[0].queries)
+
+    @live
+    async def test_refused_or_silent_before_the_welcome_never_ran(self) -> None:
+        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
+            place.endpoints[0].server.close()
+            client = await place.client()
+            for number in range(4):
+                self.assertIn("D", await client.request(str(number), "file"))
+            self.assertLessEqual(
+                set(place.relay.driver.counters.outcomes), {AttemptOutcome.SUCCEEDED, AttemptOutcome.CONNECT_FAILED}
+            )
+        with socket.socket() as deaf:  # connections come up, and nothing is ever said
+            deaf.bind(("127.0.0.1", 0))
+            deaf.listen(8)
+            unit = ScriptedEndpoint("u0")
+            async with platform(unit, ScriptedEndpoint("u1")) as place:
+                unit.port = deaf.getsockname()[1]
+                place.change_state(unit, "active")
+                await place.until(lambda: any(p.port == unit.port for p in place.relay.driver.destinations.values()))
+                client = await place.client()
+                for number in range(6):
+                    self.assertIn("D", await client.request(str(number), "file"))
+                self.assertEqual(len(place.endpoints[1].queries), 6)
+
+    @live
+    async def test_silence_may_have_run_and_its_connection_goes(self) -> None:
+        async with platform(ScriptedEndpoint("u0", no_response)) as place:
+            client = await place.client()
+            answer = await client.request("1a", "file", left=300)
+            self.assertEqual(answer["C"], b"58000")
+            self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.TIMED_OUT: 1})
+            self.assertEqual(len(place.relay.upstream.connections), 0)
+
+
+class MalformedResponses(unittest.TestCase):
+    @live
+    async def test_nothing_spoilt_reaches_a_client(self) -> None:
+        for spoilt in (b"\0noise", row(b"v")[:-14] + row(b"v")[29:], b"T\x7f\xff\xff\xff", b"D" * 100):
+            async with platform(responding(spoilt)) as place:
+                client = await place.client()
+                answer = await client.request("1a", "file")
+                self.assertEqual((answer["C"], "D" in answer), (b"58000", False), spoilt)
+                self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
+                self.assertEqual(place.endpoints[0].connections, 2)
+
+    @live
+    async def test_an_answer_that_stops_in_the_middle_does_not_take_all_the_time(self) -> None:
+        async with platform(responding(row(b"value")[:-20])) as place:
+            client = await place.client()
+            self.assertEqual((await client.request("1a", "file", left=1400))["C"], b"58000")
+            self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.RESET: 1})
+
+    @live
+    async def test_an_answer_that_waits_unread_has_not_stopped(self) -> None:
+        whole = row(b"value") + READY
+        async with platform(responding(whole[:30])) as place:
+            client = await place.client()
+            client.send("1a")
+            links = place.relay.upstream
+            await place.until(lambda: any(link.reader.response_begun for link in links.connections if link.connected))
+            # The rest comes, and the relay, held up meanwhile, looks for stopped answers before it reads.
+            os.write(place.endpoints[0].writers[0].get_extra_info("socket").fileno(), whole[30:])
+            for link in links.connections:
+                link.last_activity -= 10
+            links.sweep()
+            self.assertTrue((await client.response())["D"].endswith(b"value"))
+
+    @live
+    async def test_a_second_copy_is_never_the_next_lookups_value(self) -> None:
+        for behind in (row(b"old") + READY, b"\0noise"):
+            async with platform(responding(row(b"old") + READY + behind)) as place:
+                client = await place.client()
+                self.assertTrue((await client.request("1a"))["D"].endswith(b"old"))
+                self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
+
+    @live
+    async def test_unasked_bytes_on_an_idle_connection_end_it(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as place:
+            client = await place.client()
+            await client.request("1a")
+            # Written and asked in one breath: the relay may not have read it when it takes the connection.
+            place.endpoints[0].writers[-1].write(row(b"unasked") + READY)
+            self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
+            self.assertEqual(place.endpoints[0].connections, 2)
+
+
+class HealthChecks(unittest.TestCase):
+    def test_a_report_that_cannot_be_read_is_none(self) -> None:
+        names = frozenset(("waiting", "cpu"))
+        self.assertEqual(parse_load_report(b"waiting=7,cpu=0.5,new=1", names), {"waiting": 7.0, "cpu": 0.5})
+        for text in (None, b"", b"\xff\xfe", b"waiting", b"waiting=x", b"waiting=nan", b"waiting=-1", b"a=1"):
+            self.assertIsNone(parse_load_report(text, names), text)
+        self.assertIsNone(parse_load_report(b"waiting=7", frozenset()))
+
+    @live
+    async def test_what_a_probe_tells(self) -> None:
+        for answer, outcome, report in (
+            (row(b"waiting=3,cpu=0.5") + READY, AttemptOutcome.SUCCEEDED, {"waiting": 3.0, "cpu": 0.5}),
+            (messages.error("57P03", "not now") + READY, AttemptOutcome.ERROR, None),
+            (b"\0noise", AttemptOutcome.RESET, None),
+            (b"", AttemptOutcome.TIMED_OUT, None),
+        ):
+            async with platform(responding(answer)) as place:
+                driver, heard = place.relay.driver, mock.Mock()
+                with mock.patch.object(driver, "health_checked", heard):
+                    place.relay.check_health(driver.registry.by_name["u0"])
+                    await place.until(lambda heard=heard: heard.called)  # type: ignore[misc]
+                self.assertEqual((heard.call_args.args[1], heard.call_args.args[3]), (outcome, report))
+                self.assertEqual(place.endpoints[0].queries, [b"SHOW vitals"])
+
+    @live
+    async def test_a_unit_that_comes_back_with_another_build_gets_connections_of_its_own(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as place:
+            client = await place.client()
+            await client.request("1a")
+            await place.until_reusable()
+            await client.request("2a")
+            self.assertEqual(place.endpoints[0].connections, 1)
+            found = json.loads(place.list_of(place.endpoints, full=False))
+            found["servers"][0]["revision_no"] = 2
+            place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+            self.assertIn("D", await client.request("3a"))
+            self.assertEqual(place.endpoints[0].connections, 2)
+            await place.until(lambda: place.endpoints[0].closed == 1)
