--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -94,7 +94,7 @@
     @live
     async def test_sigterm_while_it_waits_for_its_first_list(self) -> None:
         async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as one:
-            await one.until("told")
+            await one.until("settings read")
             one.process.send_signal(signal.SIGTERM)
             self.assertEqual(await one.ended(), 0)
             self.assertEqual(one.said("stopped"), 1)
