--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -214,4 +214,4 @@
             self.assertEqual(2, version)  # the bad one made none
             await all_.in_force(version)
             for number in range(RELAYS):
-                self.assertIn("figures of classes that the settings do not have", all_.log(number))
+                self.assertIn("values of classes that the settings do not have", all_.log(number))
