--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to units: a pool to each life of a unit, and what of them may be used again.
+"""Upstream connections: one pool for each endpoint and start of it, and which connections may be reused.
 
-A connection carries one question at a time, and another only after a whole answer with nothing behind it, and
-after a rest: an answer's second copy may come some milliseconds late, and would pass for the next one's.
+A connection carries one request at a time. It is reused only after a complete response with nothing behind it,
+and after a delay: a duplicated response may arrive some milliseconds late and would pass for the next one.
 """
 
 from __future__ import annotations
@@ -9,174 +9,197 @@
 import asyncio
 import contextlib
 import socket
+from dataclasses import dataclass
 from typing import Any
 
 from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
 from lanelead.pgwire.servers import ServerReader
-from lanelead.postgres_relay.load_reports import still
+from lanelead.postgres_relay.load_reports import is_idle_socket
 from lanelead.runtime.driver import Destination
 
-WEAR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
-REST = 0.01  # seconds that an answered one is left alone; second answers were seen 2 to 3 ms late
+IDLE_LIMIT_FACTOR = 0.6  # of the endpoint's own idle timeout, so that this side closes first
+REUSE_DELAY_SECONDS = 0.01  # duplicated responses arrive 2 to 3 ms late
 
 
-class Link:
-    """One connection to a unit."""
+@dataclass(frozen=True)
+class PoolLimits:
+    """Timeouts in seconds; `idle_timeout` is that after which the endpoint closes an idle connection."""
+
+    connect_timeout: float
+    idle_timeout: float
+    max_connections: int
+    max_response_bytes: int
+
+
+class UpstreamConnection:
+    """One connection to an endpoint. Times are the event loop's, in seconds."""
 
     __slots__ = (
-        "asked",
-        "began",
+        "attempt",
+        "connect_timer",
         "connected",
-        "late",
+        "health_check",
+        "health_check_started",
+        "health_check_timer",
+        "last_activity",
         "pool",
-        "probe",
+        "query_sent",
         "reader",
-        "rest",
-        "rested",
-        "since",
+        "reusable_at",
         "sock",
-        "timer",
-        "trip",
+        "unsent",
         "writing",
     )
 
-    def __init__(self, sock: socket.socket, pool: Pool, longest: int) -> None:
-        self.sock, self.pool, self.reader = sock, pool, ServerReader(longest, b"vitals")
-        self.trip: Attempt | None = None  # that goes, or is to go, over it
-        self.probe: Endpoint | None = None
-        self.connected = False  # the unit has welcomed it
-        self.asked = False  # the question's last byte was handed over
-        self.rest = memoryview(b"")  # of the question, where the kernel took only a part
+    def __init__(self, sock: socket.socket, pool: EndpointPool, max_response_bytes: int) -> None:
+        self.sock = sock
+        self.pool = pool
+        self.reader = ServerReader(max_response_bytes, b"vitals")
+        self.attempt: Attempt | None = None  # running on it, or to run once it is connected
+        self.health_check: Endpoint | None = None
+        self.connected = False  # the endpoint has sent its ReadyForQuery
+        self.query_sent = False  # the kernel has taken the query's last byte
+        self.unsent = memoryview(b"")  # the rest of a query that the kernel took in part
         self.writing = False
-        self.since = 0.0  # when it fell idle, or when the last bytes of an answer came
-        self.rested = 0.0  # when it may carry another question
-        self.began = 0.0  # when a probe set out
-        self.timer: asyncio.TimerHandle | None = None  # it has to have come up by then
-        self.late: asyncio.TimerHandle | None = None  # its probe has to be answered by then
-
-
-class Pool:
-    """The connections to one life of a unit."""
-
-    def __init__(self, place: Destination) -> None:
-        self.place = place
-        self.idle: list[Link] = []  # the one used last at the end
-        self.left = False
-
-
-class Pools:
-    """All connections to units. What passes on them is the matter of who inherits this: `_more` is called
-    when one may be written to, `_never_came_up` when it was not welcomed in time."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        connect_limit: float,
-        idle_limit: float,
-        most: int,
-        longest: int,
-        log: Any,
-    ) -> None:
-        self._loop, self._log = loop, log
-        self._connect_limit, self._idle_limit, self._most = connect_limit, idle_limit * WEAR, most
-        self._longest = longest
-        self._pools: dict[Endpoint, Pool] = {}
-        self.links: dict[Link, None] = {}
-        self.opened = self.short = 0
-
-    def _more(self, link: Link) -> None:
+        self.last_activity = 0.0  # when it fell idle, or when response bytes last arrived
+        self.reusable_at = 0.0
+        self.health_check_started = 0.0
+        self.connect_timer: asyncio.TimerHandle | None = None
+        self.health_check_timer: asyncio.TimerHandle | None = None
+
+
+class EndpointPool:
+    """The connections to one start of an endpoint."""
+
+    def __init__(self, destination: Destination) -> None:
+        self.destination = destination
+        self.idle: list[UpstreamConnection] = []  # the most recently used last
+        self.retired = False
+
+
+class ConnectionPool:
+    """All upstream connections. A subclass handles what passes on them, by the two methods that it overrides."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, log: Any) -> None:
+        self._loop = loop
+        self._log = log
+        self._connect_timeout = limits.connect_timeout
+        self._idle_limit = limits.idle_timeout * IDLE_LIMIT_FACTOR
+        self._max_connections = limits.max_connections
+        self._max_response_bytes = limits.max_response_bytes
+        self._pools: dict[Endpoint, EndpointPool] = {}
+        self.connections: dict[UpstreamConnection, None] = {}
+        self.opened = 0
+        self.descriptor_shortages = 0
+
+    def _on_writable(self, connection: UpstreamConnection) -> None:
+        """The connection came up, failed to, or takes more bytes."""
         raise NotImplementedError
 
-    def _never_came_up(self, link: Link) -> None:
+    def _on_connect_timeout(self, connection: UpstreamConnection) -> None:
+        """The connection was not ready for a query in time."""
         raise NotImplementedError
 
-    def _pool(self, unit: Endpoint, place: Destination) -> Pool:
-        pool = self._pools.get(unit)
-        if pool is None or pool.place != place:
+    def _pool_for(self, endpoint: Endpoint, destination: Destination) -> EndpointPool:
+        """The endpoint's pool; a new one where its address or start has changed."""
+        pool = self._pools.get(endpoint)
+        if pool is None or pool.destination != destination:
             if pool is not None:
-                self._empty(pool)
-                pool.left = True
-            pool = self._pools[unit] = Pool(place)
+                self._retire(pool)
+            pool = EndpointPool(destination)
+            self._pools[endpoint] = pool
         return pool
 
-    def _idle(self, pool: Pool) -> Link | None:
-        """The connection used last that has rested and is still of use: nothing unasked has come on it, nor
-        its end."""
+    def _take_idle(self, pool: EndpointPool) -> UpstreamConnection | None:
+        """Takes the most recently used reusable connection; closes those with unsolicited bytes or an end."""
         now = self._loop.time()
-        for link in reversed(pool.idle.copy()):
-            if link.rested > now:
+        for connection in reversed(pool.idle.copy()):
+            if connection.reusable_at > now:
                 continue
-            if still(link.sock):
-                pool.idle.remove(link)
-                return link
-            self._end(link)
+            if is_idle_socket(connection.sock):
+                pool.idle.remove(connection)
+                return connection
+            self._close_connection(connection)
         return None
 
-    def _open(self, pool: Pool) -> Link | None:
-        """None where all descriptors are in use; the longest idle connection makes room."""
-        if len(self.links) >= self._most:
-            pools = [other for other in self._pools.values() if other.idle]
-            if not pools:
-                self.short += 1
-                return None
-            self._end(min(pools, key=lambda other: other.idle[0].since).idle.pop(0))
+    def _open_connection(self, pool: EndpointPool) -> UpstreamConnection | None:
+        """Starts to connect; None where all descriptors are in use and no idle connection can be closed."""
+        if len(self.connections) >= self._max_connections and not self._close_longest_idle():
+            self.descriptor_shortages += 1
+            return None
+        destination = pool.destination
         try:
-            sock = socket.socket(socket.AF_INET6 if ":" in pool.place.host else socket.AF_INET)
-        except OSError as fault:  # the process has no descriptor left
-            self._log.warning("no connection", reason=str(fault))
-            self.short += 1
+            sock = socket.socket(socket.AF_INET6 if ":" in destination.host else socket.AF_INET)
+        except OSError as error:  # the process has no descriptor left
+            self._log.warning("cannot open an upstream connection", reason=str(error))
+            self.descriptor_shortages += 1
             return None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = Link(sock, pool, self._longest)
-        self.links[link] = None
+        connection = UpstreamConnection(sock, pool, self._max_response_bytes)
+        self.connections[connection] = None
         self.opened += 1
-        link.since = self._loop.time()
-        link.timer = self._loop.call_later(self._connect_limit, self._never_came_up, link)
-        with contextlib.suppress(OSError):  # in progress, or failed: the writer finds that out
-            sock.connect((pool.place.host, pool.place.port))
-        self._loop.add_writer(sock, self._more, link)
-        return link
-
-    def _keep(self, link: Link) -> None:
-        if link.pool.left:
-            self._end(link)
+        connection.last_activity = self._loop.time()
+        connection.connect_timer = self._loop.call_later(self._connect_timeout, self._on_connect_timeout, connection)
+        with contextlib.suppress(OSError):  # in progress, or failed: `_on_writable` finds out
+            sock.connect((destination.host, destination.port))
+        self._loop.add_writer(sock, self._on_writable, connection)
+        return connection
+
+    def _close_longest_idle(self) -> bool:
+        pools = [pool for pool in self._pools.values() if pool.idle]
+        if not pools:
+            return False
+        longest = min(pools, key=lambda pool: pool.idle[0].last_activity)
+        self._close_connection(longest.idle.pop(0))
+        return True
+
+    def _keep_idle(self, connection: UpstreamConnection) -> None:
+        if connection.pool.retired:
+            self._close_connection(connection)
             return
-        link.since = self._loop.time()
-        link.pool.idle.append(link)
+        connection.last_activity = self._loop.time()
+        connection.pool.idle.append(connection)
 
-    def _end(self, link: Link) -> None:
-        if link not in self.links:
+    def _close_connection(self, connection: UpstreamConnection) -> None:
+        if connection not in self.connections:
             return
-        del self.links[link]
-        for timer in (link.timer, link.late):
+        del self.connections[connection]
+        for timer in (connection.connect_timer, connection.health_check_timer):
             if timer is not None:
                 timer.cancel()
-        self._loop.remove_reader(link.sock)
-        self._loop.remove_writer(link.sock)
-        link.sock.close()
-        if link in link.pool.idle:
-            link.pool.idle.remove(link)
-
-    def _empty(self, pool: Pool) -> None:
-        for link in list(pool.idle):
-            self._end(link)
-
-    def close_idle(self, unit: Endpoint) -> None:
-        if (pool := self._pools.get(unit)) is not None:
-            self._empty(pool)
-
-    def _wear(self) -> None:
-        """Ends connections idle for long, and the pools of units that are gone."""
-        now = self._loop.time()
-        for unit, pool in list(self._pools.items()):
-            while pool.idle and pool.idle[0].since < now - self._idle_limit:
-                self._end(pool.idle[0])
-            if unit.status is EndpointStatus.REMOVED:
-                self._empty(pool)
-                pool.left = True
-                del self._pools[unit]
-
-    def shut(self) -> None:
-        for link in list(self.links):
-            self._end(link)
+        self._loop.remove_reader(connection.sock)
+        self._loop.remove_writer(connection.sock)
+        connection.sock.close()
+        if connection in connection.pool.idle:
+            connection.pool.idle.remove(connection)
+
+    def _close_idle_in(self, pool: EndpointPool) -> None:
+        for connection in list(pool.idle):
+            self._close_connection(connection)
+
+    def _retire(self, pool: EndpointPool) -> None:
+        """Closes its idle connections now, and the others as their requests end."""
+        self._close_idle_in(pool)
+        pool.retired = True
+
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Closes the endpoint's idle connections."""
+        pool = self._pools.get(endpoint)
+        if pool is not None:
+            self._close_idle_in(pool)
+
+    def _close_worn(self) -> None:
+        """Closes connections that were idle for too long, and drops the pools of removed endpoints."""
+        oldest = self._loop.time() - self._idle_limit
+        for endpoint, pool in list(self._pools.items()):
+            while pool.idle and pool.idle[0].last_activity < oldest:
+                self._close_connection(pool.idle[0])
+            if endpoint.status is EndpointStatus.REMOVED:
+                self._retire(pool)
+                del self._pools[endpoint]
+
+    def close_all(self) -> None:
+        """Closes every connection; requests on them get no outcome."""
+        for connection in list(self.connections):
+            self._close_connection(connection)
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -1,7 +1,7 @@
-"""What passes on connections to units in PostgreSQL's protocol: trips and probes, and how each came out.
+"""Attempts and health checks on upstream connections in PostgreSQL's protocol, and the outcome of each.
 
-docs/node.md has the table of fates. A trip can have run once its last byte was handed to the kernel, and no
-sooner. A connection carries one trip at a time, and another only after a whole answer with nothing behind it.
+docs/postgres-relay.md has the table of outcomes. An attempt can have run once its last byte was handed to the
+kernel, and no sooner.
 """
 
 from __future__ import annotations
@@ -15,282 +15,314 @@
 from lanelead.pgwire import messages
 from lanelead.pgwire.servers import Progress, QueryResult
 from lanelead.pgwire.statements import Statement
-from lanelead.postgres_relay.connection_pool import REST, Link, Pools
-from lanelead.postgres_relay.load_reports import report_of, still
+from lanelead.postgres_relay.connection_pool import (
+    REUSE_DELAY_SECONDS,
+    ConnectionPool,
+    PoolLimits,
+    UpstreamConnection,
+)
+from lanelead.postgres_relay.load_reports import is_idle_socket, parse_load_report
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
 
-BUFFER = 65536  # bytes read at once
-STARTUP = messages.startup("app", "shop")
-TURNED_AWAY = "53300"
-PROBE = messages.query(b"SHOW vitals")
+READ_BUFFER_BYTES = 65536
+STARTUP_MESSAGE = messages.startup("app", "shop")
+REJECTED_CODE = "53300"  # SQLSTATE too_many_connections
+HEALTH_CHECK_QUERY = messages.query(b"SHOW vitals")
 
 
-class Links(Pools):
+class UpstreamRequests(ConnectionPool):
+    """Starts attempts and health checks and reports their outcomes to the driver.
+
+    `report_names`: the load report fields to keep. `driver` has to be set before use; `after_event` is called
+    after the driver was notified of something.
+    """
+
     def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        connect_limit: float,
-        idle_limit: float,
-        most: int,
-        longest: int,
-        names: frozenset[str],
-        log: Any,
+        self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, report_names: frozenset[str], log: Any
     ) -> None:
-        super().__init__(loop, connect_limit, idle_limit, most, longest, log)
-        self._names = names
+        super().__init__(loop, limits, log)
+        self._report_names = report_names
         self.driver: DecisionDriver
-        self.after: Callable[[], None] = lambda: None
-        self.waiting: list[Attempt] = []  # trips to set out
-        self._probes: list[Endpoint] = []  # and units to probe
-        self._out: dict[Attempt, tuple[PendingRequest, Link | None]] = {}
-        self.reused = self.spoilt = 0
-        self.refused = self.unwelcome = 0  # connections that were refused, and that never came up
-
-    # Trips
-
-    def send(self, attempt: Attempt, pending: PendingRequest) -> None:
-        """Notes a trip; `set_out` sends it."""
-        self._out[attempt] = pending, None
-        self.waiting.append(attempt)
-
-    def probe(self, unit: Endpoint) -> None:
-        """Notes a probe; `set_out` sends it."""
-        self._probes.append(unit)
-
-    def set_out(self) -> None:
-        """Sends what was noted. Not from within a call of the driver's: what fails at once is told to it."""
-        while self.waiting or self._probes:
-            attempts, self.waiting = self.waiting, []
-            units, self._probes = self._probes, []
+        self.after_event: Callable[[], None] = lambda: None
+        self._waiting_attempts: list[Attempt] = []
+        self._waiting_health_checks: list[Endpoint] = []
+        self._in_flight: dict[Attempt, tuple[PendingRequest, UpstreamConnection | None]] = {}
+        self.reused_connections = 0
+        self.malformed_responses = 0
+        self.refused_connections = 0
+        self.handshake_timeouts = 0
+
+    # Attempts
+
+    def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        """Keeps an attempt for `start_waiting`."""
+        self._in_flight[attempt] = pending, None
+        self._waiting_attempts.append(attempt)
+
+    def enqueue_health_check(self, endpoint: Endpoint) -> None:
+        """Keeps a health check for `start_waiting`."""
+        self._waiting_health_checks.append(endpoint)
+
+    def start_waiting(self) -> None:
+        """Starts what is enqueued. Not to be called by the driver: it is notified of immediate failures."""
+        while self._waiting_attempts or self._waiting_health_checks:
+            attempts = self._waiting_attempts
+            self._waiting_attempts = []
+            endpoints = self._waiting_health_checks
+            self._waiting_health_checks = []
             for attempt in attempts:
-                self.go(attempt)
-            for unit in units:
-                self._probe(unit)
-
-    def abandon(self, attempt: Attempt) -> bool:
-        """Waits no longer for it; says whether it may have run."""
-        _, link = self._out.pop(attempt, (None, None))
-        if link is None:
+                self._start_attempt(attempt)
+            for endpoint in endpoints:
+                self._start_health_check(endpoint)
+
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        """Stops waiting for the response; returns whether the attempt may have run."""
+        _, connection = self._in_flight.pop(attempt, (None, None))
+        if connection is None:
             return False
-        link.trip = None
-        if link.connected:  # what is still connecting becomes an idle one
-            self._end(link)
-        return link.asked
-
-    def go(self, attempt: Attempt) -> None:
-        entry = self._out.get(attempt)
-        if entry is None:  # given up in the same breath
-            return
-        place = self.driver.destination_of(attempt)
-        if place is None:
-            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
+        connection.attempt = None
+        if connection.connected:  # one that is still connecting becomes idle
+            self._close_connection(connection)
+        return connection.query_sent
+
+    def _start_attempt(self, attempt: Attempt) -> None:
+        entry = self._in_flight.get(attempt)
+        if entry is None:  # cancelled before it started
             return
-        pool = self._pool(attempt.endpoint, place)
-        link = self._idle(pool)
-        if link is not None:
-            self.reused += 1
-        elif (link := self._open(pool)) is None:
-            self._ended(attempt, AttemptOutcome.NOT_SENT, None)
+        destination = self.driver.destination_of(attempt)
+        if destination is None:
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
             return
-        link.trip, self._out[attempt] = attempt, (entry[0], link)
-        if link.connected:
-            self._ask(link, self._text(attempt, entry[0].message))
+        pool = self._pool_for(attempt.endpoint, destination)
+        connection = self._take_idle(pool)
+        if connection is not None:
+            self.reused_connections += 1
+        else:
+            connection = self._open_connection(pool)
+            if connection is None:
+                self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
+                return
+        pending = entry[0]
+        connection.attempt = attempt
+        self._in_flight[attempt] = pending, connection
+        if connection.connected:
+            self._send_query(connection, self._statement_message(attempt, pending.message))
 
-    def _text(self, attempt: Attempt, statement: Statement) -> bytes:
-        left = attempt.sent_at + attempt.timeout - self.driver.decisions.now
-        return messages.query(statement.text(max(1, left // 10)))
+    def _statement_message(self, attempt: Attempt, statement: Statement) -> bytes:
+        time_left = attempt.sent_at + attempt.timeout - self.driver.decisions.now
+        return messages.query(statement.render(max(1, time_left // 10)))
 
-    def _ask(self, link: Link, text: bytes) -> None:
-        link.reader.expect()
-        link.asked = False
+    def _send_query(self, connection: UpstreamConnection, text: bytes) -> None:
+        connection.reader.begin_response()
+        connection.query_sent = False
         try:
-            size = link.sock.send(text)
+            size = connection.sock.send(text)
         except (BlockingIOError, InterruptedError):
             size = 0
         except OSError:
-            self._broken(link, "broke before its question")
+            self._fail_connection(connection)
             return
         if size == len(text):
-            link.asked = True
+            connection.query_sent = True
         else:
-            link.rest, link.writing = memoryview(text)[size:], True
-            self._loop.add_writer(link.sock, self._more, link)
+            connection.unsent = memoryview(text)[size:]
+            connection.writing = True
+            self._loop.add_writer(connection.sock, self._on_writable, connection)
 
-    def _more(self, link: Link) -> None:
-        """Writes what the kernel did not take at first, or finds out how a connection came up."""
-        if not link.writing:
-            self._up(link)
+    def _on_writable(self, connection: UpstreamConnection) -> None:
+        if not connection.writing:
+            self._on_connected(connection)
             return
         try:
-            link.rest = link.rest[link.sock.send(link.rest) :]
+            connection.unsent = connection.unsent[connection.sock.send(connection.unsent) :]
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._broken(link, "broke within its question")
-            self.after()
+            self._fail_connection(connection)
+            self.after_event()
             return
-        if not link.rest:
-            link.asked, link.writing = True, False
-            self._loop.remove_writer(link.sock)
+        if not connection.unsent:
+            connection.query_sent = True
+            connection.writing = False
+            self._loop.remove_writer(connection.sock)
 
-    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, answer: QueryResult | None) -> None:
-        if self._out.pop(attempt, None) is not None:
-            report = report_of(answer.report, self._names) if answer else None
-            self.driver.attempt_ended(attempt, outcome, answer, report)
+    def _attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, result: QueryResult | None) -> None:
+        if self._in_flight.pop(attempt, None) is not None:
+            report = parse_load_report(result.report, self._report_names) if result else None
+            self.driver.attempt_ended(attempt, outcome, result, report)
 
-    # What comes back
+    # Responses
 
-    def _read(self, link: Link) -> None:
+    def _on_readable(self, connection: UpstreamConnection) -> None:
         try:
-            data = link.sock.recv(BUFFER)
+            data = connection.sock.recv(READ_BUFFER_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
         if not data:
-            self._broken(link, "ended")
-            self.after()
+            self._fail_connection(connection)
+            self.after_event()
             return
-        rested, link.since = self._loop.time() - link.since, self._loop.time()
-        progress = link.reader.feed(data)
+        now = self._loop.time()
+        idle_seconds = now - connection.last_activity
+        connection.last_activity = now
+        reader = connection.reader
+        progress = reader.feed(data)
         if progress is Progress.WAITING:
             return
-        if progress is Progress.SPOILT:
-            self.spoilt += 1
-            idle = round(rested * 1000, 1) if link.trip is None and link.probe is None else None
-            self._log.info("spoilt answer", reason=link.reader.reason[:120], idle_ms=idle)
-            self._broken(link, "spoilt")
-        elif not link.connected:
-            self._welcomed(link)
-        elif link.writing and link.reader.answer and link.reader.answer.code != TURNED_AWAY:
-            # A unit begins once its question's last byte has come: this answers something else.
-            self.spoilt += 1
-            self._log.info("spoilt answer", reason="it came before its question was written whole")
-            self._broken(link, "early")
+        if progress is Progress.MALFORMED:
+            in_use = connection.attempt is not None or connection.health_check is not None
+            idle_ms = None if in_use else round(idle_seconds * 1000, 1)
+            self._fail_malformed(connection, reader.reason[:120], idle_ms=idle_ms)
+        elif not connection.connected:
+            self._on_ready(connection)
+        elif connection.writing and reader.response and reader.response.error_code != REJECTED_CODE:
+            # An endpoint begins once the query's last byte has come: this response is to something else.
+            self._fail_malformed(connection, "it came before the query was written completely")
         else:
-            self._answered(link)
-        self.after()
-
-    def _welcomed(self, link: Link) -> None:
-        link.connected = True
-        if link.timer is not None:
-            link.timer.cancel()
-            link.timer = None
-        attempt = link.trip
+            self._on_response(connection)
+        self.after_event()
+
+    def _on_ready(self, connection: UpstreamConnection) -> None:
+        """The endpoint has accepted the connection: what waits for it starts."""
+        connection.connected = True
+        if connection.connect_timer is not None:
+            connection.connect_timer.cancel()
+            connection.connect_timer = None
+        attempt = connection.attempt
         if attempt is not None:
-            if self.driver.destination_of(attempt) != link.pool.place:
-                link.trip = None
-                self._ended(attempt, AttemptOutcome.NOT_SENT, None)
-            else:
-                self._ask(link, self._text(attempt, self._out[attempt][0].message))
+            if self.driver.destination_of(attempt) == connection.pool.destination:
+                self._send_query(connection, self._statement_message(attempt, self._in_flight[attempt][0].message))
                 return
-        elif link.probe is not None:
-            self._ask(link, PROBE)
+            connection.attempt = None
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, None)
+        elif connection.health_check is not None:
+            self._send_query(connection, HEALTH_CHECK_QUERY)
             return
-        self._keep(link)
-
-    def _answered(self, link: Link) -> None:
-        answer = link.reader.answer
-        assert answer is not None
-        attempt, link.trip = link.trip, None
-        probe, link.probe = link.probe, None
-        whole, link.asked = link.asked, False
-        link.rested = self._loop.time() + REST
-        if link.reader.ready and whole:
-            self._keep(link)
+        self._keep_idle(connection)
+
+    def _on_response(self, connection: UpstreamConnection) -> None:
+        result = connection.reader.response
+        assert result is not None
+        attempt = connection.attempt
+        connection.attempt = None
+        health_check = connection.health_check
+        connection.health_check = None
+        query_sent = connection.query_sent
+        connection.query_sent = False
+        connection.reusable_at = self._loop.time() + REUSE_DELAY_SECONDS
+        if connection.reader.ready and query_sent:
+            self._keep_idle(connection)
         else:
-            self._end(link)
+            self._close_connection(connection)
         if attempt is not None:
-            if answer.code is None:
+            if result.error_code is None:
                 outcome = AttemptOutcome.SUCCEEDED
-            elif answer.code == TURNED_AWAY:
+            elif result.error_code == REJECTED_CODE:
                 outcome = AttemptOutcome.REJECTED
             else:
                 outcome = AttemptOutcome.ERROR
-            self._ended(attempt, outcome, answer)
-        if probe is not None:
-            report = report_of(answer.value, self._names) if answer.code is None else None
-            self._probed(probe, AttemptOutcome.SUCCEEDED if answer.code is None else AttemptOutcome.ERROR, link, report)
-
-    def _broken(self, link: Link, reason: str) -> None:
-        """The connection is of no more use. What was asked whole on it may have run."""
-        attempt, link.trip = link.trip, None
-        probe, link.probe = link.probe, None
-        asked = link.asked
-        self._end(link)
+            self._attempt_ended(attempt, outcome, result)
+        if health_check is not None:
+            if result.error_code is None:
+                report = parse_load_report(result.value, self._report_names)
+                self._health_check_ended(health_check, AttemptOutcome.SUCCEEDED, connection, report)
+            else:
+                self._health_check_ended(health_check, AttemptOutcome.ERROR, connection, None)
+
+    def _fail_malformed(self, connection: UpstreamConnection, reason: str, **facts: float | None) -> None:
+        self.malformed_responses += 1
+        self._log.info("malformed response", reason=reason, **facts)
+        self._fail_connection(connection)
+
+    def _fail_connection(self, connection: UpstreamConnection) -> None:
+        """Closes a connection that broke. A query that was sent completely may have run."""
+        attempt = connection.attempt
+        connection.attempt = None
+        health_check = connection.health_check
+        connection.health_check = None
+        outcome = AttemptOutcome.RESET if connection.query_sent else AttemptOutcome.CONNECT_FAILED
+        self._close_connection(connection)
         if attempt is not None:
-            self._ended(attempt, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, None)
-        if probe is not None:
-            self._probed(probe, AttemptOutcome.RESET if asked else AttemptOutcome.CONNECT_FAILED, link, None)
+            self._attempt_ended(attempt, outcome, None)
+        if health_check is not None:
+            self._health_check_ended(health_check, outcome, connection, None)
 
-    def _up(self, link: Link) -> None:
-        self._loop.remove_writer(link.sock)
+    def _on_connected(self, connection: UpstreamConnection) -> None:
+        self._loop.remove_writer(connection.sock)
         try:
-            fault = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if fault or link.sock.send(STARTUP) != len(STARTUP):
-                raise OSError(fault, "not connected")
+            error = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error or connection.sock.send(STARTUP_MESSAGE) != len(STARTUP_MESSAGE):
+                raise OSError(error, "not connected")
         except OSError:
-            self.refused += 1
-            self._broken(link, "refused")
-            self.after()
+            self.refused_connections += 1
+            self._fail_connection(connection)
+            self.after_event()
             return
-        self._loop.add_reader(link.sock, self._read, link)
+        self._loop.add_reader(connection.sock, self._on_readable, connection)
 
-    def _never_came_up(self, link: Link) -> None:
-        link.timer = None
-        if link in self.links and not link.connected:
-            self.unwelcome += 1
-            self._broken(link, "never came up")
-            self.after()
+    def _on_connect_timeout(self, connection: UpstreamConnection) -> None:
+        connection.connect_timer = None
+        if connection in self.connections and not connection.connected:
+            self.handshake_timeouts += 1
+            self._fail_connection(connection)
+            self.after_event()
 
     def sweep(self) -> None:
-        """To be called a few times a second: idle connections that are worn, pools of units that are gone,
-        and answers that stopped in the middle."""
-        self._wear()
-        now = self._loop.time()
-        # Guards against a unit that says a length and sends less: the trip would wait for its whole time.
-        stalled = [link for link in self.links if link.connected and link.trip and link.reader.began]
-        for link in stalled:
-            # What waits to be read was the relay's own delay, and is no fault of the unit's.
-            if link.since < now - self._connect_limit and still(link.sock):
-                self.spoilt += 1
-                self._log.info("spoilt answer", reason="it stopped in the middle")
-                self._broken(link, "stalled")
-        self.after()
-
-    # Probes
-
-    def _probe(self, unit: Endpoint) -> None:
-        place = self.driver.destinations.get(unit)
-        if place is None:
-            self._loop.call_soon(self._unprobed, unit)
-            return
-        pool = self._pool(unit, place)
-        link = self._idle(pool) or self._open(pool)
-        if link is None:
-            self._loop.call_soon(self._unprobed, unit)
+        """To be called a few times a second: closes worn connections and those with an incomplete response."""
+        self._close_worn()
+        oldest = self._loop.time() - self._connect_timeout
+        # Guards against an endpoint that sends less than it announced: the attempt would wait until its timeout.
+        incomplete = [
+            connection
+            for connection in self.connections
+            if connection.connected and connection.attempt and connection.reader.response_begun
+        ]
+        for connection in incomplete:
+            # Bytes that wait to be read were delayed by this relay, not by the endpoint.
+            if connection.last_activity < oldest and is_idle_socket(connection.sock):
+                self._fail_malformed(connection, "it stopped in the middle")
+        self.after_event()
+
+    # Health checks
+
+    def _start_health_check(self, endpoint: Endpoint) -> None:
+        destination = self.driver.destinations.get(endpoint)
+        connection = None
+        if destination is not None:
+            pool = self._pool_for(endpoint, destination)
+            connection = self._take_idle(pool) or self._open_connection(pool)
+        if connection is None:
+            self._loop.call_soon(self._health_check_not_sent, endpoint)
             return
-        link.probe, link.began = unit, self._loop.time()
-        link.late = self._loop.call_later(self._connect_limit, self._probe_late, link)
-        if link.connected:
-            self._ask(link, PROBE)
-
-    def _probe_late(self, link: Link) -> None:
-        link.late = None
-        if (unit := link.probe) is not None:
-            link.probe = None
-            self._end(link)
-            self._probed(unit, AttemptOutcome.TIMED_OUT, link, None)
-            self.after()
-
-    def _unprobed(self, unit: Endpoint) -> None:
-        self.driver.health_checked(unit, AttemptOutcome.CONNECT_FAILED, 0, None)
-        self.after()
-
-    def _probed(self, unit: Endpoint, outcome: AttemptOutcome, link: Link, report: LoadReport | None) -> None:
-        # Guards against the timer of this probe ending a later one on the same connection.
-        if link.late is not None:
-            link.late.cancel()
-            link.late = None
-        took: Ticks = max(0, int((self._loop.time() - link.began) * 10_000))
-        self.driver.health_checked(unit, outcome, took, report)
+        connection.health_check = endpoint
+        connection.health_check_started = self._loop.time()
+        connection.health_check_timer = self._loop.call_later(
+            self._connect_timeout, self._on_health_check_timeout, connection
+        )
+        if connection.connected:
+            self._send_query(connection, HEALTH_CHECK_QUERY)
+
+    def _on_health_check_timeout(self, connection: UpstreamConnection) -> None:
+        connection.health_check_timer = None
+        endpoint = connection.health_check
+        if endpoint is not None:
+            connection.health_check = None
+            self._close_connection(connection)
+            self._health_check_ended(endpoint, AttemptOutcome.TIMED_OUT, connection, None)
+            self.after_event()
+
+    def _health_check_not_sent(self, endpoint: Endpoint) -> None:
+        self.driver.health_checked(endpoint, AttemptOutcome.CONNECT_FAILED, 0, None)
+        self.after_event()
+
+    def _health_check_ended(
+        self, endpoint: Endpoint, outcome: AttemptOutcome, connection: UpstreamConnection, report: LoadReport | None
+    ) -> None:
+        # Guards against the timer of this health check ending a later one on the same connection.
+        if connection.health_check_timer is not None:
+            connection.health_check_timer.cancel()
+            connection.health_check_timer = None
+        took: Ticks = max(0, int((self._loop.time() - connection.health_check_started) * 10_000))
+        self.driver.health_checked(endpoint, outcome, took, report)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -18,8 +18,9 @@
 from tests import hollow
 from tests.fake_decisions_host import FakeHost
 from tests.hollow import SECOND, play
-from tests.platform import Platform, Unit, free_port, good, platform
-from tests.test_node_processes import ROOT, Relay
+from tests.postgres_platform import Platform, free_port, platform
+from tests.scripted_endpoints import ScriptedEndpoint, echo_id
+from tests.test_postgres_relay_processes import ROOT, Relay
 from tests.town import live
 
 RELAYS = (24, 40, 60)
@@ -82,12 +83,12 @@
         """Each one's part of an endpoint is a sixth of a request a second; the endpoints stay cold throughout."""
         at: dict[str, list[float]] = {}
 
-        async def noted(endpoint: Unit, payload: bytes) -> bytes:
-            at.setdefault(endpoint.name, []).append(time.monotonic())
-            return await good(endpoint, payload)
+        async def noted(unit: ScriptedEndpoint, text: bytes) -> bytes:
+            at.setdefault(unit.name, []).append(time.monotonic())
+            return await echo_id(unit, text)
 
         with mock.patch.object(Platform, "list_of", cold_list):
-            async with platform(*(Unit(f"u{number}", noted) for number in range(4))) as place:
+            async with platform(*(ScriptedEndpoint(f"u{number}", noted) for number in range(4))) as place:
                 async with contextlib.AsyncExitStack() as stack:
                     relays = [await stack.enter_async_context(cold_relay(place, n)) for n in range(6)]
                     for one in relays:
@@ -99,12 +100,12 @@
             self.assertLessEqual(window, may + 2 * sqrt(may) + 2)
 
 
-def cold_list(place: Platform, endpoints: list[Unit], full: bool = True) -> bytes:
-    """As the platform's own, but that all endpoints have just started."""
-    rollout = json.loads(LIST_OF(place, endpoints, full))
-    for row in rollout["servers"]:
+def cold_list(place: Platform, units: list[ScriptedEndpoint], full: bool = True) -> bytes:
+    """As the platform's own, but that all units have just started."""
+    endpoint_list = json.loads(LIST_OF(place, units, full))
+    for row in endpoint_list["servers"]:
         row["started_ms"] = STARTED
-    return json.dumps(rollout).encode()
+    return json.dumps(endpoint_list).encode()
 
 
 async def asked_until_served(one: Relay, number: int) -> None:
@@ -112,7 +113,7 @@
     client, count = await one.client(), 0
     while True:
         count += 1
-        answer = await client.ask(f"{number}a{count:x}")
+        answer = await client.request(f"{number}a{count:x}")
         if "E" not in answer:
             assert "D" in answer, answer
             return
