--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,31 +18,36 @@
 import click
 
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.member import Membership, Tempo
-from lanelead.membership.member_state import BEATS, HELPERS, Suspicion
-from lanelead.membership.messages import DEAD, Ask
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import INDIRECT_PROBES, ROUNDS_PER_PERIOD, MembershipTimings, Suspicion
+from lanelead.membership.messages import DEAD, PingRequest
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
-TEMPO = Tempo(3000, 600 * SECOND)
+TEMPO = MembershipTimings(3000, 600 * SECOND)
 
 
 class Plain(Membership):
     """SWIM without this project's and Lifeguard's departures."""
 
-    def _again(self) -> None:
-        probing = self._probing
-        if probing is None or probing.done or probing.to not in self._places or self._beat % BEATS != 1:
+    def _repeat_probe(self) -> None:
+        probing = self._probe
+        if (
+            probing is None
+            or probing.acknowledged
+            or probing.target not in self._peer_positions
+            or self._round % ROUNDS_PER_PERIOD != 1
+        ):
             return
-        for helper in self._draw(HELPERS, probing.to):
-            self._send(self._address(helper), Ask(*self._head(), probing.seq, probing.to))
+        for helper in self._sample_peers(INDIRECT_PROBES, probing.target):
+            self._send(self._address_of(helper), PingRequest(*self._header(), probing.sequence_number, probing.target))
 
-    def _feel(self, step: int) -> None:
+    def _adjust_local_health(self, step: int) -> None:
         pass
 
-    def _wait(self, suspicion: Suspicion) -> Ticks:
-        return self._tempo.least(len(self.rows))
+    def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
+        return self._timings.min_suspicion_time(len(self.records))
 
-    def _asks(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
+    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
         return False
 
 
@@ -80,10 +85,11 @@
                     town.stop(number, 2 * SECOND)
         town.run(town.now + SECOND)
     span = (town.now - first) / SECOND * case.many
-    accused = {(change.now.number, change.now.turn) for _, _, change in town.found if change.now.state == DEAD}
+    dead = [change.after for _, _, change in town.found if change.after.state == DEAD]
+    accused = {(record.number, record.incarnation) for record in dead}
     stopped = {(number, turn) for number, turn in accused if case.stops and number % 10 == 0}
     rates = (town.letters - letters) / span, (town.bytes - size) / span
-    suspected = sum(member.counts.suspected for member in town.members.values())
+    suspected = sum(member.counters.suspicions for member in town.members.values())
     known = []
     town.stopped.clear()
     for number in range(case.many - 1, case.many - 1 - case.kills, -1):
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -30,9 +30,9 @@
 from lanelead.protocols import datagrams
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
 from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
-from lanelead.runtime.endpoint_registry import FORM, HEAD, LOAD, ROW
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
-from lanelead.runtime.timers import EPOCH
+from lanelead.runtime.gossip_codec import HEADER_BYTES, IN_FLIGHT_ENTRY, MESSAGE_FORM, OUTCOME_ROW
+from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
+from lanelead.runtime.timers import CLOCK_START_TICKS
 
 UDP_HEAD = 28  # bytes of the IPv4 and UDP heads of a datagram; counted nowhere unless said
 CONNECTING: Ticks = 2500  # an attempt at a unit that is silent: the limit for connecting
@@ -111,7 +111,7 @@
     def __init__(
         self, size: Size, seed: int, rows: Sequence[EndpointMessage] | None = None, even: bool = False
     ) -> None:
-        self.size, self.seed, self.now = size, seed, EPOCH
+        self.size, self.seed, self.now = size, seed, CLOCK_START_TICKS
         self.chance = Random(f"fleet {seed}")
         self.rows = list(rows) if rows is not None else listing(size.units)
         self.reach: Callable[[int, str], bool] = lambda relay, unit: True  # does a relay's attempt get there?
@@ -141,7 +141,7 @@
         """For each whole plain relay, its echoes: which unit's mark stands for which."""
         first = max(self.hubs, self.size.watchers)
         plain = [relay.number for relay in self.relays if relay.number >= first]
-        marks = [LOAD.pack(zlib.crc32(row.unit.encode()) & 0xFFFF, 0)[:2] for row in self.rows]
+        marks = [IN_FLIGHT_ENTRY.pack(zlib.crc32(row.unit.encode()) & 0xFFFF, 0)[:2] for row in self.rows]
         echoes: dict[int, list[tuple[int, dict[bytes, bytes]]]] = {number: [] for number in plain}
         self._echo_numbers: dict[int, list[int]] = {number: [] for number in plain}
         for place, number in enumerate(range(len(self.relays), self.size.relays) if plain else ()):
@@ -169,7 +169,7 @@
                 gc.enable()
 
     def _make(self, relay: Hollow) -> None:
-        opening = ParameterReader([*pairs_of(settings(self.size, relay.number))])
+        opening = ParameterReader([*flatten_pairs(settings(self.size, relay.number))])
         request_classes, limits, quota = opening.request_classes(), opening.service_limits(), opening.resource_quota()
         relay.decisions = Balancer(
             place=opening.position(),
@@ -259,9 +259,9 @@
             sender, data = what
             relay.came["letters"] += 1
             relay.came["bytes"] += len(data)
-            seen = (data[0] & 31) * ROW.size
+            seen = (data[0] & 31) * OUTCOME_ROW.size
             relay.parts["sightings"] += seen
-            relay.parts["loads"] += len(data) - 2 - HEAD - seen
+            relay.parts["loads"] += len(data) - 2 - HEADER_BYTES - seen
             self._count(relay, "heard", self._heard, relay, sender, data)
         elif kind == "list":
             self._count(relay, "list", relay.driver.endpoints_listed, what, 0)
@@ -383,9 +383,9 @@
     """The same letter of other units."""
     payload = bytearray(data[:-2])
     count = payload[0] & 31
-    assert payload[0] >> 5 == FORM
-    end = HEAD + count * ROW.size
-    for place in [*range(HEAD, end, ROW.size), *range(end, len(payload), LOAD.size)]:
+    assert payload[0] >> 5 == MESSAGE_FORM
+    end = HEADER_BYTES + count * OUTCOME_ROW.size
+    for place in [*range(HEADER_BYTES, end, OUTCOME_ROW.size), *range(end, len(payload), IN_FLIGHT_ENTRY.size)]:
         mark = bytes(payload[place : place + 2])
         payload[place : place + 2] = marks.get(mark, mark)
     return datagrams.encode_plain(bytes(payload))
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -36,7 +36,7 @@
     UpdateScope,
 )
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
+from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
 
 UNITS = (26, 150, 780, 7800)
 RATE = 183  # lookups a second at one relay: its mean at the peak
@@ -128,7 +128,7 @@
 
 
 def opening(told: dict[str, Any]) -> ParameterReader:
-    return ParameterReader([*pairs_of(told)])
+    return ParameterReader([*flatten_pairs(told)])
 
 
 def decisions(
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -16,8 +16,8 @@
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND, OutcomeObservation
-from lanelead.runtime.endpoint_registry import encode_gossip
-from lanelead.runtime.timers import EPOCH
+from lanelead.runtime.gossip_codec import encode_gossip
+from lanelead.runtime.timers import CLOCK_START_TICKS
 
 UNITS = 13  # a relay
 SIZES, SMALL = (8, 9, 12, 20, 40, 100, 200, 400, 600), (8, 40)
@@ -113,7 +113,7 @@
         fleet = Fleet(Size(relays, UNITS * relays, 0.0, whole=1), 1)
         driver = fleet.relays[0].driver
         for second in range(SCORED if scored else 0):
-            fleet.now = EPOCH + second * SECOND
+            fleet.now = CLOCK_START_TICKS + second * SECOND
             for request_class in driver.request_classes.values():
                 seen = [OutcomeObservation(unit, request_class, 1, 7, [0] * 5) for unit in driver.destinations]
                 for text in encode_gossip(seen, list(driver.request_classes.values())):
--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -15,8 +15,9 @@
 from benchmarks.membership import TEMPO
 from benchmarks.slopes.series import Series, traced_mb
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.member import Address, Membership
-from lanelead.membership.messages import Row
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import Address
+from lanelead.membership.messages import MemberRecord
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 SUBJECT = "membership"
@@ -173,7 +174,7 @@
         meter = Meter(town)
         town.run(town.now + (seconds - 60) * SECOND)
         found.rates(f"{word}.meanwhile", many, meter.rates())
-    rows = sum(len(member.rows) for member in town.members.values()) / many
+    rows = sum(len(member.records) for member in town.members.values()) / many
     found.add(f"{word}.rows", many, rows)
     there = sum(len(view) for view in town.views()) / many
     found.add(f"{word}.there", many, there)
@@ -194,7 +195,7 @@
 
 def memory(many: int, found: Found) -> None:
     def one() -> Membership:
-        rows = [Row(n, 1_700_000_000_000 + n, 0, 0, False, "a", "a", f"10.0.{n}", 7946) for n in range(many)]
+        rows = [MemberRecord(n, 1_700_000_000_000 + n, 0, 0, False, "a", "a", f"10.0.{n}", 7946) for n in range(many)]
         return Membership(rows[0], TEMPO, [], Random(SEED), 0, rows[1:])
 
     found.add("memory", many, traced_mb(one)[0])
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -21,8 +21,8 @@
 from lanelead.decisions.interface import SECOND
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
-from lanelead.runtime.timers import EPOCH
+from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
+from lanelead.runtime.timers import CLOCK_START_TICKS
 
 UNITS, SMALL_UNITS = (26, 150, 780, 2600, 7800), (26, 150)
 REAL, REAL_SMALL = (26, 780, 2600, 7800), (26,)
@@ -55,7 +55,7 @@
     body = whole_list(units)
     size = Size(600, units, 0.0, whole=1)
     read = processor_us(lambda: read_endpoint_list(decode(body, EndpointList, 16 << 20)), rounds=3)
-    opening = processor_us(lambda: ParameterReader([*pairs_of(settings(size, 0))]).request_classes(), rounds=3)
+    opening = processor_us(lambda: ParameterReader([*flatten_pairs(settings(size, 0))]).request_classes(), rounds=3)
     fleet = Fleet(size, 1)
     relay = fleet.relays[0]
     taken = []
@@ -64,7 +64,7 @@
         fleet.start(relay)
         taken.append((relay.us("start"), relay.us("list")))
     relay.costs.clear()
-    fleet.now = EPOCH + 10
+    fleet.now = CLOCK_START_TICKS + 10
     fleet.at(fleet.now, "request", 0)
     fleet.size = replace(size, rate=1e-6)
     fleet.run(3.0)
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -10,13 +10,14 @@
 from typing import Any
 
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.member import Address, Membership, Tempo
-from lanelead.membership.messages import ALIVE, STATES, Row
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import Address, MembershipTimings
+from lanelead.membership.messages import ALIVE, STATE_NAMES, MemberRecord
 from lanelead.protocols import datagrams
 from lanelead.settings import records
 
 
-class Circle:
+class MembershipTransport:
     """Decides nothing: the members' own module does, lanelead/membership/member.py."""
 
     def __init__(
@@ -31,7 +32,7 @@
         assert circle is not None and peers is not None
         self._loop, self._udp, self._clock, self._log = loop, udp, clock, log
         host, port = udp.getsockname()[:2]
-        own = Row(
+        own = MemberRecord(
             settings.number,
             time.time_ns() // 1_000_000,
             0,
@@ -42,18 +43,18 @@
             host,
             port,
         )
-        tempo = Tempo(records.ticks(circle.period_ms), records.ticks(circle.forget_ms))
+        tempo = MembershipTimings(records.ticks(circle.period_ms), records.ticks(circle.forget_ms))
         # Where peers are written down, their addresses stand above those that others tell.
         listed = {other.number: (other.host, other.port) for other in peers.others}
         seeds = [(seed.host, seed.port) for seed in circle.seeds] or list(listed.values())
-        self.members = Membership(own, tempo, seeds, Random(f"circle {own.number} {own.life}"), clock())
-        self.members.addresses.update(listed)
+        self.members = Membership(own, tempo, seeds, Random(f"circle {own.number} {own.started_at_ms}"), clock())
+        self.members.configured_addresses.update(listed)
         self._count, self.unsent = 0, 0
         self._timer: asyncio.TimerHandle | None = None
         self._arm()
 
     def _arm(self) -> None:
-        wait = max(0, self.members.due() - self._clock()) / 10_000
+        wait = max(0, self.members.next_round_at() - self._clock()) / 10_000
         self._timer = self._loop.call_later(wait + 5e-4, self._fire)
 
     def _fire(self) -> None:
@@ -77,13 +78,15 @@
         changes, self.members.changes = self.members.changes, []
         for before, now in changes:
             if now.number != self.members.own.number:
-                was = "unknown" if before is None else STATES[before.state]
-                self._log.info("member", member=now.number, life=now.life, state=STATES[now.state], was=was)
-            elif self.members.over is not None:
-                self._log.error("replaced: a later life of this relay's number is there", life=now.life)
+                was = "unknown" if before is None else STATE_NAMES[before.state]
+                self._log.info(
+                    "member", member=now.number, life=now.started_at_ms, state=STATE_NAMES[now.state], was=was
+                )
+            elif self.members.replaced_by is not None:
+                self._log.error("replaced: a later life of this relay's number is there", life=now.started_at_ms)
 
     def leave(self) -> None:
-        if self.members.over is None:
+        if self.members.replaced_by is None:
             self.members.leave(self._clock())
             self._carry()
 
@@ -92,15 +95,15 @@
             self._timer.cancel()
 
     def state(self) -> dict[str, Any]:
-        counts = self.members.counts
+        counts = self.members.counters
         return {
-            "present": len(self.members.present()),
-            "health": self.members.health,
-            "sent": counts.sent,
-            "bytes": counts.bytes,
-            "suspected": counts.suspected,
-            "refuted": counts.refuted,
-            "syncs": counts.syncs,
-            "unread": counts.unread,
+            "present": len(self.members.present_members()),
+            "health": self.members.local_health,
+            "sent": counts.messages_sent,
+            "bytes": counts.bytes_sent,
+            "suspected": counts.suspicions,
+            "refuted": counts.refutations,
+            "syncs": counts.table_requests,
+            "unread": counts.undecodable,
             "unsent": self.unsent,
         }
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -24,7 +24,7 @@
 from lanelead.decisions.zone_spillover import ANYWHERE
 from lanelead.http.client import CallFailedError, call, stream
 from lanelead.http_relay.client_listener import Gate
-from lanelead.http_relay.membership_transport import Circle
+from lanelead.http_relay.membership_transport import MembershipTransport
 from lanelead.http_relay.upstream_requests import Links
 from lanelead.migrations.readiness import Readiness
 from lanelead.protocols import datagrams
@@ -40,7 +40,7 @@
 from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.timers import Clock
+from lanelead.runtime.timers import LoopClock
 from lanelead.settings import records
 
 Seam = Callable[[Decisions], Decisions]  # for tests only: takes a guard out, from outside the decisions
@@ -55,7 +55,7 @@
         self._stop = asyncio.Event()
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._feeds: dict[str, asyncio.Task[None]] = {}
-        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
+        self._clock = LoopClock(self._loop, lambda: self.driver.next_timer(), self._tick)
         self.clock = self._clock.now
         self._sent = 0
         self._offset: Ticks | None = None
@@ -67,7 +67,7 @@
         self._links: Links
         self.driver: DecisionDriver
         self.gate: Gate
-        self.circle: Circle | None = None
+        self.circle: MembershipTransport | None = None
 
     def _build(self) -> None:
         settings, service = self._settings, self._settings.service
@@ -137,7 +137,7 @@
         if self._settings.peers is not None:
             self._open_peers(self._settings.peers)
         if self._settings.circle is not None and self._udp is not None:
-            self.circle = Circle(self._settings, self._loop, self._udp, self.clock, self._log)
+            self.circle = MembershipTransport(self._settings, self._loop, self._udp, self.clock, self._log)
         # A relay without a list would shed all: it waits for one, but not for ever.
         try:
             async with asyncio.timeout(self._settings.roster.most_wait_ms / 1000):
@@ -427,7 +427,7 @@
         assert self._udp is not None
         for _ in range(64):  # bounded, so that a flood leaves time for lookups
             try:
-                data, source = self._udp.recvfrom(datagrams.LARGEST + 1)
+                data, source = self._udp.recvfrom(datagrams.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
@@ -435,7 +435,7 @@
             letter = datagrams.decode_datagram(data, self._settings.relays)
             if isinstance(letter, str):
                 self._drop(letter)
-            elif letter.circle:
+            elif letter.membership:
                 if self.circle is None:
                     self._drop("no circle")
                 else:
--- a/lanelead/membership/anti_entropy.py
+++ b/lanelead/membership/anti_entropy.py
@@ -2,89 +2,98 @@
 
 from __future__ import annotations
 
-from lanelead.membership.member_state import BEATS, PAGES, UNHEARD, Address
-from lanelead.membership.member_table import Rows
-from lanelead.membership.messages import DEAD, Join, Ping, Row, Table, write
+from lanelead.membership.member_state import (
+    MAX_PAGES_PER_REQUEST,
+    RECONNECT_INTERVAL_PERIODS,
+    ROUNDS_PER_PERIOD,
+    Address,
+)
+from lanelead.membership.member_table import MemberTable
+from lanelead.membership.messages import DEAD, MemberRecord, Ping, TablePage, TableRequest, encode_message
 
 
-class Tables(Rows):
+class AntiEntropy(MemberTable):
     """Whom a member asks for a table, and what it answers to those that ask."""
 
-    def _seek(self) -> None:
-        if self._sync is not None:
-            to, first, until, tries = self._sync
+    def _synchronize(self) -> None:
+        if self._table_transfer is not None:
+            to, first, until, tries = self._table_transfer
             if self.now >= until:
-                self._sync = None
+                self._table_transfer = None
                 if tries > 0:
-                    self._call(to, first, tries - 1)
-        if self._beat % BEATS:
+                    self._request_table(to, first, tries - 1)
+        if self._round % ROUNDS_PER_PERIOD:
             return
-        if not self.joined and self._sync is None:
-            self._call(self._rng.choice(self._seeds), 0, 0)
-        elif not self._members or self._rng.random() < 1 / UNHEARD:
-            self._look()  # one that is alone has nothing else to ask, and its periods have grown long
+        if not self.joined and self._table_transfer is None:
+            self._request_table(self._rng.choice(self._seeds), 0, 0)
+        elif not self._peers or self._rng.random() < 1 / RECONNECT_INTERVAL_PERIODS:
+            self._ping_absent_member()  # one that is alone has nothing else to ask, and its periods have grown long
 
-    def _look(self) -> None:
+    def _ping_absent_member(self) -> None:
         """Pings one that may be there unheard of: a dead one, a seed, or where one forgotten was. Whoever is
         there answers with its own row, and the digests differ. Seeds that are there already cost nothing."""
-        dead = [number for number in self._gone if self.rows[number].state == DEAD]
-        here = set(map(self._address, self._places))
+        dead = [number for number in self._departed_at if self.records[number].state == DEAD]
+        here = set(map(self._address_of, self._peer_positions))
         # A seed that is kept too is called on no more often than others: it may be dead for good.
-        spots = dict.fromkeys([*self._seeds, *(address for address, _ in self._kept.values())])
+        spots = dict.fromkeys([*self._seeds, *(address for address, _ in self._remembered_addresses.values())])
         unheard = [spot for spot in spots if spot not in here]
         if not dead and not unheard:
             return
         drawn = self._rng.randrange(len(dead) + len(unheard))
         if drawn < len(dead):
-            self._ping(dead[drawn], self._next())
+            self._send_ping(dead[drawn], self._next_sequence_number())
         else:  # whoever it is: its number and life are not known
-            self._send(unheard[drawn - len(dead)], Ping(*self._head(), self._next(), self.own.number, 0))
+            self._send(
+                unheard[drawn - len(dead)], Ping(*self._header(), self._next_sequence_number(), self.own.number, 0)
+            )
 
-    def _call(self, to: Address, first: int, tries: int) -> None:
-        self._sync = to, first, self.now + self._span(), tries
-        self.counts.syncs += 1
-        self._send(to, Join(*self._head(), first, False), [self.own])
+    def _request_table(self, to: Address, first: int, tries: int) -> None:
+        self._table_transfer = to, first, self.now + self._probe_period(), tries
+        self.counters.table_requests += 1
+        self._send(to, TableRequest(*self._header(), first, False), [self.own])
 
-    def _differs(self, source: Address, unknown: bool) -> None:
+    def _handle_digest_mismatch(self, source: Address, unknown: bool) -> None:
         """The other takes others to be there: what gossip under way would tell is not asked for."""
-        if self._sync is None and (unknown or self.now - self._changed > self._tempo.least(len(self.rows))):
-            self._call(source, 0, 3)
+        if self._table_transfer is None and (
+            unknown or self.now - self._last_change_at > self._timings.min_suspicion_time(len(self.records))
+        ):
+            self._request_table(source, 0, 3)
 
-    def _show(self, call: Join, source: Address) -> None:
-        ordered = sorted(number for number in self.rows if number >= call.first)
+    def _send_table(self, call: TableRequest, source: Address) -> None:
+        ordered = sorted(number for number in self.records if number >= call.first_number)
         place = 0
-        for page in range(PAGES):
+        for page in range(MAX_PAGES_PER_REQUEST):
             first = ordered[place] if place < len(ordered) else 65536
-            rows = [self.rows[number] for number in ordered[place : place + 12]]
-            letter = Table(*self._head(), call.first if page == 0 else first, 0, False)
-            place += self._page_of(letter, rows, source, ordered, place, page)
+            rows = [self.records[number] for number in ordered[place : place + 12]]
+            letter = TablePage(*self._header(), call.first_number if page == 0 else first, 0, False)
+            place += self._send_page(letter, rows, source, ordered, place, page)
             if place >= len(ordered):
                 break
 
-    def _page_of(
-        self, letter: Table, rows: list[Row], source: Address, ordered: list[int], place: int, page: int
+    def _send_page(
+        self, letter: TablePage, rows: list[MemberRecord], source: Address, ordered: list[int], place: int, page: int
     ) -> int:
-        sizing = Table(*self._head(), letter.first, 65536, True)
-        taken = len(write(sizing, rows)[1])
+        sizing = TablePage(*self._header(), letter.first_number, 65536, True)
+        taken = len(encode_message(sizing, rows)[1])
         after = place + taken
-        letter.then = ordered[after] if after < len(ordered) else 65536
-        letter.more = page < PAGES - 1 and letter.then < 65536
-        text, _ = write(letter, rows[:taken])
-        self.counts.sent += 1
-        self.counts.bytes += len(text)
+        letter.next_number = ordered[after] if after < len(ordered) else 65536
+        letter.more_follows = page < MAX_PAGES_PER_REQUEST - 1 and letter.next_number < 65536
+        text, _ = encode_message(letter, rows[:taken])
+        self.counters.messages_sent += 1
+        self.counters.bytes_sent += len(text)
         self.outbox.append((source, text))
         return taken
 
-    def _page(self, table: Table, source: Address) -> None:
-        self._met = True
-        if self._sync is None:
+    def _handle_page(self, table: TablePage, source: Address) -> None:
+        self._contacted = True
+        if self._table_transfer is None:
             return
-        to, first, _, _ = self._sync
-        if table.first != first:
+        to, first, _, _ = self._table_transfer
+        if table.first_number != first:
             return  # one before it was lost: asked for again when time is up
-        if table.then >= 65536:
-            self._sync = None
-        elif table.more:
-            self._sync = to, table.then, self.now + self._span(), 3
+        if table.next_number >= 65536:
+            self._table_transfer = None
+        elif table.more_follows:
+            self._table_transfer = to, table.next_number, self.now + self._probe_period(), 3
         else:
-            self._call(to, table.then, 3)
+            self._request_table(to, table.next_number, 3)
--- a/lanelead/membership/commands.py
+++ b/lanelead/membership/commands.py
@@ -11,37 +11,44 @@
 
 import click
 
-from lanelead.membership.messages import STATES, Join, Row, Table, read, write
+from lanelead.membership.messages import (
+    STATE_NAMES,
+    MemberRecord,
+    TablePage,
+    TableRequest,
+    decode_message,
+    encode_message,
+)
 from lanelead.protocols import datagrams
 
-GUEST = 65535  # the sender's number of one that's no member
-TRIES = 5
+OBSERVER_NUMBER = 65535  # the sender's number of one that's no member
+MAX_TRIES = 5
 
 
-def table(host: str, port: int, limit: float = 1.0) -> list[Row]:
+def fetch_table(host: str, port: int, limit: float = 1.0) -> list[MemberRecord]:
     """The table of the relay whose peers listen there. Raises TimeoutError where it doesn't answer `TRIES`
     times in `limit` seconds each, and OSError where nothing is there."""
-    rows: dict[int, Row] = {}
+    rows: dict[int, MemberRecord] = {}
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as sock:
         sock.connect((host, port))
-        first, tries = 0, TRIES
+        first, tries = 0, MAX_TRIES
         while first < 65536:
-            text, _ = write(Join(GUEST, 0, 0, [], [], first, True))
-            sock.send(datagrams.encode_datagram(GUEST, tries, text, datagrams.MEMBERSHIP_MAGIC))
+            text, _ = encode_message(TableRequest(OBSERVER_NUMBER, 0, 0, [], [], first, True))
+            sock.send(datagrams.encode_datagram(OBSERVER_NUMBER, tries, text, datagrams.MEMBERSHIP_MAGIC))
             began, until, more = first, time.monotonic() + limit, True
             while more and first < 65536 and (left := until - time.monotonic()) > 0:
                 sock.settimeout(left)
                 try:
-                    data = sock.recv(datagrams.LARGEST + 1)
+                    data = sock.recv(datagrams.MAX_DATAGRAM_BYTES + 1)
                 except TimeoutError:
                     break
                 letter = datagrams.decode_datagram(data, 0)
-                page = read(letter.payload) if not isinstance(letter, str) and letter.circle else None
-                if isinstance(page, Table) and page.first == first:
-                    rows |= {row.number: row for row in page.rows}
-                    first, more = page.then, page.more
-            tries = tries - 1 if first == began else TRIES
+                page = decode_message(letter.payload) if not isinstance(letter, str) and letter.membership else None
+                if isinstance(page, TablePage) and page.first_number == first:
+                    rows |= {row.number: row for row in page.records}
+                    first, more = page.next_number, page.more_follows
+            tries = tries - 1 if first == began else MAX_TRIES
             if not tries:
                 raise TimeoutError
     return sorted(rows.values(), key=lambda row: row.number)
@@ -52,17 +59,17 @@
     """Which relays are there, as one of them sees it."""
 
 
-AT = click.option("--at", required=True, metavar="HOST:PORT", help="Where a relay's peers.listen is.")
-JSON = click.option("--json", "plain", is_flag=True, help="One JSON object, for programs.")
+AT_OPTION = click.option("--at", required=True, metavar="HOST:PORT", help="Where a relay's peers.listen is.")
+JSON_OPTION = click.option("--json", "plain", is_flag=True, help="One JSON object, for programs.")
 
 
-def _ask(at: str) -> list[Row]:
+def _fetch_or_exit(at: str) -> list[MemberRecord]:
     host, _, port = at.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         click.echo(f"{at!r} is no HOST:PORT; give the relay's peers.listen, as in 127.0.0.1:7946", err=True)
         sys.exit(2)
     try:
-        return table(host.strip("[]"), int(port))
+        return fetch_table(host.strip("[]"), int(port))
     except (TimeoutError, OSError) as fault:
         reason = "no answer" if isinstance(fault, TimeoutError) else fault.strerror or str(fault)
         click.echo(
@@ -73,36 +80,47 @@
         sys.exit(1)
 
 
-def _since(row: Row) -> str:
-    return datetime.fromtimestamp(row.life / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S")
+def _start_time(row: MemberRecord) -> str:
+    return datetime.fromtimestamp(row.started_at_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
 @membership.command()
-@AT
-@JSON
+@AT_OPTION
+@JSON_OPTION
 def members(at: str, plain: bool) -> None:
     """Every member that it knows: state, life, zone, region, address."""
-    rows = _ask(at)
+    rows = _fetch_or_exit(at)
     if plain:
-        keys = ("number", "life", "turn", "zone", "region", "host", "port")
-        told = [{key: getattr(row, key) for key in keys} | {"state": STATES[row.state]} for row in rows]
+        told = [
+            {
+                "number": row.number,
+                "life": row.started_at_ms,
+                "turn": row.incarnation,
+                "zone": row.zone,
+                "region": row.region,
+                "host": row.host,
+                "port": row.port,
+                "state": STATE_NAMES[row.state],
+            }
+            for row in rows
+        ]
         click.echo(json.dumps({"members": told}))
         return
     click.echo(f"{'relay':>6}  {'state':8}{'started (UTC)':21}{'turn':>5}  {'zone':12}{'region':12}address")
     for row in rows:
         click.echo(
-            f"{row.number:>6}  {STATES[row.state]:8}{_since(row):21}{row.turn:>5}  "
+            f"{row.number:>6}  {STATE_NAMES[row.state]:8}{_start_time(row):21}{row.incarnation:>5}  "
             f"{row.zone:12}{row.region:12}{row.host}:{row.port}"
         )
 
 
 @membership.command()
-@AT
-@JSON
+@AT_OPTION
+@JSON_OPTION
 def status(at: str, plain: bool) -> None:
     """How many are in each state, by region and zone."""
-    rows = _ask(at)
-    counts = Counter((row.region, row.zone, STATES[row.state]) for row in rows)
+    rows = _fetch_or_exit(at)
+    counts = Counter((row.region, row.zone, STATE_NAMES[row.state]) for row in rows)
     if plain:
         told = [
             {"region": region, "zone": zone, "state": state, "members": many}
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -24,209 +24,217 @@
 import msgspec
 
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.anti_entropy import Tables
-from lanelead.membership.member_state import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
+from lanelead.membership.anti_entropy import AntiEntropy
+from lanelead.membership.member_state import (
+    GOSSIP_FANOUT,
+    INDIRECT_PROBES,
+    ROUNDS_PER_PERIOD,
+    SUSPICION_CONFIRMATIONS,
+    Address,
+    Probe,
+    Suspicion,
+)
 from lanelead.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECT,
     Ack,
-    AnyLetter,
-    Ask,
-    Claim,
+    AnyMessage,
     Gossip,
-    Join,
+    MemberRecord,
     Nack,
     Ping,
-    Row,
-    Table,
-    read,
+    PingRequest,
+    StateClaim,
+    TablePage,
+    TableRequest,
+    decode_message,
 )
 
-__all__ = ["Address", "Change", "Membership", "Tempo"]
-
 
-class Membership(Tables):
+class Membership(AntiEntropy):
     """A member: what the host tells it, its answers, and the detector."""
 
     # What the host tells
 
     def receive(self, text: bytes, source: Address, now: Ticks) -> None:
         self.now = now
-        letter = read(text)
+        letter = decode_message(text)
         if letter is None:
-            self.counts.unread += 1
+            self.counters.undecodable += 1
             return
-        if self.over is not None:
+        if self.replaced_by is not None:
             return
-        guest = isinstance(letter, Join) and letter.guest
+        guest = isinstance(letter, TableRequest) and letter.observer
         if not guest and letter.sender == self.own.number:
-            if letter.life > self.own.life:
-                self._replaced(msgspec.structs.replace(self.own, life=letter.life))
+            if letter.started_at_ms > self.own.started_at_ms:
+                self._mark_replaced(msgspec.structs.replace(self.own, started_at_ms=letter.started_at_ms))
             return
-        known = self.rows.get(letter.sender)
-        if not guest and known is not None and known.life > letter.life:
+        known = self.records.get(letter.sender)
+        if not guest and known is not None and known.started_at_ms > letter.started_at_ms:
             # An earlier life that still speaks: it's told that it is over, and nothing it says counts.
-            self._send(source, Gossip(*self._head()), [known])
+            self._send(source, Gossip(*self._header()), [known])
             return
-        for row in () if guest else letter.rows:
-            self._merge(row)
+        for row in () if guest else letter.records:
+            self._merge_record(row)
         for claim in () if guest else letter.claims:
-            self._hear(claim)
-        if self.over is not None:
+            self._merge_claim(claim)
+        if self.replaced_by is not None:
             return
-        known = self.rows.get(letter.sender)
-        self._answer(letter, source, known)
+        known = self.records.get(letter.sender)
+        self._reply(letter, source, known)
         if not guest and (known is None or letter.digest != self._digest):
-            self._differs(source, known is None)
+            self._handle_digest_mismatch(source, known is None)
 
     def tick(self, now: Ticks) -> None:
         """Work that is due. A host that comes late is slow itself: it counts against its own health."""
         self.now = now
-        if self.over is not None:
-            self._beat_at = now + self._tempo.period
+        if self.replaced_by is not None:
+            self._next_round_at = now + self._timings.period
             return
-        if now < self._beat_at:
+        if now < self._next_round_at:
             return
-        late = now - self._beat_at
-        span = self._span() // BEATS
-        if late > self._tempo.period:
-            self._feel(1)
+        late = now - self._next_round_at
+        span = self._probe_period() // ROUNDS_PER_PERIOD
+        if late > self._timings.period:
+            self._adjust_local_health(1)
             # It was stopped or starved: what it waited for may lie unread. Nobody is blamed for that.
-            if self._probing is not None:
-                self._probing = None
-                self._beat = 0
+            if self._probe is not None:
+                self._probe = None
+                self._round = 0
             for suspicion in self._suspicions.values():
                 suspicion.since = max(suspicion.since + late, suspicion.since)
-        self._beat_at = max(now + 1, self._beat_at + span if late < span else now + span)
-        if self._beat % BEATS == 0:
-            self._period()
+        self._next_round_at = max(now + 1, self._next_round_at + span if late < span else now + span)
+        if self._round % ROUNDS_PER_PERIOD == 0:
+            self._start_period()
         else:
-            self._again()
-        self._beat += 1
-        self._expire()
-        self._gossip()
-        self._seek()
+            self._repeat_probe()
+        self._round += 1
+        self._expire_suspicions()
+        self._send_gossip()
+        self._synchronize()
 
     def leave(self, now: Ticks) -> None:
         """Tells some members that this one goes of its own will."""
         self.now = now
-        self.own = msgspec.structs.replace(self.own, turn=self.own.turn + 1, state=LEFT)
-        self._set(self.own)
-        for number in self._draw(2 * FAN):
+        self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, state=LEFT)
+        self._store_record(self.own)
+        for number in self._sample_peers(2 * GOSSIP_FANOUT):
             self._send(
-                self._address(number),
-                Gossip(*self._head()),
-                [Claim(self.own.number, self.own.life, self.own.turn, LEFT, self.own.number)],
+                self._address_of(number),
+                Gossip(*self._header()),
+                [StateClaim(self.own.number, self.own.started_at_ms, self.own.incarnation, LEFT, self.own.number)],
             )
 
     # Answers
 
-    def _answer(self, letter: AnyLetter, source: Address, known: Row | None) -> None:
+    def _reply(self, letter: AnyMessage, source: Address, known: MemberRecord | None) -> None:
         sender = letter.sender
         match letter:
             case Ping():
                 # The row goes along where the other may not know it, or knows another life.
-                same = (letter.to, letter.to_life) == (self.own.number, self.own.life)
-                mine: list[Row | Claim] = [] if same and known and not letter.claims else [self.own]
-                self._send(source, Ack(*self._head(), letter.seq), [*mine, *self._ill(sender)])
+                same = (letter.target, letter.target_started_at_ms) == (self.own.number, self.own.started_at_ms)
+                mine: list[MemberRecord | StateClaim] = [] if same and known and not letter.claims else [self.own]
+                self._send(source, Ack(*self._header(), letter.sequence_number), [*mine, *self._claims_against(sender)])
             case Ack():
-                self._answered(letter)
+                self._handle_ack(letter)
             case Nack():
-                if self._probing is not None and self._probing.seq == letter.seq:
-                    self._probing.nacks += 1
-            case Ask() if letter.to in self.rows and letter.to != self.own.number:
-                if len(self._helping) < 64:  # bounded: a flood of asks costs pings, not memory
-                    seq = self._next()
-                    until = self.now + self._tempo.period // BEATS
-                    self._helping[seq] = Probing(seq, letter.to, until, (sender, letter.seq))
-                    self._ping(letter.to, seq)
-            case Join():
-                self._show(letter, source)
-            case Table():
-                self._page(letter, source)
+                if self._probe is not None and self._probe.sequence_number == letter.sequence_number:
+                    self._probe.nacks += 1
+            case PingRequest() if letter.target in self.records and letter.target != self.own.number:
+                if len(self._relayed_probes) < 64:  # bounded: a flood of asks costs pings, not memory
+                    seq = self._next_sequence_number()
+                    until = self.now + self._timings.period // ROUNDS_PER_PERIOD
+                    self._relayed_probes[seq] = Probe(seq, letter.target, until, (sender, letter.sequence_number))
+                    self._send_ping(letter.target, seq)
+            case TableRequest():
+                self._send_table(letter, source)
+            case TablePage():
+                self._handle_page(letter, source)
             case _:
                 pass
 
-    def _answered(self, ack: Ack) -> None:
-        if (helped := self._helping.pop(ack.seq, None)) is not None and helped.asker is not None:
-            asker, seq = helped.asker
-            if asker in self.rows:
-                subject = self.rows.get(helped.to)
+    def _handle_ack(self, ack: Ack) -> None:
+        if (helped := self._relayed_probes.pop(ack.sequence_number, None)) is not None and helped.requester is not None:
+            asker, seq = helped.requester
+            if asker in self.records:
+                subject = self.records.get(helped.target)
                 forced = [subject] if subject is not None and not subject.gone else []
-                self._send(self._address(asker), Ack(*self._head(), seq), forced)
+                self._send(self._address_of(asker), Ack(*self._header(), seq), forced)
             return
-        probing = self._probing
-        if probing is not None and ack.seq == probing.seq and not probing.done:
-            probing.done = True
-            self._feel(-1)
+        probing = self._probe
+        if probing is not None and ack.sequence_number == probing.sequence_number and not probing.acknowledged:
+            probing.acknowledged = True
+            self._adjust_local_health(-1)
 
     # The detector
 
-    def _period(self) -> None:
-        last = self._probing
-        if last is not None and not last.done and last.to in self.rows:
-            row = self.rows[last.to]
-            missed = last.helpers - last.nacks
+    def _start_period(self) -> None:
+        last = self._probe
+        if last is not None and not last.acknowledged and last.target in self.records:
+            row = self.records[last.target]
+            missed = last.helpers_asked - last.nacks
             # Lifeguard 3.1: helpers that say nothing either point at this member's own line.
-            self._feel(1 if missed > 0 or not last.helpers else 0)
+            self._adjust_local_health(1 if missed > 0 or not last.helpers_asked else 0)
             if row.state == ALIVE:
-                self.counts.suspected += 1
-                self._suspect(msgspec.structs.replace(row, state=SUSPECT), self.own.number)
-            elif row.state == SUSPECT and (suspicion := self._suspicions.get(last.to)) is not None:
-                suspicion.asked = True
-                if self.own.number not in suspicion.by and len(suspicion.by) <= ENOUGH:
-                    suspicion.by[self.own.number] = None
-                    self._tell(Claim(row.number, row.life, row.turn, SUSPECT, self.own.number))
-        self._probing = None
-        while self._ring or self._members:
-            if not self._ring:
-                self._ring = self._members.copy()
-                self._rng.shuffle(self._ring)
-            number = self._ring.pop()
-            if number in self._places:
-                self._probing = Probing(self._next(), number, self.now + self._span())
-                self._ping(number, self._probing.seq)
+                self.counters.suspicions += 1
+                self._start_suspicion(msgspec.structs.replace(row, state=SUSPECT), self.own.number)
+            elif row.state == SUSPECT and (suspicion := self._suspicions.get(last.target)) is not None:
+                suspicion.probed = True
+                if self.own.number not in suspicion.reporters and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS:
+                    suspicion.reporters[self.own.number] = None
+                    self._disseminate(
+                        StateClaim(row.number, row.started_at_ms, row.incarnation, SUSPECT, self.own.number)
+                    )
+        self._probe = None
+        while self._probe_order or self._peers:
+            if not self._probe_order:
+                self._probe_order = self._peers.copy()
+                self._rng.shuffle(self._probe_order)
+            number = self._probe_order.pop()
+            if number in self._peer_positions:
+                self._probe = Probe(self._next_sequence_number(), number, self.now + self._probe_period())
+                self._send_ping(number, self._probe.sequence_number)
                 break
 
-    def _again(self) -> None:
-        probing = self._probing
-        if probing is None or probing.done or probing.to not in self._places:
+    def _repeat_probe(self) -> None:
+        probing = self._probe
+        if probing is None or probing.acknowledged or probing.target not in self._peer_positions:
             return
-        self._ping(probing.to, probing.seq)
-        for helper in self._draw(HELPERS, probing.to):
-            probing.helpers += 1
-            self._send(self._address(helper), Ask(*self._head(), probing.seq, probing.to))
+        self._send_ping(probing.target, probing.sequence_number)
+        for helper in self._sample_peers(INDIRECT_PROBES, probing.target):
+            probing.helpers_asked += 1
+            self._send(self._address_of(helper), PingRequest(*self._header(), probing.sequence_number, probing.target))
 
-    def _wait(self, suspicion: Suspicion) -> Ticks:
+    def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
         """Lifeguard 3.2: long while only one suspects, down to the least as others do."""
-        least = self._tempo.least(len(self._members) + 1) * (1 + self.health)
-        share = log(min(len(suspicion.by), ENOUGH + 1)) / log(ENOUGH + 1)
+        least = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
+        share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
         return int(least * (2 - share))
 
-    def _asks(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
+    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
         """One that gossip passed by would believe hearsay: soon all that suspect a member ask it."""
-        suspicion.asked |= waited >= wait // 4
-        return suspicion.asked
-
-    def _expire(self) -> None:
-        for seq in [seq for seq, helped in self._helping.items() if helped.until <= self.now]:
-            helped = self._helping.pop(seq)
-            if helped.asker is not None and helped.asker[0] in self.rows:
-                self._send(self._address(helped.asker[0]), Nack(*self._head(), helped.asker[1]))
+        suspicion.probed |= waited >= wait // 4
+        return suspicion.probed
+
+    def _expire_suspicions(self) -> None:
+        for seq in [seq for seq, helped in self._relayed_probes.items() if helped.expires_at <= self.now]:
+            helped = self._relayed_probes.pop(seq)
+            if helped.requester is not None and helped.requester[0] in self.records:
+                self._send(self._address_of(helped.requester[0]), Nack(*self._header(), helped.requester[1]))
         for number, suspicion in list(self._suspicions.items()):
-            row = self.rows[number]
-            waited, wait = self.now - suspicion.since, self._wait(suspicion)
+            row = self.records[number]
+            waited, wait = self.now - suspicion.since, self._suspicion_timeout(suspicion)
             if waited >= wait:
-                self._set(msgspec.structs.replace(row, state=DEAD), self.own.number)
-            elif self._asks(suspicion, waited, wait):
-                self._ping(number, self._next())
-        self._forget()
-
-    def _gossip(self) -> None:
-        if self._rumors:
-            for number in self._draw(FAN):
-                if not self._rumors:
+                self._store_record(msgspec.structs.replace(row, state=DEAD), self.own.number)
+            elif self._probes_suspect(suspicion, waited, wait):
+                self._send_ping(number, self._next_sequence_number())
+        self._drop_departed()
+
+    def _send_gossip(self) -> None:
+        if self._pending_updates:
+            for number in self._sample_peers(GOSSIP_FANOUT):
+                if not self._pending_updates:
                     break
-                self._send(self._address(number), Gossip(*self._head()))
+                self._send(self._address_of(number), Gossip(*self._header()))
--- a/lanelead/membership/messages.py
+++ b/lanelead/membership/messages.py
@@ -12,28 +12,28 @@
 
 import msgspec
 
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
+from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-STATES = ("alive", "suspect", "dead", "left")
+STATE_NAMES = ("alive", "suspect", "dead", "left")
 
-Number = Annotated[int, msgspec.Meta(ge=0, le=65535)]
-Life = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
-Turn = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+MemberNumber = Annotated[int, msgspec.Meta(ge=0, le=65535)]
+StartTime = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
+Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=ALIVE, le=LEFT)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=45)]  # as long as an address of IPv6
-Seq = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+SequenceNumber = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A member as it was told of. `life`: milliseconds since 1970 when its process started; `turn`: its
     incarnation number in that life, which only itself raises."""
 
-    number: Number
-    life: Life
-    turn: Turn
+    number: MemberNumber
+    started_at_ms: StartTime
+    incarnation: Incarnation
     state: State
     voter: bool
     zone: Name
@@ -44,92 +44,94 @@
     @property
     def rank(self) -> tuple[int, int, int]:
         """Of two rows of one member, the one of the higher rank holds (SWIM, section 4.2)."""
-        return self.life, self.turn, self.state
+        return self.started_at_ms, self.incarnation, self.state
 
     @property
     def gone(self) -> bool:
         return self.state >= DEAD
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class StateClaim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """What `by` says of a member whose row is known."""
 
-    number: Number
-    life: Life
-    turn: Turn
+    number: MemberNumber
+    started_at_ms: StartTime
+    incarnation: Incarnation
     state: State
-    by: Number
+    reporter: MemberNumber
 
 
-class Letter(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag_field="kind"):
+class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag_field="kind"):
     """`sender` in its `life`; `digest`: of all that the sender takes to be there; rumors of any kind."""
 
-    sender: Number
-    life: Life
+    sender: MemberNumber
+    started_at_ms: StartTime
     digest: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-    rows: list[Row]
-    claims: list[Claim]
+    records: list[MemberRecord]
+    claims: list[StateClaim]
 
 
-class Gossip(Letter, tag=0):
+class Gossip(Message, tag=0):
     pass
 
 
-class Ping(Letter, tag=1):
-    seq: Seq
-    to: Number
-    to_life: Life
+class Ping(Message, tag=1):
+    sequence_number: SequenceNumber
+    target: MemberNumber
+    target_started_at_ms: StartTime
 
 
-class Ack(Letter, tag=2):
-    seq: Seq
+class Ack(Message, tag=2):
+    sequence_number: SequenceNumber
 
 
-class Nack(Letter, tag=3):
-    seq: Seq
+class Nack(Message, tag=3):
+    sequence_number: SequenceNumber
 
 
-class Ask(Letter, tag=4):
+class PingRequest(Message, tag=4):
     """Ping `to` in my place."""
 
-    seq: Seq
-    to: Number
+    sequence_number: SequenceNumber
+    target: MemberNumber
 
 
-class Join(Letter, tag=5):
+class TableRequest(Message, tag=5):
     """The table from the member `first` on, please. A `guest` reads and is no member."""
 
-    first: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    guest: bool
+    first_number: Annotated[int, msgspec.Meta(ge=0, le=65536)]
+    observer: bool
 
 
-class Table(Letter, tag=6):
+class TablePage(Message, tag=6):
     """Rows of members `first` up to, and without, `then`; `more` on its way."""
 
-    first: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    then: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    more: bool
+    first_number: Annotated[int, msgspec.Meta(ge=0, le=65536)]
+    next_number: Annotated[int, msgspec.Meta(ge=0, le=65536)]
+    more_follows: bool
 
 
-AnyLetter = Gossip | Ping | Ack | Nack | Ask | Join | Table
+AnyMessage = Gossip | Ping | Ack | Nack | PingRequest | TableRequest | TablePage
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder[AnyLetter](AnyLetter)
+_decoder = msgspec.msgpack.Decoder[AnyMessage](AnyMessage)
 
 
-def read(text: bytes) -> AnyLetter | None:
+def decode_message(text: bytes) -> AnyMessage | None:
     """The letter, or None where it is none of these, whole and within all bounds."""
     try:
-        letter: AnyLetter = _decoder.decode(text)
+        letter: AnyMessage = _decoder.decode(text)
     except (msgspec.MsgspecError, ValueError, RecursionError):
         return None
     return letter
 
 
-def size(rumor: Row | Claim) -> int:
+def encoded_size(rumor: MemberRecord | StateClaim) -> int:
     return len(_encoder.encode(rumor))
 
 
-def write(letter: AnyLetter, rumors: Iterable[Row | Claim] = ()) -> tuple[bytes, list[Row | Claim]]:
+def encode_message(
+    letter: AnyMessage, rumors: Iterable[MemberRecord | StateClaim] = ()
+) -> tuple[bytes, list[MemberRecord | StateClaim]]:
     """The letter with as many of the rumors, first ones first, as there is room for; and which went in.
 
     Raises ValueError where the letter alone is too long: its own rows are the caller's to bound.
@@ -137,15 +139,15 @@
     room = MAX_MESSAGE_BYTES - len(_encoder.encode(letter)) - 4  # the two lists' heads may grow by two bytes each
     if room < -4:
         raise ValueError(f"{MAX_MESSAGE_BYTES - 4 - room} bytes, of {MAX_MESSAGE_BYTES} at most")
-    taken: list[Row | Claim] = []
+    taken: list[MemberRecord | StateClaim] = []
     for rumor in rumors:
-        need = size(rumor)
+        need = encoded_size(rumor)
         if need > room:
             break
         room -= need
         taken.append(rumor)
-        if isinstance(rumor, Row):
-            letter.rows.append(rumor)
+        if isinstance(rumor, MemberRecord):
+            letter.records.append(rumor)
         else:
             letter.claims.append(rumor)
     return _encoder.encode(letter), taken
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -12,7 +12,7 @@
 from lanelead.postgres_relay.settings_checks import check
 from lanelead.protocols.feeds import MessageError, decode
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
+from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
 
 LONGEST = 16 << 20  # bytes of the file, which holds the last list of units
 
@@ -61,7 +61,7 @@
 
     @property
     def opening(self) -> ParameterReader:
-        return ParameterReader([*pairs_of(self.settings)])
+        return ParameterReader([*flatten_pairs(self.settings)])
 
 
 def load(path: str) -> Config:
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -28,7 +28,7 @@
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
 from lanelead.protocols.platform import parse_address
 from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.timers import Clock
+from lanelead.runtime.timers import LoopClock
 
 if TYPE_CHECKING:
     from lanelead.postgres_relay.configuration_client import Feed
@@ -61,7 +61,7 @@
         members, poll, place = opening.tenants(), opening.voting_rules(), opening.position()
         self._answer_limit, trial = poll.vote_timeout / 10_000, opening.canary_limits()
         self._stages = len(trial.shares)
-        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._tick)
+        self._clock = LoopClock(self._loop, lambda: self.driver.next_timer(), self._tick)
         decisions = Balancer(
             place=place,
             request_classes=request_classes,
@@ -82,7 +82,7 @@
         self._following: Feed | None = None
         room = max(8, config.limits.sockets - SPARE)
         clients = int(room * CLIENTS)
-        names = frozenset(opening.words("loadReport.names"))
+        names = frozenset(opening.texts("loadReport.names"))
         idle = opening.ticks("allowed.connIdleMs") / 10_000 or 10.0
         self.links = Links(
             self._loop,
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -57,23 +57,23 @@
 
 
 def _check(opening: ParameterReader) -> None:
-    if not opening.whole("requestClasses.count"):
+    if not opening.integer("requestClasses.count"):
         raise MessageError("settings.requestClasses: none; name at least one class")
     for path in NEEDED_ONCE:
         _needed(opening, path)
     for path, (least, itself) in ONCE.items():
         _least(opening, path, least, itself)
     names = set()
-    for number in range(opening.whole("requestClasses.count")):
+    for number in range(opening.integer("requestClasses.count")):
         at = f"requestClasses.{number}."
         for field in NEEDED:
             _needed(opening, at + field)
         for field, (least, itself) in CLASS.items():
             _least(opening, at + field, least, itself)
-        if (name := opening.word(at + "name")) in names:
+        if (name := opening.text(at + "name")) in names:
             raise MessageError(f"settings.{at}name: {name} is there twice; give each class a name of its own")
         names.add(name)
-    for number in range(opening.whole("accounts.count")):
+    for number in range(opening.integer("accounts.count")):
         for field, (least, itself) in ACCOUNT.items():
             _least(opening, f"accounts.{number}.{field}", least, itself)
     if opening.number("me") >= opening.number("instances"):
@@ -93,7 +93,7 @@
 
 
 def _needed(opening: ParameterReader, path: str) -> None:
-    if opening.word(path) == "-":
+    if opening.text(path) == "-":
         raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
 
 
--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -50,7 +50,8 @@
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
 from lanelead.protocols.migrations import MigrationLogPage
 from lanelead.protocols.vocabulary import ENDPOINT_STATUSES, ROLLOUT_PHASES
-from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import decode_gossip, encode_gossip
 
 
 class RequestOutcome(Enum):
--- a/lanelead/runtime/parameter_reader.py
+++ b/lanelead/runtime/parameter_reader.py
@@ -31,32 +31,32 @@
     """The input does not follow the wire's form."""
 
 
-REPEATS = {
+IDEMPOTENCY_WORDS = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.KEYED,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-CONTROLS = {
+PROMOTION_CONTROL_WORDS = {
     "first_voice": PromotionControl.FIRST_VOTE,
     "by_count": PromotionControl.VOTE_COUNT,
     "automatic": PromotionControl.TIMER,
 }
 
 
-def known(table: Mapping[str, T], word: str) -> T:
+def lookup_word(table: Mapping[str, T], word: str) -> T:
     if word not in table:
         raise ParameterError(f"unknown word {word!r}")
     return table[word]
 
 
-def whole(word: str) -> int:
+def parse_integer(word: str) -> int:
     try:
         return int(word)
     except ValueError:
         raise ParameterError(f"not a whole number: {word!r}") from None
 
 
-def number(word: str, absent: float = 0.0) -> float:
+def parse_number(word: str, absent: float = 0.0) -> float:
     if word == "-":
         return absent
     try:
@@ -68,12 +68,12 @@
     return value
 
 
-def ticks(word: str) -> Ticks:
+def parse_ticks(word: str) -> Ticks:
     """Milliseconds, as whole tenths; part of a tenth is dropped, so that no limit is stretched."""
-    return math.floor(number(word) * 10 + 1e-6)
+    return math.floor(parse_number(word) * 10 + 1e-6)
 
 
-def word_of(value: Any) -> str:
+def format_value(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -81,19 +81,19 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def pairs_of(nested: Any, path: str = "") -> Iterator[str]:
+def flatten_pairs(nested: Any, path: str = "") -> Iterator[str]:
     """A nested object as the pairs of an opening, in the bench's manner."""
     if isinstance(nested, dict):
         for name, value in nested.items():
-            yield from pairs_of(value, f"{path}.{name}" if path else str(name))
+            yield from flatten_pairs(value, f"{path}.{name}" if path else str(name))
     elif isinstance(nested, list) and any(isinstance(value, dict | list) for value in nested):
         yield f"{path}.count={len(nested)}"
         for place, value in enumerate(nested):
-            yield from pairs_of(value, f"{path}.{place}")
+            yield from flatten_pairs(value, f"{path}.{place}")
     elif isinstance(nested, list):
-        yield f"{path}={','.join(word_of(value) for value in nested)}"
+        yield f"{path}={','.join(format_value(value) for value in nested)}"
     else:
-        yield f"{path}={word_of(nested)}"
+        yield f"{path}={format_value(nested)}"
 
 
 class ParameterReader:
@@ -107,40 +107,40 @@
                 raise ParameterError(f"not a pair: {word!r}")
             self._pairs[path] = value
 
-    def word(self, path: str, absent: str = "-") -> str:
+    def text(self, path: str, absent: str = "-") -> str:
         return self._pairs.get(path, absent)
 
     def number(self, path: str, absent: float = 0.0) -> float:
-        return number(self.word(path), absent)
+        return parse_number(self.text(path), absent)
 
-    def whole(self, path: str, absent: int = 0) -> int:
+    def integer(self, path: str, absent: int = 0) -> int:
         return int(self.number(path, absent))
 
     def ticks(self, path: str) -> Ticks:
-        return ticks(self.word(path))
+        return parse_ticks(self.text(path))
 
     def flag(self, path: str) -> bool:
-        return self.word(path) in ("true", "1")
+        return self.text(path) in ("true", "1")
 
-    def words(self, path: str) -> list[str]:
-        return [word for word in self.word(path, "").split(",") if word not in ("", "-")]
+    def texts(self, path: str) -> list[str]:
+        return [word for word in self.text(path, "").split(",") if word not in ("", "-")]
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        return tuple(number(word) for word in self.words(path))
+        return tuple(parse_number(word) for word in self.texts(path))
 
-    def many(self, path: str, read: Callable[[str], T]) -> list[T]:
-        return [read(f"{path}.{place}.") for place in range(self.whole(f"{path}.count"))]
+    def items(self, path: str, read: Callable[[str], T]) -> list[T]:
+        return [read(f"{path}.{place}.") for place in range(self.integer(f"{path}.count"))]
 
     def request_class(self, at: str) -> RequestClass:
         return RequestClass(
-            name=self.word(at + "name"),
+            name=self.text(at + "name"),
             latency_objective=self.ticks(at + "aimMs"),
             timeout=self.ticks(at + "deadlineMs"),
             value=self.number(at + "credit", 1.0),
             late_value=self.number(at + "lateWorth"),
-            idempotency=known(REPEATS, self.word(at + "repeat")),
-            deduplication_scope=known(
-                {scope.value: scope for scope in DeduplicationScope}, self.word(at + "group", "all")
+            idempotency=lookup_word(IDEMPOTENCY_WORDS, self.text(at + "repeat")),
+            deduplication_scope=lookup_word(
+                {scope.value: scope for scope in DeduplicationScope}, self.text(at + "group", "all")
             ),
             deduplication_window=self.ticks(at + "windowMs"),
             streaming=self.flag(at + "streaming"),
@@ -148,22 +148,22 @@
         )
 
     def request_classes(self) -> list[RequestClass]:
-        return self.many("requestClasses", self.request_class)
+        return self.items("requestClasses", self.request_class)
 
     def tenants(self) -> list[Tenant]:
         def member(at: str) -> Tenant:
-            return Tenant(self.word(at + "name"), self.number(at + "quotaPerS"), self.number(at + "share"))
+            return Tenant(self.text(at + "name"), self.number(at + "quotaPerS"), self.number(at + "share"))
 
-        return self.many("accounts", member)
+        return self.items("accounts", member)
 
     def position(self) -> RelayPosition:
-        return RelayPosition(self.whole("me"), self.whole("instances", 1), self.word("zone"))
+        return RelayPosition(self.integer("me"), self.integer("instances", 1), self.text("zone"))
 
     def resource_quota(self) -> ResourceQuota:
         return ResourceQuota(
-            max_attempts=self.whole("allowed.attemptsCap", 1),
-            max_in_flight=self.whole("allowed.openCap"),
-            max_streams=self.whole("allowed.maxStreams", 1),
+            max_attempts=self.integer("allowed.attemptsCap", 1),
+            max_in_flight=self.integer("allowed.openCap"),
+            max_streams=self.integer("allowed.maxStreams", 1),
             may_cancel=self.flag("allowed.mayCancel"),
             health_checks=self.flag("allowed.probes"),
             gossip=self.flag("allowed.peers"),
@@ -182,7 +182,7 @@
             slow_start_time=self.ticks("contract.coldMs"),
             overload_multiple=self.number("contract.fallMultiple", 1.0),
             overload_time=self.ticks("contract.fallMs"),
-            subscribe=self.word("discovery") == "subscribe",
+            subscribe=self.text("discovery") == "subscribe",
             poll_within=self.ticks("contract.askWithinMs"),
             tick=self.ticks("tickMs"),
         )
@@ -193,18 +193,18 @@
             exposure_limits=self.numbers("familyInfo.mostShares") or (1.0,),
             uncounted_attempts=self.number("familyInfo.uncounted"),
             window=self.ticks("familyInfo.countedOverMs"),
-            by_class=self.word("familyInfo.capScope") == "each_class",
-            guarded_stages=self.whole("familyInfo.guardedStages"),
+            by_class=self.text("familyInfo.capScope") == "each_class",
+            guarded_stages=self.integer("familyInfo.guardedStages"),
             sticky_keys=self.flag("familyInfo.keysStay"),
-            in_place=self.word("familyInfo.swap") == "replace",
+            in_place=self.text("familyInfo.swap") == "replace",
         )
 
     def voting_rules(self) -> VotingRules:
         return VotingRules(
-            control=known(CONTROLS, self.word("familyInfo.decidedBy", "first_voice")),
-            promote_votes=self.whole("familyInfo.onVotes"),
-            rollback_votes=self.whole("familyInfo.noesNeeded"),
-            hold_votes=self.whole("familyInfo.toPause"),
+            control=lookup_word(PROMOTION_CONTROL_WORDS, self.text("familyInfo.decidedBy", "first_voice")),
+            promote_votes=self.integer("familyInfo.onVotes"),
+            rollback_votes=self.integer("familyInfo.noesNeeded"),
+            hold_votes=self.integer("familyInfo.toPause"),
             min_stage_time=self.ticks("familyInfo.minDwellMs"),
             automatic_stage_time=self.ticks("familyInfo.autoAfterMs"),
             vote_timeout=self.ticks("familyInfo.apiTimeoutMs"),
--- a/lanelead/runtime/timers.py
+++ b/lanelead/runtime/timers.py
@@ -8,10 +8,10 @@
 
 from lanelead.decisions.interface import Ticks
 
-EPOCH: Ticks = 36_000_000  # the clock at the start: an hour, so that units older than the relay have a past
+CLOCK_START_TICKS: Ticks = 36_000_000  # the clock at the start: an hour, so that units older than the relay have a past
 
 
-class Clock:
+class LoopClock:
     """`due` says when `tick` is wanted next; `arm` keeps one timer of the loop set to that."""
 
     def __init__(
@@ -23,7 +23,7 @@
         self._at: Ticks = 0
 
     def now(self) -> Ticks:
-        return EPOCH + int((time.monotonic() - self._began) * 10_000)
+        return CLOCK_START_TICKS + int((time.monotonic() - self._began) * 10_000)
 
     def arm(self) -> None:
         due = self._due()
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -33,8 +33,16 @@
     UpdateScope,
     WatchEndpoints,
 )
-from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
-from lanelead.runtime.parameter_reader import ParameterError, ParameterReader, known, number, ticks, whole
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import decode_gossip, encode_gossip
+from lanelead.runtime.parameter_reader import (
+    ParameterError,
+    ParameterReader,
+    lookup_word,
+    parse_integer,
+    parse_number,
+    parse_ticks,
+)
 from lanelead.simulator_adapter import wire
 from lanelead.simulator_adapter.wire import millis
 
@@ -56,12 +64,12 @@
             trial=opening.canary_limits(),
             poll=opening.voting_rules(),
             prices=opening.prices(),
-            rng=Random(whole(words[1])),
+            rng=Random(parse_integer(words[1])),
             now=now,
         )
         self.lanes = {request_class.name: request_class for request_class in request_classes}
         self.members = {tenant.name: tenant for tenant in tenants}
-        self.gauges = opening.words("loadReport.names")
+        self.gauges = opening.texts("loadReport.names")
         self.door = EndpointRegistry(self.relay.new_endpoint)
         self.gone: dict[Endpoint, Ticks] = {}  # units that share a mark and are gone, and when it is freed
         self.memory = 2 * max((request_class.timeout for request_class in request_classes), default=0)
@@ -76,7 +84,7 @@
         request = self.lookups.get(wire.ident(msg))
         if request is None:
             return None
-        place = whole(shot)
+        place = parse_integer(shot)
         if not 0 <= place < len(request.attempts):
             raise ParameterError(f"no trip {shot} of lookup {msg}")
         return request.attempts[place]
@@ -93,19 +101,19 @@
     # Events
 
     def roster(self, words: Words, entries: list[Words]) -> None:
-        update_scope = known(wire.COVERAGES, words[1])
+        update_scope = lookup_word(wire.COVERAGES, words[1])
         records = []
         for _, zone, cell, since, kind, name, build, size, condition in entries:
             records.append(
                 EndpointRecord(
                     endpoint=self.door.get_or_add(name),
                     zone=zone,
-                    cell=int(number(cell)),
+                    cell=int(parse_number(cell)),
                     kind=kind,
-                    started_at=ticks(since),
-                    build=int(number(build)),
-                    capacity=number(size, 1.0),
-                    status=known(wire.CONDITIONS, condition),
+                    started_at=parse_ticks(since),
+                    build=int(parse_number(build)),
+                    capacity=parse_number(size, 1.0),
+                    status=lookup_word(wire.CONDITIONS, condition),
                 )
             )
         self.relay.endpoints_updated(update_scope, records)
@@ -123,12 +131,12 @@
     def ask(self, words: Words) -> None:
         _, msg, request_class, tenant, key, left, hint, again, write = words
         request = Request(
-            request_class=known(self.lanes, request_class),
-            tenant=None if tenant in ("-", "0") else known(self.members, tenant),
+            request_class=lookup_word(self.lanes, request_class),
+            tenant=None if tenant in ("-", "0") else lookup_word(self.members, tenant),
             key=None if key == "-" else key,
             received_at=self.relay.now,
-            deadline=self.relay.now + ticks(left),
-            hint=None if hint == "-" else ticks(hint),
+            deadline=self.relay.now + parse_ticks(left),
+            hint=None if hint == "-" else parse_ticks(hint),
             is_retry=wire.flag(again),
             is_write=wire.flag(write),
         )
@@ -143,9 +151,9 @@
             return
         if self.door.names[attempt.endpoint] != name:
             raise ParameterError(f"trip {shot} of lookup {msg} went to {self.door.names[attempt.endpoint]}, not {name}")
-        fate = known(wire.FATES, outcome)
+        fate = lookup_word(wire.FATES, outcome)
         closed, load = wire.flag(finished), wire.report(gauge, self.gauges)
-        self.relay.attempt_ended(attempt, fate, closed, ticks(took), load)
+        self.relay.attempt_ended(attempt, fate, closed, parse_ticks(took), load)
         self.touched.append(attempt.request)
 
     def accepted(self, words: Words) -> None:
@@ -161,24 +169,24 @@
 
     def heard(self, words: Words) -> None:
         said = decode_gossip(wire.octets(words[2]), self.door.short_ids, [*self.lanes.values()])
-        self.relay.gossip_received(whole(words[1]), said)
+        self.relay.gossip_received(parse_integer(words[1]), said)
 
     def bad_answer(self, words: Words) -> None:
-        request_class = known(self.lanes, words[2])
-        self.relay.complaint_received(self.door.get_or_add(words[1]), request_class, ticks(words[3]))
+        request_class = lookup_word(self.lanes, words[2])
+        self.relay.complaint_received(self.door.get_or_add(words[1]), request_class, parse_ticks(words[3]))
 
     def rollout_state(self, words: Words) -> None:
         _, image, tranche, course, code, outcome, exposure, age = words
         phases = {str(phase.value): phase for phase in RolloutPhase}
         self.relay.rollout_updated(
             RolloutState(
-                build=int(number(image)),
-                stage=int(number(tranche)),
-                phase=RolloutPhase.CANARY if course == "-" else known(phases, course),
-                exposure_limit=number(exposure),
-                age=ticks(age),
+                build=int(parse_number(image)),
+                stage=int(parse_number(tranche)),
+                phase=RolloutPhase.CANARY if course == "-" else lookup_word(phases, course),
+                exposure_limit=parse_number(exposure),
+                age=parse_ticks(age),
                 answers_vote=wire.flag(code),
-                outcome=known(wire.FATES, outcome),
+                outcome=lookup_word(wire.FATES, outcome),
             )
         )
 
@@ -186,22 +194,22 @@
         _, image, lost, request_class, age, samples, took = words
         self.relay.tally_received(
             OutcomeTally(
-                build=whole(image),
-                request_class=known(self.lanes, request_class),
-                attempts=whole(samples),
-                failures=whole(lost),
-                latency=ticks(took),
-                age=ticks(age),
+                build=parse_integer(image),
+                request_class=lookup_word(self.lanes, request_class),
+                attempts=parse_integer(samples),
+                failures=parse_integer(lost),
+                latency=parse_ticks(took),
+                age=parse_ticks(age),
             )
         )
 
     def probe_done(self, words: Words) -> None:
         _, name, outcome, took, gauge = words
-        fate, load = known(wire.FATES, outcome), wire.report(gauge, self.gauges)
-        self.relay.health_checked(self.door.get_or_add(name), fate, ticks(took), load)
+        fate, load = lookup_word(wire.FATES, outcome), wire.report(gauge, self.gauges)
+        self.relay.health_checked(self.door.get_or_add(name), fate, parse_ticks(took), load)
 
     def elapsed(self, words: Words) -> None:
-        tag = whole(words[1])
+        tag = parse_integer(words[1])
         if tag not in self.wakes:
             raise ParameterError(f"no timer {tag}")
         request = self.wakes.pop(tag)
@@ -282,7 +290,7 @@
         head = wire.split(lines[0])
         if head[0] != "TICK":
             raise ParameterError(f"a batch that begins with {head[0]}")
-        now, number = ticks(head[1]), whole(head[2])
+        now, parse_number = parse_ticks(head[1]), parse_integer(head[2])
         named: dict[str, list[str]] = {}
         name, place = "", 1
         while place < len(lines):
@@ -292,11 +300,11 @@
                 name = words[1]
                 named.setdefault(name, [])
             elif words[0] == "MANIFEST":
-                many = whole(words[2])
+                many = parse_integer(words[2])
                 entries = [wire.split(line) for line in lines[place : place + many]]
                 if len(entries) != many or any(entry[0] != "ENTRY" for entry in entries):
                     raise ParameterError("a list shorter than it says")
-                self.lists[whole(words[1])] = entries
+                self.lists[parse_integer(words[1])] = entries
                 place += many
             elif not name:
                 raise ParameterError(f"{words[0]} for no instance")
@@ -314,7 +322,7 @@
             if reply:
                 out.append(f"AT {name}")
                 out.extend(reply)
-        out.append(f"EOR {number}")
+        out.append(f"EOR {parse_number}")
         return out
 
     def event(self, name: str, words: Words, now: Ticks) -> None:
@@ -328,8 +336,8 @@
         if words[0] == "STOP":
             del self.hosts[name]
         elif words[0] == "DIRECTORY_UPDATE":
-            failed = known(wire.COVERAGES, words[1]) is UpdateScope.FAILED
-            place = 0 if failed else whole(words[3])
+            failed = lookup_word(wire.COVERAGES, words[1]) is UpdateScope.FAILED
+            place = 0 if failed else parse_integer(words[3])
             if not failed and place not in self.lists:
                 raise ParameterError(f"no list {place}")
             host.roster(words, [] if failed else self.lists[place])
--- a/lanelead/simulator_adapter/wire.py
+++ b/lanelead/simulator_adapter/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from lanelead.decisions.interface import AttemptOutcome, EndpointStatus, LoadReport, Ticks, UpdateScope
-from lanelead.runtime.parameter_reader import ParameterError, number
+from lanelead.runtime.parameter_reader import ParameterError, parse_number
 
 FATES = {
     "success": AttemptOutcome.SUCCEEDED,
@@ -78,7 +78,7 @@
     values = word.split(",")
     if len(values) != len(names):
         raise ParameterError(f"a load report of {len(values)} values, not {len(names)}")
-    return {name: number(value) for name, value in zip(names, values, strict=True)}
+    return {name: parse_number(value) for name, value in zip(names, values, strict=True)}
 
 
 def millis(time: Ticks) -> str:
--- a/lanelead/testbed/simulation/membership.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -13,8 +13,9 @@
 from random import Random
 
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.member import Address, Change, Membership, Tempo
-from lanelead.membership.messages import ALIVE, DEAD, Row
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import Address, MemberChange, MembershipTimings
+from lanelead.membership.messages import ALIVE, DEAD, MemberRecord
 
 SECOND: Ticks = 10_000
 PORT = 7946
@@ -39,7 +40,7 @@
         self,
         many: int,
         seed: int,
-        tempo: Tempo,
+        tempo: MembershipTimings,
         wires: Wires,
         warm: bool = True,
         kind: type[Membership] = Membership,
@@ -51,7 +52,7 @@
         self.members: dict[int, Membership] = {}
         self.seeds: tuple[int, ...] = (0, 1, 2)  # in the settings of those that start from now on
         self.stopped: dict[int, Ticks] = {}  # until when
-        self.found: list[tuple[Ticks, int, Change]] = []  # when, by whom, what
+        self.found: list[tuple[Ticks, int, MemberChange]] = []  # when, by whom, what
         self.wrong: Counter[str] = Counter()  # accusations of members that run, by what came of them
         self.letters = self.bytes = 0
         self._heap: list[tuple[Ticks, int, int, bytes | None, Address]] = []
@@ -61,15 +62,15 @@
         for row in rows:
             self._begin(row, rows if warm else [row])
 
-    def row(self, number: int, life: int, place: int = 0) -> Row:
+    def row(self, number: int, life: int, place: int = 0) -> MemberRecord:
         """`place`: which of its number's addresses it has; letters to another one are lost."""
         zone = "abc"[number % 3]
         host = f"10.{number >> 8}.{number & 255}" + (f".{place}" if place else "")
-        return Row(number, life, 0, ALIVE, number < 5, zone, "ab"[zone == "c"], host, PORT)
+        return MemberRecord(number, life, 0, ALIVE, number < 5, zone, "ab"[zone == "c"], host, PORT)
 
-    def _begin(self, own: Row, known: list[Row]) -> None:
+    def _begin(self, own: MemberRecord, known: list[MemberRecord]) -> None:
         seeds = [(row.host, row.port) for row in (self.row(n, 1) for n in self.seeds) if row.number != own.number]
-        rng = Random(f"{self._seed} {own.number} {own.life}")
+        rng = Random(f"{self._seed} {own.number} {own.started_at_ms}")
         others = [row for row in known if row.number != own.number]
         self.members[own.number] = self._kind(own, self._tempo, seeds, rng, self.now, others)
         self._wake(own.number)
@@ -93,7 +94,7 @@
 
     def _wake(self, number: int) -> None:
         member = self.members[number]
-        self._push(max(self.now, member.due()), number, None, ("", member.own.life & 0xFFFF))
+        self._push(max(self.now, member.next_round_at()), number, None, ("", member.own.started_at_ms & 0xFFFF))
 
     def _post(self, member: Membership) -> None:
         out, member.outbox = member.outbox, []
@@ -113,8 +114,9 @@
         changes, member.changes = member.changes, []
         for change in changes:
             self.found.append((self.now, sender, change))
-            now = change.now
-            if now.state == DEAD and now.number in self.members and self.members[now.number].own.life == now.life:
+            now = change.after
+            running = self.members.get(now.number)
+            if now.state == DEAD and running is not None and running.own.started_at_ms == now.started_at_ms:
                 self.wrong["stopped" if self.stopped.get(now.number, 0) > self.now else "running"] += 1
 
     def run(self, until: Ticks) -> None:
@@ -130,7 +132,7 @@
                 elif len(held := self._held.setdefault(number, [])) < 200:
                     held.append((text, source))
                 continue
-            if text is None and source[1] != member.own.life & 0xFFFF:
+            if text is None and source[1] != member.own.started_at_ms & 0xFFFF:
                 continue  # an earlier life's
             for old, whence in self._held.pop(number, []):
                 member.receive(old, whence, self.now)
@@ -146,14 +148,14 @@
 
     def views(self) -> list[dict[int, tuple[int, int]]]:
         """What each member takes to be there: lives and turns by number."""
-        views = (member.present() for member in self.members.values())
-        return [{row.number: (row.life, row.turn) for row in view} for view in views]
+        views = (member.present_members() for member in self.members.values())
+        return [{row.number: (row.started_at_ms, row.incarnation) for row in view} for view in views]
 
     def agreed(self) -> bool:
         """All take just those to be there that are, in their present lives and turns."""
-        truth = {number: (member.own.life, member.own.turn) for number, member in self.members.items()}
+        truth = {number: (member.own.started_at_ms, member.own.incarnation) for number, member in self.members.items()}
         return all(view == truth for view in self.views())
 
     def blind(self, number: int) -> int:
         """Members that still take one that's dead to be there."""
-        return sum(not member.rows[number].gone for member in self.members.values() if number in member.rows)
+        return sum(not member.records[number].gone for member in self.members.values() if number in member.records)
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -9,44 +9,45 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelead.membership.member import Membership, Tempo
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import MembershipTimings
 from lanelead.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECT,
-    Claim,
     Gossip,
-    Join,
-    Letter,
+    MemberRecord,
+    Message,
     Ping,
-    Row,
-    Table,
-    read,
-    write,
+    StateClaim,
+    TablePage,
+    TableRequest,
+    decode_message,
+    encode_message,
 )
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
+from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
-TEMPO = Tempo(3000, 60 * SECOND)
+TEMPO = MembershipTimings(3000, 60 * SECOND)
 NOWHERE = ("10.9.9.9", 1)
 
 
-def row(number: int, life: int = 1, turn: int = 0, state: int = ALIVE) -> Row:
-    return Row(number, life, turn, state, False, "a", "r", f"10.0.{number >> 8}.{number & 255}", 7946)
+def row(number: int, life: int = 1, turn: int = 0, state: int = ALIVE) -> MemberRecord:
+    return MemberRecord(number, life, turn, state, False, "a", "r", f"10.0.{number >> 8}.{number & 255}", 7946)
 
 
-def one(*known: Row) -> Membership:
+def one(*known: MemberRecord) -> Membership:
     return Membership(row(0), TEMPO, [], Random(1), 0, known)
 
 
-def says(sender: int, *rumors: Row | Claim, life: int = 1) -> bytes:
-    return write(Gossip(sender, life, 0, [], []), rumors)[0]
+def says(sender: int, *rumors: MemberRecord | StateClaim, life: int = 1) -> bytes:
+    return encode_message(Gossip(sender, life, 0, [], []), rumors)[0]
 
 
-def sent(member: Membership) -> list[Letter]:
+def sent(member: Membership) -> list[Message]:
     out, member.outbox = member.outbox, []
-    return [letter for _, text in out if (letter := read(text)) is not None]
+    return [letter for _, text in out if (letter := decode_message(text)) is not None]
 
 
 class Faults(unittest.TestCase):
@@ -62,7 +63,7 @@
         town = Town(24, 2, TEMPO, Wires(loss=0.2, spread=500, double=0.1))
         town.run(120 * SECOND)
         self.assertEqual({}, dict(town.wrong))
-        self.assertGreater(sum(member.counts.suspected for member in town.members.values()), 0)
+        self.assertGreater(sum(member.counters.suspicions for member in town.members.values()), 0)
 
     def test_a_member_that_one_other_cannot_reach_is_asked_by_others(self) -> None:
         town = Town(12, 3, TEMPO, Wires(cut=lambda a, b: (a, b) in ((1, 2), (4, 3), (3, 4))))
@@ -74,7 +75,7 @@
         town = Town(20, 4, TEMPO, wires)
         wires.cut = lambda a, b: (a < 8) != (b < 8)
         town.run(10 * SECOND)
-        self.assertEqual([8] * 8 + [12] * 12, [len(member.present()) for member in town.members.values()])
+        self.assertEqual([8] * 8 + [12] * 12, [len(member.present_members()) for member in town.members.values()])
         wires.cut = lambda a, b: False
         town.run(40 * SECOND)
         self.assertTrue(town.agreed())
@@ -88,7 +89,7 @@
             town.run(town.now + SECOND)
         town.run(town.now + 10 * SECOND)
         self.assertTrue(town.agreed())
-        self.assertEqual({8}, {member.rows[5].life for member in town.members.values()})
+        self.assertEqual({8}, {member.records[5].started_at_ms for member in town.members.values()})
 
     def test_all_at_once_with_nothing_find_each_other(self) -> None:
         for seed in range(6, 10):
@@ -108,11 +109,11 @@
         town.run(SECOND)
         town.stop(3, 10 * SECOND)
         town.run(8 * SECOND)
-        self.assertEqual({DEAD}, {m.rows[3].state for n, m in town.members.items() if n != 3})
+        self.assertEqual({DEAD}, {m.records[3].state for n, m in town.members.items() if n != 3})
         town.run(30 * SECOND)
         self.assertTrue(town.agreed())
-        self.assertEqual(1, town.members[3].own.life)
-        self.assertEqual({3}, {change.now.number for _, _, change in town.found if change.now.state == DEAD})
+        self.assertEqual(1, town.members[3].own.started_at_ms)
+        self.assertEqual({3}, {change.after.number for _, _, change in town.found if change.after.state == DEAD})
 
     def test_a_large_table_passes_whole_to_one_that_has_just_come_though_letters_are_lost(self) -> None:
         town = Town(150, 8, TEMPO, Wires(loss=0.2))
@@ -136,39 +137,39 @@
                 member.receive(says(6, said), NOWHERE, 1)
             chance.shuffle(rows)
         highest = max([(1, 0, 0), *told])
-        self.assertEqual((highest, highest), (first.rows[5].rank, second.rows[5].rank))
+        self.assertEqual((highest, highest), (first.records[5].rank, second.records[5].rank))
 
     def test_nobody_is_found_dead_before_the_least_wait_and_is_asked_meanwhile(self) -> None:
         member = one(row(5), row(6), row(7))
-        member.receive(says(6, Claim(5, 1, 0, SUSPECT, 6)), NOWHERE, 10)
+        member.receive(says(6, StateClaim(5, 1, 0, SUSPECT, 6)), NOWHERE, 10)
         asked = 0
         for by in range(20, 40):  # however many join in
-            member.receive(says(7, Claim(5, 1, 0, SUSPECT, by)), NOWHERE, 10)
-        for now in range(0, 10 + TEMPO.least(4), 500):
+            member.receive(says(7, StateClaim(5, 1, 0, SUSPECT, by)), NOWHERE, 10)
+        for now in range(0, 10 + TEMPO.min_suspicion_time(4), 500):
             member.tick(now)
-            asked += sum(isinstance(letter, Ping) and letter.to == 5 for letter in sent(member))
-            self.assertEqual(SUSPECT, member.rows[5].state)
+            asked += sum(isinstance(letter, Ping) and letter.target == 5 for letter in sent(member))
+            self.assertEqual(SUSPECT, member.records[5].state)
         self.assertGreater(asked, 2)
         for now in range(member.now, member.now + 20 * SECOND, 500):
             member.tick(now)
-        self.assertEqual(DEAD, member.rows[5].state)
+        self.assertEqual(DEAD, member.records[5].state)
 
     def test_one_that_comes_late_to_its_own_beat_suspects_nobody_for_that(self) -> None:
         member = one(row(5))
         while not any(isinstance(letter, Ping) for letter in sent(member)):
-            member.tick(member.due())
+            member.tick(member.next_round_at())
         for late in (0, 0, 5 * SECOND):  # it stood still; the answer lies unread
-            member.tick(member.due() + late)
-        self.assertEqual((0, ALIVE), (member.counts.suspected, member.rows[5].state))
+            member.tick(member.next_round_at() + late)
+        self.assertEqual((0, ALIVE), (member.counters.suspicions, member.records[5].state))
         for _ in range(4):  # now on time, and still no answer
-            member.tick(member.due())
-        self.assertEqual(1, member.counts.suspected)
+            member.tick(member.next_round_at())
+        self.assertEqual(1, member.counters.suspicions)
 
     def test_ill_words_of_oneself_are_answered_with_a_higher_turn_and_of_no_other(self) -> None:
         member = one(row(5))
-        member.receive(says(5, Claim(0, 1, 4, DEAD, 5), Claim(5, 1, 0, SUSPECT, 9)), NOWHERE, 1)
+        member.receive(says(5, StateClaim(0, 1, 4, DEAD, 5), StateClaim(5, 1, 0, SUSPECT, 9)), NOWHERE, 1)
         self.assertEqual((1, 5, ALIVE), member.own.rank)
-        self.assertEqual((1, 0, SUSPECT), member.rows[5].rank)
+        self.assertEqual((1, 0, SUSPECT), member.records[5].rank)
 
     def test_a_later_life_of_the_same_number_silences_the_earlier_one(self) -> None:
         member = one(row(5))
@@ -177,61 +178,67 @@
         for now in range(0, 5 * SECOND, 500):
             member.tick(now)
         self.assertEqual([], sent(member))
-        self.assertEqual(2, member.changes[-1].now.life)
+        self.assertEqual(2, member.changes[-1].after.started_at_ms)
 
     def test_an_earlier_life_that_still_speaks_is_told_of_the_later(self) -> None:
         member = one(row(5, life=3))
-        text, _ = write(Ping(5, 2, 0, [], [], 1, 0, 1), [row(6), Claim(5, 3, 0, DEAD, 5)])
+        text, _ = encode_message(Ping(5, 2, 0, [], [], 1, 0, 1), [row(6), StateClaim(5, 3, 0, DEAD, 5)])
         member.receive(text, NOWHERE, 1)
-        self.assertEqual({0: ALIVE, 5: ALIVE}, {n: known.state for n, known in member.rows.items()})
+        self.assertEqual({0: ALIVE, 5: ALIVE}, {n: known.state for n, known in member.records.items()})
         letters = sent(member)
         self.assertEqual([Gossip], [type(letter) for letter in letters])
-        self.assertIn(row(5, life=3), letters[0].rows)
+        self.assertIn(row(5, life=3), letters[0].records)
 
     def test_who_left_stays_gone_though_others_say_that_it_is_there(self) -> None:
         member, other = one(row(5)), one(row(5), row(6))
         member.leave(5)
-        self.assertEqual(LEFT, member.rows[0].state)
+        self.assertEqual(LEFT, member.records[0].state)
         self.assertTrue(any(claim.state == LEFT for letter in sent(member) for claim in letter.claims))
-        member.receive(says(5, Claim(0, 1, 1, DEAD, 5)), NOWHERE, 6)
+        member.receive(says(5, StateClaim(0, 1, 1, DEAD, 5)), NOWHERE, 6)
         self.assertEqual((1, 1, LEFT), member.own.rank)
         gone = row(5, turn=1, state=LEFT)
         for said in (gone, row(5, turn=1), row(5, turn=1, state=SUSPECT)):
             other.receive(says(6, said), NOWHERE, 1)
-        self.assertEqual(gone, other.rows[5])
+        self.assertEqual(gone, other.records[5])
 
     def test_the_dead_of_long_ago_are_forgotten_and_not_brought_back(self) -> None:
         member = one(row(5), row(6))
         member.receive(says(6, row(5, state=DEAD)), NOWHERE, 1)
-        member.tick(TEMPO.forget + SECOND)
-        self.assertNotIn(5, member.rows)
+        member.tick(TEMPO.retention + SECOND)
+        self.assertNotIn(5, member.records)
         member.receive(says(6, row(5, state=DEAD)), NOWHERE, member.now)
-        self.assertNotIn(5, member.rows)
+        self.assertNotIn(5, member.records)
 
     def test_a_guest_reads_the_table_and_says_nothing(self) -> None:
         member = one(row(5))
-        member.receive(write(Join(65535, 0, 0, [], [], 0, True), [row(5, life=9), row(8)])[0], NOWHERE, 1)
+        member.receive(
+            encode_message(TableRequest(65535, 0, 0, [], [], 0, True), [row(5, life=9), row(8)])[0], NOWHERE, 1
+        )
         (page,) = sent(member)
-        assert isinstance(page, Table)
-        self.assertEqual([row(0), row(5)], page.rows)
-        self.assertEqual({0, 5}, set(member.rows))
+        assert isinstance(page, TablePage)
+        self.assertEqual([row(0), row(5)], page.records)
+        self.assertEqual({0, 5}, set(member.records))
 
 
 class Digests(unittest.TestCase):
     def test_tables_that_differ_by_the_same_step_in_several_rows_have_other_digests(self) -> None:
-        for step in ({"turn": 1}, {"life": 2}, {"life": 1_700_000_000_000, "turn": 3}):
+        for step in (
+            {"incarnation": 1},
+            {"started_at_ms": 2},
+            {"started_at_ms": 1_700_000_000_000, "incarnation": 3},
+        ):
             for many in range(1, 9):
                 later = [msgspec.structs.replace(row(n), **step) for n in range(1, 1 + many)]
                 first, second = one(*map(row, range(1, 9))), one(*map(row, range(1, 9)))
                 for said in later:
-                    second.receive(says(said.number, said, life=said.life), NOWHERE, 1)
+                    second.receive(says(said.number, said, life=said.started_at_ms), NOWHERE, 1)
                 digests = {letter.digest for m in (first, second) for letter in self.said(m)}
                 self.assertEqual(2, len(digests), (step, many))
 
     @staticmethod
-    def said(member: Membership) -> list[Letter]:
+    def said(member: Membership) -> list[Message]:
         sent(member)
-        member.tick(member.due())
+        member.tick(member.next_round_at())
         return sent(member)
 
 
@@ -240,31 +247,31 @@
         name = "z" * 32
         rows = [msgspec.structs.replace(row(n), zone=name, region=name, host="f" * 45) for n in range(300)]
         member = Membership(rows[0], TEMPO, [], Random(1), 0, rows[1:])
-        member.receive(says(5, *[Claim(n, 1, 0, SUSPECT, 5) for n in range(7, 20)]), NOWHERE, 1)
-        member.receive(write(Join(299, 1, 0, [], [], 0, False))[0], NOWHERE, 1)
+        member.receive(says(5, *[StateClaim(n, 1, 0, SUSPECT, 5) for n in range(7, 20)]), NOWHERE, 1)
+        member.receive(encode_message(TableRequest(299, 1, 0, [], [], 0, False))[0], NOWHERE, 1)
         for now in range(0, SECOND, 500):
             member.tick(now)
         self.assertLessEqual(max(len(text) for _, text in member.outbox), MAX_MESSAGE_BYTES)
-        self.assertTrue(all(read(text) is not None for _, text in member.outbox))
+        self.assertTrue(all(decode_message(text) is not None for _, text in member.outbox))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=64), st.integers(0, 200), st.integers(0, 255))
     def test_noise_is_counted_and_nothing_else(self, noise: bytes, place: int, byte: int) -> None:
         member = one(row(5))
-        whole = bytearray(says(5, Claim(5, 1, 0, SUSPECT, 5), row(7)))
+        whole = bytearray(says(5, StateClaim(5, 1, 0, SUSPECT, 5), row(7)))
         whole[place % len(whole)] = byte
         for text in (noise, bytes(whole), bytes(whole[: place % len(whole)])):
             member.receive(text, NOWHERE, 1)
             member.tick(member.now)
-        self.assertGreaterEqual(member.counts.unread, 1)  # cut short, at the least
-        self.assertEqual(1, member.own.life)
+        self.assertGreaterEqual(member.counters.undecodable, 1)  # cut short, at the least
+        self.assertEqual(1, member.own.started_at_ms)
 
     def test_what_is_out_of_bounds_is_unread(self) -> None:
         member = one(row(5))
         for said in (row(5, state=4), row(70_000), row(5, turn=-1)):
             text = msgspec.msgpack.encode(Gossip(5, 1, 0, [said], []))
             member.receive(text, NOWHERE, 1)
-        self.assertEqual((3, row(5)), (member.counts.unread, member.rows[5]))
+        self.assertEqual((3, row(5)), (member.counters.undecodable, member.records[5]))
 
 
 if __name__ == "__main__":
--- a/tests/test_circle_processes.py
+++ b/tests/test_circle_processes.py
@@ -16,9 +16,9 @@
 
 from click.testing import CliRunner
 
+from lanelead.membership.commands import fetch_table
 from lanelead.membership.commands import membership as commands
-from lanelead.membership.commands import table
-from lanelead.membership.messages import ALIVE, DEAD, LEFT, Row
+from lanelead.membership.messages import ALIVE, DEAD, LEFT, MemberRecord
 from lanelead.protocols.feeds import EndpointMessage as Listed
 from lanelead.testbed.emulators.fault_proxy import Wires
 from lanelead.testbed.scenarios.processes import free_ports
@@ -62,11 +62,11 @@
         assert process.stdout is not None
         await process.stdout.readline()
 
-    async def seen(self, number: int) -> dict[int, Row]:
-        rows = await asyncio.to_thread(table, "127.0.0.1", self.ports[number], 5.0)
+    async def seen(self, number: int) -> dict[int, MemberRecord]:
+        rows = await asyncio.to_thread(fetch_table, "127.0.0.1", self.ports[number], 5.0)
         return {row.number: row for row in rows}
 
-    async def until(self, asked: Iterable[int], holds: Callable[[dict[int, Row]], bool]) -> None:
+    async def until(self, asked: Iterable[int], holds: Callable[[dict[int, MemberRecord]], bool]) -> None:
         """Waits for all of them to see it so; how long that takes is no part of the verdict."""
         for number in asked:
             async with asyncio.timeout(60):
@@ -109,12 +109,12 @@
     @live
     async def test_one_that_is_killed_is_dead_to_all_and_comes_back_as_another_life(self) -> None:
         async with ring() as circle:
-            before = (await circle.seen(0))[5].life
+            before = (await circle.seen(0))[5].started_at_ms
             circle.signal(5, signal.SIGKILL)
             await circle.until(range(5), lambda rows: rows[5].state == DEAD)
             await circle.start(5)
             await circle.together()
-            self.assertGreater((await circle.seen(1))[5].life, before)
+            self.assertGreater((await circle.seen(1))[5].started_at_ms, before)
 
     @live
     async def test_the_command_shows_whom_a_relay_sees_and_says_what_to_do_where_none_answers(self) -> None:
@@ -149,8 +149,8 @@
             circle.signal(2, signal.SIGCONT)
             await circle.together()
             after = (await circle.seen(0))[2]
-            self.assertEqual(before.life, after.life)
-            self.assertGreater(after.turn, before.turn)
+            self.assertEqual(before.started_at_ms, after.started_at_ms)
+            self.assertGreater(after.incarnation, before.incarnation)
 
     @live
     async def test_cut_in_two_each_side_counts_itself_and_healed_all_are_together(self) -> None:
@@ -164,14 +164,14 @@
     @live
     async def test_a_bridge_that_sees_both_sides_keeps_them_together(self) -> None:
         async with ring() as circle:
-            before = {n: row.life for n, row in (await circle.seen(0)).items()}
+            before = {n: row.started_at_ms for n, row in (await circle.seen(0)).items()}
             circle.wires.partition([0, 1, 2], [2, 3, 4, 5])
             # Asked through the bridge, all still answer: a member that dies there is known on both sides.
             circle.signal(5, signal.SIGKILL)
             await circle.until(range(5), lambda rows: rows[5].state == DEAD)
             circle.wires.heal()
             await circle.until(range(5), lambda rows: here(rows) == {0, 1, 2, 3, 4})
-            self.assertEqual(before, {n: row.life for n, row in (await circle.seen(1)).items()})
+            self.assertEqual(before, {n: row.started_at_ms for n, row in (await circle.seen(1)).items()})
 
     @live
     async def test_one_that_hears_and_is_not_heard_is_dead_to_the_others_and_comes_back(self) -> None:
@@ -181,7 +181,7 @@
             await circle.until([0, 1, 2, 4, 5], lambda rows: rows[3].state == DEAD)
             circle.wires.heal()
             await circle.together()
-            self.assertGreater((await circle.seen(0))[3].turn, 0)
+            self.assertGreater((await circle.seen(0))[3].incarnation, 0)
 
     @live
     async def test_all_killed_at_once_come_back_with_nothing_and_find_each_other(self) -> None:
@@ -194,7 +194,7 @@
             await asyncio.gather(*(circle.start(number) for number in range(6)))
             await circle.together()
             after = await circle.seen(5)
-            self.assertTrue(all(after[n].life > before[n].life for n in range(6)))
+            self.assertTrue(all(after[n].started_at_ms > before[n].started_at_ms for n in range(6)))
 
     @live
     async def test_with_letters_lost_late_and_doubled_a_dead_one_is_still_found(self) -> None:
@@ -207,7 +207,7 @@
             self.assertGreater(circle.wires.counts["lost"], 0)
 
 
-def here(rows: dict[int, Row]) -> set[int]:
+def here(rows: dict[int, MemberRecord]) -> set[int]:
     return {number for number, row in rows.items() if not row.gone}
 
 
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -7,14 +7,32 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from lanelead.membership.member import Address, Membership, Tempo
-from lanelead.membership.member_state import CALLED, KEPT, UNHEARD, WORST
-from lanelead.membership.messages import ALIVE, DEAD, LEFT, Ack, Claim, Gossip, Ping, Row, read, write
+from lanelead.membership.member import Membership
+from lanelead.membership.member_state import (
+    ADDRESS_RETENTION_FACTOR,
+    MAX_LOCAL_HEALTH,
+    MAX_REMEMBERED_ADDRESSES,
+    RECONNECT_INTERVAL_PERIODS,
+    Address,
+    MembershipTimings,
+)
+from lanelead.membership.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    Ack,
+    Gossip,
+    MemberRecord,
+    Ping,
+    StateClaim,
+    decode_message,
+    encode_message,
+)
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 HOUR = 3600 * SECOND
-TEMPO = Tempo(3000, 600 * SECOND)
-QUICK = Tempo(3000, 60 * SECOND)  # forgets ten times as soon: for stories in which no hour is needed
+TEMPO = MembershipTimings(3000, 600 * SECOND)
+QUICK = MembershipTimings(3000, 60 * SECOND)  # forgets ten times as soon: for stories in which no hour is needed
 SOON = 30 * SECOND
 
 
@@ -28,7 +46,7 @@
 
 
 def told(town: Town) -> list[dict[int, tuple[int, int, int]]]:
-    return [{number: row.rank for number, row in m.rows.items()} for m in town.members.values()]
+    return [{number: row.rank for number, row in m.records.items()} for m in town.members.values()]
 
 
 class Reunion(unittest.TestCase):
@@ -45,12 +63,12 @@
     def forgotten(self, town: Town) -> None:
         """Nobody has a row of the other region: else the story would prove nothing."""
         for member in town.members.values():
-            self.assertEqual({member.own.region}, {row.region for row in member.rows.values()})
+            self.assertEqual({member.own.region}, {row.region for row in member.records.values()})
 
     def story(
         self,
         many: int,
-        tempo: Tempo,
+        tempo: MembershipTimings,
         long: int,
         loss: float = 0.0,
         meanwhile: Callable[[Town], None] | None = None,
@@ -60,7 +78,7 @@
         town.run(SECOND)
         if before is not None:
             before(town)
-            town.run(town.now + tempo.forget + 20 * SECOND)
+            town.run(town.now + tempo.retention + 20 * SECOND)
         apart(town)
         town.run(town.now + long // 2)
         if meanwhile is not None:
@@ -82,11 +100,11 @@
                     town = Town(many, 12, TEMPO, Wires())
                     for member in town.members.values():
                         if member.own.region == side:
-                            member._tempo = QUICK
+                            member._timings = QUICK
                     apart(town)
                     town.run(300 * SECOND)
                     for member in town.members.values():
-                        seen = {row.region for row in member.rows.values()}
+                        seen = {row.region for row in member.records.values()}
                         self.assertEqual({side} if member.own.region == side else {"a", "b"}, seen)
                     together(town)
                     self.meets(town)
@@ -116,8 +134,8 @@
                 self.story(many, QUICK, 400 * SECOND, meanwhile=move)
 
 
-def row(number: int, life: int = 1, place: int = 0) -> Row:
-    return Row(number, life, 0, ALIVE, False, "a", "r", f"10.0.{number}.{place}", 7946)
+def row(number: int, life: int = 1, place: int = 0) -> MemberRecord:
+    return MemberRecord(number, life, 0, ALIVE, False, "a", "r", f"10.0.{number}.{place}", 7946)
 
 
 def at(number: int, place: int = 0) -> Address:
@@ -128,22 +146,24 @@
     return Membership(row(0), TEMPO, [at(seed) for seed in seeds], Random(1), 0, list(map(row, known)))
 
 
-def says(member: Membership, *rumors: Row | Claim) -> None:
+def says(member: Membership, *rumors: MemberRecord | StateClaim) -> None:
     """Word from 1, which is there."""
-    member.receive(write(Gossip(1, 1, 0, [], []), rumors)[0], at(1), member.now)
+    member.receive(encode_message(Gossip(1, 1, 0, [], []), rumors)[0], at(1), member.now)
 
 
 def calls(member: Membership, long: int) -> Counter[Address]:
     """Pings beside the detector's in so many ticks, while 1 answers all that it is sent."""
     found, until = Counter[Address](), member.now + long
-    while member.due() < until:
-        member.tick(member.due())
+    while member.next_round_at() < until:
+        member.tick(member.next_round_at())
         out, member.outbox = member.outbox, []
         for to, text in out:
-            if not isinstance(ping := read(text), Ping):
+            if not isinstance(ping := decode_message(text), Ping):
                 continue
             if to == at(1):
-                member.receive(write(Ack(1, 1, ping.digest, [], [], ping.seq))[0], at(1), member.now)
+                member.receive(
+                    encode_message(Ack(1, 1, ping.digest, [], [], ping.sequence_number))[0], at(1), member.now
+                )
             else:
                 found[to] += 1
     return found
@@ -158,57 +178,58 @@
         found = calls(member, HOUR)
         self.assertEqual({at(2), at(3)}, set(found))
         periods = HOUR // TEMPO.period
-        self.assertAlmostEqual(1.0, found.total() / (periods / UNHEARD), delta=0.15)
+        self.assertAlmostEqual(1.0, found.total() / (periods / RECONNECT_INTERVAL_PERIODS), delta=0.15)
         self.assertAlmostEqual(1.0, found[at(2)] / found[at(3)], delta=0.3)
 
     def test_where_the_forgotten_dead_were_is_called_for_a_time(self) -> None:
         member = one([], 1, 5)
-        says(member, Claim(5, 1, 0, DEAD, 1))
-        calls(member, TEMPO.forget + SECOND)
-        self.assertNotIn(5, member.rows)
+        says(member, StateClaim(5, 1, 0, DEAD, 1))
+        calls(member, TEMPO.retention + SECOND)
+        self.assertNotIn(5, member.records)
         self.assertEqual({at(5)}, set(calls(member, HOUR)))
-        member.now = member.now + CALLED * TEMPO.forget
+        member.now = member.now + ADDRESS_RETENTION_FACTOR * TEMPO.retention
         member.tick(member.now)
         member.outbox.clear()
         self.assertEqual({}, calls(member, HOUR))
 
     def test_a_seed_dead_for_good_is_called_no_more_often_than_another(self) -> None:
         member = one([5], 1, 5, 6)
-        says(member, *(Claim(number, 1, 0, DEAD, 1) for number in (5, 6)))
-        calls(member, TEMPO.forget + SECOND)
+        says(member, *(StateClaim(number, 1, 0, DEAD, 1) for number in (5, 6)))
+        calls(member, TEMPO.retention + SECOND)
         found = calls(member, HOUR)
         self.assertAlmostEqual(1.0, found[at(5)] / found[at(6)], delta=0.3)
 
     def test_one_that_is_alone_calls_in_each_period_though_its_own_have_grown_long(self) -> None:
         member = one([], 5)
-        says(member, Claim(5, 1, 0, DEAD, 1))
-        member.health = WORST
-        found = calls(member, 100 * TEMPO.period * (1 + WORST))
+        says(member, StateClaim(5, 1, 0, DEAD, 1))
+        member.local_health = MAX_LOCAL_HEALTH
+        found = calls(member, 100 * TEMPO.period * (1 + MAX_LOCAL_HEALTH))
         self.assertAlmostEqual(100, found[at(5)], delta=2)
 
     def test_of_many_forgotten_a_bounded_number_is_called(self) -> None:
-        dead = range(2, 2 + 4 * KEPT)
+        dead = range(2, 2 + 4 * MAX_REMEMBERED_ADDRESSES)
         member = one([], 1, *dead)
         for number in dead:
-            says(member, Claim(number, 1, 0, DEAD, 1))
-        calls(member, TEMPO.forget + SECOND)
-        self.assertEqual([0, 1], sorted(member.rows))
+            says(member, StateClaim(number, 1, 0, DEAD, 1))
+        calls(member, TEMPO.retention + SECOND)
+        self.assertEqual([0, 1], sorted(member.records))
         found = calls(member, 10 * HOUR)
-        self.assertEqual(KEPT, len(found))
+        self.assertEqual(MAX_REMEMBERED_ADDRESSES, len(found))
         late = sum(at(number) in found for number in dead[len(dead) // 2 :])
-        self.assertIn(late, range(KEPT // 2, KEPT))  # neither the first nor the last ones alone
+        # Neither the first nor the last ones alone.
+        self.assertIn(late, range(MAX_REMEMBERED_ADDRESSES // 2, MAX_REMEMBERED_ADDRESSES))
 
     def test_who_left_is_not_called(self) -> None:
         member = one([], 1, 5)
-        says(member, Claim(5, 1, 1, LEFT, 5))
+        says(member, StateClaim(5, 1, 1, LEFT, 5))
         self.assertEqual({}, calls(member, HOUR))
 
     def test_who_came_back_elsewhere_is_not_called_where_it_was(self) -> None:
         member = one([], 1, 5)
-        says(member, Claim(5, 1, 0, DEAD, 1))
-        calls(member, TEMPO.forget + SECOND)
+        says(member, StateClaim(5, 1, 0, DEAD, 1))
+        calls(member, TEMPO.retention + SECOND)
         says(member, row(5, life=2, place=1))
-        says(member, Claim(5, 2, 0, LEFT, 5))  # so that the detector leaves it alone
+        says(member, StateClaim(5, 2, 0, LEFT, 5))  # so that the detector leaves it alone
         self.assertEqual({}, calls(member, HOUR))
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,7 +17,7 @@
 
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams
-from lanelead.runtime.endpoint_registry import HEAD, STEP, UNTOLD
+from lanelead.runtime.gossip_codec import HEADER_BYTES, LATENCY_STEP_TICKS, NOT_REPORTED
 from lanelead.testbed.emulators.fault_proxy import Wires
 from tests.platform import SETTINGS, Client, Platform, Unit, free_port, good
 from tests.town import live
@@ -98,7 +98,11 @@
         """Returns once a hub tells this end of a pace, in ms, that is enough."""
         while True:
             payload = datagrams.decode_plain(await asyncio.get_running_loop().sock_recv(self.ear, 512)) or b""
-            if len(payload) >= HEAD and payload[1] != UNTOLD and enough(payload[1] * STEP // 10):
+            if (
+                len(payload) >= HEADER_BYTES
+                and payload[1] != NOT_REPORTED
+                and enough(payload[1] * LATENCY_STEP_TICKS // 10)
+            ):
                 return
 
     async def flood(self, clients: list[tuple[int, Client]]) -> None:
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -21,12 +21,12 @@
     InFlightCount,
     OutcomeObservation,
 )
-from lanelead.runtime.endpoint_registry import (
-    FORM,
-    FORM_SHARED,
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import (
+    IN_FLIGHT_MARKER,
+    LONG_ID_MESSAGE_FORM,
     MAX_MESSAGE_BYTES,
-    SHARED,
-    EndpointRegistry,
+    MESSAGE_FORM,
     decode_gossip,
     encode_gossip,
 )
@@ -172,7 +172,7 @@
         shared = [unit for unit in teller.short_ids.sharing() if unit.long_id > 0][:60]
         texts = encode_gossip([OutcomeObservation(unit, PURE, 7, 3, FAULTS) for unit in shared], [PURE])
         self.assertEqual({teller.names[unit]: [3] for unit in shared}, read(door(*names), texts))
-        self.assertEqual([FORM_SHARED] * 4, [text[0] >> 5 for text in texts])
+        self.assertEqual([LONG_ID_MESSAGE_FORM] * 4, [text[0] >> 5 for text in texts])
         self.assertLessEqual(max(map(len, texts)), MAX_MESSAGE_BYTES - 2)
 
 
@@ -391,7 +391,7 @@
             (loads + bytes(MAX_MESSAGE_BYTES), "length"),
             (bytes([5 << 5]) + loads[1:], "form"),
             (seen + bytes(13 * 20), "length"),
-            (bytes([FORM_SHARED << 5 | 20]) + bytes(260), "length"),
+            (bytes([LONG_ID_MESSAGE_FORM << 5 | 20]) + bytes(260), "length"),
         ):
             hearer = door(A, B, C)
             self.assertEqual([], decode_gossip(text, hearer.short_ids, [PURE]))
@@ -399,15 +399,15 @@
             self.assertEqual({A: [3, 6], B: [7, 9], C: [4, 5]}, read(hearer, good))
 
     def test_a_place_without_a_mark_says_nothing_of_any_unit(self) -> None:
-        row = Struct(">IBBIB").pack(0, SHARED, 0, 0, 0)
+        row = Struct(">IBBIB").pack(0, IN_FLIGHT_MARKER, 0, 0, 0)
         hearer = door(A, B, C)
-        said = decode_gossip(bytes([FORM << 5 | 1, 255, 255]) + row, hearer.short_ids, [PURE])
+        said = decode_gossip(bytes([MESSAGE_FORM << 5 | 1, 255, 255]) + row, hearer.short_ids, [PURE])
         self.assertEqual(([InFlightBound(0)], {}), (said, hearer.short_ids.skipped))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
     def test_no_letter_breaks_a_relay_or_names_a_unit_that_is_not_there(self, data: st.DataObject) -> None:
-        form = data.draw(st.sampled_from([FORM, FORM_SHARED, 0, 7]))
+        form = data.draw(st.sampled_from([MESSAGE_FORM, LONG_ID_MESSAGE_FORM, 0, 7]))
         body = data.draw(st.binary(max_size=300))
         marks = [long_id_of(name).to_bytes(4, "big") for name in (A, B, C, *TWINS)]
         for place in data.draw(st.lists(st.integers(0, 60), max_size=5)):
--- a/tests/test_marks_stories.py
+++ b/tests/test_marks_stories.py
@@ -18,13 +18,13 @@
     Verdict,
 )
 from lanelead.protocols import datagrams
-from lanelead.runtime.endpoint_registry import (
-    FORM,
-    LOAD,
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import (
+    IN_FLIGHT_ENTRY,
+    IN_FLIGHT_MARKER,
     MAX_MESSAGE_BYTES,
-    ROW,
-    SHARED,
-    EndpointRegistry,
+    MESSAGE_FORM,
+    OUTCOME_ROW,
     decode_gossip,
     encode_gossip,
 )
@@ -108,12 +108,12 @@
 
 def short_marks(text: bytes) -> list[int]:
     """The marks of 16 bits in a letter, of sightings and loads."""
-    if text[0] >> 5 != FORM:
+    if text[0] >> 5 != MESSAGE_FORM:
         return []
-    end = 3 + (text[0] & 31) * ROW.size
-    rest = text[end : len(text) - (len(text) - end) % LOAD.size]
-    rows = [row[0] for row in ROW.iter_unpack(text[3:end]) if row[2] != SHARED]
-    return rows + [mark for mark, _ in LOAD.iter_unpack(rest)]
+    end = 3 + (text[0] & 31) * OUTCOME_ROW.size
+    rest = text[end : len(text) - (len(text) - end) % IN_FLIGHT_ENTRY.size]
+    rows = [row[0] for row in OUTCOME_ROW.iter_unpack(text[3:end]) if row[2] != IN_FLIGHT_MARKER]
+    return rows + [mark for mark, _ in IN_FLIGHT_ENTRY.iter_unpack(rest)]
 
 
 class Processes(unittest.TestCase):
--- a/tests/test_outstanding.py
+++ b/tests/test_outstanding.py
@@ -23,7 +23,8 @@
     RequestClass,
     SendGossip,
 )
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES, EndpointRegistry, decode_gossip, encode_gossip
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES, decode_gossip, encode_gossip
 from tests.fake import EFFECTFUL, PURE, SECOND, FakeHost
 
 DEAR = 0.08
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -78,15 +78,15 @@
     "steps.told": migrations.SchemaCheck,
 }
 MESSAGEPACK_TYPES: dict[str, Any] = {
-    "membership.row": messages.Row,
-    "membership.claim": messages.Claim,
+    "membership.row": messages.MemberRecord,
+    "membership.claim": messages.StateClaim,
     "membership.gossip": messages.Gossip,
     "membership.ping": messages.Ping,
     "membership.ack": messages.Ack,
     "membership.nack": messages.Nack,
-    "membership.ask": messages.Ask,
-    "membership.join": messages.Join,
-    "membership.table": messages.Table,
+    "membership.ask": messages.PingRequest,
+    "membership.join": messages.TableRequest,
+    "membership.table": messages.TablePage,
 }
 
 
@@ -156,4 +156,4 @@
             if name in ("membership.row", "membership.claim"):
                 continue
             with self.subTest(message=name):
-                self.assertIs(type(messages.read(bytes.fromhex(recorded()[name]["full"]))), message_type)
+                self.assertIs(type(messages.decode_message(bytes.fromhex(recorded()[name]["full"]))), message_type)
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -24,7 +24,8 @@
 from lanelead.http import serialization
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams, platform
-from lanelead.runtime.endpoint_registry import EndpointRegistry, decode_gossip, encode_gossip
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import decode_gossip, encode_gossip
 from tests.fake import EFFECTFUL, PURE, RECEIPTED, SECOND
 
 RECORDED = Path(__file__).parent / "pinned" / "wire.json"
@@ -130,11 +131,11 @@
         sealed, plain = (bytes.fromhex(text) for text in recorded["datagram"])
         opened = datagrams.decode_datagram(sealed, 8)
         assert isinstance(opened, datagrams.Datagram)
-        self.assertEqual((opened.sender, opened.count, opened.payload, opened.circle), (7, 11, b"payload", False))
+        self.assertEqual((opened.sender, opened.count, opened.payload, opened.membership), (7, 11, b"payload", False))
         self.assertEqual(datagrams.decode_plain(plain), b"payload")
         tenant = datagrams.decode_datagram(bytes.fromhex(recorded["membership datagram"][0]), 8)
         assert isinstance(tenant, datagrams.Datagram)
-        self.assertTrue(tenant.circle)
+        self.assertTrue(tenant.membership)
 
 
 def understood(name: str, text: bytes) -> list[list[object]]:
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -113,7 +113,7 @@
 
     def test_strangers_and_the_oversized_are_dropped(self) -> None:
         self.assertEqual(decode_datagram(encode_datagram(10, 0, b""), 10), "sender")
-        self.assertEqual(decode_datagram(b"x" * (datagrams.LARGEST + 1), 10), "length")
+        self.assertEqual(decode_datagram(b"x" * (datagrams.MAX_DATAGRAM_BYTES + 1), 10), "length")
         with self.assertRaises(ValueError):
             encode_datagram(0, 0, b"x" * 257)
 
