--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -29,10 +29,11 @@
 from lanelead.decisions.interface import SECOND, Attempt, AttemptOutcome, CastVote, Endpoint, Ticks
 from lanelead.protocols import datagrams
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.gossip_codec import HEADER_BYTES, IN_FLIGHT_ENTRY, MESSAGE_FORM, OUTCOME_ROW
+from lanelead.runtime.loop_clock import CLOCK_START_TICKS
 from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
-from lanelead.runtime.timers import CLOCK_START_TICKS
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 UDP_HEAD = 28  # bytes of the IPv4 and UDP heads of a datagram; counted nowhere unless said
 CONNECTING: Ticks = 2500  # an attempt at a unit that is silent: the limit for connecting
@@ -184,13 +185,13 @@
             now=self.now,
         )
         relay.driver = DecisionDriver(
-            relay.decisions,
-            relay,
-            lambda: self.now,
-            request_classes,
-            limits,
-            quota.max_in_flight,
-            quota.max_retry_after,
+            decisions=relay.decisions,
+            host=relay,
+            clock=lambda: self.now,
+            request_classes=request_classes,
+            limits=limits,
+            max_pending=quota.max_in_flight,
+            max_retry_after=quota.max_retry_after,
         )
 
     def restart_requests(self) -> None:
@@ -267,7 +268,7 @@
             self._count(relay, "list", relay.driver.endpoints_listed, what, 0)
         elif kind == "wake":
             relay.armed = None
-            due = relay.driver._timers[0] if relay.driver._timers else (0, 0, 0)
+            due = relay.driver._timers.heap[0] if relay.driver._timers.heap else (0, 0, 0)
             self._count(relay, "beat" if due[2] is None else "timer", relay.driver.tick)
 
     def _heard(self, relay: Hollow, sender: int, data: bytes) -> None:
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -35,8 +35,9 @@
     Ticks,
     UpdateScope,
 )
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
+from lanelead.runtime.pending_requests import PendingRequest
 
 UNITS = (26, 150, 780, 7800)
 RATE = 183  # lookups a second at one relay: its mean at the peak
@@ -170,13 +171,13 @@
     now: Ticks = 3600 * SECOND
     quota, request_classes = told.resource_quota(), told.request_classes()
     return DecisionDriver(
-        decisions(told, request_classes, told.tenants(), now),
-        Hands(),
-        lambda: now,
-        request_classes,
-        told.service_limits(),
-        quota.max_in_flight,
-        quota.max_retry_after,
+        decisions=decisions(told, request_classes, told.tenants(), now),
+        host=Hands(),
+        clock=lambda: now,
+        request_classes=request_classes,
+        limits=told.service_limits(),
+        max_pending=quota.max_in_flight,
+        max_retry_after=quota.max_retry_after,
     )
 
 
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -17,7 +17,7 @@
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND, OutcomeObservation
 from lanelead.runtime.gossip_codec import encode_gossip
-from lanelead.runtime.timers import CLOCK_START_TICKS
+from lanelead.runtime.loop_clock import CLOCK_START_TICKS
 
 UNITS = 13  # a relay
 SIZES, SMALL = (8, 9, 12, 20, 40, 100, 200, 400, 600), (8, 40)
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -123,7 +123,7 @@
         "others": most(lambda relay: len(relay.decisions._out._others)),
         "windows": most(lambda relay: len(relay.decisions._scoring.windows.all)),
         "tickets": most(lambda relay: len(relay.driver.pending)),
-        "timers": most(lambda relay: len(relay.driver._timers)),
+        "timers": most(lambda relay: len(relay.driver._timers.heap)),
         "places": most(lambda relay: len(relay.driver.destinations)),
     }
 
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -21,8 +21,8 @@
 from lanelead.decisions.interface import SECOND
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from lanelead.runtime.loop_clock import CLOCK_START_TICKS
 from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
-from lanelead.runtime.timers import CLOCK_START_TICKS
 
 UNITS, SMALL_UNITS = (26, 150, 780, 2600, 7800), (26, 150)
 REAL, REAL_SMALL = (26, 780, 2600, 7800), (26,)
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -41,7 +41,8 @@
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.platform import VERDICTS, encode_call
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings.records import Poll, Trial
 from lanelead.testbed.emulators.vote_counting import Polling
 from tests.platform import answered, told
@@ -94,7 +95,15 @@
             rng=rng,
             now=town.ticks(),
         )
-        self.driver = DecisionDriver(decisions, self, town.ticks, [LANE], DUTIES, 1000, 20_000)
+        self.driver = DecisionDriver(
+            decisions=decisions,
+            host=self,
+            clock=town.ticks,
+            request_classes=[LANE],
+            limits=DUTIES,
+            max_pending=1000,
+            max_retry_after=20_000,
+        )
 
     def after(self) -> None:
         due = self.driver.next_timer()
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -27,7 +27,8 @@
 from lanelead.http.responses import HttpResponse
 from lanelead.http_relay.upstream_requests import OURS
 from lanelead.protocols.feeds import Complaint, MessageError, decode, encode
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings import records
 
 BUFFER = 8192  # bytes read at once
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -39,8 +39,9 @@
 )
 from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.timers import LoopClock
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.loop_clock import LoopClock
+from lanelead.runtime.pending_requests import PendingRequest
 from lanelead.settings import records
 
 Seam = Callable[[Decisions], Decisions]  # for tests only: takes a guard out, from outside the decisions
@@ -101,14 +102,14 @@
         if self._seam is not None:
             decisions = self._seam(decisions)
         self.driver = DecisionDriver(
-            decisions,
-            self,
-            self.clock,
-            request_classes,
-            limits,
-            quota.open_lookups,
-            records.ticks(quota.longest_advice_ms),
-            self._readiness(request_classes, limits),
+            decisions=decisions,
+            host=self,
+            clock=self.clock,
+            request_classes=request_classes,
+            limits=limits,
+            max_pending=quota.open_lookups,
+            max_retry_after=records.ticks(quota.longest_advice_ms),
+            readiness=self._readiness(request_classes, limits),
         )
         self._links.driver = self.driver
         self.gate = Gate(self._loop, service, self.driver, self.clock, self.state, self._log, tenants)
--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -21,7 +21,9 @@
 from lanelead.http.responses import HttpResponse, Progress, ResponseReader
 from lanelead.http_relay.load_reports import LOAD, figures, report_of
 from lanelead.protocols.feeds import LoadMessage, MessageError, decode
-from lanelead.runtime.driver import DecisionDriver, Destination, PendingRequest
+from lanelead.runtime.destination import Destination
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest
 
 TURNED_AWAY = b"lanelead-turned-away"
 OURS = serialization.own(
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -20,7 +20,8 @@
 from lanelead.pgwire.clients import ClientReader, Encryption, Event, Fault, Query, Startup
 from lanelead.pgwire.servers import QueryResult
 from lanelead.postgres_relay.load_reports import still
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 BUFFER = 32768  # bytes read at once
 AT_ONCE = 64  # commands of one read: of more, none is taken
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -19,7 +19,8 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay.client_connection import BUFFER, LEAVING, LINGER, REFUSED, Client
 from lanelead.postgres_relay.load_reports import still
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import RequestOutcome
 
 SILENCE = 2.0  # seconds for a client to ask for something, or to end what it began
 IDLE = 10.0  # seconds after which a connection that asks nothing more is closed
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -14,7 +14,7 @@
 from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
 from lanelead.pgwire.servers import ServerReader
 from lanelead.postgres_relay.load_reports import still
-from lanelead.runtime.driver import Destination
+from lanelead.runtime.destination import Destination
 
 WEAR = 0.6  # of the time after which a unit's machine closes an idle connection: ours go by then
 REST = 0.01  # seconds that an answered one is left alone; second answers were seen 2 to 3 ms late
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -27,8 +27,9 @@
 from lanelead.postgres_relay.upstream_requests import Links
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, RolloutMessage
 from lanelead.protocols.platform import parse_address
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.timers import LoopClock
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.loop_clock import LoopClock
+from lanelead.runtime.pending_requests import PendingRequest
 
 if TYPE_CHECKING:
     from lanelead.postgres_relay.configuration_client import Feed
@@ -75,7 +76,13 @@
             now=self._clock.now(),
         )
         self.driver = DecisionDriver(
-            decisions, self, self._clock.now, request_classes, limits, quota.max_in_flight, quota.max_retry_after
+            decisions=decisions,
+            host=self,
+            clock=self._clock.now,
+            request_classes=request_classes,
+            limits=limits,
+            max_pending=quota.max_in_flight,
+            max_retry_after=quota.max_retry_after,
         )
         tenants = {tenant.name: tenant for tenant in members}
         self._in_force = InForce(tenants, self.driver.request_classes, decisions.parameters.update)
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -17,7 +17,8 @@
 from lanelead.pgwire.statements import Statement
 from lanelead.postgres_relay.connection_pool import REST, Link, Pools
 from lanelead.postgres_relay.load_reports import report_of, still
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest
 
 BUFFER = 65536  # bytes read at once
 STARTUP = messages.startup("app", "shop")
--- a/lanelead/runtime/__init__.py
+++ b/lanelead/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every host of the decisions shares: ids and letters at its door, figures read at its start."""
+"""What every host of the decisions shares: the driver, endpoints and their gossip, parameters, timers."""
--- /dev/null
+++ b/lanelead/runtime/driver_counters.py
@@ -0,0 +1,22 @@
+"""What a driver counts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from lanelead.decisions.interface import AttemptOutcome
+
+
+@dataclass(slots=True)
+class DriverCounters:
+    """Requests, attempts and votes since the start."""
+
+    received: int = 0
+    succeeded: int = 0
+    rejected: int = 0
+    failed: int = 0
+    abandoned: int = 0  # their client left
+    over_limit: int = 0  # rejected before the decisions saw them: too many pending, or no time left
+    attempts: int = 0
+    withheld_votes: int = 0  # votes to promote past a stage whose migrations are not done
+    outcomes: dict[AttemptOutcome, int] = field(default_factory=dict)  # of attempts
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -34,7 +34,8 @@
 from lanelead.http.responses import HttpResponse
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings import records
 from lanelead.testbed.emulators.service_model import Build, Engine, Life
 from lanelead.testbed.emulators.vote_counting import Polling
@@ -252,13 +253,13 @@
             preference=preference,
         )
         self.driver = DecisionDriver(
-            decisions,
-            self,
-            self.clock,
-            self.lanes,
-            limits,
-            service.allowance.open_lookups,
-            records.ticks(service.allowance.longest_advice_ms),
+            decisions=decisions,
+            host=self,
+            clock=self.clock,
+            request_classes=self.lanes,
+            limits=limits,
+            max_pending=service.allowance.open_lookups,
+            max_retry_after=records.ticks(service.allowance.longest_advice_ms),
         )
 
     def clock(self) -> Ticks:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -32,8 +32,10 @@
 )
 from lanelead.http.requests import HttpRequest
 from lanelead.http.responses import HttpResponse
+from lanelead.migrations.readiness import Readiness
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 SECOND: Ticks = 10_000
 LANES = [
@@ -80,7 +82,9 @@
 class Stage:
     """A driver with the real decisions, hands on paper and a clock that only the test moves."""
 
-    def __init__(self, open_lookups: int = 1000, start: Ticks = 100 * SECOND) -> None:
+    def __init__(
+        self, open_lookups: int = 1000, start: Ticks = 100 * SECOND, readiness: Readiness | None = None
+    ) -> None:
         self.hands = PaperHands(start)
         relay = Balancer(
             place=RelayPosition(0, 3, "north"),
@@ -94,7 +98,16 @@
             rng=Random(1),
             now=start,
         )
-        self.driver = DecisionDriver(relay, self.hands, lambda: self.hands.now, LANES, DUTIES, open_lookups, SECOND)
+        self.driver = DecisionDriver(
+            decisions=relay,
+            host=self.hands,
+            clock=lambda: self.hands.now,
+            request_classes=LANES,
+            limits=DUTIES,
+            max_pending=open_lookups,
+            max_retry_after=SECOND,
+            readiness=readiness,
+        )
         self.answers: list[tuple[Ticks, PendingRequest, RequestOutcome]] = []
         self.tickets: list[PendingRequest] = []
         self.listed("full", *(self.row(number) for number in range(4)))
@@ -288,7 +301,7 @@
                         attempt.outcome = None
                         self.stage.driver.decisions.attempt_ended(attempt, AttemptOutcome.REJECTED, False, 1, None)
                         attempt.outcome = AttemptOutcome.ERROR
-                        self.stage.driver._carry()
+                        self.stage.driver._run_actions()
                         return
 
         with self.assertRaises(AssertionError):
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -9,7 +9,7 @@
 
 from benchmarks.slopes.fleet import Fleet, Hollow
 from benchmarks.slopes.sizes import Size
-from lanelead.runtime.driver import RequestOutcome
+from lanelead.runtime.pending_requests import RequestOutcome
 
 SIZE = Size(12, 36, 20.0)
 SECONDS = 4.0
--- a/tests/test_join.py
+++ b/tests/test_join.py
@@ -96,9 +96,8 @@
 
 class OnTheDriver(unittest.TestCase):
     def setUp(self) -> None:
-        self.stage = Stage()
+        self.stage = Stage(readiness=Readiness(SECOND, 0))
         self.driver = self.stage.driver
-        self.driver.readiness = Readiness(SECOND, 0)
         self.driver.migrations_read(page(TAKEN))
         self.stage.listed("full", *(self.stage.row(n, build=1 + n % 2) for n in range(4)))
         self.driver.rollout_read(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
@@ -138,12 +137,12 @@
     def test_a_vote_on_past_the_stage_waits_and_a_vote_back_does_not(self) -> None:
         self.driver.migrations_read(page(*through("a"), since=1))
         self.driver.decisions.actions += [CastVote(2, 0, Verdict.PROMOTE), CastVote(2, 0, Verdict.ROLL_BACK)]
-        self.driver._carry()
+        self.driver._run_actions()
         self.assertEqual([vote.verdict for vote in self.stage.hands.votes], [Verdict.ROLL_BACK])
         self.assertEqual(self.driver.counters.withheld_votes, 1)
         self.driver.migrations_read(page(*through("b"), since=3))
         self.driver.decisions.actions.append(CastVote(2, 0, Verdict.PROMOTE))
-        self.driver._carry()
+        self.driver._run_actions()
         self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.PROMOTE)
 
     def test_a_unit_that_drains_stays_draining_whatever_its_build_may(self) -> None:
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -92,7 +92,7 @@
     async def test_tables_forget_units_ids_and_connections(self) -> None:
         async with platform(Unit("u0")) as place:
             relay = place.relay
-            with mock.patch.object(relay.driver, "_memory", 0):
+            with mock.patch.object(relay.driver.endpoint_list, "_retention", 0):
                 for number in range(300):
                     for state in ("active", "left"):
                         rows = [
@@ -120,7 +120,7 @@
                     relay.links._out,
                     relay.links.links,
                     relay.front.open,
-                    driver._gone,
+                    driver.endpoint_list.removed,
                 )
             ]
             self.assertLessEqual(max(sizes), 12, sizes)
