--- a/lanelead/runtime/parameter_reader.py
+++ b/lanelead/runtime/parameter_reader.py
@@ -1,6 +1,7 @@
-"""The figures that a relay is told at its start, read by path: the bench's pairs, or a configuration's JSON.
+"""The parameters that a relay is given at its start, read by path: pairs of the wire, or a configuration's JSON.
 
-The bench adapter and the relay on the platform share it. Only the standard library is imported here.
+The simulator adapter and the relay on the platform share it. The paths are the wire's own words; this module maps them
+to the decisions' names. Only the standard library is imported here.
 """
 
 from __future__ import annotations
@@ -26,10 +27,9 @@
 
 T = TypeVar("T")
 
-
-class ParameterError(Exception):
-    """The input does not follow the wire's form."""
-
+ABSENT = "-"  # the wire's word for a value that is not given
+TICKS_PER_MS = 10
+ROUNDING_SLACK_TICKS = 1e-6  # 0.3 ms times 10 is a little less than 3 ticks
 
 IDEMPOTENCY_WORDS = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -41,55 +41,69 @@
     "by_count": PromotionControl.VOTE_COUNT,
     "automatic": PromotionControl.TIMER,
 }
+DEDUPLICATION_SCOPE_WORDS = {scope.value: scope for scope in DeduplicationScope}
+
+
+class ParameterError(Exception):
+    """A value does not follow the wire's form. `path` names the parameter, where it has one."""
+
+    def __init__(self, reason: str, path: str = "") -> None:
+        super().__init__(f"{path}: {reason}" if path else reason)
+        self.reason = reason
+        self.path = path
 
 
-def lookup_word(table: Mapping[str, T], word: str) -> T:
+def lookup_word(table: Mapping[str, T], word: str, path: str = "") -> T:
+    """Returns what a word of the wire stands for. Raises ParameterError if it is unknown."""
     if word not in table:
-        raise ParameterError(f"unknown word {word!r}")
+        raise ParameterError(f"unknown word {word!r}", path)
     return table[word]
 
 
-def parse_integer(word: str) -> int:
+def parse_integer(text: str) -> int:
+    """Returns a whole number. Raises ParameterError if the text is none."""
     try:
-        return int(word)
+        return int(text)
     except ValueError:
-        raise ParameterError(f"not a whole number: {word!r}") from None
+        raise ParameterError(f"not a whole number: {text!r}") from None
 
 
-def parse_number(word: str, absent: float = 0.0) -> float:
-    if word == "-":
+def parse_number(text: str, absent: float = 0.0, path: str = "") -> float:
+    """Returns a finite number, `absent` for one that is not given. Raises ParameterError if the text is none."""
+    if text == ABSENT:
         return absent
     try:
-        value = float(word)
+        value = float(text)
     except ValueError:
-        raise ParameterError(f"not a number: {word!r}") from None
+        raise ParameterError(f"not a number: {text!r}", path) from None
     if not math.isfinite(value):
-        raise ParameterError(f"not a finite number: {word!r}")
+        raise ParameterError(f"not a finite number: {text!r}", path)
     return value
 
 
-def parse_ticks(word: str) -> Ticks:
-    """Milliseconds, as whole tenths; part of a tenth is dropped, so that no limit is stretched."""
-    return math.floor(parse_number(word) * 10 + 1e-6)
+def parse_ticks(text: str, path: str = "") -> Ticks:
+    """Returns milliseconds as whole ticks; part of a tick is dropped, so that no limit is stretched."""
+    return math.floor(parse_number(text, 0.0, path) * TICKS_PER_MS + ROUNDING_SLACK_TICKS)
 
 
 def format_value(value: Any) -> str:
+    """Returns a JSON value as a word of the wire, which has no spaces and no commas."""
     if value is None:
-        return "-"
+        return ABSENT
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
 def flatten_pairs(nested: Any, path: str = "") -> Iterator[str]:
-    """A nested object as the pairs of an opening, in the bench's manner."""
+    """Yields the `path=value` pairs of a nested JSON object, as the wire has them."""
     if isinstance(nested, dict):
         for name, value in nested.items():
             yield from flatten_pairs(value, f"{path}.{name}" if path else str(name))
     elif isinstance(nested, list) and any(isinstance(value, dict | list) for value in nested):
         yield f"{path}.count={len(nested)}"
-        for place, value in enumerate(nested):
-            yield from flatten_pairs(value, f"{path}.{place}")
+        for index, value in enumerate(nested):
+            yield from flatten_pairs(value, f"{path}.{index}")
     elif isinstance(nested, list):
         yield f"{path}={','.join(format_value(value) for value in nested)}"
     else:
@@ -97,69 +111,87 @@
 
 
 class ParameterReader:
-    """Pairs of path and value, read by path; what this project does not know is skipped."""
+    """Reads `path=value` pairs by path; pairs whose path nobody asks for are skipped.
+
+    All methods that read a number or a known word raise ParameterError with the path if the value is none.
+    """
 
-    def __init__(self, words: Sequence[str]) -> None:
-        self._pairs: dict[str, str] = {}
-        for word in words:
-            path, mark, value = word.partition("=")
-            if not mark:
-                raise ParameterError(f"not a pair: {word!r}")
-            self._pairs[path] = value
+    def __init__(self, pairs: Sequence[str]) -> None:
+        self._values: dict[str, str] = {}
+        for pair in pairs:
+            path, separator, value = pair.partition("=")
+            if not separator:
+                raise ParameterError(f"not a pair: {pair!r}")
+            self._values[path] = value
 
-    def text(self, path: str, absent: str = "-") -> str:
-        return self._pairs.get(path, absent)
+    def text(self, path: str, absent: str = ABSENT) -> str:
+        """Returns a value as it is."""
+        return self._values.get(path, absent)
 
     def number(self, path: str, absent: float = 0.0) -> float:
-        return parse_number(self.text(path), absent)
+        """Returns a finite number."""
+        return parse_number(self.text(path), absent, path)
 
     def integer(self, path: str, absent: int = 0) -> int:
+        """Returns a number without its fraction."""
         return int(self.number(path, absent))
 
     def ticks(self, path: str) -> Ticks:
-        return parse_ticks(self.text(path))
+        """Returns milliseconds as whole ticks."""
+        return parse_ticks(self.text(path), path)
 
     def flag(self, path: str) -> bool:
+        """Returns whether a flag is set; False if it is not given."""
         return self.text(path) in ("true", "1")
 
     def texts(self, path: str) -> list[str]:
-        return [word for word in self.text(path, "").split(",") if word not in ("", "-")]
+        """Returns the values of a comma-separated list."""
+        return [text for text in self.text(path, "").split(",") if text not in ("", ABSENT)]
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        return tuple(parse_number(word) for word in self.texts(path))
+        """Returns the numbers of a comma-separated list."""
+        return tuple(parse_number(text, path=path) for text in self.texts(path))
 
     def items(self, path: str, read: Callable[[str], T]) -> list[T]:
-        return [read(f"{path}.{place}.") for place in range(self.integer(f"{path}.count"))]
+        """Reads each item of a list of objects by `read`, which is given the item's path with a dot after it."""
+        return [read(f"{path}.{index}.") for index in range(self.integer(f"{path}.count"))]
 
-    def request_class(self, at: str) -> RequestClass:
+    def _word_of(self, table: Mapping[str, T], path: str, absent: str = ABSENT) -> T:
+        return lookup_word(table, self.text(path, absent), path)
+
+    def request_class(self, prefix: str) -> RequestClass:
+        """Reads the request class whose paths begin with `prefix`."""
         return RequestClass(
-            name=self.text(at + "name"),
-            latency_objective=self.ticks(at + "aimMs"),
-            timeout=self.ticks(at + "deadlineMs"),
-            value=self.number(at + "credit", 1.0),
-            late_value=self.number(at + "lateWorth"),
-            idempotency=lookup_word(IDEMPOTENCY_WORDS, self.text(at + "repeat")),
-            deduplication_scope=lookup_word(
-                {scope.value: scope for scope in DeduplicationScope}, self.text(at + "group", "all")
-            ),
-            deduplication_window=self.ticks(at + "windowMs"),
-            streaming=self.flag(at + "streaming"),
-            objective_stretch=self.number(at + "aimStretch"),
+            name=self.text(prefix + "name"),
+            latency_objective=self.ticks(prefix + "aimMs"),
+            timeout=self.ticks(prefix + "deadlineMs"),
+            value=self.number(prefix + "credit", 1.0),
+            late_value=self.number(prefix + "lateWorth"),
+            idempotency=self._word_of(IDEMPOTENCY_WORDS, prefix + "repeat"),
+            deduplication_scope=self._word_of(DEDUPLICATION_SCOPE_WORDS, prefix + "group", "all"),
+            deduplication_window=self.ticks(prefix + "windowMs"),
+            streaming=self.flag(prefix + "streaming"),
+            objective_stretch=self.number(prefix + "aimStretch"),
         )
 
     def request_classes(self) -> list[RequestClass]:
+        """Reads all request classes."""
         return self.items("requestClasses", self.request_class)
 
     def tenants(self) -> list[Tenant]:
-        def member(at: str) -> Tenant:
-            return Tenant(self.text(at + "name"), self.number(at + "quotaPerS"), self.number(at + "share"))
+        """Reads all tenants."""
+
+        def tenant(prefix: str) -> Tenant:
+            return Tenant(self.text(prefix + "name"), self.number(prefix + "quotaPerS"), self.number(prefix + "share"))
 
-        return self.items("accounts", member)
+        return self.items("accounts", tenant)
 
     def position(self) -> RelayPosition:
+        """Reads this relay's place among the relays."""
         return RelayPosition(self.integer("me"), self.integer("instances", 1), self.text("zone"))
 
     def resource_quota(self) -> ResourceQuota:
+        """Reads what a relay may use."""
         return ResourceQuota(
             max_attempts=self.integer("allowed.attemptsCap", 1),
             max_in_flight=self.integer("allowed.openCap"),
@@ -175,6 +207,7 @@
         )
 
     def service_limits(self) -> ServiceLimits:
+        """Reads what holds for all requests."""
         return ServiceLimits(
             response_slack=self.ticks("contract.answerSlackMs"),
             drain_grace=self.ticks("contract.drainGraceMs"),
@@ -188,6 +221,7 @@
         )
 
     def canary_limits(self) -> CanaryLimits:
+        """Reads how much of the traffic a canary build may have."""
         return CanaryLimits(
             shares=self.numbers("familyInfo.shares") or (1.0,),
             exposure_limits=self.numbers("familyInfo.mostShares") or (1.0,),
@@ -200,8 +234,9 @@
         )
 
     def voting_rules(self) -> VotingRules:
+        """Reads how votes decide on a rollout."""
         return VotingRules(
-            control=lookup_word(PROMOTION_CONTROL_WORDS, self.text("familyInfo.decidedBy", "first_voice")),
+            control=self._word_of(PROMOTION_CONTROL_WORDS, "familyInfo.decidedBy", "first_voice"),
             promote_votes=self.integer("familyInfo.onVotes"),
             rollback_votes=self.integer("familyInfo.noesNeeded"),
             hold_votes=self.integer("familyInfo.toPause"),
@@ -216,6 +251,7 @@
         )
 
     def prices(self) -> Prices:
+        """Reads what operations and failures cost."""
         return Prices(
             health_check=self.number("prices.probe"),
             gossip=self.number("prices.peer"),
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -290,7 +290,7 @@
         head = wire.split(lines[0])
         if head[0] != "TICK":
             raise ParameterError(f"a batch that begins with {head[0]}")
-        now, parse_number = parse_ticks(head[1]), parse_integer(head[2])
+        now, number = parse_ticks(head[1]), parse_integer(head[2])
         named: dict[str, list[str]] = {}
         name, place = "", 1
         while place < len(lines):
@@ -322,7 +322,7 @@
             if reply:
                 out.append(f"AT {name}")
                 out.extend(reply)
-        out.append(f"EOR {parse_number}")
+        out.append(f"EOR {number}")
         return out
 
     def event(self, name: str, words: Words, now: Ticks) -> None:
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -131,7 +131,9 @@
         sealed, plain = (bytes.fromhex(text) for text in recorded["datagram"])
         opened = datagrams.decode_datagram(sealed, 8)
         assert isinstance(opened, datagrams.Datagram)
-        self.assertEqual((opened.sender, opened.count, opened.payload, opened.membership), (7, 11, b"payload", False))
+        self.assertEqual(
+            (opened.sender, opened.sequence_number, opened.payload, opened.membership), (7, 11, b"payload", False)
+        )
         self.assertEqual(datagrams.decode_plain(plain), b"payload")
         tenant = datagrams.decode_datagram(bytes.fromhex(recorded["membership datagram"][0]), 8)
         assert isinstance(tenant, datagrams.Datagram)
