--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -196,7 +196,7 @@
 def memory(many: int, found: Found) -> None:
     def one() -> Membership:
         rows = [MemberRecord(n, 1_700_000_000_000 + n, 0, 0, False, "a", "a", f"10.0.{n}", 7946) for n in range(many)]
-        return Membership(rows[0], TEMPO, [], Random(SEED), 0, rows[1:])
+        return Membership(own=rows[0], timings=TEMPO, seeds=[], rng=Random(SEED), now=0, known=rows[1:])
 
     found.add("memory", many, traced_mb(one)[0])
 
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -1,4 +1,4 @@
-"""A relay's place in the circle: the members' letters over the relay's UDP socket, and one timer."""
+"""A relay's membership: messages between members over the relay's UDP socket, and one timer."""
 
 from __future__ import annotations
 
@@ -11,99 +11,138 @@
 
 from lanelead.decisions.interface import Ticks
 from lanelead.membership.member import Membership
-from lanelead.membership.member_state import Address, MembershipTimings
+from lanelead.membership.member_state import Address, MemberChange, MembershipTimings
 from lanelead.membership.messages import ALIVE, STATE_NAMES, MemberRecord
 from lanelead.protocols import datagrams
 from lanelead.settings import records
 
+TICKS_PER_SECOND = 10_000
+NANOSECONDS_PER_MS = 1_000_000
+TIMER_SLACK_SECONDS = 5e-4  # the loop rounds to milliseconds
+
 
 class MembershipTransport:
-    """Decides nothing: the members' own module does, lanelead/membership/member.py."""
+    """Carries messages, time and log lines; what they mean is decided in lanelead/membership/member.py.
+
+    `clock` reads ticks. The settings have `circle` and `peers`.
+    """
 
     def __init__(
         self,
+        *,
         settings: records.Relay,
         loop: asyncio.AbstractEventLoop,
         udp: socket.socket,
         clock: Callable[[], Ticks],
         log: Any,
     ) -> None:
-        circle, peers = settings.circle, settings.peers
+        circle = settings.circle
+        peers = settings.peers
         assert circle is not None and peers is not None
-        self._loop, self._udp, self._clock, self._log = loop, udp, clock, log
+        self._loop = loop
+        self._udp = udp
+        self._clock = clock
+        self._log = log
         host, port = udp.getsockname()[:2]
         own = MemberRecord(
-            settings.number,
-            time.time_ns() // 1_000_000,
-            0,
-            ALIVE,
-            False,
-            settings.zone,
-            circle.region(settings.zone),
-            host,
-            port,
+            number=settings.number,
+            started_at_ms=time.time_ns() // NANOSECONDS_PER_MS,
+            incarnation=0,
+            state=ALIVE,
+            voter=False,
+            zone=settings.zone,
+            region=circle.region(settings.zone),
+            host=host,
+            port=port,
         )
-        tempo = MembershipTimings(records.ticks(circle.period_ms), records.ticks(circle.forget_ms))
-        # Where peers are written down, their addresses stand above those that others tell.
+        # Addresses of listed peers hold over those that members report.
         listed = {other.number: (other.host, other.port) for other in peers.others}
         seeds = [(seed.host, seed.port) for seed in circle.seeds] or list(listed.values())
-        self.members = Membership(own, tempo, seeds, Random(f"circle {own.number} {own.started_at_ms}"), clock())
+        self.members = Membership(
+            own=own,
+            timings=MembershipTimings(records.ticks(circle.period_ms), records.ticks(circle.forget_ms)),
+            seeds=seeds,
+            rng=Random(f"circle {own.number} {own.started_at_ms}"),
+            now=clock(),
+        )
         self.members.configured_addresses.update(listed)
-        self._count, self.unsent = 0, 0
+        self.unsent = 0
+        self._sequence_number = 0
         self._timer: asyncio.TimerHandle | None = None
         self._arm()
 
     def _arm(self) -> None:
-        wait = max(0, self.members.next_round_at() - self._clock()) / 10_000
-        self._timer = self._loop.call_later(wait + 5e-4, self._fire)
+        delay = max(0, self.members.next_round_at() - self._clock()) / TICKS_PER_SECOND
+        self._timer = self._loop.call_later(delay + TIMER_SLACK_SECONDS, self._fire)
 
     def _fire(self) -> None:
         self.members.tick(self._clock())
-        self._carry()
+        self._flush()
         self._arm()
 
     def receive(self, payload: bytes, source: Address) -> None:
+        """Takes a membership message from a datagram."""
         self.members.receive(payload, source, self._clock())
-        self._carry()
-
-    def _carry(self) -> None:
-        out, self.members.outbox = self.members.outbox, []
-        for to, text in out:
-            self._count += 1
-            letter = datagrams.encode_datagram(self.members.own.number, self._count, text, datagrams.MEMBERSHIP_MAGIC)
-            try:
-                self._udp.sendto(letter, to)
-            except OSError:  # a full buffer, or nobody there: such letters may be lost
-                self.unsent += 1
-        changes, self.members.changes = self.members.changes, []
-        for before, now in changes:
-            if now.number != self.members.own.number:
-                was = "unknown" if before is None else STATE_NAMES[before.state]
-                self._log.info(
-                    "member", member=now.number, life=now.started_at_ms, state=STATE_NAMES[now.state], was=was
-                )
-            elif self.members.replaced_by is not None:
-                self._log.error("replaced: a later life of this relay's number is there", life=now.started_at_ms)
+        self._flush()
+
+    def _flush(self) -> None:
+        """Sends what the member wants sent, and logs what became of others."""
+        outbox = self.members.outbox
+        self.members.outbox = []
+        for address, payload in outbox:
+            self._send(address, payload)
+        changes = self.members.changes
+        self.members.changes = []
+        for change in changes:
+            self._log_change(change)
+
+    def _send(self, address: Address, payload: bytes) -> None:
+        self._sequence_number += 1
+        datagram = datagrams.encode_datagram(
+            self.members.own.number, self._sequence_number, payload, datagrams.MEMBERSHIP_MAGIC
+        )
+        try:
+            self._udp.sendto(datagram, address)
+        except OSError:  # a full buffer, or nobody there: messages may be lost
+            self.unsent += 1
+
+    def _log_change(self, change: MemberChange) -> None:
+        record = change.after
+        if record.number != self.members.own.number:
+            self._log.info(
+                "member",
+                member=record.number,
+                started_at_ms=record.started_at_ms,
+                state=STATE_NAMES[record.state],
+                was="unknown" if change.before is None else STATE_NAMES[change.before.state],
+            )
+        elif self.members.replaced_by is not None:
+            self._log.error(
+                "replaced: a later process with this relay's number is there", started_at_ms=record.started_at_ms
+            )
 
     def leave(self) -> None:
+        """Tells other members that this relay leaves."""
         if self.members.replaced_by is None:
             self.members.leave(self._clock())
-            self._carry()
+            self._flush()
 
     def close(self) -> None:
+        """Ends the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def state(self) -> dict[str, Any]:
-        counts = self.members.counters
+        """Returns the membership's part of the relay's state document."""
+        counters = self.members.counters
         return {
             "present": len(self.members.present_members()),
-            "health": self.members.local_health,
-            "sent": counts.messages_sent,
-            "bytes": counts.bytes_sent,
-            "suspected": counts.suspicions,
-            "refuted": counts.refutations,
-            "syncs": counts.table_requests,
-            "unread": counts.undecodable,
+            "local_health": self.members.local_health,
+            "messages_sent": counters.messages_sent,
+            "bytes_sent": counters.bytes_sent,
+            "suspicions": counters.suspicions,
+            "refutations": counters.refutations,
+            "table_requests": counters.table_requests,
+            "undecodable": counters.undecodable,
             "unsent": self.unsent,
         }
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -138,7 +138,9 @@
         if self._settings.peers is not None:
             self._open_peers(self._settings.peers)
         if self._settings.circle is not None and self._udp is not None:
-            self.circle = MembershipTransport(self._settings, self._loop, self._udp, self.clock, self._log)
+            self.circle = MembershipTransport(
+                settings=self._settings, loop=self._loop, udp=self._udp, clock=self.clock, log=self._log
+            )
         # A relay without a list would shed all: it waits for one, but not for ever.
         try:
             async with asyncio.timeout(self._settings.roster.most_wait_ms / 1000):
--- a/lanelead/membership/__init__.py
+++ b/lanelead/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which relays are there, in which life, and where: membership without sockets or clocks."""
+"""Which relays are there, in which incarnation, and where: SWIM-like membership without sockets or clocks."""
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -1,20 +1,20 @@
-"""Who is there: SWIM's failure detector with suspicion and incarnations, and Lifeguard's local health.
-
-Without sockets and clocks: letters and times in, letters and changes out. The same object runs in a relay, in
-virtual time and in the checker. What it keeps, whatever is lost, doubled, delayed or out of order:
-
-1. What is known of a member never goes back: of two rows the one of the higher (life, turn, state) holds.
-2. Only a member itself raises its life or its turn, and none of its own is ever taken from another's word.
-3. No two lives of one number count as two; the earlier one falls silent when it hears of the later.
-4. Nobody is found dead here who was not suspected here for the least wait, and asked in vain before its end.
-   What another found is taken from it, and is undone by the dead one's own word.
-5. Who left stays gone in that life.
-
-Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W
-2018), section 3. Departures: a ping is repeated within its period, and a suspect is asked again at each beat;
-gossip has beats of its own; digests in each letter show what gossip has missed; the dead, seeds that are not
-there and, long after they are forgotten, some of the dead's addresses are asked now and then, so that circles
-that were cut apart find each other.
+"""Which relays are there: SWIM's failure detector with suspicion and incarnations, and Lifeguard's local health.
+
+Without sockets and clocks: messages and times in, messages and changes out. The same object runs in a relay, in virtual
+time and in the checker. What holds, whatever is lost, duplicated, delayed or out of order:
+
+1. What is known of a member never goes back: of two records the one of the higher (start, incarnation, state) holds.
+2. Only a member itself raises its start or its incarnation, and takes neither from another's report.
+3. No two processes of one number count as two; the earlier one falls silent when it hears of the later.
+4. Nobody is found dead here who was not suspected here for the least timeout, and pinged in vain before its end.
+   What another member found is taken from it, and is undone by the dead member's own message.
+5. A member that left stays gone for that process.
+
+Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W 2018),
+section 3. Departures: a ping is repeated within its period, and a suspect is pinged again in each round; gossip has
+rounds of its own; digests in each message show what gossip has missed; the dead, seeds that are not there and, long
+after their records are dropped, some of the dead's addresses are pinged now and then, so that groups that were cut
+apart find each other.
 """
 
 from __future__ import annotations
@@ -28,10 +28,12 @@
 from lanelead.membership.member_state import (
     GOSSIP_FANOUT,
     INDIRECT_PROBES,
+    MAX_RELAYED_PROBES,
     ROUNDS_PER_PERIOD,
     SUSPICION_CONFIRMATIONS,
     Address,
     Probe,
+    ProbeRequester,
     Suspicion,
 )
 from lanelead.membership.messages import (
@@ -42,151 +44,148 @@
     Ack,
     AnyMessage,
     Gossip,
-    MemberRecord,
     Nack,
     Ping,
     PingRequest,
-    StateClaim,
     TablePage,
     TableRequest,
+    Update,
     decode_message,
 )
 
 
 class Membership(AntiEntropy):
-    """A member: what the host tells it, its answers, and the detector."""
+    """A member: what its host calls, its answers to others, and the failure detector."""
 
-    # What the host tells
+    # What the host calls
 
-    def receive(self, text: bytes, source: Address, now: Ticks) -> None:
+    def receive(self, payload: bytes, source: Address, now: Ticks) -> None:
+        """Takes a message; one that can't be decoded is counted."""
         self.now = now
-        letter = decode_message(text)
-        if letter is None:
+        message = decode_message(payload)
+        if message is None:
             self.counters.undecodable += 1
             return
         if self.replaced_by is not None:
             return
-        guest = isinstance(letter, TableRequest) and letter.observer
-        if not guest and letter.sender == self.own.number:
-            if letter.started_at_ms > self.own.started_at_ms:
-                self._mark_replaced(msgspec.structs.replace(self.own, started_at_ms=letter.started_at_ms))
+        if isinstance(message, TableRequest) and message.observer:
+            self._send_table(message, source)
             return
-        known = self.records.get(letter.sender)
-        if not guest and known is not None and known.started_at_ms > letter.started_at_ms:
-            # An earlier life that still speaks: it's told that it is over, and nothing it says counts.
+        if message.sender == self.own.number:
+            if message.started_at_ms > self.own.started_at_ms:
+                self._mark_replaced(msgspec.structs.replace(self.own, started_at_ms=message.started_at_ms))
+            return
+        known = self.records.get(message.sender)
+        if known is not None and known.started_at_ms > message.started_at_ms:
+            # An earlier process that still sends: it is told that it is replaced, and nothing it says counts.
             self._send(source, Gossip(*self._header()), [known])
             return
-        for row in () if guest else letter.records:
-            self._merge_record(row)
-        for claim in () if guest else letter.claims:
+        self._receive_from_member(message, source)
+
+    def _receive_from_member(self, message: AnyMessage, source: Address) -> None:
+        for record in message.records:
+            self._merge_record(record)
+        for claim in message.claims:
             self._merge_claim(claim)
         if self.replaced_by is not None:
             return
-        known = self.records.get(letter.sender)
-        self._reply(letter, source, known)
-        if not guest and (known is None or letter.digest != self._digest):
-            self._handle_digest_mismatch(source, known is None)
+        sender_known = message.sender in self.records
+        self._reply(message, source, sender_known)
+        if not sender_known or message.digest != self._digest:
+            self._handle_digest_mismatch(source, not sender_known)
 
     def tick(self, now: Ticks) -> None:
-        """Work that is due. A host that comes late is slow itself: it counts against its own health."""
+        """Does a round if it is due. A host that calls late is slow itself: that counts against its own health."""
         self.now = now
         if self.replaced_by is not None:
             self._next_round_at = now + self._timings.period
             return
         if now < self._next_round_at:
             return
-        late = now - self._next_round_at
-        span = self._probe_period() // ROUNDS_PER_PERIOD
-        if late > self._timings.period:
-            self._adjust_local_health(1)
-            # It was stopped or starved: what it waited for may lie unread. Nobody is blamed for that.
-            if self._probe is not None:
-                self._probe = None
-                self._round = 0
-            for suspicion in self._suspicions.values():
-                suspicion.since = max(suspicion.since + late, suspicion.since)
-        self._next_round_at = max(now + 1, self._next_round_at + span if late < span else now + span)
+        lateness = now - self._next_round_at
+        round_time = self._probe_period() // ROUNDS_PER_PERIOD
+        if lateness > self._timings.period:
+            self._handle_stall(lateness)
+        next_round_at = self._next_round_at + round_time if lateness < round_time else now + round_time
+        self._next_round_at = max(now + 1, next_round_at)
         if self._round % ROUNDS_PER_PERIOD == 0:
             self._start_period()
         else:
             self._repeat_probe()
         self._round += 1
+        self._expire_relayed_probes()
         self._expire_suspicions()
+        self._drop_departed()
         self._send_gossip()
         self._synchronize()
 
     def leave(self, now: Ticks) -> None:
-        """Tells some members that this one goes of its own will."""
+        """Tells some members that this one leaves of its own will."""
         self.now = now
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, state=LEFT)
         self._store_record(self.own)
         for number in self._sample_peers(2 * GOSSIP_FANOUT):
-            self._send(
-                self._address_of(number),
-                Gossip(*self._header()),
-                [StateClaim(self.own.number, self.own.started_at_ms, self.own.incarnation, LEFT, self.own.number)],
-            )
+            self._send(self._address_of(number), Gossip(*self._header()), [self._claim(self.own, self.own.number)])
 
     # Answers
 
-    def _reply(self, letter: AnyMessage, source: Address, known: MemberRecord | None) -> None:
-        sender = letter.sender
-        match letter:
+    def _reply(self, message: AnyMessage, source: Address, sender_known: bool) -> None:
+        match message:
             case Ping():
-                # The row goes along where the other may not know it, or knows another life.
-                same = (letter.target, letter.target_started_at_ms) == (self.own.number, self.own.started_at_ms)
-                mine: list[MemberRecord | StateClaim] = [] if same and known and not letter.claims else [self.own]
-                self._send(source, Ack(*self._header(), letter.sequence_number), [*mine, *self._claims_against(sender)])
+                self._acknowledge(message, source, sender_known)
             case Ack():
-                self._handle_ack(letter)
+                self._handle_ack(message)
             case Nack():
-                if self._probe is not None and self._probe.sequence_number == letter.sequence_number:
+                if self._probe is not None and self._probe.sequence_number == message.sequence_number:
                     self._probe.nacks += 1
-            case PingRequest() if letter.target in self.records and letter.target != self.own.number:
-                if len(self._relayed_probes) < 64:  # bounded: a flood of asks costs pings, not memory
-                    seq = self._next_sequence_number()
-                    until = self.now + self._timings.period // ROUNDS_PER_PERIOD
-                    self._relayed_probes[seq] = Probe(seq, letter.target, until, (sender, letter.sequence_number))
-                    self._send_ping(letter.target, seq)
+            case PingRequest():
+                self._relay_probe(message)
             case TableRequest():
-                self._send_table(letter, source)
+                self._send_table(message, source)
             case TablePage():
-                self._handle_page(letter, source)
+                self._handle_page(message)
             case _:
                 pass
 
+    def _acknowledge(self, ping: Ping, source: Address, sender_known: bool) -> None:
+        """Answers a ping, with this member's record if the sender may not know it, or knows another process."""
+        known_there = ping.target == self.own.number and ping.target_started_at_ms == self.own.started_at_ms
+        own_record: list[Update] = [] if known_there and sender_known and not ping.claims else [self.own]
+        ack = Ack(*self._header(), ping.sequence_number)
+        self._send(source, ack, [*own_record, *self._claims_against(ping.sender)])
+
+    def _relay_probe(self, request: PingRequest) -> None:
+        if request.target not in self.records or request.target == self.own.number:
+            return
+        if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
+            return
+        sequence_number = self._next_sequence_number()
+        expires_at = self.now + self._timings.period // ROUNDS_PER_PERIOD
+        requester = ProbeRequester(request.sender, request.sequence_number)
+        self._relayed_probes[sequence_number] = Probe(sequence_number, request.target, expires_at, requester)
+        self._send_ping(request.target, sequence_number)
+
     def _handle_ack(self, ack: Ack) -> None:
-        if (helped := self._relayed_probes.pop(ack.sequence_number, None)) is not None and helped.requester is not None:
-            asker, seq = helped.requester
-            if asker in self.records:
-                subject = self.records.get(helped.target)
-                forced = [subject] if subject is not None and not subject.gone else []
-                self._send(self._address_of(asker), Ack(*self._header(), seq), forced)
+        relayed = self._relayed_probes.pop(ack.sequence_number, None)
+        if relayed is not None and relayed.requester is not None:
+            requester = relayed.requester
+            if requester.number in self.records:
+                target = self.records.get(relayed.target)
+                required = [target] if target is not None and not target.gone else []
+                forwarded = Ack(*self._header(), requester.sequence_number)
+                self._send(self._address_of(requester.number), forwarded, required)
             return
-        probing = self._probe
-        if probing is not None and ack.sequence_number == probing.sequence_number and not probing.acknowledged:
-            probing.acknowledged = True
+        probe = self._probe
+        if probe is not None and ack.sequence_number == probe.sequence_number and not probe.acknowledged:
+            probe.acknowledged = True
             self._adjust_local_health(-1)
 
-    # The detector
+    # The failure detector
 
     def _start_period(self) -> None:
         last = self._probe
         if last is not None and not last.acknowledged and last.target in self.records:
-            row = self.records[last.target]
-            missed = last.helpers_asked - last.nacks
-            # Lifeguard 3.1: helpers that say nothing either point at this member's own line.
-            self._adjust_local_health(1 if missed > 0 or not last.helpers_asked else 0)
-            if row.state == ALIVE:
-                self.counters.suspicions += 1
-                self._start_suspicion(msgspec.structs.replace(row, state=SUSPECT), self.own.number)
-            elif row.state == SUSPECT and (suspicion := self._suspicions.get(last.target)) is not None:
-                suspicion.probed = True
-                if self.own.number not in suspicion.reporters and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS:
-                    suspicion.reporters[self.own.number] = None
-                    self._disseminate(
-                        StateClaim(row.number, row.started_at_ms, row.incarnation, SUSPECT, self.own.number)
-                    )
+            self._handle_failed_probe(last)
         self._probe = None
         while self._probe_order or self._peers:
             if not self._probe_order:
@@ -198,43 +197,74 @@
                 self._send_ping(number, self._probe.sequence_number)
                 break
 
+    def _handle_failed_probe(self, probe: Probe) -> None:
+        record = self.records[probe.target]
+        missing_nacks = probe.helpers_asked - probe.nacks
+        # Lifeguard 3.1: helpers that don't answer either point at this member's own link.
+        self._adjust_local_health(1 if missing_nacks > 0 or not probe.helpers_asked else 0)
+        if record.state == ALIVE:
+            self.counters.suspicions += 1
+            self._start_suspicion(msgspec.structs.replace(record, state=SUSPECT), self.own.number)
+        elif record.state == SUSPECT:
+            suspicion = self._suspicions.get(probe.target)
+            if suspicion is not None:
+                suspicion.probed = True
+                self._confirm_suspicion(suspicion, self._claim(record, self.own.number))
+
     def _repeat_probe(self) -> None:
-        probing = self._probe
-        if probing is None or probing.acknowledged or probing.target not in self._peer_positions:
+        probe = self._probe
+        if probe is None or probe.acknowledged or probe.target not in self._peer_positions:
             return
-        self._send_ping(probing.target, probing.sequence_number)
-        for helper in self._sample_peers(INDIRECT_PROBES, probing.target):
-            probing.helpers_asked += 1
-            self._send(self._address_of(helper), PingRequest(*self._header(), probing.sequence_number, probing.target))
+        self._send_ping(probe.target, probe.sequence_number)
+        for helper in self._sample_peers(INDIRECT_PROBES, probe.target):
+            probe.helpers_asked += 1
+            self._send(self._address_of(helper), PingRequest(*self._header(), probe.sequence_number, probe.target))
+
+    def _handle_stall(self, lateness: Ticks) -> None:
+        """After a stall of this process, answers may lie unread: nobody is blamed for that."""
+        self._adjust_local_health(1)
+        if self._probe is not None:
+            self._probe = None
+            self._round = 0
+        for suspicion in self._suspicions.values():
+            suspicion.since += lateness
 
     def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
-        """Lifeguard 3.2: long while only one suspects, down to the least as others do."""
+        """Lifeguard 3.2: twice the least while only one member suspects, down to the least as others do."""
         least = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
         share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
         return int(least * (2 - share))
 
-    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
-        """One that gossip passed by would believe hearsay: soon all that suspect a member ask it."""
-        suspicion.probed |= waited >= wait // 4
+    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, timeout: Ticks) -> bool:
+        """Returns whether this member pings a suspect itself: after a quarter of the timeout all that suspect it do.
+
+        Else one that gossip passed by would find it dead by others' reports alone.
+        """
+        suspicion.probed |= waited >= timeout // 4
         return suspicion.probed
 
+    def _expire_relayed_probes(self) -> None:
+        expired = [number for number, probe in self._relayed_probes.items() if probe.expires_at <= self.now]
+        for sequence_number in expired:
+            requester = self._relayed_probes.pop(sequence_number).requester
+            if requester is not None and requester.number in self.records:
+                nack = Nack(*self._header(), requester.sequence_number)
+                self._send(self._address_of(requester.number), nack)
+
     def _expire_suspicions(self) -> None:
-        for seq in [seq for seq, helped in self._relayed_probes.items() if helped.expires_at <= self.now]:
-            helped = self._relayed_probes.pop(seq)
-            if helped.requester is not None and helped.requester[0] in self.records:
-                self._send(self._address_of(helped.requester[0]), Nack(*self._header(), helped.requester[1]))
         for number, suspicion in list(self._suspicions.items()):
-            row = self.records[number]
-            waited, wait = self.now - suspicion.since, self._suspicion_timeout(suspicion)
-            if waited >= wait:
-                self._store_record(msgspec.structs.replace(row, state=DEAD), self.own.number)
-            elif self._probes_suspect(suspicion, waited, wait):
+            waited = self.now - suspicion.since
+            timeout = self._suspicion_timeout(suspicion)
+            if waited >= timeout:
+                record = self.records[number]
+                self._store_record(msgspec.structs.replace(record, state=DEAD), self.own.number)
+            elif self._probes_suspect(suspicion, waited, timeout):
                 self._send_ping(number, self._next_sequence_number())
-        self._drop_departed()
 
     def _send_gossip(self) -> None:
-        if self._pending_updates:
-            for number in self._sample_peers(GOSSIP_FANOUT):
-                if not self._pending_updates:
-                    break
-                self._send(self._address_of(number), Gossip(*self._header()))
+        if not self._pending_updates:
+            return
+        for number in self._sample_peers(GOSSIP_FANOUT):
+            if not self._pending_updates:
+                break
+            self._send(self._address_of(number), Gossip(*self._header()))
--- a/lanelead/membership/member_table.py
+++ b/lanelead/membership/member_table.py
@@ -1,4 +1,4 @@
-"""A member's rows: what is taken from others' words, what of it is told on, and by which letters."""
+"""A member's table: which records and claims of others it takes, which it disseminates, and by which messages."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
     ADDRESS_RETENTION_FACTOR,
     MAX_LOCAL_HEALTH,
     MAX_REMEMBERED_ADDRESSES,
+    MAX_UPDATES_PER_MESSAGE,
     ROUNDS_PER_PERIOD,
     SUSPICION_CONFIRMATIONS,
     Address,
@@ -21,7 +22,9 @@
     MembershipTimings,
     PendingUpdate,
     Probe,
+    RememberedAddress,
     Suspicion,
+    TableTransfer,
     record_digest,
 )
 from lanelead.membership.messages import (
@@ -33,75 +36,86 @@
     MemberRecord,
     Ping,
     StateClaim,
+    Update,
     encode_message,
 )
 
 
 class MemberTable:
-    """One member's view. `outbox` fills with (address, letter), `changes` with what became of members."""
+    """One member's view of all.
+
+    `outbox` fills with addresses and payloads to send, `changes` with what became of members: the host empties both.
+    `configured_addresses` hold over those that members report. `known`: records of members known from the start.
+    """
 
     def __init__(
         self,
+        *,
         own: MemberRecord,
-        tempo: MembershipTimings,
+        timings: MembershipTimings,
         seeds: Sequence[Address],
         rng: Random,
         now: Ticks,
         known: Sequence[MemberRecord] = (),
     ) -> None:
-        self.own, self._timings, self._rng, self.now = own, tempo, rng, now
-        self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
-        self.records: dict[int, MemberRecord] = {own.number: own, **{row.number: row for row in known}}
-        self.configured_addresses: dict[int, Address] = {}  # as settings name them, which stand above what is told
+        self.own = own
+        self.now = now
+        self.records: dict[int, MemberRecord] = {own.number: own, **{record.number: record for record in known}}
+        self.configured_addresses: dict[int, Address] = {}
         self.outbox: list[tuple[Address, bytes]] = []
         self.changes: list[MemberChange] = []
         self.counters = MembershipCounters()
-        self.local_health = 0
-        self.replaced_by: MemberRecord | None = None  # the later life that took this one's place
+        self.local_health = 0  # 0: best
+        self.replaced_by: MemberRecord | None = None  # a later process with this member's number
+        self._timings = timings
+        self._rng = rng
+        self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
         self._suspicions: dict[int, Suspicion] = {}
         self._pending_updates: dict[int, PendingUpdate] = {}
         self._departed_at: dict[int, Ticks] = {}
-        self._remembered_addresses: dict[int, tuple[Address, Ticks]] = {}  # of the forgotten dead; until when
+        self._remembered_addresses: dict[int, RememberedAddress] = {}
         self._probe_order: list[int] = []
         self._probe: Probe | None = None
         self._relayed_probes: dict[int, Probe] = {}
         self._sequence_number = rng.randrange(1 << 31)
-        self._next_round_at = now + int(rng.random() * tempo.period / ROUNDS_PER_PERIOD)
+        self._next_round_at = now + int(rng.random() * timings.period / ROUNDS_PER_PERIOD)
         self._round = 0
         self._last_change_at = now
         self._digest = 0
-        for row in self.records.values():
-            self._digest ^= record_digest(row)
-        self._peers = [row.number for row in self.records.values() if row.number != own.number]
-        self._peer_positions = {number: place for place, number in enumerate(self._peers)}
-        self._table_transfer: tuple[Address, int, Ticks, int] | None = None  # from whom, from which, until, tries
+        for record in self.records.values():
+            self._digest ^= record_digest(record)
+        self._peers = [record.number for record in self.records.values() if record.number != own.number]
+        self._peer_positions = {number: position for position, number in enumerate(self._peers)}
+        self._table_transfer: TableTransfer | None = None
         self._contacted = bool(known)
         self._disseminate(own)
 
     @property
     def joined(self) -> bool:
+        """Whether any other member has answered, or none is to be asked."""
         return self._contacted or not self._seeds
 
     def next_round_at(self) -> Ticks:
+        """Returns when `tick` is to be called next."""
         return self._next_round_at
 
     def present_members(self) -> list[MemberRecord]:
-        """All that are there, suspects among them, by number."""
-        return sorted((row for row in self.records.values() if not row.gone), key=lambda row: row.number)
-
-    # What others say
-
-    def _merge_record(self, row: MemberRecord) -> None:
-        known = self.records.get(row.number)
-        if row.number == self.own.number:
-            self._refute(row)
-        elif known is None and row.gone:
-            pass  # the dead of long ago are not brought back by those that remember them longer
-        elif known is None or row.rank > known.rank:
-            if row.state == SUSPECT:
-                self._start_suspicion(row, row.number)  # a row does not say who suspects it
+        """Returns all that are there, suspects among them, by number."""
+        return sorted((record for record in self.records.values() if not record.gone), key=lambda record: record.number)
+
+    # What others report
+
+    def _merge_record(self, record: MemberRecord) -> None:
+        known = self.records.get(record.number)
+        if record.number == self.own.number:
+            self._refute(record)
+        elif known is None and record.gone:
+            pass  # a dropped record is not brought back by members that keep it longer
+        elif known is None or record.rank > known.rank:
+            if record.state == SUSPECT:
+                self._start_suspicion(record, record.number)  # a record does not name its reporter
             else:
-                self._store_record(row)
+                self._store_record(record)
 
     def _merge_claim(self, claim: StateClaim) -> None:
         known = self.records.get(claim.number)
@@ -109,169 +123,173 @@
             self._refute(claim)
             return
         if known is None or claim.started_at_ms != known.started_at_ms:
-            return  # a row must come first: a claim has no address
+            return  # a record must come first: a claim has no address
         if (claim.started_at_ms, claim.incarnation, claim.state) > known.rank:
-            row = msgspec.structs.replace(known, incarnation=claim.incarnation, state=claim.state)
+            record = msgspec.structs.replace(known, incarnation=claim.incarnation, state=claim.state)
             if claim.state == SUSPECT:
-                self._start_suspicion(row, claim.reporter)
+                self._start_suspicion(record, claim.reporter)
             else:
-                self._store_record(row, claim.reporter)
+                self._store_record(record, claim.reporter)
         elif claim.state == SUSPECT == known.state and claim.incarnation == known.incarnation:
             suspicion = self._suspicions.get(claim.number)
-            if (
-                suspicion is not None
-                and claim.reporter not in suspicion.reporters
-                and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS
-            ):
-                suspicion.reporters[claim.reporter] = None
-                self._disseminate(claim)  # news: one more that can't reach it
-
-    def _refute(self, told: MemberRecord | StateClaim) -> None:
-        """What others say of this member. Rule 2: only it raises its own turn."""
-        if told.started_at_ms > self.own.started_at_ms:
-            self._mark_replaced(
-                told
-                if isinstance(told, MemberRecord)
-                else msgspec.structs.replace(self.own, started_at_ms=told.started_at_ms)
-            )
-        elif (
-            told.started_at_ms == self.own.started_at_ms
-            and told.state != ALIVE
-            and told.incarnation >= self.own.incarnation
-        ):
-            if self.own.state == LEFT:
-                return
-            self.own = msgspec.structs.replace(self.own, incarnation=told.incarnation + 1, state=ALIVE)
-            self._store_record(self.own)
-            self.counters.refutations += 1
-            self._adjust_local_health(1)  # Lifeguard 3.1: one that must defend itself may be the slow one
+            if suspicion is not None:
+                self._confirm_suspicion(suspicion, claim)
+
+    def _confirm_suspicion(self, suspicion: Suspicion, claim: StateClaim) -> None:
+        """Counts one more member that suspects the same, and disseminates that, up to as many as matter."""
+        if claim.reporter not in suspicion.reporters and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS:
+            suspicion.reporters[claim.reporter] = None
+            self._disseminate(claim)
+
+    def _refute(self, update: Update) -> None:
+        """Takes what others report of this member. Rule 2: only it raises its own incarnation."""
+        own = self.own
+        if update.started_at_ms > own.started_at_ms:
+            if isinstance(update, MemberRecord):
+                self._mark_replaced(update)
+            else:
+                self._mark_replaced(msgspec.structs.replace(own, started_at_ms=update.started_at_ms))
+            return
+        outdated = update.started_at_ms != own.started_at_ms or update.incarnation < own.incarnation
+        if outdated or update.state == ALIVE or own.state == LEFT:
+            return
+        self.own = msgspec.structs.replace(own, incarnation=update.incarnation + 1, state=ALIVE)
+        self._store_record(self.own)
+        self.counters.refutations += 1
+        self._adjust_local_health(1)  # Lifeguard 3.1: one that must defend itself may be the slow one
 
     def _mark_replaced(self, later: MemberRecord) -> None:
         self.replaced_by = later
         self.changes.append(MemberChange(self.own, later))
 
-    def _store_record(self, row: MemberRecord, by: int | None = None) -> None:
-        before = self.records.get(row.number)
+    def _store_record(self, record: MemberRecord, reporter: int | None = None) -> None:
+        before = self.records.get(record.number)
         if before is not None and not before.gone:
             self._digest ^= record_digest(before)
-        if not row.gone:
-            self._digest ^= record_digest(row)
-        self.records[row.number] = row
+        if not record.gone:
+            self._digest ^= record_digest(record)
+        self.records[record.number] = record
         self._last_change_at = self.now
-        if row.state != SUSPECT:
-            self._suspicions.pop(row.number, None)
-        if row.number != self.own.number:
-            self._place(row)
-        if before is None or (before.started_at_ms, before.state) != (row.started_at_ms, row.state):
-            self.changes.append(MemberChange(before, row))
-        known = (
-            before is not None and before.started_at_ms == row.started_at_ms
-        )  # a claim is shorter, but says no address
-        by = self.own.number if by is None else by
-        claim = StateClaim(row.number, row.started_at_ms, row.incarnation, row.state, by)
-        self._disseminate(claim if known and row.state != ALIVE else row)
-
-    def _place(self, row: MemberRecord) -> None:
+        if record.state != SUSPECT:
+            self._suspicions.pop(record.number, None)
+        if record.number != self.own.number:
+            self._update_peers(record)
+        if before is None or (before.started_at_ms, before.state) != (record.started_at_ms, record.state):
+            self.changes.append(MemberChange(before, record))
+        address_known = before is not None and before.started_at_ms == record.started_at_ms
+        if address_known and record.state != ALIVE:
+            self._disseminate(self._claim(record, self.own.number if reporter is None else reporter))
+        else:
+            self._disseminate(record)
+
+    @staticmethod
+    def _claim(record: MemberRecord, reporter: int) -> StateClaim:
+        return StateClaim(record.number, record.started_at_ms, record.incarnation, record.state, reporter)
+
+    def _update_peers(self, record: MemberRecord) -> None:
         """Keeps the members that are there in a list, for draws in constant time."""
-        place = self._peer_positions.get(row.number)
-        if row.gone:
-            self._departed_at.setdefault(row.number, self.now)
-            if place is not None:
+        position = self._peer_positions.get(record.number)
+        if record.gone:
+            self._departed_at.setdefault(record.number, self.now)
+            if position is not None:
                 last = self._peers.pop()
-                if last != row.number:
-                    self._peers[place], self._peer_positions[last] = last, place
-                del self._peer_positions[row.number]
+                if last != record.number:
+                    self._peers[position] = last
+                    self._peer_positions[last] = position
+                del self._peer_positions[record.number]
         else:
-            self._departed_at.pop(row.number, None)
-            self._remembered_addresses.pop(row.number, None)
-            if place is None:
-                self._peer_positions[row.number] = len(self._peers)
-                self._peers.append(row.number)
-                # SWIM 4.3: a new member comes in at a random place of the round.
-                self._probe_order.insert(self._rng.randrange(len(self._probe_order) + 1), row.number)
-
-    def _start_suspicion(self, row: MemberRecord, by: int) -> None:
-        self._store_record(row, by)
-        self._suspicions[row.number] = Suspicion(self.now, {by: None}, by == self.own.number)
+            self._departed_at.pop(record.number, None)
+            self._remembered_addresses.pop(record.number, None)
+            if position is None:
+                self._peer_positions[record.number] = len(self._peers)
+                self._peers.append(record.number)
+                # SWIM 4.3: a new member is put into the round at a random place.
+                self._probe_order.insert(self._rng.randrange(len(self._probe_order) + 1), record.number)
+
+    def _start_suspicion(self, record: MemberRecord, reporter: int) -> None:
+        self._store_record(record, reporter)
+        self._suspicions[record.number] = Suspicion(self.now, {reporter: None}, reporter == self.own.number)
 
     def _drop_departed(self) -> None:
-        """Drops rows of long ago. Some addresses of the dead stay longer: of a region that is only cut off
-        nobody here may know another."""
-        for number, at in list(self._departed_at.items()):
-            if self.now - at < self._timings.retention:
-                break  # those that went first stand first
+        """Drops records of members that left or died long ago.
+
+        Some addresses of the dead are remembered longer: of a region that is only cut off, no other may be known here.
+        """
+        for number, departed_at in list(self._departed_at.items()):
+            if self.now - departed_at < self._timings.retention:
+                break  # they are in the order of their departure
             if self.records[number].state == DEAD:
                 self._remember_address(number)
-            del self._departed_at[number], self.records[number]
+            del self._departed_at[number]
+            del self.records[number]
             self._pending_updates.pop(number, None)
-        for number, (_, until) in list(self._remembered_addresses.items()):
-            if self.now < until:
+        for number, remembered in list(self._remembered_addresses.items()):
+            if self.now < remembered.expires_at:
                 break
             del self._remembered_addresses[number]
 
     def _remember_address(self, number: int) -> None:
-        """Bounded; which one goes is drawn, so that the few that die late don't drive out a whole region."""
+        """Bounded; which one goes is drawn, so that a few late deaths don't drive out a whole region."""
         if len(self._remembered_addresses) >= MAX_REMEMBERED_ADDRESSES:
             del self._remembered_addresses[self._rng.choice(list(self._remembered_addresses))]
-        self._remembered_addresses[number] = (
-            self._address_of(number),
-            self.now + ADDRESS_RETENTION_FACTOR * self._timings.retention,
-        )
+        expires_at = self.now + ADDRESS_RETENTION_FACTOR * self._timings.retention
+        self._remembered_addresses[number] = RememberedAddress(self._address_of(number), expires_at)
 
-    # Letters
+    # Messages
 
     def _address_of(self, number: int) -> Address:
-        row = self.records[number]
-        return self.configured_addresses.get(number, (row.host, row.port))
-
-    def _send(self, to: Address, letter: AnyMessage, first: Iterable[MemberRecord | StateClaim] = ()) -> None:
-        """Sends it with what must be in it, and rumors as there is room."""
-        forced = list(first)
-        numbers = {rumor.number for rumor in forced}
-        rumors = [rumor for rumor in self._least_sent_updates() if rumor.update.number not in numbers]
-        text, taken = encode_message(letter, [*forced, *(rumor.update for rumor in rumors)])
-        limit = 4 * ceil(log10(len(self.records) + 1) + 1e-9)
-        for rumor in rumors[: max(0, len(taken) - len(forced))]:
-            rumor.sent_count += 1
-            if rumor.sent_count >= limit:
-                self._pending_updates.pop(rumor.update.number, None)
+        record = self.records[number]
+        return self.configured_addresses.get(number, (record.host, record.port))
+
+    def _send(self, to: Address, message: AnyMessage, required: Iterable[Update] = ()) -> None:
+        """Sends a message with the updates that must be in it, and pending ones as there is room."""
+        required = list(required)
+        numbers = {update.number for update in required}
+        pending = [update for update in self._least_sent_updates() if update.update.number not in numbers]
+        payload, added = encode_message(message, [*required, *(update.update for update in pending)])
+        max_sends = 4 * ceil(log10(len(self.records) + 1) + 1e-9)
+        for update in pending[: max(0, len(added) - len(required))]:
+            update.sent_count += 1
+            if update.sent_count >= max_sends:
+                self._pending_updates.pop(update.update.number, None)
+        self._post(to, payload)
+
+    def _post(self, to: Address, payload: bytes) -> None:
         self.counters.messages_sent += 1
-        self.counters.bytes_sent += len(text)
-        self.outbox.append((to, text))
+        self.counters.bytes_sent += len(payload)
+        self.outbox.append((to, payload))
 
     def _least_sent_updates(self) -> list[PendingUpdate]:
-        """The rumors told least, a few more than a letter holds."""
-        return sorted(self._pending_updates.values(), key=lambda rumor: rumor.sent_count)[:12]
+        """Returns the updates sent least often, a few more than a message holds."""
+        by_sent_count = sorted(self._pending_updates.values(), key=lambda update: update.sent_count)
+        return by_sent_count[:MAX_UPDATES_PER_MESSAGE]
 
-    def _disseminate(self, what: MemberRecord | StateClaim) -> None:
-        self._pending_updates.pop(what.number, None)
-        self._pending_updates[what.number] = PendingUpdate(what)
+    def _disseminate(self, update: Update) -> None:
+        self._pending_updates.pop(update.number, None)
+        self._pending_updates[update.number] = PendingUpdate(update)
 
     def _header(self) -> tuple[int, int, int, list[MemberRecord], list[StateClaim]]:
+        """Returns the fields that each message begins with."""
         return self.own.number, self.own.started_at_ms, self._digest, [], []
 
-    def _claims_against(self, number: int) -> list[MemberRecord | StateClaim]:
-        """What is held against a member, for itself to hear first (Lifeguard 3.3, the buddy system)."""
-        row = self.records.get(number)
-        if row is None or row.state == ALIVE:
+    def _claims_against(self, number: int) -> list[Update]:
+        """Returns what is claimed against a member, for itself to hear first (Lifeguard 3.3, the buddy system)."""
+        record = self.records.get(number)
+        if record is None or record.state == ALIVE:
             return []
-        return [StateClaim(number, row.started_at_ms, row.incarnation, row.state, self.own.number)]
+        return [self._claim(record, self.own.number)]
 
-    def _send_ping(self, number: int, seq: int) -> None:
-        row = self.records[number]
-        self._send(
-            self._address_of(number),
-            Ping(*self._header(), seq, number, row.started_at_ms),
-            self._claims_against(number),
-        )
+    def _send_ping(self, number: int, sequence_number: int) -> None:
+        ping = Ping(*self._header(), sequence_number, number, self.records[number].started_at_ms)
+        self._send(self._address_of(number), ping, self._claims_against(number))
 
     def _next_sequence_number(self) -> int:
         self._sequence_number = (self._sequence_number + 1) & 0xFFFFFFFF
         return self._sequence_number
 
-    def _sample_peers(self, many: int, but: int = -1) -> list[int]:
-        drawn = self._rng.sample(self._peers, min(len(self._peers), many + 1))
-        return [number for number in drawn if number != but][:many]
+    def _sample_peers(self, count: int, excluded: int = -1) -> list[int]:
+        drawn = self._rng.sample(self._peers, min(len(self._peers), count + 1))
+        return [number for number in drawn if number != excluded][:count]
 
     # Local health
 
--- a/lanelead/testbed/simulation/membership.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -72,7 +72,9 @@
         seeds = [(row.host, row.port) for row in (self.row(n, 1) for n in self.seeds) if row.number != own.number]
         rng = Random(f"{self._seed} {own.number} {own.started_at_ms}")
         others = [row for row in known if row.number != own.number]
-        self.members[own.number] = self._kind(own, self._tempo, seeds, rng, self.now, others)
+        self.members[own.number] = self._kind(
+            own=own, timings=self._tempo, seeds=seeds, rng=rng, now=self.now, known=others
+        )
         self._wake(own.number)
 
     def start(self, number: int, life: int, place: int = 0) -> None:
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -38,7 +38,7 @@
 
 
 def one(*known: MemberRecord) -> Membership:
-    return Membership(row(0), TEMPO, [], Random(1), 0, known)
+    return Membership(own=row(0), timings=TEMPO, seeds=[], rng=Random(1), now=0, known=known)
 
 
 def says(sender: int, *rumors: MemberRecord | StateClaim, life: int = 1) -> bytes:
@@ -246,7 +246,7 @@
     def test_no_letter_is_too_long_however_much_there_is_to_say(self) -> None:
         name = "z" * 32
         rows = [msgspec.structs.replace(row(n), zone=name, region=name, host="f" * 45) for n in range(300)]
-        member = Membership(rows[0], TEMPO, [], Random(1), 0, rows[1:])
+        member = Membership(own=rows[0], timings=TEMPO, seeds=[], rng=Random(1), now=0, known=rows[1:])
         member.receive(says(5, *[StateClaim(n, 1, 0, SUSPECT, 5) for n in range(7, 20)]), NOWHERE, 1)
         member.receive(encode_message(TableRequest(299, 1, 0, [], [], 0, False))[0], NOWHERE, 1)
         for now in range(0, SECOND, 500):
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -143,7 +143,14 @@
 
 
 def one(seeds: Sequence[int], *known: int) -> Membership:
-    return Membership(row(0), TEMPO, [at(seed) for seed in seeds], Random(1), 0, list(map(row, known)))
+    return Membership(
+        own=row(0),
+        timings=TEMPO,
+        seeds=[at(seed) for seed in seeds],
+        rng=Random(1),
+        now=0,
+        known=list(map(row, known)),
+    )
 
 
 def says(member: Membership, *rumors: MemberRecord | StateClaim) -> None:
