--- a/lanelead/http_relay/client_connection.py
+++ b/lanelead/http_relay/client_connection.py
@@ -22,7 +22,7 @@
 from lanelead.http_relay import response_texts
 from lanelead.http_relay.request_routing import RequestRoutingError
 from lanelead.protocols.feeds import Complaint, MessageError, decode, encode
-from lanelead.runtime.driver import PendingRequest, RequestOutcome
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 if TYPE_CHECKING:
     from lanelead.http_relay.client_listener import ClientListener
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -14,7 +14,8 @@
 from lanelead.http_relay.client_connection import ClientConnection
 from lanelead.http_relay.request_routing import RequestRouter
 from lanelead.http_relay.response_texts import TOO_MANY_CONNECTIONS
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings import records
 
 BUFFER_BYTES = 8192  # read at once
--- a/lanelead/http_relay/connection_pool.py
+++ b/lanelead/http_relay/connection_pool.py
@@ -11,7 +11,7 @@
 
 from lanelead.decisions.interface import Attempt, Endpoint
 from lanelead.http.responses import HttpResponse, Progress, ResponseReader
-from lanelead.runtime.driver import Destination
+from lanelead.runtime.destination import Destination
 
 BUFFER_BYTES = 16384  # read at once
 MAX_SPARE_BUFFERS = 256
--- a/lanelead/http_relay/gossip_transport.py
+++ b/lanelead/http_relay/gossip_transport.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from lanelead.http_relay.membership_transport import Circle
+from lanelead.http_relay.membership_transport import MembershipTransport
 from lanelead.protocols import datagrams
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.settings import records
@@ -39,7 +39,7 @@
         self._after = after
         self._sent_datagrams = 0
         self.dropped: Counter[str] = Counter()
-        self.membership: Circle | None = None
+        self.membership: MembershipTransport | None = None
         family = socket.AF_INET6 if ":" in peers.listen.host else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
@@ -66,7 +66,7 @@
     def _read(self) -> None:
         for _ in range(MAX_DATAGRAMS_A_TURN):
             try:
-                data, source = self.sock.recvfrom(datagrams.LARGEST + 1)
+                data, source = self.sock.recvfrom(datagrams.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
@@ -78,7 +78,7 @@
         datagram = datagrams.decode_datagram(data, self._relay_count)
         if isinstance(datagram, str):
             self.dropped[datagram] += 1
-        elif datagram.circle:
+        elif datagram.membership:
             if self.membership is None:
                 self.dropped["no membership"] += 1
             else:
--- a/lanelead/http_relay/response_texts.py
+++ b/lanelead/http_relay/response_texts.py
@@ -7,7 +7,7 @@
 from lanelead.http.requests import Headers, HttpRequest
 from lanelead.http.responses import HttpResponse
 from lanelead.http_relay.headers import OUTCOME, RELAY_HEADERS
-from lanelead.runtime.driver import PendingRequest, RequestOutcome
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 PLAIN_TEXT = ((b"content-type", b"text/plain; charset=utf-8"),)
 JSON = ((b"content-type", b"application/json"),)
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -24,11 +24,12 @@
 from lanelead.http_relay.connection_pool import PoolLimits
 from lanelead.http_relay.feed_clients import FeedClients
 from lanelead.http_relay.gossip_transport import GossipTransport
-from lanelead.http_relay.membership_transport import Circle
+from lanelead.http_relay.membership_transport import MembershipTransport
 from lanelead.http_relay.upstream_requests import UpstreamRequests
 from lanelead.migrations.readiness import Readiness
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
-from lanelead.runtime.timers import Clock
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.loop_clock import LoopClock
+from lanelead.runtime.pending_requests import PendingRequest
 from lanelead.settings import records
 
 DecisionWrapper = Callable[[Decisions], Decisions]  # for tests only: stands between the driver and the decisions
@@ -48,9 +49,9 @@
         self._loop = asyncio.get_running_loop()
         self._stop = asyncio.Event()
         self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._clock = Clock(self._loop, self._next_timer, self._tick)
+        self._clock = LoopClock(self._loop, self._next_timer, self._tick)
         self.clock = self._clock.now
-        self.membership: Circle | None = None
+        self.membership: MembershipTransport | None = None
         self._gossip: GossipTransport | None = None
         self._upstream = self._make_upstream()
         self._feeds = FeedClients(
@@ -112,14 +113,14 @@
         if wrapper is not None:
             decisions = wrapper(decisions)
         return DecisionDriver(
-            decisions,
-            self,
-            self.clock,
-            request_classes,
-            limits,
-            quota.open_lookups,
-            records.ticks(quota.longest_advice_ms),
-            self._make_readiness(request_classes, limits),
+            decisions=decisions,
+            host=self,
+            clock=self.clock,
+            request_classes=request_classes,
+            limits=limits,
+            max_pending=quota.open_lookups,
+            max_retry_after=records.ticks(quota.longest_advice_ms),
+            readiness=self._make_readiness(request_classes, limits),
         )
 
     def _make_readiness(self, request_classes: Sequence[RequestClass], limits: ServiceLimits) -> Readiness | None:
@@ -161,7 +162,9 @@
             return
         self._gossip = GossipTransport(self._loop, self._settings, self._settings.peers, self.driver, self._after)
         if self._settings.circle is not None:
-            self.membership = Circle(self._settings, self._loop, self._gossip.sock, self.clock, self._log)
+            self.membership = MembershipTransport(
+                settings=self._settings, loop=self._loop, udp=self._gossip.sock, clock=self.clock, log=self._log
+            )
             self._gossip.membership = self.membership
 
     async def _wait_for_endpoints(self) -> None:
--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -21,7 +21,9 @@
 from lanelead.http_relay.headers import REJECTED, RELAY_HEADERS
 from lanelead.http_relay.load_reports import load_report, report_from_header
 from lanelead.protocols.feeds import LoadMessage, MessageError, decode
-from lanelead.runtime.driver import DecisionDriver, Destination, PendingRequest
+from lanelead.runtime.destination import Destination
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest
 
 HEALTH_CHECK_PATH = b"/.lanelead/load"
 
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -1,20 +1,20 @@
-"""Who is there: SWIM's failure detector with suspicion and incarnations, and Lifeguard's local health.
-
-Without sockets and clocks: letters and times in, letters and changes out. The same object runs in a relay, in
-virtual time and in the checker. What it keeps, whatever is lost, doubled, delayed or out of order:
-
-1. What is known of a member never goes back: of two rows the one of the higher (life, turn, state) holds.
-2. Only a member itself raises its life or its turn, and none of its own is ever taken from another's word.
-3. No two lives of one number count as two; the earlier one falls silent when it hears of the later.
-4. Nobody is found dead here who was not suspected here for the least wait, and asked in vain before its end.
-   What another found is taken from it, and is undone by the dead one's own word.
-5. Who left stays gone in that life.
-
-Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W
-2018), section 3. Departures: a ping is repeated within its period, and a suspect is asked again at each beat;
-gossip has beats of its own; digests in each letter show what gossip has missed; the dead, seeds that are not
-there and, long after they are forgotten, some of the dead's addresses are asked now and then, so that circles
-that were cut apart find each other.
+"""Which relays are there: SWIM's failure detector with suspicion and incarnations, and Lifeguard's local health.
+
+Without sockets and clocks: messages and times in, messages and changes out. The same object runs in a relay, in virtual
+time and in the checker. What holds, whatever is lost, duplicated, delayed or out of order:
+
+1. What is known of a member never goes back: of two records the one of the higher (start, incarnation, state) holds.
+2. Only a member itself raises its start or its incarnation, and takes neither from another's report.
+3. No two processes of one number count as two; the earlier one falls silent when it hears of the later.
+4. Nobody is found dead here who was not suspected here for the least timeout, and pinged in vain before its end.
+   What another member found is taken from it, and is undone by the dead member's own message.
+5. A member that left stays gone for that process.
+
+Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W 2018),
+section 3. Departures: a ping is repeated within its period, and a suspect is pinged again in each round; gossip has
+rounds of its own; digests in each message show what gossip has missed; the dead, seeds that are not there and, long
+after their records are dropped, some of the dead's addresses are pinged now and then, so that groups that were cut
+apart find each other.
 """
 
 from __future__ import annotations
@@ -24,209 +24,247 @@
 import msgspec
 
 from lanelead.decisions.interface import Ticks
-from lanelead.membership.anti_entropy import Tables
-from lanelead.membership.member_state import BEATS, ENOUGH, FAN, HELPERS, Address, Change, Probing, Suspicion, Tempo
+from lanelead.membership.anti_entropy import AntiEntropy
+from lanelead.membership.member_state import (
+    GOSSIP_FANOUT,
+    INDIRECT_PROBES,
+    MAX_RELAYED_PROBES,
+    ROUNDS_PER_PERIOD,
+    SUSPICION_CONFIRMATIONS,
+    Address,
+    Probe,
+    ProbeRequester,
+    Suspicion,
+)
 from lanelead.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECT,
     Ack,
-    AnyLetter,
-    Ask,
-    Claim,
+    AnyMessage,
     Gossip,
-    Join,
     Nack,
     Ping,
-    Row,
-    Table,
-    read,
+    PingRequest,
+    TablePage,
+    TableRequest,
+    Update,
+    decode_message,
 )
 
-__all__ = ["Address", "Change", "Membership", "Tempo"]
-
 
-class Membership(Tables):
-    """A member: what the host tells it, its answers, and the detector."""
+class Membership(AntiEntropy):
+    """A member: what its host calls, its answers to others, and the failure detector."""
 
-    # What the host tells
+    # What the host calls
 
-    def receive(self, text: bytes, source: Address, now: Ticks) -> None:
+    def receive(self, payload: bytes, source: Address, now: Ticks) -> None:
+        """Takes a message; one that can't be decoded is counted."""
         self.now = now
-        letter = read(text)
-        if letter is None:
-            self.counts.unread += 1
+        message = decode_message(payload)
+        if message is None:
+            self.counters.undecodable += 1
             return
-        if self.over is not None:
+        if self.replaced_by is not None:
             return
-        guest = isinstance(letter, Join) and letter.guest
-        if not guest and letter.sender == self.own.number:
-            if letter.life > self.own.life:
-                self._replaced(msgspec.structs.replace(self.own, life=letter.life))
+        if isinstance(message, TableRequest) and message.observer:
+            self._send_table(message, source)
             return
-        known = self.rows.get(letter.sender)
-        if not guest and known is not None and known.life > letter.life:
-            # An earlier life that still speaks: it's told that it is over, and nothing it says counts.
-            self._send(source, Gossip(*self._head()), [known])
+        if message.sender == self.own.number:
+            if message.started_at_ms > self.own.started_at_ms:
+                self._mark_replaced(msgspec.structs.replace(self.own, started_at_ms=message.started_at_ms))
             return
-        for row in () if guest else letter.rows:
-            self._merge(row)
-        for claim in () if guest else letter.claims:
-            self._hear(claim)
-        if self.over is not None:
+        known = self.records.get(message.sender)
+        if known is not None and known.started_at_ms > message.started_at_ms:
+            # An earlier process that still sends: it is told that it is replaced, and nothing it says counts.
+            self._send(source, Gossip(*self._header()), [known])
             return
-        known = self.rows.get(letter.sender)
-        self._answer(letter, source, known)
-        if not guest and (known is None or letter.digest != self._digest):
-            self._differs(source, known is None)
+        self._receive_from_member(message, source)
+
+    def _receive_from_member(self, message: AnyMessage, source: Address) -> None:
+        for record in message.records:
+            self._merge_record(record)
+        for claim in message.claims:
+            self._merge_claim(claim)
+        if self.replaced_by is not None:
+            return
+        sender_known = message.sender in self.records
+        self._reply(message, source, sender_known)
+        if not sender_known or message.digest != self._digest:
+            self._handle_digest_mismatch(source, not sender_known)
 
     def tick(self, now: Ticks) -> None:
-        """Work that is due. A host that comes late is slow itself: it counts against its own health."""
+        """Does a round if it is due. A host that calls late is slow itself: that counts against its own health."""
         self.now = now
-        if self.over is not None:
-            self._beat_at = now + self._tempo.period
+        if self.replaced_by is not None:
+            self._next_round_at = now + self._timings.period
             return
-        if now < self._beat_at:
+        if now < self._next_round_at:
             return
-        late = now - self._beat_at
-        span = self._span() // BEATS
-        if late > self._tempo.period:
-            self._feel(1)
-            # It was stopped or starved: what it waited for may lie unread. Nobody is blamed for that.
-            if self._probing is not None:
-                self._probing = None
-                self._beat = 0
-            for suspicion in self._suspicions.values():
-                suspicion.since = max(suspicion.since + late, suspicion.since)
-        self._beat_at = max(now + 1, self._beat_at + span if late < span else now + span)
-        if self._beat % BEATS == 0:
-            self._period()
+        lateness = now - self._next_round_at
+        round_time = self._probe_period() // ROUNDS_PER_PERIOD
+        if lateness > self._timings.period:
+            self._handle_stall(lateness)
+        next_round_at = self._next_round_at + round_time if lateness < round_time else now + round_time
+        self._next_round_at = max(now + 1, next_round_at)
+        if self._round % ROUNDS_PER_PERIOD == 0:
+            self._start_period()
         else:
-            self._again()
-        self._beat += 1
-        self._expire()
-        self._gossip()
-        self._seek()
+            self._repeat_probe()
+        self._round += 1
+        self._expire_relayed_probes()
+        self._expire_suspicions()
+        self._drop_departed()
+        self._send_gossip()
+        self._synchronize()
 
     def leave(self, now: Ticks) -> None:
-        """Tells some members that this one goes of its own will."""
+        """Tells some members that this one leaves of its own will."""
         self.now = now
-        self.own = msgspec.structs.replace(self.own, turn=self.own.turn + 1, state=LEFT)
-        self._set(self.own)
-        for number in self._draw(2 * FAN):
-            self._send(
-                self._address(number),
-                Gossip(*self._head()),
-                [Claim(self.own.number, self.own.life, self.own.turn, LEFT, self.own.number)],
-            )
+        self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, state=LEFT)
+        self._store_record(self.own)
+        for number in self._sample_peers(2 * GOSSIP_FANOUT):
+            self._send(self._address_of(number), Gossip(*self._header()), [self._claim(self.own, self.own.number)])
 
     # Answers
 
-    def _answer(self, letter: AnyLetter, source: Address, known: Row | None) -> None:
-        sender = letter.sender
-        match letter:
+    def _reply(self, message: AnyMessage, source: Address, sender_known: bool) -> None:
+        match message:
             case Ping():
-                # The row goes along where the other may not know it, or knows another life.
-                same = (letter.to, letter.to_life) == (self.own.number, self.own.life)
-                mine: list[Row | Claim] = [] if same and known and not letter.claims else [self.own]
-                self._send(source, Ack(*self._head(), letter.seq), [*mine, *self._ill(sender)])
+                self._acknowledge(message, source, sender_known)
             case Ack():
-                self._answered(letter)
+                self._handle_ack(message)
             case Nack():
-                if self._probing is not None and self._probing.seq == letter.seq:
-                    self._probing.nacks += 1
-            case Ask() if letter.to in self.rows and letter.to != self.own.number:
-                if len(self._helping) < 64:  # bounded: a flood of asks costs pings, not memory
-                    seq = self._next()
-                    until = self.now + self._tempo.period // BEATS
-                    self._helping[seq] = Probing(seq, letter.to, until, (sender, letter.seq))
-                    self._ping(letter.to, seq)
-            case Join():
-                self._show(letter, source)
-            case Table():
-                self._page(letter, source)
+                if self._probe is not None and self._probe.sequence_number == message.sequence_number:
+                    self._probe.nacks += 1
+            case PingRequest():
+                self._relay_probe(message)
+            case TableRequest():
+                self._send_table(message, source)
+            case TablePage():
+                self._handle_page(message)
             case _:
                 pass
 
-    def _answered(self, ack: Ack) -> None:
-        if (helped := self._helping.pop(ack.seq, None)) is not None and helped.asker is not None:
-            asker, seq = helped.asker
-            if asker in self.rows:
-                subject = self.rows.get(helped.to)
-                forced = [subject] if subject is not None and not subject.gone else []
-                self._send(self._address(asker), Ack(*self._head(), seq), forced)
+    def _acknowledge(self, ping: Ping, source: Address, sender_known: bool) -> None:
+        """Answers a ping, with this member's record if the sender may not know it, or knows another process."""
+        known_there = ping.target == self.own.number and ping.target_started_at_ms == self.own.started_at_ms
+        own_record: list[Update] = [] if known_there and sender_known and not ping.claims else [self.own]
+        ack = Ack(*self._header(), ping.sequence_number)
+        self._send(source, ack, [*own_record, *self._claims_against(ping.sender)])
+
+    def _relay_probe(self, request: PingRequest) -> None:
+        if request.target not in self.records or request.target == self.own.number:
+            return
+        if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
+            return
+        sequence_number = self._next_sequence_number()
+        expires_at = self.now + self._timings.period // ROUNDS_PER_PERIOD
+        requester = ProbeRequester(request.sender, request.sequence_number)
+        self._relayed_probes[sequence_number] = Probe(sequence_number, request.target, expires_at, requester)
+        self._send_ping(request.target, sequence_number)
+
+    def _handle_ack(self, ack: Ack) -> None:
+        relayed = self._relayed_probes.pop(ack.sequence_number, None)
+        if relayed is not None and relayed.requester is not None:
+            requester = relayed.requester
+            if requester.number in self.records:
+                target = self.records.get(relayed.target)
+                required = [target] if target is not None and not target.gone else []
+                forwarded = Ack(*self._header(), requester.sequence_number)
+                self._send(self._address_of(requester.number), forwarded, required)
             return
-        probing = self._probing
-        if probing is not None and ack.seq == probing.seq and not probing.done:
-            probing.done = True
-            self._feel(-1)
-
-    # The detector
-
-    def _period(self) -> None:
-        last = self._probing
-        if last is not None and not last.done and last.to in self.rows:
-            row = self.rows[last.to]
-            missed = last.helpers - last.nacks
-            # Lifeguard 3.1: helpers that say nothing either point at this member's own line.
-            self._feel(1 if missed > 0 or not last.helpers else 0)
-            if row.state == ALIVE:
-                self.counts.suspected += 1
-                self._suspect(msgspec.structs.replace(row, state=SUSPECT), self.own.number)
-            elif row.state == SUSPECT and (suspicion := self._suspicions.get(last.to)) is not None:
-                suspicion.asked = True
-                if self.own.number not in suspicion.by and len(suspicion.by) <= ENOUGH:
-                    suspicion.by[self.own.number] = None
-                    self._tell(Claim(row.number, row.life, row.turn, SUSPECT, self.own.number))
-        self._probing = None
-        while self._ring or self._members:
-            if not self._ring:
-                self._ring = self._members.copy()
-                self._rng.shuffle(self._ring)
-            number = self._ring.pop()
-            if number in self._places:
-                self._probing = Probing(self._next(), number, self.now + self._span())
-                self._ping(number, self._probing.seq)
+        probe = self._probe
+        if probe is not None and ack.sequence_number == probe.sequence_number and not probe.acknowledged:
+            probe.acknowledged = True
+            self._adjust_local_health(-1)
+
+    # The failure detector
+
+    def _start_period(self) -> None:
+        last = self._probe
+        if last is not None and not last.acknowledged and last.target in self.records:
+            self._handle_failed_probe(last)
+        self._probe = None
+        while self._probe_order or self._peers:
+            if not self._probe_order:
+                self._probe_order = self._peers.copy()
+                self._rng.shuffle(self._probe_order)
+            number = self._probe_order.pop()
+            if number in self._peer_positions:
+                self._probe = Probe(self._next_sequence_number(), number, self.now + self._probe_period())
+                self._send_ping(number, self._probe.sequence_number)
                 break
 
-    def _again(self) -> None:
-        probing = self._probing
-        if probing is None or probing.done or probing.to not in self._places:
+    def _handle_failed_probe(self, probe: Probe) -> None:
+        record = self.records[probe.target]
+        missing_nacks = probe.helpers_asked - probe.nacks
+        # Lifeguard 3.1: helpers that don't answer either point at this member's own link.
+        self._adjust_local_health(1 if missing_nacks > 0 or not probe.helpers_asked else 0)
+        if record.state == ALIVE:
+            self.counters.suspicions += 1
+            self._start_suspicion(msgspec.structs.replace(record, state=SUSPECT), self.own.number)
+        elif record.state == SUSPECT:
+            suspicion = self._suspicions.get(probe.target)
+            if suspicion is not None:
+                suspicion.probed = True
+                self._confirm_suspicion(suspicion, self._claim(record, self.own.number))
+
+    def _repeat_probe(self) -> None:
+        probe = self._probe
+        if probe is None or probe.acknowledged or probe.target not in self._peer_positions:
             return
-        self._ping(probing.to, probing.seq)
-        for helper in self._draw(HELPERS, probing.to):
-            probing.helpers += 1
-            self._send(self._address(helper), Ask(*self._head(), probing.seq, probing.to))
-
-    def _wait(self, suspicion: Suspicion) -> Ticks:
-        """Lifeguard 3.2: long while only one suspects, down to the least as others do."""
-        least = self._tempo.least(len(self._members) + 1) * (1 + self.health)
-        share = log(min(len(suspicion.by), ENOUGH + 1)) / log(ENOUGH + 1)
+        self._send_ping(probe.target, probe.sequence_number)
+        for helper in self._sample_peers(INDIRECT_PROBES, probe.target):
+            probe.helpers_asked += 1
+            self._send(self._address_of(helper), PingRequest(*self._header(), probe.sequence_number, probe.target))
+
+    def _handle_stall(self, lateness: Ticks) -> None:
+        """After a stall of this process, answers may lie unread: nobody is blamed for that."""
+        self._adjust_local_health(1)
+        if self._probe is not None:
+            self._probe = None
+            self._round = 0
+        for suspicion in self._suspicions.values():
+            suspicion.since += lateness
+
+    def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
+        """Lifeguard 3.2: twice the least while only one member suspects, down to the least as others do."""
+        least = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
+        share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
         return int(least * (2 - share))
 
-    def _asks(self, suspicion: Suspicion, waited: Ticks, wait: Ticks) -> bool:
-        """One that gossip passed by would believe hearsay: soon all that suspect a member ask it."""
-        suspicion.asked |= waited >= wait // 4
-        return suspicion.asked
+    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, timeout: Ticks) -> bool:
+        """Returns whether this member pings a suspect itself: after a quarter of the timeout all that suspect it do.
 
-    def _expire(self) -> None:
-        for seq in [seq for seq, helped in self._helping.items() if helped.until <= self.now]:
-            helped = self._helping.pop(seq)
-            if helped.asker is not None and helped.asker[0] in self.rows:
-                self._send(self._address(helped.asker[0]), Nack(*self._head(), helped.asker[1]))
+        Else one that gossip passed by would find it dead by others' reports alone.
+        """
+        suspicion.probed |= waited >= timeout // 4
+        return suspicion.probed
+
+    def _expire_relayed_probes(self) -> None:
+        expired = [number for number, probe in self._relayed_probes.items() if probe.expires_at <= self.now]
+        for sequence_number in expired:
+            requester = self._relayed_probes.pop(sequence_number).requester
+            if requester is not None and requester.number in self.records:
+                nack = Nack(*self._header(), requester.sequence_number)
+                self._send(self._address_of(requester.number), nack)
+
+    def _expire_suspicions(self) -> None:
         for number, suspicion in list(self._suspicions.items()):
-            row = self.rows[number]
-            waited, wait = self.now - suspicion.since, self._wait(suspicion)
-            if waited >= wait:
-                self._set(msgspec.structs.replace(row, state=DEAD), self.own.number)
-            elif self._asks(suspicion, waited, wait):
-                self._ping(number, self._next())
-        self._forget()
-
-    def _gossip(self) -> None:
-        if self._rumors:
-            for number in self._draw(FAN):
-                if not self._rumors:
-                    break
-                self._send(self._address(number), Gossip(*self._head()))
+            waited = self.now - suspicion.since
+            timeout = self._suspicion_timeout(suspicion)
+            if waited >= timeout:
+                record = self.records[number]
+                self._store_record(msgspec.structs.replace(record, state=DEAD), self.own.number)
+            elif self._probes_suspect(suspicion, waited, timeout):
+                self._send_ping(number, self._next_sequence_number())
+
+    def _send_gossip(self) -> None:
+        if not self._pending_updates:
+            return
+        for number in self._sample_peers(GOSSIP_FANOUT):
+            if not self._pending_updates:
+                break
+            self._send(self._address_of(number), Gossip(*self._header()))
--- a/lanelead/membership/member_table.py
+++ b/lanelead/membership/member_table.py
@@ -1,4 +1,4 @@
-"""A member's rows: what is taken from others' words, what of it is told on, and by which letters."""
+"""A member's table: which records and claims of others it takes, which it disseminates, and by which messages."""
 
 from __future__ import annotations
 
@@ -10,242 +10,291 @@
 
 from lanelead.decisions.interface import Ticks
 from lanelead.membership.member_state import (
-    BEATS,
-    CALLED,
-    ENOUGH,
-    KEPT,
-    WORST,
+    ADDRESS_RETENTION_FACTOR,
+    MAX_LOCAL_HEALTH,
+    MAX_REMEMBERED_ADDRESSES,
+    MAX_UPDATES_PER_MESSAGE,
+    ROUNDS_PER_PERIOD,
+    SUSPICION_CONFIRMATIONS,
     Address,
-    Change,
-    Counts,
-    Probing,
-    Rumor,
+    MemberChange,
+    MembershipCounters,
+    MembershipTimings,
+    PendingUpdate,
+    Probe,
+    RememberedAddress,
     Suspicion,
-    Tempo,
-    hashed,
+    TableTransfer,
+    record_digest,
 )
-from lanelead.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, AnyLetter, Claim, Ping, Row, write
+from lanelead.membership.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    AnyMessage,
+    MemberRecord,
+    Ping,
+    StateClaim,
+    Update,
+    encode_message,
+)
+
 
+class MemberTable:
+    """One member's view of all.
 
-class Rows:
-    """One member's view. `outbox` fills with (address, letter), `changes` with what became of members."""
+    `outbox` fills with addresses and payloads to send, `changes` with what became of members: the host empties both.
+    `configured_addresses` hold over those that members report. `known`: records of members known from the start.
+    """
 
     def __init__(
         self,
-        own: Row,
-        tempo: Tempo,
+        *,
+        own: MemberRecord,
+        timings: MembershipTimings,
         seeds: Sequence[Address],
         rng: Random,
         now: Ticks,
-        known: Sequence[Row] = (),
+        known: Sequence[MemberRecord] = (),
     ) -> None:
-        self.own, self._tempo, self._rng, self.now = own, tempo, rng, now
-        self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
-        self.rows: dict[int, Row] = {own.number: own, **{row.number: row for row in known}}
-        self.addresses: dict[int, Address] = {}  # as settings name them, which stand above what is told
+        self.own = own
+        self.now = now
+        self.records: dict[int, MemberRecord] = {own.number: own, **{record.number: record for record in known}}
+        self.configured_addresses: dict[int, Address] = {}
         self.outbox: list[tuple[Address, bytes]] = []
-        self.changes: list[Change] = []
-        self.counts = Counts()
-        self.health = 0
-        self.over: Row | None = None  # the later life that took this one's place
+        self.changes: list[MemberChange] = []
+        self.counters = MembershipCounters()
+        self.local_health = 0  # 0: best
+        self.replaced_by: MemberRecord | None = None  # a later process with this member's number
+        self._timings = timings
+        self._rng = rng
+        self._seeds = [seed for seed in seeds if seed != (own.host, own.port)]
         self._suspicions: dict[int, Suspicion] = {}
-        self._rumors: dict[int, Rumor] = {}
-        self._gone: dict[int, Ticks] = {}
-        self._kept: dict[int, tuple[Address, Ticks]] = {}  # of the forgotten dead; until when
-        self._ring: list[int] = []
-        self._probing: Probing | None = None
-        self._helping: dict[int, Probing] = {}
-        self._seq = rng.randrange(1 << 31)
-        self._beat_at = now + int(rng.random() * tempo.period / BEATS)
-        self._beat = 0
-        self._changed = now
+        self._pending_updates: dict[int, PendingUpdate] = {}
+        self._departed_at: dict[int, Ticks] = {}
+        self._remembered_addresses: dict[int, RememberedAddress] = {}
+        self._probe_order: list[int] = []
+        self._probe: Probe | None = None
+        self._relayed_probes: dict[int, Probe] = {}
+        self._sequence_number = rng.randrange(1 << 31)
+        self._next_round_at = now + int(rng.random() * timings.period / ROUNDS_PER_PERIOD)
+        self._round = 0
+        self._last_change_at = now
         self._digest = 0
-        for row in self.rows.values():
-            self._digest ^= hashed(row)
-        self._members = [row.number for row in self.rows.values() if row.number != own.number]
-        self._places = {number: place for place, number in enumerate(self._members)}
-        self._sync: tuple[Address, int, Ticks, int] | None = None  # from whom, from which, until, tries
-        self._met = bool(known)
-        self._tell(own)
+        for record in self.records.values():
+            self._digest ^= record_digest(record)
+        self._peers = [record.number for record in self.records.values() if record.number != own.number]
+        self._peer_positions = {number: position for position, number in enumerate(self._peers)}
+        self._table_transfer: TableTransfer | None = None
+        self._contacted = bool(known)
+        self._disseminate(own)
 
     @property
     def joined(self) -> bool:
-        return self._met or not self._seeds
-
-    def due(self) -> Ticks:
-        return self._beat_at
-
-    def present(self) -> list[Row]:
-        """All that are there, suspects among them, by number."""
-        return sorted((row for row in self.rows.values() if not row.gone), key=lambda row: row.number)
-
-    # What others say
-
-    def _merge(self, row: Row) -> None:
-        known = self.rows.get(row.number)
-        if row.number == self.own.number:
-            self._of_own(row)
-        elif known is None and row.gone:
-            pass  # the dead of long ago are not brought back by those that remember them longer
-        elif known is None or row.rank > known.rank:
-            if row.state == SUSPECT:
-                self._suspect(row, row.number)  # a row does not say who suspects it
+        """Whether any other member has answered, or none is to be asked."""
+        return self._contacted or not self._seeds
+
+    def next_round_at(self) -> Ticks:
+        """Returns when `tick` is to be called next."""
+        return self._next_round_at
+
+    def present_members(self) -> list[MemberRecord]:
+        """Returns all that are there, suspects among them, by number."""
+        return sorted((record for record in self.records.values() if not record.gone), key=lambda record: record.number)
+
+    # What others report
+
+    def _merge_record(self, record: MemberRecord) -> None:
+        known = self.records.get(record.number)
+        if record.number == self.own.number:
+            self._refute(record)
+        elif known is None and record.gone:
+            pass  # a dropped record is not brought back by members that keep it longer
+        elif known is None or record.rank > known.rank:
+            if record.state == SUSPECT:
+                self._start_suspicion(record, record.number)  # a record does not name its reporter
             else:
-                self._set(row)
+                self._store_record(record)
 
-    def _hear(self, claim: Claim) -> None:
-        known = self.rows.get(claim.number)
+    def _merge_claim(self, claim: StateClaim) -> None:
+        known = self.records.get(claim.number)
         if claim.number == self.own.number:
-            self._of_own(claim)
+            self._refute(claim)
             return
-        if known is None or claim.life != known.life:
-            return  # a row must come first: a claim has no address
-        if (claim.life, claim.turn, claim.state) > known.rank:
-            row = msgspec.structs.replace(known, turn=claim.turn, state=claim.state)
+        if known is None or claim.started_at_ms != known.started_at_ms:
+            return  # a record must come first: a claim has no address
+        if (claim.started_at_ms, claim.incarnation, claim.state) > known.rank:
+            record = msgspec.structs.replace(known, incarnation=claim.incarnation, state=claim.state)
             if claim.state == SUSPECT:
-                self._suspect(row, claim.by)
+                self._start_suspicion(record, claim.reporter)
             else:
-                self._set(row, claim.by)
-        elif claim.state == SUSPECT == known.state and claim.turn == known.turn:
+                self._store_record(record, claim.reporter)
+        elif claim.state == SUSPECT == known.state and claim.incarnation == known.incarnation:
             suspicion = self._suspicions.get(claim.number)
-            if suspicion is not None and claim.by not in suspicion.by and len(suspicion.by) <= ENOUGH:
-                suspicion.by[claim.by] = None
-                self._tell(claim)  # news: one more that can't reach it
-
-    def _of_own(self, told: Row | Claim) -> None:
-        """What others say of this member. Rule 2: only it raises its own turn."""
-        if told.life > self.own.life:
-            self._replaced(told if isinstance(told, Row) else msgspec.structs.replace(self.own, life=told.life))
-        elif told.life == self.own.life and told.state != ALIVE and told.turn >= self.own.turn:
-            if self.own.state == LEFT:
-                return
-            self.own = msgspec.structs.replace(self.own, turn=told.turn + 1, state=ALIVE)
-            self._set(self.own)
-            self.counts.refuted += 1
-            self._feel(1)  # Lifeguard 3.1: one that must defend itself may be the slow one
-
-    def _replaced(self, later: Row) -> None:
-        self.over = later
-        self.changes.append(Change(self.own, later))
-
-    def _set(self, row: Row, by: int | None = None) -> None:
-        before = self.rows.get(row.number)
+            if suspicion is not None:
+                self._confirm_suspicion(suspicion, claim)
+
+    def _confirm_suspicion(self, suspicion: Suspicion, claim: StateClaim) -> None:
+        """Counts one more member that suspects the same, and disseminates that, up to as many as matter."""
+        if claim.reporter not in suspicion.reporters and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS:
+            suspicion.reporters[claim.reporter] = None
+            self._disseminate(claim)
+
+    def _refute(self, update: Update) -> None:
+        """Takes what others report of this member. Rule 2: only it raises its own incarnation."""
+        own = self.own
+        if update.started_at_ms > own.started_at_ms:
+            if isinstance(update, MemberRecord):
+                self._mark_replaced(update)
+            else:
+                self._mark_replaced(msgspec.structs.replace(own, started_at_ms=update.started_at_ms))
+            return
+        outdated = update.started_at_ms != own.started_at_ms or update.incarnation < own.incarnation
+        if outdated or update.state == ALIVE or own.state == LEFT:
+            return
+        self.own = msgspec.structs.replace(own, incarnation=update.incarnation + 1, state=ALIVE)
+        self._store_record(self.own)
+        self.counters.refutations += 1
+        self._adjust_local_health(1)  # Lifeguard 3.1: one that must defend itself may be the slow one
+
+    def _mark_replaced(self, later: MemberRecord) -> None:
+        self.replaced_by = later
+        self.changes.append(MemberChange(self.own, later))
+
+    def _store_record(self, record: MemberRecord, reporter: int | None = None) -> None:
+        before = self.records.get(record.number)
         if before is not None and not before.gone:
-            self._digest ^= hashed(before)
-        if not row.gone:
-            self._digest ^= hashed(row)
-        self.rows[row.number] = row
-        self._changed = self.now
-        if row.state != SUSPECT:
-            self._suspicions.pop(row.number, None)
-        if row.number != self.own.number:
-            self._place(row)
-        if before is None or (before.life, before.state) != (row.life, row.state):
-            self.changes.append(Change(before, row))
-        known = before is not None and before.life == row.life  # a claim is shorter, but says no address
-        by = self.own.number if by is None else by
-        claim = Claim(row.number, row.life, row.turn, row.state, by)
-        self._tell(claim if known and row.state != ALIVE else row)
-
-    def _place(self, row: Row) -> None:
+            self._digest ^= record_digest(before)
+        if not record.gone:
+            self._digest ^= record_digest(record)
+        self.records[record.number] = record
+        self._last_change_at = self.now
+        if record.state != SUSPECT:
+            self._suspicions.pop(record.number, None)
+        if record.number != self.own.number:
+            self._update_peers(record)
+        if before is None or (before.started_at_ms, before.state) != (record.started_at_ms, record.state):
+            self.changes.append(MemberChange(before, record))
+        address_known = before is not None and before.started_at_ms == record.started_at_ms
+        if address_known and record.state != ALIVE:
+            self._disseminate(self._claim(record, self.own.number if reporter is None else reporter))
+        else:
+            self._disseminate(record)
+
+    @staticmethod
+    def _claim(record: MemberRecord, reporter: int) -> StateClaim:
+        return StateClaim(record.number, record.started_at_ms, record.incarnation, record.state, reporter)
+
+    def _update_peers(self, record: MemberRecord) -> None:
         """Keeps the members that are there in a list, for draws in constant time."""
-        place = self._places.get(row.number)
-        if row.gone:
-            self._gone.setdefault(row.number, self.now)
-            if place is not None:
-                last = self._members.pop()
-                if last != row.number:
-                    self._members[place], self._places[last] = last, place
-                del self._places[row.number]
+        position = self._peer_positions.get(record.number)
+        if record.gone:
+            self._departed_at.setdefault(record.number, self.now)
+            if position is not None:
+                last = self._peers.pop()
+                if last != record.number:
+                    self._peers[position] = last
+                    self._peer_positions[last] = position
+                del self._peer_positions[record.number]
         else:
-            self._gone.pop(row.number, None)
-            self._kept.pop(row.number, None)
-            if place is None:
-                self._places[row.number] = len(self._members)
-                self._members.append(row.number)
-                # SWIM 4.3: a new member comes in at a random place of the round.
-                self._ring.insert(self._rng.randrange(len(self._ring) + 1), row.number)
-
-    def _suspect(self, row: Row, by: int) -> None:
-        self._set(row, by)
-        self._suspicions[row.number] = Suspicion(self.now, {by: None}, by == self.own.number)
-
-    def _forget(self) -> None:
-        """Drops rows of long ago. Some addresses of the dead stay longer: of a region that is only cut off
-        nobody here may know another."""
-        for number, at in list(self._gone.items()):
-            if self.now - at < self._tempo.forget:
-                break  # those that went first stand first
-            if self.rows[number].state == DEAD:
-                self._keep(number)
-            del self._gone[number], self.rows[number]
-            self._rumors.pop(number, None)
-        for number, (_, until) in list(self._kept.items()):
-            if self.now < until:
+            self._departed_at.pop(record.number, None)
+            self._remembered_addresses.pop(record.number, None)
+            if position is None:
+                self._peer_positions[record.number] = len(self._peers)
+                self._peers.append(record.number)
+                # SWIM 4.3: a new member is put into the round at a random place.
+                self._probe_order.insert(self._rng.randrange(len(self._probe_order) + 1), record.number)
+
+    def _start_suspicion(self, record: MemberRecord, reporter: int) -> None:
+        self._store_record(record, reporter)
+        self._suspicions[record.number] = Suspicion(self.now, {reporter: None}, reporter == self.own.number)
+
+    def _drop_departed(self) -> None:
+        """Drops records of members that left or died long ago.
+
+        Some addresses of the dead are remembered longer: of a region that is only cut off, no other may be known here.
+        """
+        for number, departed_at in list(self._departed_at.items()):
+            if self.now - departed_at < self._timings.retention:
+                break  # they are in the order of their departure
+            if self.records[number].state == DEAD:
+                self._remember_address(number)
+            del self._departed_at[number]
+            del self.records[number]
+            self._pending_updates.pop(number, None)
+        for number, remembered in list(self._remembered_addresses.items()):
+            if self.now < remembered.expires_at:
                 break
-            del self._kept[number]
-
-    def _keep(self, number: int) -> None:
-        """Bounded; which one goes is drawn, so that the few that die late don't drive out a whole region."""
-        if len(self._kept) >= KEPT:
-            del self._kept[self._rng.choice(list(self._kept))]
-        self._kept[number] = self._address(number), self.now + CALLED * self._tempo.forget
-
-    # Letters
-
-    def _address(self, number: int) -> Address:
-        row = self.rows[number]
-        return self.addresses.get(number, (row.host, row.port))
-
-    def _send(self, to: Address, letter: AnyLetter, first: Iterable[Row | Claim] = ()) -> None:
-        """Sends it with what must be in it, and rumors as there is room."""
-        forced = list(first)
-        numbers = {rumor.number for rumor in forced}
-        rumors = [rumor for rumor in self._fresh() if rumor.what.number not in numbers]
-        text, taken = write(letter, [*forced, *(rumor.what for rumor in rumors)])
-        limit = 4 * ceil(log10(len(self.rows) + 1) + 1e-9)
-        for rumor in rumors[: max(0, len(taken) - len(forced))]:
-            rumor.told += 1
-            if rumor.told >= limit:
-                self._rumors.pop(rumor.what.number, None)
-        self.counts.sent += 1
-        self.counts.bytes += len(text)
-        self.outbox.append((to, text))
-
-    def _fresh(self) -> list[Rumor]:
-        """The rumors told least, a few more than a letter holds."""
-        return sorted(self._rumors.values(), key=lambda rumor: rumor.told)[:12]
-
-    def _tell(self, what: Row | Claim) -> None:
-        self._rumors.pop(what.number, None)
-        self._rumors[what.number] = Rumor(what)
-
-    def _head(self) -> tuple[int, int, int, list[Row], list[Claim]]:
-        return self.own.number, self.own.life, self._digest, [], []
-
-    def _ill(self, number: int) -> list[Row | Claim]:
-        """What is held against a member, for itself to hear first (Lifeguard 3.3, the buddy system)."""
-        row = self.rows.get(number)
-        if row is None or row.state == ALIVE:
+            del self._remembered_addresses[number]
+
+    def _remember_address(self, number: int) -> None:
+        """Bounded; which one goes is drawn, so that a few late deaths don't drive out a whole region."""
+        if len(self._remembered_addresses) >= MAX_REMEMBERED_ADDRESSES:
+            del self._remembered_addresses[self._rng.choice(list(self._remembered_addresses))]
+        expires_at = self.now + ADDRESS_RETENTION_FACTOR * self._timings.retention
+        self._remembered_addresses[number] = RememberedAddress(self._address_of(number), expires_at)
+
+    # Messages
+
+    def _address_of(self, number: int) -> Address:
+        record = self.records[number]
+        return self.configured_addresses.get(number, (record.host, record.port))
+
+    def _send(self, to: Address, message: AnyMessage, required: Iterable[Update] = ()) -> None:
+        """Sends a message with the updates that must be in it, and pending ones as there is room."""
+        required = list(required)
+        numbers = {update.number for update in required}
+        pending = [update for update in self._least_sent_updates() if update.update.number not in numbers]
+        payload, added = encode_message(message, [*required, *(update.update for update in pending)])
+        max_sends = 4 * ceil(log10(len(self.records) + 1) + 1e-9)
+        for update in pending[: max(0, len(added) - len(required))]:
+            update.sent_count += 1
+            if update.sent_count >= max_sends:
+                self._pending_updates.pop(update.update.number, None)
+        self._post(to, payload)
+
+    def _post(self, to: Address, payload: bytes) -> None:
+        self.counters.messages_sent += 1
+        self.counters.bytes_sent += len(payload)
+        self.outbox.append((to, payload))
+
+    def _least_sent_updates(self) -> list[PendingUpdate]:
+        """Returns the updates sent least often, a few more than a message holds."""
+        by_sent_count = sorted(self._pending_updates.values(), key=lambda update: update.sent_count)
+        return by_sent_count[:MAX_UPDATES_PER_MESSAGE]
+
+    def _disseminate(self, update: Update) -> None:
+        self._pending_updates.pop(update.number, None)
+        self._pending_updates[update.number] = PendingUpdate(update)
+
+    def _header(self) -> tuple[int, int, int, list[MemberRecord], list[StateClaim]]:
+        """Returns the fields that each message begins with."""
+        return self.own.number, self.own.started_at_ms, self._digest, [], []
+
+    def _claims_against(self, number: int) -> list[Update]:
+        """Returns what is claimed against a member, for itself to hear first (Lifeguard 3.3, the buddy system)."""
+        record = self.records.get(number)
+        if record is None or record.state == ALIVE:
             return []
-        return [Claim(number, row.life, row.turn, row.state, self.own.number)]
+        return [self._claim(record, self.own.number)]
 
-    def _ping(self, number: int, seq: int) -> None:
-        row = self.rows[number]
-        self._send(self._address(number), Ping(*self._head(), seq, number, row.life), self._ill(number))
+    def _send_ping(self, number: int, sequence_number: int) -> None:
+        ping = Ping(*self._header(), sequence_number, number, self.records[number].started_at_ms)
+        self._send(self._address_of(number), ping, self._claims_against(number))
 
-    def _next(self) -> int:
-        self._seq = (self._seq + 1) & 0xFFFFFFFF
-        return self._seq
+    def _next_sequence_number(self) -> int:
+        self._sequence_number = (self._sequence_number + 1) & 0xFFFFFFFF
+        return self._sequence_number
 
-    def _draw(self, many: int, but: int = -1) -> list[int]:
-        drawn = self._rng.sample(self._members, min(len(self._members), many + 1))
-        return [number for number in drawn if number != but][:many]
+    def _sample_peers(self, count: int, excluded: int = -1) -> list[int]:
+        drawn = self._rng.sample(self._peers, min(len(self._peers), count + 1))
+        return [number for number in drawn if number != excluded][:count]
 
     # Local health
 
-    def _feel(self, step: int) -> None:
-        self.health = min(WORST, max(0, self.health + step))
+    def _adjust_local_health(self, step: int) -> None:
+        self.local_health = min(MAX_LOCAL_HEALTH, max(0, self.local_health + step))
 
-    def _span(self) -> Ticks:
-        return self._tempo.period * (1 + self.health)
+    def _probe_period(self) -> Ticks:
+        return self._timings.period * (1 + self.local_health)
--- a/lanelead/membership/messages.py
+++ b/lanelead/membership/messages.py
@@ -1,8 +1,8 @@
-"""What members of a circle write to each other, as msgpack within the bound of one letter between relays.
+"""Messages between members, as msgpack within the size of one datagram between relays.
 
-Kinds after SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-Membership Protocol", DSN 2002), `Nack` after Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018), `Join` and
-`Table` for those that have just come or have missed something.
+Kinds after SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol", DSN 2002), `Nack` after Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018), `TableRequest` and `TablePage` for
+members that have just joined or have missed something. All are arrays: the order of fields is the wire's.
 """
 
 from __future__ import annotations
@@ -12,28 +12,34 @@
 
 import msgspec
 
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES
+from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-STATES = ("alive", "suspect", "dead", "left")
+STATE_NAMES = ("alive", "suspect", "dead", "left")
+NUMBERS_END = 65536  # one above the highest member number
+LIST_HEADERS_BYTES = 4  # the headers of both lists of updates may grow by two bytes each
 
-Number = Annotated[int, msgspec.Meta(ge=0, le=65535)]
-Life = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
-Turn = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+MemberNumber = Annotated[int, msgspec.Meta(ge=0, le=65535)]
+StartTime = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
+Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=ALIVE, le=LEFT)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=45)]  # as long as an address of IPv6
-Seq = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+SequenceNumber = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
+PageBound = Annotated[int, msgspec.Meta(ge=0, le=NUMBERS_END)]
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A member as it was told of. `life`: milliseconds since 1970 when its process started; `turn`: its
-    incarnation number in that life, which only itself raises."""
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A member as it is known.
 
-    number: Number
-    life: Life
-    turn: Turn
+    `started_at_ms`: milliseconds since 1970 when its process started; a restart is another process with a later start.
+    `incarnation`: SWIM's incarnation number within that process, which only the member itself raises.
+    """
+
+    number: MemberNumber
+    started_at_ms: StartTime
+    incarnation: Incarnation
     state: State
     voter: bool
     zone: Name
@@ -43,109 +49,121 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two rows of one member, the one of the higher rank holds (SWIM, section 4.2)."""
-        return self.life, self.turn, self.state
+        """Of two records of one member, the one of the higher rank holds (SWIM, section 4.2)."""
+        return self.started_at_ms, self.incarnation, self.state
 
     @property
     def gone(self) -> bool:
+        """Whether it is dead or left."""
         return self.state >= DEAD
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What `by` says of a member whose row is known."""
+class StateClaim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """What `reporter` says of a member whose record is known; shorter than a record, without an address."""
 
-    number: Number
-    life: Life
-    turn: Turn
+    number: MemberNumber
+    started_at_ms: StartTime
+    incarnation: Incarnation
     state: State
-    by: Number
+    reporter: MemberNumber
+
+
+Update = MemberRecord | StateClaim
 
 
-class Letter(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag_field="kind"):
-    """`sender` in its `life`; `digest`: of all that the sender takes to be there; rumors of any kind."""
+class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag_field="kind"):
+    """A message from `sender`; `digest` is of all members that it takes to be there. Any kind carries updates."""
 
-    sender: Number
-    life: Life
+    sender: MemberNumber
+    started_at_ms: StartTime
     digest: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-    rows: list[Row]
-    claims: list[Claim]
+    records: list[MemberRecord]
+    claims: list[StateClaim]
+
+
+class Gossip(Message, tag=0):
+    """Updates only."""
+
 
+class Ping(Message, tag=1):
+    """Asks `target` for an `Ack`; `target_started_at_ms` shows whether the sender knows its present process."""
 
-class Gossip(Letter, tag=0):
-    pass
+    sequence_number: SequenceNumber
+    target: MemberNumber
+    target_started_at_ms: StartTime
 
 
-class Ping(Letter, tag=1):
-    seq: Seq
-    to: Number
-    to_life: Life
+class Ack(Message, tag=2):
+    """Answers a `Ping`, or a `PingRequest` whose target answered."""
 
+    sequence_number: SequenceNumber
 
-class Ack(Letter, tag=2):
-    seq: Seq
 
+class Nack(Message, tag=3):
+    """Answers a `PingRequest` whose target did not answer in time."""
 
-class Nack(Letter, tag=3):
-    seq: Seq
+    sequence_number: SequenceNumber
 
 
-class Ask(Letter, tag=4):
-    """Ping `to` in my place."""
+class PingRequest(Message, tag=4):
+    """Asks a third member to ping `target` (SWIM's ping-req)."""
 
-    seq: Seq
-    to: Number
+    sequence_number: SequenceNumber
+    target: MemberNumber
 
 
-class Join(Letter, tag=5):
-    """The table from the member `first` on, please. A `guest` reads and is no member."""
+class TableRequest(Message, tag=5):
+    """Asks for the table from member `first_number` on. An `observer` reads it and is no member."""
 
-    first: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    guest: bool
+    first_number: PageBound
+    observer: bool
 
 
-class Table(Letter, tag=6):
-    """Rows of members `first` up to, and without, `then`; `more` on its way."""
+class TablePage(Message, tag=6):
+    """Records of members from `first_number` up to, and without, `next_number`; `more_follows`: without a request."""
 
-    first: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    then: Annotated[int, msgspec.Meta(ge=0, le=65536)]
-    more: bool
+    first_number: PageBound
+    next_number: PageBound
+    more_follows: bool
 
 
-AnyLetter = Gossip | Ping | Ack | Nack | Ask | Join | Table
+AnyMessage = Gossip | Ping | Ack | Nack | PingRequest | TableRequest | TablePage
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder[AnyLetter](AnyLetter)
+_decoder = msgspec.msgpack.Decoder[AnyMessage](AnyMessage)
 
 
-def read(text: bytes) -> AnyLetter | None:
-    """The letter, or None where it is none of these, whole and within all bounds."""
+def decode_message(payload: bytes) -> AnyMessage | None:
+    """Returns the message, or None if the payload is none of these or out of bounds."""
     try:
-        letter: AnyLetter = _decoder.decode(text)
+        message: AnyMessage = _decoder.decode(payload)
     except (msgspec.MsgspecError, ValueError, RecursionError):
         return None
-    return letter
+    return message
 
 
-def size(rumor: Row | Claim) -> int:
-    return len(_encoder.encode(rumor))
+def encoded_size(update: Update) -> int:
+    """Returns how many bytes an update takes in a message."""
+    return len(_encoder.encode(update))
 
 
-def write(letter: AnyLetter, rumors: Iterable[Row | Claim] = ()) -> tuple[bytes, list[Row | Claim]]:
-    """The letter with as many of the rumors, first ones first, as there is room for; and which went in.
+def encode_message(message: AnyMessage, updates: Iterable[Update] = ()) -> tuple[bytes, list[Update]]:
+    """Adds as many of the updates as fit, first ones first; returns the payload and the updates that went in.
 
-    Raises ValueError where the letter alone is too long: its own rows are the caller's to bound.
+    Raises ValueError if the message alone is too long: its own records are the caller's to bound.
     """
-    room = MAX_MESSAGE_BYTES - len(_encoder.encode(letter)) - 4  # the two lists' heads may grow by two bytes each
-    if room < -4:
-        raise ValueError(f"{MAX_MESSAGE_BYTES - 4 - room} bytes, of {MAX_MESSAGE_BYTES} at most")
-    taken: list[Row | Claim] = []
-    for rumor in rumors:
-        need = size(rumor)
-        if need > room:
+    size = len(_encoder.encode(message))
+    if size > MAX_MESSAGE_BYTES:
+        raise ValueError(f"{size} bytes, of {MAX_MESSAGE_BYTES} at most")
+    room = MAX_MESSAGE_BYTES - size - LIST_HEADERS_BYTES
+    added: list[Update] = []
+    for update in updates:
+        needed = encoded_size(update)
+        if needed > room:
             break
-        room -= need
-        taken.append(rumor)
-        if isinstance(rumor, Row):
-            letter.rows.append(rumor)
+        room -= needed
+        added.append(update)
+        if isinstance(update, MemberRecord):
+            message.records.append(update)
         else:
-            letter.claims.append(rumor)
-    return _encoder.encode(letter), taken
+            message.claims.append(update)
+    return _encoder.encode(message), added
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -20,7 +20,7 @@
 from lanelead.pgwire.statements import Statement
 from lanelead.postgres_relay.connection_owner import ConnectionOwner, ResponseSlot
 from lanelead.postgres_relay.load_reports import is_idle_socket
-from lanelead.runtime.driver import PendingRequest, RequestOutcome
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 READ_BUFFER_BYTES = 32768
 MAX_COMMANDS_PER_READ = 64  # with more in one read, none of them is taken
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -26,7 +26,8 @@
     ClientConnection,
 )
 from lanelead.postgres_relay.load_reports import is_idle_socket
-from lanelead.runtime.driver import DecisionDriver, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import RequestOutcome
 
 SILENCE_TIMEOUT_SECONDS = 2.0  # for a client to send a request, or the rest of a message
 IDLE_TIMEOUT_SECONDS = 10.0  # after which a connection without a further request is closed
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -15,7 +15,7 @@
 from lanelead.postgres_relay.settings_checks import check
 from lanelead.protocols.feeds import MessageError, decode
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
-from lanelead.runtime.parameter_reader import ParameterReader, pairs_of
+from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
 
 MAX_FILE_BYTES = 16 << 20  # the file holds the last endpoint list
 
@@ -73,7 +73,7 @@
     @property
     def parameters(self) -> ParameterReader:
         """A reader of the settings; raises RecursionError where they are nested too deep."""
-        return ParameterReader([*pairs_of(self.settings)])
+        return ParameterReader([*flatten_pairs(self.settings)])
 
 
 def load(path: str) -> RelayConfig:
--- a/lanelead/postgres_relay/connection_owner.py
+++ b/lanelead/postgres_relay/connection_owner.py
@@ -8,7 +8,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from lanelead.decisions.interface import Tenant, Ticks
-from lanelead.runtime.driver import DecisionDriver, PendingRequest, RequestOutcome
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 if TYPE_CHECKING:
     from lanelead.postgres_relay.client_connection import ClientConnection
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -15,7 +15,7 @@
 from lanelead.decisions.interface import Attempt, Endpoint, EndpointStatus
 from lanelead.pgwire.servers import ServerReader
 from lanelead.postgres_relay.load_reports import is_idle_socket
-from lanelead.runtime.driver import Destination
+from lanelead.runtime.destination import Destination
 
 IDLE_LIMIT_FACTOR = 0.6  # of the endpoint's own idle timeout, so that this side closes first
 REUSE_DELAY_SECONDS = 0.01  # duplicated responses arrive 2 to 3 ms late
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -39,7 +39,7 @@
 from lanelead.protocols.platform import parse_address
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.host_operations_base import HostOperationsBase
-from lanelead.runtime.timers import Clock
+from lanelead.runtime.loop_clock import LoopClock
 
 if TYPE_CHECKING:
     from lanelead.postgres_relay.configuration_client import ConfigurationClient
@@ -78,16 +78,16 @@
     # Assembly
 
     def _create_decisions(self, parameters: ServiceParameters, seed: str) -> None:
-        self._clock = Clock(self._loop, lambda: self.driver.next_timer(), self._on_timer)
+        self._clock = LoopClock(self._loop, lambda: self.driver.next_timer(), self._on_timer)
         decisions = parameters.balancer(seed, self._clock.now())
         self.driver = DecisionDriver(
-            decisions,
-            self,
-            self._clock.now,
-            parameters.request_classes,
-            parameters.service_limits,
-            parameters.resource_quota.max_in_flight,
-            parameters.resource_quota.max_retry_after,
+            decisions=decisions,
+            host=self,
+            clock=self._clock.now,
+            request_classes=parameters.request_classes,
+            limits=parameters.service_limits,
+            max_pending=parameters.resource_quota.max_in_flight,
+            max_retry_after=parameters.resource_quota.max_retry_after,
         )
         self._tenants = {tenant.name: tenant for tenant in parameters.tenants}
         self._applied_configuration = AppliedConfiguration(
--- a/lanelead/postgres_relay/service_parameters.py
+++ b/lanelead/postgres_relay/service_parameters.py
@@ -58,7 +58,7 @@
             position=parameters.position(),
             canary_limits=parameters.canary_limits(),
             prices=parameters.prices(),
-            report_names=frozenset(parameters.words("loadReport.names")),
+            report_names=frozenset(parameters.texts("loadReport.names")),
             upstream_idle_seconds=parameters.ticks("allowed.connIdleMs") / 10_000 or DEFAULT_UPSTREAM_IDLE_SECONDS,
             max_clients=max_clients,
             max_upstream_connections=descriptors - max_clients,
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -72,16 +72,16 @@
 
 
 def _check_counts_and_minimums(parameters: ParameterReader) -> None:
-    if not parameters.whole("requestClasses.count"):
+    if not parameters.integer("requestClasses.count"):
         raise MessageError("settings.requestClasses: none; name at least one class")
     for path in REQUIRED_FIELDS:
         _check_present(parameters, path)
     for path, minimum in MINIMUMS.items():
         _check_minimum(parameters, path, minimum)
     names: set[str] = set()
-    for number in range(parameters.whole("requestClasses.count")):
+    for number in range(parameters.integer("requestClasses.count")):
         _check_class(parameters, f"requestClasses.{number}.", names)
-    for number in range(parameters.whole("accounts.count")):
+    for number in range(parameters.integer("accounts.count")):
         for field, minimum in TENANT_MINIMUMS.items():
             _check_minimum(parameters, f"accounts.{number}.{field}", minimum)
 
@@ -92,7 +92,7 @@
         _check_present(parameters, prefix + field)
     for field, minimum in CLASS_MINIMUMS.items():
         _check_minimum(parameters, prefix + field, minimum)
-    name = parameters.word(prefix + "name")
+    name = parameters.text(prefix + "name")
     if name in names:
         raise MessageError(f"settings.{prefix}name: {name} is there twice; give each class a name of its own")
     names.add(name)
@@ -118,7 +118,7 @@
 
 
 def _check_present(parameters: ParameterReader, path: str) -> None:
-    if parameters.word(path) == "-":
+    if parameters.text(path) == "-":
         raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
 
 
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -22,7 +22,8 @@
     UpstreamConnection,
 )
 from lanelead.postgres_relay.load_reports import is_idle_socket, parse_load_report
-from lanelead.runtime.driver import DecisionDriver, PendingRequest
+from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.pending_requests import PendingRequest
 
 READ_BUFFER_BYTES = 65536
 STARTUP_MESSAGE = messages.startup("app", "shop")
--- a/lanelead/runtime/host_operations_base.py
+++ b/lanelead/runtime/host_operations_base.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol, TypeVar
 
 from lanelead.decisions.interface import Attempt, Endpoint
-from lanelead.runtime.driver import PendingRequest
+from lanelead.runtime.pending_requests import PendingRequest
 
 ResultT = TypeVar("ResultT")
 
--- a/tests/test_gossip_messages.py
+++ b/tests/test_gossip_messages.py
@@ -14,7 +14,8 @@
     InFlightCount,
     OutcomeObservation,
 )
-from lanelead.runtime.endpoint_registry import MAX_MESSAGE_BYTES, EndpointRegistry, decode_gossip, encode_gossip
+from lanelead.runtime.endpoint_registry import EndpointRegistry
+from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES, decode_gossip, encode_gossip
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND
 
 
--- a/tests/test_postgres_relay_signals.py
+++ b/tests/test_postgres_relay_signals.py
@@ -95,7 +95,7 @@
     async def test_tables_forget_units_ids_and_connections(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             relay = place.relay
-            with mock.patch.object(relay.driver, "_memory", 0):
+            with mock.patch.object(relay.driver.endpoint_list, "_retention", 0):
                 for number in range(300):
                     for state in ("active", "left"):
                         rows = [
@@ -123,7 +123,7 @@
                     relay.upstream._in_flight,
                     relay.upstream.connections,
                     relay.listener.open_request_ids,
-                    driver._gone,
+                    driver.endpoint_list.removed,
                 )
             ]
             self.assertLessEqual(max(sizes), 12, sizes)
