--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from benchmarks.slopes.series import Series, processor_us, traced_mb
-from lanelead.configuration.actions import Place
+from lanelead.configuration.actions import Location
 from lanelead.configuration.document import Document
 from lanelead.configuration.value_types import AppliedValues
 from lanelead.protocols.configuration import Change, Entry
@@ -27,8 +27,8 @@
 LARGE = 65_000  # entries at the size planned for: 49,000 tenants and 16,000 routes
 
 
-def places(many: int) -> list[Place]:
-    return [Place(*ZONES[n % 4], f"{ZONES[n % 4][0]}{n // 4}") for n in range(many)]
+def places(many: int) -> list[Location]:
+    return [Location(*ZONES[n % 4], f"{ZONES[n % 4][0]}{n // 4}") for n in range(many)]
 
 
 def entries(many: int) -> list[tuple[str, bytes]]:
@@ -141,7 +141,7 @@
         def make(data: list[tuple[str, bytes]] = data) -> tuple[Document, AppliedValues]:
             document, values = Document(), AppliedValues()
             document.load(data)
-            values.take(document, list(document.entries))
+            values.apply(document, list(document.entries))
             return document, values
 
         megabytes, (document, values) = traced_mb(make)
@@ -156,7 +156,7 @@
         ) -> None:
             document.version = 0
             document.apply(decode(text, Change))
-            values.take(document, [key])
+            values.apply(document, [key])
 
         rows["change_us"].append((many, processor_us(take)))
         rows["snapshot"].append((many, sum(len(encode(document.bucket(n))) for n in range(4096))))
--- a/lanelead/configuration/actions.py
+++ b/lanelead/configuration/actions.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Location:
     """Where a source listens, or a relay stands."""
 
     zone: str = ""
@@ -17,33 +17,33 @@
 
 
 @dataclass(frozen=True)
-class Watch:
+class OpenWatch:
     source: int
     since: int
     digest: str
 
 
 @dataclass(frozen=True)
-class Leave:
+class CloseWatch:
     """End the watch, and what else was asked of its source."""
 
     source: int
 
 
 @dataclass(frozen=True)
-class AskOutline:
+class FetchDigestTree:
     source: int
 
 
 @dataclass(frozen=True)
-class AskBuckets:
+class FetchBuckets:
     source: int
     version: int
     numbers: tuple[int, ...]
 
 
 @dataclass(frozen=True)
-class InForce:
+class VersionApplied:
     """A version has come into force; these keys have changed since the one before."""
 
     version: int
@@ -51,16 +51,16 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class ReportApplied:
     source: int
     applied: AppliedVersion
 
 
 @dataclass(frozen=True)
-class Note:
+class LogEvent:
     text: str
     reason: str
     remedy: str
 
 
-Act = Watch | Leave | AskOutline | AskBuckets | InForce | Told | Note
+Action = OpenWatch | CloseWatch | FetchDigestTree | FetchBuckets | VersionApplied | ReportApplied | LogEvent
--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -36,16 +36,16 @@
     RejectedProposal,
 )
 
-Keep = Callable[[int, Ballot, Ballot | None, Change | None], None]
-NONE = Ballot()
-PATIENCE = 0.6  # seconds that the first try waits for answers
-LONGEST = 5.0  # seconds that any waits: links may hold a letter for two each way
-PAUSE = 0.05  # seconds before the second try, at most; later ones wait longer
-TRIES = 10  # at one version
-DEADLINE = 25.0  # seconds for a proposal in all
+PersistVote = Callable[[int, Ballot, Ballot | None, Change | None], None]
+NO_BALLOT = Ballot()
+FIRST_ATTEMPT_SECONDS = 0.6  # seconds that the first try waits for answers
+MAX_REPLY_SECONDS = 5.0  # seconds that any waits: links may hold a letter for two each way
+FIRST_BACKOFF_SECONDS = 0.05  # seconds before the second try, at most; later ones wait longer
+MAX_ATTEMPTS = 10  # at one version
+PROPOSAL_DEADLINE_SECONDS = 25.0  # seconds for a proposal in all
 
 
-class Unfit(Exception):
+class UnacceptableChangeError(Exception):
     """The change does not fit what this voter holds, and is not voted for; the text says why."""
 
 
@@ -54,65 +54,67 @@
 
     def __init__(
         self,
-        keep: Keep,
+        keep: PersistVote,
         head: int = 0,
-        promised: Ballot = NONE,
+        promised: Ballot = NO_BALLOT,
         accepted: Ballot | None = None,
         change: Change | None = None,
     ) -> None:
-        self._keep = keep
-        self.head, self.promised, self.accepted, self.change = head, promised, accepted, change
+        self._persist = keep
+        self.committed_version, self.promised, self.accepted, self.change = head, promised, accepted, change
         self.votes_from: int | None = 1  # the first version that it may vote on; none: on none yet
-        self.fits: Callable[[Change], None] = lambda change: None  # raises Unfit
+        self.validate: Callable[[Change], None] = lambda change: None  # raises Unfit
 
     @property
-    def abstains(self) -> bool:
-        return self.votes_from is None or self.head + 1 < self.votes_from
+    def non_voting(self) -> bool:
+        return self.votes_from is None or self.committed_version + 1 < self.votes_from
 
     def prepare(self, ask: Prepare) -> Promise:
-        if ask.version != self.head + 1:
-            return Promise("ahead" if ask.version <= self.head else "behind", self.head)
-        if self.abstains:
-            return Promise("abstains", self.head)
+        if ask.version != self.committed_version + 1:
+            return Promise("ahead" if ask.version <= self.committed_version else "behind", self.committed_version)
+        if self.non_voting:
+            return Promise("abstains", self.committed_version)
         if ask.ballot <= self.promised:
-            return Promise("refused", self.head, self.promised)
-        self._keep(ask.version, ask.ballot, self.accepted, self.change)
+            return Promise("refused", self.committed_version, self.promised)
+        self._persist(ask.version, ask.ballot, self.accepted, self.change)
         self.promised = ask.ballot
-        return Promise("promised", self.head, ask.ballot, self.accepted, self.change)
+        return Promise("promised", self.committed_version, ask.ballot, self.accepted, self.change)
 
     def accept(self, ask: Accept) -> AcceptReply:
         """Raises Unfit."""
-        if ask.change.version != self.head + 1:
-            return AcceptReply("ahead" if ask.change.version <= self.head else "behind", self.head)
-        if self.abstains:
-            return AcceptReply("abstains", self.head)
+        if ask.change.version != self.committed_version + 1:
+            return AcceptReply(
+                "ahead" if ask.change.version <= self.committed_version else "behind", self.committed_version
+            )
+        if self.non_voting:
+            return AcceptReply("abstains", self.committed_version)
         if ask.ballot < self.promised:
-            return AcceptReply("refused", self.head, self.promised)
-        self.fits(ask.change)
-        self._keep(ask.change.version, ask.ballot, ask.ballot, ask.change)
+            return AcceptReply("refused", self.committed_version, self.promised)
+        self.validate(ask.change)
+        self._persist(ask.change.version, ask.ballot, ask.ballot, ask.change)
         self.promised = self.accepted = ask.ballot
         self.change = ask.change
-        return AcceptReply("accepted", self.head, ask.ballot)
+        return AcceptReply("accepted", self.committed_version, ask.ballot)
 
     def advance(self, head: int) -> None:
         """What was decided up to `head` is on disk: votes for the next version begin."""
-        if head > self.head:
-            self.head, self.promised, self.accepted, self.change = head, NONE, None, None
+        if head > self.committed_version:
+            self.committed_version, self.promised, self.accepted, self.change = head, NO_BALLOT, None, None
 
 
-class Holder(Protocol):
+class ProposalTarget(Protocol):
     """What the proposer's machine holds."""
 
     @property
-    def head(self) -> int: ...
+    def committed_version(self) -> int: ...
 
     @property
-    def group(self) -> str: ...
+    def epoch(self) -> str: ...
 
-    def made(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
+    def completed(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         """The version that made it already; a refusal where its ident was used for something else."""
 
-    def change(self, proposal: Proposal) -> Change | RejectedProposal:
+    def build_change(self, proposal: Proposal) -> Change | RejectedProposal:
         """What it comes to as the version after the head."""
 
 
@@ -126,131 +128,131 @@
         number: int,
         voters: Sequence[int],
         proposal: Proposal,
-        holder: Holder,
+        holder: ProposalTarget,
         rng: Random,
         now: float,
         finishes: Change | None = None,
     ) -> None:
-        self.finishes = finishes
-        self._number, self._voters, self.proposal = number, voters, proposal
-        self._holder, self._rng = holder, rng
-        self._many = len(voters) // 2 + 1
+        self.completes = finishes
+        self._replica, self._voters, self.proposal = number, voters, proposal
+        self._target, self._rng = holder, rng
+        self._quorum = len(voters) // 2 + 1
         self._version = -1  # that the tries are for
-        self._tries, self._number_seen = 0, 0
-        self._ballot = NONE
+        self._attempts, self._highest_number = 0, 0
+        self._ballot = NO_BALLOT
         self._change: Change | None = None  # under way to be accepted
-        self._maybe: int | None = None  # the version that may yet be this proposal's
+        self._possible_version: int | None = None  # the version that may yet be this proposal's
         self._promises: dict[int, Promise] = {}
         self._votes: dict[int, AcceptReply] = {}
-        self._ends = now + DEADLINE
-        self._next = now  # when the next try begins, or this one is given up
+        self._deadline = now + PROPOSAL_DEADLINE_SECONDS
+        self._next_step = now  # when the next try begins, or this one is given up
         self._idle = True
-        self.words: dict[int, str] = {}  # what each voter last said, for who reads the refusal
-        self.asks: list[tuple[int, Prepare | Accept]] = []
+        self.outcomes: dict[int, str] = {}  # what each voter last said, for who reads the refusal
+        self.requests: list[tuple[int, Prepare | Accept]] = []
         self.decided: Change | None = None
         self.result: AcceptedProposal | RejectedProposal | None = None
 
     @property
-    def patience(self) -> float:
-        return min(LONGEST, PATIENCE * float(1 << max(0, self._tries - 1)))
+    def attempt_timeout(self) -> float:
+        return min(MAX_REPLY_SECONDS, FIRST_ATTEMPT_SECONDS * float(1 << max(0, self._attempts - 1)))
 
     @property
-    def next(self) -> float:
+    def due(self) -> float:
         """When `step` is due."""
-        return min(self._next, self._ends)
+        return min(self._next_step, self._deadline)
 
     def step(self, now: float) -> None:
         if self.result is not None:
             return
-        if self._version != self._holder.head + 1:
-            self._version, self._tries, self._number_seen = self._holder.head + 1, 0, 0
-            self._ballot, self._change, self._idle, self._next = NONE, None, True, now
-            if self._maybe is not None and self._maybe <= self._holder.head:
-                self._maybe = None  # decided, and `made` says whether as ours
-        self.result = self._holder.made(self.proposal)
-        if self.result is None and self.finishes is not None and self.finishes.version != self._version:
-            self.result = RejectedProposal("stale", f"version {self.finishes.version} was decided otherwise")
+        if self._version != self._target.committed_version + 1:
+            self._version, self._attempts, self._highest_number = self._target.committed_version + 1, 0, 0
+            self._ballot, self._change, self._idle, self._next_step = NO_BALLOT, None, True, now
+            if self._possible_version is not None and self._possible_version <= self._target.committed_version:
+                self._possible_version = None  # decided, and `made` says whether as ours
+        self.result = self._target.completed(self.proposal)
+        if self.result is None and self.completes is not None and self.completes.version != self._version:
+            self.result = RejectedProposal("stale", f"version {self.completes.version} was decided otherwise")
         if self.result is not None:
             return
-        if now >= self._ends or (now >= self._next and self._tries >= TRIES):
-            self._give_up()
-        elif now >= self._next:
+        if now >= self._deadline or (now >= self._next_step and self._attempts >= MAX_ATTEMPTS):
+            self._fail()
+        elif now >= self._next_step:
             if self._idle:
-                self._begin(now)
+                self._begin_attempt(now)
             else:
-                self._pause(now)
+                self._back_off(now)
 
-    def _begin(self, now: float) -> None:
+    def _begin_attempt(self, now: float) -> None:
         # Guards against a proposal that can't be made at all: it is refused before anybody is asked.
-        fit = self.finishes or self._holder.change(self.proposal)
-        if isinstance(fit, RejectedProposal) and self._maybe is None:
+        fit = self.completes or self._target.build_change(self.proposal)
+        if isinstance(fit, RejectedProposal) and self._possible_version is None:
             self.result = fit
             return
-        self._tries += 1
-        self._number_seen += 1
-        self._ballot, self._change = Ballot(self._number_seen, self._number), None
+        self._attempts += 1
+        self._highest_number += 1
+        self._ballot, self._change = Ballot(self._highest_number, self._replica), None
         self._promises, self._votes, self._idle = {}, {}, False
-        self._next = now + self.patience
-        ask = Prepare(self._version, self._ballot, self._holder.group)
-        self.asks += [(voter, ask) for voter in self._voters]
-
-    def _pause(self, now: float) -> None:
-        self._idle, self._ballot = True, NONE
-        self._next = now + PAUSE * float(1 << min(self._tries, 5)) * self._rng.random()
-
-    def _give_up(self) -> None:
-        said = ", ".join(f"{voter} {self.words.get(voter, 'silent')}" for voter in self._voters)
-        if self._maybe is not None:
-            text = f"it may be made yet as version {self._maybe}: ask again with the same ident ({said})"
+        self._next_step = now + self.attempt_timeout
+        ask = Prepare(self._version, self._ballot, self._target.epoch)
+        self.requests += [(voter, ask) for voter in self._voters]
+
+    def _back_off(self, now: float) -> None:
+        self._idle, self._ballot = True, NO_BALLOT
+        self._next_step = now + FIRST_BACKOFF_SECONDS * float(1 << min(self._attempts, 5)) * self._rng.random()
+
+    def _fail(self) -> None:
+        said = ", ".join(f"{voter} {self.outcomes.get(voter, 'silent')}" for voter in self._voters)
+        if self._possible_version is not None:
+            text = f"it may be made yet as version {self._possible_version}: ask again with the same ident ({said})"
             self.result = RejectedProposal("unknown", text)
         else:
             self.result = RejectedProposal(
                 "abstains", f"no majority of the voting machines took part, nothing was changed ({said})"
             )
 
-    def promised(self, voter: int, ask: Prepare, promise: Promise, now: float) -> None:
-        self._heard(voter, promise.word, promise.ballot, ask.version)
+    def handle_promise(self, voter: int, ask: Prepare, promise: Promise, now: float) -> None:
+        self._record_outcome(voter, promise.outcome, promise.ballot, ask.version)
         # Ballots begin anew with each version: the same one of an earlier version is another question.
         if (ask.version, ask.ballot) != (self._version, self._ballot) or self._change is not None:
             return
         self._promises.setdefault(voter, promise)
-        given = [said for said in self._promises.values() if said.word == "promised"]
-        if self._holder.head + 1 != self._version:
+        given = [said for said in self._promises.values() if said.outcome == "promised"]
+        if self._target.committed_version + 1 != self._version:
             return  # it is decided, and `step` will say so
-        if len(given) >= self._many:
-            self._go_on(given, now)
-        elif len(self._voters) - len(self._promises) + len(given) < self._many:
-            self._pause(now)
+        if len(given) >= self._quorum:
+            self._request_accepts(given, now)
+        elif len(self._voters) - len(self._promises) + len(given) < self._quorum:
+            self._back_off(now)
 
-    def _go_on(self, given: list[Promise], now: float) -> None:
+    def _request_accepts(self, given: list[Promise], now: float) -> None:
         found = [said for said in given if said.accepted is not None and said.change is not None]
         if found:
-            change = max(found, key=lambda said: said.accepted or NONE).change
+            change = max(found, key=lambda said: said.accepted or NO_BALLOT).change
         else:
-            own = self.finishes or self._holder.change(self.proposal)
+            own = self.completes or self._target.build_change(self.proposal)
             if isinstance(own, RejectedProposal):
-                self._pause(now)  # and `_begin` says so, where nothing of it is on its way
+                self._back_off(now)  # and `_begin` says so, where nothing of it is on its way
                 return
             change = own
         assert change is not None
-        self._change, self._next = change, now + self.patience
+        self._change, self._next_step = change, now + self.attempt_timeout
         if change.ident == self.proposal.ident:
-            self._maybe = change.version
-        ask = Accept(self._ballot, change, self._holder.group)
-        self.asks += [(voter, ask) for voter in self._voters]
+            self._possible_version = change.version
+        ask = Accept(self._ballot, change, self._target.epoch)
+        self.requests += [(voter, ask) for voter in self._voters]
 
-    def voted(self, voter: int, ask: Accept, vote: AcceptReply, now: float) -> None:
-        self._heard(voter, vote.word, vote.ballot, ask.change.version)
+    def handle_accept_reply(self, voter: int, ask: Accept, vote: AcceptReply, now: float) -> None:
+        self._record_outcome(voter, vote.outcome, vote.ballot, ask.change.version)
         if (ask.change.version, ask.ballot) != (self._version, self._ballot) or self._change is None:
             return
         self._votes.setdefault(voter, vote)
-        given = sum(said.word == "accepted" for said in self._votes.values())
-        if given >= self._many:
-            self.decided, self._next = self._change, now + self.patience
-        elif len(self._voters) - len(self._votes) + given < self._many:
-            self._pause(now)
-
-    def _heard(self, voter: int, word: str, ballot: Ballot, version: int) -> None:
-        self.words[voter] = word
+        given = sum(said.outcome == "accepted" for said in self._votes.values())
+        if given >= self._quorum:
+            self.decided, self._next_step = self._change, now + self.attempt_timeout
+        elif len(self._voters) - len(self._votes) + given < self._quorum:
+            self._back_off(now)
+
+    def _record_outcome(self, voter: int, word: str, ballot: Ballot, version: int) -> None:
+        self.outcomes[voter] = word
         if version == self._version:
-            self._number_seen = max(self._number_seen, ballot.number)
+            self._highest_number = max(self._highest_number, ballot.number)
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -22,28 +22,28 @@
 
 from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, DigestTree, Entry
 
-GONE = b"null"
+REMOVED_VALUE = b"null"
 MODULUS = 1 << 64
-SUMS = Struct(f">{BUCKET_COUNT}Q")
+BUCKET_DIGESTS = Struct(f">{BUCKET_COUNT}Q")
 
 
-class Refused(Exception):
+class DocumentError(Exception):
     """A change or a bucket that was not taken; the document is as it was."""
 
 
-class OutOfOrder(Refused):
+class OutOfOrderError(DocumentError):
     """It does not follow the version held: ask for the changes between."""
 
 
-class Differs(Refused):
+class DigestMismatchError(DocumentError):
     """The digest would come out otherwise than the other end says: compare the buckets."""
 
 
-class TooLarge(Refused):
+class DocumentTooLargeError(DocumentError):
     """Over the document's bounds: raise them in the settings, or remove entries first."""
 
 
-class Unreadable(Refused):
+class UnreadableValueError(DocumentError):
     """A value that can't be read: mend it where it was written."""
 
 
@@ -51,7 +51,7 @@
     return int.from_bytes(blake2b(key.encode(), digest_size=2).digest(), "big") % BUCKET_COUNT
 
 
-def _hash(key: str, value: bytes) -> int:
+def _entry_hash(key: str, value: bytes) -> int:
     text = key.encode() + b"\0" + value
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
@@ -61,7 +61,7 @@
     try:
         return msgspec.json.encode(msgspec.json.decode(bytes(value)), order="sorted")
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as fault:
-        raise Unreadable(f"a value that is no JSON: {str(fault)[:100]}") from None
+        raise UnreadableValueError(f"a value that is no JSON: {str(fault)[:100]}") from None
 
 
 class Document:
@@ -72,45 +72,48 @@
         self.entries: dict[str, bytes] = {}
         self.changed: dict[str, int] = {}  # the version at which a key last changed, as far as it is known
         self.size = 0  # bytes of keys and values
-        self._most, self._most_bytes = most, most_bytes
-        self._sums = [0] * BUCKET_COUNT
-        self._keys: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
+        self._max_entries, self._max_bytes = most, most_bytes
+        self._bucket_digests = [0] * BUCKET_COUNT
+        self._bucket_keys: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
 
     @property
     def digest(self) -> str:
-        return _root(self._sums)
+        return _document_digest(self._bucket_digests)
 
     def get(self, key: str) -> bytes | None:
         return self.entries.get(key)
 
     def copy(self) -> Document:
-        other = Document(self._most, self._most_bytes)
+        other = Document(self._max_entries, self._max_bytes)
         other.version, other.size = self.version, self.size
         other.entries, other.changed = self.entries.copy(), self.changed.copy()
-        other._sums, other._keys = self._sums.copy(), [keys.copy() for keys in self._keys]
+        other._bucket_digests, other._bucket_keys = (
+            self._bucket_digests.copy(),
+            [keys.copy() for keys in self._bucket_keys],
+        )
         return other
 
-    def after(self, entries: Sequence[Entry]) -> str:
+    def digest_after(self, entries: Sequence[Entry]) -> str:
         """The digest if these were set. Raises TooLarge."""
-        wanted = _wanted(entries)
-        self._bounded(wanted)
+        wanted = _canonical_entries(entries)
+        self._check_bounds(wanted)
         if (size := sum(len(key) + len(value) for key, value in wanted.items())) > MAX_CHANGE_BYTES:
-            raise TooLarge(f"a change of {size} bytes, of {MAX_CHANGE_BYTES} at most")
+            raise DocumentTooLargeError(f"a change of {size} bytes, of {MAX_CHANGE_BYTES} at most")
         sums = dict[int, int]()
         for key, value in wanted.items():
             place = bucket_of(key)
-            sums[place] = (sums.get(place, self._sums[place]) + self._delta(key, value)) % MODULUS
-        every = self._sums.copy()
+            sums[place] = (sums.get(place, self._bucket_digests[place]) + self._digest_delta(key, value)) % MODULUS
+        every = self._bucket_digests.copy()
         for place, total in sums.items():
             every[place] = total
-        return _root(every)
+        return _document_digest(every)
 
     def apply(self, change: Change) -> None:
         if change.version != self.version + 1:
-            raise OutOfOrder(f"version {change.version}, where {self.version} is held")
-        if self.after(change.entries) != change.digest:
-            raise Differs(f"version {change.version} would come out otherwise than its digest says")
-        for key, value in _wanted(change.entries).items():
+            raise OutOfOrderError(f"version {change.version}, where {self.version} is held")
+        if self.digest_after(change.entries) != change.digest:
+            raise DigestMismatchError(f"version {change.version} would come out otherwise than its digest says")
+        for key, value in _canonical_entries(change.entries).items():
             self._set(key, value)
             self.changed[key] = change.version
         self.version = change.version
@@ -118,92 +121,97 @@
     def load(self, entries: Iterable[tuple[str, bytes]]) -> None:
         """Sets entries beside any version: what stands in a file at start. Raises TooLarge."""
         wanted = {key: canonical(value) for key, value in entries}
-        self._bounded(wanted)
+        self._check_bounds(wanted)
         for key, value in wanted.items():
             self._set(key, value)
 
     # Repair
 
-    def outline(self, history: str) -> DigestTree:
-        sums = SUMS.pack(*self._sums).hex()
+    def digest_tree(self, history: str) -> DigestTree:
+        sums = BUCKET_DIGESTS.pack(*self._bucket_digests).hex()
         return DigestTree(history, self.version, self.digest, sums)
 
-    def differing(self, outline: DigestTree) -> list[int]:
+    def differing_buckets(self, outline: DigestTree) -> list[int]:
         """The buckets that are not as the outline has them."""
-        theirs = sums_of(outline)
-        return [place for place in range(BUCKET_COUNT) if self._sums[place] != theirs[place]]
+        theirs = bucket_digests_of(outline)
+        return [place for place in range(BUCKET_COUNT) if self._bucket_digests[place] != theirs[place]]
 
     def bucket(self, place: int) -> list[Entry]:
-        return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._keys[place]]
+        return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._bucket_keys[place]]
 
-    def replace(self, place: int, entries: Sequence[Entry], digest: int) -> None:
+    def replace_bucket(self, place: int, entries: Sequence[Entry], digest: int) -> None:
         """A whole bucket of another version, as the other end has it. Raises Differs and TooLarge."""
-        wanted = _wanted(entries)
-        total = sum(_hash(key, value) for key, value in wanted.items()) % MODULUS
+        wanted = _canonical_entries(entries)
+        total = sum(_entry_hash(key, value) for key, value in wanted.items()) % MODULUS
         if total != digest or any(bucket_of(key) != place for key in wanted):
-            raise Differs(f"bucket {place} does not have the digest that its outline names")
-        gone = {key: GONE for key in self._keys[place] if key not in wanted}
-        self._bounded(wanted | gone)
+            raise DigestMismatchError(f"bucket {place} does not have the digest that its outline names")
+        gone = {key: REMOVED_VALUE for key in self._bucket_keys[place] if key not in wanted}
+        self._check_bounds(wanted | gone)
         for key, value in (gone | wanted).items():
             self._set(key, value)
 
-    def settle(self, outline: DigestTree) -> None:
+    def finish_repair(self, outline: DigestTree) -> None:
         """All buckets are as the outline has them: this is that version now. Raises Differs."""
         if self.digest != outline.digest:
-            raise Differs(f"not yet version {outline.version}")
+            raise DigestMismatchError(f"not yet version {outline.version}")
         self.version = outline.version
 
     def __iter__(self) -> Iterator[tuple[str, bytes]]:
         return iter(self.entries.items())
 
-    def _delta(self, key: str, value: bytes) -> int:
+    def _digest_delta(self, key: str, value: bytes) -> int:
         old = self.entries.get(key)
-        return (_hash(key, value) if value != GONE else 0) - (_hash(key, old) if old is not None else 0)
+        return (_entry_hash(key, value) if value != REMOVED_VALUE else 0) - (
+            _entry_hash(key, old) if old is not None else 0
+        )
 
     def _set(self, key: str, value: bytes) -> None:
         place, old = bucket_of(key), self.entries.get(key)
-        self._sums[place] = (self._sums[place] + self._delta(key, value)) % MODULUS
-        self.size += _size(key, value) - (_size(key, old) if old is not None else 0)
-        if value != GONE:
+        self._bucket_digests[place] = (self._bucket_digests[place] + self._digest_delta(key, value)) % MODULUS
+        self.size += _entry_bytes(key, value) - (_entry_bytes(key, old) if old is not None else 0)
+        if value != REMOVED_VALUE:
             self.entries[key] = value
-            self._keys[place][key] = None
+            self._bucket_keys[place][key] = None
         else:
             self.entries.pop(key, None)
-            self._keys[place].pop(key, None)
+            self._bucket_keys[place].pop(key, None)
             self.changed.pop(key, None)
 
-    def _bounded(self, wanted: Mapping[str, bytes]) -> None:
+    def _check_bounds(self, wanted: Mapping[str, bytes]) -> None:
         """Guards against a document that outgrows the memory of those who hold it."""
         for key, value in wanted.items():
             if len(value) > MAX_VALUE_BYTES:
-                raise TooLarge(f"{key[:80]}: {len(value)} bytes, of {MAX_VALUE_BYTES} at most")
+                raise DocumentTooLargeError(f"{key[:80]}: {len(value)} bytes, of {MAX_VALUE_BYTES} at most")
         held = self.entries
-        many = len(held) + sum((value != GONE) - (key in held) for key, value in wanted.items())
+        many = len(held) + sum((value != REMOVED_VALUE) - (key in held) for key, value in wanted.items())
         size = self.size + sum(
-            _size(key, value) - (_size(key, held[key]) if key in held else 0) for key, value in wanted.items()
+            _entry_bytes(key, value) - (_entry_bytes(key, held[key]) if key in held else 0)
+            for key, value in wanted.items()
         )
-        if (many > self._most and many > len(held)) or (size > self._most_bytes and size > self.size):
-            raise TooLarge(f"{many} entries of {size} bytes, of {self._most} and {self._most_bytes} at most")
+        if (many > self._max_entries and many > len(held)) or (size > self._max_bytes and size > self.size):
+            raise DocumentTooLargeError(
+                f"{many} entries of {size} bytes, of {self._max_entries} and {self._max_bytes} at most"
+            )
 
 
-def sums_of(outline: DigestTree) -> tuple[int, ...]:
+def bucket_digests_of(outline: DigestTree) -> tuple[int, ...]:
     """Raises Differs where it is not of this form."""
     try:
-        sums = SUMS.unpack(bytes.fromhex(outline.buckets))
+        sums = BUCKET_DIGESTS.unpack(bytes.fromhex(outline.bucket_digests))
     except (ValueError, error) as fault:
-        raise Differs(f"not an outline: {str(fault)[:100]}") from None
-    if _root(sums) != outline.digest:
-        raise Differs("an outline whose digest is not that of its buckets")
+        raise DigestMismatchError(f"not an outline: {str(fault)[:100]}") from None
+    if _document_digest(sums) != outline.digest:
+        raise DigestMismatchError("an outline whose digest is not that of its buckets")
     return sums
 
 
-def _wanted(entries: Sequence[Entry]) -> dict[str, bytes]:
+def _canonical_entries(entries: Sequence[Entry]) -> dict[str, bytes]:
     return {entry.key: canonical(entry.value) for entry in entries}
 
 
-def _size(key: str, value: bytes) -> int:
-    return len(key.encode()) + len(value) if value != GONE else 0
+def _entry_bytes(key: str, value: bytes) -> int:
+    return len(key.encode()) + len(value) if value != REMOVED_VALUE else 0
 
 
-def _root(sums: Sequence[int]) -> str:
-    return blake2b(SUMS.pack(*sums), digest_size=16).hexdigest()
+def _document_digest(sums: Sequence[int]) -> str:
+    return blake2b(BUCKET_DIGESTS.pack(*sums), digest_size=16).hexdigest()
--- a/lanelead/configuration/main.py
+++ b/lanelead/configuration/main.py
@@ -11,13 +11,13 @@
 
 from lanelead.configuration.service import Service
 from lanelead.configuration.settings import Settings
-from lanelead.configuration.store import Store, StoreFault
+from lanelead.configuration.store import Store, StoreError
 from lanelead.logs import logger
 
 
 def run(settings: Settings) -> None:
     """Serves until SIGTERM or SIGINT. The line `ready HOST:PORT` on standard output says that it listens."""
-    log = logger(settings.log).bind(machine=settings.machine)
+    log = logger(settings.log).bind(machine=settings.replica)
 
     async def serve() -> None:
         over, loop = asyncio.Event(), asyncio.get_running_loop()
@@ -27,13 +27,13 @@
             store = Store(settings.store, log=settings.bounds.log_changes)
             service = Service(settings, store, log, Random(SystemRandom().getrandbits(64)))
             await service.open()
-        except StoreFault as fault:
+        except StoreError as fault:
             print(f"lanelead: {fault}; {fault.remedy}", file=sys.stderr)
             raise SystemExit(2) from None
         except OSError as fault:
             print(f"lanelead: cannot listen: {fault}", file=sys.stderr)
             raise SystemExit(2) from None
-        sys.stdout.write(f"ready {settings.listen or settings.here.address}\n")
+        sys.stdout.write(f"ready {settings.listen or settings.own.address}\n")
         sys.stdout.flush()
         await over.wait()
         await service.close()
--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from lanelead.configuration.agreement import LONGEST, Proposer
+from lanelead.configuration.agreement import MAX_REPLY_SECONDS, Proposer
 from lanelead.protocols.configuration import Accept, Heartbeat, Prepare
 from lanelead.protocols.configuration_replicas import DecidedChange, SnapshotPage
 
-NEVER = -1e6  # seconds before its start
+LONG_AGO_SECONDS = -1e6  # seconds before its start
 
 
 @dataclass(frozen=True)
-class Asked:
+class CatchUpRequest:
     """Changes from a version on, or a page of a snapshot."""
 
     since: int
@@ -21,25 +21,25 @@
 
 
 @dataclass(frozen=True, eq=False)
-class Call:
-    to: int
-    body: Prepare | Accept | DecidedChange | Heartbeat | Asked
-    sent: float
+class PeerCall:
+    peer: int
+    body: Prepare | Accept | DecidedChange | Heartbeat | CatchUpRequest
+    sent_at: float
     proposer: Proposer | None = None
-    limit: float = LONGEST  # seconds to wait for an answer
+    timeout: float = MAX_REPLY_SECONDS  # seconds to wait for an answer
 
 
 @dataclass
-class Seen:
+class PeerState:
     """Another machine, as its last answer had it."""
 
-    out: int = 0
-    sent: float | None = None  # when the sign was sent that was answered last
-    held: float | None = None  # the same, where its head was not above one's own
-    head: int = 0
+    unanswered: int = 0
+    heartbeat_sent_at: float | None = None  # when the sign was sent that was answered last
+    caught_up_at: float | None = None  # the same, where its head was not above one's own
+    committed_version: int = 0
     empty: bool = False
     ready: bool = False
     history: str = ""
-    strange: str = ""  # why it is left alone
-    fetching: float = NEVER  # until when its answer is waited for
+    ignored_reason: str = ""  # why it is left alone
+    fetch_deadline: float = LONG_AGO_SECONDS  # until when its answer is waited for
     pages: list[SnapshotPage] = field(default_factory=list)
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -28,10 +28,10 @@
 from contextlib import contextmanager
 from random import Random
 
-from lanelead.configuration.agreement import LONGEST, Proposer, Unfit
-from lanelead.configuration.messages import NEVER, Asked, Call, Seen
-from lanelead.configuration.replica_state import Holding, Strange
-from lanelead.configuration.store import StoreFault
+from lanelead.configuration.agreement import MAX_REPLY_SECONDS, Proposer, UnacceptableChangeError
+from lanelead.configuration.messages import LONG_AGO_SECONDS, CatchUpRequest, PeerCall, PeerState
+from lanelead.configuration.replica_state import DivergenceError, ReplicaState
+from lanelead.configuration.store import StoreError
 from lanelead.protocols.configuration import (
     Accept,
     AcceptReply,
@@ -45,15 +45,15 @@
 )
 from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
 
-SIGNS = 0.5  # seconds
-OUT = 12  # signs to one machine without an answer yet, at the most
-FETCHES = 3  # machines that are asked for changes at a time
-QUEUE = 64  # proposals
-FINISH = 0.75  # seconds until a change that was accepted here and not decided is finished, at least
-FINISH_LONGEST = 24.0  # the same for later tries
+HEARTBEAT_INTERVAL_SECONDS = 0.5  # seconds
+MAX_UNANSWERED_HEARTBEATS = 12  # signs to one machine without an answer yet, at the most
+MAX_CONCURRENT_FETCHES = 3  # machines that are asked for changes at a time
+MAX_QUEUED_PROPOSALS = 64  # proposals
+COMPLETION_DELAY_SECONDS = 0.75  # seconds until a change that was accepted here and not decided is finished, at least
+MAX_COMPLETION_DELAY_SECONDS = 24.0  # the same for later tries
 
 
-class Machine:
+class Replica:
     """`told`: is called with what an operator should read, and what to do."""
 
     def __init__(
@@ -61,327 +61,346 @@
         number: int,
         voters: Sequence[int],
         others: Sequence[int],
-        holding: Holding,
+        holding: ReplicaState,
         rng: Random,
         now: float,
         told: Callable[[str, str], None] = lambda text, remedy: None,
     ) -> None:
-        self.number, self.voters, self.holding = number, tuple(voters), holding
-        self.seen = {other: Seen() for other in others}
-        self.calls: list[Call] = []
-        self.fault = ""  # of the store, at its last try
-        self._rng, self._told, self._started = rng, told, now
-        self._many = len(self.voters) // 2 + 1
-        self._waiting: deque[Proposer] = deque()
-        self._next_sign = now
+        self.number, self.voters, self.state = number, tuple(voters), holding
+        self.peers = {other: PeerState() for other in others}
+        self.outgoing: list[PeerCall] = []
+        self.store_fault = ""  # of the store, at its last try
+        self._rng, self._report, self._started = rng, told, now
+        self._quorum = len(self.voters) // 2 + 1
+        self._queue: deque[Proposer] = deque()
+        self._next_heartbeat = now
         self._now = now
-        self._accepted: tuple[int, float] | None = None  # a version, and when it is to be finished
-        self._odd = ""  # what was told last of changes that could not be taken
-        self._finishing = FINISH
-        self._stand()
+        self._completion: tuple[int, float] | None = None  # a version, and when it is to be finished
+        self._last_report = ""  # what was told last of changes that could not be taken
+        self._completion_delay = COMPLETION_DELAY_SECONDS
+        self._update_voting()
 
     @property
     def votes(self) -> bool:
-        return self.number in self.voters and not self.holding.acceptor.abstains
+        return self.number in self.voters and not self.state.acceptor.non_voting
 
     @property
-    def waiting(self) -> int:
-        return len(self._waiting)
+    def queued(self) -> int:
+        return len(self._queue)
 
     @property
     def due(self) -> float:
         """When `tick` is to be called."""
-        return min([self._next_sign] + [proposer.next for proposer in list(self._waiting)[:1]])
+        return min([self._next_heartbeat] + [proposer.due for proposer in list(self._queue)[:1]])
 
     @property
-    def heard(self) -> float:
+    def majority_heard_at(self) -> float:
         """When a majority of the voters was last heard."""
         times = [self._now] if self.number in self.voters else []
         for voter in self.voters:
-            seen = self.seen.get(voter)
-            if seen is not None and seen.held is not None and not seen.empty:
-                times.append(seen.held)
+            seen = self.peers.get(voter)
+            if seen is not None and seen.caught_up_at is not None and not seen.empty:
+                times.append(seen.caught_up_at)
         times.sort(reverse=True)
-        return times[self._many - 1] if len(times) >= self._many else self._started + NEVER
+        return times[self._quorum - 1] if len(times) >= self._quorum else self._started + LONG_AGO_SECONDS
 
     def tick(self, now: float) -> None:
         self._now = max(self._now, now)
-        if now >= self._next_sign:
-            self._next_sign = now + SIGNS * self._rng.uniform(0.9, 1.1)
-            for other, seen in self.seen.items():
-                if seen.out < OUT:
-                    seen.out += 1
-                    self.calls.append(Call(other, self.sign(), now))
-        self._finish(now)
-        self._pump(now)
-
-    def _finish(self, now: float) -> None:
+        if now >= self._next_heartbeat:
+            self._next_heartbeat = now + HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1)
+            for other, seen in self.peers.items():
+                if seen.unanswered < MAX_UNANSWERED_HEARTBEATS:
+                    seen.unanswered += 1
+                    self.outgoing.append(PeerCall(other, self.heartbeat(), now))
+        self._complete_accepted(now)
+        self._advance_proposals(now)
+
+    def _complete_accepted(self, now: float) -> None:
         """Rule 8. Voters wait for times that differ, and longer each time: they would hinder each other."""
-        acceptor = self.holding.acceptor
-        if acceptor.change is None or acceptor.abstains:
-            self._accepted, self._finishing = None, FINISH
+        acceptor = self.state.acceptor
+        if acceptor.change is None or acceptor.non_voting:
+            self._completion, self._completion_delay = None, COMPLETION_DELAY_SECONDS
             return
-        if self._accepted is None or self._accepted[0] != acceptor.change.version:
-            self._finishing = FINISH
-            self._accepted = acceptor.change.version, now + FINISH * (1 + self._rng.random())
-        elif now >= self._accepted[1] and not self._waiting:
-            self._finishing = min(FINISH_LONGEST, self._finishing * 2)
-            self._accepted = self._accepted[0], now + self._finishing * (1 + self._rng.random())
+        if self._completion is None or self._completion[0] != acceptor.change.version:
+            self._completion_delay = COMPLETION_DELAY_SECONDS
+            self._completion = acceptor.change.version, now + COMPLETION_DELAY_SECONDS * (1 + self._rng.random())
+        elif now >= self._completion[1] and not self._queue:
+            self._completion_delay = min(MAX_COMPLETION_DELAY_SECONDS, self._completion_delay * 2)
+            self._completion = self._completion[0], now + self._completion_delay * (1 + self._rng.random())
             change = acceptor.change
             what = Proposal(change.ident, change.entries)
-            self._waiting.append(Proposer(self.number, self.voters, what, self.holding, self._rng, now, change))
+            self._queue.append(Proposer(self.number, self.voters, what, self.state, self._rng, now, change))
 
-    def sign(self) -> Heartbeat:
-        holding = self.holding
-        empty = self.number in self.voters and holding.acceptor.abstains
-        return Heartbeat(self.number, holding.history, holding.head, empty, holding.ready and empty, list(self.voters))
+    def heartbeat(self) -> Heartbeat:
+        holding = self.state
+        empty = self.number in self.voters and holding.acceptor.non_voting
+        return Heartbeat(
+            self.number, holding.history, holding.committed_version, empty, holding.ready and empty, list(self.voters)
+        )
 
     # What others ask. Each raises StoreFault where nothing may be said.
 
-    def asked_prepare(self, ask: Prepare, now: float) -> Promise:
-        if ask.group != self.holding.group and ask.version == self.holding.head + 1:
-            return Promise("abstains", self.holding.head)
+    def handle_prepare(self, ask: Prepare, now: float) -> Promise:
+        if ask.epoch != self.state.epoch and ask.version == self.state.committed_version + 1:
+            return Promise("abstains", self.state.committed_version)
         if self.number not in self.voters:
-            return Promise("abstains", self.holding.head)
-        with self._disk():
-            promise = self.holding.acceptor.prepare(ask)
-        if promise.word == "behind":
-            self._fetch(ask.ballot.machine, now)
+            return Promise("abstains", self.state.committed_version)
+        with self._track_store_fault():
+            promise = self.state.acceptor.prepare(ask)
+        if promise.outcome == "behind":
+            self._fetch(ask.ballot.replica, now)
         return promise
 
-    def asked_accept(self, ask: Accept, now: float) -> AcceptReply:
+    def handle_accept(self, ask: Accept, now: float) -> AcceptReply:
         """Raises Unfit, too."""
-        if ask.group != self.holding.group and ask.change.version == self.holding.head + 1:
-            return AcceptReply("abstains", self.holding.head)
+        if ask.epoch != self.state.epoch and ask.change.version == self.state.committed_version + 1:
+            return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
-            return AcceptReply("abstains", self.holding.head)
-        with self._disk():
-            vote = self.holding.acceptor.accept(ask)
-        if vote.word == "behind":
-            self._fetch(ask.ballot.machine, now)
+            return AcceptReply("abstains", self.state.committed_version)
+        with self._track_store_fault():
+            vote = self.state.acceptor.accept(ask)
+        if vote.outcome == "behind":
+            self._fetch(ask.ballot.replica, now)
         return vote
 
-    def asked_decided(self, told: DecidedChange, now: float) -> None:
-        if told.group == self.holding.group:
-            self._learn([told.change])
-            self._pump(now)
-
-    def asked_sign(self, sign: Heartbeat, now: float) -> Heartbeat:
-        seen = self.seen.get(sign.machine)
-        if seen is not None and self._known(sign.machine, seen, sign) and sign.head > self.holding.head:
-            self._fetch(sign.machine, now)
-        return self.sign()
-
-    def asked_log(self, since: int) -> LogPage:
-        with self._disk():
-            changes, gone = self.holding.log(since)
-        return LogPage(self.holding.history, self.holding.head, changes, gone)
+    def handle_decided(self, told: DecidedChange, now: float) -> None:
+        if told.epoch == self.state.epoch:
+            self._commit_changes([told.change])
+            self._advance_proposals(now)
+
+    def handle_heartbeat(self, sign: Heartbeat, now: float) -> Heartbeat:
+        seen = self.peers.get(sign.replica)
+        if (
+            seen is not None
+            and self._check_peer(sign.replica, seen, sign)
+            and sign.committed_version > self.state.committed_version
+        ):
+            self._fetch(sign.replica, now)
+        return self.heartbeat()
+
+    def read_log(self, since: int) -> LogPage:
+        with self._track_store_fault():
+            changes, gone = self.state.log(since)
+        return LogPage(self.state.history, self.state.committed_version, changes, gone)
 
     def propose(self, proposal: Proposal, now: float) -> Proposer | RejectedProposal:
         """What to wait for: its `result`."""
-        if len(self._waiting) >= QUEUE:
-            return RejectedProposal("overloaded", f"{QUEUE} proposals wait already: ask again in a while")
-        if self.holding.head == 0 and not self.votes:
+        if len(self._queue) >= MAX_QUEUED_PROPOSALS:
+            return RejectedProposal(
+                "overloaded", f"{MAX_QUEUED_PROPOSALS} proposals wait already: ask again in a while"
+            )
+        if self.state.committed_version == 0 and not self.votes:
             return RejectedProposal("abstains", "this machine holds nothing yet: ask another, or again in a while")
-        proposer = Proposer(self.number, self.voters, proposal, self.holding, self._rng, now)
-        if self._waiting and self._waiting[0].finishes is not None:
-            self._waiting.popleft()  # any other one finishes that too, and first
-        self._waiting.append(proposer)
-        self._pump(now)
+        proposer = Proposer(self.number, self.voters, proposal, self.state, self._rng, now)
+        if self._queue and self._queue[0].completes is not None:
+            self._queue.popleft()  # any other one finishes that too, and first
+        self._queue.append(proposer)
+        self._advance_proposals(now)
         return proposer
 
     # What came of calls
 
-    def answered(
-        self, call: Call, answer: Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage | None, now: float
+    def handle_reply(
+        self, call: PeerCall, answer: Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage | None, now: float
     ) -> None:
         self._now = max(self._now, now)
-        seen, proposer = self.seen[call.to], call.proposer
+        seen, proposer = self.peers[call.peer], call.proposer
         match call.body, answer:
             case Heartbeat(), _:
-                seen.out -= 1
+                seen.unanswered -= 1
                 if isinstance(answer, Heartbeat):
-                    self._sign(call, seen, answer, now)
+                    self._handle_heartbeat_reply(call, seen, answer, now)
             case Prepare(), Promise() if proposer is not None:
-                proposer.promised(call.to, call.body, answer, now)
-                if answer.word == "ahead":
-                    self._fetch(call.to, now)
+                proposer.handle_promise(call.peer, call.body, answer, now)
+                if answer.outcome == "ahead":
+                    self._fetch(call.peer, now)
             case Accept(), AcceptReply() if proposer is not None:
-                proposer.voted(call.to, call.body, answer, now)
-                if answer.word == "ahead":
-                    self._fetch(call.to, now)
-            case Asked(), _:
-                seen.fetching = NEVER
+                proposer.handle_accept_reply(call.peer, call.body, answer, now)
+                if answer.outcome == "ahead":
+                    self._fetch(call.peer, now)
+            case CatchUpRequest(), _:
+                seen.fetch_deadline = LONG_AGO_SECONDS
                 if isinstance(answer, LogPage):
-                    self._log(call, seen, answer, now)
+                    self._handle_log_page(call, seen, answer, now)
                 elif isinstance(answer, SnapshotPage):
-                    self._page(call, seen, answer, now)
+                    self._handle_snapshot_page(call, seen, answer, now)
                 else:
                     seen.pages = []
-        self._pump(now)
+        self._advance_proposals(now)
 
-    def _sign(self, call: Call, seen: Seen, sign: Heartbeat, now: float) -> None:
-        if (seen.sent is not None and call.sent < seen.sent) or not self._known(call.to, seen, sign):
+    def _handle_heartbeat_reply(self, call: PeerCall, seen: PeerState, sign: Heartbeat, now: float) -> None:
+        if (seen.heartbeat_sent_at is not None and call.sent_at < seen.heartbeat_sent_at) or not self._check_peer(
+            call.peer, seen, sign
+        ):
             return
-        seen.sent, seen.head, seen.history = call.sent, sign.head, sign.history
+        seen.heartbeat_sent_at, seen.committed_version, seen.history = (
+            call.sent_at,
+            sign.committed_version,
+            sign.history,
+        )
         seen.empty, seen.ready = sign.empty, sign.ready
-        if sign.head <= self.holding.head:
-            seen.held = call.sent
+        if sign.committed_version <= self.state.committed_version:
+            seen.caught_up_at = call.sent_at
         else:
-            self._fetch(call.to, now)
-        self._stand()
+            self._fetch(call.peer, now)
+        self._update_voting()
 
-    def _known(self, number: int, seen: Seen, sign: Heartbeat) -> bool:
+    def _check_peer(self, number: int, seen: PeerState, sign: Heartbeat) -> bool:
         """Guards against versions of two histories taken for one, and majorities of two sets of voters."""
-        mine, why = self.holding.history, ""
-        if sign.machine != number:
-            why = f"machine {sign.machine} answers at its address: mend the address in the settings"
+        mine, why = self.state.history, ""
+        if sign.replica != number:
+            why = f"machine {sign.replica} answers at its address: mend the address in the settings"
         elif sorted(sign.voters) != sorted(self.voters):
             why = f"its settings name the voters {sorted(sign.voters)}: give all machines the same"
         elif mine and sign.history and sign.history != mine:
             why = f"it holds the history {sign.history}, this one {mine}: start the wrong one with no file"
-        if why and why != seen.strange:
-            self._told(f"machine {number} is left alone", why)
-        seen.strange = why
+        if why and why != seen.ignored_reason:
+            self._report(f"machine {number} is left alone", why)
+        seen.ignored_reason = why
         if why:
-            seen.held = None
+            seen.caught_up_at = None
         return not why
 
-    def _stand(self) -> None:
+    def _update_voting(self) -> None:
         """Rules 4 and 5."""
-        holding = self.holding
+        holding = self.state
         if self.number not in self.voters or holding.acceptor.votes_from is not None:
             return
-        others = [self.seen[voter] for voter in self.voters if voter != self.number]
-        fresh = [seen for seen in others if seen.sent is not None and not seen.strange]
+        others = [self.peers[voter] for voter in self.voters if voter != self.number]
+        fresh = [seen for seen in others if seen.heartbeat_sent_at is not None and not seen.ignored_reason]
         voting = [seen for seen in fresh if not seen.empty]
         try:
             whole = len(fresh) == len(others)
-            new = whole and not voting and all(seen.head == 0 and not seen.history for seen in fresh)
-            if holding.head == 0 and not holding.ready and new:
-                with self._disk():
-                    holding.stand(True, None)
+            new = whole and not voting and all(seen.committed_version == 0 and not seen.history for seen in fresh)
+            if holding.committed_version == 0 and not holding.ready and new:
+                with self._track_store_fault():
+                    holding.set_voting(True, None)
             if holding.ready and (voting or (whole and all(seen.ready for seen in fresh))):
-                with self._disk():
-                    holding.stand(True, 1)
-            elif not holding.ready and len(voting) >= len(self.voters) - self._many + 1:
-                with self._disk():
-                    holding.stand(False, max(seen.head for seen in voting) + 3)
-        except StoreFault:
+                with self._track_store_fault():
+                    holding.set_voting(True, 1)
+            elif not holding.ready and len(voting) >= len(self.voters) - self._quorum + 1:
+                with self._track_store_fault():
+                    holding.set_voting(False, max(seen.committed_version for seen in voting) + 3)
+        except StoreError:
             return  # told already, and tried again with the next sign
 
     # Catching up
 
     def _fetch(self, other: int, now: float) -> None:
-        seen = self.seen.get(other)
-        busy = sum(seen.fetching > now for seen in self.seen.values())
-        if seen is not None and not seen.strange and seen.fetching <= now and busy < FETCHES:
+        seen = self.peers.get(other)
+        busy = sum(seen.fetch_deadline > now for seen in self.peers.values())
+        if (
+            seen is not None
+            and not seen.ignored_reason
+            and seen.fetch_deadline <= now
+            and busy < MAX_CONCURRENT_FETCHES
+        ):
             seen.pages = []
-            self._ask(other, seen, Asked(self.holding.head + 1), now)
+            self._request_changes(other, seen, CatchUpRequest(self.state.committed_version + 1), now)
 
-    def _ask(self, other: int, seen: Seen, asked: Asked, now: float) -> None:
-        seen.fetching = now + LONGEST
-        self.calls.append(Call(other, asked, now))
+    def _request_changes(self, other: int, seen: PeerState, asked: CatchUpRequest, now: float) -> None:
+        seen.fetch_deadline = now + MAX_REPLY_SECONDS
+        self.outgoing.append(PeerCall(other, asked, now))
 
-    def _log(self, call: Call, seen: Seen, log: LogPage, now: float) -> None:
-        mine = self.holding.history
+    def _handle_log_page(self, call: PeerCall, seen: PeerState, log: LogPage, now: float) -> None:
+        mine = self.state.history
         if not log.history or (mine and log.history != mine):
             return
-        if log.whole:
-            self._ask(call.to, seen, Asked(0, True), now)
+        if log.truncated:
+            self._request_changes(call.peer, seen, CatchUpRequest(0, True), now)
         elif log.changes and not mine and log.changes[0].ident != log.history:
-            self._tell_once(f"the log of machine {call.to}", "it does not begin with its history")
-        elif self._learn(log.changes) and self.holding.head < log.head:
-            self._ask(call.to, seen, Asked(self.holding.head + 1), now)
+            self._report_once(f"the log of machine {call.peer}", "it does not begin with its history")
+        elif self._commit_changes(log.changes) and self.state.committed_version < log.committed_version:
+            self._request_changes(call.peer, seen, CatchUpRequest(self.state.committed_version + 1), now)
 
-    def _page(self, call: Call, seen: Seen, page: SnapshotPage, now: float) -> None:
+    def _handle_snapshot_page(self, call: PeerCall, seen: PeerState, page: SnapshotPage, now: float) -> None:
         seen.pages.append(page)
         if page.page != len(seen.pages) - 1 or page.version != seen.pages[0].version:
             seen.pages = []
         elif len(seen.pages) < SNAPSHOT_PAGES:
-            self._ask(call.to, seen, Asked(page.version, True, page.page + 1), now)
+            self._request_changes(call.peer, seen, CatchUpRequest(page.version, True, page.page + 1), now)
         else:
             pages, seen.pages = seen.pages, []
             try:
-                with self._disk():
-                    self.holding.install(pages)
-            except Strange as fault:
-                self._tell_once(f"the snapshot of machine {call.to} is not taken", str(fault))
-            except StoreFault:
+                with self._track_store_fault():
+                    self.state.install(pages)
+            except DivergenceError as fault:
+                self._report_once(f"the snapshot of machine {call.peer} is not taken", str(fault))
+            except StoreError:
                 return
-            self._caught_up()
+            self._refresh_caught_up()
 
-    def _learn(self, changes: Sequence[Change]) -> bool:
+    def _commit_changes(self, changes: Sequence[Change]) -> bool:
         """Has the head moved?"""
-        before = self.holding.head
+        before = self.state.committed_version
         try:
-            with self._disk():
+            with self._track_store_fault():
                 for change in changes:
-                    self.holding.learn(change)
-        except Strange as fault:
+                    self.state.commit(change)
+        except DivergenceError as fault:
             remedy = "start this machine with no file, or with the same bounds as the others"
-            self._tell_once(str(fault), remedy)
-        except StoreFault:
+            self._report_once(str(fault), remedy)
+        except StoreError:
             pass
-        self._caught_up()
-        return self.holding.head > before
+        self._refresh_caught_up()
+        return self.state.committed_version > before
 
-    def _tell_once(self, text: str, remedy: str) -> None:
+    def _report_once(self, text: str, remedy: str) -> None:
         """Guards against a log that fills: what can't be taken is asked for again with each sign."""
-        if text != self._odd:
-            self._told(text, remedy)
-        self._odd = text
+        if text != self._last_report:
+            self._report(text, remedy)
+        self._last_report = text
 
-    def _caught_up(self) -> None:
-        for seen in self.seen.values():
-            if seen.sent is not None and seen.head <= self.holding.head:
-                seen.held = seen.sent
+    def _refresh_caught_up(self) -> None:
+        for seen in self.peers.values():
+            if seen.heartbeat_sent_at is not None and seen.committed_version <= self.state.committed_version:
+                seen.caught_up_at = seen.heartbeat_sent_at
 
     # Proposals
 
-    def _pump(self, now: float) -> None:
+    def _advance_proposals(self, now: float) -> None:
         """Goes on with the first proposal as far as that is possible now."""
-        while self._waiting:
-            proposer = self._waiting[0]
+        while self._queue:
+            proposer = self._queue[0]
             proposer.step(now)
             if proposer.result is not None:
-                self._waiting.popleft()
+                self._queue.popleft()
                 continue
             if proposer.decided is not None:
                 change, proposer.decided = proposer.decided, None
-                told = DecidedChange(change, self.holding.group)
-                self.calls += [Call(other, told, now) for other in self.seen]
-                if not self._learn([change]):
+                told = DecidedChange(change, self.state.epoch)
+                self.outgoing += [PeerCall(other, told, now) for other in self.peers]
+                if not self._commit_changes([change]):
                     return
                 continue
-            if not proposer.asks:
+            if not proposer.requests:
                 return
-            asks, proposer.asks = proposer.asks, []
+            asks, proposer.requests = proposer.requests, []
             for voter, ask in asks:
                 if voter != self.number:
-                    self.calls.append(Call(voter, ask, now, proposer, proposer.patience))
+                    self.outgoing.append(PeerCall(voter, ask, now, proposer, proposer.attempt_timeout))
             # Its own vote last, once the others' are under way.
             for voter, ask in asks:
                 if voter == self.number:
-                    self._own(proposer, ask, now)
+                    self._vote_locally(proposer, ask, now)
 
-    def _own(self, proposer: Proposer, ask: Prepare | Accept, now: float) -> None:
+    def _vote_locally(self, proposer: Proposer, ask: Prepare | Accept, now: float) -> None:
         try:
             if isinstance(ask, Prepare):
-                proposer.promised(self.number, ask, self.asked_prepare(ask, now), now)
+                proposer.handle_promise(self.number, ask, self.handle_prepare(ask, now), now)
             else:
-                proposer.voted(self.number, ask, self.asked_accept(ask, now), now)
-        except (StoreFault, Unfit):
-            proposer.words[self.number] = "fault"
+                proposer.handle_accept_reply(self.number, ask, self.handle_accept(ask, now), now)
+        except (StoreError, UnacceptableChangeError):
+            proposer.outcomes[self.number] = "fault"
 
     @contextmanager
-    def _disk(self) -> Iterator[None]:
+    def _track_store_fault(self) -> Iterator[None]:
         """Notes whether the store could be used."""
         try:
             yield
-        except StoreFault as fault:
-            if not self.fault:
-                self._told(f"{type(fault).__name__}: {fault}", fault.remedy)
-            self.fault = f"{type(fault).__name__}: {fault}"
+        except StoreError as fault:
+            if not self.store_fault:
+                self._report(f"{type(fault).__name__}: {fault}", fault.remedy)
+            self.store_fault = f"{type(fault).__name__}: {fault}"
             raise
-        self.fault = ""
+        self.store_fault = ""
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -12,25 +12,25 @@
 from lanelead.protocols.platform import parse_address
 from lanelead.settings.records import Address
 
-LONGEST = 1 << 20  # bytes of the file
-Number = Annotated[int, Meta(ge=0, le=63)]
-Place = Annotated[str, Meta(max_length=64)]
-Text = Annotated[str, Meta(min_length=1, max_length=1024)]
+MAX_FILE_BYTES = 1 << 20  # bytes of the file
+ReplicaNumber = Annotated[int, Meta(ge=0, le=63)]
+LocationName = Annotated[str, Meta(max_length=64)]
+NonEmptyText = Annotated[str, Meta(min_length=1, max_length=1024)]
 
 
-class Unfit(Exception):
+class InvalidSettingsError(Exception):
     """Nothing of the file is used; `faults` names each field that is wrong, and what is expected of it."""
 
     def __init__(self, file: str, faults: list[str]) -> None:
         super().__init__("\n".join(f"{file}: {fault}" for fault in faults))
-        self.faults = faults
+        self.errors = faults
 
 
-class MachineAt(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    number: Number
-    address: Text
-    zone: Place = ""
-    region: Place = ""
+class ReplicaSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    number: ReplicaNumber
+    address: NonEmptyText
+    zone: LocationName = ""
+    region: LocationName = ""
     voter: bool = True
 
 
@@ -45,64 +45,69 @@
     log_changes: Annotated[int, Meta(ge=1, le=1_000_000)] = 20_000
 
 
-class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Settings(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"replica": "machine", "replicas": "machines"}
+):
     """`listen`: where this machine listens, if not at the address that the others call."""
 
-    machine: Number
-    store: Text
-    machines: Annotated[list[MachineAt], Meta(min_length=1, max_length=64)]
+    replica: ReplicaNumber
+    store: NonEmptyText
+    replicas: Annotated[list[ReplicaSettings], Meta(min_length=1, max_length=64)]
     listen: str = ""
     bounds: Bounds = Bounds()
     log: Literal["json", "console"] = "json"
 
     @property
     def voters(self) -> list[int]:
-        return [row.number for row in self.machines if row.voter]
+        return [row.number for row in self.replicas if row.voter]
 
     @property
-    def here(self) -> MachineAt:
-        return next(row for row in self.machines if row.number == self.machine)
+    def own(self) -> ReplicaSettings:
+        return next(row for row in self.replicas if row.number == self.replica)
 
 
-def read(file: str | Path) -> Settings:
+def read_settings(file: str | Path) -> Settings:
     """Raises Unfit, with all that is wrong."""
     name = str(file)
     try:
         text = Path(file).read_bytes()
     except OSError as fault:
-        raise Unfit(name, [f"cannot be read: {fault.strerror}"]) from None
-    if len(text) > LONGEST:
-        raise Unfit(name, [f"{len(text)} bytes; expected {LONGEST} at most"])
+        raise InvalidSettingsError(name, [f"cannot be read: {fault.strerror}"]) from None
+    if len(text) > MAX_FILE_BYTES:
+        raise InvalidSettingsError(name, [f"{len(text)} bytes; expected {MAX_FILE_BYTES} at most"])
     try:
         found = msgspec.json.decode(text)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise Unfit(name, [f"no JSON: {str(fault)[:200]}"]) from None
+        raise InvalidSettingsError(name, [f"no JSON: {str(fault)[:200]}"]) from None
     faults = list[str]()
-    _faults(found, Settings, "", faults)
+    _field_errors(found, Settings, "", faults)
     if faults:
-        raise Unfit(name, faults)
+        raise InvalidSettingsError(name, faults)
     settings = msgspec.convert(found, Settings)
-    if faults := _together(settings):
-        raise Unfit(name, faults)
+    if faults := _consistency_errors(settings):
+        raise InvalidSettingsError(name, faults)
     return settings
 
 
-def _faults(found: Any, kind: Any, at: str, faults: list[str]) -> None:
+def _field_errors(found: Any, kind: Any, at: str, faults: list[str]) -> None:
     """Field by field: a decoder of the whole names but the first that is wrong."""
     bare = get_args(kind)[0] if get_origin(kind) is Annotated else kind
     of = get_args(bare)[0] if get_origin(bare) is list else None
     if isinstance(found, dict) and isinstance(bare, type) and issubclass(bare, msgspec.Struct):
-        kinds = get_type_hints(bare, include_extras=True)
-        for field in msgspec.structs.fields(bare):
-            path = f"{at}.{field.name}" if at else field.name
-            if field.name in found:
-                _faults(found[field.name], kinds[field.name], path, faults)
+        hints = get_type_hints(bare, include_extras=True)
+        fields = msgspec.structs.fields(bare)
+        for field in fields:
+            name = field.encode_name
+            path = f"{at}.{name}" if at else name
+            if name in found:
+                _field_errors(found[name], hints[field.name], path, faults)
             elif field.required:
                 faults.append(f"{path}: missing")
-        faults += [f"{at}.{key}".lstrip(".")[:200] + ": no such field" for key in found if key not in kinds]
+        known = {field.encode_name for field in fields}
+        faults += [f"{at}.{key}".lstrip(".")[:200] + ": no such field" for key in found if key not in known]
     elif isinstance(found, list) and of is not None and issubclass(of, msgspec.Struct) and len(found) <= 64:
-        for place, row in enumerate(found):
-            _faults(row, of, f"{at}[{place}]", faults)
+        for index, row in enumerate(found):
+            _field_errors(row, of, f"{at}[{index}]", faults)
         if not found:
             faults.append(f"{at}: empty; expected one at least")
     else:
@@ -112,20 +117,20 @@
             faults.append(f"{at or 'the file'}: {fault}")
 
 
-def _together(settings: Settings) -> list[str]:
+def _consistency_errors(settings: Settings) -> list[str]:
     """What no field can say alone."""
     faults = list[str]()
-    rows = settings.machines
-    for place, row in enumerate(rows):
-        if row.number in [other.number for other in rows[:place]]:
-            faults.append(f"machines[{place}].number: {row.number} again; expected a number used once")
-        if row.address in [other.address for other in rows[:place]]:
-            faults.append(f"machines[{place}].address: {row.address} again; expected one used once")
-        faults += _address(f"machines[{place}].address", row.address)
+    rows = settings.replicas
+    for index, row in enumerate(rows):
+        if row.number in [other.number for other in rows[:index]]:
+            faults.append(f"machines[{index}].number: {row.number} again; expected a number used once")
+        if row.address in [other.address for other in rows[:index]]:
+            faults.append(f"machines[{index}].address: {row.address} again; expected one used once")
+        faults += _address_errors(f"machines[{index}].address", row.address)
     if settings.listen:
-        faults += _address("listen", settings.listen)
-    if settings.machine not in [row.number for row in rows]:
-        faults.append(f"machine: {settings.machine}; expected the number of one of the machines")
+        faults += _address_errors("listen", settings.listen)
+    if settings.replica not in [row.number for row in rows]:
+        faults.append(f"machine: {settings.replica}; expected the number of one of the machines")
     if not settings.voters:
         faults.append("machines: no voter; expected three, five or seven")
     elif len(settings.voters) % 2 == 0:
@@ -137,7 +142,7 @@
     return faults
 
 
-def _address(name: str, text: str) -> list[str]:
+def _address_errors(name: str, text: str) -> list[str]:
     try:
         parse_address(text)
     except MessageError:
@@ -145,5 +150,5 @@
     return []
 
 
-def place(text: str) -> Address:
+def address_of(text: str) -> Address:
     return Address(*parse_address(text))
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -24,10 +24,10 @@
 from lanelead.protocols.configuration import Ballot, Change
 from lanelead.protocols.configuration_replicas import CompletedProposal
 
-IDENTS = 10_000  # of changes made last, kept to make none twice
+MAX_COMPLETED_PROPOSALS = 10_000  # of changes made last, kept to make none twice
 LOG, LOG_SECONDS = 20_000, 86_400.0
-PAGE_BYTES = 1 << 20  # of changes in one answer, about
-TABLES = """
+LOG_PAGE_BYTES = 1 << 20  # of changes in one answer, about
+SCHEMA = """
 CREATE TABLE IF NOT EXISTS one (one INTEGER PRIMARY KEY CHECK (one = 1), form INTEGER NOT NULL,
     history TEXT NOT NULL, head INTEGER NOT NULL, digest TEXT NOT NULL, floor INTEGER NOT NULL,
     ready INTEGER NOT NULL, votes_from INTEGER);
@@ -39,66 +39,66 @@
 CREATE TABLE IF NOT EXISTS made (ident TEXT PRIMARY KEY, version INTEGER NOT NULL, mark TEXT NOT NULL);
 CREATE INDEX IF NOT EXISTS made_version ON made (version);
 """
-FORM = 1
+FILE_FORMAT = 1
 
 
-class StoreFault(Exception):
+class StoreError(Exception):
     """What was to be kept was not, and nothing of it counts. `remedy`: what an operator can do."""
 
     remedy = "look at the disk; the machine goes on when it can write again"
 
 
-class Full(StoreFault):
+class DiskFullError(StoreError):
     remedy = "make room on the disk; the machine goes on when it can write again"
 
 
-class ReadOnly(StoreFault):
+class ReadOnlyStoreError(StoreError):
     remedy = "make the file and its folder writable for the process, or mount the disk so"
 
 
-class Corrupt(StoreFault):
+class CorruptStoreError(StoreError):
     remedy = (
         "move the file and those named as it with -wal and -shm away and start again: the machine then takes"
         " all from the others, and votes again two changes later; never put an older copy in its place"
     )
 
 
-class Taken(StoreFault):
+class StoreInUseError(StoreError):
     remedy = "end the other process that has the file open; two machines never share one"
 
 
-class Later(StoreFault):
+class NewerFormatError(StoreError):
     remedy = "start the later version of the program, which wrote the file"
 
 
-class Failed(StoreFault):
+class StoreIOError(StoreError):
     """An input or output error, or a folder that is not there."""
 
 
-def fault_of(fault: Exception, doing: str) -> StoreFault:
+def store_error(fault: Exception, doing: str) -> StoreError:
     code = getattr(fault, "sqlite_errorcode", None)
-    kind: type[StoreFault] = Failed
+    kind: type[StoreError] = StoreIOError
     match (code or 0) & 0xFF:
         case sqlite3.SQLITE_FULL:
-            kind = Full
+            kind = DiskFullError
         case sqlite3.SQLITE_READONLY | sqlite3.SQLITE_PERM:
-            kind = ReadOnly
+            kind = ReadOnlyStoreError
         case sqlite3.SQLITE_CORRUPT | sqlite3.SQLITE_NOTADB:
-            kind = Corrupt
+            kind = CorruptStoreError
         case sqlite3.SQLITE_BUSY | sqlite3.SQLITE_LOCKED:
-            kind = Taken
+            kind = StoreInUseError
     return kind(f"{doing}: {fault}")
 
 
 @dataclass
-class Held:
+class StoredState:
     """What was on disk at the start. `entries`: key to value and the version of its change, where known;
     the value of a key that is gone is empty."""
 
     history: str = ""
-    head: int = 0
+    committed_version: int = 0
     digest: str = ""
-    floor: int = 0
+    pruned_version: int = 0
     ready: bool = False
     votes_from: int | None = None
     promised: Ballot = field(default_factory=Ballot)
@@ -112,20 +112,20 @@
     named points, in and around the transactions: tests cause their faults there."""
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = LOG) -> None:
-        self._clock, self._most_log = clock, log
-        self.at: Callable[[str], None] = lambda point: None
-        self.made: OrderedDict[str, CompletedProposal] = OrderedDict()
-        self.head = 0
+        self._clock, self._max_log_changes = clock, log
+        self.on_step: Callable[[str], None] = lambda point: None
+        self.completed: OrderedDict[str, CompletedProposal] = OrderedDict()
+        self.committed_version = 0
         try:
             self._db = self._connect(file)
         except sqlite3.Error as fault:
-            raise fault_of(fault, f"opening {file}") from None
+            raise store_error(fault, f"opening {file}") from None
         try:
-            self.held = self._open()
+            self.loaded = self._load()
         except (sqlite3.Error, OSError) as fault:
             self._db.close()
-            raise fault_of(fault, f"opening {file}") from None
-        except StoreFault:
+            raise store_error(fault, f"opening {file}") from None
+        except StoreError:
             self._db.close()
             raise
 
@@ -135,48 +135,50 @@
     def close(self) -> None:
         self._db.close()
 
-    def _open(self) -> Held:
+    def _load(self) -> StoredState:
         db = self._db
         db.execute("PRAGMA locking_mode=EXCLUSIVE")
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
-        db.executescript(TABLES)
+        db.executescript(SCHEMA)
         db.execute("BEGIN EXCLUSIVE")  # guards against a disk that takes no writing, and a second process
         db.execute("UPDATE one SET ready = ready")
         db.execute("COMMIT")
         # Guards against a file that was torn: a wrong vote is worse than none.
         if (found := db.execute("PRAGMA quick_check(1)").fetchone()[0]) != "ok":
-            raise Corrupt(f"the file does not hold together: {str(found)[:200]}")
+            raise CorruptStoreError(f"the file does not hold together: {str(found)[:200]}")
         row = db.execute("SELECT form, history, head, digest, floor, ready, votes_from FROM one").fetchone()
         if row is None:
             if any(db.execute(f"SELECT 1 FROM {name} LIMIT 1").fetchone() for name in ("log", "entry", "vote")):
-                raise Corrupt("the file has changes or votes, but not how far they go")
-            return Held()
-        if row[0] != FORM:
-            raise Later(f"a file of form {row[0]}, where this program knows {FORM}")
-        held = Held(row[1], row[2], row[3], row[4], bool(row[5]), row[6])
-        self.head = held.head
+                raise CorruptStoreError("the file has changes or votes, but not how far they go")
+            return StoredState()
+        if row[0] != FILE_FORMAT:
+            raise NewerFormatError(f"a file of form {row[0]}, where this program knows {FILE_FORMAT}")
+        held = StoredState(row[1], row[2], row[3], row[4], bool(row[5]), row[6])
+        self.committed_version = held.committed_version
         try:
-            self._votes(held)
+            self._load_vote(held)
             for key, value, changed in db.execute("SELECT key, value, changed FROM entry"):
                 held.entries[key] = (bytes(value), changed)
             for ident, version, mark in db.execute("SELECT ident, version, mark FROM made ORDER BY version"):
-                self.made[ident] = CompletedProposal(ident, version, mark)
+                self.completed[ident] = CompletedProposal(ident, version, mark)
         except (msgspec.MsgspecError, TypeError, ValueError) as fault:
-            raise Corrupt(f"a row that can't be read: {fault}") from None
+            raise CorruptStoreError(f"a row that can't be read: {fault}") from None
         last = db.execute("SELECT MAX(version), MIN(version), COUNT(*) FROM log").fetchone()
-        if last[2] and (last[0] != held.head or last[0] - last[1] + 1 != last[2]):
-            raise Corrupt(f"the log has {last[2]} changes up to {last[0]}, where the head is {held.head}")
+        if last[2] and (last[0] != held.committed_version or last[0] - last[1] + 1 != last[2]):
+            raise CorruptStoreError(
+                f"the log has {last[2]} changes up to {last[0]}, where the head is {held.committed_version}"
+            )
         return held
 
-    def _votes(self, held: Held) -> None:
+    def _load_vote(self, held: StoredState) -> None:
         row = self._db.execute(
             "SELECT version, promised, promised_by, accepted, accepted_by, change FROM vote"
         ).fetchone()
-        if row is None or row[0] <= held.head:
+        if row is None or row[0] <= held.committed_version:
             return  # of a version that has been decided since
-        if row[0] != held.head + 1:
-            raise Corrupt(f"a vote for version {row[0]}, where the head is {held.head}")
+        if row[0] != held.committed_version + 1:
+            raise CorruptStoreError(f"a vote for version {row[0]}, where the head is {held.committed_version}")
         held.promised = Ballot(row[1], row[2])
         if row[3] is not None:
             held.accepted = Ballot(row[3], row[4])
@@ -186,48 +188,48 @@
     def _transaction(self, point: str) -> Iterator[sqlite3.Connection]:
         """All of what is inside, or nothing."""
         try:
-            self.at(f"{point}.before")
+            self.on_step(f"{point}.before")
             self._db.execute("BEGIN IMMEDIATE")
             try:
-                self._db.execute("INSERT OR IGNORE INTO one VALUES (1, ?, '', 0, '', 0, 0, NULL)", (FORM,))
+                self._db.execute("INSERT OR IGNORE INTO one VALUES (1, ?, '', 0, '', 0, 0, NULL)", (FILE_FORMAT,))
                 yield self._db
-                self.at(f"{point}.commit")
+                self.on_step(f"{point}.commit")
                 self._db.execute("COMMIT")
             except BaseException:
                 if self._db.in_transaction:
                     self._db.execute("ROLLBACK")
                 raise
-            self.at(f"{point}.after")
+            self.on_step(f"{point}.after")
         except (sqlite3.Error, OSError) as fault:
-            raise fault_of(fault, point) from None
+            raise store_error(fault, point) from None
 
     # Votes
 
-    def vote(self, version: int, promised: Ballot, accepted: Ballot | None, change: Change | None) -> None:
+    def save_vote(self, version: int, promised: Ballot, accepted: Ballot | None, change: Change | None) -> None:
         """Guards against a vote that is said and then forgotten."""
-        if version != self.head + 1:
-            raise Corrupt(f"a vote for version {version}, where the head is {self.head}")
+        if version != self.committed_version + 1:
+            raise CorruptStoreError(f"a vote for version {version}, where the head is {self.committed_version}")
         row = (
             version,
             promised.number,
-            promised.machine,
+            promised.replica,
             accepted and accepted.number,
-            accepted and accepted.machine,
+            accepted and accepted.replica,
             None if change is None else msgspec.json.encode(change),
         )
         with self._transaction("vote") as db:
             db.execute("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?, ?)", row)
 
-    def stand(self, ready: bool, votes_from: int | None) -> None:
+    def save_voting(self, ready: bool, votes_from: int | None) -> None:
         with self._transaction("stand") as db:
             db.execute("UPDATE one SET ready = ?, votes_from = ?", (ready, votes_from))
 
     # Changes
 
-    def decide(self, history: str, change: Change, entries: list[tuple[str, bytes | None]], mark: str) -> None:
+    def append(self, history: str, change: Change, entries: list[tuple[str, bytes | None]], mark: str) -> None:
         """The change after the head. `entries` as the document keeps them; none: the key is gone."""
-        if change.version != self.head + 1:
-            raise Corrupt(f"version {change.version}, where the head is {self.head}")
+        if change.version != self.committed_version + 1:
+            raise CorruptStoreError(f"version {change.version}, where the head is {self.committed_version}")
         with self._transaction("decide") as db:
             db.execute("UPDATE one SET history = ?, head = ?, digest = ?", (history, change.version, change.digest))
             now = self._clock()
@@ -240,15 +242,15 @@
             )
             db.execute("INSERT OR REPLACE INTO made VALUES (?, ?, ?)", (change.ident, change.version, mark))
             self._trim(db, now)
-        self.head = change.version
-        self.made.pop(change.ident, None)
-        self.made[change.ident] = CompletedProposal(change.ident, change.version, mark)
-        while len(self.made) > IDENTS:
-            self.made.popitem(last=False)
+        self.committed_version = change.version
+        self.completed.pop(change.ident, None)
+        self.completed[change.ident] = CompletedProposal(change.ident, change.version, mark)
+        while len(self.completed) > MAX_COMPLETED_PROPOSALS:
+            self.completed.popitem(last=False)
 
     def _trim(self, db: sqlite3.Connection, now: float) -> None:
         """The log keeps the last changes or those of a day, whichever are fewer, and one at least."""
-        db.execute("DELETE FROM log WHERE version <= (SELECT MAX(version) FROM log) - ?", (self._most_log,))
+        db.execute("DELETE FROM log WHERE version <= (SELECT MAX(version) FROM log) - ?", (self._max_log_changes,))
         db.execute(
             "DELETE FROM log WHERE version < (SELECT MAX(version) FROM log) AND version <= "
             "(SELECT COALESCE(MAX(version), 0) FROM log WHERE at < ?)",
@@ -257,10 +259,10 @@
         db.execute(
             "DELETE FROM made WHERE version <= (SELECT COALESCE(MIN(version), 0) FROM "
             "(SELECT version FROM made ORDER BY version DESC LIMIT 1 OFFSET ?))",
-            (IDENTS,),
+            (MAX_COMPLETED_PROPOSALS,),
         )
 
-    def replace(
+    def install_snapshot(
         self,
         history: str,
         version: int,
@@ -270,8 +272,8 @@
         made: list[CompletedProposal],
     ) -> None:
         """The whole document as another machine has it, in place of an older one."""
-        if version <= self.head:
-            raise Corrupt(f"a snapshot of version {version}, where the head is {self.head}")
+        if version <= self.committed_version:
+            raise CorruptStoreError(f"a snapshot of version {version}, where the head is {self.committed_version}")
         with self._transaction("replace") as db:
             db.execute(
                 "UPDATE one SET history = ?, head = ?, digest = ?, floor = ?",
@@ -283,29 +285,29 @@
             db.executemany("INSERT INTO entry VALUES (?, ?, ?)", rows)
             db.executemany(
                 "INSERT OR REPLACE INTO made VALUES (?, ?, ?)",
-                [(row.ident, row.version, row.mark) for row in made],
+                [(row.ident, row.version, row.entries_hash) for row in made],
             )
-        self.head = version
-        self.made = OrderedDict((row.ident, row) for row in made)
+        self.committed_version = version
+        self.completed = OrderedDict((row.ident, row) for row in made)
 
-    def prune(self, version: int) -> None:
+    def prune_removed(self, version: int) -> None:
         """Keys that are gone since this version or longer are forgotten."""
         with self._transaction("prune") as db:
             db.execute("DELETE FROM entry WHERE value = X'' AND changed <= ?", (version,))
             db.execute("UPDATE one SET floor = MAX(floor, ?)", (version,))
 
     @property
-    def first(self) -> int:
+    def first_log_version(self) -> int:
         """The earliest version of the log; the one after the head where it is empty."""
         try:
             found = self._db.execute("SELECT MIN(version) FROM log").fetchone()[0]
         except sqlite3.Error as fault:
-            raise fault_of(fault, "reading the log") from None
-        return self.head + 1 if found is None else int(found)
+            raise store_error(fault, "reading the log") from None
+        return self.committed_version + 1 if found is None else int(found)
 
-    def log(self, since: int, most: int = 1000, size: int = PAGE_BYTES) -> tuple[list[Change], bool]:
+    def read_log(self, since: int, most: int = 1000, size: int = LOG_PAGE_BYTES) -> tuple[list[Change], bool]:
         """Changes from version `since` on, in order, and whether that one is not kept any more."""
-        if since > self.head:
+        if since > self.committed_version:
             return [], False
         found, total = list[Change](), 0
         try:
@@ -320,7 +322,7 @@
                     break
                 found.append(msgspec.json.decode(body, type=Change))
         except sqlite3.Error as fault:
-            raise fault_of(fault, "reading the log") from None
+            raise store_error(fault, "reading the log") from None
         except msgspec.MsgspecError as fault:
-            raise Corrupt(f"a change in the log that can't be read: {fault}") from None
+            raise CorruptStoreError(f"a change in the log that can't be read: {fault}") from None
         return found, not found
--- a/lanelead/configuration/value_types.py
+++ b/lanelead/configuration/value_types.py
@@ -14,7 +14,7 @@
 
 from lanelead.configuration.document import Document
 
-MOST_NAMED = 100  # refused keys that are kept by name
+MAX_NAMED_KEYS = 100  # refused keys that are kept by name
 
 
 class InvalidValueError(Exception):
@@ -42,21 +42,21 @@
 
 
 EntryValue = TenantValue | ClassValue
-KINDS: dict[str, type[TenantValue] | type[ClassValue]] = {"tenant": TenantValue, "class": ClassValue}
+VALUE_TYPES: dict[str, type[TenantValue] | type[ClassValue]] = {"tenant": TenantValue, "class": ClassValue}
 
 
-def split(key: str) -> tuple[str, str]:
+def split_key(key: str) -> tuple[str, str]:
     kind, _, name = key.partition("/")
     return kind, name
 
 
-def read(key: str, value: bytes) -> EntryValue | None:
+def decode_value(key: str, value: bytes) -> EntryValue | None:
     """None: a kind that is not known here. Raises Unfit."""
-    kind, _ = split(key)
-    if kind not in KINDS:
+    kind, _ = split_key(key)
+    if kind not in VALUE_TYPES:
         return None
     try:
-        found: EntryValue = msgspec.json.decode(value, type=KINDS[kind])
+        found: EntryValue = msgspec.json.decode(value, type=VALUE_TYPES[kind])
     except (msgspec.MsgspecError, RecursionError) as fault:
         raise InvalidValueError(key, str(fault)[:200]) from None
     if isinstance(found, ClassValue) and found.deadline_ms < found.aim_ms:
@@ -69,28 +69,28 @@
 
     def __init__(self) -> None:
         self.values: dict[str, EntryValue] = {}
-        self.refused: dict[str, str] = {}  # keys whose newest value is unfit, with why; bounded
-        self.refusals = 0
-        self.unknown: dict[str, int] = {}  # entries by kinds that are not known here
+        self.rejected: dict[str, str] = {}  # keys whose newest value is unfit, with why; bounded
+        self.rejections = 0
+        self.unknown_kinds: dict[str, int] = {}  # entries by kinds that are not known here
 
-    def take(self, document: Document, keys: Iterable[str]) -> tuple[list[str], list[InvalidValueError]]:
+    def apply(self, document: Document, keys: Iterable[str]) -> tuple[list[str], list[InvalidValueError]]:
         """The keys that have changed in force, and what was refused."""
         changed, faults = list[str](), list[InvalidValueError]()
         for key in keys:
             value = document.get(key)
             try:
-                found = read(key, value) if value is not None else None
+                found = decode_value(key, value) if value is not None else None
             except InvalidValueError as fault:
                 faults.append(fault)
-                self.refusals += 1
-                if len(self.refused) < MOST_NAMED:
-                    self.refused[key] = str(fault)
+                self.rejections += 1
+                if len(self.rejected) < MAX_NAMED_KEYS:
+                    self.rejected[key] = str(fault)
                 continue
-            self.refused.pop(key, None)
+            self.rejected.pop(key, None)
             if found is None and value is not None:
-                kind, _ = split(key)
-                if kind in self.unknown or len(self.unknown) < MOST_NAMED:
-                    self.unknown[kind] = self.unknown.get(kind, 0) + 1
+                kind, _ = split_key(key)
+                if kind in self.unknown_kinds or len(self.unknown_kinds) < MAX_NAMED_KEYS:
+                    self.unknown_kinds[kind] = self.unknown_kinds.get(kind, 0) + 1
             elif found != self.values.get(key):
                 if found is None:
                     del self.values[key]
--- a/lanelead/postgres_relay/applied_configuration.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -10,7 +10,7 @@
 
 from lanelead.configuration.document import Document
 from lanelead.configuration.value_types import AppliedValues as Values
-from lanelead.configuration.value_types import ClassValue, EntryValue, InvalidValueError, TenantValue, split
+from lanelead.configuration.value_types import ClassValue, EntryValue, InvalidValueError, TenantValue, split_key
 from lanelead.decisions.interface import RequestClass, Tenant
 
 TENANTS, CLASSES = "accounts", "requestClasses"  # where a file has them
@@ -43,7 +43,7 @@
     before, now = dict(entries(old)), dict(entries(new))
     document, values = Document(len(now) + 1, 1 << 40), Values()
     document.load(now.items())
-    _, faults = values.take(document, list(now))
+    _, faults = values.apply(document, list(now))
     unfit = {fault.key: None for fault in faults}
     keys = [key for key in {**before, **now} if before.get(key) != now.get(key) and key not in unfit]
     return keys, values.values, faults
@@ -62,7 +62,7 @@
         way keeps the time limit that it was taken with."""
         unknown = list[str]()
         for key in keys:
-            kind, name = split(key)
+            kind, name = split_key(key)
             value = values.get(key)
             if kind == "tenant":
                 self._tenant(name, value)
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -11,9 +11,18 @@
 from random import Random
 from typing import Any
 
-from lanelead.configuration.actions import AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
-from lanelead.configuration.document import Document, Refused
-from lanelead.configuration.follower import ANSWER, SILENCE, Follower
+from lanelead.configuration.actions import (
+    CloseWatch,
+    FetchBuckets,
+    FetchDigestTree,
+    Location,
+    LogEvent,
+    OpenWatch,
+    ReportApplied,
+    VersionApplied,
+)
+from lanelead.configuration.document import Document, DocumentError
+from lanelead.configuration.follower import FETCH_TIMEOUT_SECONDS, WATCH_TIMEOUT_SECONDS, Follower
 from lanelead.configuration.value_types import AppliedValues as Values
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http.client import CallFailedError, call, stream
@@ -41,15 +50,15 @@
     ) -> None:
         self._loop, self._changed, self._log = loop, changed, log
         self._sources = [Address(*parse_address(source.address)) for source in following.sources]
-        places = [Place(source.zone, source.region, source.address) for source in following.sources]
+        places = [Location(source.zone, source.region, source.address) for source in following.sources]
         document = Document(following.most_entries, following.most_bytes)
         try:
             document.load(entries)
-        except Refused as fault:
+        except DocumentError as fault:
             raise MessageError(f"configuration: {fault}") from None
         self.values = Values()
-        self.values.take(document, list(document.entries))
-        here = Place(following.zone, following.region)
+        self.values.apply(document, list(document.entries))
+        here = Location(following.zone, following.region)
         self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, rng, loop.time())
         self._tasks: dict[asyncio.Task[None], int | None] = {}  # what runs, and of which source's watch
         self._woken = asyncio.Event()
@@ -71,27 +80,27 @@
                 task.cancel()
 
     def _carry(self) -> None:
-        while self.follower.acts:
-            actions, self.follower.acts = self.follower.acts, []
+        while self.follower.actions:
+            actions, self.follower.actions = self.follower.actions, []
             for action in actions:
                 match action:
-                    case Watch(source, since, digest):
+                    case OpenWatch(source, since, digest):
                         self._start(self._watch(source, since, digest), source)
-                    case Leave(source):
+                    case CloseWatch(source):
                         self._leave(source)
-                    case AskOutline(source):
+                    case FetchDigestTree(source):
                         self._start(self._outline(source), source)
-                    case AskBuckets(source, version, numbers):
+                    case FetchBuckets(source, version, numbers):
                         self._start(self._buckets(source, version, numbers), source)
-                    case Told(source, applied):
+                    case ReportApplied(source, applied):
                         self._start(self._tell(source, encode(applied)), None)
-                    case InForce(version, keys):
+                    case VersionApplied(version, keys):
                         self._take(version, keys)
-                    case Note(text, reason, remedy):
+                    case LogEvent(text, reason, remedy):
                         self._log.warning(text, reason=reason, remedy=remedy)
 
     def _take(self, version: int, keys: Sequence[str]) -> None:
-        changed, faults = self.values.take(self.follower.document, keys)
+        changed, faults = self.values.apply(self.follower.document, keys)
         for fault in faults[:10]:
             self._log.warning(
                 "an entry of the configuration was refused",
@@ -99,8 +108,8 @@
                 reason=str(fault),
                 remedy="its last good value stays in force",
             )
-        self.follower.refused = list(self.values.refused)
-        self.follower.refusals = self.values.refusals
+        self.follower.rejected_keys = list(self.values.rejected)
+        self.follower.rejections = self.values.rejections
         if changed:
             self._changed(changed, self.values.values)
 
@@ -125,21 +134,21 @@
         path = b"/configuration/watch?from=%d&digest=%s" % (since, digest.encode())
         reason = "the watch ended"
         try:
-            async for text in stream(self._loop, self._sources[source], path, 2 * SILENCE):
-                self.follower.line(source, decode(text, WatchLine, LONGEST), self._loop.time())
+            async for text in stream(self._loop, self._sources[source], path, 2 * WATCH_TIMEOUT_SECONDS):
+                self.follower.line_received(source, decode(text, WatchLine, LONGEST), self._loop.time())
                 self._woken.set()
         except (CallFailedError, MessageError, TimeoutError) as fault:
             reason = str(fault)
-        self.follower.ended(source, reason, self._loop.time())
+        self.follower.watch_ended(source, reason, self._loop.time())
 
     async def _outline(self, source: int) -> None:
         try:
             answer = await self._ask(source, b"/configuration/outline")
             outline = decode(answer, DigestTree, LONGEST)
         except (CallFailedError, MessageError, TimeoutError):
-            self.follower.gone(source, self._loop.time())
+            self.follower.fetch_failed(source, self._loop.time())
         else:
-            self.follower.outlined(source, outline, self._loop.time())
+            self.follower.digest_tree_received(source, outline, self._loop.time())
 
     async def _buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
         named = ",".join(str(number) for number in numbers).encode()
@@ -147,12 +156,12 @@
             answer = await self._ask(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
             buckets = decode(answer, Buckets, LONGEST)
         except (CallFailedError, MessageError, TimeoutError):
-            self.follower.gone(source, self._loop.time())
+            self.follower.fetch_failed(source, self._loop.time())
         else:
-            self.follower.bucketed(source, buckets, len(answer), self._loop.time())
+            self.follower.buckets_received(source, buckets, len(answer), self._loop.time())
 
     async def _ask(self, source: int, path: bytes) -> bytes:
-        answer = await call(self._loop, self._sources[source], "GET", path, b"", ANSWER)
+        answer = await call(self._loop, self._sources[source], "GET", path, b"", FETCH_TIMEOUT_SECONDS)
         if answer.status != 200:
             raise CallFailedError(f"status {answer.status}")
         return bytes(answer.body)
@@ -160,4 +169,6 @@
     async def _tell(self, source: int, body: bytes) -> None:
         """A word that is lost is said again within seconds."""
         with suppress(CallFailedError, TimeoutError):
-            await call(self._loop, self._sources[source], "POST", b"/configuration/applied", body, ANSWER)
+            await call(
+                self._loop, self._sources[source], "POST", b"/configuration/applied", body, FETCH_TIMEOUT_SECONDS
+            )
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -23,15 +23,38 @@
 History = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*$")]  # empty: nothing is decided yet
 Digest = Annotated[str, Meta(pattern=r"^[0-9a-f]{32}$")]
 
-
-class Entry(msgspec.Struct, frozen=True):
+WIRE_NAMES = {  # field names of this module and configuration_replicas, and their JSON keys where those differ
+    "bucket_digests": "buckets",
+    "committed_version": "head",
+    "completed": "made",
+    "entries_hash": "mark",
+    "epoch": "group",
+    "expected_versions": "expect",
+    "format_version": "form",
+    "heartbeat_age_ms": "age_ms",
+    "needs_repair": "repair",
+    "non_voting": "abstains",
+    "outcome": "word",
+    "pruned_version": "floor",
+    "reason": "why",
+    "rejected_keys": "refused",
+    "rejections": "refusals",
+    "replica": "machine",
+    "requested_at_ms": "at_ms",
+    "resume_version": "at",
+    "staleness_ms": "behind_ms",
+    "truncated": "whole",
+}
+
+
+class Entry(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`value`: any JSON; absent or null: the key is removed."""
 
     key: Key
     value: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class Change(msgspec.Struct, frozen=True):
+class Change(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`ident` is the publisher's own: the same change asked for twice is made once. `digest`: of the whole
     document once this change is in it."""
 
@@ -39,13 +62,13 @@
     ident: Ident
     digest: Digest
     entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
-    at_ms: NonNegativeFloat = 0.0  # when it was asked for, Unix time
+    requested_at_ms: NonNegativeFloat = 0.0  # when it was asked for, Unix time
 
 
 # What a relay (a follower) and a machine (a source) say to each other
 
 
-class WatchLine(msgspec.Struct, frozen=True):
+class WatchLine(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """One line of a watch: a sign of life, changes in order, or that the follower has to repair.
 
     `history`: which succession of versions this is (the ident of the first change); another one is not
@@ -53,121 +76,121 @@
     majority of the machines. `at`: in the first line, the version whose digest the follower has named."""
 
     history: History
-    head: NonNegativeInt
-    behind_ms: NonNegativeFloat
+    committed_version: NonNegativeInt
+    staleness_ms: NonNegativeFloat
     changes: list[Change] = []
-    repair: bool = False
-    at: NonNegativeInt | None = None
-    form: int = FORMAT_VERSION
+    needs_repair: bool = False
+    resume_version: NonNegativeInt | None = None
+    format_version: int = FORMAT_VERSION
 
 
-class DigestTree(msgspec.Struct, frozen=True):
+class DigestTree(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """The digests of a snapshot's buckets, hexadecimal, 16 digits each, one after another."""
 
     history: History
     version: NonNegativeInt
     digest: Digest
-    buckets: Annotated[str, Meta(max_length=BUCKET_COUNT * 16)]
-    form: int = FORMAT_VERSION
+    bucket_digests: Annotated[str, Meta(max_length=BUCKET_COUNT * 16)]
+    format_version: int = FORMAT_VERSION
 
 
-class Buckets(msgspec.Struct, frozen=True):
+class Buckets(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """Some buckets of the snapshot of that version, whole: number and entries."""
 
     version: NonNegativeInt
     buckets: dict[int, list[Entry]]
-    form: int = FORMAT_VERSION
+    format_version: int = FORMAT_VERSION
 
 
-class AppliedVersion(msgspec.Struct, frozen=True):
+class AppliedVersion(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """What a relay has in force, and which keys it could not take: told after changes, and now and then."""
 
     relay: NonNegativeInt
     version: NonNegativeInt
-    refused: Annotated[list[str], Meta(max_length=20)] = []
-    refusals: NonNegativeInt = 0  # since its start
+    rejected_keys: Annotated[list[str], Meta(max_length=20)] = []
+    rejections: NonNegativeInt = 0  # since its start
     zone: Annotated[str, Meta(max_length=64)] = ""
-    form: int = FORMAT_VERSION
+    format_version: int = FORMAT_VERSION
 
 
 # What an operator and a machine say
 
 
-class Proposal(msgspec.Struct, frozen=True):
+class Proposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`expect`: keys that may only be changed if no version after the one named has changed them."""
 
     ident: Ident
     entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
-    expect: dict[str, NonNegativeInt] = {}
+    expected_versions: dict[str, NonNegativeInt] = {}
 
 
-class AcceptedProposal(msgspec.Struct, frozen=True):
+class AcceptedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     version: NonNegativeInt
 
 
-class RejectedProposal(msgspec.Struct, frozen=True):
+class RejectedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`unknown`: it may or may not be made; ask again with the same ident. Else nothing was changed."""
 
-    why: Literal["malformed", "stale", "unknown", "overloaded", "abstains"]
+    reason: Literal["malformed", "stale", "unknown", "overloaded", "abstains"]
     text: str
 
 
 # What machines say to each other: one decision a version, as in Lamport, "Paxos Made Simple" (2001)
 
 
-class Ballot(msgspec.Struct, frozen=True, order=True):
+class Ballot(msgspec.Struct, frozen=True, order=True, rename=WIRE_NAMES):
     number: NonNegativeInt = 0
-    machine: NonNegativeInt = 0
+    replica: NonNegativeInt = 0
 
 
-class Prepare(msgspec.Struct, frozen=True):
+class Prepare(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`group`: of the history and the set of voters that the sender goes by; another one is not voted for."""
 
     version: NonNegativeInt  # the one that is to be decided: the last known one plus one
     ballot: Ballot
-    group: str = ""
+    epoch: str = ""
 
 
-class Promise(msgspec.Struct, frozen=True):
+class Promise(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """`word`: promised, refused (a higher ballot was promised: `ballot`), behind (this machine lacks earlier
     versions), ahead (this version is decided; `head` says how far), abstains (it lost its disk)."""
 
-    word: Literal["promised", "refused", "behind", "ahead", "abstains"]
-    head: NonNegativeInt
+    outcome: Literal["promised", "refused", "behind", "ahead", "abstains"]
+    committed_version: NonNegativeInt
     ballot: Ballot = Ballot()
     accepted: Ballot | None = None
     change: Change | None = None
 
 
-class Accept(msgspec.Struct, frozen=True):
+class Accept(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     ballot: Ballot
     change: Change
-    group: str = ""
+    epoch: str = ""
 
 
-class AcceptReply(msgspec.Struct, frozen=True):
-    word: Literal["accepted", "refused", "behind", "ahead", "abstains"]
-    head: NonNegativeInt
+class AcceptReply(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    outcome: Literal["accepted", "refused", "behind", "ahead", "abstains"]
+    committed_version: NonNegativeInt
     ballot: Ballot = Ballot()
 
 
-class Heartbeat(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """A machine's sign of life to another, and the answer to it."""
 
-    machine: NonNegativeInt
+    replica: NonNegativeInt
     history: str  # empty: none yet
-    head: NonNegativeInt
+    committed_version: NonNegativeInt
     empty: bool = False  # it started with nothing on its disk, and abstains still
     ready: bool = False  # it has seen all voters empty, and none that votes
     voters: Annotated[list[NonNegativeInt], Meta(max_length=64)] = []  # as its settings have them
-    form: int = FORMAT_VERSION
+    format_version: int = FORMAT_VERSION
 
 
-class LogPage(msgspec.Struct, frozen=True):
+class LogPage(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """Decided changes in order, from the version asked for; fewer than there are where they are many.
     `whole`: the earliest are not kept any more, and a snapshot has to be taken."""
 
     history: str
-    head: NonNegativeInt
+    committed_version: NonNegativeInt
     changes: list[Change]
-    whole: bool = False
+    truncated: bool = False
--- a/lanelead/protocols/configuration_replicas.py
+++ b/lanelead/protocols/configuration_replicas.py
@@ -7,28 +7,28 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.protocols.configuration import FORMAT_VERSION, AppliedVersion, Change, Digest, Entry, Ident
+from lanelead.protocols.configuration import FORMAT_VERSION, WIRE_NAMES, AppliedVersion, Change, Digest, Entry, Ident
 from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
 SNAPSHOT_PAGES = 16  # of a snapshot, each with as many buckets
 
 
-class DecidedChange(msgspec.Struct, frozen=True):
+class DecidedChange(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """A change that a majority has accepted. `group` as in Prepare."""
 
     change: Change
-    group: str = ""
+    epoch: str = ""
 
 
-class CompletedProposal(msgspec.Struct, frozen=True):
+class CompletedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """A change that was made: `mark` is a hash of its entries."""
 
     ident: Ident
     version: NonNegativeInt
-    mark: str
+    entries_hash: str
 
 
-class SnapshotPage(msgspec.Struct, frozen=True):
+class SnapshotPage(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """One page of the document at one version. The first has the changes made of late, oldest first.
     `changed`: the version of each key's last change, keys that are gone too."""
 
@@ -38,37 +38,37 @@
     page: Annotated[int, Meta(ge=0, lt=SNAPSHOT_PAGES)]
     entries: list[Entry]
     changed: dict[str, NonNegativeInt] = {}
-    floor: NonNegativeInt = 0  # keys that `changed` lacks may have changed up to this version
-    made: list[CompletedProposal] = []
-    form: int = FORMAT_VERSION
+    pruned_version: NonNegativeInt = 0  # keys that `changed` lacks may have changed up to this version
+    completed: list[CompletedProposal] = []
+    format_version: int = FORMAT_VERSION
 
 
-class PeerStatus(msgspec.Struct, frozen=True):
+class PeerStatus(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
     """Another machine, as this one last heard of it; `age_ms` is absent where it never did."""
 
-    machine: NonNegativeInt
+    replica: NonNegativeInt
     address: str
     zone: str
     region: str
     voter: bool
-    head: NonNegativeInt = 0
-    age_ms: NonNegativeFloat | None = None
+    committed_version: NonNegativeInt = 0
+    heartbeat_age_ms: NonNegativeFloat | None = None
     empty: bool = False
 
 
-class ReplicaStatus(msgspec.Struct, frozen=True):
-    machine: NonNegativeInt
+class ReplicaStatus(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    replica: NonNegativeInt
     zone: str
     region: str
     voter: bool
     history: str
-    head: NonNegativeInt
+    committed_version: NonNegativeInt
     digest: str
-    behind_ms: NonNegativeFloat
+    staleness_ms: NonNegativeFloat
     entries: NonNegativeInt
-    abstains: bool
+    non_voting: bool
     fault: str  # of its store; empty: none
     proposals: NonNegativeInt  # waiting
     peers: list[PeerStatus]
     relays: list[AppliedVersion] = []  # that follow by this machine, as they last told
-    form: int = FORMAT_VERSION
+    format_version: int = FORMAT_VERSION
--- a/lanelead/testbed/simulation/configuration.py
+++ b/lanelead/testbed/simulation/configuration.py
@@ -16,10 +16,18 @@
 
 import msgspec
 
-from lanelead.configuration.actions import AskBuckets, AskOutline, InForce, Leave, Place, Told, Watch
+from lanelead.configuration.actions import (
+    CloseWatch,
+    FetchBuckets,
+    FetchDigestTree,
+    Location,
+    OpenWatch,
+    ReportApplied,
+    VersionApplied,
+)
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
-from lanelead.configuration.publisher import SIGN, Gone, Source
+from lanelead.configuration.publisher import WATCH_HEARTBEAT_SECONDS, ChangePublisher, SnapshotExpiredError
 from lanelead.protocols.configuration import Change, Entry, WatchLine
 from lanelead.protocols.feeds import decode, encode
 
@@ -32,8 +40,8 @@
 class Machine:
     """One of the machines set aside; `up`: it runs; `knows`: it hears the other machines."""
 
-    place: Place
-    source: Source = field(default_factory=Source)
+    place: Location
+    source: ChangePublisher = field(default_factory=ChangePublisher)
     up: bool = True
     spent_ns: int = 0
     sent: int = 0
@@ -43,7 +51,7 @@
 @dataclass
 class Relay:
     follower: Follower
-    place: Place
+    place: Location
     number: int
     up: bool = True
     life: int = 0
@@ -58,7 +66,9 @@
 class Fleet:
     """`reaches(a, b)`: whether what `a` sends comes to `b`; ends are ("m", number) and ("r", number)."""
 
-    def __init__(self, places: Sequence[Place], relays: Sequence[Place], seed: int, rate: float = 65536.0) -> None:
+    def __init__(
+        self, places: Sequence[Location], relays: Sequence[Location], seed: int, rate: float = 65536.0
+    ) -> None:
         self.now, self._rng, self._rate = 0.0, Random(f"fleet {seed}"), rate
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = self._watches = 0
@@ -75,7 +85,7 @@
         for place in relays:
             self.join(place)
         for number in range(len(self.machines)):
-            self.at(self._rng.uniform(0, SIGN), partial(self._sign, number))
+            self.at(self._rng.uniform(0, WATCH_HEARTBEAT_SECONDS), partial(self._sign, number))
 
     # Time
 
@@ -95,7 +105,7 @@
         base = 0.0004 if one.zone == other.zone else 0.001 if one.region == other.region else 0.04
         return base * self._rng.uniform(1, 2)
 
-    def _place(self, end: tuple[str, int]) -> Place:
+    def _place(self, end: tuple[str, int]) -> Location:
         return self.machines[end[1]].place if end[0] == "m" else self.relays[end[1]].place
 
     # Machines
@@ -116,7 +126,7 @@
         self._catch_up(at)
         wanted = [Entry(key, msgspec.Raw(value)) for key, value in entries]
         version = self.document.version + 1
-        change = Change(version, f"ident-{version:06d}", self.document.after(wanted), wanted)
+        change = Change(version, f"ident-{version:06d}", self.document.digest_after(wanted), wanted)
         self.document.apply(change)
         self.decided.append(change)
         for number in range(len(self.machines)):
@@ -129,11 +139,11 @@
         if not self.majority(number):
             return
         began = thread_time_ns()
-        machine.source.heard = self.now
+        machine.source.majority_heard_at = self.now
         news = self.decided[machine.source.document.version :]
         for change in news:
             machine.source.document.apply(change)
-            machine.source.decided(change)
+            machine.source.append(change)
         machine.spent_ns += thread_time_ns() - began
         if news:
             self._push(number)
@@ -142,7 +152,7 @@
         if self.machines[number].up:
             self._catch_up(number)
             self._push(number)
-        self.at(SIGN, lambda: self._sign(number))
+        self.at(WATCH_HEARTBEAT_SECONDS, lambda: self._sign(number))
 
     def _push(self, number: int) -> None:
         machine = self.machines[number]
@@ -154,9 +164,9 @@
         watch, position = machine.watchers[relay]
         while True:
             began = thread_time_ns()
-            line, after = machine.source.line(position, self.now)
+            line, after = machine.source.next_line(position, self.now)
             if at is not None:
-                line, at = msgspec.structs.replace(line, at=at), None
+                line, at = msgspec.structs.replace(line, resume_version=at), None
             text = encode(line)
             machine.spent_ns += thread_time_ns() - began
             machine.sent += (size := wire(len(text) + 8))
@@ -168,7 +178,7 @@
 
     def _heard(self, number: int, source: int, text: bytes) -> None:
         relay = self.relays[number]
-        relay.follower.line(source, decode(text, WatchLine, 4 << 20), self.now)
+        relay.follower.line_received(source, decode(text, WatchLine, 4 << 20), self.now)
 
     def _to_relay(self, machine: int, relay: int, watch: int, what: Callable[[], None], size: int) -> None:
         """What a machine writes to a relay's watch, or answers to it: it comes late, or stalls for good."""
@@ -194,16 +204,16 @@
 
     # Relays
 
-    def _follower(self, number: int, place: Place) -> Follower:
+    def _follower(self, number: int, place: Location) -> Follower:
         rng = Random(self._rng.random())
         places = [machine.place for machine in self.machines]
         return Follower(number, place, places, self.start(), self._rate, rng, self.now)
 
-    def join(self, place: Place) -> None:
+    def join(self, place: Location) -> None:
         number = len(self.relays)
         relay = Relay(self._follower(number, place), place, number)
         self.relays.append(relay)
-        self.at(self._rng.uniform(0, SIGN), lambda: self._carry(relay))
+        self.at(self._rng.uniform(0, WATCH_HEARTBEAT_SECONDS), lambda: self._carry(relay))
 
     def restart(self, number: int, away: float) -> None:
         relay = self.relays[number]
@@ -225,7 +235,7 @@
         for relay, (watch, _) in watchers.items():
             self._to_relay(number, relay, watch, partial(self._cut, relay, number), HEADS)
         if empty:
-            machine.source = Source()
+            machine.source = ChangePublisher()
 
     def stop(self, number: int) -> None:
         """A machine stands still: its watches stay and are silent."""
@@ -237,7 +247,7 @@
         self.stopped.pop(number, None)
 
     def _cut(self, relay: int, source: int) -> None:
-        self.relays[relay].follower.ended(source, "cut", self.now)
+        self.relays[relay].follower.watch_ended(source, "cut", self.now)
 
     def _carry(self, relay: Relay) -> None:
         if not relay.up:
@@ -245,27 +255,27 @@
         began = thread_time_ns()
         follower = relay.follower
         follower.tick(self.now)
-        while follower.acts:
-            actions, follower.acts = follower.acts, []
+        while follower.actions:
+            actions, follower.actions = follower.actions, []
             for action in actions:
-                if isinstance(action, Watch):
+                if isinstance(action, OpenWatch):
                     self._watches += 1
                     relay.watches[action.source] = self._watches
                     relay.sent += CALL
                     self._ask(relay, action.source, partial(self._open, relay, action, self._watches))
-                elif isinstance(action, Leave):
+                elif isinstance(action, CloseWatch):
                     relay.watches.pop(action.source, None)
                     self.machines[action.source].watchers.pop(relay.number, None)
-                elif isinstance(action, AskOutline):
+                elif isinstance(action, FetchDigestTree):
                     relay.sent += CALL
                     self._ask(relay, action.source, partial(self._outline, relay, action, relay.watches[action.source]))
-                elif isinstance(action, AskBuckets):
+                elif isinstance(action, FetchBuckets):
                     relay.sent += CALL + 4 * len(action.numbers)
                     self._ask(relay, action.source, partial(self._buckets, relay, action, relay.watches[action.source]))
-                elif isinstance(action, Told):
+                elif isinstance(action, ReportApplied):
                     relay.sent += CALL + len(encode(action.applied))
                     self._ask(relay, action.source, partial(self._applied, action))
-                elif isinstance(action, InForce):
+                elif isinstance(action, VersionApplied):
                     relay.in_force.append((self.now, action.version))
         relay.spent_ns += thread_time_ns() - began
         if relay.timer <= self.now or follower.due < relay.timer:
@@ -290,32 +300,32 @@
         else:
             self.at(3 * self.delay(here, there), come)
 
-    def _open(self, relay: Relay, action: Watch, watch: int) -> None:
+    def _open(self, relay: Relay, action: OpenWatch, watch: int) -> None:
         if relay.watches.get(action.source) == watch:
             source = self.machines[action.source].source
-            position = source.position(action.since, action.digest)
+            position = source.resume_position(action.since, action.digest)
             self.machines[action.source].watchers[relay.number] = watch, position
             self._line(action.source, relay.number, position)
 
-    def _outline(self, relay: Relay, action: AskOutline, watch: int) -> None:
+    def _outline(self, relay: Relay, action: FetchDigestTree, watch: int) -> None:
         machine = self.machines[action.source]
-        outline = machine.source.outline(self.now)
+        outline = machine.source.digest_tree(self.now)
         machine.sent += (size := wire(len(encode(outline))))
         self._to_relay(
             action.source,
             relay.number,
             watch,
-            lambda: relay.follower.outlined(action.source, outline, self.now),
+            lambda: relay.follower.digest_tree_received(action.source, outline, self.now),
             size,
         )
 
-    def _buckets(self, relay: Relay, action: AskBuckets, watch: int) -> None:
+    def _buckets(self, relay: Relay, action: FetchBuckets, watch: int) -> None:
         machine = self.machines[action.source]
         try:
             buckets = machine.source.buckets(action.version, action.numbers)
-        except Gone:
+        except SnapshotExpiredError:
             self._to_relay(
-                action.source, relay.number, watch, lambda: relay.follower.gone(action.source, self.now), CALL
+                action.source, relay.number, watch, lambda: relay.follower.fetch_failed(action.source, self.now), CALL
             )
             return
         length = len(encode(buckets))
@@ -324,12 +334,12 @@
             action.source,
             relay.number,
             watch,
-            lambda: relay.follower.bucketed(action.source, buckets, length, self.now),
+            lambda: relay.follower.buckets_received(action.source, buckets, length, self.now),
             size,
         )
 
-    def _applied(self, action: Told) -> None:
-        self.machines[action.source].source.applied(action.applied, self.now)
+    def _applied(self, action: ReportApplied) -> None:
+        self.machines[action.source].source.record_applied(action.applied, self.now)
 
 
 def wire(size: int) -> int:
--- a/tests/configurationhand.py
+++ b/tests/configurationhand.py
@@ -8,14 +8,23 @@
 
 import msgspec
 
-from lanelead.configuration.actions import Act, AskBuckets, AskOutline, Leave, Note, Place, Told, Watch
+from lanelead.configuration.actions import (
+    Action,
+    CloseWatch,
+    FetchBuckets,
+    FetchDigestTree,
+    Location,
+    LogEvent,
+    OpenWatch,
+    ReportApplied,
+)
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import Follower
 from lanelead.protocols.configuration import Buckets, Change, Entry, WatchLine
 
-A = TypeVar("A", bound=Act)
+A = TypeVar("A", bound=Action)
 HISTORY = "ident-0001"
-PLACES = (Place("a", "one", "a0"), Place("b", "one", "b0"), Place("c", "two", "c0"))
+PLACES = (Location("a", "one", "a0"), Location("b", "one", "b0"), Location("c", "two", "c0"))
 
 
 def entry(key: str, value: object) -> Entry:
@@ -24,7 +33,7 @@
 
 def change(document: Document, *entries: Entry) -> Change:
     version = document.version + 1
-    return Change(version, f"ident-{version:04d}", document.after(entries), list(entries))
+    return Change(version, f"ident-{version:04d}", document.digest_after(entries), list(entries))
 
 
 def row(number: int, value: object = 1) -> tuple[str, bytes]:
@@ -44,35 +53,35 @@
     def __init__(
         self,
         here: Document | None = None,
-        places: Sequence[Place] = PLACES[:1],
+        places: Sequence[Location] = PLACES[:1],
         rate: float = 1e9,
         seed: int = 1,
     ) -> None:
         self.now = 100.0
         self.follower = Follower(
-            7, Place("a", "one"), places, Document() if here is None else here, rate, Random(seed), self.now
+            7, Location("a", "one"), places, Document() if here is None else here, rate, Random(seed), self.now
         )
-        self.seen: list[Act] = []
+        self.seen: list[Action] = []
 
     def acts(self, kind: type[A]) -> list[A]:
         """Those of this kind since they were last asked for."""
-        self.seen += self.follower.acts
-        self.follower.acts = []
+        self.seen += self.follower.actions
+        self.follower.actions = []
         found = [action for action in self.seen if isinstance(action, kind)]
         self.seen = [action for action in self.seen if not isinstance(action, kind)]
         return found
 
     def watched(self) -> list[int]:
-        return [action.source for action in self.acts(Watch)]
+        return [action.source for action in self.acts(OpenWatch)]
 
     def left(self) -> list[int]:
-        return [action.source for action in self.acts(Leave)]
+        return [action.source for action in self.acts(CloseWatch)]
 
     def notes(self) -> list[str]:
-        return [action.text for action in self.acts(Note)]
+        return [action.text for action in self.acts(LogEvent)]
 
-    def told(self) -> list[Told]:
-        return self.acts(Told)
+    def told(self) -> list[ReportApplied]:
+        return self.acts(ReportApplied)
 
     def pass_(self, seconds: float, step: float = 0.05) -> None:
         for _ in range(round(seconds / step)):
@@ -81,8 +90,10 @@
             assert self.follower.due > self.now, "a host that waits until then would not wait"
 
     def line(self, source: int, head: int, *changes: Change, **more: Any) -> None:
-        fields: dict[str, Any] = {"history": HISTORY, "behind_ms": 0.0, **more}
-        self.follower.line(source, WatchLine(head=head, changes=list(changes), **fields), self.now)
+        fields: dict[str, Any] = {"history": HISTORY, "staleness_ms": 0.0, **more}
+        self.follower.line_received(
+            source, WatchLine(committed_version=head, changes=list(changes), **fields), self.now
+        )
 
     def lines(self, source: int, head: int, seconds: float, **more: Any) -> None:
         """Signs of life for so long."""
@@ -91,22 +102,22 @@
             self.line(source, head, **more)
 
     def ended(self, source: int, reason: str = "cut") -> None:
-        self.follower.ended(source, reason, self.now)
+        self.follower.watch_ended(source, reason, self.now)
 
     def outlined(self, source: int, theirs: Document, history: str = HISTORY) -> None:
-        assert self.acts(AskOutline)
-        self.follower.outlined(source, theirs.outline(history), self.now)
+        assert self.acts(FetchDigestTree)
+        self.follower.digest_tree_received(source, theirs.digest_tree(history), self.now)
         self.pass_(0.001, 0.001)
 
     def bucketed(self, source: int, theirs: Document, size: int = 1000) -> tuple[int, ...]:
         """Answers what was asked; gives the numbers."""
-        (ask,) = self.acts(AskBuckets)
+        (ask,) = self.acts(FetchBuckets)
         buckets = Buckets(ask.version, {number: theirs.bucket(number) for number in ask.numbers})
-        self.follower.bucketed(source, buckets, size, self.now)
+        self.follower.buckets_received(source, buckets, size, self.now)
         self.pass_(0.001, 0.001)
         return ask.numbers
 
     def repairing(self, source: int, theirs: Document) -> None:
         """As far as the buckets being asked for."""
-        self.line(source, theirs.version, repair=True)
+        self.line(source, theirs.version, needs_repair=True)
         self.outlined(source, theirs)
--- a/tests/configurationmachine.py
+++ b/tests/configurationmachine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lanelead.configuration.publisher import Gone, Source
+from lanelead.configuration.publisher import ChangePublisher, SnapshotExpiredError
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http import serialization
 from lanelead.http.server import STREAM, chunk
@@ -30,7 +30,7 @@
     """`says`: by path, what it says instead of what it should."""
 
     def __init__(self) -> None:
-        self.source = Source()
+        self.source = ChangePublisher()
         self.says: dict[str, Answer] = {}
         self.asked: list[str] = []  # paths
         self.written = 0
@@ -53,7 +53,7 @@
     def publish(self, *entries: Entry) -> None:
         made = change(self.source.document, *entries)
         self.source.document.apply(made)
-        self.source.decided(made)
+        self.source.append(made)
 
     def count(self, path: str) -> int:
         return self.asked.count(path)
@@ -91,23 +91,23 @@
         source, loop = self.source, asyncio.get_running_loop()
         if path == WATCH:
             await self.write(writer, STREAM)
-            position = source.position(int(query["from"]), query["digest"])
-            first: dict[str, Any] = {"at": position}
+            position = source.resume_position(int(query["from"]), query["digest"])
+            first: dict[str, Any] = {"resume_version": position}
             while not reader.at_eof():
-                source.heard = loop.time()
-                line, position = source.line(position, loop.time())
+                source.majority_heard_at = loop.time()
+                line, position = source.next_line(position, loop.time())
                 line, first = msgspec.structs.replace(line, **first), {}
                 await self.write(writer, chunk(encode(line) + b"\n"))
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(0.05):
                         await reader.read(1)
         elif path == OUTLINE:
-            await self.answer(writer, 200, encode(source.outline(loop.time())))
+            await self.answer(writer, 200, encode(source.digest_tree(loop.time())))
         elif path == BUCKETS:
             numbers = [int(number) for number in query["numbers"].split(",")]
             try:
                 found = source.buckets(int(query["version"]), numbers)
-            except Gone:
+            except SnapshotExpiredError:
                 await self.answer(writer, 410, b"{}")
             else:
                 await self.answer(writer, 200, encode(found))
@@ -115,7 +115,7 @@
             await self.answer(writer, 200, b'{"version":0}')
 
 
-def line(source: Source) -> bytes:
+def line(source: ChangePublisher) -> bytes:
     """A good sign of life."""
     return encode(WatchLine(source.history, source.document.version, 0.0)) + b"\n"
 
@@ -153,7 +153,7 @@
 
     async def until(self, version: int) -> None:
         """That version is in force, and put so."""
-        while self.version < version or self.feed.follower.acts:
+        while self.version < version or self.feed.follower.actions:
             await asyncio.sleep(0.01)
 
 
--- a/tests/machinegroup.py
+++ b/tests/machinegroup.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from lanelead.configuration.commands import ask, made
+from lanelead.configuration.commands import call_replica, submit_proposal
 from lanelead.protocols.configuration import AcceptedProposal, LogPage
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode
@@ -77,34 +77,34 @@
         self.processes[number].send_signal(what)
 
     async def status(self, number: int) -> ReplicaStatus:
-        status, body = await ask(self.at(number)[0], "GET", b"/configuration/status", b"", 5.0)
+        status, body = await call_replica(self.at(number)[0], "GET", b"/configuration/status", b"", 5.0)
         assert status == 200
         return decode(body, ReplicaStatus)
 
     async def makes(self, ident: str, *numbers: int) -> int:
         """By these machines, the one after the other until it is made."""
-        answer = await made(self.at(*numbers), proposal(ident, f"tenant/{ident}"), 25.0)
+        answer = await submit_proposal(self.at(*numbers), proposal(ident, f"tenant/{ident}"), 25.0)
         assert isinstance(answer, AcceptedProposal), answer
         self.answers[ident] = answer
         return answer.version
 
     async def until_voting(self, *numbers: int) -> None:
         for number in numbers:
-            while (await self.status(number)).abstains:
+            while (await self.status(number)).non_voting:
                 await asyncio.sleep(0.05)
 
     async def agree(self) -> None:
         """All hold the same, every change answered as made is there, and none is there twice."""
         while True:
             found = [await self.status(number) for number in range(self.many)]
-            if len({(each.head, each.digest) for each in found}) == 1:
+            if len({(each.committed_version, each.digest) for each in found}) == 1:
                 break
             await asyncio.sleep(0.05)
         logs = []
         for number in range(self.many):
-            _, body = await ask(self.at(number)[0], "GET", b"/configuration/log?from=1", b"", 5.0)
+            _, body = await call_replica(self.at(number)[0], "GET", b"/configuration/log?from=1", b"", 5.0)
             log = decode(body, LogPage)
-            if not log.whole:
+            if not log.truncated:
                 logs.append([change.ident for change in log.changes])
         assert logs and all(idents == logs[0] for idents in logs)
         assert len(set(logs[0])) == len(logs[0]), "made twice"
@@ -112,7 +112,7 @@
             assert logs[0][answer.version - 1] == ident, f"{ident} lost"
         for number in range(self.many):  # and asked for once more it is still the one
             for ident, answer in list(self.answers.items())[:2]:
-                again = await made(self.at(number), proposal(ident, f"tenant/{ident}"), 5.0)
+                again = await submit_proposal(self.at(number), proposal(ident, f"tenant/{ident}"), 5.0)
                 assert again == answer, again
 
 
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from lanelead.configuration.agreement import Proposer, Unfit
+from lanelead.configuration.agreement import Proposer, UnacceptableChangeError
 from lanelead.configuration.document import Document
-from lanelead.configuration.messages import Asked, Call
-from lanelead.configuration.replica import Machine
-from lanelead.configuration.replica_state import Holding
-from lanelead.configuration.store import Store, StoreFault
+from lanelead.configuration.messages import CatchUpRequest, PeerCall
+from lanelead.configuration.replica import Replica
+from lanelead.configuration.replica_state import ReplicaState
+from lanelead.configuration.store import Store, StoreError
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -75,11 +75,11 @@
     kills: float = 0.0
     log: int = 20_000
     now: float = 0.0
-    machines: dict[int, Machine | None] = field(default_factory=dict)
+    machines: dict[int, Replica | None] = field(default_factory=dict)
     decided: dict[int, tuple[str, str]] = field(default_factory=dict)  # version to ident and digest
     answers: dict[str, AcceptedProposal | RejectedProposal] = field(default_factory=dict)
     notes: list[tuple[int, str, str]] = field(default_factory=list)
-    dropped: Callable[[Call], bool] = lambda call: False  # a fault by hand
+    dropped: Callable[[PeerCall], bool] = lambda call: False  # a fault by hand
 
     def __post_init__(self) -> None:
         self.chance = Random(f"machines {self.seed}")
@@ -106,9 +106,9 @@
             self._checked[number] = 0
         self.lives[number] += 1
         store = Kept(self.disks[number], self.log)
-        holding = Holding(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
+        holding = ReplicaState(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
         others = [other for other in range(self.many) if other != number]
-        machine = Machine(
+        machine = Replica(
             number,
             list(self.voters),
             others,
@@ -117,7 +117,7 @@
             self.now,
             lambda text, remedy: self.notes.append((number, text, remedy)),
         )
-        store.at = lambda point: self._fate(number, point)
+        store.on_step = lambda point: self._fate(number, point)
         self.machines[number] = machine
         self._tick(number, self.lives[number])
 
@@ -135,10 +135,10 @@
         for voter in self.voters:
             machine = self.machines[voter]
             if machine is not None:
-                holds = not machine.holding.acceptor.abstains
+                holds = not machine.state.acceptor.non_voting
             else:
-                row = Kept(self.disks[voter], self.log).held
-                holds = row.votes_from is not None and row.head + 1 >= row.votes_from
+                row = Kept(self.disks[voter], self.log).loaded
+                holds = row.votes_from is not None and row.committed_version + 1 >= row.votes_from
             if not holds:
                 found.append(voter)
         return found
@@ -159,7 +159,7 @@
         self.now = end
         return until()
 
-    def _step(self, number: int, what: Callable[[Machine], Any]) -> Any:
+    def _step(self, number: int, what: Callable[[Replica], Any]) -> Any:
         """Something happens in a process, which may end at it."""
         machine = self.machines[number]
         if machine is None:
@@ -169,9 +169,9 @@
         except Killed:
             self.kill(number)
             return None
-        except (StoreFault, Unfit):
+        except (StoreError, UnacceptableChangeError):
             answer = None
-        calls, machine.calls = machine.calls, []
+        calls, machine.outgoing = machine.outgoing, []
         for call in calls:
             self._send(number, call)
         return answer
@@ -192,38 +192,38 @@
         many = 1 + (self.chance.random() < link.double)
         return [self.now + link.delay + link.spread * self.chance.random() for _ in range(many)]
 
-    def _send(self, number: int, call: Call) -> None:
+    def _send(self, number: int, call: PeerCall) -> None:
         life, done = self.lives[number], list[bool]()
 
         def ended(answer: Any) -> None:
             if not done and self.lives[number] == life:
                 done.append(True)
-                self._step(number, lambda machine: machine.answered(call, answer, self.now))
+                self._step(number, lambda machine: machine.handle_reply(call, answer, self.now))
 
         def arrived() -> None:
-            answer = self._step(call.to, lambda machine: self.serve(machine, call.body))
+            answer = self._step(call.peer, lambda machine: self.serve(machine, call.body))
             if answer is not None:
-                for when in self._passes(call.to, number):
+                for when in self._passes(call.peer, number):
                     self.at(when, lambda: ended(answer))
 
-        for when in self._passes(number, call.to) if not self.dropped(call) else ():
+        for when in self._passes(number, call.peer) if not self.dropped(call) else ():
             self.at(when, arrived)
-        self.at(self.now + call.limit, lambda: ended(None))
+        self.at(self.now + call.timeout, lambda: ended(None))
 
-    def serve(self, machine: Machine, body: Any) -> Any:
+    def serve(self, machine: Replica, body: Any) -> Any:
         match body:
             case Prepare():
-                return machine.asked_prepare(body, self.now)
+                return machine.handle_prepare(body, self.now)
             case Accept():
-                return machine.asked_accept(body, self.now)
+                return machine.handle_accept(body, self.now)
             case DecidedChange():
-                return machine.asked_decided(body, self.now)
+                return machine.handle_decided(body, self.now)
             case Heartbeat():
-                return machine.asked_sign(body, self.now)
-            case Asked(since, False, _):
-                return machine.asked_log(since)
-            case Asked(version, True, page):
-                return machine.holding.snapshot(version, page, self.now)
+                return machine.handle_heartbeat(body, self.now)
+            case CatchUpRequest(since, False, _):
+                return machine.read_log(since)
+            case CatchUpRequest(version, True, page):
+                return machine.state.snapshot(version, page, self.now)
 
     # Proposals
 
@@ -241,17 +241,17 @@
 
     def check(self) -> None:
         for number, machine in self.machines.items():
-            if machine is None or machine.holding.head == self._checked[number]:
+            if machine is None or machine.state.committed_version == self._checked[number]:
                 continue
-            holding, since = machine.holding, self._checked[number] + 1
-            assert holding.head >= since, "a machine went back"
-            changes, gone = holding.log(max(since, holding._store.first))
+            holding, since = machine.state, self._checked[number] + 1
+            assert holding.committed_version >= since, "a machine went back"
+            changes, gone = holding.log(max(since, holding._store.first_log_version))
             for change in changes:
                 self._once(change.version, change.ident, change.digest)
             if gone or not changes:  # taken as a snapshot
-                known = self.decided.get(holding.head)
+                known = self.decided.get(holding.committed_version)
                 assert known is None or known[1] == holding.document.digest, "a snapshot of something else"
-            self._checked[number] = changes[-1].version if changes else holding.head
+            self._checked[number] = changes[-1].version if changes else holding.committed_version
         for entry in list(self._asked):
             ident, number, life, proposer = entry
             if self.lives[number] != life:  # nobody was answered: it may be made or not
@@ -287,10 +287,10 @@
         for pair in self.links:
             self.links[pair] = Link()
 
-    def up(self) -> list[Machine]:
+    def up(self) -> list[Replica]:
         return [machine for machine in self.machines.values() if machine is not None]
 
-    def alive(self, number: int) -> Machine:
+    def alive(self, number: int) -> Replica:
         machine = self.machines[number]
         assert machine is not None
         return machine
@@ -298,4 +298,4 @@
     def agreed(self) -> bool:
         """Do all run, and hold the same?"""
         found = self.up()
-        return len(found) == self.many and all(m.holding.head == max(self.decided, default=0) for m in found)
+        return len(found) == self.many and all(m.state.committed_version == max(self.decided, default=0) for m in found)
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from lanelead.configuration.agreement import TRIES, Acceptor, Proposer, Unfit
+from lanelead.configuration.agreement import MAX_ATTEMPTS, Acceptor, Proposer, UnacceptableChangeError
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -70,7 +70,7 @@
             world.start(number)
     world.run(40)
     made = [answer.version for answer in world.answers.values() if isinstance(answer, AcceptedProposal)]
-    heads = [machine.holding.head for machine in world.up()]
+    heads = [machine.state.committed_version for machine in world.up()]
     assert min(heads) >= max(made, default=0), "what was answered as made is not everywhere"
     for number in range(4):
         # Those that lost their disks vote again two changes later, all others at once.
@@ -81,7 +81,7 @@
         world.run(2)
     assert world.run(5, world.agreed), "they don't hold the same"
     assert not world.lost(), "some abstain for ever"
-    documents = [machine.holding.document for machine in world.up()]
+    documents = [machine.state.document for machine in world.up()]
     assert len({document.digest for document in documents}) == 1
     return world
 
@@ -149,20 +149,20 @@
 
     def test_1_no_vote_for_another_version_than_the_one_after_the_head(self) -> None:
         self.acceptor.advance(3)
-        words = [self.acceptor.prepare(Prepare(version, Ballot(1, 0))).word for version in (3, 4, 5)]
+        words = [self.acceptor.prepare(Prepare(version, Ballot(1, 0))).outcome for version in (3, 4, 5)]
         self.assertEqual(["ahead", "promised", "behind"], words)
-        votes = [self.acceptor.accept(Accept(Ballot(1, 0), change(version=v))).word for v in (3, 5)]
+        votes = [self.acceptor.accept(Accept(Ballot(1, 0), change(version=v))).outcome for v in (3, 5)]
         self.assertEqual(["ahead", "behind"], votes)
 
     def test_2_an_equal_ballot_is_not_promised_twice(self) -> None:
-        self.assertEqual("promised", self.acceptor.prepare(Prepare(1, Ballot(2, 1))).word)
+        self.assertEqual("promised", self.acceptor.prepare(Prepare(1, Ballot(2, 1))).outcome)
         for ballot in (Ballot(2, 1), Ballot(2, 0), Ballot(1, 5)):
             self.assertEqual(Promise("refused", 0, Ballot(2, 1)), self.acceptor.prepare(Prepare(1, ballot)))
 
     def test_3_nothing_is_accepted_below_the_promise(self) -> None:
         self.acceptor.prepare(Prepare(1, Ballot(2, 1)))
-        self.assertEqual("refused", self.acceptor.accept(Accept(Ballot(1, 1), change())).word)
-        self.assertEqual("accepted", self.acceptor.accept(Accept(Ballot(2, 1), change())).word)
+        self.assertEqual("refused", self.acceptor.accept(Accept(Ballot(1, 1), change())).outcome)
+        self.assertEqual("accepted", self.acceptor.accept(Accept(Ballot(2, 1), change())).outcome)
 
     def test_4_a_promise_tells_what_was_accepted_last(self) -> None:
         self.acceptor.accept(Accept(Ballot(1, 1), change("the-earlier")))
@@ -185,16 +185,16 @@
     def test_7_one_that_lost_its_disk_abstains(self) -> None:
         for since, word in ((None, "abstains"), (2, "abstains"), (1, "promised")):
             self.acceptor.votes_from = since
-            self.assertEqual(word, self.acceptor.prepare(Prepare(1, Ballot(1, 0))).word)
+            self.assertEqual(word, self.acceptor.prepare(Prepare(1, Ballot(1, 0))).outcome)
         self.acceptor.votes_from = 2
-        self.assertEqual("abstains", self.acceptor.accept(Accept(Ballot(1, 0), change())).word)
+        self.assertEqual("abstains", self.acceptor.accept(Accept(Ballot(1, 0), change())).outcome)
 
     def test_8_a_change_that_does_not_fit_gets_no_vote(self) -> None:
         def unfit(change: Change) -> None:
-            raise Unfit
+            raise UnacceptableChangeError
 
-        self.acceptor.fits = unfit
-        with self.assertRaises(Unfit):
+        self.acceptor.validate = unfit
+        with self.assertRaises(UnacceptableChangeError):
             self.acceptor.accept(Accept(Ballot(1, 0), change()))
         self.assertEqual([], self.kept)
 
@@ -202,13 +202,14 @@
 class Holder:
     """The proposer's machine, by hand."""
 
-    head, group = 0, ""
+    committed_version = 0
+    epoch = ""
 
-    def made(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
+    def completed(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         return None
 
-    def change(self, proposal: Proposal) -> Change | RejectedProposal:
-        return change(proposal.ident, self.head + 1)
+    def build_change(self, proposal: Proposal) -> Change | RejectedProposal:
+        return change(proposal.ident, self.committed_version + 1)
 
 
 class Proposing(unittest.TestCase):
@@ -218,7 +219,7 @@
         self.proposer.step(0.0)
 
     def asks(self) -> list[Prepare | Accept]:
-        asks, self.proposer.asks = self.proposer.asks, []
+        asks, self.proposer.requests = self.proposer.requests, []
         return [ask for _, ask in asks]
 
     def prepare(self) -> Prepare:
@@ -230,7 +231,7 @@
         ask = self.prepare()
         for voter, number in ((1, 3), (2, 2)):
             found = Promise("promised", 0, ask.ballot, Ballot(number, 2), change(f"at-ballot-{number}"))
-            self.proposer.promised(voter, ask, found, 0.0)
+            self.proposer.handle_promise(voter, ask, found, 0.0)
         accept = self.asks()[0]
         assert isinstance(accept, Accept)
         self.assertEqual("at-ballot-3", accept.change.ident)
@@ -238,65 +239,65 @@
     def test_5_9_each_voter_counts_once_and_for_this_ballot_only(self) -> None:
         ask = self.prepare()
         for _ in range(3):
-            self.proposer.promised(1, ask, Promise("promised", 0, ask.ballot), 0.0)
+            self.proposer.handle_promise(1, ask, Promise("promised", 0, ask.ballot), 0.0)
         self.assertEqual([], self.asks())
         old = Prepare(1, Ballot(0, 0))
-        self.proposer.promised(2, old, Promise("promised", 0, old.ballot), 0.0)
+        self.proposer.handle_promise(2, old, Promise("promised", 0, old.ballot), 0.0)
         self.assertEqual([], self.asks())
-        self.proposer.promised(2, ask, Promise("promised", 0, ask.ballot), 0.0)
+        self.proposer.handle_promise(2, ask, Promise("promised", 0, ask.ballot), 0.0)
         accept = self.asks()[0]
         assert isinstance(accept, Accept)
         for _ in range(3):
-            self.proposer.voted(1, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
+            self.proposer.handle_accept_reply(1, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
         other = Accept(Ballot(0, 0), accept.change)
-        self.proposer.voted(2, other, AcceptReply("accepted", 0, other.ballot), 0.0)
+        self.proposer.handle_accept_reply(2, other, AcceptReply("accepted", 0, other.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
-        self.proposer.voted(2, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
+        self.proposer.handle_accept_reply(2, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
         self.assertEqual(accept.change, self.proposer.decided)
 
     def test_9_an_answer_for_an_earlier_version_is_none_for_this_one_at_the_same_ballot(self) -> None:
         """Else a promise for a version that is decided since would stand for one that nobody has promised."""
         before = self.prepare()
-        self.holder.head = 1
+        self.holder.committed_version = 1
         self.proposer.step(0.0)
         ask = self.prepare()
         self.assertEqual((before.ballot, 2), (ask.ballot, ask.version))
         for voter in (1, 2):
-            self.proposer.promised(voter, before, Promise("promised", 0, ask.ballot), 0.0)
+            self.proposer.handle_promise(voter, before, Promise("promised", 0, ask.ballot), 0.0)
         self.assertEqual([], self.asks())
         for voter in (1, 2):
-            self.proposer.promised(voter, ask, Promise("promised", 1, ask.ballot), 0.0)
+            self.proposer.handle_promise(voter, ask, Promise("promised", 1, ask.ballot), 0.0)
         accept = self.asks()[0]
         assert isinstance(accept, Accept)
         old = Accept(ask.ballot, change("own-change", 1))
         for voter in (1, 2):
-            self.proposer.voted(voter, old, AcceptReply("accepted", 0, ask.ballot), 0.0)
+            self.proposer.handle_accept_reply(voter, old, AcceptReply("accepted", 0, ask.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
 
     def end(self) -> str:
         now = 0.0
         while self.proposer.result is None:
-            now = max(now + 0.001, self.proposer.next)
+            now = max(now + 0.001, self.proposer.due)
             self.proposer.step(now)
         self.assertLess(now, 30.0)
         assert isinstance(self.proposer.result, RejectedProposal)
-        return self.proposer.result.why
+        return self.proposer.result.reason
 
     def test_10_without_answers_it_ends_and_nothing_was_changed(self) -> None:
         self.assertEqual("abstains", self.end())
-        self.assertLessEqual(len(self.asks()), TRIES * 3)
+        self.assertLessEqual(len(self.asks()), MAX_ATTEMPTS * 3)
 
     def test_10_once_it_was_sent_to_be_accepted_the_end_is_unknown(self) -> None:
         ask = self.prepare()
         for voter in (1, 2):
-            self.proposer.promised(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
+            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
         self.assertEqual("unknown", self.end())
 
     def test_10_decided_otherwise_it_can_not_be_made_any_more(self) -> None:
         ask = self.prepare()
         for voter in (1, 2):
-            self.proposer.promised(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
-        self.holder.head = 1  # with somebody else's change
+            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
+        self.holder.committed_version = 1  # with somebody else's change
         self.assertEqual("abstains", self.end())
 
     def test_what_is_finished_is_so_for_its_own_version_only(self) -> None:
@@ -305,22 +306,22 @@
         self.proposer.step(0.0)
         ask = self.prepare()
         for voter in (1, 2):
-            self.proposer.promised(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
+            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
         accept = self.asks()[0]
         assert isinstance(accept, Accept)
         self.assertIs(found, accept.change)
-        self.holder.head = 1
+        self.holder.committed_version = 1
         self.proposer.step(0.1)
         assert isinstance(self.proposer.result, RejectedProposal)
-        self.assertEqual(("stale", []), (self.proposer.result.why, self.asks()))
+        self.assertEqual(("stale", []), (self.proposer.result.reason, self.asks()))
 
     def test_11_proposers_that_meet_wait_for_times_that_differ(self) -> None:
         pauses = []
         for _ in range(6):
             ask = self.prepare()
             for voter in (1, 2):
-                self.proposer.promised(voter, ask, Promise("refused", 0, Ballot(ask.ballot.number, 2)), 0.0)
-            pauses.append(self.proposer.next)
-            self.proposer.step(self.proposer.next)
+                self.proposer.handle_promise(voter, ask, Promise("refused", 0, Ballot(ask.ballot.number, 2)), 0.0)
+            pauses.append(self.proposer.due)
+            self.proposer.step(self.proposer.due)
         self.assertEqual(6, len(set(pauses)))
         self.assertGreater(max(pauses), 4 * min(pauses))
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -13,8 +13,8 @@
 import msgspec
 from click.testing import CliRunner
 
-from lanelead.configuration.commands import addresses, ask, configuration, look, made
-from lanelead.configuration.settings import Unfit, read
+from lanelead.configuration.commands import addresses, call_replica, collect_status, configuration, submit_proposal
+from lanelead.configuration.settings import InvalidSettingsError, read_settings
 from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
@@ -56,13 +56,13 @@
             self.assertIn("stale", text)
             for relay, zone, version in ((1, "north", 2), (2, "south", 2), (3, "south", 3)):
                 word = encode(AppliedVersion(relay, version, zone=zone))
-                await ask(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
+                await call_replica(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
             code, text = await publish('{"tenant/a": null}', "--in-force", "0.5")
             self.assertEqual(4, code)
             self.assertIn("in force: 1 of 3 relays (north 0 of 1, south 1 of 2)", text)
             for relay in (1, 2, 3):
                 word = encode(AppliedVersion(relay, 4, zone="south"))
-                await ask(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
+                await call_replica(machines.at(relay % 2)[0], "POST", b"/configuration/applied", word, 5.0)
             code, text = await publish('{"tenant/a": {"share": 1}}', "--in-force", "5")
             self.assertEqual(0, code)
             self.assertIn("in force: 3 of 3 relays (south 3 of 3)", text)
@@ -79,10 +79,10 @@
     async def test_a_watch_tells_that_the_machine_lives_and_each_change_as_it_is_made(self) -> None:
         async with group() as machines:
             port = machines.ports[1]
-            status, _ = await ask(machines.at(1)[0], "GET", b"/configuration/watch?from=0&digest=", b"", 5.0)
+            status, _ = await call_replica(machines.at(1)[0], "GET", b"/configuration/watch?from=0&digest=", b"", 5.0)
             self.assertEqual(503, status)  # nothing is held yet: another may hold more
             await machines.makes("change-1", 1)
-            while (await machines.status(1)).behind_ms > 1000:
+            while (await machines.status(1)).staleness_ms > 1000:
                 await asyncio.sleep(0.05)
             digest = (await machines.status(1)).digest
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -128,14 +128,14 @@
                 bad.append(("POST", b"/configuration", text.encode(), 400))
             for method, path, body, expected in bad:
                 with self.subTest(path=path, body=body[:20]):
-                    status, _ = await ask(at, method, path, body, 5.0)
+                    status, _ = await call_replica(at, method, path, body, 5.0)
                     self.assertEqual(expected, status)
             later = {"machine": 5, "history": "", "head": 0, "form": 2, "of a later form": [1]}
-            status, _ = await ask(at, "POST", b"/configuration/sign", json.dumps(later).encode(), 5.0)
+            status, _ = await call_replica(at, "POST", b"/configuration/sign", json.dumps(later).encode(), 5.0)
             self.assertEqual(200, status)
             held = [await asyncio.open_connection("127.0.0.1", machines.ports[0]) for _ in range(64)]
-            status, body = await ask(at, "GET", b"/configuration/status", b"", 5.0)
-            self.assertEqual((503, "overloaded"), (status, decode(body, RejectedProposal).why))
+            status, body = await call_replica(at, "GET", b"/configuration/status", b"", 5.0)
+            self.assertEqual((503, "overloaded"), (status, decode(body, RejectedProposal).reason))
             for _, writer in held:
                 writer.close()
             await asyncio.sleep(0.1)
@@ -148,9 +148,9 @@
             file = Path(name) / "settings.json"
             rows = [{"number": 1, "address": "here"}, {"number": 1, "address": "127.0.0.1:7"}]
             file.write_text(json.dumps({"machine": 4, "store": f"{name}/no/file", "machines": rows}))
-            with self.assertRaises(Unfit) as caught:
-                read(file)
-            words = "\n".join(caught.exception.faults)
+            with self.assertRaises(InvalidSettingsError) as caught:
+                read_settings(file)
+            words = "\n".join(caught.exception.errors)
             for word in (
                 "machines[0].address",
                 "machines[1].number",
@@ -161,13 +161,13 @@
                 self.assertIn(word, words)
             bad = [{"number": -1, "address": 5, "zones": ""}]
             file.write_text(json.dumps({"machine": "a", "machines": bad, "bounds": {"entries": 0}, "x": 1}))
-            with self.assertRaises(Unfit) as caught:
-                read(file)
-            self.assertEqual(7, len(caught.exception.faults), caught.exception.faults)
+            with self.assertRaises(InvalidSettingsError) as caught:
+                read_settings(file)
+            self.assertEqual(7, len(caught.exception.errors), caught.exception.errors)
             for text in (b"{", b"\xff", b"[]"):
                 file.write_bytes(text)
-                with self.assertRaises(Unfit):
-                    read(file)
+                with self.assertRaises(InvalidSettingsError):
+                    read_settings(file)
 
     def test_a_torn_store_ends_the_process_with_what_to_do(self) -> None:
         with tempfile.TemporaryDirectory() as name:
@@ -202,10 +202,10 @@
         ports = free_ports(2)
         at = [f"127.0.0.1:{port}" for port in ports]
         self.assertEqual(at, addresses(at))
-        answer = await made(at, Proposal("some-change", [Entry("x/a", msgspec.Raw(b"1"))]), 0.5)
+        answer = await submit_proposal(at, Proposal("some-change", [Entry("x/a", msgspec.Raw(b"1"))]), 0.5)
         assert isinstance(answer, RejectedProposal)
-        self.assertEqual("unknown", answer.why)
-        self.assertEqual(({}, at), await look(at))
+        self.assertEqual("unknown", answer.reason)
+        self.assertEqual(({}, at), await collect_status(at))
         found = await asyncio.to_thread(
             CliRunner().invoke,
             configuration,
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -139,7 +139,7 @@
         async with machines(1) as (machine,):
             machine.publish(entry("tenant/m", {"quota_per_s": 3, "burst": {"of": [1]}}))
             (made,) = machine.source._changes
-            text = msgspec.json.decode(encode(WatchLine("ident-0001", 1, 0.0, [made], form=9)))
+            text = msgspec.json.decode(encode(WatchLine("ident-0001", 1, 0.0, [made], format_version=9)))
             text |= {"later": {"a": [1, 2]}, "at": None}
             text["changes"][0] |= {"signed_by": "nobody"}
             machine.says[WATCH] = streams(msgspec.json.encode(text) + b"\n")
@@ -158,9 +158,9 @@
                 while not (told := machine.count(APPLIED)):
                     await asyncio.sleep(0.01)
                 self.assertEqual({"tenant/m": TenantValue(9.0), "tenant/b": TenantValue()}, relay.feed.values.values)
-                self.assertEqual((["tenant/m"], 1), (relay.feed.follower.refused, told))
+                self.assertEqual((["tenant/m"], 1), (relay.feed.follower.rejected_keys, told))
                 self.assertEqual(1, len(relay.log.said("an entry of the configuration was refused")))
-                self.assertEqual({"later": 1}, relay.feed.values.unknown)
+                self.assertEqual({"later": 1}, relay.feed.values.unknown_kinds)
 
     @live
     async def test_of_many_unfit_values_some_are_said_and_all_are_counted(self) -> None:
@@ -171,17 +171,17 @@
                 while not machine.count(APPLIED):
                     await asyncio.sleep(0.01)
                 self.assertEqual(10, len(relay.log.rows))
-                self.assertEqual((25, 0), (relay.feed.follower.refusals, relay.puts))
+                self.assertEqual((25, 0), (relay.feed.follower.rejections, relay.puts))
 
     @live
     async def test_a_fault_of_the_program_itself_is_said_and_it_goes_on(self) -> None:
         async with machines(2) as both, following(both, faults=True) as relay:
             while not both[0].count(APPLIED):
                 await asyncio.sleep(0.01)
-            usual, relay.feed.follower.line = relay.feed.follower.line, _broken  # type: ignore[method-assign]
+            usual, relay.feed.follower.line_received = relay.feed.follower.line_received, _broken  # type: ignore[method-assign]
             while not relay.log.said("following the configuration failed"):
                 await asyncio.sleep(0.01)
-            relay.feed.follower.line = usual  # type: ignore[method-assign]
+            relay.feed.follower.line_received = usual  # type: ignore[method-assign]
             both[1].publish(entry("tenant/n", {}))
             await relay.until(1)
 
@@ -198,8 +198,8 @@
     @live
     async def test_a_source_whose_snapshot_is_none_is_left_for_another(self) -> None:
         async def lies(machine: Machine, writer: Writer) -> None:
-            outline = machine.source.outline(0.0)
-            await machine.answer(writer, 200, encode(msgspec.structs.replace(outline, buckets="0" * (ALL * 16))))
+            outline = machine.source.digest_tree(0.0)
+            await machine.answer(writer, 200, encode(msgspec.structs.replace(outline, bucket_digests="0" * (ALL * 16))))
 
         async def empties(machine: Machine, writer: Writer) -> None:
             await machine.answer(writer, 200, encode(Buckets(1, {n: [] for n in range(ALL)})))
@@ -208,7 +208,7 @@
             await machine.answer(writer, 200, encode(Buckets(7, {1: []})))
 
         async def refuses(machine: Machine, writer: Writer) -> None:
-            await machine.answer(writer, 503, encode(machine.source.outline(0.0)))
+            await machine.answer(writer, 503, encode(machine.source.digest_tree(0.0)))
 
         cases: list[tuple[str, Answer]] = [
             (OUTLINE, lies),
@@ -248,9 +248,9 @@
 
             async def large(at: Machine, writer: Writer) -> None:
                 place = relay.feed.follower._repair
-                assert place is not None and place.outline is not None
-                asked.append(min(place.part, len(place.missing)))
-                numbers = place.missing[: place.part]
+                assert place is not None and place.tree is not None
+                asked.append(min(place.bucket_limit, len(place.missing)))
+                numbers = place.missing[: place.bucket_limit]
                 text = encode(usual(1, numbers))
                 await at.answer(writer, 200, text if len(asked) > 1 else b" " * (LONGEST + 1))
 
--- a/tests/test_configuration_follow.py
+++ b/tests/test_configuration_follow.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from lanelead.configuration.actions import Place
+from lanelead.configuration.actions import Location
 from lanelead.configuration.document import Document
 from lanelead.testbed.simulation.configuration import Fleet
 
@@ -13,8 +13,8 @@
 End = tuple[str, int]
 
 
-def places(each: int) -> list[Place]:
-    return [Place(zone, region, f"{zone}{n}") for zone, region in ZONES for n in range(each)]
+def places(each: int) -> list[Location]:
+    return [Location(zone, region, f"{zone}{n}") for zone, region in ZONES for n in range(each)]
 
 
 def fleet(relays: int = 24, seed: int = 1, entries: int = 300) -> Fleet:
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from lanelead.configuration.actions import AskBuckets, AskOutline, InForce
+from lanelead.configuration.actions import FetchBuckets, FetchDigestTree, VersionApplied
 from lanelead.configuration.document import Document, bucket_of
 from lanelead.configuration.follower import (
-    ANSWER,
-    FIRST,
-    OTHERWISE,
-    UNANSWERED,
+    DIVERGED_RETRY_SECONDS,
+    FETCH_TIMEOUT_SECONDS,
+    FIRST_FETCH_BUCKETS,
+    MAX_FAILED_FETCHES,
 )
 from lanelead.protocols.configuration import Buckets, Entry
 from tests.configurationhand import HISTORY, PLACES, Hand, change, document, entry
@@ -43,7 +43,7 @@
         hand.line(0, 0)
         hand.line(0, 0, history="another-one")
         hand.watched()
-        hand.pass_(OTHERWISE - 0.2)
+        hand.pass_(DIVERGED_RETRY_SECONDS - 0.2)
         self.assertEqual([], hand.watched())
         hand.pass_(0.4)
         self.assertEqual([0], hand.watched())
@@ -51,9 +51,9 @@
     def test_at_is_taken_once_never_backwards_and_not_above_the_head(self) -> None:
         for held, at, head, expected in ((0, 4, 9, 4), (6, 4, 9, 6), (0, 12, 9, 0)):
             hand = Hand(document(3, held))
-            hand.line(0, head, at=at)
+            hand.line(0, head, resume_version=at)
             self.assertEqual(expected, hand.follower.document.version)
-            hand.line(0, head, at=head)
+            hand.line(0, head, resume_version=head)
             self.assertEqual(expected, hand.follower.document.version)
 
     def test_a_change_told_twice_is_passed_over_and_a_gap_is_repaired(self) -> None:
@@ -67,7 +67,7 @@
         self.assertEqual((2, 0), (hand.follower.document.version, hand.follower.repairs))
         hand.line(0, 4, made[3])
         self.assertEqual((2, 1), (hand.follower.document.version, hand.follower.repairs))
-        self.assertEqual(1, len(hand.acts(AskOutline)))
+        self.assertEqual(1, len(hand.acts(FetchDigestTree)))
         self.assertEqual(["a change of configuration was not taken"], hand.notes())
 
     def test_a_change_that_comes_out_otherwise_is_repaired_and_nothing_of_it_in_force(self) -> None:
@@ -75,7 +75,7 @@
         bad = msgspec.structs.replace(change(theirs, entry("tenant/a", 1)), digest="0" * 32)
         hand.line(0, 1, bad)
         self.assertEqual(({}, 1), (hand.follower.document.entries, hand.follower.repairs))
-        self.assertEqual([], hand.acts(InForce))
+        self.assertEqual([], hand.acts(VersionApplied))
 
     def test_while_it_repairs_changes_wait_and_the_document_stays(self) -> None:
         hand, theirs = Hand(document(3, 1)), document(30, 5)
@@ -88,10 +88,10 @@
 
     def test_a_lower_head_or_none_at_all_is_no_reason_to_repair(self) -> None:
         hand = Hand(document(3, 5))
-        hand.line(0, 4, repair=True)
+        hand.line(0, 4, needs_repair=True)
         self.assertEqual(0, hand.follower.repairs)
         hand = Hand(document(3))
-        hand.line(0, 0, repair=True, history="")
+        hand.line(0, 0, needs_repair=True, history="")
         self.assertEqual(0, hand.follower.repairs)
 
 
@@ -99,40 +99,40 @@
     def test_an_outline_of_another_history_lower_or_unreadable_is_not_followed(self) -> None:
         good = document(30, 5)
         for bad in (
-            good.outline("another-one"),
-            msgspec.structs.replace(good.outline(HISTORY), version=4),
-            msgspec.structs.replace(good.outline(HISTORY), buckets="zz"),
+            good.digest_tree("another-one"),
+            msgspec.structs.replace(good.digest_tree(HISTORY), version=4),
+            msgspec.structs.replace(good.digest_tree(HISTORY), bucket_digests="zz"),
         ):
             hand = Hand(document(3, 5))
-            hand.line(0, 5, repair=True)
-            hand.acts(AskOutline)
-            hand.follower.outlined(0, bad, hand.now)
+            hand.line(0, 5, needs_repair=True)
+            hand.acts(FetchDigestTree)
+            hand.follower.digest_tree_received(0, bad, hand.now)
             self.assertIsNone(hand.follower._current)
-            self.assertEqual([], hand.acts(AskBuckets))
+            self.assertEqual([], hand.acts(FetchBuckets))
 
     def test_buckets_of_another_version_none_or_others_are_not_taken(self) -> None:
         theirs, other = document(30, 5), document(40, 6)
         for version, numbers in ((6, (0, 1)), (5, ())):
             hand = Hand(document(3, 1))
             hand.repairing(0, theirs)
-            hand.acts(AskBuckets)
-            hand.follower.bucketed(0, Buckets(version, {n: theirs.bucket(n) for n in numbers}), 9, hand.now)
+            hand.acts(FetchBuckets)
+            hand.follower.buckets_received(0, Buckets(version, {n: theirs.bucket(n) for n in numbers}), 9, hand.now)
             self.assertIsNone(hand.follower._current)
         hand = Hand(document(3, 1))
         hand.repairing(0, theirs)
-        missing = dict.fromkeys(hand.acts(AskBuckets)[0].numbers)
+        missing = dict.fromkeys(hand.acts(FetchBuckets)[0].numbers)
         extra = next(n for n in range(4096) if n not in missing and not theirs.bucket(n))
         row = Buckets(5, {9999: [], extra: other.bucket(extra)})
-        hand.follower.bucketed(0, row, 9, hand.now)  # a number that nobody has, and one not asked for
+        hand.follower.buckets_received(0, row, 9, hand.now)  # a number that nobody has, and one not asked for
         self.assertEqual(0, hand.follower._current)
 
     def test_a_bucket_that_does_not_fit_makes_it_ask_another_source(self) -> None:
         hand, theirs = Hand(document(3, 1), PLACES[:2]), document(30, 5)
         hand.repairing(0, theirs)
-        (ask,) = hand.acts(AskBuckets)
+        (ask,) = hand.acts(FetchBuckets)
         lie = Buckets(5, {ask.numbers[0]: [Entry("tenant/lie")]})
         hand.watched()
-        hand.follower.bucketed(0, lie, 9, hand.now)
+        hand.follower.buckets_received(0, lie, 9, hand.now)
         self.assertEqual([1], hand.watched())
         self.assertEqual(3, len(hand.follower.document.entries))
 
@@ -140,30 +140,30 @@
         hand, theirs = Hand(document(3, 1), PLACES[:2]), document(60, 5)
         hand.repairing(0, theirs)
         first = hand.bucketed(0, theirs)
-        self.assertEqual(FIRST, len(first))
+        self.assertEqual(FIRST_FETCH_BUCKETS, len(first))
         hand.ended(0)
         hand.repairing(1, theirs)
         self.assertEqual(1, hand.follower.repairs)
-        self.assertEqual([], [n for n in hand.acts(AskBuckets)[0].numbers if n in first])
+        self.assertEqual([], [n for n in hand.acts(FetchBuckets)[0].numbers if n in first])
 
     def test_an_outline_of_the_one_is_not_used_with_the_buckets_of_the_other(self) -> None:
         hand, theirs = Hand(document(3, 1), PLACES[:2]), document(60, 5)
         hand.repairing(0, theirs)
         hand.ended(0)
-        hand.acts(AskBuckets)
+        hand.acts(FetchBuckets)
         hand.pass_(0.05)
-        self.assertEqual([], hand.acts(AskOutline))  # not before that one has spoken
+        self.assertEqual([], hand.acts(FetchDigestTree))  # not before that one has spoken
         hand.line(1, 5)
-        self.assertEqual((1, 0), (len(hand.acts(AskOutline)), len(hand.acts(AskBuckets))))
+        self.assertEqual((1, 0), (len(hand.acts(FetchDigestTree)), len(hand.acts(FetchBuckets))))
 
     def test_answers_count_from_the_source_followed_and_once(self) -> None:
         hand, theirs = Hand(document(3, 1), PLACES[:2], rate=65536.0), document(60, 5)
-        hand.line(0, 5, repair=True)
-        hand.follower.outlined(1, theirs.outline(HISTORY), hand.now)
+        hand.line(0, 5, needs_repair=True)
+        hand.follower.digest_tree_received(1, theirs.digest_tree(HISTORY), hand.now)
         hand.lines(0, 5, 1.2)
-        self.assertEqual([], hand.acts(AskBuckets))
+        self.assertEqual([], hand.acts(FetchBuckets))
         hand.outlined(0, theirs)
-        hand.follower.outlined(0, document(90, 5).outline(HISTORY), hand.now)  # nobody asked for it
+        hand.follower.digest_tree_received(0, document(90, 5).digest_tree(HISTORY), hand.now)  # nobody asked for it
         hand.lines(0, 5, 1.2)
         hand.bucketed(0, theirs)
         hand.lines(0, 5, 0.4)
@@ -172,21 +172,21 @@
 
     def test_one_thing_is_asked_for_at_a_time(self) -> None:
         hand = Hand(document(3, 1))
-        hand.line(0, 5, repair=True)
+        hand.line(0, 5, needs_repair=True)
         hand.lines(0, 5, 1.2)
-        self.assertEqual(1, len(hand.acts(AskOutline)))
+        self.assertEqual(1, len(hand.acts(FetchDigestTree)))
 
     def test_it_keeps_to_its_rate(self) -> None:
         hand, theirs = Hand(document(3, 1), rate=65536.0), document(600, 5)
         hand.repairing(0, theirs)
         hand.lines(0, 5, 0.8)
-        self.assertEqual([], hand.acts(AskBuckets))  # the outline's 65,536 bytes are a second's
+        self.assertEqual([], hand.acts(FetchBuckets))  # the outline's 65,536 bytes are a second's
         hand.lines(0, 5, 0.4)
         hand.bucketed(0, theirs, 65536)
         hand.lines(0, 5, 0.8)
-        self.assertEqual([], hand.acts(AskBuckets))
+        self.assertEqual([], hand.acts(FetchBuckets))
         hand.lines(0, 5, 0.4)
-        self.assertEqual(1, len(hand.acts(AskBuckets)))
+        self.assertEqual(1, len(hand.acts(FetchBuckets)))
 
     def test_buckets_are_asked_for_by_the_size_they_were_of(self) -> None:
         hand, theirs = Hand(document(3, 1)), document(3000, 5)
@@ -200,39 +200,39 @@
     def test_a_snapshot_that_is_gone_is_asked_for_anew_after_a_moment_and_for_less(self) -> None:
         hand, theirs = Hand(document(3, 1)), document(60, 5)
         hand.repairing(0, theirs)
-        self.assertEqual(16, len(hand.acts(AskBuckets)[0].numbers))
-        hand.follower.gone(0, hand.now)
-        self.assertEqual((0, 0), (len(hand.acts(AskOutline)), len(hand.acts(AskBuckets))))
+        self.assertEqual(16, len(hand.acts(FetchBuckets)[0].numbers))
+        hand.follower.fetch_failed(0, hand.now)
+        self.assertEqual((0, 0), (len(hand.acts(FetchDigestTree)), len(hand.acts(FetchBuckets))))
         hand.pass_(1.05)
         hand.outlined(0, theirs)
-        self.assertEqual(8, len(hand.acts(AskBuckets)[0].numbers))
+        self.assertEqual(8, len(hand.acts(FetchBuckets)[0].numbers))
 
     def test_a_source_without_a_snapshot_is_left_for_another(self) -> None:
         hand, theirs = Hand(document(3, 1), PLACES[:2]), document(60, 5)
         hand.watched()
-        hand.line(0, 5, repair=True)
-        for number in range(UNANSWERED - 1):
-            self.assertEqual(1, len(hand.acts(AskOutline)), number)
-            hand.follower.gone(0, hand.now)
+        hand.line(0, 5, needs_repair=True)
+        for number in range(MAX_FAILED_FETCHES - 1):
+            self.assertEqual(1, len(hand.acts(FetchDigestTree)), number)
+            hand.follower.fetch_failed(0, hand.now)
             hand.lines(0, 5, 1.2)
         self.assertEqual([], hand.watched())
         hand.outlined(0, theirs)
         hand.bucketed(0, theirs)  # in a row: it counts anew from here
-        hand.follower.gone(0, hand.now)
+        hand.follower.fetch_failed(0, hand.now)
         self.assertEqual([], hand.watched())
-        for _ in range(UNANSWERED - 1):
+        for _ in range(MAX_FAILED_FETCHES - 1):
             hand.lines(0, 5, 1.2)
-            hand.follower.gone(0, hand.now)
+            hand.follower.fetch_failed(0, hand.now)
         self.assertEqual([1], hand.watched())
 
     def test_an_answer_that_never_comes_is_asked_for_anew(self) -> None:
         hand = Hand(document(3, 1))
-        hand.line(0, 5, repair=True)
-        hand.acts(AskOutline)
-        hand.lines(0, 5, ANSWER - 0.4)
-        self.assertEqual([], hand.acts(AskOutline))
+        hand.line(0, 5, needs_repair=True)
+        hand.acts(FetchDigestTree)
+        hand.lines(0, 5, FETCH_TIMEOUT_SECONDS - 0.4)
+        self.assertEqual([], hand.acts(FetchDigestTree))
         hand.lines(0, 5, 2.0)
-        self.assertEqual(1, len(hand.acts(AskOutline)))
+        self.assertEqual(1, len(hand.acts(FetchDigestTree)))
 
     def test_a_document_over_the_bounds_is_left_alone_for_a_while_and_said(self) -> None:
         hand, theirs = Hand(document(3, 1, most=5)), document(60, 5)
@@ -241,7 +241,7 @@
         self.assertEqual(["the configuration is larger than this relay may hold"], hand.notes())
         hand.lines(0, 5, 36.0)
         self.assertEqual((0, 3), (hand.follower._current, len(hand.follower.document.entries)))
-        self.assertEqual([], [*hand.acts(AskOutline), *hand.acts(AskBuckets)])
+        self.assertEqual([], [*hand.acts(FetchDigestTree), *hand.acts(FetchBuckets)])
         self.assertEqual([], hand.left())
         hand.lines(0, 5, 48.0)
         hand.outlined(0, document(4, 6))  # entries were removed meanwhile
@@ -257,14 +257,14 @@
         hand.bucketed(0, theirs)
         hand.notes()
         hand.lines(0, 2, 36.0)
-        self.assertEqual((0, [], 1), (len(hand.acts(AskOutline)), hand.notes(), hand.follower.document.version))
+        self.assertEqual((0, [], 1), (len(hand.acts(FetchDigestTree)), hand.notes(), hand.follower.document.version))
 
     def test_what_comes_into_force_is_what_differs_removed_keys_too(self) -> None:
         hand, theirs = Hand(document(3, 1)), document(2, 5)
         theirs.load([("tenant/new", b"{}")])
         hand.repairing(0, theirs)
         hand.bucketed(0, theirs)
-        (action,) = hand.acts(InForce)
+        (action,) = hand.acts(VersionApplied)
         self.assertEqual((5, ["tenant/new", "tenant/t2"]), (action.version, sorted(action.keys)))
         self.assertEqual([0, 0], hand.watched())  # from here on by changes
 
@@ -278,4 +278,4 @@
         hand = Hand(ours)
         hand.repairing(0, theirs)
         hand.bucketed(0, theirs)
-        self.assertEqual((other,), hand.acts(InForce)[0].keys)
+        self.assertEqual((other,), hand.acts(VersionApplied)[0].keys)
