--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -8,22 +8,29 @@
 import msgspec
 
 from lanelead.configuration.document import (
-    Differs,
+    DigestMismatchError,
     Document,
-    TooLarge,
-    Unreadable,
+    DocumentTooLargeError,
+    UnreadableValueError,
+    bucket_digests_of,
     bucket_of,
     canonical,
-    sums_of,
 )
-from lanelead.configuration.publisher import ASKED, AT_ONCE, FROZEN, KEPT, SNAPSHOTS, Source
+from lanelead.configuration.publisher import (
+    MAX_KEPT_CHANGES,
+    MAX_LINE_CHANGES,
+    MAX_REPLY_BUCKETS,
+    MAX_SNAPSHOTS,
+    SNAPSHOT_REFRESH_SECONDS,
+    ChangePublisher,
+)
 from lanelead.configuration.value_types import (
-    MOST_NAMED,
+    MAX_NAMED_KEYS,
     AppliedValues,
     ClassValue,
     InvalidValueError,
     TenantValue,
-    read,
+    decode_value,
 )
 from lanelead.decisions.interface import DeduplicationScope, Idempotency, RequestClass, Tenant
 from lanelead.postgres_relay.applied_configuration import InForce as Relay
@@ -61,42 +68,42 @@
 
     def test_bounds_hold_for_a_file_and_a_bucket(self) -> None:
         rows = [(f"tenant/{n}", b"1") for n in range(4)]
-        with self.assertRaises(TooLarge):
+        with self.assertRaises(DocumentTooLargeError):
             Document(most=3).load(rows)
-        with self.assertRaises(TooLarge):
+        with self.assertRaises(DocumentTooLargeError):
             Document(most_bytes=20).load(rows)
-        with self.assertRaises(TooLarge):
+        with self.assertRaises(DocumentTooLargeError):
             Document().load([("tenant/a", b'"%s"' % (b"x" * MAX_VALUE_BYTES))])
-        with self.assertRaises(TooLarge):
-            Document().after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
+        with self.assertRaises(DocumentTooLargeError):
+            Document().digest_after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
         theirs, ours = Document(), Document(most=1)
         theirs.load(rows)
-        outline, place = theirs.outline("h"), bucket_of("tenant/0")
+        outline, place = theirs.digest_tree("h"), bucket_of("tenant/0")
         ours.load([("tenant/other", b"1")])
-        with self.assertRaises(TooLarge):
-            ours.replace(place, theirs.bucket(place), sums_of(outline)[place])
+        with self.assertRaises(DocumentTooLargeError):
+            ours.replace_bucket(place, theirs.bucket(place), bucket_digests_of(outline)[place])
         self.assertEqual(["tenant/other"], list(ours.entries))
 
     def test_one_over_its_bounds_still_takes_what_makes_it_no_larger(self) -> None:
-        for bound in ("_most", "_most_bytes"):
+        for bound in ("_max_entries", "_max_bytes"):
             document = Document()
             document.load([(f"tenant/{n}", b"10") for n in range(4)])
             setattr(document, bound, 2)
             document.apply(change(document, entry("tenant/0", None)))
             document.apply(change(document, entry("tenant/1", 1)))
-            with self.assertRaises(TooLarge):
-                document.after([entry("tenant/new", 1), entry("tenant/newer", 10)])
+            with self.assertRaises(DocumentTooLargeError):
+                document.digest_after([entry("tenant/new", 1), entry("tenant/newer", 10)])
             self.assertEqual(3, len(document.entries))
 
     def test_a_bucket_has_the_digest_named_and_no_key_of_another(self) -> None:
         theirs, ours = Document(), Document()
         theirs.load([("tenant/a", b"1")])
         place = bucket_of("tenant/a")
-        total = sums_of(theirs.outline("h"))[place]
-        with self.assertRaises(Differs):
-            ours.replace(place, [entry("tenant/a", 2)], total)
-        with self.assertRaises(Differs):
-            ours.replace((place + 1) % 4096, theirs.bucket(place), total)
+        total = bucket_digests_of(theirs.digest_tree("h"))[place]
+        with self.assertRaises(DigestMismatchError):
+            ours.replace_bucket(place, [entry("tenant/a", 2)], total)
+        with self.assertRaises(DigestMismatchError):
+            ours.replace_bucket((place + 1) % 4096, theirs.bucket(place), total)
         self.assertEqual({}, ours.entries)
 
     def test_a_copy_and_what_it_was_made_of_change_apart(self) -> None:
@@ -113,34 +120,34 @@
         document.apply(change(document, entry("tenant/a", 2)))
         self.assertEqual({"tenant/a": 2, "tenant/b": 1}, document.changed)
         theirs, place = Document(), bucket_of("tenant/a")
-        document.replace(place, [], sums_of(theirs.outline("h"))[place])
+        document.replace_bucket(place, [], bucket_digests_of(theirs.digest_tree("h"))[place])
         self.assertEqual({"tenant/b": 1}, document.changed)
 
     def test_text_that_is_no_unicode_is_refused(self) -> None:
         for text in (b'"\xff"', b'"\xed\xa0\x80"', b'"\\ud800"', b'{"\xc3":1}'):
-            with self.assertRaises(Unreadable):
+            with self.assertRaises(UnreadableValueError):
                 canonical(text)
 
 
 class Kinds(unittest.TestCase):
     def test_what_is_kept_by_name_of_refused_keys_and_unknown_kinds_is_bounded(self) -> None:
         document, values = Document(), AppliedValues()
-        rows = [(f"tenant/{n}", b"[]") for n in range(MOST_NAMED + 50)]
-        rows += [(f"kind{n}/x", b"1") for n in range(MOST_NAMED + 50)]
+        rows = [(f"tenant/{n}", b"[]") for n in range(MAX_NAMED_KEYS + 50)]
+        rows += [(f"kind{n}/x", b"1") for n in range(MAX_NAMED_KEYS + 50)]
         document.load(rows)
-        values.take(document, list(document.entries))
-        self.assertEqual((MOST_NAMED, MOST_NAMED), (len(values.refused), len(values.unknown)))
-        self.assertEqual(MOST_NAMED + 50, values.refusals)
+        values.apply(document, list(document.entries))
+        self.assertEqual((MAX_NAMED_KEYS, MAX_NAMED_KEYS), (len(values.rejected), len(values.unknown_kinds)))
+        self.assertEqual(MAX_NAMED_KEYS + 50, values.rejections)
 
     def test_what_stays_as_it_was_is_not_told_as_changed(self) -> None:
         document, values = Document(), AppliedValues()
         document.load([("tenant/a", b"{}")])
-        self.assertEqual(["tenant/a"], values.take(document, ["tenant/a"])[0])
-        self.assertEqual([], values.take(document, ["tenant/a", "tenant/none"])[0])
+        self.assertEqual(["tenant/a"], values.apply(document, ["tenant/a"])[0])
+        self.assertEqual([], values.apply(document, ["tenant/a", "tenant/none"])[0])
 
     def test_each_figure_has_bounds_and_the_text_says_what_to_do(self) -> None:
         good: dict[str, Any] = {"aim_ms": 5, "deadline_ms": 9, "credit": 1, "late_worth": 0}
-        self.assertEqual(ClassValue(5, 9, 1, 0), read("class/x", msgspec.json.encode(good)))
+        self.assertEqual(ClassValue(5, 9, 1, 0), decode_value("class/x", msgspec.json.encode(good)))
         bad = [("class/x", good | {name: number}) for name in good for number in (-1, 1e10, "x")]
         bad += [
             ("class/x", good | {"aim_ms": 0}),
@@ -150,120 +157,120 @@
         bad += [("tenant/x", {name: v}) for name in ("quota_per_s", "share") for v in (-1, 1e10, "x", None)]
         for key, value in bad:
             with self.assertRaises(InvalidValueError, msg=f"{key} {value}") as caught:
-                read(key, msgspec.json.encode(value))
+                decode_value(key, msgspec.json.encode(value))
             self.assertIn("publish the key anew", str(caught.exception))
-        later = read("tenant/x", b'{"quota_per_s":2,"from_a_later_program":[1]}')
+        later = decode_value("tenant/x", b'{"quota_per_s":2,"from_a_later_program":[1]}')
         self.assertEqual(TenantValue(2.0), later)
 
     def test_what_is_nested_without_end_is_unfit(self) -> None:
         for text in (b'{"x":' + b"[" * 5000 + b"]" * 5000 + b"}", b"[" * 5000):
             with self.assertRaises(InvalidValueError):
-                read("tenant/x", text)
+                decode_value("tenant/x", text)
 
 
-def _take(source: Source, *entries: Entry) -> None:
+def _take(source: ChangePublisher, *entries: Entry) -> None:
     made = change(source.document, *entries)
     source.document.apply(made)
-    source.decided(made)
+    source.append(made)
 
 
 class Sources(unittest.TestCase):
     def test_the_history_is_the_first_change_s_and_stays(self) -> None:
-        source = Source()
+        source = ChangePublisher()
         for number in range(3):
             _take(source, entry("tenant/a", number))
             self.assertEqual("ident-0001", source.history)
-        named = Source(history="from-elsewhere")
+        named = ChangePublisher(history="from-elsewhere")
         _take(named, entry("tenant/a", 1))
         self.assertEqual("from-elsewhere", named.history)
-        later = Source()
+        later = ChangePublisher()
         later.document.version = 4
-        later.start(later.document, "")
+        later.reset(later.document, "")
         _take(later, entry("tenant/a", 1))
         self.assertEqual("", later.history)
 
     def test_after_a_gap_or_a_snapshot_who_stands_before_it_repairs(self) -> None:
         for snapshot in (True, False):
-            source = Source()
+            source = ChangePublisher()
             for number in range(5):
                 _take(source, entry("tenant/a", number))
             before, old = source.document.digest, source.document.copy()
             source.document.load([("tenant/b", b"1")])
             source.document.version = 9
             if snapshot:
-                source.start(source.document, source.history)
-                self.assertEqual(9, source.position(9, source.document.digest))
+                source.reset(source.document, source.history)
+                self.assertEqual(9, source.resume_position(9, source.document.digest))
             _take(source, entry("tenant/c", 1))
-            self.assertIsNone(source.position(5, before))
-            line, _ = source.line(5, 0.0)
-            self.assertEqual((True, []), (line.repair, line.changes))
+            self.assertIsNone(source.resume_position(5, before))
+            line, _ = source.next_line(5, 0.0)
+            self.assertEqual((True, []), (line.needs_repair, line.changes))
             self.assertEqual(5, old.version)
-            line, after = source.line(9, 0.0)
+            line, after = source.next_line(9, 0.0)
             self.assertEqual(([10], 10), ([made.version for made in line.changes], after))
 
     def test_of_two_versions_with_one_digest_the_newest_is_taken(self) -> None:
-        source = Source()
+        source = ChangePublisher()
         _take(source, entry("tenant/a", 1))
         digest = source.document.digest
         _take(source, entry("tenant/a", 2))
         _take(source, entry("tenant/a", 1))
-        self.assertEqual(3, source.position(0, digest))
+        self.assertEqual(3, source.resume_position(0, digest))
 
     def test_a_line_holds_so_many_changes_and_bytes(self) -> None:
-        source = Source()
-        for number in range(AT_ONCE + 50):
+        source = ChangePublisher()
+        for number in range(MAX_LINE_CHANGES + 50):
             _take(source, entry("tenant/a", number))
-        self.assertEqual(AT_ONCE, len(source.line(0, 0.0)[0].changes))
-        source = Source()
+        self.assertEqual(MAX_LINE_CHANGES, len(source.next_line(0, 0.0)[0].changes))
+        source = ChangePublisher()
         for number in range(40):
             _take(source, entry("tenant/a", f"{number}" + "x" * (MAX_VALUE_BYTES - 100)))
-        line, after = source.line(0, 0.0)
+        line, after = source.next_line(0, 0.0)
         self.assertLessEqual(
             sum(len(row.value) for made in line.changes for row in made.entries), MAX_CHANGE_BYTES + MAX_VALUE_BYTES
         )
         self.assertEqual(len(line.changes), after)
 
     def test_what_is_kept_of_digests_is_bounded(self) -> None:
-        source = Source()
-        for number in range(KEPT + 30):
+        source = ChangePublisher()
+        for number in range(MAX_KEPT_CHANGES + 30):
             _take(source, entry("tenant/a", number))
-        self.assertEqual(KEPT + 1, len(source._digests))
+        self.assertEqual(MAX_KEPT_CHANGES + 1, len(source._digests))
 
     def test_snapshots_are_of_one_version_few_and_not_made_anew_for_each(self) -> None:
-        source, now = Source(), 0.0
+        source, now = ChangePublisher(), 0.0
         _take(source, entry("tenant/a", 1))
-        self.assertEqual(1, source.outline(now).version)
+        self.assertEqual(1, source.digest_tree(now).version)
         _take(source, entry("tenant/a", 2))
-        self.assertEqual(1, source.outline(now + FROZEN - 0.1).version)
-        self.assertEqual(2, source.outline(now + FROZEN).version)
+        self.assertEqual(1, source.digest_tree(now + SNAPSHOT_REFRESH_SECONDS - 0.1).version)
+        self.assertEqual(2, source.digest_tree(now + SNAPSHOT_REFRESH_SECONDS).version)
         self.assertNotEqual(source.buckets(1, [bucket_of("tenant/a")]), source.buckets(2, [bucket_of("tenant/a")]))
-        kept = source._frozen[-1][1]
-        source.outline(now + 5 * FROZEN)
-        self.assertIs(kept, source._frozen[-1][1])  # nothing has changed: no copy is made
+        kept = source._snapshots[-1][1]
+        source.digest_tree(now + 5 * SNAPSHOT_REFRESH_SECONDS)
+        self.assertIs(kept, source._snapshots[-1][1])  # nothing has changed: no copy is made
         for number in range(3, 10):
-            now += 10 * FROZEN
+            now += 10 * SNAPSHOT_REFRESH_SECONDS
             _take(source, entry("tenant/a", number))
-            source.outline(now)
-        self.assertEqual(SNAPSHOTS, len(source._frozen))
+            source.digest_tree(now)
+        self.assertEqual(MAX_SNAPSHOTS, len(source._snapshots))
 
     def test_an_answer_holds_so_many_buckets_each_once(self) -> None:
-        source = Source()
-        version = source.outline(0.0).version
-        self.assertEqual(ASKED, len(source.buckets(version, range(1000)).buckets))
-        twice = source.buckets(version, [1] * ASKED + [2]).buckets
+        source = ChangePublisher()
+        version = source.digest_tree(0.0).version
+        self.assertEqual(MAX_REPLY_BUCKETS, len(source.buckets(version, range(1000)).buckets))
+        twice = source.buckets(version, [1] * MAX_REPLY_BUCKETS + [2]).buckets
         self.assertEqual([1, 2], list(twice))
 
     def test_who_is_known_goes_on_being_heard_where_the_table_is_full(self) -> None:
-        source = Source()
+        source = ChangePublisher()
         for number in range(10_001):
-            source.applied(AppliedVersion(number, 1), 0.0)
-        source.applied(AppliedVersion(5, 2), 1.0)
+            source.record_applied(AppliedVersion(number, 1), 0.0)
+        source.record_applied(AppliedVersion(5, 2), 1.0)
         found = {told.relay: told.version for told in source.followers(2.0)}
         self.assertEqual((2, 10_000), (found[5], len(found)))
 
     def test_the_age_is_never_below_nothing(self) -> None:
-        source = Source(heard=5.0)
-        self.assertEqual(0.0, source.line(0, 4.9)[0].behind_ms)
+        source = ChangePublisher(majority_heard_at=5.0)
+        self.assertEqual(0.0, source.next_line(0, 4.9)[0].staleness_ms)
 
 
 class Applying(unittest.TestCase):
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 
 from lanelead.configuration.agreement import Proposer
-from lanelead.configuration.messages import Asked, Call
-from lanelead.configuration.replica import QUEUE, Machine
+from lanelead.configuration.messages import CatchUpRequest, PeerCall
+from lanelead.configuration.replica import MAX_QUEUED_PROPOSALS, Replica
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -52,7 +52,7 @@
         for ident in ("too-early", "no-voter"):
             answer = world.answers[ident]
             assert isinstance(answer, RejectedProposal)
-            self.assertEqual("abstains", answer.why)
+            self.assertEqual("abstains", answer.reason)
         makes(world, 1, "by-a-voter")
         world.run(2)
         self.assertEqual(2, makes(world, 3, "now-it-may").version)
@@ -64,7 +64,7 @@
         world.kill(0)
         world.start(0, empty=True)
         world.run(3)
-        self.assertEqual(3, world.alive(0).holding.acceptor.votes_from)
+        self.assertEqual(3, world.alive(0).state.acceptor.votes_from)
         makes(world, 1, "change-1")
         makes(world, 2, "change-2")
         self.assertTrue(world.run(3, lambda: world.alive(0).votes))
@@ -90,9 +90,11 @@
         world.start(2, empty=True)
         world.run(3)
         machine = world.alive(2)
-        self.assertEqual((4, 7, False), (machine.holding.head, machine.holding.acceptor.votes_from, machine.votes))
-        ask = Prepare(5, Ballot(9, 1), machine.holding.group)
-        self.assertEqual("abstains", machine.asked_prepare(ask, world.now).word)
+        self.assertEqual(
+            (4, 7, False), (machine.state.committed_version, machine.state.acceptor.votes_from, machine.votes)
+        )
+        ask = Prepare(5, Ballot(9, 1), machine.state.epoch)
+        self.assertEqual("abstains", machine.handle_prepare(ask, world.now).outcome)
         makes(world, 0, "change-5")
         makes(world, 0, "change-6")
         world.run(1)
@@ -102,23 +104,23 @@
         """Machine 0 held version 1 as decided and voted on version 2. The others it hears of, when it starts
         empty, have accepted version 1, and do not know yet that it is decided."""
         world = started(5)
-        world.dropped = lambda call: isinstance(call.body, DecidedChange) and call.to != 0
+        world.dropped = lambda call: isinstance(call.body, DecidedChange) and call.peer != 0
         world.propose(4, proposal("change-1"))
-        world.run(0.1, lambda: world.alive(4).holding.head == 1)
+        world.run(0.1, lambda: world.alive(4).state.committed_version == 1)
         world.cut([0, 4], [1, 2, 3])
         world.run(0.3)
-        heads = [world.alive(number).holding.head for number in range(5)]
+        heads = [world.alive(number).state.committed_version for number in range(5)]
         self.assertEqual([1, 0, 0, 0, 1], heads)
-        voted = Prepare(2, Ballot(1, 4), world.alive(0).holding.group)
-        self.assertEqual("promised", world.alive(0).asked_prepare(voted, world.now).word)
+        voted = Prepare(2, Ballot(1, 4), world.alive(0).state.epoch)
+        self.assertEqual("promised", world.alive(0).handle_prepare(voted, world.now).outcome)
         world.heal()
         world.cut([4], [0, 1, 2, 3])  # with a ballot of its own that it may yet finish with 2 and 3
         world.kill(0)
         world.start(0, empty=True)
         world.run(3)
         again = world.alive(0)
-        again.holding.learn(world.alive(4).holding.log(1)[0][0])
-        self.assertEqual("abstains", again.asked_prepare(voted, world.now).word)
+        again.state.commit(world.alive(4).state.log(1)[0][0])
+        self.assertEqual("abstains", again.handle_prepare(voted, world.now).outcome)
 
     def test_too_few_that_vote_tell_nothing(self) -> None:
         """With two of five empty at once, each needs all three others; one less could miss a vote."""
@@ -130,10 +132,10 @@
             world.start(number, empty=True)
         world.cut([2], [3, 4])
         world.run(5)
-        self.assertIsNone(world.alive(3).holding.acceptor.votes_from)
+        self.assertIsNone(world.alive(3).state.acceptor.votes_from)
         world.heal()
         world.run(5)
-        self.assertEqual(4, world.alive(3).holding.acceptor.votes_from)
+        self.assertEqual(4, world.alive(3).state.acceptor.votes_from)
 
     def test_answers_of_one_that_abstains_itself_do_not_count(self) -> None:
         world = started(3)
@@ -143,8 +145,8 @@
             world.kill(number)
             world.start(number, empty=True)
         world.run(10)
-        self.assertEqual([None, None], [world.alive(n).holding.acceptor.votes_from for n in (1, 2)])
-        self.assertEqual([1, 1], [world.alive(n).holding.head for n in (1, 2)])
+        self.assertEqual([None, None], [world.alive(n).state.acceptor.votes_from for n in (1, 2)])
+        self.assertEqual([1, 1], [world.alive(n).state.committed_version for n in (1, 2)])
         world.propose(0, proposal("change-2"))
         self.assertTrue(world.answered("change-2", 40))
         self.assertIsInstance(world.answers["change-2"], RejectedProposal)
@@ -170,13 +172,13 @@
             if broken[0]:
                 raise OSError(28, "No space left on device")
 
-        world.alive(1).holding._store.at = fails
+        world.alive(1).state._store.on_step = fails
         self.assertFalse(world.run(5, lambda: world.alive(1).votes))
-        self.assertIn("No space left", world.alive(1).fault)
+        self.assertIn("No space left", world.alive(1).store_fault)
         self.assertEqual([1], [number for number, text, _ in world.notes if "No space" in text])
         broken[0] = False
         self.assertTrue(world.run(5, lambda: all(machine.votes for machine in world.up())))
-        self.assertEqual("", world.alive(1).fault)
+        self.assertEqual("", world.alive(1).store_fault)
 
 
 class CatchingUp(unittest.TestCase):
@@ -189,15 +191,15 @@
             world.start(2)
             with self.subTest(log=log):
                 self.assertTrue(world.run(3, world.agreed))
-                self.assertEqual(AcceptedProposal(4), world.alive(2).holding.made(proposal("change-3", "tenant/3")))
+                self.assertEqual(AcceptedProposal(4), world.alive(2).state.completed(proposal("change-3", "tenant/3")))
 
     def test_a_machine_that_does_not_vote_follows_and_proposes(self) -> None:
         world = started(5, voters=(0, 1, 2))
         makes(world, 0, "change-1")
         self.assertTrue(world.run(2, world.agreed))
         makes(world, 4, "change-2")
-        ask = Prepare(3, Ballot(1, 0), world.alive(3).holding.group)
-        self.assertEqual("abstains", world.alive(3).asked_prepare(ask, 0.0).word)
+        ask = Prepare(3, Ballot(1, 0), world.alive(3).state.epoch)
+        self.assertEqual("abstains", world.alive(3).handle_prepare(ask, 0.0).outcome)
         for number in (3, 4):
             world.kill(number)
             world.start(number, empty=True)
@@ -206,16 +208,16 @@
     def test_a_vote_asked_for_a_later_version_makes_it_catch_up_at_once(self) -> None:
         world = started(3)
         machine = world.alive(1)
-        machine.calls = []
-        machine.asked_prepare(Prepare(5, Ballot(1, 2), machine.holding.group), world.now)
-        self.assertEqual([Asked(1)], [call.body for call in machine.calls])
+        machine.outgoing = []
+        machine.handle_prepare(Prepare(5, Ballot(1, 2), machine.state.epoch), world.now)
+        self.assertEqual([CatchUpRequest(1)], [call.body for call in machine.outgoing])
 
     def test_a_change_that_comes_out_otherwise_is_not_taken_and_told_of(self) -> None:
         world = started(3)
         bad = Change(1, "some-change", "0" * 32, proposal("some-change").entries)
         machine = world.alive(0)
-        machine.asked_decided(DecidedChange(bad, machine.holding.group), world.now)
-        self.assertEqual(0, machine.holding.head)
+        machine.handle_decided(DecidedChange(bad, machine.state.epoch), world.now)
+        self.assertEqual(0, machine.state.committed_version)
         self.assertIn("otherwise", world.notes[-1][1])
 
 
@@ -223,69 +225,69 @@
     def test_how_long_ago_a_majority_was_heard(self) -> None:
         world = started(5)
         world.run(2)
-        self.assertLess(world.now - world.alive(0).heard, 1.0)
+        self.assertLess(world.now - world.alive(0).majority_heard_at, 1.0)
         world.cut([0], [1, 2, 3])
         since = world.now
         world.run(10)
-        self.assertAlmostEqual(since, world.alive(0).heard, delta=0.6)
-        self.assertLess(world.now - world.alive(4).heard, 1.0)
+        self.assertAlmostEqual(since, world.alive(0).majority_heard_at, delta=0.6)
+        self.assertLess(world.now - world.alive(4).majority_heard_at, 1.0)
 
     def test_an_answer_held_up_on_the_way_does_not_look_fresh(self) -> None:
         world = started(3)
         for other in (1, 2):
             world.links[0, other].delay = world.links[other, 0].delay = 2.0
         world.run(12)
-        self.assertGreater(world.now - world.alive(0).heard, 3.9)
+        self.assertGreater(world.now - world.alive(0).majority_heard_at, 3.9)
 
     def test_one_that_knows_of_a_higher_head_is_not_fresh_before_it_has_it(self) -> None:
         world = started(3)
         world.run(2)
         machine = world.alive(0)
         ahead = Heartbeat(1, "some-history", 7, voters=[0, 1, 2])
-        before, machine.calls = machine.seen[1].held, []
-        machine.answered(Call(1, machine.sign(), world.now), ahead, world.now)
-        self.assertEqual((before, 7), (machine.seen[1].held, machine.seen[1].head))
-        self.assertEqual([(1, Asked(1))], [(call.to, call.body) for call in machine.calls])
+        before, machine.outgoing = machine.peers[1].caught_up_at, []
+        machine.handle_reply(PeerCall(1, machine.heartbeat(), world.now), ahead, world.now)
+        self.assertEqual((before, 7), (machine.peers[1].caught_up_at, machine.peers[1].committed_version))
+        self.assertEqual([(1, CatchUpRequest(1))], [(call.peer, call.body) for call in machine.outgoing])
 
     def test_a_sign_of_one_that_is_ahead_is_enough_to_catch_up(self) -> None:
         """Where its own signs get no answer, too."""
         world = started(3)
         machine = world.alive(0)
-        machine.calls = []
-        machine.asked_sign(Heartbeat(2, "some-history", 7, voters=[0, 1, 2]), world.now)
-        self.assertEqual([(2, Asked(1))], [(call.to, call.body) for call in machine.calls])
+        machine.outgoing = []
+        machine.handle_heartbeat(Heartbeat(2, "some-history", 7, voters=[0, 1, 2]), world.now)
+        self.assertEqual([(2, CatchUpRequest(1))], [(call.peer, call.body) for call in machine.outgoing])
 
     def test_an_answer_to_an_earlier_sign_changes_nothing(self) -> None:
         world = started(3)
         machine = world.alive(0)
-        old = Call(1, machine.sign(), world.now - 5)
-        machine.answered(old, Heartbeat(1, "", 0, empty=True, voters=[0, 1, 2]), world.now)
-        self.assertFalse(machine.seen[1].empty)
+        old = PeerCall(1, machine.heartbeat(), world.now - 5)
+        machine.handle_reply(old, Heartbeat(1, "", 0, empty=True, voters=[0, 1, 2]), world.now)
+        self.assertFalse(machine.peers[1].empty)
 
 
 class Strangers(unittest.TestCase):
-    def hears(self, sign: Heartbeat) -> tuple[World, Machine]:
+    def hears(self, sign: Heartbeat) -> tuple[World, Replica]:
         world = started(3)
         makes(world, 0, "change-1")
         world.run(1)
         machine = world.alive(0)
-        machine.calls = []
-        machine.answered(Call(1, machine.sign(), world.now), sign, world.now)
+        machine.outgoing = []
+        machine.handle_reply(PeerCall(1, machine.heartbeat(), world.now), sign, world.now)
         return world, machine
 
     def test_another_history_is_not_followed_and_an_operator_is_told_once(self) -> None:
         world, machine = self.hears(Heartbeat(1, "another-one", 9, voters=[0, 1, 2]))
-        machine.answered(
-            Call(1, machine.sign(), world.now), Heartbeat(1, "another-one", 9, voters=[0, 1, 2]), world.now
+        machine.handle_reply(
+            PeerCall(1, machine.heartbeat(), world.now), Heartbeat(1, "another-one", 9, voters=[0, 1, 2]), world.now
         )
-        self.assertEqual([], machine.calls)
+        self.assertEqual([], machine.outgoing)
         self.assertEqual(1, len([note for note in world.notes if "another-one" in note[2]]))
-        change = machine.holding.change(proposal("change-2"))
+        change = machine.state.build_change(proposal("change-2"))
         assert isinstance(change, Change)
-        machine.answered(Call(1, Asked(2), 0.0), LogPage("another-one", 9, [change]), world.now)
-        self.assertEqual(1, machine.holding.head)
-        machine.answered(Call(1, Asked(2), 0.0), LogPage("change-1", 9, [change]), world.now)
-        self.assertEqual(2, machine.holding.head)
+        machine.handle_reply(PeerCall(1, CatchUpRequest(2), 0.0), LogPage("another-one", 9, [change]), world.now)
+        self.assertEqual(1, machine.state.committed_version)
+        machine.handle_reply(PeerCall(1, CatchUpRequest(2), 0.0), LogPage("change-1", 9, [change]), world.now)
+        self.assertEqual(2, machine.state.committed_version)
 
     def test_other_voters_and_another_number_are_left_alone(self) -> None:
         for sign, word in (
@@ -293,18 +295,18 @@
             (Heartbeat(2, "change-1", 9, voters=[0, 1, 2]), "address"),
         ):
             world, machine = self.hears(sign)
-            self.assertEqual([], machine.calls)
+            self.assertEqual([], machine.outgoing)
             self.assertIn(word, world.notes[-1][2])
 
     def test_there_is_no_vote_for_another_group(self) -> None:
         world = started(3)
         machine = world.alive(0)
-        self.assertEqual("abstains", machine.asked_prepare(Prepare(1, Ballot(1, 1), "other"), 0.0).word)
-        change = machine.holding.change(proposal("change-1"))
+        self.assertEqual("abstains", machine.handle_prepare(Prepare(1, Ballot(1, 1), "other"), 0.0).outcome)
+        change = machine.state.build_change(proposal("change-1"))
         assert isinstance(change, Change)
-        self.assertEqual("abstains", machine.asked_accept(Accept(Ballot(1, 1), change, "other"), 0.0).word)
-        machine.asked_decided(DecidedChange(change, "other"), 0.0)
-        self.assertEqual(0, machine.holding.head)
+        self.assertEqual("abstains", machine.handle_accept(Accept(Ballot(1, 1), change, "other"), 0.0).outcome)
+        machine.handle_decided(DecidedChange(change, "other"), 0.0)
+        self.assertEqual(0, machine.state.committed_version)
 
 
 class Proposals(unittest.TestCase):
@@ -319,9 +321,9 @@
         self.assertTrue(world.answered("in-the-smaller", 40))
         answer = world.answers["in-the-smaller"]
         assert isinstance(answer, RejectedProposal)
-        self.assertEqual("abstains", answer.why)
+        self.assertEqual("abstains", answer.reason)
         self.assertIn("nothing was changed", answer.text)
-        self.assertGreater(world.now - world.alive(6).heard, 20)
+        self.assertGreater(world.now - world.alive(6).majority_heard_at, 20)
         world.heal()
         self.assertTrue(world.run(3, world.agreed))
         self.assertEqual(7, makes(world, 7, "together").version)
@@ -335,15 +337,15 @@
         self.assertEqual(AcceptedProposal(1), world.answers["change-1"])
         world.kill(0)
         world.dropped = lambda call: False
-        self.assertTrue(world.run(2.5, lambda: all(machine.holding.head == 1 for machine in world.up())))
+        self.assertTrue(world.run(2.5, lambda: all(machine.state.committed_version == 1 for machine in world.up())))
 
     def test_a_change_is_finished_for_its_own_version_and_made_for_no_other(self) -> None:
         """Its proposer may have told that nothing was changed once the version was decided otherwise."""
         world = started(5)
-        world.dropped = lambda call: isinstance(call.body, Accept) and call.to != 1
+        world.dropped = lambda call: isinstance(call.body, Accept) and call.peer != 1
         world.propose(0, proposal("the-first"))
         world.run(0.1)
-        accepted = world.alive(1).holding.acceptor.change
+        accepted = world.alive(1).state.acceptor.change
         assert accepted is not None
         world.kill(0)
         world.cut([1], [2, 3, 4])
@@ -351,7 +353,7 @@
         makes(world, 2, "the-second")
         world.run(10)
         world.heal()
-        self.assertTrue(world.run(30, lambda: all(machine.holding.head == 1 for machine in world.up())))
+        self.assertTrue(world.run(30, lambda: all(machine.state.committed_version == 1 for machine in world.up())))
         world.run(60)
         self.assertEqual([(1, "the-second")], [(version, made[0]) for version, made in world.decided.items()])
 
@@ -367,11 +369,11 @@
     def test_no_more_than_so_many_wait(self) -> None:
         world = started(3)
         world.cut([0], [1, 2])
-        found = [world.alive(0).propose(proposal(f"change-{n}"), world.now) for n in range(QUEUE + 1)]
+        found = [world.alive(0).propose(proposal(f"change-{n}"), world.now) for n in range(MAX_QUEUED_PROPOSALS + 1)]
         self.assertIsInstance(found[-2], Proposer)
         last = found[-1]
         assert isinstance(last, RejectedProposal)
-        self.assertEqual("overloaded", last.why)
+        self.assertEqual("overloaded", last.reason)
 
     def test_signs_calls_and_fetches_that_nobody_answers_are_bounded(self) -> None:
         world = started(3)
@@ -379,8 +381,8 @@
         machine, calls = world.alive(0), 0
         for _ in range(200):
             machine.tick(world.now)
-            calls += len(machine.calls)
-            machine.calls = []
+            calls += len(machine.outgoing)
+            machine.outgoing = []
             world.now += 0.6
         self.assertLessEqual(calls, 2 * 12 + 2)
 
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_machines.py
@@ -7,7 +7,7 @@
 import signal
 import unittest
 
-from lanelead.configuration.commands import made
+from lanelead.configuration.commands import submit_proposal
 from lanelead.protocols.configuration import RejectedProposal
 from tests.machinegroup import group
 from tests.machines import proposal
@@ -67,9 +67,9 @@
             for number in range(3):
                 await machines.kill(number)
                 await machines.start(number, empty=True)
-                while (await machines.status(number)).head < 1:
+                while (await machines.status(number)).committed_version < 1:
                     await asyncio.sleep(0.05)
-                self.assertTrue((await machines.status(number)).abstains)
+                self.assertTrue((await machines.status(number)).non_voting)
                 await machines.makes(f"one-later-{number}", (number + 1) % 3)
                 await machines.makes(f"two-later-{number}", (number + 2) % 3)
                 await machines.until_voting(number)
@@ -82,9 +82,9 @@
             await asyncio.gather(machines.kill(3), machines.kill(4))
             await machines.makes("without-two", 0)
             machines.signal(2, signal.SIGSTOP)
-            answer = await made(machines.at(0, 1), proposal("without-three", "tenant/without-three"), 2.0)
+            answer = await submit_proposal(machines.at(0, 1), proposal("without-three", "tenant/without-three"), 2.0)
             assert isinstance(answer, RejectedProposal)
-            self.assertIn(answer.why, ("unknown", "abstains"))
+            self.assertIn(answer.reason, ("unknown", "abstains"))
             machines.signal(2, signal.SIGCONT)
             await machines.makes("without-three", 1)
             await asyncio.gather(machines.start(3, empty=True), machines.start(4))
@@ -99,7 +99,7 @@
             await machines.makes("cut-one-way", 1)
             machines.wires.cut([0], [1, 2])
             await machines.makes("both-ways", 2)
-            alone = await made(machines.at(0), proposal("alone-here"), 3.0)
+            alone = await submit_proposal(machines.at(0), proposal("alone-here"), 3.0)
             self.assertIsInstance(alone, RejectedProposal)
             for number in (1, 2):
                 machines.wires.ways[number, 0].cut = machines.wires.ways[0, number].cut = False
@@ -128,6 +128,6 @@
             for number in range(52):
                 await machines.makes(f"change-{number}", number % 2)
             await machines.start(2)
-            while (await machines.status(2)).head < 52:
+            while (await machines.status(2)).committed_version < 52:
                 await asyncio.sleep(0.05)
             self.assertEqual((await machines.status(0)).digest, (await machines.status(2)).digest)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from lanelead.configuration.commands import ask, made
+from lanelead.configuration.commands import call_replica, submit_proposal
 from lanelead.protocols.configuration import AcceptedProposal, Entry, Proposal, RejectedProposal
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode, encode
@@ -81,7 +81,7 @@
 
     async def publish(self, ident: str, entries: list[tuple[str, bytes]], *at: int) -> int:
         rows = [decode(encode({"key": key, "value": json.loads(value)}), Entry) for key, value in entries]
-        answer = await made(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
+        answer = await submit_proposal(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
         assert isinstance(answer, AcceptedProposal), answer
         return answer.version
 
@@ -90,7 +90,7 @@
         found: dict[int, int] = {}
         for number in machines or range(MACHINES):
             with contextlib.suppress(Exception):
-                _, body = await ask(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
+                _, body = await call_replica(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
                 for row in decode(body, ReplicaStatus).relays:
                     found[row.relay] = max(found.get(row.relay, 0), row.version)
         return found
@@ -200,9 +200,9 @@
     async def test_what_is_unfit_is_refused_to_who_published_and_what_is_unknown_is_kept(self) -> None:
         async with fleet() as all_:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
-            answer = await made(all_.machines.at(0), bad, 5.0)
+            answer = await submit_proposal(all_.machines.at(0), bad, 5.0)
             assert isinstance(answer, RejectedProposal)
-            self.assertEqual("malformed", answer.why)
+            self.assertEqual("malformed", answer.reason)
             self.assertIn("tenant/bad", answer.text)
             rows = [
                 ("tenant/good", tenant(1)),
--- a/tests/test_configuration_sources.py
+++ b/tests/test_configuration_sources.py
@@ -4,24 +4,24 @@
 
 import unittest
 
-from lanelead.configuration.actions import Place
+from lanelead.configuration.actions import Location
 from lanelead.configuration.document import Document
 from lanelead.configuration.follower import (
-    AGAIN,
-    NEARER,
-    OPENS,
-    PATIENCE,
-    SETTLED,
-    SIGN,
-    SILENCE,
+    FIRST_LINE_SECONDS,
+    MAX_FIRST_LINE_SECONDS,
+    MAX_REPORT_SECONDS,
+    NEARER_SOURCE_SECONDS,
+    RETRY_SECONDS,
+    SETTLED_SECONDS,
+    WATCH_TIMEOUT_SECONDS,
 )
 from tests.configurationhand import PLACES, Hand, change, document, entry
 
 
 class Sources(unittest.TestCase):
     def test_nearest_first_and_spread_within(self) -> None:
-        far, other, near = Place("c", "two"), Place("b", "one"), Place("a", "one")
-        same_name = Place("a", "two")
+        far, other, near = Location("c", "two"), Location("b", "one"), Location("a", "one")
+        same_name = Location("a", "two")
         hand = Hand(places=(far, same_name, other, near))
         for expected in (3, 2):
             self.assertEqual([expected], hand.watched())
@@ -31,12 +31,12 @@
 
     def test_silence_before_and_after_the_first_line(self) -> None:
         hand = Hand(places=PLACES[:2])
-        hand.pass_(OPENS - 0.1)
+        hand.pass_(FIRST_LINE_SECONDS - 0.1)
         self.assertEqual([0], hand.watched())
         hand.pass_(0.2)
         self.assertEqual([1], hand.watched())
         hand.line(1, 0)
-        hand.pass_(SILENCE - 0.1)
+        hand.pass_(WATCH_TIMEOUT_SECONDS - 0.1)
         self.assertEqual([], [n for n in hand.left() if n == 1])
         hand.pass_(0.2)
         self.assertEqual([1], hand.left())
@@ -56,14 +56,14 @@
                 found.append(hand.now - before)
             waits.append(found)
         for found in waits:
-            self.assertLessEqual(found[0], 1.6 * AGAIN[0])
-            self.assertGreaterEqual(found[8], AGAIN[1] / 2)
-            self.assertLessEqual(max(found), 1.6 * AGAIN[1])
+            self.assertLessEqual(found[0], 1.6 * RETRY_SECONDS[0])
+            self.assertGreaterEqual(found[8], RETRY_SECONDS[1] / 2)
+            self.assertLessEqual(max(found), 1.6 * RETRY_SECONDS[1])
         self.assertEqual(6, len(dict.fromkeys(round(found[10], 1) for found in waits)))
 
     def test_a_source_that_failed_for_days_is_still_asked(self) -> None:
         hand = Hand()
-        hand.follower._known[0].failures = 5000
+        hand.follower._sources[0].failures = 5000
         hand.ended(0)
         hand.pass_(8.0)
         self.assertEqual([0, 0], hand.watched())
@@ -75,35 +75,35 @@
             if hand.watched():
                 hand.line(0, 0)
                 hand.ended(0, "no JSON")
-        self.assertGreaterEqual(hand.follower._known[0].failures, 6)
+        self.assertGreaterEqual(hand.follower._sources[0].failures, 6)
         self.assertEqual(1, len([note for note in hand.notes() if "lost" in note]))
         while not hand.watched():
             hand.pass_(0.05)
         hand.line(0, 0)
         hand.lines(0, 0, 6.0)
-        self.assertEqual(0, hand.follower._known[0].failures)
+        self.assertEqual(0, hand.follower._sources[0].failures)
 
     def test_failed_ones_and_old_ones_come_last(self) -> None:
-        hand = Hand(places=(Place("a", "one", "x"), Place("b", "one", "y")))
+        hand = Hand(places=(Location("a", "one", "x"), Location("b", "one", "y")))
         hand.watched()
-        hand.follower._known[0].failures = 3
-        hand.follower._failed(0, "cut", hand.now)
-        hand.follower._known[0].again = hand.now
+        hand.follower._sources[0].failures = 3
+        hand.follower._source_failed(0, "cut", hand.now)
+        hand.follower._sources[0].retry_at = hand.now
         hand.pass_(0.05)
         self.assertEqual([1], hand.watched())
         hand = Hand(places=PLACES[:2])
-        hand.line(0, 0, behind_ms=9000.0)
+        hand.line(0, 0, staleness_ms=9000.0)
         hand.watched()
         hand.follower._trial = None
-        hand.follower._known[1].failures = 2
+        hand.follower._sources[1].failures = 2
         hand.ended(0)
-        hand.follower._known[0].again = hand.now
+        hand.follower._sources[0].retry_at = hand.now
         hand.follower._current = None
         hand.pass_(0.05)
         self.assertEqual([1], hand.watched()[-1:])
 
     def test_an_old_word_makes_it_ask_another_and_stay_until_that_has_spoken(self) -> None:
-        for held, more in ((0, {"behind_ms": 1600.0}), (5, {})):
+        for held, more in ((0, {"staleness_ms": 1600.0}), (5, {})):
             hand = Hand(document(1, held), PLACES[:2])
             hand.watched()
             hand.line(0, 3, **more)
@@ -117,20 +117,20 @@
     def test_a_trial_that_is_silent_or_ends_is_left_and_put_off(self) -> None:
         for silent in (True, False):
             hand = Hand(places=PLACES[:2])
-            hand.line(0, 0, behind_ms=1600.0)
+            hand.line(0, 0, staleness_ms=1600.0)
             self.assertEqual([0, 1], hand.watched())
             if silent:
-                hand.pass_(OPENS + 0.1)
+                hand.pass_(FIRST_LINE_SECONDS + 0.1)
             else:
                 hand.ended(1)
             self.assertEqual(([1], 0), (hand.left(), hand.follower._current))
             self.assertIsNone(hand.follower._trial)
-            self.assertGreater(hand.follower._known[1].again, hand.now - 0.1)
-            self.assertEqual(1, hand.follower._known[1].failures)
+            self.assertGreater(hand.follower._sources[1].retry_at, hand.now - 0.1)
+            self.assertEqual(1, hand.follower._sources[1].failures)
 
     def test_where_the_source_fails_a_trial_under_way_is_waited_for(self) -> None:
         hand = Hand(places=PLACES)
-        hand.line(0, 0, behind_ms=1600.0)
+        hand.line(0, 0, staleness_ms=1600.0)
         self.assertEqual([0, 1], hand.watched())
         hand.ended(0)
         self.assertEqual(([], 1), (hand.watched(), hand.follower._current))
@@ -141,19 +141,19 @@
         hand = Hand(places=PLACES[:2])
         hand.line(0, 0)
         hand.ended(1)
-        self.assertEqual(0, hand.follower._known[1].failures)
+        self.assertEqual(0, hand.follower._sources[1].failures)
         self.assertEqual(0, hand.follower._current)
 
     def test_one_that_waits_is_not_tried_where_the_present_one_is_old(self) -> None:
         hand = Hand(places=PLACES[:2])
-        hand.line(0, 0, behind_ms=1600.0)
+        hand.line(0, 0, staleness_ms=1600.0)
         hand.watched()
         hand.ended(1)
-        hand.line(0, 0, behind_ms=1600.0)
+        hand.line(0, 0, staleness_ms=1600.0)
         self.assertEqual([], hand.watched())
 
     def test_where_all_are_old_the_others_are_asked_now_and_then_and_not_all_the_time(self) -> None:
-        for held, more in ((0, {"behind_ms": 9000.0}), (5, {})):
+        for held, more in ((0, {"staleness_ms": 9000.0}), (5, {})):
             tries = 0
             hand = Hand(document(1, held), PLACES)
             for _ in range(50):  # 20 s
@@ -165,7 +165,7 @@
                         hand.line(source, 3, **more)
                 if hand.follower._current is not None:
                     hand.line(hand.follower._current, 3, **more)
-            self.assertTrue(6 <= tries <= 3 * 20 / SETTLED + 3, tries)
+            self.assertTrue(6 <= tries <= 3 * 20 / SETTLED_SECONDS + 3, tries)
 
     def test_a_nearer_source_is_tried_again_after_a_while_and_not_all_the_time(self) -> None:
         hand = Hand(places=PLACES)
@@ -173,39 +173,39 @@
         hand.ended(0)
         hand.line(1, 0)
         self.assertEqual([1], hand.watched())
-        hand.lines(1, 0, NEARER[0] - 1)
+        hand.lines(1, 0, NEARER_SOURCE_SECONDS[0] - 1)
         self.assertEqual([], hand.watched())
-        hand.lines(1, 0, NEARER[1] - NEARER[0] + 1.2)
+        hand.lines(1, 0, NEARER_SOURCE_SECONDS[1] - NEARER_SOURCE_SECONDS[0] + 1.2)
         self.assertEqual([0], hand.watched())  # the far one is not asked
         hand.ended(0)
-        hand.lines(1, 0, NEARER[0] - 1)
+        hand.lines(1, 0, NEARER_SOURCE_SECONDS[0] - 1)
         self.assertEqual([], hand.watched())
 
     def test_a_nearer_one_that_waits_or_is_old_is_not_tried_and_failed_ones_last_and_less(self) -> None:
-        hand = Hand(places=(*PLACES, Place("a", "one", "a1")))
+        hand = Hand(places=(*PLACES, Location("a", "one", "a1")))
         first = hand.watched()[0]
         hand.ended(first)
         (second,) = hand.watched()
         hand.ended(second)
         hand.line(1, 0)
         hand.watched()
-        known = hand.follower._known
-        known[first].again = 1e9
-        known[second].behind, known[second].tried = 9000.0, 1e9
+        known = hand.follower._sources
+        known[first].retry_at = 1e9
+        known[second].staleness_ms, known[second].last_line_at = 9000.0, 1e9
         hand.lines(1, 0, 100)
         self.assertEqual([], hand.watched())
-        known[first].again, known[second].behind = 0.0, 0.0
+        known[first].retry_at, known[second].staleness_ms = 0.0, 0.0
         for failed, good in ((first, second), (second, first)):
             known[failed].failures, known[good].failures = 8, 0
-            hand.lines(1, 0, NEARER[1] + 0.4)
+            hand.lines(1, 0, NEARER_SOURCE_SECONDS[1] + 0.4)
             self.assertEqual([good], hand.watched()[:1])
             hand.ended(good)
-            known[good].again = 0.0
+            known[good].retry_at = 0.0
             hand.watched()
         known[first].failures = known[second].failures = 8
         tries = 0
         for _ in range(20):
-            hand.lines(1, 0, NEARER[1])
+            hand.lines(1, 0, NEARER_SOURCE_SECONDS[1])
             for source in hand.watched():
                 hand.ended(source)
                 tries += 1
@@ -222,15 +222,15 @@
             while not hand.left():
                 hand.pass_(0.05)
             waits.append(hand.now - before)
-        self.assertTrue(all(wait < OPENS + 0.1 for wait in waits[:3]), waits)
-        self.assertGreater(waits[4], 2 * OPENS - 0.1)
-        self.assertGreater(waits[-1], PATIENCE - 0.1)
-        self.assertLess(waits[-1], PATIENCE + 0.2)
+        self.assertTrue(all(wait < FIRST_LINE_SECONDS + 0.1 for wait in waits[:3]), waits)
+        self.assertGreater(waits[4], 2 * FIRST_LINE_SECONDS - 0.1)
+        self.assertGreater(waits[-1], MAX_FIRST_LINE_SECONDS - 0.1)
+        self.assertLess(waits[-1], MAX_FIRST_LINE_SECONDS + 0.2)
         while not hand.watched():
             hand.pass_(0.05)
         hand.pass_(2.0)
         hand.line(0, 0)
-        self.assertTrue(4.0 <= hand.follower._patience <= 4.2)  # twice what it took
+        self.assertTrue(4.0 <= hand.follower._first_line_timeout <= 4.2)  # twice what it took
 
 
 class Telling(unittest.TestCase):
@@ -240,7 +240,7 @@
         self.assertEqual([], hand.told())  # nobody is followed yet
         hand.line(0, 0)
         self.assertEqual([0], [action.applied.version for action in hand.told()])
-        hand.follower.refused = [f"tenant/t{n}" for n in range(30)]
+        hand.follower.rejected_keys = [f"tenant/t{n}" for n in range(30)]
         for number in range(8):
             made = change(theirs, entry("tenant/a", number))
             theirs.apply(made)
@@ -248,10 +248,10 @@
             hand.line(0, number + 1, made)
         told = hand.told()
         self.assertTrue(1 <= len(told) <= 2, told)
-        self.assertEqual(20, len(told[-1].applied.refused))
+        self.assertEqual(20, len(told[-1].applied.rejected_keys))
         hand.lines(0, 8, 0.4)
         self.assertEqual(8, hand.told()[-1].applied.version)
-        hand.lines(0, 8, SIGN - 0.8)
+        hand.lines(0, 8, MAX_REPORT_SECONDS - 0.8)
         self.assertEqual([], hand.told())
         hand.lines(0, 8, 1.2)
         self.assertEqual(1, len(hand.told()))
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lanelead.configuration.document import Document
-from lanelead.configuration.replica_state import Holding
+from lanelead.configuration.replica_state import ReplicaState
 from lanelead.configuration.store import Store
 from lanelead.protocols.configuration import Accept, AcceptedProposal, Ballot, Change, Entry, Prepare, Proposal
 from lanelead.protocols.migrations import AppendRequest, ApplyRequest, BatchRange, LeaseRequest
@@ -43,14 +43,14 @@
 def write_configuration(file: Path) -> None:
     """A machine's file: three changes decided, a key gone, a vote on the next change."""
     store = Store(file, lambda: CLOCK)
-    holding = Holding(store, (0, 1, 2), Document, lambda: CLOCK)
-    holding.stand(True, 1)
+    holding = ReplicaState(store, (0, 1, 2), Document, lambda: CLOCK)
+    holding.set_voting(True, 1)
     gone = Proposal("change-3", [Entry("tenant/a")])
     for wanted in (proposal("change-1", "tenant/a", 1.0), proposal("change-2", "tenant/b", 2.0), gone):
-        change = holding.change(wanted)
+        change = holding.build_change(wanted)
         assert isinstance(change, Change), change
-        assert holding.learn(change)
-    change = holding.change(proposal("change-4", "tenant/c", 4.0))
+        assert holding.commit(change)
+    change = holding.build_change(proposal("change-4", "tenant/c", 4.0))
     assert isinstance(change, Change)
     holding.acceptor.prepare(Prepare(4, Ballot(4, 2)))
     holding.acceptor.accept(Accept(Ballot(4, 2), change))
@@ -84,14 +84,14 @@
 
 
 class ConfigurationFile(PinnedFiles):
-    def open(self) -> Holding:
+    def open(self) -> ReplicaState:
         store = Store(self.copied("configuration.sqlite"), lambda: CLOCK)
         self.addCleanup(store.close)
-        return Holding(store, (0, 1, 2), Document, lambda: CLOCK)
+        return ReplicaState(store, (0, 1, 2), Document, lambda: CLOCK)
 
     def test_document_history_idents_and_votes_are_read(self) -> None:
         holding = self.open()
-        self.assertEqual((holding.head, holding.history), (3, "change-1"))
+        self.assertEqual((holding.committed_version, holding.history), (3, "change-1"))
         self.assertEqual(
             {key: bytes(value) for key, value in holding.document.entries.items()},
             {
@@ -99,7 +99,7 @@
             },
         )
         self.assertEqual(holding.document.changed, {"tenant/a": 3, "tenant/b": 2})
-        self.assertEqual(holding.made(proposal("change-2", "tenant/b", 2.0)), AcceptedProposal(2))
+        self.assertEqual(holding.completed(proposal("change-2", "tenant/b", 2.0)), AcceptedProposal(2))
         self.assertEqual((holding.acceptor.promised, holding.acceptor.accepted), (Ballot(5, 1), Ballot(4, 2)))
         assert holding.acceptor.change is not None
         self.assertEqual(holding.acceptor.change.ident, "change-4")
@@ -107,10 +107,10 @@
 
     def test_the_file_is_written_on(self) -> None:
         holding = self.open()
-        change = holding.change(proposal("change-5", "tenant/d", 5.0))
+        change = holding.build_change(proposal("change-5", "tenant/d", 5.0))
         assert isinstance(change, Change)
-        self.assertTrue(holding.learn(change))
-        self.assertEqual((holding.head, sorted(holding.document.entries)), (4, ["tenant/b", "tenant/d"]))
+        self.assertTrue(holding.commit(change))
+        self.assertEqual((holding.committed_version, sorted(holding.document.entries)), (4, ["tenant/b", "tenant/d"]))
 
     def test_what_is_written_today_is_what_was_written_then(self) -> None:
         write_configuration(self.folder / "today.sqlite")
