--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -24,6 +24,7 @@
 from random import Random
 from typing import Protocol
 
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -45,7 +46,7 @@
 PROPOSAL_DEADLINE_SECONDS = 25.0  # seconds for a proposal in all
 
 
-class UnacceptableChangeError(Exception):
+class UnacceptableChangeError(ConfigurationError):
     """The change does not fit what this voter holds, and is not voted for; the text says why."""
 
 
@@ -63,7 +64,7 @@
         self._persist = keep
         self.committed_version, self.promised, self.accepted, self.change = head, promised, accepted, change
         self.votes_from: int | None = 1  # the first version that it may vote on; none: on none yet
-        self.validate: Callable[[Change], None] = lambda change: None  # raises Unfit
+        self.validate: Callable[[Change], None] = lambda change: None  # raises UnacceptableChangeError
 
     @property
     def non_voting(self) -> bool:
@@ -81,7 +82,7 @@
         return Promise("promised", self.committed_version, ask.ballot, self.accepted, self.change)
 
     def accept(self, ask: Accept) -> AcceptReply:
-        """Raises Unfit."""
+        """Raises UnacceptableChangeError."""
         if ask.change.version != self.committed_version + 1:
             return AcceptReply(
                 "ahead" if ask.change.version <= self.committed_version else "behind", self.committed_version
--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -55,7 +55,7 @@
 
 
 async def call_replica(at: str, method: str, path: bytes, body: bytes, limit: float) -> tuple[int, bytes]:
-    """Raises Failed where there is no answer."""
+    """Raises CallFailedError where there is no answer."""
     try:
         answer = await call(asyncio.get_running_loop(), address_of(at), method, path, body, limit)
     except TimeoutError:
@@ -142,7 +142,7 @@
 
 
 def entries_of(text: bytes) -> list[Entry]:
-    """A JSON list of {key, value}, or an object of keys and values; null removes a key. Raises Malformed."""
+    """A JSON list of {key, value}, or an object of keys and values; null removes a key. Raises MessageError."""
     if len(text) > MAX_BODY_BYTES:
         raise MessageError(f"{len(text)} bytes, of {MAX_BODY_BYTES} at most")
     try:
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -20,6 +20,7 @@
 
 import msgspec
 
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, DigestTree, Entry
 
 REMOVED_VALUE = b"null"
@@ -27,7 +28,7 @@
 BUCKET_DIGESTS = Struct(f">{BUCKET_COUNT}Q")
 
 
-class DocumentError(Exception):
+class DocumentError(ConfigurationError):
     """A change or a bucket that was not taken; the document is as it was."""
 
 
@@ -57,7 +58,7 @@
 
 
 def canonical(value: msgspec.Raw | bytes) -> bytes:
-    """The same value as the same bytes, whatever spaces and order of fields it had. Raises Unreadable."""
+    """The same value as the same bytes, whatever spaces and order of fields it had. Raises UnreadableValueError."""
     try:
         return msgspec.json.encode(msgspec.json.decode(bytes(value)), order="sorted")
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as fault:
@@ -94,7 +95,7 @@
         return other
 
     def digest_after(self, entries: Sequence[Entry]) -> str:
-        """The digest if these were set. Raises TooLarge."""
+        """The digest if these were set. Raises DocumentTooLargeError."""
         wanted = _canonical_entries(entries)
         self._check_bounds(wanted)
         if (size := sum(len(key) + len(value) for key, value in wanted.items())) > MAX_CHANGE_BYTES:
@@ -119,7 +120,7 @@
         self.version = change.version
 
     def load(self, entries: Iterable[tuple[str, bytes]]) -> None:
-        """Sets entries beside any version: what stands in a file at start. Raises TooLarge."""
+        """Sets entries beside any version: what stands in a file at start. Raises DocumentTooLargeError."""
         wanted = {key: canonical(value) for key, value in entries}
         self._check_bounds(wanted)
         for key, value in wanted.items():
@@ -140,7 +141,7 @@
         return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._bucket_keys[place]]
 
     def replace_bucket(self, place: int, entries: Sequence[Entry], digest: int) -> None:
-        """A whole bucket of another version, as the other end has it. Raises Differs and TooLarge."""
+        """A whole bucket of another version. Raises DigestMismatchError and DocumentTooLargeError."""
         wanted = _canonical_entries(entries)
         total = sum(_entry_hash(key, value) for key, value in wanted.items()) % MODULUS
         if total != digest or any(bucket_of(key) != place for key in wanted):
@@ -151,7 +152,7 @@
             self._set(key, value)
 
     def finish_repair(self, outline: DigestTree) -> None:
-        """All buckets are as the outline has them: this is that version now. Raises Differs."""
+        """All buckets are as the outline has them: this is that version now. Raises DigestMismatchError."""
         if self.digest != outline.digest:
             raise DigestMismatchError(f"not yet version {outline.version}")
         self.version = outline.version
@@ -195,7 +196,7 @@
 
 
 def bucket_digests_of(outline: DigestTree) -> tuple[int, ...]:
-    """Raises Differs where it is not of this form."""
+    """Raises DigestMismatchError where it is not of this form."""
     try:
         sums = BUCKET_DIGESTS.unpack(bytes.fromhex(outline.bucket_digests))
     except (ValueError, error) as fault:
--- a/lanelead/configuration/publisher.py
+++ b/lanelead/configuration/publisher.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass, field
 
 from lanelead.configuration.document import Document
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, AppliedVersion, Buckets, Change, DigestTree, WatchLine
 
 MAX_KEPT_CHANGES = 1000  # changes told one by one; a follower that lacks more compares buckets, which costs less
@@ -29,7 +30,7 @@
 FOLLOWER_EXPIRY_SECONDS = 30.0  # seconds without a word after which a follower is not counted any more
 
 
-class SnapshotExpiredError(Exception):
+class SnapshotExpiredError(ConfigurationError):
     """That snapshot is not kept any more: ask for the outline anew."""
 
 
@@ -114,7 +115,7 @@
         return newest.digest_tree(self.history)
 
     def buckets(self, version: int, numbers: Sequence[int]) -> Buckets:
-        """Raises Gone."""
+        """Raises SnapshotExpiredError."""
         for _, snapshot in self._snapshots:
             if snapshot.version == version:
                 wanted = sorted(dict.fromkeys(numbers))[:MAX_REPLY_BUCKETS]
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -138,7 +138,7 @@
             self.number, holding.history, holding.committed_version, empty, holding.ready and empty, list(self.voters)
         )
 
-    # What others ask. Each raises StoreFault where nothing may be said.
+    # What others ask. Each raises StoreError where nothing may be said.
 
     def handle_prepare(self, ask: Prepare, now: float) -> Promise:
         if ask.epoch != self.state.epoch and ask.version == self.state.committed_version + 1:
@@ -152,7 +152,7 @@
         return promise
 
     def handle_accept(self, ask: Accept, now: float) -> AcceptReply:
-        """Raises Unfit, too."""
+        """Raises UnacceptableChangeError, too."""
         if ask.epoch != self.state.epoch and ask.change.version == self.state.committed_version + 1:
             return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
--- a/lanelead/configuration/replica_state.py
+++ b/lanelead/configuration/replica_state.py
@@ -9,6 +9,7 @@
 from lanelead.configuration import value_types
 from lanelead.configuration.agreement import Acceptor, UnacceptableChangeError
 from lanelead.configuration.document import REMOVED_VALUE, Document, DocumentError, canonical
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.configuration.publisher import MAX_KEPT_CHANGES, ChangePublisher
 from lanelead.configuration.store import MAX_COMPLETED_PROPOSALS, CorruptStoreError, Store
 from lanelead.protocols.configuration import (
@@ -26,12 +27,12 @@
 SNAPSHOT_IDLE_SECONDS = 60.0  # seconds for which a snapshot is kept after it was last asked for
 
 
-class DivergenceError(Exception):
+class DivergenceError(ConfigurationError):
     """Of another history, or otherwise than what was decided: nothing was taken."""
 
 
 def entries_hash(entries: Sequence[Entry]) -> str:
-    """Raises Refused where a value can't be read."""
+    """Raises DocumentError where a value can't be read."""
     parts = sorted(entry.key.encode() + b"\0" + canonical(entry.value) for entry in entries)
     return blake2b(b"\1".join(parts), digest_size=8).hexdigest()
 
@@ -139,7 +140,7 @@
     # Decided changes
 
     def commit(self, change: Change) -> bool:
-        """Takes in the change after the head; any other is left. Raises Strange and StoreFault."""
+        """Takes in the change after the head; any other is left. Raises DivergenceError and StoreError."""
         if change.version != self.committed_version + 1:
             return False
         try:
@@ -209,7 +210,7 @@
         )
 
     def install(self, pages: Sequence[SnapshotPage]) -> bool:
-        """All pages of one snapshot; an older one than the head is left. Raises Strange and StoreFault."""
+        """All pages of one snapshot; an older one than the head is left. Raises DivergenceError and StoreError."""
         first = pages[0]
         if any((page.version, page.history) != (first.version, first.history) for page in pages):
             raise DivergenceError("pages of several snapshots")
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -24,6 +24,7 @@
 
 from lanelead.configuration.agreement import Proposer, UnacceptableChangeError
 from lanelead.configuration.document import Document
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.configuration.messages import CatchUpRequest, PeerCall
 from lanelead.configuration.publisher import WATCH_HEARTBEAT_SECONDS, ChangePublisher, SnapshotExpiredError
 from lanelead.configuration.replica import Replica
@@ -70,7 +71,9 @@
 }
 
 
-class RejectedCallError(Exception):
+class RejectedCallError(ConfigurationError):
+    """A call that is answered with a rejection and its HTTP status."""
+
     def __init__(self, refusal: RejectedProposal, status: int | None = None) -> None:
         self.refusal, self.status = refusal, status or REJECTION_STATUS[refusal.reason]
 
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -8,6 +8,7 @@
 import msgspec
 from msgspec import Meta
 
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.feeds import MessageError
 from lanelead.protocols.platform import parse_address
 from lanelead.settings.records import Address
@@ -18,7 +19,7 @@
 NonEmptyText = Annotated[str, Meta(min_length=1, max_length=1024)]
 
 
-class InvalidSettingsError(Exception):
+class InvalidSettingsError(ConfigurationError):
     """Nothing of the file is used; `faults` names each field that is wrong, and what is expected of it."""
 
     def __init__(self, file: str, faults: list[str]) -> None:
@@ -67,7 +68,7 @@
 
 
 def read_settings(file: str | Path) -> Settings:
-    """Raises Unfit, with all that is wrong."""
+    """Raises InvalidSettingsError, with all that is wrong."""
     name = str(file)
     try:
         text = Path(file).read_bytes()
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -21,6 +21,7 @@
 
 import msgspec
 
+from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.configuration import Ballot, Change
 from lanelead.protocols.configuration_replicas import CompletedProposal
 
@@ -42,21 +43,27 @@
 FILE_FORMAT = 1
 
 
-class StoreError(Exception):
+class StoreError(ConfigurationError):
     """What was to be kept was not, and nothing of it counts. `remedy`: what an operator can do."""
 
     remedy = "look at the disk; the machine goes on when it can write again"
 
 
 class DiskFullError(StoreError):
+    """The disk has no room."""
+
     remedy = "make room on the disk; the machine goes on when it can write again"
 
 
 class ReadOnlyStoreError(StoreError):
+    """The file or its folder cannot be written."""
+
     remedy = "make the file and its folder writable for the process, or mount the disk so"
 
 
 class CorruptStoreError(StoreError):
+    """The file's rows cannot be read or contradict each other."""
+
     remedy = (
         "move the file and those named as it with -wal and -shm away and start again: the machine then takes"
         " all from the others, and votes again two changes later; never put an older copy in its place"
@@ -64,10 +71,14 @@
 
 
 class StoreInUseError(StoreError):
+    """Another process has the file open."""
+
     remedy = "end the other process that has the file open; two machines never share one"
 
 
 class NewerFormatError(StoreError):
+    """The file has another format than this program writes."""
+
     remedy = "start the later version of the program, which wrote the file"
 
 
@@ -108,7 +119,7 @@
 
 
 class Store:
-    """Every call that changes something raises StoreFault, and nothing was changed then. `at` is called at
+    """Every call that changes something raises StoreError, and nothing was changed then. `at` is called at
     named points, in and around the transactions: tests cause their faults there."""
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = LOG) -> None:
--- a/lanelead/configuration/value_types.py
+++ b/lanelead/configuration/value_types.py
@@ -13,11 +13,12 @@
 from msgspec import Meta
 
 from lanelead.configuration.document import Document
+from lanelead.configuration.errors import ConfigurationError
 
 MAX_NAMED_KEYS = 100  # refused keys that are kept by name
 
 
-class InvalidValueError(Exception):
+class InvalidValueError(ConfigurationError):
     """The text names the field, and what to do."""
 
     def __init__(self, key: str, what: str) -> None:
@@ -51,7 +52,7 @@
 
 
 def decode_value(key: str, value: bytes) -> EntryValue | None:
-    """None: a kind that is not known here. Raises Unfit."""
+    """None: a kind that is not known here. Raises InvalidValueError."""
     kind, _ = split_key(key)
     if kind not in VALUE_TYPES:
         return None
