--- a/tests/tcpwires.py
+++ b/tests/faulty_tcp_links.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Way:
+class LinkDirection:
     """One direction. `delay` in seconds; `breaks`: both ends are closed behind so many bytes."""
 
     cut: bool = False
@@ -19,9 +19,9 @@
     breaks: int | None = None
 
 
-class TcpWires:
+class FaultyTcpLinks:
     def __init__(self, many: int) -> None:
-        self.ways = {(a, b): Way() for a in range(many) for b in range(many) if a != b}
+        self.ways = {(a, b): LinkDirection() for a in range(many) for b in range(many) if a != b}
         self._servers: dict[tuple[int, int], asyncio.Server] = {}
         self._ends: dict[int, int] = {}
         self._tasks: dict[asyncio.Task[None], None] = {}
@@ -50,7 +50,7 @@
                 if each is not None:
                     each.close()
 
-    async def _pass(self, way: Way, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _pass(self, way: LinkDirection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         passed = 0
         while data := await reader.read(65536):
             if way.delay:
--- a/tests/configurationhand.py
+++ b/tests/follower_harness.py
@@ -47,7 +47,7 @@
     return made
 
 
-class Hand:
+class FollowerHarness:
     """`here` is the document of the relay; it stands in zone a of region one."""
 
     def __init__(
--- a/tests/machinegroup.py
+++ b/tests/replica_processes.py
@@ -17,16 +17,16 @@
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.machines import proposal
-from tests.tcpwires import TcpWires
+from tests.faulty_tcp_links import FaultyTcpLinks
+from tests.simulated_replicas import proposal
 
 
-class Group:
+class ReplicaProcesses:
     """Machines, each of which finds the others over the wires; operators call them as they are."""
 
     def __init__(self, many: int, folder: Path, voters: int) -> None:
         self.many, self.folder, self.voters = many, folder, voters
-        self.wires, self.ports = TcpWires(many), free_ports(many)
+        self.wires, self.ports = FaultyTcpLinks(many), free_ports(many)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.answers: dict[str, AcceptedProposal] = {}
 
@@ -117,9 +117,9 @@
 
 
 @contextlib.asynccontextmanager
-async def group(many: int = 3, voters: int | None = None) -> AsyncIterator[Group]:
+async def replica_processes(many: int = 3, voters: int | None = None) -> AsyncIterator[ReplicaProcesses]:
     with tempfile.TemporaryDirectory() as name:
-        found = Group(many, Path(name), voters or many)
+        found = ReplicaProcesses(many, Path(name), voters or many)
         await found.wires.open(found.ports)
         try:
             await asyncio.gather(*(found.start(number) for number in range(many)))
--- a/tests/configurationmachine.py
+++ b/tests/scripted_replica.py
@@ -19,14 +19,14 @@
 from lanelead.postgres_relay.configuration_client import Feed
 from lanelead.protocols.configuration import Entry, WatchLine
 from lanelead.protocols.feeds import encode
-from tests.configurationhand import change
+from tests.follower_harness import change
 
-Answer = Callable[["Machine", asyncio.StreamWriter], Awaitable[None]]
+Answer = Callable[["ScriptedReplica", asyncio.StreamWriter], Awaitable[None]]
 WATCH, OUTLINE = "/configuration/watch", "/configuration/outline"
 BUCKETS, APPLIED = "/configuration/buckets", "/configuration/applied"
 
 
-class Machine:
+class ScriptedReplica:
     """`says`: by path, what it says instead of what it should."""
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
     return encode(WatchLine(source.history, source.document.version, 0.0)) + b"\n"
 
 
-class Log:
+class RecordedLog:
     def __init__(self) -> None:
         self.rows: list[tuple[str, dict[str, Any]]] = []
 
@@ -133,11 +133,11 @@
         return [more for event, more in self.rows if text in event]
 
 
-class Followed:
+class FollowingClient:
     """A feed that follows these machines, the first one of its own zone."""
 
-    def __init__(self, machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
-        self.log, self.changed, self.puts = Log(), list[str](), 0
+    def __init__(self, machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
+        self.log, self.changed, self.puts = RecordedLog(), list[str](), 0
         sources = [SourceAt(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
         following = Following(sources, **more)
@@ -158,8 +158,8 @@
 
 
 @contextlib.asynccontextmanager
-async def machines(count: int) -> AsyncIterator[list[Machine]]:
-    found = [Machine() for _ in range(count)]
+async def scripted_replicas(count: int) -> AsyncIterator[list[ScriptedReplica]]:
+    found = [ScriptedReplica() for _ in range(count)]
     try:
         for machine in found:
             await machine.start()
@@ -171,10 +171,10 @@
 
 @contextlib.asynccontextmanager
 async def following(
-    machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
-) -> AsyncIterator[Followed]:
+    machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
+) -> AsyncIterator[FollowingClient]:
     """`faults`: of the program itself are expected."""
-    found = Followed(machines, entries, **more)
+    found = FollowingClient(machines, entries, **more)
     task = asyncio.create_task(found.feed.run())
     try:
         yield found
--- a/tests/machines.py
+++ b/tests/simulated_replicas.py
@@ -36,7 +36,7 @@
     """The process ended here."""
 
 
-class Kept(Store):
+class SharedConnectionStore(Store):
     """A store whose connection stands for the disk: it outlives the process."""
 
     def __init__(self, disk: sqlite3.Connection, log: int = 20_000) -> None:
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class World:
+class SimulatedReplicas:
     """`voters` of `many` machines. `kills`: the chance of a process to end at each point of its store."""
 
     many: int
@@ -105,7 +105,7 @@
             self.disks[number] = self._disk()
             self._checked[number] = 0
         self.lives[number] += 1
-        store = Kept(self.disks[number], self.log)
+        store = SharedConnectionStore(self.disks[number], self.log)
         holding = ReplicaState(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
         others = [other for other in range(self.many) if other != number]
         machine = Replica(
@@ -137,7 +137,7 @@
             if machine is not None:
                 holds = not machine.state.acceptor.non_voting
             else:
-                row = Kept(self.disks[voter], self.log).loaded
+                row = SharedConnectionStore(self.disks[voter], self.log).loaded
                 holds = row.votes_from is not None and row.committed_version + 1 >= row.votes_from
             if not holds:
                 found.append(voter)
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -17,10 +17,10 @@
     Proposal,
     RejectedProposal,
 )
-from tests.machines import World, proposal
+from tests.simulated_replicas import SimulatedReplicas, proposal
 
 
-def trouble(world: World, rng: Random) -> None:
+def trouble(world: SimulatedReplicas, rng: Random) -> None:
     """One thing goes wrong, or right again."""
     number = rng.randrange(world.many)
     most = len(world.voters) - (len(world.voters) // 2 + 1)
@@ -51,8 +51,8 @@
                 link.spread = rng.choice((0.005, 0.1, 2.0))
 
 
-def play(many: int, seed: int, seconds: int = 40, kills: float = 0.01, log: int = 20_000) -> World:
-    world, rng = World(many, seed, log=log), Random(f"trouble {seed}")
+def play(many: int, seed: int, seconds: int = 40, kills: float = 0.01, log: int = 20_000) -> SimulatedReplicas:
+    world, rng = SimulatedReplicas(many, seed, log=log), Random(f"trouble {seed}")
     assert world.run(20, lambda: all(machine.votes for machine in world.up())), "a first start never ends"
     world.kills = kills
     for number in range(seconds * 5):
@@ -86,10 +86,10 @@
     return world
 
 
-def storm(many: int, seed: int, seconds: int = 30) -> World:
+def storm(many: int, seed: int, seconds: int = 30) -> SimulatedReplicas:
     """Harsher, for safety alone: all propose all the time, letters take as long as tries, processes end at
     every other step and come back at once, and a minority at a time without their disks."""
-    world, rng = World(many, seed), Random(f"storm {seed}")
+    world, rng = SimulatedReplicas(many, seed), Random(f"storm {seed}")
     assert world.run(20, lambda: all(machine.votes for machine in world.up()))
     most = many - (many // 2 + 1)
     for link in world.links.values():
@@ -129,7 +129,7 @@
                 storm((3, 5)[seed % 2], seed)
 
     def test_many_proposers_at_once_each_get_theirs_once(self) -> None:
-        world = World(5, 7)
+        world = SimulatedReplicas(5, 7)
         world.run(5)
         for number in range(60):
             world.propose(number % 5, proposal(f"at-once-{number}"))
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -18,14 +18,14 @@
 from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.machinegroup import group
+from tests.replica_processes import replica_processes
 from tests.town import live
 
 
 class Said(unittest.TestCase):
     @live
     async def test_what_relays_and_operators_are_told(self) -> None:
-        async with group(4, voters=3) as machines:
+        async with replica_processes(4, voters=3) as machines:
             run = CliRunner().invoke
             at = ["--at", machines.at(3)[0]]
 
@@ -77,7 +77,7 @@
 
     @live
     async def test_a_watch_tells_that_the_machine_lives_and_each_change_as_it_is_made(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             port = machines.ports[1]
             status, _ = await call_replica(machines.at(1)[0], "GET", b"/configuration/watch?from=0&digest=", b"", 5.0)
             self.assertEqual(503, status)  # nothing is held yet: another may hold more
@@ -109,7 +109,7 @@
 
     @live
     async def test_bad_calls_are_told_what_is_wrong_and_cost_no_more(self) -> None:
-        async with group(1) as machines:
+        async with replica_processes(1) as machines:
             at = machines.at(0)[0]
             await machines.makes("at-first", 0)
             bad = [
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -17,18 +17,18 @@
 from lanelead.protocols.configuration import Buckets, Entry, WatchLine
 from lanelead.protocols.feeds import MAX_LINE_BYTES as LINE
 from lanelead.protocols.feeds import MessageError, encode
-from tests.configurationhand import entry, row
-from tests.configurationmachine import (
+from tests.follower_harness import entry, row
+from tests.scripted_replica import (
     APPLIED,
     BUCKETS,
     OUTLINE,
     WATCH,
     Answer,
-    Followed,
-    Machine,
+    FollowingClient,
+    ScriptedReplica,
     following,
     line,
-    machines,
+    scripted_replicas,
 )
 from tests.town import live
 
@@ -39,7 +39,7 @@
 def streams(*texts: bytes, hold: bool = True) -> Answer:
     """A watch that says these, and then nothing more, or ends."""
 
-    async def answer(machine: Machine, writer: Writer) -> None:
+    async def answer(machine: ScriptedReplica, writer: Writer) -> None:
         await machine.write(writer, STREAM)
         for text in texts:
             await machine.write(writer, chunk(text))
@@ -50,26 +50,26 @@
 
 
 def answers(status: int, body: bytes) -> Answer:
-    async def answer(machine: Machine, writer: Writer) -> None:
+    async def answer(machine: ScriptedReplica, writer: Writer) -> None:
         await machine.answer(writer, status, body)
 
     return answer
 
 
-async def endless(machine: Machine, writer: Writer) -> None:
+async def endless(machine: ScriptedReplica, writer: Writer) -> None:
     """A body without an end, and no line in it."""
     await machine.write(writer, STREAM)
     while True:
         await machine.write(writer, chunk(b"[" * 65536))
 
 
-async def drop_by_drop(machine: Machine, writer: Writer) -> None:
+async def drop_by_drop(machine: ScriptedReplica, writer: Writer) -> None:
     for byte in STREAM + chunk(line(machine.source)):
         await machine.write(writer, bytes([byte]))
         await asyncio.sleep(0.05)
 
 
-async def silent(machine: Machine, writer: Writer) -> None:
+async def silent(machine: ScriptedReplica, writer: Writer) -> None:
     await asyncio.sleep(60)
 
 
@@ -102,7 +102,7 @@
         self,
     ) -> None:
         async def one(name: str, bad: Answer) -> None:
-            async with machines(2) as (ill, well):
+            async with scripted_replicas(2) as (ill, well):
                 for machine in (ill, well):
                     machine.publish(entry("tenant/m", {"quota_per_s": 9}))
                 ill.says[WATCH] = bad
@@ -122,7 +122,7 @@
     @live
     async def test_the_only_source_that_says_what_is_none_is_asked_less_and_less(self) -> None:
         async def one(name: str, bad: Answer) -> None:
-            async with machines(1) as (ill,):
+            async with scripted_replicas(1) as (ill,):
                 ill.says[WATCH] = bad
                 async with following([ill], FILE) as relay:
                     await asyncio.sleep(4.0)
@@ -136,7 +136,7 @@
 
     @live
     async def test_fields_of_a_later_program_are_passed_over(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             machine.publish(entry("tenant/m", {"quota_per_s": 3, "burst": {"of": [1]}}))
             (made,) = machine.source._changes
             text = msgspec.json.decode(encode(WatchLine("ident-0001", 1, 0.0, [made], format_version=9)))
@@ -150,7 +150,7 @@
 
     @live
     async def test_an_unfit_value_is_refused_alone_told_and_said(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             rows = {"tenant/m": {"quota_per_s": -3}, "tenant/b": {}, "later/x": 1}
             machine.publish(*(entry(key, value) for key, value in rows.items()))
             async with following([machine], FILE) as relay:
@@ -164,7 +164,7 @@
 
     @live
     async def test_of_many_unfit_values_some_are_said_and_all_are_counted(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             machine.publish(*(entry(f"tenant/x{number}", []) for number in range(25)))
             async with following([machine]) as relay:
                 await relay.until(1)
@@ -175,7 +175,7 @@
 
     @live
     async def test_a_fault_of_the_program_itself_is_said_and_it_goes_on(self) -> None:
-        async with machines(2) as both, following(both, faults=True) as relay:
+        async with scripted_replicas(2) as both, following(both, faults=True) as relay:
             while not both[0].count(APPLIED):
                 await asyncio.sleep(0.01)
             usual, relay.feed.follower.line_received = relay.feed.follower.line_received, _broken  # type: ignore[method-assign]
@@ -191,23 +191,23 @@
 
 
 class Snapshots(unittest.TestCase):
-    def filled(self, *at: Machine, rows: int = 60) -> None:
+    def filled(self, *at: ScriptedReplica, rows: int = 60) -> None:
         for machine in at:
             machine.publish(*(Entry(key, msgspec.Raw(value)) for key, value in map(row, range(rows))))
 
     @live
     async def test_a_source_whose_snapshot_is_none_is_left_for_another(self) -> None:
-        async def lies(machine: Machine, writer: Writer) -> None:
+        async def lies(machine: ScriptedReplica, writer: Writer) -> None:
             outline = machine.source.digest_tree(0.0)
             await machine.answer(writer, 200, encode(msgspec.structs.replace(outline, bucket_digests="0" * (ALL * 16))))
 
-        async def empties(machine: Machine, writer: Writer) -> None:
+        async def empties(machine: ScriptedReplica, writer: Writer) -> None:
             await machine.answer(writer, 200, encode(Buckets(1, {n: [] for n in range(ALL)})))
 
-        async def another(machine: Machine, writer: Writer) -> None:
+        async def another(machine: ScriptedReplica, writer: Writer) -> None:
             await machine.answer(writer, 200, encode(Buckets(7, {1: []})))
 
-        async def refuses(machine: Machine, writer: Writer) -> None:
+        async def refuses(machine: ScriptedReplica, writer: Writer) -> None:
             await machine.answer(writer, 503, encode(machine.source.digest_tree(0.0)))
 
         cases: list[tuple[str, Answer]] = [
@@ -227,7 +227,7 @@
         ]
 
         async def one(number: int, path: str, bad: Answer) -> None:
-            async with machines(2) as (ill, well):
+            async with scripted_replicas(2) as (ill, well):
                 self.filled(ill, well)
                 ill.says[path] = bad
                 async with following([ill, well], FILE) as relay:  # a file of no version: it repairs
@@ -242,11 +242,11 @@
 
     @live
     async def test_buckets_too_large_for_one_answer_are_asked_for_in_smaller_parts(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             self.filled(machine)
             usual, asked = machine.source.buckets, list[int]()
 
-            async def large(at: Machine, writer: Writer) -> None:
+            async def large(at: ScriptedReplica, writer: Writer) -> None:
                 place = relay.feed.follower._repair
                 assert place is not None and place.tree is not None
                 asked.append(min(place.bucket_limit, len(place.missing)))
@@ -263,7 +263,7 @@
     async def test_a_document_over_the_bounds_is_not_fetched_again_and_again(self) -> None:
         cases: list[dict[str, Any]] = [{"most_entries": 5}, {"most_bytes": 1024}]
         for bounds in cases:
-            async with machines(2) as both:
+            async with scripted_replicas(2) as both:
                 self.filled(*both)
                 async with following(both, FILE, **bounds) as relay:
                     while not (said := relay.log.said("larger than this relay may hold")):
@@ -279,7 +279,7 @@
 
     @live
     async def test_a_change_over_the_bounds_is_not_asked_for_again_and_again(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             machine.publish(entry("tenant/m", {"quota_per_s": 9}))
             async with following([machine], FILE, most_entries=1) as relay:
                 await relay.until(1)
@@ -296,13 +296,13 @@
             asyncio.run(self.started(most_entries=1))
 
     async def started(self, most_entries: int) -> None:
-        Followed([], [*FILE, ("tenant/n", b"{}")], most_entries=most_entries)
+        FollowingClient([], [*FILE, ("tenant/n", b"{}")], most_entries=most_entries)
 
 
 class Ends(unittest.TestCase):
     @live
     async def test_a_time_that_is_past_is_no_reason_to_look_without_a_pause(self) -> None:
-        async with machines(1) as both:
+        async with scripted_replicas(1) as both:
             past = mock.patch.object(Follower, "due", new_callable=mock.PropertyMock, return_value=0.0)
             with past, mock.patch.object(Follower, "tick") as tick:
                 async with following(both):
@@ -311,7 +311,7 @@
 
     @live
     async def test_nothing_is_left_behind_when_it_is_cancelled(self) -> None:
-        async with machines(2) as both:
+        async with scripted_replicas(2) as both:
             both[0].publish(entry("tenant/n", {}))
             for path in (OUTLINE, APPLIED):
                 both[0].says[path] = silent
@@ -328,8 +328,8 @@
     @live
     async def test_it_ends_also_where_something_comes_in_the_moment_it_is_cancelled(self) -> None:
         for turns in range(4):
-            async with machines(1) as (machine,):
-                relay = Followed([machine], FILE)
+            async with scripted_replicas(1) as (machine,):
+                relay = FollowingClient([machine], FILE)
                 task = asyncio.create_task(relay.feed.run())
                 while not machine.count(APPLIED):
                     await asyncio.sleep(0.01)
@@ -346,7 +346,7 @@
 
     @live
     async def test_words_that_nobody_answers_do_not_pile_up(self) -> None:
-        async with machines(1) as (machine,):
+        async with scripted_replicas(1) as (machine,):
             machine.says[APPLIED] = silent
             async with following([machine]) as relay:
                 most = 0
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -36,7 +36,7 @@
 from lanelead.postgres_relay.applied_configuration import InForce as Relay
 from lanelead.postgres_relay.applied_configuration import changed
 from lanelead.protocols.configuration import MAX_CHANGE_BYTES, MAX_VALUE_BYTES, AppliedVersion, Entry
-from tests.configurationhand import change, entry
+from tests.follower_harness import change, entry
 
 SPACED = b' { "share": 1, "quota_per_s" : 5 }'
 
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -19,16 +19,16 @@
     RejectedProposal,
 )
 from lanelead.protocols.configuration_replicas import DecidedChange
-from tests.machines import World, proposal
+from tests.simulated_replicas import SimulatedReplicas, proposal
 
 
-def started(many: int = 3, seed: int = 1, voters: Sequence[int] = (), log: int = 20_000) -> World:
-    world = World(many, seed, voters, log=log)
+def started(many: int = 3, seed: int = 1, voters: Sequence[int] = (), log: int = 20_000) -> SimulatedReplicas:
+    world = SimulatedReplicas(many, seed, voters, log=log)
     assert world.run(10, lambda: all(world.alive(voter).votes for voter in world.voters))
     return world
 
 
-def makes(world: World, number: int, ident: str, key: str = "tenant/a") -> AcceptedProposal:
+def makes(world: SimulatedReplicas, number: int, ident: str, key: str = "tenant/a") -> AcceptedProposal:
     world.propose(number, proposal(ident, key))
     assert world.answered(ident, 20), f"{ident} has no answer"
     answer = world.answers[ident]
@@ -38,14 +38,14 @@
 
 class FirstStart(unittest.TestCase):
     def test_voters_begin_once_all_have_seen_all_empty(self) -> None:
-        world = World(5, 3)
+        world = SimulatedReplicas(5, 3)
         world.kill(4)
         self.assertFalse(world.run(20, lambda: any(machine.votes for machine in world.up())))
         world.start(4)
         self.assertTrue(world.run(5, lambda: all(machine.votes for machine in world.up())))
 
     def test_nothing_is_proposed_for_version_1_but_by_a_voter_that_votes(self) -> None:
-        world = World(4, 3, voters=(0, 1, 2))
+        world = SimulatedReplicas(4, 3, voters=(0, 1, 2))
         world.propose(0, proposal("too-early"))
         world.run(5)
         world.propose(3, proposal("no-voter"))
@@ -71,7 +71,7 @@
 
     def test_one_that_is_ready_goes_on_where_another_votes_already(self) -> None:
         """Else one that heard all before the others did would leave them waiting for ever."""
-        world = World(3, 3)
+        world = SimulatedReplicas(3, 3)
         world.run(30, lambda: any(machine.votes for machine in world.up()))
         late = [number for number in range(3) if not world.alive(number).votes]
         for number in late:
@@ -165,7 +165,7 @@
         self.assertTrue(world.run(3, world.agreed))
 
     def test_a_fault_of_the_disk_while_it_begins_again_is_tried_again(self) -> None:
-        world = World(3, 1)
+        world = SimulatedReplicas(3, 1)
         broken = [True]
 
         def fails(point: str) -> None:
@@ -266,7 +266,7 @@
 
 
 class Strangers(unittest.TestCase):
-    def hears(self, sign: Heartbeat) -> tuple[World, Replica]:
+    def hears(self, sign: Heartbeat) -> tuple[SimulatedReplicas, Replica]:
         world = started(3)
         makes(world, 0, "change-1")
         world.run(1)
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_machines.py
@@ -9,15 +9,15 @@
 
 from lanelead.configuration.commands import submit_proposal
 from lanelead.protocols.configuration import RejectedProposal
-from tests.machinegroup import group
-from tests.machines import proposal
+from tests.replica_processes import replica_processes
+from tests.simulated_replicas import proposal
 from tests.town import live
 
 
 class Faults(unittest.TestCase):
     @live
     async def test_one_killed_changes_go_on_and_it_catches_up(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             await machines.makes("before-it", 0)
             await machines.kill(0)
             await machines.makes("without-it", 0, 1)
@@ -27,7 +27,7 @@
 
     @live
     async def test_killed_in_the_middle_of_changes(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             some = [
                 asyncio.create_task(machines.makes(f"change-{n}", n % 3, (n + 1) % 3, (n + 2) % 3)) for n in range(12)
             ]
@@ -40,7 +40,7 @@
 
     @live
     async def test_all_killed_at_once_lose_nothing(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             for number in range(3):
                 await machines.makes(f"change-{number}", number)
             await asyncio.gather(*(machines.kill(number) for number in range(3)))
@@ -51,7 +51,7 @@
 
     @live
     async def test_one_stopped_and_woken(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             await machines.makes("before-it", 2)
             machines.signal(2, signal.SIGSTOP)
             for number in range(3):
@@ -62,7 +62,7 @@
 
     @live
     async def test_restarted_empty_one_by_one(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             await machines.makes("at-first", 0)
             for number in range(3):
                 await machines.kill(number)
@@ -77,7 +77,7 @@
 
     @live
     async def test_five_go_on_without_two_and_say_so_where_a_third_is_stopped(self) -> None:
-        async with group(5) as machines:
+        async with replica_processes(5) as machines:
             await machines.makes("with-all", 0)
             await asyncio.gather(machines.kill(3), machines.kill(4))
             await machines.makes("without-two", 0)
@@ -93,7 +93,7 @@
 
     @live
     async def test_cut_off_one_way_and_both_ways_and_broken_in_the_middle(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             await machines.makes("at-first", 0)
             machines.wires.cut([0], [1, 2], one_way=True)
             await machines.makes("cut-one-way", 1)
@@ -111,7 +111,7 @@
 
     @live
     async def test_half_a_second_on_each_way_and_two_proposers(self) -> None:
-        async with group(4, voters=3) as machines:
+        async with replica_processes(4, voters=3) as machines:
             for way in machines.wires.ways.values():
                 way.delay = 0.5
             first, second = await asyncio.gather(
@@ -123,7 +123,7 @@
 
     @live
     async def test_one_that_lacks_more_than_the_log_takes_a_snapshot(self) -> None:
-        async with group() as machines:
+        async with replica_processes() as machines:
             await machines.kill(2)
             for number in range(52):
                 await machines.makes(f"change-{number}", number % 2)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -20,9 +20,9 @@
 from lanelead.protocols.configuration import AcceptedProposal, Entry, Proposal, RejectedProposal
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode, encode
-from tests.machinegroup import Group, group
+from tests.faulty_tcp_links import FaultyTcpLinks
 from tests.platform import SETTINGS, Platform, Unit, free_port, platform
-from tests.tcpwires import TcpWires
+from tests.replica_processes import ReplicaProcesses, replica_processes
 from tests.town import live
 
 MACHINES, RELAYS = 3, 6
@@ -31,9 +31,9 @@
 class Fleet:
     """Three machines and six relays; relay n finds machine m over `wires.ways[MACHINES + n, m]`."""
 
-    def __init__(self, machines: Group, place: Platform) -> None:
+    def __init__(self, machines: ReplicaProcesses, place: Platform) -> None:
         self.machines, self.place = machines, place
-        self.wires = TcpWires(MACHINES + RELAYS)
+        self.wires = FaultyTcpLinks(MACHINES + RELAYS)
         self.ports = [free_port() for _ in range(RELAYS)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
 
@@ -105,7 +105,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet() -> AsyncIterator[Fleet]:
-    async with group(MACHINES) as machines, platform(Unit("u0"), listening=False) as place:
+    async with replica_processes(MACHINES) as machines, platform(Unit("u0"), listening=False) as place:
         found = Fleet(machines, place)
         await found.wires.open([*machines.ports, *found.ports])
         first = [("tenant/m", b'{"quota_per_s":100.0,"share":1.0}')]
--- a/tests/test_configuration_sources.py
+++ b/tests/test_configuration_sources.py
@@ -15,22 +15,22 @@
     SETTLED_SECONDS,
     WATCH_TIMEOUT_SECONDS,
 )
-from tests.configurationhand import PLACES, Hand, change, document, entry
+from tests.follower_harness import PLACES, FollowerHarness, change, document, entry
 
 
 class Sources(unittest.TestCase):
     def test_nearest_first_and_spread_within(self) -> None:
         far, other, near = Location("c", "two"), Location("b", "one"), Location("a", "one")
         same_name = Location("a", "two")
-        hand = Hand(places=(far, same_name, other, near))
+        hand = FollowerHarness(places=(far, same_name, other, near))
         for expected in (3, 2):
             self.assertEqual([expected], hand.watched())
             hand.ended(expected)
-        firsts = [Hand(places=(near,) * 4, seed=seed).watched()[0] for seed in range(40)]
+        firsts = [FollowerHarness(places=(near,) * 4, seed=seed).watched()[0] for seed in range(40)]
         self.assertEqual([0, 1, 2, 3], sorted(dict.fromkeys(firsts)))
 
     def test_silence_before_and_after_the_first_line(self) -> None:
-        hand = Hand(places=PLACES[:2])
+        hand = FollowerHarness(places=PLACES[:2])
         hand.pass_(FIRST_LINE_SECONDS - 0.1)
         self.assertEqual([0], hand.watched())
         hand.pass_(0.2)
@@ -44,7 +44,7 @@
     def test_backoff_grows_is_bounded_and_spread(self) -> None:
         waits = list[list[float]]()
         for seed in range(6):
-            hand = Hand(seed=seed)
+            hand = FollowerHarness(seed=seed)
             found = list[float]()
             for _ in range(14):
                 hand.watched()
@@ -62,14 +62,14 @@
         self.assertEqual(6, len(dict.fromkeys(round(found[10], 1) for found in waits)))
 
     def test_a_source_that_failed_for_days_is_still_asked(self) -> None:
-        hand = Hand()
+        hand = FollowerHarness()
         hand.follower._sources[0].failures = 5000
         hand.ended(0)
         hand.pass_(8.0)
         self.assertEqual([0, 0], hand.watched())
 
     def test_one_that_speaks_and_fails_at_once_over_and_over_is_asked_less_and_less(self) -> None:
-        hand = Hand()
+        hand = FollowerHarness()
         for _ in range(60):
             hand.pass_(0.5, 0.01)
             if hand.watched():
@@ -84,14 +84,14 @@
         self.assertEqual(0, hand.follower._sources[0].failures)
 
     def test_failed_ones_and_old_ones_come_last(self) -> None:
-        hand = Hand(places=(Location("a", "one", "x"), Location("b", "one", "y")))
+        hand = FollowerHarness(places=(Location("a", "one", "x"), Location("b", "one", "y")))
         hand.watched()
         hand.follower._sources[0].failures = 3
         hand.follower._source_failed(0, "cut", hand.now)
         hand.follower._sources[0].retry_at = hand.now
         hand.pass_(0.05)
         self.assertEqual([1], hand.watched())
-        hand = Hand(places=PLACES[:2])
+        hand = FollowerHarness(places=PLACES[:2])
         hand.line(0, 0, staleness_ms=9000.0)
         hand.watched()
         hand.follower._trial = None
@@ -104,7 +104,7 @@
 
     def test_an_old_word_makes_it_ask_another_and_stay_until_that_has_spoken(self) -> None:
         for held, more in ((0, {"staleness_ms": 1600.0}), (5, {})):
-            hand = Hand(document(1, held), PLACES[:2])
+            hand = FollowerHarness(document(1, held), PLACES[:2])
             hand.watched()
             hand.line(0, 3, **more)
             self.assertEqual(([1], []), (hand.watched(), hand.left()))
@@ -116,7 +116,7 @@
 
     def test_a_trial_that_is_silent_or_ends_is_left_and_put_off(self) -> None:
         for silent in (True, False):
-            hand = Hand(places=PLACES[:2])
+            hand = FollowerHarness(places=PLACES[:2])
             hand.line(0, 0, staleness_ms=1600.0)
             self.assertEqual([0, 1], hand.watched())
             if silent:
@@ -129,7 +129,7 @@
             self.assertEqual(1, hand.follower._sources[1].failures)
 
     def test_where_the_source_fails_a_trial_under_way_is_waited_for(self) -> None:
-        hand = Hand(places=PLACES)
+        hand = FollowerHarness(places=PLACES)
         hand.line(0, 0, staleness_ms=1600.0)
         self.assertEqual([0, 1], hand.watched())
         hand.ended(0)
@@ -138,14 +138,14 @@
         self.assertEqual([0], hand.left())
 
     def test_one_that_ended_and_is_not_followed_changes_nothing(self) -> None:
-        hand = Hand(places=PLACES[:2])
+        hand = FollowerHarness(places=PLACES[:2])
         hand.line(0, 0)
         hand.ended(1)
         self.assertEqual(0, hand.follower._sources[1].failures)
         self.assertEqual(0, hand.follower._current)
 
     def test_one_that_waits_is_not_tried_where_the_present_one_is_old(self) -> None:
-        hand = Hand(places=PLACES[:2])
+        hand = FollowerHarness(places=PLACES[:2])
         hand.line(0, 0, staleness_ms=1600.0)
         hand.watched()
         hand.ended(1)
@@ -155,7 +155,7 @@
     def test_where_all_are_old_the_others_are_asked_now_and_then_and_not_all_the_time(self) -> None:
         for held, more in ((0, {"staleness_ms": 9000.0}), (5, {})):
             tries = 0
-            hand = Hand(document(1, held), PLACES)
+            hand = FollowerHarness(document(1, held), PLACES)
             for _ in range(50):  # 20 s
                 hand.pass_(0.4)
                 for _ in range(9):  # who is asked answers at once
@@ -168,7 +168,7 @@
             self.assertTrue(6 <= tries <= 3 * 20 / SETTLED_SECONDS + 3, tries)
 
     def test_a_nearer_source_is_tried_again_after_a_while_and_not_all_the_time(self) -> None:
-        hand = Hand(places=PLACES)
+        hand = FollowerHarness(places=PLACES)
         hand.watched()
         hand.ended(0)
         hand.line(1, 0)
@@ -182,7 +182,7 @@
         self.assertEqual([], hand.watched())
 
     def test_a_nearer_one_that_waits_or_is_old_is_not_tried_and_failed_ones_last_and_less(self) -> None:
-        hand = Hand(places=(*PLACES, Location("a", "one", "a1")))
+        hand = FollowerHarness(places=(*PLACES, Location("a", "one", "a1")))
         first = hand.watched()[0]
         hand.ended(first)
         (second,) = hand.watched()
@@ -213,7 +213,7 @@
         self.assertLessEqual(tries, 10)  # of 30 occasions, about
 
     def test_slow_links_make_it_patient_up_to_a_bound_and_no_sooner(self) -> None:
-        hand = Hand()
+        hand = FollowerHarness()
         waits = list[float]()
         for _ in range(9):
             while not hand.watched():
@@ -235,7 +235,7 @@
 
 class Telling(unittest.TestCase):
     def test_what_is_in_force_is_told_after_changes_now_and_then_and_bounded(self) -> None:
-        hand, theirs = Hand(), Document()
+        hand, theirs = FollowerHarness(), Document()
         hand.pass_(0.5)
         self.assertEqual([], hand.told())  # nobody is followed yet
         hand.line(0, 0)
@@ -257,7 +257,7 @@
         self.assertEqual(1, len(hand.told()))
 
     def test_a_new_source_is_told_at_once(self) -> None:
-        hand = Hand(places=PLACES[:2])
+        hand = FollowerHarness(places=PLACES[:2])
         hand.line(0, 0)
         hand.lines(0, 0, 0.8)
         hand.told()
@@ -266,7 +266,7 @@
         self.assertEqual([1], [action.source for action in hand.told()])
 
     def test_a_loss_is_said_once(self) -> None:
-        hand = Hand()
+        hand = FollowerHarness()
         for _ in range(5):
             hand.ended(0)
             hand.pass_(8.0)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -37,7 +37,7 @@
     RejectedProposal,
 )
 from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, SnapshotPage
-from tests.machines import proposal
+from tests.simulated_replicas import proposal
 
 VOTERS = (0, 1, 2)
 
