--- a/lanelead/configuration/actions.py
+++ b/lanelead/configuration/actions.py
@@ -18,6 +18,8 @@
 
 @dataclass(frozen=True)
 class OpenWatch:
+    """Open a watch at `source` from version `since`, whose document has `digest`."""
+
     source: int
     since: int
     digest: str
@@ -32,11 +34,15 @@
 
 @dataclass(frozen=True)
 class FetchDigestTree:
+    """Fetch the digest tree of a source's snapshot."""
+
     source: int
 
 
 @dataclass(frozen=True)
 class FetchBuckets:
+    """Fetch whole buckets, by number, of a source's snapshot of `version`."""
+
     source: int
     version: int
     numbers: tuple[int, ...]
@@ -52,12 +58,16 @@
 
 @dataclass(frozen=True)
 class ReportApplied:
+    """Report to `source` which version this relay has applied."""
+
     source: int
     applied: AppliedVersion
 
 
 @dataclass(frozen=True)
 class LogEvent:
+    """Write a log line, with its reason and what an operator can do."""
+
     text: str
     reason: str
     remedy: str
--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -68,9 +68,11 @@
 
     @property
     def non_voting(self) -> bool:
+        """Whether it may not vote on the version after the committed one."""
         return self.votes_from is None or self.committed_version + 1 < self.votes_from
 
     def prepare(self, ask: Prepare) -> Promise:
+        """Answers phase 1 of Paxos; a promise is persisted first."""
         if ask.version != self.committed_version + 1:
             return Promise("ahead" if ask.version <= self.committed_version else "behind", self.committed_version)
         if self.non_voting:
@@ -107,10 +109,12 @@
     """What the proposer's machine holds."""
 
     @property
-    def committed_version(self) -> int: ...
+    def committed_version(self) -> int:
+        """The newest version held."""
 
     @property
-    def epoch(self) -> str: ...
+    def epoch(self) -> str:
+        """A hash of the history and the voters; replicas of another epoch do not vote together."""
 
     def completed(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         """The version that made it already; a refusal where its ident was used for something else."""
@@ -155,6 +159,7 @@
 
     @property
     def attempt_timeout(self) -> float:
+        """Seconds that the present attempt waits for replies; it doubles with each attempt."""
         return min(MAX_REPLY_SECONDS, FIRST_ATTEMPT_SECONDS * float(1 << max(0, self._attempts - 1)))
 
     @property
@@ -163,6 +168,7 @@
         return min(self._next_step, self._deadline)
 
     def step(self, now: float) -> None:
+        """Goes on as far as is possible at `now`: starts, ends or retries an attempt."""
         if self.result is not None:
             return
         if self._version != self._target.committed_version + 1:
@@ -212,6 +218,7 @@
             )
 
     def handle_promise(self, voter: int, ask: Prepare, promise: Promise, now: float) -> None:
+        """Counts a voter's reply to Prepare; with a quorum, sends Accept."""
         self._record_outcome(voter, promise.outcome, promise.ballot, ask.version)
         # Ballots begin anew with each version: the same one of an earlier version is another question.
         if (ask.version, ask.ballot) != (self._version, self._ballot) or self._change is not None:
@@ -243,6 +250,7 @@
         self.requests += [(voter, ask) for voter in self._voters]
 
     def handle_accept_reply(self, voter: int, ask: Accept, vote: AcceptReply, now: float) -> None:
+        """Counts a voter's reply to Accept; with a quorum, the change is decided."""
         self._record_outcome(voter, vote.outcome, vote.ballot, ask.change.version)
         if (ask.change.version, ask.ballot) != (self._version, self._ballot) or self._change is None:
             return
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -49,6 +49,7 @@
 
 
 def bucket_of(key: str) -> int:
+    """The number of the bucket that holds a key."""
     return int.from_bytes(blake2b(key.encode(), digest_size=2).digest(), "big") % BUCKET_COUNT
 
 
@@ -79,12 +80,15 @@
 
     @property
     def digest(self) -> str:
+        """The digest of all entries, 32 hexadecimal digits."""
         return _document_digest(self._bucket_digests)
 
     def get(self, key: str) -> bytes | None:
+        """The value of a key as canonical JSON, or None."""
         return self.entries.get(key)
 
     def copy(self) -> Document:
+        """An independent copy with the same bounds."""
         other = Document(self._max_entries, self._max_bytes)
         other.version, other.size = self.version, self.size
         other.entries, other.changed = self.entries.copy(), self.changed.copy()
@@ -110,6 +114,7 @@
         return _document_digest(every)
 
     def apply(self, change: Change) -> None:
+        """Applies the next version's change. Raises OutOfOrderError, DigestMismatchError and DocumentTooLargeError."""
         if change.version != self.version + 1:
             raise OutOfOrderError(f"version {change.version}, where {self.version} is held")
         if self.digest_after(change.entries) != change.digest:
@@ -129,6 +134,7 @@
     # Repair
 
     def digest_tree(self, history: str) -> DigestTree:
+        """The digests of all buckets at this version."""
         sums = BUCKET_DIGESTS.pack(*self._bucket_digests).hex()
         return DigestTree(history, self.version, self.digest, sums)
 
@@ -138,6 +144,7 @@
         return [place for place in range(BUCKET_COUNT) if self._bucket_digests[place] != theirs[place]]
 
     def bucket(self, place: int) -> list[Entry]:
+        """The entries of one bucket, by its number."""
         return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._bucket_keys[place]]
 
     def replace_bucket(self, place: int, entries: Sequence[Entry], digest: int) -> None:
--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, eq=False)
 class PeerCall:
+    """A request to another replica, and how long its reply is waited for in seconds."""
+
     peer: int
     body: Prepare | Accept | DecidedChange | Heartbeat | CatchUpRequest
     sent_at: float
--- a/lanelead/configuration/publisher.py
+++ b/lanelead/configuration/publisher.py
@@ -36,6 +36,8 @@
 
 @dataclass
 class ChangePublisher:
+    """Serves decided changes, snapshots and digest trees to the relays that follow this replica."""
+
     history: str = ""
     document: Document = field(default_factory=Document)
     majority_heard_at: float = 0.0  # when a majority of the machines was last heard
@@ -108,6 +110,7 @@
         return some
 
     def digest_tree(self, now: float) -> DigestTree:
+        """The digest tree of the newest snapshot; a newer snapshot is made when the last one is old."""
         made, newest = self._snapshots[-1] if self._snapshots else (now - SNAPSHOT_REFRESH_SECONDS, None)
         if newest is None or (newest.version != self.document.version and now >= made + SNAPSHOT_REFRESH_SECONDS):
             newest = self.document.copy()
@@ -128,6 +131,7 @@
             self._reports[told.relay] = now, told
 
     def followers(self, now: float) -> list[AppliedVersion]:
+        """The last report of each relay that reported lately."""
         self._reports = {
             relay: word for relay, word in self._reports.items() if word[0] > now - FOLLOWER_EXPIRY_SECONDS
         }
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -28,6 +28,8 @@
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One replica: its number, its address (HOST:PORT), its location, and whether it votes."""
+
     number: ReplicaNumber
     address: NonEmptyText
     zone: LocationName = ""
@@ -60,10 +62,12 @@
 
     @property
     def voters(self) -> list[int]:
+        """The numbers of the replicas that vote."""
         return [row.number for row in self.replicas if row.voter]
 
     @property
     def own(self) -> ReplicaSettings:
+        """The row of this replica itself."""
         return next(row for row in self.replicas if row.number == self.replica)
 
 
@@ -152,4 +156,5 @@
 
 
 def address_of(text: str) -> Address:
+    """Parses HOST:PORT. Raises MessageError."""
     return Address(*parse_address(text))
--- a/lanelead/configuration/value_types.py
+++ b/lanelead/configuration/value_types.py
@@ -47,6 +47,7 @@
 
 
 def split_key(key: str) -> tuple[str, str]:
+    """Splits `kind/name` into its kind and its name."""
     kind, _, name = key.partition("/")
     return kind, name
 
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -125,6 +125,8 @@
 
 
 class AcceptedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    """The proposal was committed as this version."""
+
     version: NonNegativeInt
 
 
@@ -139,6 +141,8 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, rename=WIRE_NAMES):
+    """A Paxos ballot: its number, and the proposing replica where numbers are equal."""
+
     number: NonNegativeInt = 0
     replica: NonNegativeInt = 0
 
@@ -163,12 +167,16 @@
 
 
 class Accept(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    """Phase 2 of Paxos: asks a voter to accept a change at a ballot."""
+
     ballot: Ballot
     change: Change
     epoch: str = ""
 
 
 class AcceptReply(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    """A voter's reply to Accept; the outcomes are those of Promise."""
+
     outcome: Literal["accepted", "refused", "behind", "ahead", "abstains"]
     committed_version: NonNegativeInt
     ballot: Ballot = Ballot()
--- a/lanelead/protocols/configuration_replicas.py
+++ b/lanelead/protocols/configuration_replicas.py
@@ -57,6 +57,8 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
+    """What a replica reports of itself, its peers and the relays that follow it."""
+
     replica: NonNegativeInt
     zone: str
     region: str
