--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -46,6 +46,7 @@
 
 
 def addresses(at: Sequence[str]) -> list[str]:
+    """Checks that each is HOST:PORT; click.BadParameter otherwise."""
     for text in at:
         try:
             address_of(text)
@@ -248,6 +249,7 @@
 
 
 def status_lines(found: dict[str, ReplicaStatus], silent: Sequence[str]) -> list[str]:
+    """The status of all replicas as lines for a terminal."""
     if not found:
         return ["no machine answers"]
     newest = max(found.values(), key=lambda each: each.committed_version)
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -113,6 +113,7 @@
     # Events
 
     def line_received(self, source: int, line: WatchLine, now: float) -> None:
+        """A line of a watch has come from `source`."""
         if self._trial is not None and source == self._trial[0]:
             began, self._trial = self._trial[1], None
             if self._current is not None:
@@ -166,6 +167,7 @@
             self.tick(now)
 
     def digest_tree_received(self, source: int, outline: DigestTree, now: float) -> None:
+        """The digest tree that was fetched has come."""
         if (repair := self._repair_in_flight(source)) is None:
             return
         repair.in_flight = False
@@ -239,6 +241,7 @@
 
     @property
     def due(self) -> float:
+        """When `tick` is to be called at the latest."""
         if self._current is None:
             return min((known.retry_at for known in self._sources), default=self._reported_at + MAX_REPORT_SECONDS)
         times = [self._last_line_at + (WATCH_TIMEOUT_SECONDS if self._opened else self._first_line_timeout)]
@@ -255,6 +258,7 @@
 
     @property
     def state(self) -> dict[str, object]:
+        """What the relay's state document shows of its configuration."""
         known = self._sources[self._current] if self._current is not None else None
         return {
             "version": self.document.version,
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -82,10 +82,12 @@
 
     @property
     def votes(self) -> bool:
+        """Whether this replica takes part in votes."""
         return self.number in self.voters and not self.state.acceptor.non_voting
 
     @property
     def queued(self) -> int:
+        """Proposals that wait or are under way."""
         return len(self._queue)
 
     @property
@@ -105,6 +107,7 @@
         return times[self._quorum - 1] if len(times) >= self._quorum else self._started + LONG_AGO_SECONDS
 
     def tick(self, now: float) -> None:
+        """Sends heartbeats, completes accepted changes and goes on with proposals; to be called at `due`."""
         self._now = max(self._now, now)
         if now >= self._next_heartbeat:
             self._next_heartbeat = now + HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1)
@@ -132,6 +135,7 @@
             self._queue.append(Proposer(self.number, self.voters, what, self.state, self._rng, now, change))
 
     def heartbeat(self) -> Heartbeat:
+        """This replica's heartbeat as of now."""
         holding = self.state
         empty = self.number in self.voters and holding.acceptor.non_voting
         return Heartbeat(
@@ -141,6 +145,7 @@
     # What others ask. Each raises StoreError where nothing may be said.
 
     def handle_prepare(self, ask: Prepare, now: float) -> Promise:
+        """Answers Prepare. Raises StoreError."""
         if ask.epoch != self.state.epoch and ask.version == self.state.committed_version + 1:
             return Promise("abstains", self.state.committed_version)
         if self.number not in self.voters:
@@ -164,11 +169,13 @@
         return vote
 
     def handle_decided(self, told: DecidedChange, now: float) -> None:
+        """Commits a change that another replica saw decided."""
         if told.epoch == self.state.epoch:
             self._commit_changes([told.change])
             self._advance_proposals(now)
 
     def handle_heartbeat(self, sign: Heartbeat, now: float) -> Heartbeat:
+        """Answers a peer's heartbeat, and fetches changes where the peer has more."""
         seen = self.peers.get(sign.replica)
         if (
             seen is not None
@@ -179,6 +186,7 @@
         return self.heartbeat()
 
     def read_log(self, since: int) -> LogPage:
+        """Decided changes from version `since` on. Raises StoreError."""
         with self._track_store_fault():
             changes, gone = self.state.log(since)
         return LogPage(self.state.history, self.state.committed_version, changes, gone)
@@ -203,6 +211,7 @@
     def handle_reply(
         self, call: PeerCall, answer: Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage | None, now: float
     ) -> None:
+        """Takes the reply to a call from `outgoing`, or None where none came."""
         self._now = max(self._now, now)
         seen, proposer = self.peers[call.peer], call.proposer
         match call.body, answer:
--- a/lanelead/configuration/replica_state.py
+++ b/lanelead/configuration/replica_state.py
@@ -82,15 +82,18 @@
 
     @property
     def committed_version(self) -> int:
+        """The newest version held."""
         return self.document.version
 
     @property
     def epoch(self) -> str:
+        """A hash of the history and the voters, as in Prepare."""
         return blake2b(f"{self._voters} {self.history}".encode(), digest_size=8).hexdigest()
 
     # As agreement.Holder
 
     def completed(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
+        """The result of a proposal whose ident was used before, if any."""
         found = self._store.completed.get(proposal.ident)
         if found is None:
             return None
@@ -106,6 +109,7 @@
         return AcceptedProposal(found.version)
 
     def build_change(self, proposal: Proposal) -> Change | RejectedProposal:
+        """The change that a proposal comes to as the next version, or why it is rejected."""
         for key, version in proposal.expected_versions.items():
             last = self.document.changed.get(key, self.pruned_version)
             if last > version:
@@ -175,10 +179,12 @@
             del self.document.changed[key]
 
     def set_voting(self, ready: bool, votes_from: int | None) -> None:
+        """Stores from which version this replica votes. Raises StoreError."""
         self._store.save_voting(ready, votes_from)
         self.ready, self.acceptor.votes_from = ready, votes_from
 
     def log(self, since: int) -> tuple[list[Change], bool]:
+        """Decided changes from version `since` on, as Store.read_log. Raises StoreError."""
         return self._store.read_log(since)
 
     # Whole documents, to and from a machine that lacks too much
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -80,11 +80,15 @@
 
 @dataclass
 class Watcher:
+    """A watch connection: the version it stands at, and when it was last written to."""
+
     position: int | None
     written_at: float
 
 
 class Service:
+    """Serves one replica over HTTP and carries its calls to the other replicas."""
+
     def __init__(self, settings: Settings, store: Store, log: Any, rng: Random) -> None:
         self._settings, self._store, self._log = settings, store, log
         self._loop = asyncio.get_running_loop()
@@ -131,6 +135,7 @@
     # Life
 
     async def open(self) -> None:
+        """Listens and starts the timers. Raises OSError."""
         where = address_of(self._settings.listen or self._settings.own.address)
         bounds = self._settings.bounds
 
@@ -144,6 +149,7 @@
         self._after_event()
 
     async def close(self) -> None:
+        """Stops listening, cancels calls and closes the store."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -297,6 +303,7 @@
         self._respond(caller, ask, status, encode(result))
 
     def status(self) -> ReplicaStatus:
+        """The status document of this replica."""
         machine, now = self.replica, self._now()
         holding, here = machine.state, self._settings.own
         peers = list[PeerStatus]()
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -87,6 +87,7 @@
 
 
 def store_error(fault: Exception, doing: str) -> StoreError:
+    """The StoreError that stands for an error of SQLite or the operating system."""
     code = getattr(fault, "sqlite_errorcode", None)
     kind: type[StoreError] = StoreIOError
     match (code or 0) & 0xFF:
@@ -144,6 +145,7 @@
         return sqlite3.connect(file, isolation_level=None, timeout=0.5)
 
     def close(self) -> None:
+        """Closes the file."""
         self._db.close()
 
     def _load(self) -> StoredState:
@@ -232,6 +234,7 @@
             db.execute("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?, ?)", row)
 
     def save_voting(self, ready: bool, votes_from: int | None) -> None:
+        """Stores readiness and the first version to vote on. Raises StoreError."""
         with self._transaction("stand") as db:
             db.execute("UPDATE one SET ready = ?, votes_from = ?", (ready, votes_from))
 
