--- a/lanelead/postgres_relay/applied_configuration.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -16,7 +16,7 @@
     EntryValue,
     InvalidValueError,
     TenantValue,
-    split,
+    split_key,
 )
 from lanelead.decisions.interface import RequestClass, Tenant
 
@@ -56,7 +56,7 @@
     document = Document(len(after) + 1, MAX_DOCUMENT_BYTES)
     document.load(after.items())
     values = AppliedValues()
-    _, errors = values.take(document, list(after))
+    _, errors = values.apply(document, list(after))
     invalid = {error.key: None for error in errors}
     keys = [key for key in {**before, **after} if before.get(key) != after.get(key) and key not in invalid]
     return keys, values.values, errors
@@ -83,7 +83,7 @@
         """
         unknown = list[str]()
         for key in keys:
-            kind, name = split(key)
+            kind, name = split_key(key)
             value = values.get(key)
             if kind == "tenant":
                 self._apply_tenant(name, value)
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -11,11 +11,19 @@
 from random import Random
 from typing import Any
 
-from lanelead.configuration.actions import AskBuckets, AskOutline, InForce, Leave, Note, Place, Told, Watch
-from lanelead.configuration.document import Document, Refused
-from lanelead.configuration.follower import ANSWER, SILENCE, Follower
-from lanelead.configuration.value_types import AppliedValues as Values
-from lanelead.configuration.value_types import EntryValue
+from lanelead.configuration.actions import (
+    CloseWatch,
+    FetchBuckets,
+    FetchDigestTree,
+    Location,
+    LogEvent,
+    OpenWatch,
+    ReportApplied,
+    VersionApplied,
+)
+from lanelead.configuration.document import Document, DocumentError
+from lanelead.configuration.follower import FETCH_TIMEOUT_SECONDS, WATCH_TIMEOUT_SECONDS, Follower
+from lanelead.configuration.value_types import AppliedValues, EntryValue
 from lanelead.http.client import CallFailedError, call, stream
 from lanelead.postgres_relay.config import ConfigurationSources
 from lanelead.protocols.configuration import Buckets, DigestTree, WatchLine
@@ -50,15 +58,15 @@
         self._on_change = on_change
         self._log = log
         self._sources = [Address(*parse_address(source.address)) for source in following.sources]
-        places = [Place(source.zone, source.region, source.address) for source in following.sources]
+        places = [Location(source.zone, source.region, source.address) for source in following.sources]
         document = Document(following.most_entries, following.most_bytes)
         try:
             document.load(entries)
-        except Refused as error:
+        except DocumentError as error:
             raise MessageError(f"configuration: {error}") from None
-        self.values = Values()
-        self.values.take(document, list(document.entries))
-        here = Place(following.zone, following.region)
+        self.values = AppliedValues()
+        self.values.apply(document, list(document.entries))
+        here = Location(following.zone, following.region)
         self.follower = Follower(number, here, places, document, following.catch_up_bytes_per_s, rng, loop.time())
         self._tasks: dict[asyncio.Task[None], int | None] = {}  # with the source, of those that a Leave cancels
         self._woken = asyncio.Event()
@@ -80,27 +88,27 @@
                 task.cancel()
 
     def _run_actions(self) -> None:
-        while self.follower.acts:
-            actions, self.follower.acts = self.follower.acts, []
+        while self.follower.actions:
+            actions, self.follower.actions = self.follower.actions, []
             for action in actions:
                 match action:
-                    case Watch(source, since, digest):
+                    case OpenWatch(source, since, digest):
                         self._start_task(self._watch(source, since, digest), source)
-                    case Leave(source):
+                    case CloseWatch(source):
                         self._cancel_source(source)
-                    case AskOutline(source):
+                    case FetchDigestTree(source):
                         self._start_task(self._outline(source), source)
-                    case AskBuckets(source, version, numbers):
+                    case FetchBuckets(source, version, numbers):
                         self._start_task(self._buckets(source, version, numbers), source)
-                    case Told(source, applied):
+                    case ReportApplied(source, applied):
                         self._start_task(self._report_applied(source, encode(applied)), None)
-                    case InForce(version, keys):
+                    case VersionApplied(version, keys):
                         self._apply_entries(version, keys)
-                    case Note(text, reason, remedy):
+                    case LogEvent(text, reason, remedy):
                         self._log.warning(text, reason=reason, remedy=remedy)
 
     def _apply_entries(self, version: int, keys: Sequence[str]) -> None:
-        changed, errors = self.values.take(self.follower.document, keys)
+        changed, errors = self.values.apply(self.follower.document, keys)
         for error in errors[:MAX_LOGGED_ERRORS]:
             self._log.warning(
                 "an entry of the configuration was refused",
@@ -108,8 +116,8 @@
                 reason=str(error),
                 remedy="its last good value stays in force",
             )
-        self.follower.refused = list(self.values.refused)
-        self.follower.refusals = self.values.refusals
+        self.follower.rejected_keys = list(self.values.rejected)
+        self.follower.rejections = self.values.rejections
         if changed:
             self._on_change(changed, self.values.values)
 
@@ -135,21 +143,21 @@
         path = b"/configuration/watch?from=%d&digest=%s" % (since, digest.encode())
         reason = "the watch ended"
         try:
-            async for text in stream(self._loop, self._sources[source], path, 2 * SILENCE):
-                self.follower.line(source, decode(text, WatchLine, MAX_RESPONSE_BYTES), self._loop.time())
+            async for text in stream(self._loop, self._sources[source], path, 2 * WATCH_TIMEOUT_SECONDS):
+                self.follower.line_received(source, decode(text, WatchLine, MAX_RESPONSE_BYTES), self._loop.time())
                 self._woken.set()
         except (CallFailedError, MessageError, TimeoutError) as error:
             reason = str(error)
-        self.follower.ended(source, reason, self._loop.time())
+        self.follower.watch_ended(source, reason, self._loop.time())
 
     async def _outline(self, source: int) -> None:
         try:
             body = await self._request(source, b"/configuration/outline")
             outline = decode(body, DigestTree, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
-            self.follower.gone(source, self._loop.time())
+            self.follower.fetch_failed(source, self._loop.time())
         else:
-            self.follower.outlined(source, outline, self._loop.time())
+            self.follower.digest_tree_received(source, outline, self._loop.time())
 
     async def _buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
         named = ",".join(str(number) for number in numbers).encode()
@@ -157,12 +165,12 @@
             body = await self._request(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
             buckets = decode(body, Buckets, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
-            self.follower.gone(source, self._loop.time())
+            self.follower.fetch_failed(source, self._loop.time())
         else:
-            self.follower.bucketed(source, buckets, len(body), self._loop.time())
+            self.follower.buckets_received(source, buckets, len(body), self._loop.time())
 
     async def _request(self, source: int, path: bytes) -> bytes:
-        response = await call(self._loop, self._sources[source], "GET", path, b"", ANSWER)
+        response = await call(self._loop, self._sources[source], "GET", path, b"", FETCH_TIMEOUT_SECONDS)
         if response.status != 200:
             raise CallFailedError(f"status {response.status}")
         return bytes(response.body)
@@ -170,4 +178,6 @@
     async def _report_applied(self, source: int, body: bytes) -> None:
         """A report that is lost is repeated within seconds."""
         with suppress(CallFailedError, TimeoutError):
-            await call(self._loop, self._sources[source], "POST", b"/configuration/applied", body, ANSWER)
+            await call(
+                self._loop, self._sources[source], "POST", b"/configuration/applied", body, FETCH_TIMEOUT_SECONDS
+            )
--- a/tests/configurationmachine.py
+++ b/tests/scripted_replica.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lanelead.configuration.publisher import Gone, Source
+from lanelead.configuration.publisher import ChangePublisher, SnapshotExpiredError
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http import serialization
 from lanelead.http.server import STREAM, chunk
@@ -19,18 +19,18 @@
 from lanelead.postgres_relay.configuration_client import ConfigurationClient
 from lanelead.protocols.configuration import Entry, WatchLine
 from lanelead.protocols.feeds import encode
-from tests.configurationhand import change
+from tests.follower_harness import change
 
-Answer = Callable[["Machine", asyncio.StreamWriter], Awaitable[None]]
+Answer = Callable[["ScriptedReplica", asyncio.StreamWriter], Awaitable[None]]
 WATCH, OUTLINE = "/configuration/watch", "/configuration/outline"
 BUCKETS, APPLIED = "/configuration/buckets", "/configuration/applied"
 
 
-class Machine:
+class ScriptedReplica:
     """`says`: by path, what it says instead of what it should."""
 
     def __init__(self) -> None:
-        self.source = Source()
+        self.source = ChangePublisher()
         self.says: dict[str, Answer] = {}
         self.asked: list[str] = []  # paths
         self.written = 0
@@ -53,7 +53,7 @@
     def publish(self, *entries: Entry) -> None:
         made = change(self.source.document, *entries)
         self.source.document.apply(made)
-        self.source.decided(made)
+        self.source.append(made)
 
     def count(self, path: str) -> int:
         return self.asked.count(path)
@@ -91,23 +91,23 @@
         source, loop = self.source, asyncio.get_running_loop()
         if path == WATCH:
             await self.write(writer, STREAM)
-            position = source.position(int(query["from"]), query["digest"])
-            first: dict[str, Any] = {"at": position}
+            position = source.resume_position(int(query["from"]), query["digest"])
+            first: dict[str, Any] = {"resume_version": position}
             while not reader.at_eof():
-                source.heard = loop.time()
-                line, position = source.line(position, loop.time())
+                source.majority_heard_at = loop.time()
+                line, position = source.next_line(position, loop.time())
                 line, first = msgspec.structs.replace(line, **first), {}
                 await self.write(writer, chunk(encode(line) + b"\n"))
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(0.05):
                         await reader.read(1)
         elif path == OUTLINE:
-            await self.answer(writer, 200, encode(source.outline(loop.time())))
+            await self.answer(writer, 200, encode(source.digest_tree(loop.time())))
         elif path == BUCKETS:
             numbers = [int(number) for number in query["numbers"].split(",")]
             try:
                 found = source.buckets(int(query["version"]), numbers)
-            except Gone:
+            except SnapshotExpiredError:
                 await self.answer(writer, 410, b"{}")
             else:
                 await self.answer(writer, 200, encode(found))
@@ -115,12 +115,12 @@
             await self.answer(writer, 200, b'{"version":0}')
 
 
-def line(source: Source) -> bytes:
+def line(source: ChangePublisher) -> bytes:
     """A good sign of life."""
     return encode(WatchLine(source.history, source.document.version, 0.0)) + b"\n"
 
 
-class Log:
+class RecordedLog:
     def __init__(self) -> None:
         self.rows: list[tuple[str, dict[str, Any]]] = []
 
@@ -133,11 +133,11 @@
         return [more for event, more in self.rows if text in event]
 
 
-class Followed:
+class FollowingClient:
     """A feed that follows these machines, the first one of its own zone."""
 
-    def __init__(self, machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
-        self.log, self.changed, self.puts = Log(), list[str](), 0
+    def __init__(self, machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
+        self.log, self.changed, self.puts = RecordedLog(), list[str](), 0
         sources = [ConfigurationSource(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
         following = ConfigurationSources(sources, **more)
@@ -161,13 +161,13 @@
 
     async def until(self, version: int) -> None:
         """That version is in force, and put so."""
-        while self.version < version or self.feed.follower.acts:
+        while self.version < version or self.feed.follower.actions:
             await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def machines(count: int) -> AsyncIterator[list[Machine]]:
-    found = [Machine() for _ in range(count)]
+async def scripted_replicas(count: int) -> AsyncIterator[list[ScriptedReplica]]:
+    found = [ScriptedReplica() for _ in range(count)]
     try:
         for machine in found:
             await machine.start()
@@ -179,10 +179,10 @@
 
 @contextlib.asynccontextmanager
 async def following(
-    machines: Sequence[Machine], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
-) -> AsyncIterator[Followed]:
+    machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
+) -> AsyncIterator[FollowingClient]:
     """`faults`: of the program itself are expected."""
-    found = Followed(machines, entries, **more)
+    found = FollowingClient(machines, entries, **more)
     task = asyncio.create_task(found.feed.run())
     try:
         yield found
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -16,14 +16,14 @@
 
 import msgspec
 
-from lanelead.configuration.commands import ask, made
+from lanelead.configuration.commands import call_replica, submit_proposal
 from lanelead.protocols.configuration import AcceptedProposal, Entry, Proposal, RejectedProposal
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import decode, encode
-from tests.machinegroup import Group, group
+from tests.faulty_tcp_links import FaultyTcpLinks
 from tests.postgres_platform import SETTINGS, Platform, free_port, platform
+from tests.replica_processes import ReplicaProcesses, replica_processes
 from tests.scripted_endpoints import ScriptedEndpoint
-from tests.tcpwires import TcpWires
 from tests.town import live
 
 MACHINES, RELAYS = 3, 6
@@ -32,9 +32,9 @@
 class Fleet:
     """Three machines and six relays; relay n finds machine m over `wires.ways[MACHINES + n, m]`."""
 
-    def __init__(self, machines: Group, place: Platform) -> None:
+    def __init__(self, machines: ReplicaProcesses, place: Platform) -> None:
         self.machines, self.place = machines, place
-        self.wires = TcpWires(MACHINES + RELAYS)
+        self.wires = FaultyTcpLinks(MACHINES + RELAYS)
         self.ports = [free_port() for _ in range(RELAYS)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
 
@@ -82,7 +82,7 @@
 
     async def publish(self, ident: str, entries: list[tuple[str, bytes]], *at: int) -> int:
         rows = [decode(encode({"key": key, "value": json.loads(value)}), Entry) for key, value in entries]
-        answer = await made(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
+        answer = await submit_proposal(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
         assert isinstance(answer, AcceptedProposal), answer
         return answer.version
 
@@ -91,7 +91,7 @@
         found: dict[int, int] = {}
         for number in machines or range(MACHINES):
             with contextlib.suppress(Exception):
-                _, body = await ask(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
+                _, body = await call_replica(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
                 for row in decode(body, ReplicaStatus).relays:
                     found[row.relay] = max(found.get(row.relay, 0), row.version)
         return found
@@ -106,7 +106,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet() -> AsyncIterator[Fleet]:
-    async with group(MACHINES) as machines, platform(ScriptedEndpoint("u0"), listening=False) as place:
+    async with replica_processes(MACHINES) as machines, platform(ScriptedEndpoint("u0"), listening=False) as place:
         found = Fleet(machines, place)
         await found.wires.open([*machines.ports, *found.ports])
         first = [("tenant/m", b'{"quota_per_s":100.0,"share":1.0}')]
@@ -201,9 +201,9 @@
     async def test_what_is_unfit_is_refused_to_who_published_and_what_is_unknown_is_kept(self) -> None:
         async with fleet() as all_:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
-            answer = await made(all_.machines.at(0), bad, 5.0)
+            answer = await submit_proposal(all_.machines.at(0), bad, 5.0)
             assert isinstance(answer, RejectedProposal)
-            self.assertEqual("malformed", answer.why)
+            self.assertEqual("malformed", answer.reason)
             self.assertIn("tenant/bad", answer.text)
             rows = [
                 ("tenant/good", tenant(1)),
