--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -14,13 +14,13 @@
 import click
 import msgspec
 
-from lanelead.settings.records import Day
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.clock import Clock
 from lanelead.testbed.simulation.fleet import Town
 
 
-def day(relays: int, units: int, rate: float, seconds: float) -> Day:
+def day(relays: int, units: int, rate: float, seconds: float) -> Scenario:
     """The bad day's service, one good build, nothing else."""
     base = load("bad-day")
     return msgspec.structs.replace(
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -43,7 +43,7 @@
 from lanelead.protocols.vocabulary import PROMOTION_CONTROLS, VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
-from lanelead.settings.records import Poll, Trial
+from lanelead.settings.service_settings import CanarySettings, VotingSettings
 from lanelead.testbed.emulators.vote_counting import Polling
 from tests.postgres_platform import stage_notification, vote_response
 
@@ -62,7 +62,7 @@
 ALLOWANCE = ResourceQuota(3, 1000, 1, True, True, True, False, True, 20_000, 2500, 150_000)
 DUTIES = ServiceLimits(200, 20_000, 0.5, 20_000, 4.0, 10_000, False, 0, 50)
 TARIFF = Prices(0.08, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1)
-TRIAL = Trial([0.08, 0.6, 1.0], [0.096, 0.72, 1.0], 3.0, 3000.0, False, 0, False, False)
+TRIAL = CanarySettings([0.08, 0.6, 1.0], [0.096, 0.72, 1.0], 3.0, 3000.0, False, 0, False, False)
 
 
 class Cast(NamedTuple):
@@ -77,7 +77,7 @@
 class Seat:
     """One relay, with hands that are hollow."""
 
-    def __init__(self, town: Release, number: int, relays: int, poll: Poll) -> None:
+    def __init__(self, town: Release, number: int, relays: int, poll: VotingSettings) -> None:
         self.town, self.number = town, number
         rng = Random(f"{town.seed} relay {number}")
         self.chance = Random(f"{town.seed} hands {number}")
@@ -179,7 +179,7 @@
 class Release:
     """One release at a fleet of relays, from its first word to a while after its last."""
 
-    def __init__(self, relays: int, poll: Poll, seed: int = 37, kind: type[Polling] = Polling) -> None:
+    def __init__(self, relays: int, poll: VotingSettings, seed: int = 37, kind: type[Polling] = Polling) -> None:
         self.now, self.seed, self.began = EPOCH / SECOND, seed, 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
@@ -325,9 +325,9 @@
     }
 
 
-def poll_of(relays: int, count: bool) -> Poll:
+def poll_of(relays: int, count: bool) -> VotingSettings:
     """As the site sets it (the first voice decides), or by the count of half of all relays."""
     control = PromotionControl.VOTE_COUNT if count else PromotionControl.FIRST_VOTE
     words = {control: word for word, control in PROMOTION_CONTROLS.items()}
     needed, back = (relays // 2 + 1, max(1, relays // 10)) if count else (1, 1)
-    return Poll(words[control], needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
+    return VotingSettings(words[control], needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -23,7 +23,8 @@
 from lanelead.migrations.client import MigrationStoreClient
 from lanelead.migrations.migration_log import MigrationLog
 from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, SchemaCheck
-from lanelead.settings.records import Address, Batch, Demands, Step, Steps
+from lanelead.settings.migration_settings import BatchSettings, BuildRequirements, MigrationPlan, MigrationStep
+from lanelead.settings.service_settings import Address
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.crash_injection import CrashTrial
 from lanelead.testbed.emulators.running_stores import StoreProcess
@@ -32,11 +33,11 @@
 WRITE = "INSERT INTO filed (op) VALUES (:op)"
 
 
-def backfill(rows: int, rate: float, hold: float) -> Steps:
+def backfill(rows: int, rate: float, hold: float) -> MigrationPlan:
     work = "(SELECT sum(x) FROM (SELECT id * 3 AS x UNION ALL SELECT 7))"
     text = f"UPDATE t SET n = {work} WHERE id > :low AND id <= :high"
-    step = Step("fill", "backfill", [], [text], "never", 60_000.0, Batch("t", "id", rows, rate, hold))
-    return Steps("fill", [step], [Demands(1, [], [], WRITE)])
+    step = MigrationStep("fill", "backfill", [], [text], "never", 60_000.0, BatchSettings("t", "id", rows, rate, hold))
+    return MigrationPlan("fill", [step], [BuildRequirements(1, [], [], WRITE)])
 
 
 async def file(port: int, seconds: float, rate: float) -> list[float]:
@@ -57,7 +58,7 @@
     return sorted(times)
 
 
-def beside(trial: CrashTrial, plan: Steps | None, seconds: float, rate: float) -> tuple[list[float], float]:
+def beside(trial: CrashTrial, plan: MigrationPlan | None, seconds: float, rate: float) -> tuple[list[float], float]:
     place = trial.start_store()
     done = [0.0]
 
@@ -100,10 +101,12 @@
             parts = [times[int(len(times) * part) - 1] / base[int(len(base) * part) - 1] for part in (0.5, 0.99, 1)]
             click.echo(f"{said} | {', '.join(f'{part:.2f}' for part in parts)} | {took:.1f}")
         many = 300
-        steps = [Step(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)]
+        steps = [
+            MigrationStep(f"s{n}", "expand", [], [f"CREATE TABLE x{n} (a)"], "never", 10_000.0) for n in range(many)
+        ]
         place = trial.start_store()
         began = time.perf_counter()
-        CrashTrial(Steps("many", steps, []), folder, trial.launch).run(place, lease_ttl_seconds=5.0)
+        CrashTrial(MigrationPlan("many", steps, []), folder, trial.launch).run(place, lease_ttl_seconds=5.0)
         click.echo(f"{many} steps, one after another: {many / (time.perf_counter() - began):.0f} a second")
         place.close()
         long_record(folder)
@@ -115,7 +118,7 @@
     ledger = MigrationStore(file)
     ledger.connection.execute("PRAGMA synchronous=OFF")
     token = ledger.acquire_lease(LeaseRequest("one", 60_000))
-    plan = Steps("p", [Step("s", "expand", [], ["x"], ["y"], 1000.0)], [])
+    plan = MigrationPlan("p", [MigrationStep("s", "expand", [], ["x"], ["y"], 1000.0)], [])
     ledger.append(AppendRequest(token, 0, LogEntry("plan", text=msgspec.json.encode(plan).decode())))
     empty = file.stat().st_size
     for number in range(1, many, 4):
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -24,8 +24,8 @@
 import click
 import msgspec
 
+from lanelead.settings.migration_settings import MigrationPlan
 from lanelead.settings.read import read
-from lanelead.settings.records import Steps
 from lanelead.testbed.emulators.crash_injection import CrashTrial
 from lanelead.testbed.emulators.migration_checker import find_violations, with_tally
 from lanelead.testbed.emulators.running_stores import StoreProcess
@@ -36,7 +36,7 @@
 
 def trial(folder: str) -> CrashTrial:
     plan = read(plan_file("offers"))
-    assert isinstance(plan, Steps)
+    assert isinstance(plan, MigrationPlan)
     return CrashTrial(with_tally(plan), Path(folder), lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
 
 
--- a/benchmarks/step_orders.py
+++ b/benchmarks/step_orders.py
@@ -15,23 +15,29 @@
 import click
 
 from lanelead.migrations.runner import Goal, Operation
-from lanelead.settings.records import Batch, Demands, Need, Step, Steps
+from lanelead.settings.migration_settings import (
+    BatchSettings,
+    BuildRequirements,
+    MigrationPlan,
+    MigrationStep,
+    StageNeed,
+)
 from lanelead.testbed.simulation.migrations import ALL_CHECKS, SafetyChecks, SearchResult, search
 
 
-def plan(many: int) -> Steps:
+def plan(many: int) -> MigrationPlan:
     """An expand, a backfill, an expand and a contract step, one after another: the first `many` of them."""
     kinds = ("expand", "backfill", "expand", "contract")[: many - 1]
     kinds = (*kinds, "contract") if many > 1 else kinds
-    steps = list[Step]()
+    steps = list[MigrationStep]()
     for number, kind in enumerate(kinds):
-        batch = Batch("t", "id", 10, 1e6, 25) if kind == "backfill" else None
+        batch = BatchSettings("t", "id", 10, 1e6, 25) if kind == "backfill" else None
         after = [steps[-1].name] if steps else []
         texts = [f"{number} :low"] if batch else [str(number)]
-        steps.append(Step(f"s{number}", kind, after, texts, texts, 1000.0, batch))
-    builds = [Demands(1, [], [steps[-1].name] if many > 1 else [], "")]
-    builds.append(Demands(2, [Need(steps[0].name, 0)], [], ""))
-    return Steps("p", steps, builds)
+        steps.append(MigrationStep(f"s{number}", kind, after, texts, texts, 1000.0, batch))
+    builds = [BuildRequirements(1, [], [steps[-1].name] if many > 1 else [], "")]
+    builds.append(BuildRequirements(2, [StageNeed(steps[0].name, 0)], [], ""))
+    return MigrationPlan("p", steps, builds)
 
 
 CASES: dict[str, tuple[Operation, ...]] = {
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -15,7 +15,7 @@
 import click
 import msgspec
 
-from lanelead.settings.records import Day, Offer
+from lanelead.settings.scenario_settings import BuildOffer, Scenario
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.testbed.simulation.fleet import Town
@@ -24,10 +24,10 @@
 VOTERS = ("lanelead", "by clock", "error limit", "sequential")
 
 
-def day(number: int, relays: int, rate: float) -> Day:
+def day(number: int, relays: int, rate: float) -> Scenario:
     base, rng = load("bad-day"), Random(f"build {number}")
     bad = KINDS[number // 2 % len(KINDS)] if number % 2 else None
-    offer = Offer(
+    offer = BuildOffer(
         at=3.0, strength=rng.uniform(0.1, 0.8), speed=1.0, bad=bad, lane="offer-submit" if bad == "lane" else None
     )
     poll = msgspec.structs.replace(base.service.poll, complaint_share=0.5)
--- a/lanelead/cli.py
+++ b/lanelead/cli.py
@@ -50,8 +50,11 @@
 def check(files: tuple[str, ...]) -> None:
     """Checks settings files; says all that is wrong, and exits with 2 where anything is."""
     from lanelead.settings.errors import SettingsError
+    from lanelead.settings.experiment_settings import ExperimentPlan
+    from lanelead.settings.migration_settings import MigrationPlan
     from lanelead.settings.read import read
-    from lanelead.settings.records import Day, Experiment, Relay, Steps
+    from lanelead.settings.relay_settings import RelaySettings
+    from lanelead.settings.scenario_settings import Scenario
 
     bad = False
     for file in files:
@@ -62,7 +65,12 @@
             for fault in error.faults:
                 click.echo(str(fault), err=True)
         else:
-            kinds = {Relay: "relay", Day: "day", Steps: "plan of steps", Experiment: "plan of an experiment"}
+            kinds = {
+                RelaySettings: "relay",
+                Scenario: "day",
+                MigrationPlan: "plan of steps",
+                ExperimentPlan: "plan of an experiment",
+            }
             kind = kinds[type(record)]
             click.echo(f"{file}: a {kind}, good")
     sys.exit(2 if bad else 0)
@@ -76,14 +84,14 @@
     from lanelead.http_relay.main import run
     from lanelead.settings.errors import SettingsError
     from lanelead.settings.read import read
-    from lanelead.settings.records import Relay
+    from lanelead.settings.relay_settings import RelaySettings
 
     try:
         record = read(settings)
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    if not isinstance(record, Relay):
+    if not isinstance(record, RelaySettings):
         click.echo(f"{settings}: expected a relay", err=True)
         sys.exit(2)
     run(record, "console" if console else record.log)
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -11,7 +11,7 @@
 from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.feeds import MessageError
 from lanelead.protocols.platform import parse_address
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 MAX_FILE_BYTES = 1 << 20  # bytes of the file
 ReplicaNumber = Annotated[int, Meta(ge=0, le=63)]
--- a/lanelead/http/client.py
+++ b/lanelead/http/client.py
@@ -11,7 +11,7 @@
 from lanelead.http import serialization
 from lanelead.http.responses import HttpResponse, Progress, ResponseReader
 from lanelead.protocols.feeds import LineSplitter, MessageError
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 BUFFER = 16384  # bytes read at once
 MAX_RESPONSE_BYTES = 16 << 20
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -16,7 +16,7 @@
 from lanelead.http_relay.response_texts import TOO_MANY_CONNECTIONS
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
-from lanelead.settings import records
+from lanelead.settings.service_settings import ServiceSettings
 
 BUFFER_BYTES = 8192  # read at once
 MAX_SPARE_BUFFERS = 256
@@ -38,7 +38,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        service: records.Service,
+        service: ServiceSettings,
         driver: DecisionDriver,
         *,
         clock: Callable[[], Ticks],
--- a/lanelead/http_relay/feed_clients.py
+++ b/lanelead/http_relay/feed_clients.py
@@ -26,7 +26,7 @@
 from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver
-from lanelead.settings import records
+from lanelead.settings.relay_settings import FeedSettings, RelaySettings
 
 DISCOVERY = "discovery"
 ROLLOUT = "rollout"
@@ -44,7 +44,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: records.Relay,
+        settings: RelaySettings,
         *,
         clock: Callable[[], Ticks],
         after: Callable[[], None],
@@ -91,7 +91,7 @@
         self._tasks[name] = self._loop.create_task(follow)
 
     async def _follow(
-        self, name: str, path: Callable[[], bytes], feed: records.Feed, on_line: Callable[[bytes], None]
+        self, name: str, path: Callable[[], bytes], feed: FeedSettings, on_line: Callable[[bytes], None]
     ) -> None:
         """Reads a stream for ever, and comes back to it after a growing wait with a random part."""
         wait = feed.least_wait_ms / 1000
@@ -199,7 +199,7 @@
         assert readiness is not None
         return readiness
 
-    async def _follow_migrations(self, feed: records.Feed) -> None:
+    async def _follow_migrations(self, feed: FeedSettings) -> None:
         """The migration log, from where it was last read."""
         readiness = self._readiness()
 
@@ -211,7 +211,7 @@
     def _migrations_received(self, line: bytes) -> None:
         self._driver().migrations_read(decode(line, MigrationLogPage))
 
-    async def _acknowledge_migrations(self, feed: records.Feed) -> None:
+    async def _acknowledge_migrations(self, feed: FeedSettings) -> None:
         """Tells the store that a barrier entry is acknowledged, once nothing is in flight that it forbids."""
         readiness = self._readiness()
         limit = feed.silence_ms / 1000
--- a/lanelead/http_relay/gossip_transport.py
+++ b/lanelead/http_relay/gossip_transport.py
@@ -10,7 +10,7 @@
 from lanelead.http_relay.membership_transport import MembershipTransport
 from lanelead.protocols import datagrams
 from lanelead.runtime.driver import DecisionDriver
-from lanelead.settings import records
+from lanelead.settings.relay_settings import PeerSettings, RelaySettings
 
 MAX_DATAGRAMS_A_TURN = 64  # so that a flood leaves time for requests
 
@@ -25,8 +25,8 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: records.Relay,
-        peers: records.Peers,
+        settings: RelaySettings,
+        peers: PeerSettings,
         driver: DecisionDriver,
         after: Callable[[], None],
     ) -> None:
--- a/lanelead/http_relay/main.py
+++ b/lanelead/http_relay/main.py
@@ -9,12 +9,12 @@
 
 from lanelead.http_relay.service import DecisionWrapper, Service
 from lanelead.logs import logger
-from lanelead.settings.records import Relay
+from lanelead.settings.relay_settings import RelaySettings
 
 COLLECTOR_THRESHOLDS = (20_000, 20, 100)
 
 
-def run(settings: Relay, form: str, wrapper: DecisionWrapper | None = None) -> None:
+def run(settings: RelaySettings, form: str, wrapper: DecisionWrapper | None = None) -> None:
     """Serves until SIGTERM. The line `ready HOST PORT` on standard output says that it listens."""
     log = logger(form)
 
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -14,7 +14,8 @@
 from lanelead.membership.member_state import Address, MemberChange, MembershipTimings
 from lanelead.membership.messages import ALIVE, STATE_NAMES, MemberRecord
 from lanelead.protocols import datagrams
-from lanelead.settings import records
+from lanelead.settings.relay_settings import RelaySettings
+from lanelead.settings.service_settings import ticks
 
 TICKS_PER_SECOND = 10_000
 NANOSECONDS_PER_MS = 1_000_000
@@ -30,7 +31,7 @@
     def __init__(
         self,
         *,
-        settings: records.Relay,
+        settings: RelaySettings,
         loop: asyncio.AbstractEventLoop,
         udp: socket.socket,
         clock: Callable[[], Ticks],
@@ -60,7 +61,7 @@
         seeds = [(seed.host, seed.port) for seed in circle.seeds] or list(listed.values())
         self.members = Membership(
             own=own,
-            timings=MembershipTimings(records.ticks(circle.period_ms), records.ticks(circle.forget_ms)),
+            timings=MembershipTimings(ticks(circle.period_ms), ticks(circle.forget_ms)),
             seeds=seeds,
             rng=Random(f"circle {own.number} {own.started_at_ms}"),
             now=clock(),
--- a/lanelead/http_relay/request_routing.py
+++ b/lanelead/http_relay/request_routing.py
@@ -11,7 +11,7 @@
 from lanelead.decisions.interface import Idempotency, RequestClass, Tenant, Ticks
 from lanelead.http.requests import HttpRequest
 from lanelead.runtime.driver import DecisionDriver
-from lanelead.settings import records
+from lanelead.settings.service_settings import ServiceSettings, ticks
 
 REQUEST_ID = re.compile(rb"[!-~]{1,128}\Z")
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,3})?\Z")
@@ -30,7 +30,7 @@
 class RequestRouter:
     """Reads what the settings name in a request's target and headers. Made once from the settings."""
 
-    def __init__(self, service: records.Service, driver: DecisionDriver, tenants: Sequence[Tenant]) -> None:
+    def __init__(self, service: ServiceSettings, driver: DecisionDriver, tenants: Sequence[Tenant]) -> None:
         names = service.headers
         self._tenant_header = names.member.lower().encode()
         self._key_header = names.key.lower().encode()
@@ -41,7 +41,7 @@
         ]
         rows.sort(key=lambda row: -len(row[0]))  # the longest prefix that fits holds
         self._classes = rows
-        self._early_ticks = records.ticks(service.duties.early_ms)
+        self._early_ticks = ticks(service.duties.early_ms)
         self._tenants = {tenant.name: tenant for tenant in tenants}  # the decisions know these very objects
         networks = [(netaddr.IPNetwork(text), row.name) for row in service.members for text in row.networks]
         networks.sort(key=lambda pair: -pair[0].prefixlen)
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -30,7 +30,8 @@
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.loop_clock import LoopClock
 from lanelead.runtime.pending_requests import PendingRequest
-from lanelead.settings import records
+from lanelead.settings.relay_settings import NO_PRICES, RelaySettings, position_of
+from lanelead.settings.service_settings import ticks
 
 DecisionWrapper = Callable[[Decisions], Decisions]  # for tests only: stands between the driver and the decisions
 
@@ -43,7 +44,7 @@
 class Service:
     """One relay. `wrapper` is for tests only: it takes a guard out, from outside the decisions."""
 
-    def __init__(self, settings: records.Relay, log: Any, wrapper: DecisionWrapper | None = None) -> None:
+    def __init__(self, settings: RelaySettings, log: Any, wrapper: DecisionWrapper | None = None) -> None:
         self._settings = settings
         self._log = log.bind(relay=settings.number)
         self._loop = asyncio.get_running_loop()
@@ -98,14 +99,14 @@
         limits = service.duties.figures(settings.discovery == "subscribe")
         self._tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
         decisions: Decisions = Balancer(
-            position=records.place(settings),
+            position=position_of(settings),
             request_classes=request_classes,
             tenants=self._tenants,
             quota=quota.figures(settings.peers is not None),
             limits=limits,
             canary_limits=service.trial.figures(),
             voting_rules=service.poll.figures(),
-            prices=records.TARIFF,
+            prices=NO_PRICES,
             rng=Random(settings.seed * 65537 + settings.number),
             now=self.clock(),
             preference=NO_ZONE_PREFERENCE if settings.spill is None else settings.spill.figures(),
@@ -119,7 +120,7 @@
             request_classes=request_classes,
             limits=limits,
             max_pending=quota.open_lookups,
-            max_retry_after=records.ticks(quota.longest_advice_ms),
+            max_retry_after=ticks(quota.longest_advice_ms),
             readiness=self._make_readiness(request_classes, limits),
         )
 
--- a/lanelead/migrations/client.py
+++ b/lanelead/migrations/client.py
@@ -12,7 +12,7 @@
 from lanelead.migrations.migration_log import MigrationLog
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.migrations import MigrationLogPage, RejectedCall
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 ReplyType = TypeVar("ReplyType", bound=msgspec.Struct)
 CALL_TIMEOUT_SECONDS = 5.0  # for a call that has no timeout of its own
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -24,9 +24,10 @@
 from lanelead.migrations.plan import check_plans, execution_order
 from lanelead.migrations.runner import Goal, Operation
 from lanelead.protocols.migrations import EffectProgress
-from lanelead.settings.cue import Unfit
-from lanelead.settings.read import spotted
-from lanelead.settings.records import Address, Steps
+from lanelead.settings.errors import SettingsError
+from lanelead.settings.migration_settings import MigrationPlan
+from lanelead.settings.read import read_with_positions
+from lanelead.settings.service_settings import Address
 
 EXIT_UNUSABLE = 2  # plans, arguments or a store that can't be used
 EXIT_INCOMPLETE = 3  # a step is under way or has failed
@@ -46,25 +47,25 @@
     console: bool = False
 
 
-def load_plans(files: tuple[str, ...]) -> list[Steps]:
+def load_plans(files: tuple[str, ...]) -> list[MigrationPlan]:
     """The plans of some files, checked alone and together; ends the program with 2 where they are unfit."""
-    plans: list[tuple[Steps, Any]] = []
+    plans: list[tuple[MigrationPlan, Any]] = []
     failed = False
     for file in files:
         try:
-            record, spots = spotted(file)
-        except Unfit as unfit:
+            record, spots = read_with_positions(file)
+        except SettingsError as unfit:
             click.echo(str(unfit), err=True)
             failed = True
             continue
-        if not isinstance(record, Steps):
+        if not isinstance(record, MigrationPlan):
             click.echo(f"{file}: expected a migration plan (steps: ...)", err=True)
             failed = True
             continue
         plans.append((record, spots))
     try:
         check_plans(plans)
-    except Unfit as unfit:
+    except SettingsError as unfit:
         click.echo(str(unfit), err=True)
         failed = True
     if failed:
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -24,7 +24,7 @@
 from lanelead.migrations.errors import InvalidEntryError
 from lanelead.migrations.plan import execution_order
 from lanelead.protocols.migrations import BARRIER, Direction, LogEntry, LoggedEntry
-from lanelead.settings.records import Demands, Step, Steps
+from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, MigrationStep
 
 
 class StepStatus(Enum):
@@ -45,7 +45,7 @@
     failure_reason, parts_applied: of its last failure.
     """
 
-    step: Step
+    step: MigrationStep
     plan_name: str
     status: StepStatus = StepStatus.PENDING
     direction: Direction = "apply"
@@ -65,9 +65,9 @@
 
     def __init__(self) -> None:
         self.last_seq = 0
-        self.plans: dict[str, Steps] = {}
+        self.plans: dict[str, MigrationPlan] = {}
         self.steps: dict[str, StepState] = {}  # in execution order
-        self._build_requirements: dict[int, list[Demands]] = {}
+        self._build_requirements: dict[int, list[BuildRequirements]] = {}
 
     def copy(self) -> MigrationLog:
         """An independent copy."""
@@ -91,7 +91,7 @@
             self._append_step_entry(entry, logged.seq)
         self.last_seq = logged.seq
 
-    def register_plan(self, plan: Steps) -> None:
+    def register_plan(self, plan: MigrationPlan) -> None:
         """Adds a plan, all of whose steps are pending. Raises InvalidEntryError."""
         if plan.name in self.plans:
             raise InvalidEntryError(f"plan {plan.name!r} is in the log already", rule=1)
@@ -106,7 +106,7 @@
 
     def _append_plan(self, entry: LogEntry) -> None:
         try:
-            plan = msgspec.json.decode(entry.text, type=Steps)
+            plan = msgspec.json.decode(entry.text, type=MigrationPlan)
         except msgspec.MsgspecError as error:
             raise InvalidEntryError(f"not a plan: {error}") from None
         if self.active_step() or self.failed_step():
--- a/lanelead/migrations/plan.py
+++ b/lanelead/migrations/plan.py
@@ -14,13 +14,13 @@
 from graphlib import CycleError, TopologicalSorter
 from itertools import pairwise
 
-from lanelead.settings.cue import Fault, Spot, Unfit
-from lanelead.settings.records import Demands, Step, Steps
+from lanelead.settings.errors import Position, SettingsError, SettingsFault
+from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, MigrationStep
 
-Spots = dict[str, Spot]  # the place in the file of each path of a plan; "" is the whole plan's
+Spots = dict[str, Position]  # the place in the file of each path of a plan; "" is the whole plan's
 
 
-def execution_order(plan: Steps) -> list[Step]:
+def execution_order(plan: MigrationPlan) -> list[MigrationStep]:
     """The steps in the order in which they run: after what they come after, else as written.
 
     Raises graphlib.CycleError where there is none.
@@ -28,7 +28,7 @@
     place = {step.name: number for number, step in enumerate(plan.steps)}
     sorter = TopologicalSorter({step.name: step.after for step in plan.steps})
     sorter.prepare()
-    steps: list[Step] = []
+    steps: list[MigrationStep] = []
     waiting: list[str] = []
     while sorter.is_active():
         waiting += sorter.get_ready()
@@ -39,7 +39,7 @@
     return steps
 
 
-def with_dependencies(plan: Steps, names: Iterable[str]) -> set[str]:
+def with_dependencies(plan: MigrationPlan, names: Iterable[str]) -> set[str]:
     """The named steps and all that they come after, directly or not. Names that the plan lacks are passed over."""
     steps = {step.name: step for step in plan.steps}
     found: set[str] = set()
@@ -52,26 +52,26 @@
     return found
 
 
-def check_plans(plans: Sequence[tuple[Steps, Spots]]) -> None:
-    """Raises Unfit with all that is wrong with the plans, alone and together."""
-    faults: list[Fault] = []
+def check_plans(plans: Sequence[tuple[MigrationPlan, Spots]]) -> None:
+    """Raises SettingsError with all that is wrong with the plans, alone and together."""
+    faults: list[SettingsFault] = []
     owners: dict[str, str] = {}
     for plan, spots in plans:
         checker = _PlanChecker(plan, spots)
         checker.check(owners)
         faults += checker.faults
     if faults:
-        raise Unfit(faults)
+        raise SettingsError(faults)
 
 
 class _PlanChecker:
     """Collects the faults of one plan."""
 
-    def __init__(self, plan: Steps, spots: Spots) -> None:
+    def __init__(self, plan: MigrationPlan, spots: Spots) -> None:
         self._plan = plan
         self._spots = spots
         self._steps = {step.name: step for step in plan.steps}
-        self.faults: list[Fault] = []
+        self.faults: list[SettingsFault] = []
 
     def check(self, owners: dict[str, str]) -> None:
         """Runs all checks. `owners`: the plan that each step name belongs to, so far; extended by this plan."""
@@ -86,7 +86,7 @@
 
     def _report(self, path: str, found: str, expected: str, spot_path: str | None = None) -> None:
         spot = self._spots.get(path if spot_path is None else spot_path, self._spots[""])
-        self.faults.append(Fault(spot, path, found, expected))
+        self.faults.append(SettingsFault(spot, path, found, expected))
 
     def _check_names(self, owners: dict[str, str]) -> None:
         seen: set[str] = set()
@@ -154,12 +154,12 @@
                     expected = "a contract step that comes after what a later build needs"
                     self._report(self._until_path(earlier), found, expected)
 
-    def _builds_in_order(self) -> list[Demands]:
+    def _builds_in_order(self) -> list[BuildRequirements]:
         return sorted(self._plan.builds, key=lambda build: build.build)
 
-    def _until_path(self, build: Demands) -> str:
+    def _until_path(self, build: BuildRequirements) -> str:
         numbers = {other.build: number for number, other in enumerate(self._plan.builds)}
         return f"steps.builds[{numbers[build.build]}].until"
 
-    def _needed(self, build: Demands) -> set[str]:
+    def _needed(self, build: BuildRequirements) -> set[str]:
         return with_dependencies(self._plan, [need.step for need in build.needs])
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -39,7 +39,7 @@
     EffectProgress,
     LogEntry,
 )
-from lanelead.settings.records import Steps
+from lanelead.settings.migration_settings import MigrationPlan
 
 MAX_ATTEMPTS = 4  # for one intent whose outcome stays unknown, before it is logged as failed
 MAX_FAILURE_REASON_CHARACTERS = 500
@@ -55,7 +55,7 @@
     allow_ending_rollback: steps may make a rollback impossible.
     """
 
-    plan: Steps = field(compare=False)
+    plan: MigrationPlan = field(compare=False)
     operation: Operation = "run"
     last_step: str = ""
     allow_ending_rollback: bool = False
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -285,5 +285,5 @@
             self._sock = None
 
     async def _wait_until_closed(self, deadline: float) -> None:
-        while self.clients and self.loop.time() < deadline:
+        while self.clients and self.loop.time() < deadline:  # noqa: ASYNC110 - many places close a connection
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -29,7 +29,7 @@
 from lanelead.protocols.configuration import Buckets, DigestTree, WatchLine
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.platform import parse_address
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 MAX_RESPONSE_BYTES = 4 << 20
 MAX_WAIT_SECONDS = 60.0
--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -10,7 +10,7 @@
 from lanelead.http.client import CallFailedError, call
 from lanelead.protocols.feeds import EndpointListMessage, MessageError, decode
 from lanelead.protocols.platform import EndpointList, parse_address
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 WATCH_HOLD_SECONDS = 2.0  # for which a watch may wait; far less than the time after which a relay counts as notified
 RESPONSE_GRACE_SECONDS = 0.5  # for the response after that
@@ -84,7 +84,7 @@
                         remedy="look at discovery's agent; the last good list stays",
                     )
                 self._count_rejection(error)
-            except Exception:
+            except Exception:  # noqa: BLE001 - one list must not end the feed; logged
                 self._log.exception("an endpoint list could not be applied")
             self.connected = False
             self._snapshot_needed = True
--- a/lanelead/postgres_relay/rollout_client.py
+++ b/lanelead/postgres_relay/rollout_client.py
@@ -20,7 +20,7 @@
     encode_call,
     parse_address,
 )
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 
 PING_INTERVAL_SECONDS = 1.0  # between the platform's heartbeats
 SILENCE_TIMEOUT_SECONDS = 2.5 * PING_INTERVAL_SECONDS
@@ -102,7 +102,7 @@
         for _ in votes:
             try:
                 self._notify(None, True, AttemptOutcome.TIMED_OUT)
-            except Exception:
+            except Exception:  # noqa: BLE001 - the other votes must be reported; logged
                 self._log.exception("the end of a vote could not be applied")
 
     async def run(self) -> None:
@@ -118,7 +118,7 @@
                         reason=str(error) or "silent",
                         remedy="look at the platform; votes wait until it is back",
                     )
-            except Exception:
+            except Exception:  # noqa: BLE001 - one line must not end the feed; logged
                 self._log.exception("the rollout connection failed")
             self.connected = False
             self._expire_votes()
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -278,7 +278,7 @@
             try:
                 self.upstream.sweep()
                 self.listener.sweep()
-            except Exception:
+            except Exception:  # noqa: BLE001 - one failed sweep must not be the last; logged
                 self._log.exception("a sweep failed")
             count += 1
             if count % SWEEPS_PER_STATE_LINE == 0:
--- a/lanelead/settings/checks.py
+++ b/lanelead/settings/checks.py
@@ -7,7 +7,9 @@
 import netaddr
 
 from lanelead.settings.errors import Position, SettingsFault
-from lanelead.settings.records import Circle, Day, Event, Lane, Member, Relay, Service, Spill, Trial
+from lanelead.settings.relay_settings import MembershipSettings, RelaySettings, SpilloverSettings
+from lanelead.settings.scenario_settings import Scenario, ScenarioEvent
+from lanelead.settings.service_settings import CanarySettings, RequestClassSettings, ServiceSettings, TenantSettings
 
 MAX_ZONE_BYTES = 32  # as zones pass between relays
 WILDCARD_HOSTS = ("0.0.0.0", "::")
@@ -30,7 +32,7 @@
 # A service, which relays and scenarios share
 
 
-def check_service(service: Service, at: str, positions: Mapping[str, Position]) -> list[SettingsFault]:
+def check_service(service: ServiceSettings, at: str, positions: Mapping[str, Position]) -> list[SettingsFault]:
     """The faults of a service whose path is `at`."""
     faults = FaultList(positions, at)
     _check_unique(faults, f"{at}.lanes", [row.name for row in service.lanes])
@@ -48,14 +50,14 @@
             faults.add(f"{path}[{index}].name", f"{name!r} again", "a name used once")
 
 
-def _check_class(faults: FaultList, path: str, row: Lane) -> None:
+def _check_class(faults: FaultList, path: str, row: RequestClassSettings) -> None:
     if row.expected_time_ms > row.outer_limit_ms:
         faults.add(f"{path}.expected_time_ms", str(row.expected_time_ms), "no more than outer_limit_ms")
     if row.repeat == "receipted" and not row.memory_ms:
         faults.add(f"{path}.memory_ms", "none", "how long endpoints remember the keys of this class")
 
 
-def _check_networks(faults: FaultList, path: str, members: list[Member]) -> None:
+def _check_networks(faults: FaultList, path: str, members: list[TenantSettings]) -> None:
     known: list[netaddr.IPNetwork] = []
     for index, member in enumerate(members):
         for number, text in enumerate(member.networks):
@@ -70,7 +72,7 @@
             known.append(network)
 
 
-def _check_stages(faults: FaultList, path: str, trial: Trial) -> None:
+def _check_stages(faults: FaultList, path: str, trial: CanarySettings) -> None:
     if len(trial.shares) != len(trial.caps):
         faults.add(f"{path}.caps", f"{len(trial.caps)} caps", f"{len(trial.shares)}, one a stage")
     for name, figures in (("shares", trial.shares), ("caps", trial.caps)):
@@ -81,7 +83,7 @@
 # A relay
 
 
-def check_relay(record: Relay, positions: Mapping[str, Position]) -> list[SettingsFault]:
+def check_relay(record: RelaySettings, positions: Mapping[str, Position]) -> list[SettingsFault]:
     """The faults of a relay, its service aside."""
     faults = FaultList(positions, "relay")
     if record.number >= record.relays:
@@ -96,7 +98,7 @@
     return faults.faults
 
 
-def _check_spill(faults: FaultList, zone: str, spill: Spill) -> None:
+def _check_spill(faults: FaultList, zone: str, spill: SpilloverSettings) -> None:
     named = [name for tier in spill.tiers for name in tier]
     for index, tier in enumerate(spill.tiers):
         for number, name in enumerate(tier):
@@ -106,7 +108,9 @@
         faults.add("relay.spill.tiers[0]", f"{spill.tiers[0]}", f"the relay's own zone {zone!r}")
 
 
-def _check_membership(record: Relay, circle: Circle, positions: Mapping[str, Position]) -> list[SettingsFault]:
+def _check_membership(
+    record: RelaySettings, circle: MembershipSettings, positions: Mapping[str, Position]
+) -> list[SettingsFault]:
     faults = FaultList(positions, "relay.circle")
     if record.peers is None:
         faults.add("relay.circle", "no peers", "relay.peers, whose socket membership messages use too")
@@ -124,7 +128,7 @@
     return faults.faults
 
 
-def _check_regions(faults: FaultList, circle: Circle) -> dict[str, str]:
+def _check_regions(faults: FaultList, circle: MembershipSettings) -> dict[str, str]:
     """The region of each zone."""
     regions: dict[str, str] = {}
     for index, region in enumerate(circle.regions):
@@ -142,7 +146,7 @@
 # A scenario
 
 
-def check_scenario(record: Day, positions: Mapping[str, Position]) -> list[SettingsFault]:
+def check_scenario(record: Scenario, positions: Mapping[str, Position]) -> list[SettingsFault]:
     """The faults of a scenario, its service aside."""
     faults = FaultList(positions, "day")
     classes = {row.name for row in record.service.lanes}
@@ -157,7 +161,7 @@
     return faults.faults
 
 
-def _class_references(record: Day) -> Iterator[tuple[str, str | None]]:
+def _class_references(record: Scenario) -> Iterator[tuple[str, str | None]]:
     """Every place that may name a request class."""
     for index, work in enumerate(record.clients.work):
         yield f"day.clients.work[{index}].lane", work.lane
@@ -167,7 +171,7 @@
         yield f"day.events[{index}].lane", event.lane
 
 
-def _check_event(faults: FaultList, path: str, event: Event, record: Day) -> None:
+def _check_event(faults: FaultList, path: str, event: ScenarioEvent, record: Scenario) -> None:
     if event.member is not None and event.member not in {row.name for row in record.service.members}:
         faults.add(f"{path}.member", repr(event.member), "a member of the service")
     if event.relay is not None and event.relay >= record.relays:
--- a/lanelead/settings/read.py
+++ b/lanelead/settings/read.py
@@ -15,16 +15,19 @@
 from lanelead.settings.cue_syntax import parse
 from lanelead.settings.cue_values import Value, unify
 from lanelead.settings.errors import Position, SettingsError, SettingsFault
-from lanelead.settings.records import Day, Experiment, Relay, Steps
+from lanelead.settings.experiment_settings import ExperimentPlan
+from lanelead.settings.migration_settings import MigrationPlan
+from lanelead.settings.relay_settings import RelaySettings
+from lanelead.settings.scenario_settings import Scenario
 
-Record = Relay | Day | Steps | Experiment
+Record = RelaySettings | Scenario | MigrationPlan | ExperimentPlan
 DEFINITIONS_FILE = "definitions.cue"
 ANY_DEFINITION = "#File"
 RECORD_TYPES: dict[str, tuple[str, type[Record]]] = {  # by a file's one field: its definition and record
-    "relay": ("#RelayFile", Relay),
-    "day": ("#DayFile", Day),
-    "steps": ("#StepsFile", Steps),
-    "experiment": ("#ExperimentFile", Experiment),
+    "relay": ("#RelayFile", RelaySettings),
+    "day": ("#DayFile", Scenario),
+    "steps": ("#StepsFile", MigrationPlan),
+    "experiment": ("#ExperimentFile", ExperimentPlan),
 }
 
 
@@ -72,9 +75,6 @@
     return _read(text, file)
 
 
-spotted = read_with_positions  # an earlier name, until lanelead/migrations follows
-
-
 def read_text(text: str, file: str) -> Record:
     """The same as `read`, from a text; `file` is what faults name."""
     return _read(text, file)[0]
@@ -92,9 +92,9 @@
         fault = SettingsFault(positions[""], name, str(error), "a value that the record takes")
         raise SettingsError([fault]) from None
     faults: list[SettingsFault] = []
-    if isinstance(record, Relay):
+    if isinstance(record, RelaySettings):
         faults = check_service(record.service, "relay.service", positions) + check_relay(record, positions)
-    elif isinstance(record, Day):
+    elif isinstance(record, Scenario):
         faults = check_service(record.service, "day.service", positions) + check_scenario(record, positions)
     if faults:
         raise SettingsError(faults)
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -23,7 +23,8 @@
 
 from lanelead.http import serialization
 from lanelead.http.responses import SURPLUS_BYTES, Progress, ResponseReader
-from lanelead.settings.records import Clients, Service
+from lanelead.settings.scenario_settings import ClientSettings
+from lanelead.settings.service_settings import ServiceSettings
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.workload import Demand, Op
 
@@ -35,8 +36,8 @@
     seed: int
     seconds: float
     slack: float
-    service: Service
-    clients: Clients
+    service: ServiceSettings
+    clients: ClientSettings
     relays: list[tuple[str, int]]
 
 
--- a/lanelead/testbed/emulators/crash_injection.py
+++ b/lanelead/testbed/emulators/crash_injection.py
@@ -26,7 +26,8 @@
 from lanelead.migrations.client import MigrationStoreClient
 from lanelead.migrations.executor import ExecutorOptions, MigrationExecutor
 from lanelead.migrations.runner import Goal, Operation
-from lanelead.settings.records import Address, Steps
+from lanelead.settings.migration_settings import MigrationPlan
+from lanelead.settings.service_settings import Address
 from lanelead.testbed.emulators.migration_checker import SCHEMA, find_violations
 from lanelead.testbed.emulators.running_stores import RunningStore, StoreThread
 
@@ -51,7 +52,7 @@
 class CrashTrial:
     """One plan, one folder, one store after another."""
 
-    plan: Steps
+    plan: MigrationPlan
     folder: Path
     launch: Callable[[Path], RunningStore] = StoreThread
     stores_started: int = 0
@@ -161,7 +162,7 @@
 
 def main() -> None:
     """A runner's process that sends itself a signal at a point: PLAN PORT NUMBER SIGNAL."""
-    plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Steps)
+    plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=MigrationPlan)
     left = int(sys.argv[3])
 
     def on_point(point: str) -> None:
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -32,7 +32,7 @@
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
 from lanelead.protocols.migrations import SchemaCheck
-from lanelead.settings.records import Address
+from lanelead.settings.service_settings import Address
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.service_model import Engine, Life
 
--- a/lanelead/testbed/emulators/migration_checker.py
+++ b/lanelead/testbed/emulators/migration_checker.py
@@ -9,7 +9,7 @@
 
 from lanelead.migrations.migration_log import MigrationLog, StepState, StepStatus
 from lanelead.protocols.migrations import LogEntry, LoggedEntry
-from lanelead.settings.records import Step, Steps
+from lanelead.settings.migration_settings import MigrationPlan, MigrationStep
 
 ROWS = 300
 UNBOUNDED_ROWS_PER_SECOND = 1e6
@@ -21,12 +21,12 @@
 """
 
 
-def with_tally(plan: Steps) -> Steps:
+def with_tally(plan: MigrationPlan) -> MigrationPlan:
     """The plan, with statements that show a repeated effect: none of them may be applied twice."""
     return msgspec.structs.replace(plan, steps=[_step_with_tally(step) for step in plan.steps])
 
 
-def _step_with_tally(step: Step) -> Step:
+def _step_with_tally(step: MigrationStep) -> MigrationStep:
     if step.batch is not None:
         batch = msgspec.structs.replace(step.batch, rate=UNBOUNDED_ROWS_PER_SECOND)
         touch = "UPDATE offers SET touched = touched + 1 WHERE id > :low AND id <= :high"
@@ -37,7 +37,7 @@
     return msgspec.structs.replace(step, apply=[*step.apply, f"INSERT INTO tally VALUES ('{step.name}')"], undo=undo)
 
 
-def find_violations(file: Path, plan: Steps, whole: bool = False) -> list[str]:
+def find_violations(file: Path, plan: MigrationPlan, whole: bool = False) -> list[str]:
     """What is wrong with a store's file, for a plan `with_tally`; empty: nothing.
 
     That is: effects that the log doesn't have or that were applied twice, and a build that may have traffic while its
@@ -62,7 +62,7 @@
     return log
 
 
-def _step_violations(database: sqlite3.Connection, log: MigrationLog, plan: Steps, whole: bool) -> list[str]:
+def _step_violations(database: sqlite3.Connection, log: MigrationLog, plan: MigrationPlan, whole: bool) -> list[str]:
     violations: list[str] = []
     applied_intents = {intent for (intent,) in database.execute("SELECT DISTINCT intent FROM ll_marks")}
     for step in plan.steps:
@@ -86,7 +86,7 @@
     return 1 if state.status is StepStatus.DONE else 0
 
 
-def _backfill_violations(database: sqlite3.Connection, plan: Steps, whole: bool) -> list[str]:
+def _backfill_violations(database: sqlite3.Connection, plan: MigrationPlan, whole: bool) -> list[str]:
     backfills = sum(1 for step in plan.steps if step.batch is not None)
     touched = [times for (times,) in database.execute("SELECT DISTINCT touched FROM offers WHERE id <= ?", (ROWS,))]
     if max(touched) > backfills or (whole and touched != [backfills]):
@@ -94,7 +94,7 @@
     return []
 
 
-def _write_violations(database: sqlite3.Connection, log: MigrationLog, plan: Steps) -> list[str]:
+def _write_violations(database: sqlite3.Connection, log: MigrationLog, plan: MigrationPlan) -> list[str]:
     violations: list[str] = []
     for requirements in plan.builds:
         if log.plans and log.is_ready(requirements.build):
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -11,7 +11,7 @@
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import STREAM, ServerConnection, chunk
 from lanelead.protocols.feeds import MessageError, VoteRequest, VoteResponse, decode, encode
-from lanelead.settings.records import Poll, Trial
+from lanelead.settings.service_settings import CanarySettings, VotingSettings
 from lanelead.testbed.emulators.discovery import Door, relay_of
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.vote_counting import Polling
@@ -22,8 +22,8 @@
         self,
         folder: Path,
         port: int,
-        trial: Trial,
-        poll: Poll,
+        trial: CanarySettings,
+        poll: VotingSettings,
         told: float,
         push: float,
         rng: Random,
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -29,7 +29,7 @@
 from lanelead.http_relay.main import run
 from lanelead.migrations.readiness import Readiness
 from lanelead.settings.read import read
-from lanelead.settings.records import Relay
+from lanelead.settings.relay_settings import RelaySettings
 
 
 class Seam:
@@ -177,7 +177,7 @@
 
 def main() -> None:
     settings = read(sys.argv[2])
-    assert isinstance(settings, Relay)
+    assert isinstance(settings, RelaySettings)
     if sys.argv[1] == "steps":  # every build that is listed may have traffic, whatever the record says
         for name in ("accepts_traffic", "allows_promotion"):
             setattr(Readiness, name, lambda *_: True)
--- a/lanelead/testbed/emulators/vote_counting.py
+++ b/lanelead/testbed/emulators/vote_counting.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 from lanelead.protocols.feeds import RolloutMessage, VoteRequest
-from lanelead.settings.records import Poll, Trial
+from lanelead.settings.service_settings import CanarySettings, VotingSettings
 
 
 class Polling:
     def __init__(
         self,
-        trial: Trial,
-        poll: Poll,
+        trial: CanarySettings,
+        poll: VotingSettings,
         rng: Random,
         clock: Callable[[], float],
         note: Callable[..., None],
--- a/lanelead/testbed/emulators/workload.py
+++ b/lanelead/testbed/emulators/workload.py
@@ -9,7 +9,8 @@
 from random import Random
 from typing import Any
 
-from lanelead.settings.records import Clients, Service, Work
+from lanelead.settings.scenario_settings import ClientSettings, WorkSettings
+from lanelead.settings.service_settings import ServiceSettings
 
 
 class Op:
@@ -27,7 +28,7 @@
 
 
 class Demand:
-    def __init__(self, service: Service, clients: Clients, relays: int, rng: Random) -> None:
+    def __init__(self, service: ServiceSettings, clients: ClientSettings, relays: int, rng: Random) -> None:
         self._service, self._clients, self._relays, self._rng = service, clients, relays, rng
         self.lanes = {request_class.name: request_class for request_class in service.lanes}
         self._rate, self._rates = 1.0, dict[str, float]()
@@ -64,7 +65,7 @@
         op.due = now + self.lanes[work.lane].outer_limit_ms / 1000
         return op
 
-    def _draw(self, work: Work) -> float:
+    def _draw(self, work: WorkSettings) -> float:
         mean, cv = work.ms / 1000 * self._slow_lane.get(work.lane, 1.0), work.cv
         if self._heavy and self._rng.random() < 0.02:
             mean *= self._heavy
--- a/lanelead/testbed/emulators/write_traffic.py
+++ b/lanelead/testbed/emulators/write_traffic.py
@@ -14,7 +14,8 @@
 from lanelead.migrations.readiness import Readiness
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.migrations import AcknowledgeRequest, MigrationLogPage, SchemaCheck
-from lanelead.settings.records import Address, Demands, Steps
+from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan
+from lanelead.settings.service_settings import Address
 
 TICKS_PER_SECOND = 10_000
 RELAY = 7
@@ -37,7 +38,7 @@
     build. heed_readiness: false seeds a fault: all builds write at any time.
     """
 
-    def __init__(self, port: int, plan: Steps, heed_readiness: bool = True) -> None:
+    def __init__(self, port: int, plan: MigrationPlan, heed_readiness: bool = True) -> None:
         self._address = Address("127.0.0.1", port)
         self._plan = plan
         self._heed_readiness = heed_readiness
@@ -91,7 +92,7 @@
                     if response.status == 200:
                         self._readiness.acknowledged_seq = due
 
-    async def _write(self, requirements: Demands) -> None:
+    async def _write(self, requirements: BuildRequirements) -> None:
         build = requirements.build
         request = Request(WRITE_CLASS, None, None, self._now(), self._now() + 10_000)
         attempt = Attempt(request, None, 0, self._now(), 10_000)  # type: ignore[arg-type]
--- a/lanelead/testbed/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from lanelead.settings.errors import SettingsError
+from lanelead.settings.experiment_settings import ExperimentPlan
 from lanelead.settings.read import read_with_positions
-from lanelead.settings.records import Experiment
 from lanelead.testbed.scenarios.commands import end, load
 from lanelead.testbed.simulation.baselines import POLICIES
 from lanelead.testbed.simulation.fleet import Town
@@ -84,7 +84,7 @@
 
     try:
         plan, positions = read_with_positions(file)
-        if not isinstance(plan, Experiment):
+        if not isinstance(plan, ExperimentPlan):
             raise click.BadParameter(f"{file}: expected the plan of an experiment")
         found = cells(plan, positions)
     except SettingsError as error:
--- a/lanelead/testbed/experiments/plan.py
+++ b/lanelead/testbed/experiments/plan.py
@@ -11,7 +11,8 @@
 import msgspec
 
 from lanelead.settings.errors import Position, SettingsError, SettingsFault
-from lanelead.settings.records import Day, Experiment
+from lanelead.settings.experiment_settings import ExperimentPlan
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.baselines import POLICIES
 
@@ -35,7 +36,7 @@
 
     name: str
     levels: tuple[str, ...]
-    day: Day
+    day: Scenario
 
 
 def overlay(base: Any, more: Any) -> Any:
@@ -55,7 +56,7 @@
 
 
 class _PlanChecker:
-    def __init__(self, plan: Experiment, positions: dict[str, Position]) -> None:
+    def __init__(self, plan: ExperimentPlan, positions: dict[str, Position]) -> None:
         self._plan = plan
         self._positions = positions
         self.faults: list[SettingsFault] = []
@@ -100,7 +101,7 @@
                 self.blame(path, f"field {field[1:]!r}", "a field of the scenario")
 
 
-def cells(plan: Experiment, positions: dict[str, Position]) -> list[Cell]:
+def cells(plan: ExperimentPlan, positions: dict[str, Position]) -> list[Cell]:
     """One cell for each choice of levels.
 
     Raises SettingsError where the plan names a scenario, field, policy or measure that there is not.
@@ -117,7 +118,7 @@
             value = overlay(value, level.set)
         names = tuple(level.name for level in levels)
         try:
-            found.append(Cell(", ".join(names) or "as it is", names, msgspec.convert(value, Day)))
+            found.append(Cell(", ".join(names) or "as it is", names, msgspec.convert(value, Scenario)))
         except msgspec.ValidationError as error:
             checker.blame("experiment.factors", f"level {', '.join(names)}: {error}", "a scenario")
     checker.raise_faults()
--- a/lanelead/testbed/experiments/report.py
+++ b/lanelead/testbed/experiments/report.py
@@ -7,7 +7,7 @@
 
 from jinja2 import Environment
 
-from lanelead.settings.records import Experiment
+from lanelead.settings.experiment_settings import ExperimentPlan
 from lanelead.testbed.experiments.plan import MEASURES
 from lanelead.testbed.experiments.run import Rows, interval, paired
 
@@ -33,7 +33,7 @@
     return "" if value != value or value in (float("inf"), float("-inf")) else f"{value:.4g}"
 
 
-def table(plan: Experiment, rows: Rows, measure: str) -> list[dict[str, Any]]:
+def table(plan: ExperimentPlan, rows: Rows, measure: str) -> list[dict[str, Any]]:
     """A measure's rows, one for each cell and policy: texts to show, and the values that the plot takes."""
     found = []
     for (cell, policy), seeds in rows.items():
@@ -93,7 +93,7 @@
     return text[text.index("<svg") :]
 
 
-def page(plan: Experiment, rows: Rows) -> str:
+def page(plan: ExperimentPlan, rows: Rows) -> str:
     """The HTML file."""
     tables = [(measure, some) for measure in MEASURES if (some := table(plan, rows, measure))]
     plots = {measure: plot(some, measure) for measure, some in tables}
@@ -104,7 +104,7 @@
     return template.render(plan=plan, tables=tables, plots=plots, runs=runs)
 
 
-def lines(plan: Experiment, rows: Rows) -> list[str]:
+def lines(plan: ExperimentPlan, rows: Rows) -> list[str]:
     """The same for a terminal: the measure that the plan stops by."""
     found = [f"{plan.stop.measure}: levels | policy | runs | mean, half-width | more than {plan.baseline}"]
     for row in table(plan, rows, plan.stop.measure):
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -19,7 +19,8 @@
 import msgspec
 from scipy import stats
 
-from lanelead.settings.records import Day, Experiment
+from lanelead.settings.experiment_settings import ExperimentPlan
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.experiments.plan import Cell
 from lanelead.testbed.scenarios.rules.findings import Verdict
 from lanelead.testbed.scenarios.rules.verifier import verify
@@ -38,7 +39,7 @@
     """The file holds another plan's runs."""
 
 
-def measures(day: Day, policy: str, seed: int, judged: bool) -> dict[str, float]:
+def measures(day: Scenario, policy: str, seed: int, judged: bool) -> dict[str, float]:
     """One run's figures, by measure. Without the verifier, only those that the clients count."""
     began = time.perf_counter()
     fleet = Town(day, seed, POLICIES[policy], silent=not judged).run()
@@ -104,23 +105,23 @@
     return (*interval(pairs), len(pairs)) if pairs else None
 
 
-def read(file: str | Path) -> tuple[Experiment, Rows]:
+def read(file: str | Path) -> tuple[ExperimentPlan, Rows]:
     """The plan and all runs that a file holds."""
     with closing(sqlite3.connect(file)) as db:
         body = db.execute("SELECT body FROM plan").fetchone()
-        plan = msgspec.json.decode(body[0], type=Experiment)
+        plan = msgspec.json.decode(body[0], type=ExperimentPlan)
         rows: Rows = {}
         for cell, policy, seed, measure, value in db.execute("SELECT * FROM runs ORDER BY cell, policy, seed"):
             rows.setdefault((cell, policy), {}).setdefault(seed, {})[measure] = value
         return plan, rows
 
 
-def _one(job: tuple[str, Day, str, int, bool]) -> tuple[str, str, int, dict[str, float]]:
+def _one(job: tuple[str, Scenario, str, int, bool]) -> tuple[str, str, int, dict[str, float]]:
     cell, day, policy, seed, judged = job
     return cell, policy, seed, measures(day, policy, seed, judged)
 
 
-def run(plan: Experiment, cells: list[Cell], file: Path, procs: int, progress: Callable[[int, int], None]) -> None:
+def run(plan: ExperimentPlan, cells: list[Cell], file: Path, procs: int, progress: Callable[[int, int], None]) -> None:
     """Runs what is missing; `procs` processes, 0: one a core. `progress` gets runs done, and runs of this block.
 
     Raises OtherPlanError. May be killed at any moment and started again: whole runs are kept.
@@ -150,7 +151,7 @@
                 open_cells = [(cell, policy) for cell, policy in open_cells if cell.name in wide]
 
 
-def _open_results(db: sqlite3.Connection, plan: Experiment, file: Path) -> None:
+def _open_results(db: sqlite3.Connection, plan: ExperimentPlan, file: Path) -> None:
     db.executescript(TABLES)
     body = msgspec.json.encode(plan).decode()
     old = db.execute("SELECT body FROM plan").fetchone()
@@ -166,7 +167,7 @@
     db.commit()
 
 
-def _wide(db: sqlite3.Connection, cell: str, policy: str, plan: Experiment) -> bool:
+def _wide(db: sqlite3.Connection, cell: str, policy: str, plan: ExperimentPlan) -> bool:
     found: list[Any] = db.execute(
         "SELECT value FROM runs WHERE cell = ? AND policy = ? AND measure = ?",
         (cell, policy, plan.stop.measure),
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -12,7 +12,7 @@
 
 from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read, read_text
-from lanelead.settings.records import Day
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.emulators.event_recording import BadCapture
 from lanelead.testbed.scenarios.rules.findings import Verdict, report
 from lanelead.testbed.scenarios.rules.verifier import verify
@@ -24,13 +24,13 @@
     return {path.stem: path for path in sorted(folder.glob("*.cue"))}
 
 
-def load(name: str) -> Day:
+def load(name: str) -> Scenario:
     """A scenario by name or file. Raises SettingsError, or click.BadParameter where there is none."""
     path = scripts().get(name, Path(name))
     if not path.exists():
         raise click.BadParameter(f"no day {name}: there are {', '.join(scripts())}")
     record = read(path)
-    if not isinstance(record, Day):
+    if not isinstance(record, Scenario):
         raise click.BadParameter(f"{path}: a relay, expected a day")
     return record
 
@@ -45,7 +45,7 @@
     """The scenarios that come with lanelead."""
     for name, path in scripts().items():
         record = read(path)
-        assert isinstance(record, Day)
+        assert isinstance(record, Scenario)
         click.echo(f"{name:18} {record.seconds:4g} s  {record.says}")
 
 
--- a/lanelead/testbed/scenarios/processes.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -18,7 +18,8 @@
 import msgspec
 
 from lanelead.protocols.feeds import EndpointMessage
-from lanelead.settings import records
+from lanelead.settings.scenario_settings import Scenario
+from lanelead.settings.service_settings import RequestClassSettings
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.service_model import Build, Life
@@ -123,7 +124,7 @@
 class EndpointFleet:
     """All endpoints of a scenario, by name."""
 
-    def __init__(self, day: records.Day, folder: Path, seed: int, roster: Roster) -> None:
+    def __init__(self, day: Scenario, folder: Path, seed: int, roster: Roster) -> None:
         self._day = day
         self._folder = folder
         self._roster = roster
@@ -213,7 +214,7 @@
         self.tap.note("start", name=machine.name, pid=machine.process.process.pid, build=machine.build.number)
         self.report(machine, "ready", cold)
 
-    def _receipts(self, request_class: records.Lane, machine: EndpointProcess) -> str:
+    def _receipts(self, request_class: RequestClassSettings, machine: EndpointProcess) -> str:
         groups = {"all": "all", "zone": machine.zone, "cell": f"cell-{machine.place // 4}"}
         folder = self._folder / "receipts" / request_class.name / groups[request_class.scope]
         folder.mkdir(parents=True, exist_ok=True)
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -36,7 +36,9 @@
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
-from lanelead.settings import records
+from lanelead.settings.relay_settings import NO_PRICES
+from lanelead.settings.scenario_settings import Scenario, ScenarioEvent
+from lanelead.settings.service_settings import ticks
 from lanelead.testbed.emulators.service_model import Build, Engine, Life
 from lanelead.testbed.emulators.vote_counting import Polling
 from lanelead.testbed.emulators.workload import Demand, Op
@@ -61,7 +63,7 @@
             facts["t"], facts["ev"] = round(self._clock.now, 6), what
             self.files.setdefault(file, []).append(facts)
 
-    def write(self, folder: Path, day: records.Day) -> None:
+    def write(self, folder: Path, day: Scenario) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.json").write_bytes(msgspec.json.encode(day))
         for file, facts in self.files.items():
@@ -247,7 +249,7 @@
             limits=limits,
             canary_limits=service.trial.figures(),
             voting_rules=service.poll.figures(),
-            prices=records.TARIFF,
+            prices=NO_PRICES,
             rng=stream(town.seed, f"relay {number} {town.clock.now}"),
             now=self.clock(),
             preference=preference,
@@ -259,7 +261,7 @@
             request_classes=self.lanes,
             limits=limits,
             max_pending=service.allowance.open_lookups,
-            max_retry_after=records.ticks(service.allowance.longest_advice_ms),
+            max_retry_after=ticks(service.allowance.longest_advice_ms),
         )
 
     def clock(self) -> Ticks:
@@ -471,7 +473,7 @@
 
     def __init__(
         self,
-        day: records.Day,
+        day: Scenario,
         seed: int,
         make: Make = Balancer,
         silent: bool = False,
@@ -837,7 +839,7 @@
 
     # Events
 
-    def _event(self, event: records.Event) -> Story:
+    def _event(self, event: ScenarioEvent) -> Story:
         self.book.note("conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count)
         kind, last = event.kind, event.for_
         if kind.startswith("zone_"):
@@ -909,7 +911,7 @@
         if not machine.leaving:
             self._launch(machine.life.build.number, machine.place, True, machine.life.name)
 
-    def _relays(self, event: records.Event) -> Story:
+    def _relays(self, event: ScenarioEvent) -> Story:
         roll = event.kind == "relay_roll"
         one = event.relay if event.relay is not None else self._fleet.randrange(self.day.relays)
         numbers = list(range(self.day.relays)) if roll else [one]
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -14,7 +14,7 @@
 
 from lanelead.cli import main
 from lanelead.settings.read import read_text
-from lanelead.settings.records import Day
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.scenarios.bench_import import MAKERS, NotADayError, script, written
 from lanelead.testbed.scenarios.commands import load
 
@@ -143,7 +143,7 @@
         for kind in MAKERS:
             record, said = script(msgspec.json.encode(bench_day(trouble(kind))), "d")
             day = read_text(written(record, said), "d")
-            assert isinstance(day, Day)
+            assert isinstance(day, Scenario)
             self.assertEqual(len(day.events), 1, kind)
             self.assertIn("14 units in place of 20", said)
             self.assertEqual((day.desk.offers[0].bad, day.desk.offers[0].lane), ("lane", "file"))
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -12,18 +12,21 @@
 from lanelead.migrations.runner import Goal
 from lanelead.protocols.feeds import MessageError, RolloutMessage
 from lanelead.protocols.migrations import AppendRequest, LeaseRequest, LogEntry, LoggedEntry, MigrationLogPage
-from lanelead.settings.records import Demands, Need, Steps
+from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, StageNeed
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
 from tests.test_driver import ANSWER, LANES, SECOND, Stage
 from tests.test_migration_runner import plan, step, through
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
-PLAN: Steps = plan(
+PLAN: MigrationPlan = plan(
     step("a"),
     step("b", "a"),
     step("end", "b", kind="contract"),
-    builds=(Demands(1, [], ["end"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
+    builds=(
+        BuildRequirements(1, [], ["end"], ""),
+        BuildRequirements(2, [StageNeed("a", 0), StageNeed("b", 1)], [], ""),
+    ),
 )
 PLAN_ENTRY = LogEntry("plan", text=Goal(PLAN).plan_json)
 
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -22,7 +22,13 @@
 from lanelead.migrations.plan import execution_order
 from lanelead.migrations.runner import MAX_ATTEMPTS, Goal, Operation, Runner
 from lanelead.protocols.migrations import LogEntry, LoggedEntry
-from lanelead.settings.records import Batch, Demands, Need, Step, Steps
+from lanelead.settings.migration_settings import (
+    BatchSettings,
+    BuildRequirements,
+    MigrationPlan,
+    MigrationStep,
+    StageNeed,
+)
 from lanelead.testbed.simulation.migrations import (
     ALL_CHECKS,
     InvariantViolationError,
@@ -38,14 +44,14 @@
 PLANS = Path(__file__).parent.parent / "lanelead" / "testbed" / "scenarios" / "plans"
 
 
-def step(name: str, *after: str, kind: str = "expand", undo: bool = True) -> Step:
-    batch = Batch("t", "id", 10, 1e6, 25) if kind == "backfill" else None
+def step(name: str, *after: str, kind: str = "expand", undo: bool = True) -> MigrationStep:
+    batch = BatchSettings("t", "id", 10, 1e6, 25) if kind == "backfill" else None
     texts = [f"{name} :low"] if batch else [name]
-    return Step(name, kind, list(after), texts, texts if undo else "never", 1000.0, batch)
+    return MigrationStep(name, kind, list(after), texts, texts if undo else "never", 1000.0, batch)
 
 
-def plan(*steps: Step, builds: tuple[Demands, ...] = (), name: str = "p") -> Steps:
-    return Steps(name, list(steps), list(builds))
+def plan(*steps: MigrationStep, builds: tuple[BuildRequirements, ...] = (), name: str = "p") -> MigrationPlan:
+    return MigrationPlan(name, list(steps), list(builds))
 
 
 ONE_AFTER_ANOTHER = plan(
@@ -53,11 +59,11 @@
     step("b", "a", kind="backfill"),
     step("c", "b"),
     step("d", "c", kind="contract", undo=False),
-    builds=(Demands(1, [], ["d"], ""), Demands(2, [Need("a", 0), Need("b", 1)], [], "")),
+    builds=(BuildRequirements(1, [], ["d"], ""), BuildRequirements(2, [StageNeed("a", 0), StageNeed("b", 1)], [], "")),
 )
 
 
-def written(*entries: LogEntry, of: Steps = ONE_AFTER_ANOTHER) -> MigrationLog:
+def written(*entries: LogEntry, of: MigrationPlan = ONE_AFTER_ANOTHER) -> MigrationLog:
     log = MigrationLog()
     body = msgspec.json.encode(of).decode()
     for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
@@ -275,11 +281,11 @@
 class EveryCallOrder(unittest.TestCase):
     """Two runners, one store: every order of their calls, with faults; see testbed/simulation/migrations.py."""
 
-    TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(Demands(1, [], [], ""),))
+    TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(BuildRequirements(1, [], [], ""),))
     ENDS = plan(
         step("a"),
         step("d", "a", kind="contract"),
-        builds=(Demands(1, [], ["d"], ""), Demands(2, [Need("a", 0)], [], "")),
+        builds=(BuildRequirements(1, [], ["d"], ""), BuildRequirements(2, [StageNeed("a", 0)], [], "")),
     )
 
     def test_two_runners_that_run_the_same_plan(self) -> None:
@@ -322,8 +328,8 @@
             kind = data.draw(st.sampled_from(["expand", "backfill"]))
             steps.append(step(f"s{number}", *(f"s{n}" for n in sorted(after)), kind=kind))
         steps.append(step("last", *(s.name for s in steps), kind="contract", undo=False))
-        needs = [Need(s.name, 0) for s in steps[: count // 2]]
-        builds = (Demands(1, [], ["last"], ""), Demands(2, needs, [], ""))
+        needs = [StageNeed(s.name, 0) for s in steps[: count // 2]]
+        builds = (BuildRequirements(1, [], ["last"], ""), BuildRequirements(2, needs, [], ""))
         self.plan = plan(*steps, builds=builds)
         operations: tuple[Operation, ...] = ("run", "undo", "resume")
         self.fresh = tuple(Runner(Goal(self.plan, operation, allow_ending_rollback=True)) for operation in operations)
--- a/tests/test_migration_store.py
+++ b/tests/test_migration_store.py
@@ -13,8 +13,8 @@
 
 from lanelead.cli import main
 from lanelead.protocols.migrations import AppendRequest, ApplyRequest, BatchRange, LeaseRequest, LogEntry
+from lanelead.settings.migration_settings import MigrationPlan
 from lanelead.settings.read import read
-from lanelead.settings.records import Steps
 from lanelead.store.migration_store import MigrationStore, StoreRejectedError
 from lanelead.testbed.emulators.crash_injection import CrashTrial
 from lanelead.testbed.emulators.migration_checker import find_violations, with_tally
@@ -24,9 +24,9 @@
 from tests.test_migration_runner import PLANS
 
 
-def offers() -> Steps:
+def offers() -> MigrationPlan:
     plan = read(PLANS / "offers.cue")
-    assert isinstance(plan, Steps)
+    assert isinstance(plan, MigrationPlan)
     return with_tally(plan)
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -15,7 +15,7 @@
 from lanelead.cli import main
 from lanelead.decisions.balancer import Balancer
 from lanelead.settings.read import read_text
-from lanelead.settings.records import Day
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.emulators.seeded_faults import SEAMS
 from lanelead.testbed.experiments.run import interval, measures, paired, read
 from lanelead.testbed.scenarios.commands import load
@@ -27,9 +27,9 @@
 from tests.test_day import SHORT
 
 
-def short() -> Day:
+def short() -> Scenario:
     day = read_text(SHORT, "short")
-    assert isinstance(day, Day)
+    assert isinstance(day, Scenario)
     return day
 
 
--- a/tests/test_rules_verifier.py
+++ b/tests/test_rules_verifier.py
@@ -10,7 +10,7 @@
 
 from lanelead.migrations.runner import Goal
 from lanelead.protocols.migrations import LogEntry
-from lanelead.settings.records import Overflow, StepsOfDay
+from lanelead.settings.scenario_settings import MigrationScenario, SpilloverOverride
 from lanelead.testbed.emulators.event_recording import BadCapture
 from lanelead.testbed.scenarios.rules.findings import Finding
 from lanelead.testbed.scenarios.rules.verifier import verify
@@ -206,7 +206,7 @@
     def town(self) -> RecordingWriter:
         recording = RecordingWriter()
         zones = msgspec.structs.replace(recording.day.units, zones=["north", "south"], count=4)
-        recording.day = msgspec.structs.replace(recording.day, units=zones, spill=Overflow(0.5, 1.0, 2.0))
+        recording.day = msgspec.structs.replace(recording.day, units=zones, spill=SpilloverOverride(0.5, 1.0, 2.0))
         return recording
 
     def test_trips_outside_the_own_zone_are_held_against_the_limit(self) -> None:
@@ -233,7 +233,7 @@
 
     def town(self, *rest: tuple[float, LogEntry]) -> RecordingWriter:
         recording = RecordingWriter()
-        recording.day = msgspec.structs.replace(recording.day, steps=StepsOfDay(0, []))
+        recording.day = msgspec.structs.replace(recording.day, steps=MigrationScenario(0, []))
         recording.up("d", 0.0, build=2)
         rows = [
             (1.0, LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,8 @@
 from lanelead.settings.cue_syntax import parse
 from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read, read_text
-from lanelead.settings.records import Day, Relay
+from lanelead.settings.relay_settings import RelaySettings
+from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.scenarios.commands import scripts
 
 GOOD = """
@@ -30,9 +31,9 @@
 """
 
 
-def relay(text: str = GOOD) -> Relay:
+def relay(text: str = GOOD) -> RelaySettings:
     record = read_text(text, "f")
-    assert isinstance(record, Relay)
+    assert isinstance(record, RelaySettings)
     return record
 
 
@@ -100,7 +101,7 @@
 
     def test_all_days_of_ours_are_good(self) -> None:
         for path in scripts().values():
-            self.assertIsInstance(read(path), Day)
+            self.assertIsInstance(read(path), Scenario)
 
 
 class Language(unittest.TestCase):
--- a/tests/town.py
+++ b/tests/town.py
@@ -21,7 +21,7 @@
 from lanelead.http_relay.service import Service
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings.read import read_text
-from lanelead.settings.records import Relay
+from lanelead.settings.relay_settings import RelaySettings
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
 
@@ -52,7 +52,7 @@
 async def outside(folder: Path) -> AsyncIterator[tuple[Roster, Desk]]:
     """The roster and the desk that a relay's process needs, with nothing listed yet."""
     record = read_text(SETTINGS.replace(", MORE", "") % (1, 1), "town")
-    assert isinstance(record, Relay)
+    assert isinstance(record, RelaySettings)
     roster = Roster(folder, 0, 0.0)
     trial, poll = record.service.trial, record.service.poll
     desk = Desk(folder, 0, trial, poll, 0.0, 1.0, Random(0), lambda build, stage, phase: None)
@@ -148,7 +148,7 @@
         text = SETTINGS.replace(", MORE", ", " + self._more if self._more else "")
         text = text.replace("//TOP", self._top).replace("number: 0", f"seed: {self._seed}, number: 0")
         record = read_text(text % (1, 1), "town")
-        assert isinstance(record, Relay)
+        assert isinstance(record, RelaySettings)
         service = record.service
         self.desk = Desk(
             self._folder,
@@ -162,7 +162,7 @@
         )
         await self.desk.open()
         record = read_text(text % (self.roster.port, self.desk.port), "town")
-        assert isinstance(record, Relay)
+        assert isinstance(record, RelaySettings)
         self.settings = record
         ready: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self.relay = Service(record, structlog.wrap_logger(self.log))
