--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,7 +19,7 @@
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.scenarios.rules.recording import Recording
 from lanelead.testbed.scenarios.rules.verifier import verify
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 SCRIPTS = (
     "crash",
@@ -85,7 +85,7 @@
     name, seed = job
     day = load(name)
     with tempfile.TemporaryDirectory() as folder:
-        Town(day, seed).run().book.write(Path(folder), day)
+        SimulatedFleet(day, seed).run().book.write(Path(folder), day)
         return figures(Path(folder))
 
 
--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -17,7 +17,7 @@
 from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.clock import Clock
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 
 def day(relays: int, units: int, rate: float, seconds: float) -> Scenario:
@@ -35,7 +35,7 @@
 
 
 def one(job: tuple[int, int, float, float]) -> dict[str, Any]:
-    town = Town(day(*job), 1, silent=True)
+    town = SimulatedFleet(day(*job), 1, silent=True)
     began = time.perf_counter()
     town.run()
     took = time.perf_counter() - began
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -18,7 +18,7 @@
 from lanelead.settings.scenario_settings import BuildOffer, Scenario
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.simulation.baselines import POLICIES
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 KINDS = ("errors", "lane", "slow", "load", "late", "wrong", "shared")
 VOTERS = ("lanelead", "by clock", "error limit", "sequential")
@@ -46,7 +46,7 @@
 def one(job: tuple[int, int, float, str]) -> tuple[str, str | None, float | None, bool]:
     """The policy, how the build was bad, when it was sent back, and whether it was released first."""
     number, relays, rate, policy = job
-    town = Town(day(number, relays, rate), number, POLICIES[policy]).run()
+    town = SimulatedFleet(day(number, relays, rate), number, POLICIES[policy]).run()
     facts = town.book.files["desk"]
     offered = town.day.desk.offers[0]
     back = next((fact["t"] - 3603.0 for fact in facts if fact["ev"] == "sent_back"), None)
--- a/lanelead/membership/messages.py
+++ b/lanelead/membership/messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
+from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATE_NAMES = ("alive", "suspect", "dead", "left")
--- a/lanelead/protocols/datagrams.py
+++ b/lanelead/protocols/datagrams.py
@@ -15,13 +15,12 @@
 from enum import StrEnum
 from struct import Struct
 
-from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
-
 GOSSIP_MAGIC = b"LLP1"
 MEMBERSHIP_MAGIC = b"LLM1"
 HEADER = Struct(">4sHHI")  # magic with version, sender, length of the payload, sequence number
 CHECKSUM = Struct(">I")
 SHORT_CHECKSUM = Struct(">H")
+MAX_MESSAGE_BYTES = 256  # of one message between relays, with its checksum
 MAX_DATAGRAM_BYTES = HEADER.size + MAX_MESSAGE_BYTES + CHECKSUM.size
 
 
--- a/lanelead/runtime/gossip_codec.py
+++ b/lanelead/runtime/gossip_codec.py
@@ -30,9 +30,9 @@
     OutcomeObservation,
     RequestClass,
 )
+from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.runtime.short_ids import NO_LONG_ID, ShortIds
 
-MAX_MESSAGE_BYTES = 256  # of one message between relays, with its checksum
 CHECKSUM_BYTES = 2
 MAX_BYTE = 255  # counts above it are sent as it
 FAULT_KINDS = 5  # fault counts in an outcome observation
--- a/lanelead/settings/definitions.cue
+++ b/lanelead/settings/definitions.cue
@@ -136,7 +136,7 @@
 	zones: [#Name, ...#Name]
 }
 
-// Who is there, told from relay to relay. Off unless asked for; see docs/circle.md. Without seeds the peers
+// Who is there, told from relay to relay. Off unless asked for; see docs/membership.md. Without seeds the peers
 // are asked.
 #Circle: {
 	regions:   [#Region, ...#Region]
--- a/lanelead/testbed/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -15,7 +15,7 @@
 from lanelead.settings.read import read_with_positions
 from lanelead.testbed.scenarios.commands import end, load
 from lanelead.testbed.simulation.baselines import POLICIES
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 
 @click.group()
@@ -56,7 +56,7 @@
         "clients": msgspec.structs.replace(day.clients, rate=rate or day.clients.rate),
     }
     day = msgspec.structs.replace(day, **more)
-    fleet = Town(day, day.seed if seed is None else seed, POLICIES[policy]).run()
+    fleet = SimulatedFleet(day, day.seed if seed is None else seed, POLICIES[policy]).run()
     for kind in fleet.left_out:
         click.echo(f"left out: {kind}, a fault of connections")
     with tempfile.TemporaryDirectory(prefix="lanelead-model-") as spare:
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -25,7 +25,7 @@
 from lanelead.testbed.scenarios.rules.findings import Verdict
 from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.baselines import POLICIES
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS plan (one INTEGER PRIMARY KEY CHECK (one = 1), body TEXT NOT NULL);
@@ -42,7 +42,7 @@
 def measures(day: Scenario, policy: str, seed: int, judged: bool) -> dict[str, float]:
     """One run's figures, by measure. Without the verifier, only those that the clients count."""
     began = time.perf_counter()
-    fleet = Town(day, seed, POLICIES[policy], silent=not judged).run()
+    fleet = SimulatedFleet(day, seed, POLICIES[policy], silent=not judged).run()
     counts = fleet.counts
     times = sorted(counts.times)
     requests = max(1, counts.asked)
--- a/lanelead/testbed/simulation/clock.py
+++ b/lanelead/testbed/simulation/clock.py
@@ -16,6 +16,8 @@
 
 Story = Iterator[float]  # yields for how many seconds to wait
 
+CLOCK_START_SECONDS = 3600.0  # the clock at the start: endpoints that started before have a past
+
 
 class Clock:
     def __init__(self, start: float = 0.0) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -136,4 +136,4 @@
         self.assertGreater(len(rows), 20)
         for row in rows:
             for term in re.findall(r"`([A-Za-z_]+)`", row):
-                self.assertIn(term, names_in_code(), row)
+                self.assertTrue(term in names_in_code(), f"{term} in {row}")
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -26,7 +26,7 @@
     decode_message,
     encode_message,
 )
-from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES
+from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 TEMPO = MembershipTimings(3000, 60 * SECOND)
--- a/tests/test_gossip_messages.py
+++ b/tests/test_gossip_messages.py
@@ -14,8 +14,9 @@
     InFlightCount,
     OutcomeObservation,
 )
+from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.runtime.endpoint_registry import EndpointRegistry
-from lanelead.runtime.gossip_codec import MAX_MESSAGE_BYTES, decode_gossip, encode_gossip
+from lanelead.runtime.gossip_codec import decode_gossip, encode_gossip
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -23,7 +23,7 @@
 from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
 from lanelead.testbed.simulation.clock import Clock, stream
-from lanelead.testbed.simulation.fleet import Town
+from lanelead.testbed.simulation.fleet import SimulatedFleet
 from tests.test_day import SHORT
 
 
@@ -33,7 +33,7 @@
     return day
 
 
-def judged(town: Town) -> Verdict:
+def judged(town: SimulatedFleet) -> Verdict:
     with tempfile.TemporaryDirectory() as folder:
         town.book.write(Path(folder), town.day)
         return verify(Path(folder))
@@ -56,9 +56,9 @@
 
 class Days(unittest.TestCase):
     def test_a_short_day_keeps_the_rules_and_the_same_seed_gives_the_same_log(self) -> None:
-        first, second = (Town(short(), 3).run() for _ in range(2))
+        first, second = (SimulatedFleet(short(), 3).run() for _ in range(2))
         self.assertEqual(msgspec.json.encode(first.book.files), msgspec.json.encode(second.book.files))
-        self.assertNotEqual(Town(short(), 4).run().book.files, first.book.files)
+        self.assertNotEqual(SimulatedFleet(short(), 4).run().book.files, first.book.files)
         verdict = judged(first)
         self.assertTrue(verdict.kept, verdict.rules)
         for rule in ("answers", "effects", "drains", "cold", "exposure"):
@@ -69,12 +69,12 @@
         for seam in ("answers", "effects", "drains", "cold", "exposure"):
             day = load("bad-day")
             day = msgspec.structs.replace(day, seconds=30.0, events=[e for e in day.events if e.at < 28])
-            found = judged(Town(day, 1, lambda seam=seam, **given: SEAMS[seam](Balancer(**given))).run())
+            found = judged(SimulatedFleet(day, 1, lambda seam=seam, **given: SEAMS[seam](Balancer(**given))).run())
             self.assertGreater(found.rules[seam].broken, 0, seam)
 
     def test_every_policy_keeps_the_rules(self) -> None:
         for name, policy in POLICIES.items():
-            verdict = judged(Town(short(), 1, policy).run())
+            verdict = judged(SimulatedFleet(short(), 1, policy).run())
             self.assertTrue(verdict.kept, (name, verdict.rules))
             self.assertGreater(verdict.done, 250, name)
 
@@ -86,7 +86,7 @@
         )
         clients = msgspec.structs.replace(day.clients, rate=160.0)
         day = msgspec.structs.replace(day, seconds=18.0, events=[lost, burst], clients=clients)
-        town = Town(day, 1).run()
+        town = SimulatedFleet(day, 1).run()
         facts = town.book.files["clients"]
         tenant = {fact["id"]: fact["member"] for fact in facts if fact["ev"] == "ask" and fact["t"] > 3609}
         ends: dict[str, list[bool]] = {}
@@ -141,7 +141,7 @@
             events=[],
             desk=none,
         )
-        town = Town(day, 5, policy, silent=True, hop=1e-6)
+        town = SimulatedFleet(day, 5, policy, silent=True, hop=1e-6)
         town.demand._draw = lambda work: town.demand._rng.expovariate(1000 / work.ms)  # type: ignore[method-assign]
         times = town.run().counts.times
         return sum(times) / len(times) / 0.05
--- a/tests/test_marks_stories.py
+++ b/tests/test_short_id_decisions.py
@@ -19,11 +19,11 @@
     Verdict,
 )
 from lanelead.protocols import datagrams
+from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.runtime.endpoint_registry import EndpointRegistry
 from lanelead.runtime.gossip_codec import (
     IN_FLIGHT_ENTRY,
     IN_FLIGHT_MARKER,
-    MAX_MESSAGE_BYTES,
     MESSAGE_FORM,
     OUTCOME_ROW,
     decode_gossip,
@@ -32,8 +32,8 @@
 from lanelead.runtime.short_ids import long_id_of
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, FakeHost
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
+from tests.short_id_gossip import A, B, C, door, letters, read
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
-from tests.test_marks import A, B, C, door, letters, read
 from tests.town import live
 
 
