--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -15,7 +15,6 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass, field
 from random import Random
 
 from lanelead.configuration.actions import (
@@ -30,6 +29,7 @@
     VersionApplied,
 )
 from lanelead.configuration.document import Document, DocumentError, DocumentTooLargeError, bucket_digests_of, bucket_of
+from lanelead.configuration.follower_state import Repair, SourceState
 from lanelead.protocols.configuration import AppliedVersion, Buckets, DigestTree, WatchLine
 
 WATCH_TIMEOUT_SECONDS = 1.2  # seconds without a line; a source writes one each 0.4 s
@@ -42,7 +42,6 @@
 NEARER_SOURCE_SECONDS = (20.0, 40.0)  # seconds after which a nearer source is tried again
 FETCH_TIMEOUT_SECONDS = 3.0  # seconds for an outline or buckets
 FETCH_BYTES = 16384  # bytes of buckets asked for at once, about
-FIRST_FETCH_BUCKETS = 16  # buckets asked for first, while their size is not known
 MAX_FAILED_FETCHES = 3  # outlines and buckets in a row that could not be had, after which another source is tried
 OVERSIZE_RETRY_SECONDS = (40.0, 80.0)  # seconds until a document over the bounds is looked at again
 MIN_REPORT_SECONDS = 0.2  # seconds between two words on what is in force, at the least
@@ -53,31 +52,6 @@
 )
 
 
-@dataclass
-class _SourceState:
-    """One source, as this relay has met it."""
-
-    location: Location
-    tie_break: float
-    failures: int = 0
-    retry_at: float = 0.0  # not before this
-    staleness_ms: float = 0.0  # of its last line, ms
-    committed_version: int = 0
-    last_line_at: float = -1e9  # when its last line came
-
-
-@dataclass
-class _Repair:
-    draft: Document
-    tree: DigestTree | None = None
-    missing: list[int] = field(default_factory=list)
-    in_flight: bool = False
-    fetched_at: float = 0.0  # when something was asked
-    not_before: float = 0.0  # nothing before this
-    bucket_limit: int = FIRST_FETCH_BUCKETS
-    failed_fetches: int = 0
-
-
 class Follower:
     """`document`: what is in force; whoever holds it changes nothing. `rate`: bytes a second of a repair."""
 
@@ -96,7 +70,7 @@
         self.rejections = 0
         self.repairs = self.lines = 0
         self._relay, self._location, self._rate, self._rng = number, place, rate, rng
-        self._sources = [_SourceState(source, rng.random()) for source in sources]
+        self._sources = [SourceState(source, rng.random()) for source in sources]
         self._order = sorted(range(len(sources)), key=lambda n: (self._distance(n), self._sources[n].tie_break))
         self._current: int | None = None
         self._trial: tuple[int, float] | None = None  # one that may be better, and since when it is asked
@@ -106,7 +80,7 @@
             FIRST_LINE_SECONDS,
             0,
         )  # until the first line; watches in a row that gave none
-        self._repair: _Repair | None = None
+        self._repair: Repair | None = None
         self._report_pending, self._reported_at = False, -1e9
         self.tick(now)
 
@@ -375,17 +349,17 @@
 
     def _begin_repair(self, now: float) -> None:
         if self._repair is None:
-            self._repair = _Repair(self.document.copy(), not_before=now)
+            self._repair = Repair(self.document.copy(), not_before=now)
             self.repairs += 1
 
-    def _repair_in_flight(self, source: int) -> _Repair | None:
+    def _repair_in_flight(self, source: int) -> Repair | None:
         return self._repair if source == self._current and self._repair and self._repair.in_flight else None
 
     def _limit_rate(self, size: int, now: float) -> None:
         if self._repair is not None:
             self._repair.not_before = now + size / self._rate
 
-    def _continue_repair(self, source: int, repair: _Repair, now: float) -> None:
+    def _continue_repair(self, source: int, repair: Repair, now: float) -> None:
         if repair.in_flight and now >= repair.fetched_at + FETCH_TIMEOUT_SECONDS:
             self.fetch_failed(source, now)
         if repair.in_flight or now < repair.not_before:
@@ -399,7 +373,7 @@
         else:
             self._finish_repair(source, repair, repair.tree, now)
 
-    def _finish_repair(self, source: int, repair: _Repair, outline: DigestTree, now: float) -> None:
+    def _finish_repair(self, source: int, repair: Repair, outline: DigestTree, now: float) -> None:
         self._repair = None
         repair.draft.finish_repair(outline)  # each bucket was held against the outline, and that against its digest
         places, before = dict.fromkeys(self.document.differing_buckets(outline)), self.document
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -24,12 +24,20 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Iterator, Sequence
-from contextlib import contextmanager
+from collections.abc import Callable, Sequence
 from random import Random
 
 from lanelead.configuration.agreement import MAX_REPLY_SECONDS, Proposer, UnacceptableChangeError
 from lanelead.configuration.messages import LONG_AGO_SECONDS, CatchUpRequest, PeerCall, PeerState
+from lanelead.configuration.replica_checks import StoreHealth, mismatch
+from lanelead.configuration.replica_limits import (
+    COMPLETION_DELAY_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    MAX_COMPLETION_DELAY_SECONDS,
+    MAX_CONCURRENT_FETCHES,
+    MAX_QUEUED_PROPOSALS,
+    MAX_UNANSWERED_HEARTBEATS,
+)
 from lanelead.configuration.replica_state import DivergenceError, ReplicaState
 from lanelead.configuration.store import StoreError
 from lanelead.protocols.configuration import (
@@ -45,13 +53,6 @@
 )
 from lanelead.protocols.configuration_replicas import SNAPSHOT_PAGES, DecidedChange, SnapshotPage
 
-HEARTBEAT_INTERVAL_SECONDS = 0.5  # seconds
-MAX_UNANSWERED_HEARTBEATS = 12  # signs to one machine without an answer yet, at the most
-MAX_CONCURRENT_FETCHES = 3  # machines that are asked for changes at a time
-MAX_QUEUED_PROPOSALS = 64  # proposals
-COMPLETION_DELAY_SECONDS = 0.75  # seconds until a change that was accepted here and not decided is finished, at least
-MAX_COMPLETION_DELAY_SECONDS = 24.0  # the same for later tries
-
 
 class Replica:
     """`told`: is called with what an operator should read, and what to do."""
@@ -69,8 +70,8 @@
         self.number, self.voters, self.state = number, tuple(voters), holding
         self.peers = {other: PeerState() for other in others}
         self.outgoing: list[PeerCall] = []
-        self.store_fault = ""  # of the store, at its last try
         self._rng, self._report, self._started = rng, told, now
+        self._store_health = StoreHealth(told)
         self._quorum = len(self.voters) // 2 + 1
         self._queue: deque[Proposer] = deque()
         self._next_heartbeat = now
@@ -85,6 +86,11 @@
         """Whether this replica takes part in votes."""
         return self.number in self.voters and not self.state.acceptor.non_voting
 
+    @property
+    def store_fault(self) -> str:
+        """Of the store, at its last try; empty: none."""
+        return self._store_health.fault
+
     @property
     def queued(self) -> int:
         """Proposals that wait or are under way."""
@@ -150,7 +156,7 @@
             return Promise("abstains", self.state.committed_version)
         if self.number not in self.voters:
             return Promise("abstains", self.state.committed_version)
-        with self._track_store_fault():
+        with self._store_health.track():
             promise = self.state.acceptor.prepare(ask)
         if promise.outcome == "behind":
             self._fetch(ask.ballot.replica, now)
@@ -162,7 +168,7 @@
             return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
             return AcceptReply("abstains", self.state.committed_version)
-        with self._track_store_fault():
+        with self._store_health.track():
             vote = self.state.acceptor.accept(ask)
         if vote.outcome == "behind":
             self._fetch(ask.ballot.replica, now)
@@ -187,7 +193,7 @@
 
     def read_log(self, since: int) -> LogPage:
         """Decided changes from version `since` on. Raises StoreError."""
-        with self._track_store_fault():
+        with self._store_health.track():
             changes, gone = self.state.log(since)
         return LogPage(self.state.history, self.state.committed_version, changes, gone)
 
@@ -256,13 +262,7 @@
 
     def _check_peer(self, number: int, seen: PeerState, sign: Heartbeat) -> bool:
         """Guards against versions of two histories taken for one, and majorities of two sets of voters."""
-        mine, why = self.state.history, ""
-        if sign.replica != number:
-            why = f"machine {sign.replica} answers at its address: mend the address in the settings"
-        elif sorted(sign.voters) != sorted(self.voters):
-            why = f"its settings name the voters {sorted(sign.voters)}: give all machines the same"
-        elif mine and sign.history and sign.history != mine:
-            why = f"it holds the history {sign.history}, this one {mine}: start the wrong one with no file"
+        why = mismatch(sign, number, self.state.history, self.voters)
         if why and why != seen.ignored_reason:
             self._report(f"machine {number} is left alone", why)
         seen.ignored_reason = why
@@ -282,13 +282,13 @@
             whole = len(fresh) == len(others)
             new = whole and not voting and all(seen.committed_version == 0 and not seen.history for seen in fresh)
             if holding.committed_version == 0 and not holding.ready and new:
-                with self._track_store_fault():
+                with self._store_health.track():
                     holding.set_voting(True, None)
             if holding.ready and (voting or (whole and all(seen.ready for seen in fresh))):
-                with self._track_store_fault():
+                with self._store_health.track():
                     holding.set_voting(True, 1)
             elif not holding.ready and len(voting) >= len(self.voters) - self._quorum + 1:
-                with self._track_store_fault():
+                with self._store_health.track():
                     holding.set_voting(False, max(seen.committed_version for seen in voting) + 3)
         except StoreError:
             return  # told already, and tried again with the next sign
@@ -297,13 +297,9 @@
 
     def _fetch(self, other: int, now: float) -> None:
         seen = self.peers.get(other)
-        busy = sum(seen.fetch_deadline > now for seen in self.peers.values())
-        if (
-            seen is not None
-            and not seen.ignored_reason
-            and seen.fetch_deadline <= now
-            and busy < MAX_CONCURRENT_FETCHES
-        ):
+        if seen is None or seen.ignored_reason or seen.fetch_deadline > now:
+            return
+        if sum(peer.fetch_deadline > now for peer in self.peers.values()) < MAX_CONCURRENT_FETCHES:
             seen.pages = []
             self._request_changes(other, seen, CatchUpRequest(self.state.committed_version + 1), now)
 
@@ -331,7 +327,7 @@
         else:
             pages, seen.pages = seen.pages, []
             try:
-                with self._track_store_fault():
+                with self._store_health.track():
                     self.state.install(pages)
             except DivergenceError as fault:
                 self._report_once(f"the snapshot of machine {call.peer} is not taken", str(fault))
@@ -343,7 +339,7 @@
         """Has the head moved?"""
         before = self.state.committed_version
         try:
-            with self._track_store_fault():
+            with self._store_health.track():
                 for change in changes:
                     self.state.commit(change)
         except DivergenceError as fault:
@@ -401,15 +397,3 @@
                 proposer.handle_accept_reply(self.number, ask, self.handle_accept(ask, now), now)
         except (StoreError, UnacceptableChangeError):
             proposer.outcomes[self.number] = "fault"
-
-    @contextmanager
-    def _track_store_fault(self) -> Iterator[None]:
-        """Notes whether the store could be used."""
-        try:
-            yield
-        except StoreError as fault:
-            if not self.store_fault:
-                self._report(f"{type(fault).__name__}: {fault}", fault.remedy)
-            self.store_fault = f"{type(fault).__name__}: {fault}"
-            raise
-        self.store_fault = ""
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -15,7 +15,6 @@
 import asyncio
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
@@ -24,7 +23,13 @@
 
 from lanelead.configuration.agreement import Proposer, UnacceptableChangeError
 from lanelead.configuration.document import Document
-from lanelead.configuration.errors import ConfigurationError
+from lanelead.configuration.http_calls import (
+    REJECTION_STATUS,
+    RejectedCallError,
+    Watcher,
+    bucket_numbers,
+    integer_parameter,
+)
 from lanelead.configuration.messages import CatchUpRequest, PeerCall
 from lanelead.configuration.publisher import WATCH_HEARTBEAT_SECONDS, ChangePublisher, SnapshotExpiredError
 from lanelead.configuration.replica import Replica
@@ -56,7 +61,6 @@
 from lanelead.protocols.feeds import MessageError, decode, encode
 
 JSON_HEADERS = [(b"content-type", b"application/json")]
-REJECTION_STATUS = {"malformed": 400, "stale": 409, "unknown": 504, "overloaded": 503, "abstains": 503}
 MAX_REPLY_BYTES = 16 << 20  # bytes of another machine's answer
 WATCH_CHECK_SECONDS = 0.1  # seconds between two looks at who has to be told that this machine lives
 IDLE_CONNECTION_SECONDS = 60.0  # seconds without a request after which a connection is closed
@@ -71,21 +75,6 @@
 }
 
 
-class RejectedCallError(ConfigurationError):
-    """A call that is answered with a rejection and its HTTP status."""
-
-    def __init__(self, refusal: RejectedProposal, status: int | None = None) -> None:
-        self.refusal, self.status = refusal, status or REJECTION_STATUS[refusal.reason]
-
-
-@dataclass
-class Watcher:
-    """A watch connection: the version it stands at, and when it was last written to."""
-
-    position: int | None
-    written_at: float
-
-
 class Service:
     """Serves one replica over HTTP and carries its calls to the other replicas."""
 
@@ -111,8 +100,8 @@
         self._get_routes: dict[str, Callable[[dict[str, str]], msgspec.Struct]] = {
             "status": lambda _: self.status(),
             "outline": lambda _: self._publisher().digest_tree(self._loop.time()),
-            "buckets": lambda q: self._publisher().buckets(_integer_parameter(q, "version"), _bucket_numbers(q)),
-            "log": lambda q: self.replica.read_log(_integer_parameter(q, "from")),
+            "buckets": lambda q: self._publisher().buckets(integer_parameter(q, "version"), bucket_numbers(q)),
+            "log": lambda q: self.replica.read_log(integer_parameter(q, "from")),
             "snapshot": self._snapshot_route,
         }
         self._post_routes: dict[str, Callable[[bytes], msgspec.Struct]] = {
@@ -346,7 +335,7 @@
         return self.replica.heartbeat()
 
     def _snapshot_route(self, query: dict[str, str]) -> msgspec.Struct:
-        version, page = _integer_parameter(query, "version"), _integer_parameter(query, "page")
+        version, page = integer_parameter(query, "version"), integer_parameter(query, "page")
         if page >= SNAPSHOT_PAGES:
             raise MessageError(f"page: {page}, of {SNAPSHOT_PAGES}")
         found = self.replica.state.snapshot(version, page, self._now())
@@ -369,7 +358,7 @@
         return AcceptedProposal(told.version)
 
     def _watch_route(self, caller: ServerConnection, query: dict[str, str]) -> None:
-        position = self._publisher().resume_position(_integer_parameter(query, "from"), query.get("digest", ""))
+        position = self._publisher().resume_position(integer_parameter(query, "from"), query.get("digest", ""))
         caller.write(STREAM)
         self._watchers[caller] = Watcher(position, -1e9)
         self._write_watches(self._now() - WATCH_HEARTBEAT_SECONDS + WATCH_CHECK_SECONDS)
@@ -402,15 +391,3 @@
                     data, after = lines[watcher.position]
                 caller.write(data)
                 watcher.position, watcher.written_at = after, now
-
-
-def _integer_parameter(query: dict[str, str], name: str) -> int:
-    text = query.get(name, "")
-    if not text.isdecimal() or len(text) > 15:
-        raise MessageError(f"{name}: {text[:40]!r}; must be a whole number")
-    return int(text)
-
-
-def _bucket_numbers(query: dict[str, str]) -> list[int]:
-    parts = query.get("numbers", "").split(",")
-    return [_integer_parameter({"numbers": part}, "numbers") for part in parts]
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -11,9 +11,9 @@
 from lanelead.configuration.follower import (
     DIVERGED_RETRY_SECONDS,
     FETCH_TIMEOUT_SECONDS,
-    FIRST_FETCH_BUCKETS,
     MAX_FAILED_FETCHES,
 )
+from lanelead.configuration.follower_state import FIRST_FETCH_BUCKETS
 from lanelead.protocols.configuration import Buckets, Entry
 from tests.follower_harness import HISTORY, PLACES, FollowerHarness, change, document, entry
 
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -7,7 +7,8 @@
 
 from lanelead.configuration.agreement import Proposer
 from lanelead.configuration.messages import CatchUpRequest, PeerCall
-from lanelead.configuration.replica import MAX_QUEUED_PROPOSALS, Replica
+from lanelead.configuration.replica import Replica
+from lanelead.configuration.replica_limits import MAX_QUEUED_PROPOSALS
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
