--- a/lanelead/http_relay/client_connection.py
+++ b/lanelead/http_relay/client_connection.py
@@ -67,7 +67,7 @@
         self._linger: asyncio.TimerHandle | None = None
         self.last_moved_at = listener.loop.time()  # when bytes last went either way
         self._writing = False
-        listener.own(listener.loop.create_task(self._read()))
+        listener.start_task(self._read())
 
     @property
     def quiet(self) -> bool:
--- a/lanelead/http_relay/client_listener.py
+++ b/lanelead/http_relay/client_listener.py
@@ -7,13 +7,14 @@
 import errno
 import resource
 import socket
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Coroutine, Mapping, Sequence
 from typing import Any
 
 from lanelead.decisions.interface import Attempt, Tenant, Ticks
 from lanelead.http_relay.client_connection import ClientConnection
 from lanelead.http_relay.request_routing import RequestRouter
 from lanelead.http_relay.response_texts import TOO_MANY_CONNECTIONS
+from lanelead.runtime.background_tasks import BackgroundTasks
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings.service_settings import ServiceSettings
@@ -59,7 +60,7 @@
         self._sock: socket.socket | None = None
         self._accepting: asyncio.Task[None] | None = None
         self.ready: dict[ClientConnection, None] = {}  # those whose next response can be written
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._background_tasks = BackgroundTasks(loop, log, "a connection's task failed")
         self.after: Callable[[], None] = lambda: None
         self._idle_limit_seconds = service.allowance.idle_limit_ms / 1000
         self._max_connections = self._connection_limit()
@@ -113,19 +114,9 @@
 
     # For connections
 
-    def own(self, task: asyncio.Task[None]) -> None:
-        """Keeps a connection's task until it ends, and logs what it failed with."""
-        self._tasks.add(task)
-        task.add_done_callback(self._task_ended)
-
-    def _task_ended(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
-        if task.cancelled():
-            return
-        error = task.exception()
-        if error is not None:
-            # Guards against a fault of ours that would end a connection's task unseen, and leave its client waiting.
-            self._log.error("a connection's task failed", exc_info=error)
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs a connection's task until it ends; a failure of ours in one is logged, and ends no other."""
+        self._background_tasks.start(work)
 
     def take_buffer(self) -> bytearray:
         """A buffer to read into; `return_buffer` gives it back."""
@@ -184,7 +175,7 @@
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         for connection in list(self.connections):
             connection.abort()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._background_tasks.wait_all()
 
     def _any_due(self) -> bool:
         return any(not connection.quiet for connection in self.connections)
--- a/lanelead/http_relay/feed_clients.py
+++ b/lanelead/http_relay/feed_clients.py
@@ -36,9 +36,9 @@
 class FeedClients:
     """Follows the feeds and hands what comes to the driver.
 
-    `after` is called when the driver has been told something; `own` keeps a task until it ends. `driver` is set by the
-    service, before anything comes. `up` says of each feed whether it is followed at present; `endpoints_known` is set
-    once a list has come.
+    `after` is called when the driver has been notified of something; `start_task` runs a task until it ends. `driver`
+    is set by the service, before anything comes. `up` says of each feed whether it is followed at present;
+    `endpoints_known` is set once a list has come.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         *,
         clock: Callable[[], Ticks],
         after: Callable[[], None],
-        own: Callable[[Coroutine[Any, Any, None]], asyncio.Task[Any]],
+        start_task: Callable[[Coroutine[Any, Any, None]], asyncio.Task[Any]],
         log: Any,
     ) -> None:
         self._loop = loop
@@ -56,7 +56,7 @@
         self.driver: DecisionDriver | None = None
         self._clock = clock
         self._after = after
-        self._own = own
+        self._start_task = start_task
         self._log = log
         self._rng = Random(f"feeds {settings.seed} {settings.number}")
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -72,7 +72,7 @@
         if self._settings.steps is not None:
             self.up[MIGRATIONS] = False
             self._replace(MIGRATIONS, self._follow_migrations(self._settings.steps))
-            self._own(self._acknowledge_migrations(self._settings.steps))
+            self._start_task(self._acknowledge_migrations(self._settings.steps))
 
     def _driver(self) -> DecisionDriver:
         assert self.driver is not None
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -4,21 +4,12 @@
 
 import asyncio
 import signal
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Callable, Sequence
 from random import Random
 from typing import Any
 
 from lanelead.decisions.balancer import Balancer
-from lanelead.decisions.interface import (
-    Attempt,
-    CastVote,
-    Decisions,
-    Endpoint,
-    RequestClass,
-    ServiceLimits,
-    Tenant,
-    Ticks,
-)
+from lanelead.decisions.interface import CastVote, Decisions, RequestClass, ServiceLimits, Tenant, Ticks
 from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE
 from lanelead.http_relay.client_listener import ClientListener
 from lanelead.http_relay.connection_pool import PoolLimits
@@ -28,8 +19,8 @@
 from lanelead.http_relay.upstream_requests import UpstreamRequests
 from lanelead.migrations.readiness import Readiness
 from lanelead.runtime.driver import DecisionDriver
+from lanelead.runtime.host_operations_base import HostOperationsBase
 from lanelead.runtime.loop_clock import LoopClock
-from lanelead.runtime.pending_requests import PendingRequest
 from lanelead.settings.relay_settings import NO_PRICES, RelaySettings, position_of
 from lanelead.settings.service_settings import ticks
 
@@ -41,27 +32,30 @@
 RESPONSE_BODY_FACTOR = 4  # an endpoint's response may be as many times as large as a request's body
 
 
-class Service:
+class Service(HostOperationsBase):
     """One relay. `wrapper` is for tests only: it takes a guard out, from outside the decisions."""
 
     def __init__(self, settings: RelaySettings, log: Any, wrapper: DecisionWrapper | None = None) -> None:
+        super().__init__(asyncio.get_running_loop(), log.bind(relay=settings.number))
         self._settings = settings
-        self._log = log.bind(relay=settings.number)
-        self._loop = asyncio.get_running_loop()
         self._stop = asyncio.Event()
-        self._tasks: dict[asyncio.Task[Any], None] = {}
         self._clock = LoopClock(self._loop, self._next_timer, self._tick)
         self.clock = self._clock.now
         self.membership: MembershipTransport | None = None
         self._gossip: GossipTransport | None = None
-        self._upstream = self._make_upstream()
+        self.upstream: UpstreamRequests = self._make_upstream()
         self._feeds = FeedClients(
-            self._loop, settings, clock=self.clock, after=self._after, own=self._own, log=self._log
+            self._loop,
+            settings,
+            clock=self.clock,
+            after=self._after,
+            start_task=self._background_tasks.start,
+            log=self._log,
         )
         self.driver = self._make_driver(wrapper)  # the decisions may ask at once for a watch of discovery
         self._feeds.driver = self.driver
-        self._upstream.driver = self.driver
-        self._upstream.after = self._after
+        self.upstream.driver = self.driver
+        self.upstream.after = self._after
         self.listener = ClientListener(
             self._loop,
             settings.service,
@@ -148,12 +142,13 @@
         host, port = self._listen()
         ready(host, port)
         self._after()
-        sweeper = self._own(self._sweep())
+        sweeper = self._background_tasks.start(self._sweep())
         await self._stop.wait()
         await self._drain()
         sweeper.cancel()
-        await self._upstream.shut_down()
-        await self._end_tasks()
+        await self.upstream.shut_down()
+        await self._feeds.stop()
+        await self._background_tasks.cancel_all()
         if self._gossip is not None:
             self._gossip.close()
         self._log.info("stopped", **self.state())
@@ -204,32 +199,10 @@
 
     # Tasks
 
-    def _own(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[Any]:
-        """Runs work in a task that is kept until it ends; what it failed with is logged."""
-        task = self._loop.create_task(work)
-        self._tasks[task] = None
-        task.add_done_callback(self._task_ended)
-        return task
-
-    def _task_ended(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.pop(task, None)
-        if task.cancelled():
-            return
-        error = task.exception()
-        if error is not None:
-            self._log.error("a task failed", exc_info=error)
-
-    async def _end_tasks(self) -> None:
-        tasks = list(self._tasks)
-        for task in tasks:
-            task.cancel()
-        await self._feeds.stop()
-        await asyncio.gather(*tasks, return_exceptions=True)
-
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
-            self._upstream.pools.sweep()
+            self.upstream.pools.sweep()
             self.listener.sweep()
 
     def _next_timer(self) -> Ticks | None:
@@ -246,17 +219,17 @@
         takes a large body slowly, holding up whoever made it ready: a connection that others already use again.
         """
         self._clock.arm()
-        attempts = self._upstream.waiting
+        attempts = self.upstream.waiting
         if attempts:
-            self._upstream.waiting = []
+            self.upstream.waiting = []
             for attempt in attempts:
-                self._own(self._upstream.start(attempt))
+                self._background_tasks.start(self.upstream.start(attempt))
         ready = self.listener.ready
         if ready:
             connections = list(ready)
             ready.clear()
             for connection in connections:
-                self._own(connection.flush())
+                self._background_tasks.start(connection.flush())
 
     def state(self) -> dict[str, Any]:
         """The state document: what happened since the start, and what is there now."""
@@ -274,49 +247,29 @@
             "in_flight": len(self.driver.pending),
             "clients": len(self.listener.connections),
             "endpoints": len(self.driver.destinations),
-            "connections_opened": self._upstream.pools.opened,
-            "connections_reused": self._upstream.pools.reused,
+            "connections_opened": self.upstream.pools.opened,
+            "connections_reused": self.upstream.pools.reused,
             "dropped_datagrams": {} if self._gossip is None else dict(self._gossip.dropped),
             "feeds": dict(self._feeds.up),
             "malformed_requests": self.listener.malformed_requests,
             "membership": None if self.membership is None else self.membership.state(),
         }
 
-    # What the driver has done for it (HostOperations)
-
-    def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        """As HostOperations."""
-        self._upstream.add(attempt, pending)
-
-    def cancel_attempt(self, attempt: Attempt) -> bool:
-        """As HostOperations."""
-        return self._upstream.cancel(attempt)
-
-    def check_health(self, unit: Endpoint) -> None:
-        """As HostOperations."""
-        self._upstream.check_health(unit)
-
-    def close_idle_connections(self, unit: Endpoint) -> None:
-        """As HostOperations."""
-        self._upstream.pools.close_idle(unit)
+    # The rest of HostOperations; see there
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        """As HostOperations."""
+        """See `HostOperations`."""
         if self._gossip is not None:
             self._gossip.send(peer, payloads)
 
     def cast_vote(self, vote: CastVote) -> None:
-        """As HostOperations."""
-        self._own(self._feeds.cast_vote(vote))
+        """See `HostOperations`."""
+        self._background_tasks.start(self._feeds.cast_vote(vote))
 
     def watch_endpoints(self, on: bool) -> None:
-        """As HostOperations."""
+        """See `HostOperations`."""
         self._feeds.watch_endpoints(on)
 
     def poll_endpoints(self) -> None:
-        """As HostOperations."""
-        self._own(self._feeds.poll_endpoints())
-
-    def log_event(self, text: str) -> None:
-        """As HostOperations."""
-        self._log.info("decision", text=text)
+        """See `HostOperations`."""
+        self._background_tasks.start(self._feeds.poll_endpoints())
--- a/lanelead/http_relay/upstream_requests.py
+++ b/lanelead/http_relay/upstream_requests.py
@@ -70,13 +70,13 @@
 
     # Attempts
 
-    def add(self, attempt: Attempt, pending: PendingRequest) -> None:
-        """Notes an attempt; `start` starts it."""
+    def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
+        """Keeps an attempt, for `start`."""
         self._in_flight[attempt] = InFlightAttempt(pending)
         self.waiting.append(attempt)
 
-    def cancel(self, attempt: Attempt) -> bool:
-        """Gives an attempt up; whether any byte of it may have been written."""
+    def cancel_attempt(self, attempt: Attempt) -> bool:
+        """Stops waiting for the response; returns whether any byte of the request may have been written."""
         in_flight = self._in_flight.pop(attempt, None)
         if in_flight is None:
             return False
@@ -92,7 +92,7 @@
         driver = self.driver
         assert driver is not None
         in_flight = self._in_flight.get(attempt)
-        if in_flight is None:  # given up in the same breath
+        if in_flight is None:  # cancelled before it was started
             return
         destination = driver.destination_of(attempt)
         if destination is None:
@@ -192,8 +192,8 @@
 
     # Health checks
 
-    def check_health(self, endpoint: Endpoint) -> None:
-        """One at a time for each endpoint: a second one while the first is in flight would tell nothing more."""
+    def enqueue_health_check(self, endpoint: Endpoint) -> None:
+        """Starts a health check, unless one of the endpoint is in flight: a second would show nothing more."""
         if endpoint not in self._health_checks:
             self._health_checks[endpoint] = self._loop.create_task(self._check_health(endpoint))
 
@@ -250,10 +250,14 @@
             self.pools.close(connection)
             raise
 
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Closes the endpoint's idle connections."""
+        self.pools.close_idle(endpoint)
+
     async def shut_down(self) -> None:
         """Ends all that is in flight; for the end of the process."""
         for attempt in list(self._in_flight):
-            self.cancel(attempt)
+            self.cancel_attempt(attempt)
         for task in self._health_checks.values():
             task.cancel()
         await asyncio.gather(*self._health_checks.values(), return_exceptions=True)
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -121,8 +121,8 @@
             self._on_endpoint_list(self._list_decoder.decode(config.known))
         self._list_state = ListState(config.known.version)
         self.driver.rollout_read(config.platform.rollout.to_rollout_message(), False, AttemptOutcome.SUCCEEDED)
-        self._discovery_handover: FeedHandover[DiscoveryClient] = FeedHandover(self._start_task)
-        self._rollout_handover: FeedHandover[RolloutClient] = FeedHandover(self._start_task)
+        self._discovery_handover: FeedHandover[DiscoveryClient] = FeedHandover(self._background_tasks.start)
+        self._rollout_handover: FeedHandover[RolloutClient] = FeedHandover(self._background_tasks.start)
         self._gossip_transport = GossipTransport(
             self._loop,
             number=parameters.position.number,
@@ -188,7 +188,7 @@
             rng=self._rng,
             log=self._log,
         )
-        self._start_task(self._configuration_client.run())
+        self._background_tasks.start(self._configuration_client.run())
 
     def _apply_configuration(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
         unknown = self._applied_configuration.apply(keys, values)
@@ -224,7 +224,7 @@
         self._ended = True
         self.upstream.close_all()
         self._gossip_transport.close()
-        await self._cancel_tasks()
+        await self._background_tasks.cancel_all()
         self._event_loop_monitor.stop()
         self._log.info("stopped", **self.state())
 
@@ -249,7 +249,7 @@
             raise SystemExit(1) from None
         self._log.info("listening", address=f"{host}:{port}")
         self.after_event()
-        sweeper = self._start_task(self._sweep())
+        sweeper = self._background_tasks.start(self._sweep())
         await self._stop.wait()
         self._log.info("draining", pending=len(self.driver.pending))
         longest = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
--- a/lanelead/runtime/host_operations_base.py
+++ b/lanelead/runtime/host_operations_base.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
-from typing import Any, Protocol, TypeVar
+from typing import Any, Protocol
 
 from lanelead.decisions.interface import Attempt, Endpoint
+from lanelead.runtime.background_tasks import BackgroundTasks
 from lanelead.runtime.pending_requests import PendingRequest
 
-ResultT = TypeVar("ResultT")
-
 
 class UpstreamOperations(Protocol):
     """What a relay's side towards the endpoints offers to `HostOperationsBase`."""
@@ -40,7 +38,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, log: Any) -> None:
         self._loop = loop
         self._log = log
-        self._tasks: dict[asyncio.Task[Any], None] = {}
+        self._background_tasks = BackgroundTasks(loop, log, "a task failed")
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         """See `HostOperations`."""
@@ -61,23 +59,3 @@
     def log_event(self, text: str) -> None:
         """See `HostOperations`."""
         self._log.info("decision event", text=text)
-
-    def _start_task(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
-        """Runs `work` until it ends or the service cancels it; a failure is logged."""
-        task = self._loop.create_task(work)
-        self._tasks[task] = None
-        task.add_done_callback(self._on_task_done)
-        return task
-
-    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.pop(task, None)
-        if task.cancelled():
-            return
-        error = task.exception()
-        if error is not None:
-            self._log.error("a task failed", exc_info=error)
-
-    async def _cancel_tasks(self) -> None:
-        for task in list(self._tasks):
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
--- /dev/null
+++ b/tests/relay_processes.py
@@ -0,0 +1,92 @@
+"""Relays on the platform as processes of their own, beside the platform of the test's own process."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import sys
+from collections.abc import AsyncIterator
+from pathlib import Path
+
+from lanelead.pgwire import messages
+from tests.postgres_platform import Platform, PostgresClient, free_port, platform
+from tests.scripted_endpoints import ScriptedEndpoint
+
+ROOT = Path(__file__).parent.parent
+
+
+class RelayProcess:
+    """A relay's process beside a platform's; its log is read as it comes."""
+
+    def __init__(self, place: Platform, process: asyncio.subprocess.Process, port: int) -> None:
+        self.place, self.process, self.port = place, process, port
+        self.log: list[dict[str, object]] = []
+        self._reading = asyncio.create_task(self._read())
+
+    async def _read(self) -> None:
+        assert self.process.stderr is not None
+        while line := await self.process.stderr.readline():
+            with contextlib.suppress(json.JSONDecodeError):
+                self.log.append(json.loads(line))
+
+    def said(self, event: str) -> int:
+        return sum(line.get("event") == event for line in self.log)
+
+    async def until(self, event: str, times: int = 1) -> None:
+        while self.said(event) < times:
+            if self.process.returncode is not None and self._reading.done():
+                raise AssertionError(f"it ended with {self.process.returncode} before {event!r}: {self.log}")
+            await asyncio.sleep(0.01)
+
+    async def client(self) -> PostgresClient:
+        client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
+        self.place.writers.append(client.writer)
+        client.writer.write(messages.startup("app", "shop"))
+        await client.response()
+        return client
+
+    async def kill_and_wait(self) -> None:
+        with contextlib.suppress(ProcessLookupError):
+            self.process.kill()
+        await self.ended()
+
+    async def ended(self) -> int:
+        code = await self.process.wait()
+        await self._reading
+        return code
+
+
+async def start_relay(place: Platform, file: Path, port: int) -> RelayProcess:
+    """Starts a relay with a configuration file, which has it listen at the port."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "lanelead",
+        "node",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, "NODE_CONFIG": str(file)},
+    )
+    return RelayProcess(place, process, port)
+
+
+@contextlib.asynccontextmanager
+async def relay(*units: ScriptedEndpoint, known: bool = True, silent: bool = False) -> AsyncIterator[RelayProcess]:
+    """A process that the same discovery, rollout platform and endpoints serve as the relay in this one."""
+    async with platform(*units) as place:
+        if silent:
+            place.discovery_responds.clear()
+        config = json.loads((place.folder / "config.json").read_text())
+        port = free_port()
+        config |= {"listen": f"127.0.0.1:{port}", "peer_listen": "", "peers": []}
+        if not known:
+            config["known"] = {"version": 0, "full": True, "servers": []}
+        file = place.folder / "other.json"
+        file.write_text(json.dumps(config))
+        found = await start_relay(place, file, port)
+        try:
+            yield found
+        finally:
+            await found.kill_and_wait()
--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -208,7 +208,7 @@
             await place.until(
                 lambda: (len(relay._rollout_handover._running), len(relay._discovery_handover._running)) == (1, 1)
             )
-            await place.until(lambda: len(relay._tasks) <= 3)  # two feeds, and the sweep
+            await place.until(lambda: len(relay._background_tasks) <= 3)  # two feeds, and the sweep
 
     @live
     async def test_a_move_while_it_stops_is_followed_and_one_after_that_is_not(self) -> None:
@@ -221,7 +221,7 @@
             await old.until(lambda: len(new.rollout_writers) == 2)
             await old.run
             old.relay.reload()
-            self.assertEqual(old.relay._tasks, {})
+            self.assertEqual(len(old.relay._background_tasks), 0)
             self.assertEqual(old.logged("configuration reloaded"), 1)
 
     @live
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import json
 import os
 import signal
 import subprocess
@@ -12,83 +10,12 @@
 import tempfile
 import tomllib
 import unittest
-from collections.abc import AsyncIterator
 from pathlib import Path
 
-from lanelead.pgwire import messages
-from tests.postgres_platform import Platform, PostgresClient, free_port, platform
+from tests.relay_processes import ROOT, relay, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
-ROOT = Path(__file__).parent.parent
-
-
-class Relay:
-    """A relay's process beside a platform's; its log is read as it comes."""
-
-    def __init__(self, place: Platform, process: asyncio.subprocess.Process, port: int) -> None:
-        self.place, self.process, self.port = place, process, port
-        self.log: list[dict[str, object]] = []
-        self._reading = asyncio.create_task(self._read())
-
-    async def _read(self) -> None:
-        assert self.process.stderr is not None
-        while line := await self.process.stderr.readline():
-            with contextlib.suppress(json.JSONDecodeError):
-                self.log.append(json.loads(line))
-
-    def said(self, event: str) -> int:
-        return sum(line.get("event") == event for line in self.log)
-
-    async def until(self, event: str, times: int = 1) -> None:
-        while self.said(event) < times:
-            if self.process.returncode is not None and self._reading.done():
-                raise AssertionError(f"it ended with {self.process.returncode} before {event!r}: {self.log}")
-            await asyncio.sleep(0.01)
-
-    async def client(self) -> PostgresClient:
-        client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
-        self.place.writers.append(client.writer)
-        client.writer.write(messages.startup("app", "shop"))
-        await client.response()
-        return client
-
-    async def ended(self) -> int:
-        code = await self.process.wait()
-        await self._reading
-        return code
-
-
-@contextlib.asynccontextmanager
-async def relay(*units: ScriptedEndpoint, known: bool = True, silent: bool = False) -> AsyncIterator[Relay]:
-    """A process that the same discovery, desk and units serve as the relay in this one."""
-    async with platform(*units) as place:
-        if silent:
-            place.discovery_responds.clear()
-        config = json.loads((place.folder / "config.json").read_text())
-        port = free_port()
-        config |= {"listen": f"127.0.0.1:{port}", "peer_listen": "", "peers": []}
-        if not known:
-            config["known"] = {"version": 0, "full": True, "servers": []}
-        path = place.folder / "other.json"
-        path.write_text(json.dumps(config))
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "lanelead",
-            "node",
-            cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "NODE_CONFIG": str(path)},
-        )
-        found = Relay(place, process, port)
-        try:
-            yield found
-        finally:
-            with contextlib.suppress(ProcessLookupError):
-                process.kill()
-            await found.ended()
-
 
 class ProcessSignals(unittest.TestCase):
     @live
@@ -145,19 +72,10 @@
             one.process.kill()
             self.assertEqual(await one.ended(), -signal.SIGKILL)
             self.assertEqual(await client.reader.read(), b"")
-            again = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "lanelead",
-                "node",
-                cwd=ROOT,
-                stderr=asyncio.subprocess.PIPE,
-                env={**os.environ, "NODE_CONFIG": str(one.place.folder / "other.json")},
-            )
-            two = Relay(one.place, again, one.port)
+            two = await start_relay(one.place, one.place.folder / "other.json", one.port)
             await two.until("listening")
             self.assertIn("D", await (await two.client()).request("1a"))
-            again.send_signal(signal.SIGTERM)
+            two.process.send_signal(signal.SIGTERM)
             self.assertEqual(await two.ended(), 0)
 
 
--- a/tests/test_sigkill_races.py
+++ b/tests/test_sigkill_races.py
@@ -4,17 +4,15 @@
 
 import asyncio
 import contextlib
-import os
 import signal
 import socket
-import sys
 import unittest
 from pathlib import Path
 
 from lanelead.pgwire import messages
 from tests.postgres_platform import platform, statement
+from tests.relay_processes import RelayProcess, relay, start_relay
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
-from tests.test_postgres_relay_processes import ROOT, Relay, relay
 from tests.town import live
 
 ASKED = messages.startup("app", "shop") + messages.query(statement("1a"))
@@ -36,54 +34,39 @@
     return None
 
 
-async def accepted(one: Relay, sock: socket.socket) -> None:
+async def accepted(one: RelayProcess, sock: socket.socket) -> None:
     await one.place.until(lambda: bool(inode(sock)))
 
 
-async def stopped(one: Relay) -> None:
+async def stopped(one: RelayProcess) -> None:
     """It does nothing more until it is killed or continued."""
     one.process.send_signal(signal.SIGSTOP)
     path = Path(f"/proc/{one.process.pid}/stat")
     await one.place.until(lambda: path.read_text().rsplit(")", 1)[1].split()[0] == "T")
 
 
-def connected(one: Relay, data: bytes = b"") -> socket.socket:
+def connected(one: RelayProcess, data: bytes = b"") -> socket.socket:
     sock = socket.create_connection(("127.0.0.1", one.port))
     sock.sendall(data)
     one.place.raw_sockets.append(sock)
     return sock
 
 
-async def killed(one: Relay) -> None:
+async def killed(one: RelayProcess) -> None:
     one.process.kill()
     code = await one.ended()
     assert code == -signal.SIGKILL, code
 
 
-async def next_one(one: Relay, stack: contextlib.AsyncExitStack) -> Relay:
+async def next_one(one: RelayProcess, stack: contextlib.AsyncExitStack) -> RelayProcess:
     """The next process on the same address, at once."""
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "lanelead",
-        "node",
-        cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "NODE_CONFIG": str(one.place.folder / "other.json")},
-    )
-    found = Relay(one.place, process, one.port)
-
-    async def end() -> None:
-        with contextlib.suppress(ProcessLookupError):
-            process.kill()
-        await found.ended()
-
-    stack.push_async_callback(end)
+    found = await start_relay(one.place, one.place.folder / "other.json", one.port)
+    stack.push_async_callback(found.kill_and_wait)
     await found.until("listening")
     return found
 
 
-def idents(one: Relay) -> list[bytes]:
+def idents(one: RelayProcess) -> list[bytes]:
     """Of the requests that reached a unit."""
     return [text.split(b"id=")[1].split(b",")[0] for unit in one.place.endpoints for text in unit.queries]
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -5,8 +5,6 @@
 import asyncio
 import contextlib
 import json
-import os
-import sys
 import time
 import unittest
 from collections.abc import AsyncIterator
@@ -19,8 +17,8 @@
 from tests.fake_decisions_host import FakeHost
 from tests.hollow import SECOND, play
 from tests.postgres_platform import Platform, free_port, platform
+from tests.relay_processes import RelayProcess, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.test_postgres_relay_processes import ROOT, Relay
 from tests.town import live
 
 RELAYS = (24, 40, 60)
@@ -108,7 +106,7 @@
     return json.dumps(endpoint_list).encode()
 
 
-async def asked_until_served(one: Relay, number: int) -> None:
+async def asked_until_served(one: RelayProcess, number: int) -> None:
     """Each request has its one final answer, the last of them a value."""
     client, count = await one.client(), 0
     while True:
@@ -122,7 +120,7 @@
 
 
 @contextlib.asynccontextmanager
-async def cold_relay(place: Platform, number: int) -> AsyncIterator[Relay]:
+async def cold_relay(place: Platform, number: int) -> AsyncIterator[RelayProcess]:
     config = json.loads((place.folder / "config.json").read_text())
     port = free_port()
     config |= {"name": f"n{number}", "listen": f"127.0.0.1:{port}", "seed": f"{number + 1:x}"}
@@ -132,19 +130,8 @@
     config["settings"]["contract"]["coldMs"] = 600_000.0
     path = place.folder / f"cold{number}.json"
     path.write_text(json.dumps(config))
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "lanelead",
-        "node",
-        cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "NODE_CONFIG": str(path)},
-    )
-    found = Relay(place, process, port)
+    found = await start_relay(place, path, port)
     try:
         yield found
     finally:
-        with contextlib.suppress(ProcessLookupError):
-            process.kill()
-        await found.ended()
+        await found.kill_and_wait()
