--- a/lanelead/decisions/relay_traffic.py
+++ b/lanelead/decisions/relay_traffic.py
@@ -38,7 +38,7 @@
 
 
 class ObservationBuffer:
-    """Outcomes that this relay saw, or forwards, and has not sent yet: one for each endpoint, request class and build."""
+    """Outcomes that this relay saw, or forwards, and has not sent yet, by endpoint, request class and build."""
 
     def __init__(self, fault_kinds: int) -> None:
         self._fault_kinds = fault_kinds
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -82,14 +82,14 @@
         listener.loop.add_reader(sock, self._on_readable)
 
     @property
-    def has_no_pending_response(self) -> bool:
-        """No response is pending, or waits to be written."""
-        return not self.slots and not self.write_buffer
+    def has_pending_response(self) -> bool:
+        """Whether a response is pending, or waits to be written."""
+        return bool(self.slots or self.write_buffer)
 
     @property
     def is_idle(self) -> bool:
         """Nothing is owed, no message has begun, and nothing waits to be read."""
-        return self.has_no_pending_response and not self.reader.has_partial_message and is_idle_socket(self.sock)
+        return not self.has_pending_response and not self.reader.has_partial_message and is_idle_socket(self.sock)
 
     # Requests
 
@@ -254,7 +254,7 @@
             if not self.writing:
                 self._write()
             self._apply_backpressure()
-        if self.closing and self.has_no_pending_response:
+        if self.closing and not self.has_pending_response:
             self._finish()
 
     def _write(self) -> None:
@@ -293,7 +293,7 @@
     def _on_writable(self) -> None:
         self._write()
         self._apply_backpressure()
-        if self.closing and self.has_no_pending_response:
+        if self.closing and not self.has_pending_response:
             self._finish()
 
     def _finish(self) -> None:
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -182,15 +182,14 @@
         # A new one may be about to send its request; but many of them must not push out those who do.
         half_are_unused = 2 * len(self.without_request) >= len(self.clients)
         for client in self.without_request:
-            if not client.has_no_pending_response:
+            if client.has_pending_response:
                 continue
-            if (half_are_unused or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS) and is_idle_socket(
-                client.sock
-            ):
+            may_close = half_are_unused or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS
+            if may_close and is_idle_socket(client.sock):
                 self.evicted_connections += 1
                 client.evict("nothing was asked, and others need the room")
                 return True
-        settled = [client for client in self.clients if client.has_requested and client.has_no_pending_response]
+        settled = [client for client in self.clients if client.has_requested and not client.has_pending_response]
         for client in sorted(settled, key=lambda client: client.last_activity):
             if client.is_idle:
                 self.evicted_connections += 1
