--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -54,6 +54,8 @@
         config |= {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.ports[number]}",
+            "peer_listen": "",  # the file that is copied has one gossip port for all
+            "peers": [],
             "seed": f"{number + 1:x}",
             "configuration": {"sources": sources, "zone": f"zone-{number % MACHINES}", "region": "hellas"},
         }
