--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -13,6 +13,11 @@
 PACKAGE = ROOT / "lanelead"
 PAGE = ROOT / "docs" / "ARCHITECTURE.md"
 
+REPORTS = ("standing.md",)  # of plays of earlier versions, with the names of then
+PATH = re.compile(r"`((?:lanelead|tests|docs|benchmarks|deploy)/[\w./-]+)`")
+MODULE = re.compile(r"`(\w+\.py)`")
+TEST = re.compile(r"`(test_\w+)`")
+
 # Lowest first: each may import those before it and none behind it.
 LAYERS = (
     "logs",
@@ -55,6 +60,23 @@
     return [module] if module.exists() else sorted((PACKAGE / package).rglob("*.py"))
 
 
+def pages() -> list[Path]:
+    """README and all pages of docs/ but the reports."""
+    found = [page for page in sorted((ROOT / "docs").glob("*.md")) if page.name not in REPORTS]
+    return [ROOT / "README.md", *found]
+
+
+@cache
+def tests_in_code() -> frozenset[str]:
+    """The names of all test methods."""
+    return frozenset(
+        node.name
+        for file in (ROOT / "tests").glob("test_*.py")
+        for node in ast.walk(ast.parse(file.read_text()))
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+    )
+
+
 @cache
 def names_in_code() -> frozenset[str]:
     """All names of classes, functions, fields and constants."""
@@ -119,10 +141,22 @@
             self.assertIn(f"`lanelead/testbed/{layer}`", self.text)
 
     def test_every_path_it_names_is_there(self) -> None:
-        paths = re.findall(r"`((?:lanelead|tests|docs|benchmarks|deploy)/[\w./-]+)`", self.text)
-        self.assertGreater(len(paths), 20)
-        for path in paths:
-            self.assertTrue((ROOT / path).exists(), path)
+        self.assertGreater(len(PATH.findall(self.text)), 20)
+        for page in pages():
+            for path in PATH.findall(page.read_text()):
+                self.assertTrue((ROOT / path).exists(), f"{page.name}: {path}")
+
+    def test_every_module_named_without_its_package_is_there(self) -> None:
+        modules = {file.name for folder in ("lanelead", "tests", "benchmarks") for file in (ROOT / folder).rglob("*.py")}
+        for page in pages():
+            for module in MODULE.findall(page.read_text()):
+                self.assertTrue(module in modules, f"{page.name}: {module}")
+
+    def test_every_test_that_a_page_names_is_there(self) -> None:
+        tests = {file.stem for file in (ROOT / "tests").glob("test_*.py")} | tests_in_code()
+        for page in pages():
+            for name in TEST.findall(page.read_text()):
+                self.assertTrue(name in tests, f"{page.name}: {name}")
 
     def test_every_link_leads_somewhere(self) -> None:
         for page in (PAGE, ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))):
