--- a/lanelead/pgwire/__init__.py
+++ b/lanelead/pgwire/__init__.py
@@ -1,4 +1,5 @@
-"""PostgreSQL's wire protocol, version 3, without sockets: both sides.
+"""PostgreSQL's wire protocol, version 3, for both sides of a connection, without I/O.
 
-Sources: 'Message Flow' and 'Message Formats' in PostgreSQL's manual, on the frontend/backend protocol.
+References: the sections 'Message Flow' and 'Message Formats' of the chapter 'Frontend/Backend Protocol' in PostgreSQL's
+manual.
 """
--- a/lanelead/pgwire/clients.py
+++ b/lanelead/pgwire/clients.py
@@ -1,6 +1,7 @@
-"""Reads what a client sends: bytes in, events out. A length is checked before anything is buffered.
+"""Parses the messages of a client: bytes go in, events come out.
 
-Source: 'Message Formats' in PostgreSQL's manual. Error codes are its SQLSTATE codes.
+A message's length is checked before its body is buffered, so that a client cannot make the relay buffer more than the
+limit. Message formats are those of 'Message Formats' in PostgreSQL's manual; error codes are SQLSTATE codes.
 """
 
 from __future__ import annotations
@@ -10,41 +11,44 @@
 
 from lanelead.pgwire.messages import CANCEL_REQUEST, GSS_REQUEST, SSL_REQUEST, VERSION
 
-MAX_STARTUP_BYTES = 10_000  # as PostgreSQL itself allows
+MAX_STARTUP_BYTES = 10_000  # the same limit as in PostgreSQL
 LENGTH = Struct("!i")
 TERMINATE = ord("X")
 LENGTH_AND_CODE = Struct("!ii")
-# Valid messages that are not supported: extended queries, function calls, COPY, passwords.
+# Types of valid but unsupported messages: extended queries, function calls, COPY, passwords.
 UNSUPPORTED_MESSAGES = frozenset(b"PBDECSHFdcfp")
 
 
 @dataclass(slots=True, frozen=True)
 class Startup:
-    """StartupMessage. `newer_version`: a later 3.x was requested, and 3.0 has to be negotiated."""
+    """StartupMessage. `newer_version`: the client requested a later 3.x, so that 3.0 must be negotiated."""
 
     newer_version: bool
 
 
 @dataclass(slots=True, frozen=True)
 class EncryptionRequest:
-    """SSLRequest or GSSENCRequest: answered with a single N."""
+    """SSLRequest or GSSENCRequest, to be declined with the single byte N."""
 
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """A simple query, without the terminating zero byte."""
+    """A simple query; `text` does not include the terminating zero byte."""
 
     text: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Terminate:
-    """Terminate, or CancelRequest: the connection ends, and no response is due."""
+    """Terminate or CancelRequest: the connection is to be closed without a response."""
 
 
 @dataclass(slots=True, frozen=True)
 class ProtocolViolation:
-    """Nothing more can be read: an error with this code and text is due, and the end of the connection."""
+    """The client sent something invalid or unsupported: it is to be sent this error and disconnected.
+
+    `code` is the error's SQLSTATE code.
+    """
 
     code: str
     text: str
@@ -54,44 +58,50 @@
 
 
 class ClientReader:
-    """`max_query_bytes` bounds one query's text. `started`: the startup message has come; `finished`: nothing more
-    is read, after a protocol violation or an end.
+    """Incremental parser of a client's messages.
+
+    Attributes
+    ----------
+    started
+        Whether the startup message was received.
+    finished
+        Whether a protocol violation or the end of the connection was found; further bytes are ignored.
     """
 
     def __init__(self, max_query_bytes: int) -> None:
-        self._rest = b""
-        self._max_query_bytes = max_query_bytes
+        self._buffer = b""  # the beginning of an incomplete message
+        self._max_query_bytes = max_query_bytes  # the longest text of a query
         self.started = False
         self.finished = False
         self._encryption_requests = 0
 
     @property
     def has_partial_message(self) -> bool:
-        """Part of a message has come."""
-        return bool(self._rest)
+        """Whether part of a message was received."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Takes bytes as they come; returns the events that they complete."""
+        """Parses received bytes, in pieces of any size, and returns the events of the messages that they complete."""
         events: list[Event] = []
         if self.finished:
             return events
-        if self._rest:
-            data = self._rest + data
+        if self._buffer:
+            data = self._buffer + data
         start = 0
         end = len(data)
         while not self.finished and start < end:
-            size, event = self._query(data, start) if self.started else self._startup(data, start)
+            size, event = self._read_message(data, start) if self.started else self._read_startup_message(data, start)
             if event is not None:
                 events.append(event)
                 self.finished = isinstance(event, ProtocolViolation | Terminate)
             if not size:
                 break
             start += size
-        self._rest = b"" if self.finished else data[start:]
+        self._buffer = b"" if self.finished else data[start:]
         return events
 
-    def _startup(self, data: bytes, start: int) -> tuple[int, Event | None]:
-        """The bytes taken, none where the message is incomplete or the last, and the event."""
+    def _read_startup_message(self, data: bytes, start: int) -> tuple[int, Event | None]:
+        """Parses a message before the startup is complete; see `_read_message` for the result."""
         available = len(data) - start
         if available >= 4 and not 8 <= LENGTH.unpack_from(data, start)[0] <= MAX_STARTUP_BYTES:
             return 0, ProtocolViolation("08P01", "invalid length of startup packet")
@@ -110,7 +120,7 @@
         if available < size:
             return 0, None
         fields = data[start + 8 : start + size].split(b"\0")
-        # Names and values in turn, then an empty name: the last item after the split is empty too.
+        # Names alternate with values, and an empty name ends the list: the last two items of the split are empty.
         if len(fields) < 2 or len(fields) % 2 or fields[-1] or fields[-2] or b"" in fields[:-2:2]:
             return 0, ProtocolViolation("08P01", "invalid startup packet layout")
         if b"user" not in fields[:-2:2]:
@@ -118,12 +128,16 @@
         self.started = True
         return size, Startup(code != VERSION)
 
-    def _query(self, data: bytes, start: int) -> tuple[int, Event | None]:
-        """The bytes taken, none where the message is incomplete or the last, and the event."""
+    def _read_message(self, data: bytes, start: int) -> tuple[int, Event | None]:
+        """Parses the message at `start`.
+
+        Returns the number of bytes consumed, and the event if there is one. The number is 0 if the message is
+        incomplete or the last one to be read.
+        """
         kind = data[start]
         if kind not in b"QX":
             if kind in UNSUPPORTED_MESSAGES:
-                return 0, ProtocolViolation("0A000", "only simple queries are taken here")
+                return 0, ProtocolViolation("0A000", "only simple queries are supported")
             return 0, ProtocolViolation("08P01", f"invalid frontend message type {kind}")
         if len(data) - start < 5:
             return 0, None
--- a/lanelead/pgwire/servers.py
+++ b/lanelead/pgwire/servers.py
@@ -1,9 +1,9 @@
-"""Reads what an endpoint sends: bytes in, and whether there is one complete, well-formed response.
+"""Parses the messages of an endpoint, and tells when a complete, well-formed response was received.
 
-One query is in flight at a time. A response is complete with its CommandComplete or ErrorResponse; the connection
-can be reused only once ReadyForQuery has come too, with nothing behind it. Anything else is malformed.
+One query is in flight at a time. A response is complete with its CommandComplete or ErrorResponse. The connection can
+be reused only after ReadyForQuery was received too, and no byte after it. Anything else is malformed.
 
-Source: 'Message Formats' in PostgreSQL's manual. Message types are compared as the byte that they are.
+Message formats are those of 'Message Formats' in PostgreSQL's manual. Message types are compared as integers.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 LENGTH = Struct("!i")
 COLUMN_COUNT = Struct("!h")
 COLUMN_COUNT_AND_SIZE = Struct("!hi")
-IGNORED_MESSAGES = frozenset(b"NA")  # notices and notifications, at any time
+IGNORED_MESSAGES = frozenset(b"NA")  # NoticeResponse and NotificationResponse, which may come at any time
 RESPONSE_MESSAGES = frozenset(b"TDCE")
 CONTROL_MESSAGES = frozenset(b"ZSRKNA")
 
@@ -30,18 +30,30 @@
 
 
 class Progress(Enum):
-    """What `ServerReader.feed` has found."""
+    """The state of the connection after `ServerReader.feed`."""
 
     WAITING = "waiting"
     READY = "ready"  # the endpoint has accepted the connection
-    RESPONDED = "responded"  # see `response`
-    MALFORMED = "malformed"  # see `reason`
+    RESPONDED = "responded"  # a complete response is in `ServerReader.response`
+    MALFORMED = "malformed"  # `ServerReader.reason` tells why
 
 
 @dataclass(slots=True)
 class QueryResult:
-    """A row, as the messages that it came in (`raw`) and as its value, or an error's SQLSTATE code and text.
-    `report`: the value of the ParameterStatus that the reader looks for.
+    """The result of a query: a row, or an error.
+
+    Attributes
+    ----------
+    raw
+        The messages of the row, from RowDescription to CommandComplete. Empty for an error.
+    value
+        The value of the row's only column.
+    error_code
+        The error's SQLSTATE code; None for a row.
+    error_text
+        The error's message.
+    report
+        The value of the ParameterStatus that the reader looks for, None if there was none.
     """
 
     raw: bytes = b""
@@ -52,7 +64,7 @@
 
 
 def error_fields(body: bytes) -> dict[str, str] | None:
-    """An ErrorResponse's fields by their letters; None where they don't fill the message."""
+    """Returns an ErrorResponse's fields by type letter, or None if the body is malformed."""
     if len(body) < 2 or body[-2:] != b"\0\0":
         return None
     fields = body[:-2].split(b"\0")
@@ -62,13 +74,27 @@
 
 
 class ServerReader:
-    """`max_response_bytes` bounds one message; `report_name` is the ParameterStatus to look for.
-
-    `ready`: the connection was accepted, and no query is in flight.
+    """Incremental parser of an endpoint's messages.
+
+    Parameters
+    ----------
+    max_response_bytes
+        The longest message that is accepted.
+    report_name
+        The name of the ParameterStatus that carries the endpoint's load report.
+
+    Attributes
+    ----------
+    ready
+        Whether the endpoint has accepted the connection and no query is in flight.
+    response
+        The complete response to the last query, or None.
+    reason
+        Why the endpoint's bytes were malformed.
     """
 
     def __init__(self, max_response_bytes: int, report_name: bytes) -> None:
-        self._rest = b""
+        self._buffer = b""
         self._max_response_bytes = max_response_bytes
         self._report_name = report_name
         self.ready = False
@@ -80,11 +106,11 @@
 
     @property
     def response_begun(self) -> bool:
-        """Part of a response has come."""
-        return bool(self._rest or self._raw)
+        """Whether part of a response was received."""
+        return bool(self._buffer or self._raw)
 
     def begin_response(self) -> None:
-        """To be called when a query is sent: forgets the last response."""
+        """Prepares for the response to a query; to be called when the query is sent."""
         self._awaiting_response = True
         self.ready = False
         self._raw = []
@@ -92,46 +118,49 @@
         self.response = None
 
     def feed(self, data: bytes) -> Progress:
-        """Takes bytes as they come; a message may end in a later call."""
-        data = self._rest + data if self._rest else data
+        """Parses received bytes, in pieces of any size, and returns the state that they lead to."""
+        data = self._buffer + data if self._buffer else data
         start = 0
         end = len(data)
-        before = self.response
+        previous_response = self.response
         while start < end:
             if self.ready:
-                return self._malformed("unsolicited bytes", before)
+                return self._mark_malformed("unexpected bytes after ReadyForQuery", previous_response)
             kind = data[start]
             in_response = kind in RESPONSE_MESSAGES
             if not in_response and kind not in CONTROL_MESSAGES:
-                return self._malformed(f"message type {kind}", before)
+                return self._mark_malformed(f"unexpected message type {kind}", previous_response)
             if end - start < 5:
                 break
             size = LENGTH.unpack_from(data, start + 1)[0]
             if not 4 <= size <= self._max_response_bytes:
-                return self._malformed(f"a message of {size} bytes", before)
+                return self._mark_malformed(f"invalid message length of {size} bytes", previous_response)
             stop = start + 1 + size
             if stop > end:
                 break
             if in_response:
-                accepted = self._response_message(kind, data, start, stop)
+                accepted = self._accept_response_message(kind, data, start, stop)
             else:
-                accepted = self._control_message(kind, data, start + 5, stop)
+                accepted = self._accept_control_message(kind, data, start + 5, stop)
             if not accepted:
-                return self._malformed(f"message {chr(kind)} out of place or malformed", before)
+                return self._mark_malformed(f"message {chr(kind)} is malformed or out of order", previous_response)
             start = stop
-        self._rest = data[start:]
+        self._buffer = data[start:]
         if self.response is not None:
             return Progress.RESPONDED
         return Progress.READY if self.ready else Progress.WAITING
 
-    def _malformed(self, reason: str, before: QueryResult | None) -> Progress:
-        """What comes behind a complete response leaves that valid, but the connection cannot be reused."""
+    def _mark_malformed(self, reason: str, previous_response: QueryResult | None) -> Progress:
+        """Marks the connection as not reusable and records why.
+
+        A response stays valid if it was completed in this call, before the malformed bytes.
+        """
         self.ready = False
         self.reason = reason
-        return Progress.RESPONDED if self.response is not None and before is None else Progress.MALFORMED
+        return Progress.RESPONDED if self.response is not None and previous_response is None else Progress.MALFORMED
 
-    def _control_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
-        """Takes a message that is no part of a response; returns whether it is well-formed and in place."""
+    def _accept_control_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
+        """Handles a message that is not part of a response; returns whether it is well-formed and expected now."""
         if kind in IGNORED_MESSAGES:
             return True
         if kind == PARAMETER_STATUS:
@@ -151,8 +180,8 @@
             return False
         return kind == BACKEND_KEY_DATA or data[body:stop] == b"\0\0\0\0"  # AuthenticationOk
 
-    def _response_message(self, kind: int, data: bytes, start: int, stop: int) -> bool:
-        """Takes a part of a response; returns whether it is well-formed and in place."""
+    def _accept_response_message(self, kind: int, data: bytes, start: int, stop: int) -> bool:
+        """Handles a message that is part of a response; returns whether it is well-formed and expected now."""
         if not self._awaiting_response or self.response is not None:
             return False
         body = start + 5
@@ -164,7 +193,7 @@
             self._result.error_text = fields.get("M", "")
             self.response = self._result
             return True
-        if not self._row_message(kind, data, body, stop):
+        if not self._accept_row_message(kind, data, body, stop):
             return False
         self._raw.append(data[start:stop])
         if kind == COMMAND_COMPLETE:
@@ -172,8 +201,8 @@
             self.response = self._result
         return True
 
-    def _row_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
-        """One RowDescription of one column, one DataRow, one CommandComplete, in this order."""
+    def _accept_row_message(self, kind: int, data: bytes, body: int, stop: int) -> bool:
+        """Checks a message of a row, which is a RowDescription of one column, a DataRow and a CommandComplete."""
         position = len(self._raw)
         if kind == ROW_DESCRIPTION:
             name_end = data.find(b"\0", body + 2, stop)
--- a/lanelead/runtime/__init__.py
+++ b/lanelead/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every host of the decisions shares: the driver, endpoints and their gossip, parameters, timers."""
+"""Code that all hosts of the decisions share: driver, endpoint registry, gossip codec, parameters and timers."""
--- a/lanelead/runtime/action_dispatch.py
+++ b/lanelead/runtime/action_dispatch.py
@@ -1,4 +1,4 @@
-"""From the decisions to the host: carries out their actions in order, and answers clients."""
+"""Carries out the decisions' actions in order: requests I/O from the host, sets timers and answers clients."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.runtime.timer_queue import TimerQueue
 
-# Outcomes after which an attempt runs no longer, or never ran.
-ENDED_FOR_SURE = (
+# Outcomes after which an attempt surely does not run at its endpoint any more. After the others it may still run.
+DEFINITE_OUTCOMES = (
     AttemptOutcome.SUCCEEDED,
     AttemptOutcome.ERROR,
     AttemptOutcome.REJECTED,
@@ -51,10 +51,11 @@
 
 
 class ActionDispatcher:
-    """Carries out actions until the decisions want nothing more, and keeps the requests that wait.
+    """Carries out the decisions' actions, and keeps the requests that wait for an answer.
 
-    Attempts that the relay itself ends (cancelled, timed out, not sent) are queued: the decisions are notified of them
-    after the actions at hand, never from within one.
+    Attempts that the relay itself ends (cancelled, timed out, not sent) are queued in `attempts_to_stop` with their
+    outcome. They are stopped, and the decisions notified, once all actions at hand are carried out; notifying the
+    decisions during an action would make them re-entrant.
     """
 
     def __init__(
@@ -69,43 +70,47 @@
     ) -> None:
         self.pending: dict[Request, PendingRequest] = {}
         self.counters = DriverCounters()
-        self.to_stop: deque[tuple[Attempt, AttemptOutcome]] = deque()
+        self.attempts_to_stop: deque[tuple[Attempt, AttemptOutcome]] = deque()
         self._decisions = decisions
         self._host = host
         self._timers = timers
         self._destinations = destinations
         self._readiness = readiness
         self._request_classes = request_classes
-        self._unreported_votes = 0  # withheld votes that the decisions are still to be notified of
+        self._unreported_votes = 0  # withheld votes of which the decisions have not been notified yet
+        # The gossip entries that were encoded last, and their messages: most gossip goes to several peers.
         self._encoded_entries: Sequence[GossipEntry] = ()
         self._encoded_payloads: list[bytes] = []
         self._running = False
 
     def run(self) -> None:
-        """Carries out what the decisions want, in order, until nothing is left."""
+        """Carries out the decisions' actions, and those that follow from them, until none is left.
+
+        A nested call returns at once, since the outer one carries out its actions.
+        """
         if self._running:
             return
         self._running = True
         decisions = self._decisions
         try:
-            while decisions.actions or self.to_stop or self._unreported_votes:
+            while decisions.actions or self.attempts_to_stop or self._unreported_votes:
                 actions = decisions.actions
                 decisions.actions = []
                 for action in actions:
-                    # The most frequent kinds first: this runs several times a request.
+                    # The most frequent actions come first, since this loop runs several times per request.
                     if isinstance(action, SetTimer):
                         self._timers.add(action.at, action.request)
                     elif isinstance(action, StartAttempt):
-                        self._start(action.attempt)
+                        self._start_attempt(action.attempt)
                     elif isinstance(action, CancelAttempt):
-                        self.to_stop.append((action.attempt, AttemptOutcome.CANCELLED))
+                        self.attempts_to_stop.append((action.attempt, AttemptOutcome.CANCELLED))
                     else:
                         self._dispatch(action)
                 if decisions.actions:
                     continue
-                if self.to_stop:
-                    attempt, outcome = self.to_stop.popleft()
-                    self._stop(attempt, outcome)
+                if self.attempts_to_stop:
+                    attempt, outcome = self.attempts_to_stop.popleft()
+                    self._stop_attempt(attempt, outcome)
                 elif self._unreported_votes:
                     self._unreported_votes -= 1
                     decisions.rollout_updated(
@@ -117,7 +122,10 @@
     def answer(
         self, pending: PendingRequest, outcome: RequestOutcome, attempt: Attempt | None, answer: Any, retry_after: Ticks
     ) -> None:
-        """Gives a client its final answer, the first one only."""
+        """Sends a client the final answer to its request; calls after the first one are ignored.
+
+        `retry_after` is the time in ticks after which the client may retry.
+        """
         if pending.answered:
             return
         pending.answered = True
@@ -133,13 +141,16 @@
         pending.reply(pending, outcome, attempt, answer, retry_after)
 
     def record_end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Counts an attempt's end. One that may still run at its endpoint holds up a migration."""
+        """Counts an attempt's outcome and passes it to the migrations' readiness.
+
+        Steps of a migration wait for attempts that may still run at their endpoint.
+        """
         outcomes = self.counters.outcomes
         outcomes[outcome] = outcomes.get(outcome, 0) + 1
         if self._readiness is not None:
-            self._readiness.attempt_ended(attempt, outcome in ENDED_FOR_SURE)
+            self._readiness.attempt_ended(attempt, outcome in DEFINITE_OUTCOMES)
 
-    def _stop(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def _stop_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.outcome is not None:
             return
         may_have_run = self._host.cancel_attempt(attempt)
@@ -151,10 +162,10 @@
         self.record_end(attempt, outcome)
         self._decisions.attempt_ended(attempt, outcome, False, self._decisions.now - attempt.sent_at, None)
 
-    def _start(self, attempt: Attempt) -> None:
+    def _start_attempt(self, attempt: Attempt) -> None:
         pending = self.pending.get(attempt.request)
-        if pending is None:  # its client left while the decisions chose
-            self.to_stop.append((attempt, AttemptOutcome.NOT_SENT))
+        if pending is None:  # the request is no longer pending, for example since its client left
+            self.attempts_to_stop.append((attempt, AttemptOutcome.NOT_SENT))
             return
         self.counters.attempts += 1
         self._timers.add(attempt.sent_at + attempt.timeout, attempt)
@@ -191,7 +202,10 @@
             self.answer(pending, outcome, None, None, retry_after)
 
     def _cast_vote(self, vote: CastVote) -> None:
-        """Withholds a vote to promote past a stage whose migrations are not done, as if it could not be sent."""
+        """Casts a vote, but withholds one to promote past a stage whose migrations are not done.
+
+        A withheld vote is reported to the decisions as one that could not be sent.
+        """
         ready = self._readiness is None or self._readiness.allows_promotion(vote.build, vote.stage)
         if vote.verdict is Verdict.PROMOTE and not ready:
             self.counters.withheld_votes += 1
@@ -200,7 +214,7 @@
             self._host.cast_vote(vote)
 
     def _send_gossip(self, peer: int | None, entries: Sequence[GossipEntry]) -> None:
-        if entries is not self._encoded_entries:  # many peers are sent the same
+        if entries is not self._encoded_entries:  # the same entries usually go to many peers
             self._encoded_entries = entries
             self._encoded_payloads = encode_gossip(entries, self._request_classes)
         self._host.send_gossip(peer, self._encoded_payloads)
--- a/lanelead/runtime/background_tasks.py
+++ b/lanelead/runtime/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside what started them."""
+"""Asyncio tasks that nobody awaits."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class BackgroundTasks:
-    """Tasks that are kept until they end. Whatever one fails with is logged, as `failure_event`.
+    """Keeps references to running tasks, and logs the exceptions that they raise as `failure_event`.
 
-    The event loop itself keeps weak references only, so that a task that nobody keeps may vanish before it ends.
+    The event loop keeps weak references only, so that a task without another reference may be garbage-collected before
+    it ends.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: Any, failure_event: str) -> None:
@@ -22,24 +23,24 @@
         self._running: dict[asyncio.Task[Any], None] = {}
 
     def __len__(self) -> int:
-        """How many tasks run."""
+        """Returns the number of running tasks."""
         return len(self._running)
 
     def start(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
-        """Runs `work` until it ends, or until `cancel_all`."""
+        """Starts a task that runs `work` until it ends or `cancel_all` is called."""
         task = self._loop.create_task(work)
         self._running[task] = None
         task.add_done_callback(self._on_done)
         return task
 
     async def cancel_all(self) -> None:
-        """Cancels all tasks, and waits until they have ended."""
+        """Cancels all running tasks and waits until they have ended."""
         for task in list(self._running):
             task.cancel()
         await self.wait_all()
 
     async def wait_all(self) -> None:
-        """Waits until the tasks that run now have ended."""
+        """Waits until all tasks that are running at the time of the call have ended."""
         await asyncio.gather(*self._running, return_exceptions=True)
 
     def _on_done(self, task: asyncio.Task[Any]) -> None:
--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -1,11 +1,14 @@
-"""Between the sockets and the decisions: passes events in and actions out, decides nothing itself.
+"""Connects a host's sockets with the decisions: events go in, actions come out. The driver decides nothing itself.
 
-The driver knows no socket. What is to be done it asks of `HostOperations`, which must not call back from within a
-call; what happened, the host reports by the methods of `DecisionDriver`. Times are ticks, tenths of a millisecond, on
-the driver's own clock.
+The driver does no I/O. The host reports events by calling the methods of `DecisionDriver`; the driver requests I/O
+through `HostOperations`, whose methods must not call the driver back before they return. Times are ticks (tenths of a
+millisecond) on the clock that is passed to the driver.
 
-- Events in: this module. Actions out: action_dispatch.py.
-- The endpoint list and which builds are ready: endpoint_list.py. Timers: timer_queue.py. Gossip: gossip_codec.py.
+This module handles the events. Related modules:
+
+- action_dispatch.py carries out the decisions' actions.
+- endpoint_list.py keeps the endpoint list and applies the migrations' readiness to it.
+- timer_queue.py keeps the timers; gossip_codec.py encodes and decodes gossip.
 """
 
 from __future__ import annotations
@@ -45,10 +48,26 @@
 
 
 class DecisionDriver:
-    """Passes a host's events to the decisions and has their actions carried out.
+    """Passes a host's events to the decisions and carries out the resulting actions.
 
-    `clock` reads the time. `max_pending` bounds the requests whose clients wait; those above it are rejected with
-    `max_retry_after`. `readiness` is None where no migrations are run: every build that is listed may have requests.
+    Parameters
+    ----------
+    decisions
+        The routing and voting logic.
+    host
+        Performs I/O for the driver.
+    clock
+        Returns the current time in ticks.
+    request_classes
+        All request classes, in the order by which gossip refers to them.
+    limits
+        The service's limits.
+    max_pending
+        The most requests that may wait for an answer at once. Further ones are rejected.
+    max_retry_after
+        The retry delay, in ticks, advised with such a rejection.
+    readiness
+        Which builds the migrations allow to receive requests. None if no migrations are run: all builds may.
     """
 
     def __init__(
@@ -72,7 +91,7 @@
         self._max_retry_after = max_retry_after
         self._class_order = list(request_classes)
         self._timers = TimerQueue()
-        # An attempt may still run at a removed endpoint for as long as its request's timeout.
+        # An attempt may still run at a removed endpoint until its request times out.
         retention = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.endpoint_list = EndpointList(EndpointRegistry(decisions.new_endpoint), readiness, retention)
         self.registry = self.endpoint_list.registry
@@ -104,7 +123,11 @@
         is_retry: bool = False,
         is_write: bool = False,
     ) -> None:
-        """Takes a client's request, whose client waits for `time_left` more. The answer comes by `pending.reply`."""
+        """Accepts or rejects a client's request; the answer is delivered through `pending.reply`.
+
+        `time_left` is the time in ticks until the client's deadline. A request with no time left, or beyond
+        `max_pending`, is rejected before the decisions see it.
+        """
         now = self._advance_clock()
         if len(self.pending) >= self._max_pending or time_left <= 0:
             self.counters.over_limit += 1
@@ -119,7 +142,7 @@
         self._run_actions()
 
     def client_left(self, pending: PendingRequest) -> None:
-        """Ends a request whose client is gone: it gets no answer."""
+        """Drops a request whose client has disconnected; no answer is sent. Answered requests are ignored."""
         if pending.answered or pending.request is None:
             return
         pending.answered = True
@@ -132,13 +155,16 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, answer: Any = None, report: LoadReport | None = None
     ) -> None:
-        """Reports how an attempt ended. Only the first report counts."""
+        """Handles the end of an attempt; reports after the first one are ignored.
+
+        `answer` is delivered to the client if the attempt succeeded; `report` is the endpoint's load report.
+        """
         if attempt.outcome is not None:
             return
         now = self._advance_clock()
         request = attempt.request
         pending = self.pending.get(request)
-        # After a stall of this process, an answer found on its sockets may be too late for the client.
+        # If this process stalled, a response that was waiting on its socket may come too late for the client.
         if (
             outcome is AttemptOutcome.SUCCEEDED
             and pending
@@ -156,10 +182,11 @@
         self._run_actions()
 
     def destination_of(self, attempt: Attempt) -> Destination | None:
-        """Returns where an attempt may go, to be asked right before its first byte is written.
+        """Returns where to send an attempt, or None if it must not be sent any more.
 
-        None once the endpoint is draining, removed, or withheld by a migration, or the request is finished: what the
-        decisions chose may have changed while the attempt waited for a connection.
+        The host calls this right before it writes an attempt's first byte, since the attempt may have waited for a
+        connection. The result is None if meanwhile the endpoint is draining or removed, a migration does not allow
+        requests to its build, or the request is finished.
         """
         destination = self.destinations.get(attempt.endpoint)
         if destination is None or attempt.endpoint.status is not EndpointStatus.READY or attempt.request.finished:
@@ -173,13 +200,13 @@
     def health_checked(
         self, endpoint: Endpoint, outcome: AttemptOutcome, duration: Ticks, report: LoadReport | None
     ) -> None:
-        """Reports a health check's end."""
+        """Handles the end of a health check that took `duration` ticks."""
         self._advance_clock()
         self.decisions.health_checked(endpoint, outcome, duration, report)
         self._run_actions()
 
     def endpoints_listed(self, message: EndpointListMessage, clock_offset: Ticks) -> None:
-        """Reports the endpoint list or changes to it; `clock_offset` as in `EndpointList.update`."""
+        """Handles an endpoint list or changes to it; see `EndpointList.update` for `clock_offset`."""
         self._advance_clock()
         scope, records = self.endpoint_list.update(message, clock_offset)
         self.decisions.endpoints_updated(scope, records)
@@ -187,7 +214,7 @@
         self.endpoint_list.drop_removed(self.decisions.now)
 
     def endpoint_poll_failed(self) -> None:
-        """Reports that a poll of the endpoint list failed."""
+        """Handles a failed poll or watch of the endpoint list; the decisions will request it again."""
         self._advance_clock()
         self.decisions.endpoints_updated(UpdateScope.FAILED, [])
         self._run_actions()
@@ -195,20 +222,27 @@
     # Migrations and rollout
 
     def migrations_read(self, page: MigrationLogPage) -> None:
-        """Reports new entries of the migration log.
+        """Handles a page of the migration log.
 
-        Raises MessageError if they break the log's rules, or end before what was read: another store, or an old copy.
+        Raises MessageError if an entry breaks the log's rules, or if the store's log is shorter than what was read
+        before, which means that the store was replaced or restored from an old copy.
         """
         assert self.readiness is not None
         if page.last_seq < self.readiness.log.last_seq:
-            raise MessageError(f"a record of {page.last_seq} entries, of which {self.readiness.log.last_seq} were read")
+            raise MessageError(
+                f"migration log: expected at least the {self.readiness.log.last_seq} entries read before, "
+                f"found {page.last_seq}"
+            )
         self._advance_clock()
         self.readiness.entries_received(page.entries)
         self._update_readiness()
         self._run_actions()
 
     def rollout_read(self, message: RolloutMessage | None, is_vote_reply: bool, outcome: AttemptOutcome) -> None:
-        """Reports the rollout's state, or the reply to a vote; no message if the reply never came."""
+        """Handles the rollout's state, or the reply to a vote if `is_vote_reply`.
+
+        `message` is None if a vote got no reply; `outcome` then tells why.
+        """
         self._advance_clock()
         if message is None:
             state = RolloutState(0, 0, RolloutPhase.CANARY, 0.0, 0, True, outcome)
@@ -227,16 +261,19 @@
         if changed:
             self.decisions.endpoints_updated(UpdateScope.DELTA, changed)
 
-    # Peers and clients' complaints
+    # Gossip and clients' complaints
 
     def gossip_received(self, peer: int, payload: bytes) -> None:
-        """Reports a peer's gossip message."""
+        """Handles a peer's gossip message."""
         self._advance_clock()
         self.decisions.gossip_received(peer, decode_gossip(payload, self.registry.short_ids, self._class_order))
         self._run_actions()
 
     def complaint_received(self, name: str, request_class: RequestClass, age: Ticks) -> bool:
-        """Reports that a client found an endpoint's answer wrong; returns False if no such endpoint is known."""
+        """Handles a client's complaint that an endpoint's answer was wrong; returns False for an unknown endpoint.
+
+        `name` is the endpoint's name, and `age` tells in ticks how long ago the answer was given.
+        """
         if name not in self.registry.by_name:
             return False
         self._advance_clock()
@@ -247,24 +284,24 @@
     # Time
 
     def tick(self) -> None:
-        """Handles all timers that have fallen due."""
+        """Handles all timers that are due."""
         now = self._advance_clock()
         heap = self._timers.heap
         while heap and heap[0][0] <= now:
             target = heappop(heap)[2]
             if isinstance(target, Attempt):
                 if target.outcome is None:
-                    self._dispatcher.to_stop.append((target, AttemptOutcome.TIMED_OUT))
+                    self._dispatcher.attempts_to_stop.append((target, AttemptOutcome.TIMED_OUT))
             elif target is None or not target.finished:
                 self.decisions.timer_fired(target)
             self._run_actions()
 
     def next_timer(self) -> Ticks | None:
-        """Returns when `tick` must be called next; None if no timer is set."""
+        """Returns the time at which `tick` must be called next, or None if no timer is set."""
         return self._timers.next_due()
 
     def _advance_clock(self) -> Ticks:
-        """Sets the decisions' time, which never goes back, and returns it."""
+        """Sets the decisions' time to the clock's, without ever going back, and returns it."""
         now = max(self.decisions.now, self._clock())
         self.decisions.now = now
         return now
--- a/lanelead/runtime/driver_counters.py
+++ b/lanelead/runtime/driver_counters.py
@@ -1,4 +1,4 @@
-"""What a driver counts."""
+"""Counters of a driver."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class DriverCounters:
-    """Requests, attempts and votes since the start."""
+    """Numbers of requests, attempts and votes since the start."""
 
     received: int = 0
     succeeded: int = 0
     rejected: int = 0
     failed: int = 0
-    abandoned: int = 0  # their client left
+    abandoned: int = 0  # the client left before the answer
     over_limit: int = 0  # rejected before the decisions saw them: too many pending, or no time left
     attempts: int = 0
     withheld_votes: int = 0  # votes to promote past a stage whose migrations are not done
-    outcomes: dict[AttemptOutcome, int] = field(default_factory=dict)  # of attempts
+    outcomes: dict[AttemptOutcome, int] = field(default_factory=dict)  # number of attempts by outcome
--- a/lanelead/runtime/endpoint_list.py
+++ b/lanelead/runtime/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it, as records for the decisions."""
+"""Turns discovery's endpoint lists into records for the decisions."""
 
 from __future__ import annotations
 
@@ -12,51 +12,66 @@
 from lanelead.runtime.endpoint_registry import EndpointRegistry
 
 TICKS_PER_MS = 10
-SAME_START_TICKS: Ticks = 1000  # starts of one process differ by less when two streams' clocks are compared
+# The clock offset is measured anew on each stream; start times of one incarnation differ by less than this between two.
+START_TIME_TOLERANCE_TICKS: Ticks = 1000
 
 
 class EndpointList:
-    """Endpoints, their destinations, and which of them count as ready.
+    """The listed endpoints and their destinations.
 
-    `readiness` withholds endpoints of builds whose migrations are not done; None: all builds may have requests.
-    `retention`: how long a removed endpoint is kept, since an attempt may still run there.
+    Parameters
+    ----------
+    registry
+        Maps the listed names to endpoints.
+    readiness
+        Which builds the migrations allow to receive requests; ready endpoints of other builds are reported as
+        draining. None if no migrations are run.
+    retention
+        How long, in ticks, a removed endpoint is kept, since an attempt may still run there.
     """
 
     def __init__(self, registry: EndpointRegistry, readiness: Readiness | None, retention: Ticks) -> None:
         self.registry = registry
         self.destinations: dict[Endpoint, Destination] = {}
-        self.removed: dict[Endpoint, Ticks] = {}  # removed endpoints, and until when they are kept
+        self.removed: dict[Endpoint, Ticks] = {}  # removed endpoints are kept until then
         self._readiness = readiness
         self._retention = retention
-        self._listed: dict[Endpoint, EndpointRecord] = {}  # as discovery sent them; with readiness only
-        self._updated = False
+        self._listed_records: dict[Endpoint, EndpointRecord] = {}  # as discovery sent them; empty without `readiness`
+        self._has_received_list = False
 
     def update(self, message: EndpointListMessage, clock_offset: Ticks) -> tuple[UpdateScope, list[EndpointRecord]]:
-        """Returns what the decisions are to be given of a list or of changes to it.
+        """Applies an endpoint list, or changes to it, and returns the update for the decisions.
 
-        `clock_offset` is what discovery's clock lacks of ours; it is fixed while one stream lasts.
+        The first message has the scope CACHED: the endpoints then count as listed since they started, not since now.
+
+        Parameters
+        ----------
+        message
+            The list or the changes.
+        clock_offset
+            The driver's clock minus discovery's, in ticks. It is constant for the life of a stream.
         """
-        records = [self._record_of(row, clock_offset) for row in message.units]
+        records = [self._to_record(row, clock_offset) for row in message.units]
         scope = UpdateScope.SNAPSHOT if message.coverage == "full" else UpdateScope.DELTA
-        if not self._updated:
+        if not self._has_received_list:
             scope = UpdateScope.CACHED
-            self._updated = True
+            self._has_received_list = True
         if self._readiness is not None:
             records = self._store_listed(self._readiness, scope, records)
         return scope, records
 
-    def _record_of(self, row: EndpointMessage, clock_offset: Ticks) -> EndpointRecord:
+    def _to_record(self, row: EndpointMessage, clock_offset: Ticks) -> EndpointRecord:
         endpoint = self.registry.get_or_add(row.unit)
         started_at = 0
         if row.started_ms is not None:
             started_at = max(1, int(row.started_ms * TICKS_PER_MS) + clock_offset)
             known = self.destinations.get(endpoint)
-            # One incarnation keeps its start, though another stream compares the clocks again.
+            # Keep an incarnation's start time although another stream's clock offset differs a little.
             if (
                 known
                 and known.build == row.build
                 and known.started_at
-                and abs(known.started_at - started_at) < SAME_START_TICKS
+                and abs(known.started_at - started_at) < START_TIME_TOLERANCE_TICKS
             ):
                 started_at = known.started_at
         self.destinations[endpoint] = Destination(row.host, row.port, row.build, started_at)
@@ -67,31 +82,31 @@
         self, readiness: Readiness, scope: UpdateScope, records: list[EndpointRecord]
     ) -> list[EndpointRecord]:
         if scope is not UpdateScope.DELTA:
-            self._listed.clear()
+            self._listed_records.clear()
         for record in records:
             if record.status is EndpointStatus.REMOVED:
-                self._listed.pop(record.endpoint, None)
+                self._listed_records.pop(record.endpoint, None)
             else:
-                self._listed[record.endpoint] = record
-        readiness.builds_listed(record.build for record in self._listed.values())
-        return [self._withheld(readiness, record) for record in records]
+                self._listed_records[record.endpoint] = record
+        readiness.builds_listed(record.build for record in self._listed_records.values())
+        return [self._apply_readiness(readiness, record) for record in records]
 
     @staticmethod
-    def _withheld(readiness: Readiness, record: EndpointRecord) -> EndpointRecord:
-        """Returns a ready endpoint as draining if its build may have no requests."""
+    def _apply_readiness(readiness: Readiness, record: EndpointRecord) -> EndpointRecord:
+        """Returns the record, with a ready endpoint as draining if its build may not receive requests."""
         if record.status is not EndpointStatus.READY or readiness.accepts_traffic(record.build):
             return record
         return replace(record, status=EndpointStatus.DRAINING)
 
     def changed_by_readiness(self) -> list[EndpointRecord]:
-        """Returns the endpoints whose build may have requests now, or may not any more."""
+        """Returns records of the endpoints whose status changes because of the migrations' readiness."""
         if self._readiness is None:
             return []
-        records = [self._withheld(self._readiness, record) for record in self._listed.values()]
+        records = [self._apply_readiness(self._readiness, record) for record in self._listed_records.values()]
         return [record for record in records if record.status is not record.endpoint.status]
 
     def drop_removed(self, now: Ticks) -> None:
-        """Drops endpoints removed long ago, so that tables don't grow while endpoints come and go."""
+        """Forgets endpoints that were removed at least `retention` ticks ago, to bound the memory used."""
         for endpoint in self.destinations:
             if endpoint.status is EndpointStatus.REMOVED:
                 self.removed.setdefault(endpoint, now + self._retention)
--- a/lanelead/runtime/endpoint_registry.py
+++ b/lanelead/runtime/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that a host knows, by name and by the ids that gossip uses for them."""
+"""The endpoints that a host knows, by name and by the ids that gossip uses."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class EndpointRegistry:
-    """Endpoints by name and by short id; the simulator adapter and the relays on sockets share it.
+    """Maps names and short ids to endpoints. The relays and the simulator adapter use it.
 
-    `new_endpoint` makes the decisions' own object from the short id of an endpoint that is seen first.
+    `new_endpoint` creates the decisions' endpoint object for a short id; it is called for each new name.
     """
 
     def __init__(self, new_endpoint: Callable[[int], Endpoint]) -> None:
@@ -22,7 +22,7 @@
         self._retired: dict[Endpoint, None] = {}
 
     def get_or_add(self, name: str) -> Endpoint:
-        """Returns the endpoint of this name; one that was retired is reported in gossip again."""
+        """Returns the endpoint of this name, and creates it if needed. A retired endpoint gets its short id back."""
         endpoint = self.by_name.get(name)
         if endpoint is None:
             long_id = long_id_of(name)
@@ -36,7 +36,7 @@
         return endpoint
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Drops an endpoint that is removed: one that comes back by its name is a new one."""
+        """Deletes a removed endpoint; if its name is listed again, a new endpoint is created."""
         name = self.names.pop(endpoint, None)
         if name is not None:
             del self.by_name[name]
@@ -44,6 +44,9 @@
             self.short_ids.drop(endpoint)
 
     def retire(self, endpoint: Endpoint) -> None:
-        """Frees the short id of an endpoint removed so long ago that no relay reports it; its name stays its own."""
+        """Frees an endpoint's short id for gossip, but keeps its name.
+
+        This is for an endpoint that was removed so long ago that no relay reports it any more.
+        """
         self._retired[endpoint] = None
         self.short_ids.drop(endpoint)
--- a/lanelead/runtime/gossip_codec.py
+++ b/lanelead/runtime/gossip_codec.py
@@ -1,14 +1,15 @@
-"""Gossip between relays as bytes: outcome observations, in-flight counts, fleet latency and completions.
+"""Encodes and decodes gossip: outcome observations, in-flight counts, fleet latency and completions.
 
-A message is at most 254 bytes, since a datagram's checksum takes two of `MAX_MESSAGE_BYTES`. Numbers are big-endian.
+A message is at most 254 bytes long, since the datagram's checksum takes two of `MAX_MESSAGE_BYTES`. Numbers are
+big-endian. There are two message formats:
 
-- A message of form 2: one byte with the form and the number of rows, one with the latency in steps of
-  `LATENCY_STEP_TICKS`, one with the completions (255 each where not reported), then rows, then in-flight entries.
-  A row is an outcome observation by short id, or two in-flight counts by long id, marked by `IN_FLIGHT_MARKER` in the
-  place of the request class.
-- A message of form 3: the same first byte, then outcome observations by long id.
+- Format 2 consists of one byte with the format (upper 3 bits) and the number of rows (lower 5 bits), one byte with the
+  latency in steps of `LATENCY_STEP_TICKS`, one byte with the number of completions (255 if latency or completions are
+  not reported), the rows, and the in-flight entries. A row is either an outcome observation by short id, or two
+  in-flight counts by long id; the latter has `IN_FLIGHT_MARKER` in place of the request class.
+- Format 3 consists of the same first byte and outcome observations by long id.
 
-Endpoints that share their short id with another are reported by their long ids only (see short_ids.py).
+Endpoints that share their short id with another one are reported by their long ids only; see short_ids.py.
 """
 
 from __future__ import annotations
@@ -34,33 +35,33 @@
 from lanelead.runtime.short_ids import NO_LONG_ID, ShortIds
 
 CHECKSUM_BYTES = 2
-MAX_BYTE = 255  # counts above it are sent as it
-FAULT_KINDS = 5  # fault counts in an outcome observation
+MAX_COUNT = 255  # higher counts are sent as this one
+FAULT_KINDS = 5  # number of fault counts in an outcome observation
 
-OUTCOME_ROW = Struct(f">HHB{1 + FAULT_KINDS}B")  # short id, build, request class, outcomes, faults of each kind
+OUTCOME_ROW = Struct(f">HHB{1 + FAULT_KINDS}B")  # short id, build, request class, outcomes, faults by kind
 IN_FLIGHT_ENTRY = Struct(">HB")  # short id, attempts in flight
-IN_FLIGHT_MARKER = 255  # in the place of a row's request class; earlier versions skip such a row as unknown
+IN_FLIGHT_MARKER = 255  # in place of a request class; earlier versions skip such a row as unknown
 LONG_ID_IN_FLIGHT_ROW = Struct(">IBBIB")  # long id, IN_FLIGHT_MARKER, attempts, long id, attempts
-LONG_ID_OUTCOME_ROW = Struct(f">IHB{1 + FAULT_KINDS}B")  # as OUTCOME_ROW, by long id
+LONG_ID_OUTCOME_ROW = Struct(f">IHB{1 + FAULT_KINDS}B")  # as `OUTCOME_ROW`, but by long id
 
 MESSAGE_FORM = 2
 LONG_ID_MESSAGE_FORM = 3  # outcome observations by long id
-ROW_COUNT_BITS = 5  # the first byte's low bits; the form stands above them
-HEADER_BYTES = 3  # form and row count, latency, completions
-LONG_ID_HEADER_BYTES = 1  # form and row count
+ROW_COUNT_BITS = 5  # the low bits of the first byte; the format is in the high bits
+HEADER_BYTES = 3  # format and row count, latency, completions
+LONG_ID_HEADER_BYTES = 1  # format and row count
 LATENCY_STEP_TICKS = 200
 NOT_REPORTED = 255  # in place of latency or completions
 PAYLOAD_BYTES = MAX_MESSAGE_BYTES - CHECKSUM_BYTES - HEADER_BYTES
 LONG_ID_PAYLOAD_BYTES = MAX_MESSAGE_BYTES - CHECKSUM_BYTES - LONG_ID_HEADER_BYTES
 
-DecodedRow = tuple[Any, ...]  # an endpoint, or None if unknown, then build, request class, outcomes and faults
+DecodedRow = tuple[Any, ...]  # endpoint (None if unknown), build, index of the request class, outcomes, faults
 
 
 def encode_gossip(entries: Sequence[GossipEntry], request_classes: Sequence[RequestClass]) -> list[bytes]:
     """Encodes entries as messages of the allowed size.
 
-    All in-flight entries go into one message, since a receiver takes endpoints that it leaves out for idle: if not
-    all fit, the first ones are sent.
+    All in-flight counts go into one message, since a receiver counts endpoints missing from it as idle. If not all
+    fit, the first ones are sent. Only the first latency and the first completion count are sent.
     """
     rows, long_id_rows = _encode_outcomes(entries, request_classes)
     in_flight = [
@@ -73,41 +74,43 @@
         if isinstance(entry, FleetLatency)
     ]
     completions = [min(NOT_REPORTED - 1, entry.count) for entry in entries if isinstance(entry, CompletionCount)]
-    totals = bytes([*(latencies[:1] or [NOT_REPORTED]), *(completions[:1] or [NOT_REPORTED])])
-    parts = _split(rows, PAYLOAD_BYTES // OUTCOME_ROW.size)
+    latency_and_completions = bytes([*(latencies[:1] or [NOT_REPORTED]), *(completions[:1] or [NOT_REPORTED])])
+    row_groups = _group_rows(rows, PAYLOAD_BYTES // OUTCOME_ROW.size)
     tail = b""
-    if in_flight or (latencies and not parts):
+    if in_flight or (latencies and not row_groups):
         tail = b"".join(in_flight_entries)
-        if parts and OUTCOME_ROW.size * (len(parts[-1]) + len(in_flight_rows)) + len(tail) <= PAYLOAD_BYTES:
-            parts[-1] += in_flight_rows
+        if row_groups and OUTCOME_ROW.size * (len(row_groups[-1]) + len(in_flight_rows)) + len(tail) <= PAYLOAD_BYTES:
+            row_groups[-1] += in_flight_rows
         else:
-            parts.append(in_flight_rows)
-    messages = [_first_byte(MESSAGE_FORM, part) + totals + b"".join(part) for part in parts]
+            row_groups.append(in_flight_rows)
+    messages = [
+        _first_byte(MESSAGE_FORM, row_group) + latency_and_completions + b"".join(row_group) for row_group in row_groups
+    ]
     if tail:
         messages[-1] += tail
-    for part in _split(long_id_rows, LONG_ID_PAYLOAD_BYTES // LONG_ID_OUTCOME_ROW.size):
-        messages.append(_first_byte(LONG_ID_MESSAGE_FORM, part) + b"".join(part))
+    for row_group in _group_rows(long_id_rows, LONG_ID_PAYLOAD_BYTES // LONG_ID_OUTCOME_ROW.size):
+        messages.append(_first_byte(LONG_ID_MESSAGE_FORM, row_group) + b"".join(row_group))
     return messages
 
 
-def _first_byte(form: int, rows: Sequence[bytes]) -> bytes:
-    return bytes([form << ROW_COUNT_BITS | len(rows)])
+def _first_byte(message_format: int, rows: Sequence[bytes]) -> bytes:
+    return bytes([message_format << ROW_COUNT_BITS | len(rows)])
 
 
-def _split(rows: list[bytes], rows_per_part: int) -> list[list[bytes]]:
-    return [rows[start : start + rows_per_part] for start in range(0, len(rows), rows_per_part)]
+def _group_rows(rows: list[bytes], rows_per_group: int) -> list[list[bytes]]:
+    return [rows[start : start + rows_per_group] for start in range(0, len(rows), rows_per_group)]
 
 
 def _encode_outcomes(
     entries: Sequence[GossipEntry], request_classes: Sequence[RequestClass]
 ) -> tuple[list[bytes], list[bytes]]:
-    """Returns rows by short id and rows by long id."""
+    """Encodes outcome observations; returns rows by short id and rows by long id."""
     rows: list[bytes] = []
     long_id_rows: list[bytes] = []
     for entry in entries:
         if not isinstance(entry, OutcomeObservation) or entry.endpoint.long_id == NO_LONG_ID:
             continue
-        counts = [min(count, MAX_BYTE) for count in (entry.outcomes, *entry.faults)]
+        counts = [min(count, MAX_COUNT) for count in (entry.outcomes, *entry.faults)]
         class_index = request_classes.index(entry.request_class)
         if entry.endpoint.long_id:
             long_id_rows.append(LONG_ID_OUTCOME_ROW.pack(entry.endpoint.long_id, entry.build, class_index, *counts))
@@ -117,17 +120,20 @@
 
 
 def _encode_in_flight(counts: Sequence[InFlightCount]) -> tuple[list[bytes], list[bytes]]:
-    """Encodes as many of the first counts as fit: rows by long id, and entries by short id that follow the rows.
+    """Encodes as many in-flight counts as fit into a message, from the first one on.
 
-    If some went by long id and others were left out, a place in a row under long id 0 bounds what these have.
+    Returns rows with counts by long id, and entries with counts by short id. Counts are expected in descending order:
+    if some are sent by long id and others are left out, the first count left out is sent under long id 0, as an upper
+    bound for all that are left out. Without long ids, a full message has `MAX_IN_FLIGHT_COUNTS` entries, and the
+    receiver takes the last one as the bound.
     """
     sent = counts[:MAX_IN_FLIGHT_COUNTS]
     by_long_id = sum(count.endpoint.long_id != 0 for count in sent)
     if by_long_id and _in_flight_bytes(by_long_id, len(sent) - by_long_id) > PAYLOAD_BYTES:
         sent = _leading_counts_that_fit(sent)
-    pairs = [(count.endpoint.long_id, min(count.attempts, MAX_BYTE)) for count in sent if count.endpoint.long_id]
+    pairs = [(count.endpoint.long_id, min(count.attempts, MAX_COUNT)) for count in sent if count.endpoint.long_id]
     if by_long_id and len(sent) < len(counts):
-        pairs.append((0, min(counts[len(sent)].attempts, MAX_BYTE)))
+        pairs.append((0, min(counts[len(sent)].attempts, MAX_COUNT)))
     if len(pairs) % 2:
         pairs.append((0, 0))
     rows = [
@@ -135,7 +141,7 @@
         for (long_id, attempts), second in zip(pairs[::2], pairs[1::2], strict=True)
     ]
     entries = [
-        IN_FLIGHT_ENTRY.pack(count.endpoint.short_id, min(count.attempts, MAX_BYTE))
+        IN_FLIGHT_ENTRY.pack(count.endpoint.short_id, min(count.attempts, MAX_COUNT))
         for count in sent
         if not count.endpoint.long_id
     ]
@@ -143,7 +149,7 @@
 
 
 def _leading_counts_that_fit(counts: Sequence[InFlightCount]) -> Sequence[InFlightCount]:
-    """Returns as many as leave a place for the bound of those left out."""
+    """Returns the first counts that fit into a message together with a bound for the counts left out."""
     by_long_id = 0
     for index, count in enumerate(counts):
         by_long_id += count.endpoint.long_id != 0
@@ -157,26 +163,26 @@
 
 
 def decode_gossip(payload: bytes, short_ids: ShortIds, request_classes: Sequence[RequestClass]) -> list[GossipEntry]:
-    """Decodes a message; rows of unknown endpoints, builds or request classes are skipped.
+    """Decodes a message, skipping what this relay does not understand.
 
-    A message of another form or with a wrong length is skipped as a whole. All that is skipped is counted in
-    `short_ids.skipped`.
+    Rows are skipped if their endpoint, build or request class is unknown, and whole messages if their format is
+    unknown or their length is wrong. `short_ids.skipped` counts both by reason.
     """
-    form, row_count = divmod(payload[0], 1 << ROW_COUNT_BITS) if payload else (MESSAGE_FORM, 0)
+    message_format, row_count = divmod(payload[0], 1 << ROW_COUNT_BITS) if payload else (MESSAGE_FORM, 0)
     long_id_length = LONG_ID_HEADER_BYTES + row_count * LONG_ID_OUTCOME_ROW.size
-    if form == LONG_ID_MESSAGE_FORM and len(payload) == long_id_length <= MAX_MESSAGE_BYTES:
+    if message_format == LONG_ID_MESSAGE_FORM and len(payload) == long_id_length <= MAX_MESSAGE_BYTES:
         long_id_rows = LONG_ID_OUTCOME_ROW.iter_unpack(payload[LONG_ID_HEADER_BYTES:])
-        found = ((short_ids.by_long_id(long_id), *row) for long_id, *row in long_id_rows)
-        return [*_decode_outcomes(found, short_ids, request_classes)]
+        decoded = ((short_ids.by_long_id(long_id), *row) for long_id, *row in long_id_rows)
+        return [*_decode_outcomes(decoded, short_ids, request_classes)]
     rows_end = HEADER_BYTES + row_count * OUTCOME_ROW.size
-    if form != MESSAGE_FORM or not rows_end <= len(payload) <= MAX_MESSAGE_BYTES:
-        short_ids.skipped["length" if form in (MESSAGE_FORM, LONG_ID_MESSAGE_FORM) else "form"] += 1
+    if message_format != MESSAGE_FORM or not rows_end <= len(payload) <= MAX_MESSAGE_BYTES:
+        short_ids.skipped["length" if message_format in (MESSAGE_FORM, LONG_ID_MESSAGE_FORM) else "form"] += 1
         return []
     latency = [FleetLatency(payload[1] * LATENCY_STEP_TICKS)] if payload[1] != NOT_REPORTED else []
     completions = [CompletionCount(payload[2])] if payload[2] != NOT_REPORTED else []
     outcomes: list[OutcomeObservation] = []
     by_long_id: list[tuple[int, int]] = []
-    if row_count:  # most messages have none, and an aggregator receives thousands a second
+    if row_count:  # skipped for speed: most messages have no rows, and an aggregator receives thousands a second
         outcomes += _decode_short_id_rows(payload[HEADER_BYTES:rows_end], short_ids, request_classes)
         by_long_id += _decode_long_id_pairs(payload, rows_end)
     rest = payload[rows_end : len(payload) - (len(payload) - rows_end) % IN_FLIGHT_ENTRY.size]
@@ -187,16 +193,16 @@
 def _decode_short_id_rows(
     rows: bytes, short_ids: ShortIds, request_classes: Sequence[RequestClass]
 ) -> Iterator[OutcomeObservation]:
-    found = (
+    decoded = (
         (short_ids.by_short_id(short_id), *row)
         for short_id, *row in OUTCOME_ROW.iter_unpack(rows)
         if row[1] != IN_FLIGHT_MARKER
     )
-    return _decode_outcomes(found, short_ids, request_classes)
+    return _decode_outcomes(decoded, short_ids, request_classes)
 
 
 def _decode_long_id_pairs(payload: bytes, rows_end: int) -> Iterator[tuple[int, int]]:
-    """Yields long ids with their attempts in flight, from the rows that are marked so."""
+    """Yields pairs of long id and attempts in flight from the rows that have `IN_FLIGHT_MARKER`."""
     for start in range(HEADER_BYTES, rows_end, OUTCOME_ROW.size):
         long_id, marker, attempts, second_id, second_attempts = LONG_ID_IN_FLIGHT_ROW.unpack_from(payload, start)
         if marker == IN_FLIGHT_MARKER:
@@ -222,30 +228,31 @@
 ) -> list[GossipEntry]:
     """Decodes in-flight counts from pairs of id and attempts.
 
-    An endpoint that a message leaves out counts as idle only if the message was not full; a message of which nothing
-    is understood yields a bound, so that it isn't taken for one that reports nothing in flight.
+    If counts were skipped or the message was full, an upper bound for all other endpoints may follow the counts, so
+    that these are not taken as idle. If no count at all is understood, there is always a bound, so that the message is
+    not taken as one that reports nothing in flight.
     """
     attempts_by_id = dict(by_short_id)
     if len(attempts_by_id) < len(by_short_id):  # earlier versions report two endpoints under one short id
         times_seen = Counter(short_id for short_id, _ in by_short_id)
         attempts_by_id = {short_id: attempts for short_id, attempts in by_short_id if times_seen[short_id] == 1}
         short_ids.skipped["doubled"] += len(by_short_id) - len(attempts_by_id)
-    found: list[GossipEntry] = []
+    decoded: list[GossipEntry] = []
     unique = short_ids.unique
     for short_id, attempts in attempts_by_id.items():
         endpoint = unique.get(short_id)
         if endpoint:
-            found.append(InFlightCount(endpoint, attempts))
-    if len(found) < len(attempts_by_id):
+            decoded.append(InFlightCount(endpoint, attempts))
+    if len(decoded) < len(attempts_by_id):
         short_ids.count_unknown(short_id for short_id in attempts_by_id if short_id not in unique)
-    found += _decode_long_id_counts(by_long_id, short_ids)
-    if by_long_id or len(found) < len(by_short_id):
+    decoded += _decode_long_id_counts(by_long_id, short_ids)
+    if by_long_id or len(decoded) < len(by_short_id):
         bounds = [attempts for long_id, attempts in by_long_id if not long_id and attempts]
         if len(by_short_id) >= MAX_IN_FLIGHT_COUNTS:
             bounds.append(by_short_id[-1][1])
-        if bounds or not found:
-            found.append(InFlightBound(bounds[0] if bounds else 0))
-    return found
+        if bounds or not decoded:
+            decoded.append(InFlightBound(bounds[0] if bounds else 0))
+    return decoded
 
 
 def _decode_long_id_counts(pairs: list[tuple[int, int]], short_ids: ShortIds) -> Iterator[InFlightCount]:
--- a/lanelead/runtime/host_operations.py
+++ b/lanelead/runtime/host_operations.py
@@ -1,4 +1,4 @@
-"""What the driver asks of its host."""
+"""The operations that the driver needs from its host."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class HostOperations(Protocol):
-    """The host's sockets and clients. None of these may call the driver back before it returns."""
+    """I/O that the host performs for the driver. No method may call the driver back before it returns."""
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         """Sends the request to the attempt's endpoint."""
         ...
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        """Stops waiting for an attempt; returns whether it may have run, by what was written of it."""
+        """Stops waiting for an attempt; returns whether any of it was written, so that it may have run."""
         ...
 
     def check_health(self, endpoint: Endpoint) -> None:
@@ -25,19 +25,19 @@
         ...
 
     def close_idle_connections(self, endpoint: Endpoint) -> None:
-        """Closes the endpoint's connections that no attempt uses."""
+        """Closes the connections to the endpoint that no attempt uses."""
         ...
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        """Sends payloads to a peer by its number, or to all peers."""
+        """Sends payloads to the peer with this number, or to all peers if it is None."""
         ...
 
     def cast_vote(self, vote: CastVote) -> None:
-        """Calls the rollout platform."""
+        """Sends a vote to the rollout platform."""
         ...
 
     def watch_endpoints(self, on: bool) -> None:
-        """Starts or ends the watch stream of the endpoint list."""
+        """Starts the watch stream of the endpoint list, or ends it if `on` is False."""
         ...
 
     def poll_endpoints(self) -> None:
@@ -45,5 +45,5 @@
         ...
 
     def log_event(self, text: str) -> None:
-        """Logs what the decisions report."""
+        """Logs an event that the decisions report."""
         ...
--- a/lanelead/runtime/host_operations_base.py
+++ b/lanelead/runtime/host_operations_base.py
@@ -1,4 +1,4 @@
-"""What the services of both relays share: host operations passed on to the upstream side, and their tasks."""
+"""The host operations that the HTTP relay and the PostgreSQL relay have in common."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class UpstreamOperations(Protocol):
-    """What a relay's side towards the endpoints offers to `HostOperationsBase`."""
+    """The operations that `HostOperationsBase` needs from the part of a relay that talks to the endpoints."""
 
     def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        """Keeps an attempt, to be started once the driver has returned."""
+        """Queues an attempt, to be started once the driver has returned."""
         ...
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        """Stops waiting for the response; returns whether the attempt may have run."""
+        """Stops waiting for an attempt's response; returns whether the attempt may have run."""
         ...
 
     def enqueue_health_check(self, endpoint: Endpoint) -> None:
-        """Keeps a health check, to be started once the driver has returned."""
+        """Queues a health check, to be started once the driver has returned."""
         ...
 
     def close_idle(self, endpoint: Endpoint) -> None:
@@ -31,14 +31,14 @@
 
 
 class HostOperationsBase:
-    """The part of `HostOperations` that is the same in both relays. A subclass sets `upstream`."""
+    """Implements the part of `HostOperations` that is the same in both relays. Subclasses set `upstream`."""
 
     upstream: UpstreamOperations
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: Any) -> None:
         self._loop = loop
         self._log = log
-        self._background_tasks = BackgroundTasks(loop, log, "a task failed")
+        self._background_tasks = BackgroundTasks(loop, log, "background task failed")
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         """See `HostOperations`."""
--- a/lanelead/runtime/parameter_reader.py
+++ b/lanelead/runtime/parameter_reader.py
@@ -1,7 +1,7 @@
-"""The parameters that a relay is given at its start, read by path: pairs of the wire, or a configuration's JSON.
+"""Reads the parameters that a relay is given at its start: `path=value` pairs, or a configuration's JSON as such pairs.
 
-The simulator adapter and the relay on the platform share it. The paths are the wire's own words; this module maps them
-to the decisions' names. Only the standard library is imported here.
+The simulator adapter and the PostgreSQL relay use it. The paths are names of the simulator's protocol; this module maps
+them to the decisions' names. It imports only the standard library and the decisions.
 """
 
 from __future__ import annotations
@@ -27,9 +27,10 @@
 
 T = TypeVar("T")
 
-ABSENT = "-"  # the wire's word for a value that is not given
+ABSENT = "-"  # stands for a value that is not given
 TICKS_PER_MS = 10
-ROUNDING_SLACK_TICKS = 1e-6  # 0.3 ms times 10 is a little less than 3 ticks
+# Times may carry a rounding error: 0.29999999999999993 ms for 0.3 ms is still 3 ticks.
+ROUNDING_SLACK_TICKS = 1e-6
 
 IDEMPOTENCY_BY_NAME = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -45,7 +46,10 @@
 
 
 class ParameterError(Exception):
-    """A value does not follow the wire's form. `path` names the parameter, where it has one."""
+    """A parameter's value cannot be parsed.
+
+    `reason` tells what is wrong. `path` is the parameter's path, or empty if the value belongs to no parameter.
+    """
 
     def __init__(self, reason: str, path: str = "") -> None:
         super().__init__(f"{path}: {reason}" if path else reason)
@@ -54,40 +58,43 @@
 
 
 def parse_enumeration(table: Mapping[str, T], name: str, path: str = "") -> T:
-    """Returns the value of a name on the wire. Raises ParameterError if the name is unknown."""
+    """Returns the value that `table` has for a name. Raises ParameterError if the name is unknown."""
     if name not in table:
-        raise ParameterError(f"unknown word {name!r}", path)
+        raise ParameterError(f"unknown value {name!r}, expected one of: {', '.join(table)}", path)
     return table[name]
 
 
 def parse_integer(text: str) -> int:
-    """Returns a whole number. Raises ParameterError if the text is none."""
+    """Parses an integer. Raises ParameterError if the text is not one."""
     try:
         return int(text)
     except ValueError:
-        raise ParameterError(f"not a whole number: {text!r}") from None
+        raise ParameterError(f"expected an integer, found {text!r}") from None
+
 
+def parse_number(text: str, default: float = 0.0, path: str = "") -> float:
+    """Parses a finite number; returns `default` for a value that is not given ("-").
 
-def parse_number(text: str, absent: float = 0.0, path: str = "") -> float:
-    """Returns a finite number, `absent` for one that is not given. Raises ParameterError if the text is none."""
+    Raises ParameterError if the text is not a finite number.
+    """
     if text == ABSENT:
-        return absent
+        return default
     try:
         value = float(text)
     except ValueError:
-        raise ParameterError(f"not a number: {text!r}", path) from None
+        raise ParameterError(f"expected a number, found {text!r}", path) from None
     if not math.isfinite(value):
-        raise ParameterError(f"not a finite number: {text!r}", path)
+        raise ParameterError(f"expected a finite number, found {text!r}", path)
     return value
 
 
 def parse_ticks(text: str, path: str = "") -> Ticks:
-    """Returns milliseconds as whole ticks; part of a tick is dropped, so that no limit is stretched."""
+    """Parses milliseconds and returns whole ticks, rounded down so that no limit gets longer."""
     return math.floor(parse_number(text, 0.0, path) * TICKS_PER_MS + ROUNDING_SLACK_TICKS)
 
 
 def format_value(value: Any) -> str:
-    """Returns a JSON value as a word of the wire, which has no spaces and no commas."""
+    """Formats a JSON value for a pair; spaces and commas become underscores, since they separate pairs and items."""
     if value is None:
         return ABSENT
     if isinstance(value, bool):
@@ -96,7 +103,11 @@
 
 
 def flatten_pairs(nested: Any, path: str = "") -> Iterator[str]:
-    """Yields the `path=value` pairs of a nested JSON object, as the wire has them."""
+    """Yields a nested JSON object as `path=value` pairs.
+
+    Names are joined by dots. A list of objects yields its length as `path.count`, and its items under their index; a
+    list of plain values yields one pair with the values separated by commas.
+    """
     if isinstance(nested, dict):
         for name, value in nested.items():
             yield from flatten_pairs(value, f"{path}.{name}" if path else str(name))
@@ -111,9 +122,10 @@
 
 
 class ParameterReader:
-    """Reads `path=value` pairs by path; pairs whose path is never read are skipped.
+    """Reads `path=value` pairs by path; pairs that are never read are ignored.
 
-    All methods that read a number or a known word raise ParameterError with the path if the value is none.
+    The constructor raises ParameterError for a text without "=". The reading methods raise it, with the path, if a
+    value is not a number or not one of the expected names.
     """
 
     def __init__(self, pairs: Sequence[str]) -> None:
@@ -121,27 +133,27 @@
         for pair in pairs:
             path, separator, value = pair.partition("=")
             if not separator:
-                raise ParameterError(f"not a pair: {pair!r}")
+                raise ParameterError(f"expected path=value, found {pair!r}")
             self._values[path] = value
 
-    def text(self, path: str, absent: str = ABSENT) -> str:
-        """Returns a value as it is."""
-        return self._values.get(path, absent)
+    def text(self, path: str, default: str = ABSENT) -> str:
+        """Returns a value as text."""
+        return self._values.get(path, default)
 
-    def number(self, path: str, absent: float = 0.0) -> float:
+    def number(self, path: str, default: float = 0.0) -> float:
         """Returns a finite number."""
-        return parse_number(self.text(path), absent, path)
+        return parse_number(self.text(path), default, path)
 
-    def integer(self, path: str, absent: int = 0) -> int:
-        """Returns a number without its fraction."""
-        return int(self.number(path, absent))
+    def integer(self, path: str, default: int = 0) -> int:
+        """Returns a number truncated to an integer."""
+        return int(self.number(path, default))
 
     def ticks(self, path: str) -> Ticks:
-        """Returns milliseconds as whole ticks."""
+        """Returns a time given in milliseconds as whole ticks."""
         return parse_ticks(self.text(path), path)
 
     def flag(self, path: str) -> bool:
-        """Returns whether a flag is set; False if it is not given."""
+        """Returns whether a value is "true" or "1"."""
         return self.text(path) in ("true", "1")
 
     def texts(self, path: str) -> list[str]:
@@ -153,11 +165,11 @@
         return tuple(parse_number(text, path=path) for text in self.texts(path))
 
     def items(self, path: str, read: Callable[[str], T]) -> list[T]:
-        """Reads each item of a list of objects by `read`, which is given the item's path with a dot after it."""
+        """Calls `read` for each item of a list of objects, with its path prefix, such as "accounts.0."."""
         return [read(f"{path}.{index}.") for index in range(self.integer(f"{path}.count"))]
 
-    def _enumeration(self, table: Mapping[str, T], path: str, absent: str = ABSENT) -> T:
-        return parse_enumeration(table, self.text(path, absent), path)
+    def _enumeration(self, table: Mapping[str, T], path: str, default: str = ABSENT) -> T:
+        return parse_enumeration(table, self.text(path, default), path)
 
     def request_class(self, prefix: str) -> RequestClass:
         """Reads the request class whose paths begin with `prefix`."""
@@ -187,11 +199,11 @@
         return self.items("accounts", tenant)
 
     def position(self) -> RelayPosition:
-        """Reads this relay's place among the relays."""
+        """Reads this relay's number, the number of relays, and its zone."""
         return RelayPosition(self.integer("me"), self.integer("instances", 1), self.text("zone"))
 
     def resource_quota(self) -> ResourceQuota:
-        """Reads what a relay may use."""
+        """Reads the limits on a relay's own resources, and which optional operations it may use."""
         return ResourceQuota(
             max_attempts=self.integer("allowed.attemptsCap", 1),
             max_in_flight=self.integer("allowed.openCap"),
@@ -207,7 +219,7 @@
         )
 
     def service_limits(self) -> ServiceLimits:
-        """Reads the limits for all requests."""
+        """Reads the service's limits."""
         return ServiceLimits(
             response_slack=self.ticks("contract.answerSlackMs"),
             drain_grace=self.ticks("contract.drainGraceMs"),
@@ -221,7 +233,7 @@
         )
 
     def canary_limits(self) -> CanaryLimits:
-        """Reads how much of the traffic a canary build may have."""
+        """Reads how much traffic a canary build may receive."""
         return CanaryLimits(
             shares=self.numbers("familyInfo.shares") or (1.0,),
             exposure_limits=self.numbers("familyInfo.mostShares") or (1.0,),
@@ -251,7 +263,7 @@
         )
 
     def prices(self) -> Prices:
-        """Reads what operations and failures cost."""
+        """Reads the prices of operations and failures."""
         return Prices(
             health_check=self.number("prices.probe"),
             gossip=self.number("prices.peer"),
--- a/lanelead/runtime/pending_requests.py
+++ b/lanelead/runtime/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose client waits for its answer."""
+"""Requests whose clients wait for an answer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestOutcome(Enum):
-    """A request's final answer to its client."""
+    """The kind of final answer that a request gets."""
 
     SUCCEEDED = "done"
     REJECTED = "shed"
@@ -20,16 +20,28 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request whose client waits, and where the answer goes.
-
-    What `message` and an answer are, is between the client's and the endpoint's connections: HTTP's types or the
-    platform's. `reply` is called once, with the outcome, the attempt and answer that succeeded if any, and the time
-    after which the client may retry.
+    """A request whose client waits for an answer.
+
+    Attributes
+    ----------
+    id
+        The request's id.
+    message
+        The request as its protocol represents it, for HTTP or PostgreSQL. The driver passes it on unread.
+    reply
+        Called once with the final answer: this object, the outcome, the attempt that succeeded and its response (both
+        None if none did), and the time in ticks after which the client may retry.
+    request
+        The request as the decisions know it; None before it is accepted.
+    answered
+        Whether the final answer was given, or the client has left.
+    timed_out
+        Whether the last attempt that ended had timed out. The client then gets status 504 instead of 502.
     """
 
     id: str
     message: Any
     reply: Callable[[PendingRequest, RequestOutcome, Attempt | None, Any, Ticks], None]
-    request: Request | None = None  # None before it is admitted
+    request: Request | None = None
     answered: bool = False
-    timed_out: bool = False  # its last attempt timed out: 504 instead of 502
+    timed_out: bool = False
--- a/lanelead/runtime/short_ids.py
+++ b/lanelead/runtime/short_ids.py
@@ -1,16 +1,21 @@
-"""Short ids of endpoints in gossip, and how two endpoints with one short id are kept apart.
-
-An endpoint's short id is 16 bits, the low ones of its name's CRC-32. If another endpoint that this relay knows has the
-same short id, both are reported by all 32 bits, the long id; two that share that too are not reported at all, and each
-relay relies on what it observes there itself. A short id that is received is understood only if exactly one known
-endpoint has it: if several have, the message may mean any of them, since its sender may know fewer of them or run an
-earlier version. Removed endpoints count as known until they are forgotten, since others may still report them.
-
-What remains: relays book a count or an observation on the wrong endpoint while the sender knows only the one, and the
-receiver only the other, of two endpoints with one short id. Of endpoints named without a pattern, two share a short id
-once in 65,536: that is the chance for each pair of an endpoint that one relay doesn't know yet and one that another
-doesn't know, or has forgotten. Two of 7,800 share a long id in 0.7% of such fleets, two of 780 in 0.007%; names of one
-length that differ only within four consecutive bytes never do (a CRC of 32 bits detects each burst of that length).
+"""Ids of endpoints in gossip, and the handling of endpoints whose ids collide.
+
+An endpoint's long id is the CRC-32 of its name, and its short id is the low 16 bits of that. Gossip normally uses the
+short id.
+
+- Sending: endpoints that share their short id with another known endpoint are reported by their long ids. Endpoints
+  that share even the long id are not reported at all; each relay then relies on what it observes itself.
+- Receiving: a short id is understood only if exactly one known endpoint has it. If several have it, the message may
+  mean any of them, since its sender may know fewer of them or run an earlier version.
+- Removed endpoints count as known until they are forgotten, since other relays may still report them.
+
+One case remains in which a report is attributed to the wrong endpoint: two endpoints share a short id, the sender knows
+only one of them, and the receiver knows only the other. For random names, the chance is 1 in 65,536 for each pair of an
+endpoint that one relay does not know yet and an endpoint that the other relay does not know or has forgotten.
+
+With random names, two endpoints share a long id in 0.7% of fleets of 7,800 endpoints, and in 0.007% of fleets of 780.
+Names of equal length that differ only within four consecutive bytes never share one, since a CRC-32 detects every
+error burst of up to 32 bits.
 """
 
 from __future__ import annotations
@@ -21,7 +26,7 @@
 
 from lanelead.decisions.interface import Endpoint
 
-NO_LONG_ID = -1  # as an endpoint's long id: it is not reported
+NO_LONG_ID = -1  # as an endpoint's `long_id`: gossip does not report this endpoint
 SHORT_ID_MASK = 0xFFFF
 
 
@@ -31,30 +36,39 @@
 
 
 class ShortIds:
-    """Endpoints by short and by long id; sets `Endpoint.long_id` of those that share their short id, else 0.
+    """Maps short and long ids to endpoints, and sets each endpoint's `long_id`.
 
-    `skipped` counts the rows and messages that were not understood, by reason: 'form', 'length', 'doubled' (one short
-    id twice in one message, as earlier versions report two endpoints), 'shared', 'unknown', and 'other' for
-    observations of a build or class that is not what this relay knows, or of an endpoint that is not ready.
+    `long_id` is 0 if the endpoint is reported by its short id, `NO_LONG_ID` if it is not reported, and otherwise the
+    long id by which it is reported.
+
+    `skipped` counts rows and messages that were not understood, by reason:
+
+    - 'form': the message has an unknown format.
+    - 'length': the message has a wrong length.
+    - 'doubled': a short id occurs twice in a message, as earlier versions report two endpoints that share it.
+    - 'shared': several known endpoints have the id.
+    - 'unknown': no known endpoint has the id.
+    - 'other': the observation is of another build or an unknown request class, or its endpoint is not ready.
     """
 
     def __init__(self) -> None:
-        self.unique: dict[int, Endpoint] = {}  # by short id, if no other has it
-        self._shared: dict[int, list[Endpoint]] = {}  # by short id, if several have it
+        self.unique: dict[int, Endpoint] = {}  # by short id, if exactly one endpoint has it
+        self._shared: dict[int, list[Endpoint]] = {}  # by short id, if several endpoints have it
         self._long_ids: dict[Endpoint, int] = {}
         self.skipped = Counter[str]()
 
     def __len__(self) -> int:
+        """Returns the number of endpoints."""
         return len(self._long_ids)
 
     def add(self, long_id: int, endpoint: Endpoint) -> None:
-        """Adds an endpoint; others that have its short id are reported by their long ids from now on."""
+        """Adds an endpoint. If others have its short id, all of them are reported by long id from now on."""
         short_id = long_id & SHORT_ID_MASK
         self._long_ids[endpoint] = long_id
         self._assign(short_id, [*self._endpoints_of(short_id), endpoint])
 
     def drop(self, endpoint: Endpoint) -> None:
-        """Stops reporting the endpoint; its short id may be unique to another one then."""
+        """Removes an endpoint, which is not reported any more. Its short id may become unique to another one."""
         long_id = self._long_ids.pop(endpoint, None)
         if long_id is not None:
             short_id = long_id & SHORT_ID_MASK
@@ -81,7 +95,10 @@
         return [endpoint for endpoints in self._shared.values() for endpoint in endpoints]
 
     def by_long_id(self, long_id: int) -> Endpoint | None:
-        """Returns the only endpoint of this long id, whether or not it shares its short id here."""
+        """Returns the endpoint of this long id, even if its short id is unique here.
+
+        If no endpoint or several have the id, it is counted as skipped and None is returned.
+        """
         endpoints = [
             endpoint for endpoint in self._endpoints_of(long_id & SHORT_ID_MASK) if self._long_ids[endpoint] == long_id
         ]
@@ -91,14 +108,17 @@
         return None
 
     def by_short_id(self, short_id: int) -> Endpoint | None:
-        """Returns the only endpoint of this short id."""
+        """Returns the endpoint of this short id.
+
+        If no endpoint or several have the id, it is counted as skipped and None is returned.
+        """
         endpoint = self.unique.get(short_id)
         if endpoint is None:
             self._count_skipped(short_id in self._shared)
         return endpoint
 
     def count_unknown(self, short_ids: Iterable[int]) -> None:
-        """Counts short ids that are not unique to one endpoint."""
+        """Counts short ids that do not belong to exactly one endpoint as skipped."""
         for short_id in short_ids:
             self._count_skipped(short_id in self._shared)
 
--- a/lanelead/runtime/timer_queue.py
+++ b/lanelead/runtime/timer_queue.py
@@ -1,4 +1,4 @@
-"""The timers of requests, attempts and the decisions' own period."""
+"""The queue of timers for requests, for attempts, and for the decisions' periodic work."""
 
 from __future__ import annotations
 
@@ -6,24 +6,27 @@
 
 from lanelead.decisions.interface import Attempt, Request, Ticks
 
-TimerTarget = Request | Attempt | None  # whose timer; None: the decisions' own
-TimerEntry = tuple[Ticks, int, TimerTarget]  # when, order of timers set for the same time, target
+TimerTarget = Request | Attempt | None  # what the timer is for; None: the decisions' periodic work
+TimerEntry = tuple[Ticks, int, TimerTarget]  # due time, sequence number that orders timers of the same time, target
 
 
 class TimerQueue:
-    """Timers by time; those of one time fire in the order in which they were set. `heap` is for `heapq`."""
+    """Timers ordered by due time; those for the same time are ordered as they were added.
+
+    `heap` holds the entries as a heap for `heapq`.
+    """
 
     def __init__(self) -> None:
         self.heap: list[TimerEntry] = []
         self._sequence = 0
 
     def add(self, when: Ticks, target: TimerTarget) -> None:
-        """Sets a timer. Timers are not cancelled: whoever pops one checks that its target still runs."""
+        """Adds a timer. Timers cannot be cancelled: code that pops one must check whether its target has ended."""
         self._sequence += 1
         heappush(self.heap, (when, self._sequence, target))
 
     def next_due(self) -> Ticks | None:
-        """Returns when the next timer falls due, and drops those before it whose target has ended."""
+        """Returns when the next timer is due, or None; removes earlier timers whose target has ended."""
         heap = self.heap
         while heap:
             when, _, target = heap[0]
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -44,7 +44,7 @@
             reader.feed(START)
         for part in parts:
             reader.feed(part)
-            self.assertLessEqual(len(reader._rest), clients.MAX_STARTUP_BYTES)
+            self.assertLessEqual(len(reader._buffer), clients.MAX_STARTUP_BYTES)
 
     def test_a_length_is_refused_before_its_bytes_come(self) -> None:
         for size in (-5, 0, 3, 107, 2**31 - 1):
@@ -177,4 +177,4 @@
         for part in parts:
             if reader.feed(part) is Progress.MALFORMED:
                 break
-            self.assertLessEqual(len(reader._rest), 4096 + 5)
+            self.assertLessEqual(len(reader._buffer), 4096 + 5)
