--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -230,8 +230,8 @@
         assert self.readiness is not None
         if page.last_seq < self.readiness.log.last_seq:
             raise MessageError(
-                f"migration log: expected at least the {self.readiness.log.last_seq} entries read before, "
-                f"found {page.last_seq}"
+                f"migration log got shorter: it has {page.last_seq} entries, "
+                f"of which {self.readiness.log.last_seq} were read"
             )
         self._advance_clock()
         self.readiness.entries_received(page.entries)
--- a/tests/manual_loop.py
+++ b/tests/manual_loop.py
@@ -8,7 +8,7 @@
 
 
 class ManualLoop:
-    """A loop's clock and timers in the test's hand; all else is the loop's own."""
+    """Replaces a loop's clock and timers with ones that the test controls; all else is passed on to the loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self.now = loop, loop.time()
@@ -25,7 +25,7 @@
         return getattr(self._loop, name)
 
     def advance(self, seconds: float) -> None:
-        """The clock goes on; timers that fall due are called, in their order."""
+        """Advances the clock, and calls the timers that are due in the order of their times."""
         self.now += seconds
         due = sorted((timer for timer in self.timers if timer.at <= self.now), key=lambda timer: timer.at)
         self.timers = [timer for timer in self.timers if timer not in due]
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver under any order of events: hands on paper, and the rules checked on what it asks of them."""
+"""Tests of the driver with the real decisions and a host that only records what is requested of it."""
 
 from __future__ import annotations
 
@@ -45,31 +45,33 @@
         "file", SECOND, 2 * SECOND, 3.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
     ),
 ]
-DUTIES = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
-TRIAL = CanaryLimits((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
-ASK = HttpRequest("GET", b"/", [], b"", True)
+LIMITS = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
+CANARY_LIMITS = CanaryLimits((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
+HTTP_REQUEST = HttpRequest("GET", b"/", [], b"", True)
 ANSWER = HttpResponse(200, [], b"ok", True)
 
 
-class PaperHands:
+class RecordingHost:
+    """Records what the driver requests; `in_flight` holds the attempts that the test has not ended yet."""
+
     def __init__(self, now: Ticks = 0) -> None:
         self.now = now
         self.sent: list[tuple[Ticks, Attempt]] = []
-        self.out: dict[Attempt, bool] = {}  # with whether a byte was written
+        self.in_flight: dict[Attempt, bool] = {}  # attempt: whether any of it was written
         self.votes: list[CastVote] = []
-        self.told: list[bytes] = []
+        self.gossip_payloads: list[bytes] = []
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         self.sent.append((self.now, attempt))
-        self.out[attempt] = True
+        self.in_flight[attempt] = True
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        return self.out.pop(attempt, False)
+        return self.in_flight.pop(attempt, False)
 
-    def check_health(self, unit: Endpoint) -> None: ...
-    def close_idle_connections(self, unit: Endpoint) -> None: ...
+    def check_health(self, endpoint: Endpoint) -> None: ...
+    def close_idle_connections(self, endpoint: Endpoint) -> None: ...
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        self.told += payloads
+        self.gossip_payloads += payloads
 
     def cast_vote(self, vote: CastVote) -> None:
         self.votes.append(vote)
@@ -80,19 +82,19 @@
 
 
 class Stage:
-    """A driver with the real decisions, hands on paper and a clock that only the test moves."""
+    """A driver with the real decisions, a recording host, and a clock that the test advances."""
 
     def __init__(
-        self, open_lookups: int = 1000, start: Ticks = 100 * SECOND, readiness: Readiness | None = None
+        self, pending_limit: int = 1000, start: Ticks = 100 * SECOND, readiness: Readiness | None = None
     ) -> None:
-        self.hands = PaperHands(start)
-        relay = Balancer(
+        self.hands = RecordingHost(start)
+        balancer = Balancer(
             position=RelayPosition(0, 3, "north"),
             request_classes=LANES,
             tenants=[],
-            limits=DUTIES,
-            canary_limits=TRIAL,
-            quota=ResourceQuota(4, open_lookups, 1, True, False, True, True, True, SECOND, SECOND // 4),
+            limits=LIMITS,
+            canary_limits=CANARY_LIMITS,
+            quota=ResourceQuota(4, pending_limit, 1, True, False, True, True, True, SECOND, SECOND // 4),
             voting_rules=VotingRules(
                 PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.4, 2.0, 0.0
             ),
@@ -101,17 +103,17 @@
             now=start,
         )
         self.driver = DecisionDriver(
-            decisions=relay,
+            decisions=balancer,
             host=self.hands,
             clock=lambda: self.hands.now,
             request_classes=LANES,
-            limits=DUTIES,
-            max_pending=open_lookups,
+            limits=LIMITS,
+            max_pending=pending_limit,
             max_retry_after=SECOND,
             readiness=readiness,
         )
         self.answers: list[tuple[Ticks, PendingRequest, RequestOutcome]] = []
-        self.tickets: list[PendingRequest] = []
+        self.pending_requests: list[PendingRequest] = []
         self.listed("full", *(self.row(number) for number in range(4)))
         self.driver.rollout_read(RolloutMessage(1, 1, "released", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
@@ -123,7 +125,7 @@
     def listed(self, update_scope: str, *rows: EndpointMessage) -> None:
         self.driver.endpoints_listed(EndpointListMessage(update_scope, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
 
-    def ask(self, request_class: RequestClass = LANES[0], left: Ticks = 2 * SECOND) -> PendingRequest:
+    def ask(self, request_class: RequestClass = LANES[0], time_left: Ticks = 2 * SECOND) -> PendingRequest:
         def replied(
             pending: PendingRequest,
             outcome: RequestOutcome,
@@ -133,182 +135,188 @@
         ) -> None:
             self.answers.append((self.hands.now, pending, outcome))
 
-        pending = PendingRequest(f"t{len(self.tickets)}", ASK, replied)
-        self.tickets.append(pending)
-        self.driver.receive(pending, request_class, None, None, left)
+        pending = PendingRequest(f"t{len(self.pending_requests)}", HTTP_REQUEST, replied)
+        self.pending_requests.append(pending)
+        self.driver.receive(pending, request_class, None, None, time_left)
         return pending
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        if self.hands.out.pop(attempt, None) is not None:
+        if self.hands.in_flight.pop(attempt, None) is not None:
             self.driver.attempt_ended(attempt, outcome, ANSWER if outcome is AttemptOutcome.SUCCEEDED else None)
 
-    def run(self, span: Ticks) -> None:
-        until = self.hands.now + span
+    def run(self, duration: Ticks) -> None:
+        until = self.hands.now + duration
         while (due := self.driver.next_timer()) is not None and due <= until:
             self.hands.now = max(self.hands.now, due)
             self.driver.tick()
         self.hands.now = until
         self.driver.tick()
 
-    def trips(self, pending: PendingRequest) -> list[Attempt]:
+    def attempts_of(self, pending: PendingRequest) -> list[Attempt]:
         return [attempt for _, attempt in self.hands.sent if attempt.request is pending.request]
 
 
-class AnyOrder(RuleBasedStateMachine):
-    """Whatever happens, in whatever order: the rules hold on the acts."""
+class DriverStateMachine(RuleBasedStateMachine):
+    """Drives random sequences of events, and checks what the driver requests of its host after each of them."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.stage = Stage()
-        self.drained: dict[str, Ticks] = {}
-        self.born: dict[str, Ticks] = {}
+        self.harness = Stage()
+        self.not_ready: dict[str, Ticks] = {}
+        self.started_at: dict[str, Ticks] = {}
         self.build, self.guarded = 1, False
-        self.taken: list[Ticks] = []
-        self.left: set[str] = set()
-        self.done = 0
-        self.checked = 0
+        self.received_times: list[Ticks] = []
+        self.disconnected: set[str] = set()
+        self.succeeded_count = 0
+        self.checked_count = 0
 
-    @rule(request_class=st.sampled_from(LANES), left=st.integers(1, 2 * SECOND))
-    def ask(self, request_class: RequestClass, left: Ticks) -> None:
-        self.taken.append(self.stage.hands.now)
-        self.stage.ask(request_class, left)
+    @rule(request_class=st.sampled_from(LANES), time_left=st.integers(1, 2 * SECOND))
+    def ask(self, request_class: RequestClass, time_left: Ticks) -> None:
+        self.received_times.append(self.harness.hands.now)
+        self.harness.ask(request_class, time_left)
 
     @rule(
-        place=st.integers(0, 30),
-        outcome=st.sampled_from([f for f in AttemptOutcome if f is not AttemptOutcome.CANCELLED]),
+        index=st.integers(0, 30),
+        outcome=st.sampled_from([outcome for outcome in AttemptOutcome if outcome is not AttemptOutcome.CANCELLED]),
     )
-    def end(self, place: int, outcome: AttemptOutcome) -> None:
-        out = list(self.stage.hands.out)
-        if out:
-            self.done += outcome is AttemptOutcome.SUCCEEDED
-            self.stage.end(out[place % len(out)], outcome)
-
-    @rule(span=st.sampled_from([1, 50, 1000, SECOND, 3 * SECOND]))
-    def wait(self, span: Ticks) -> None:
-        self.stage.run(span)
-
-    @rule(span=st.integers(1, 2 * SECOND))
-    def stand_still(self, span: Ticks) -> None:
-        """The process was stopped: time has passed, and the timers come in a burst."""
-        self.stage.hands.now += span
-        self.stage.driver.tick()
-
-    @rule(place=st.integers(0, 30))
-    def leave(self, place: int) -> None:
-        open_ = [pending for pending in self.stage.tickets if not pending.answered]
-        if open_:
-            pending = open_[place % len(open_)]
-            self.left.add(pending.id)
-            self.stage.driver.client_left(pending)
-
-    @rule(number=st.integers(0, 5), what=st.sampled_from(["draining", "gone", "ready", "cold", "new build"]))
-    def list_(self, number: int, what: str) -> None:
-        name, now = f"u{number}", self.stage.hands.now
-        if what in ("draining", "gone"):
-            self.drained.setdefault(name, now)
-            self.stage.listed("changes", self.stage.row(number, condition=what))
+    def end(self, index: int, outcome: AttemptOutcome) -> None:
+        in_flight = list(self.harness.hands.in_flight)
+        if in_flight:
+            self.succeeded_count += outcome is AttemptOutcome.SUCCEEDED
+            self.harness.end(in_flight[index % len(in_flight)], outcome)
+
+    @rule(duration=st.sampled_from([1, 50, 1000, SECOND, 3 * SECOND]))
+    def wait(self, duration: Ticks) -> None:
+        self.harness.run(duration)
+
+    @rule(duration=st.integers(1, 2 * SECOND))
+    def stall(self, duration: Ticks) -> None:
+        """Simulates that the process was stopped: time has passed, and overdue timers fire in a burst."""
+        self.harness.hands.now += duration
+        self.harness.driver.tick()
+
+    @rule(index=st.integers(0, 30))
+    def disconnect(self, index: int) -> None:
+        unanswered = [pending for pending in self.harness.pending_requests if not pending.answered]
+        if unanswered:
+            pending = unanswered[index % len(unanswered)]
+            self.disconnected.add(pending.id)
+            self.harness.driver.client_left(pending)
+
+    @rule(number=st.integers(0, 5), change=st.sampled_from(["draining", "gone", "ready", "cold", "new build"]))
+    def update_endpoint(self, number: int, change: str) -> None:
+        name, now = f"u{number}", self.harness.hands.now
+        if change in ("draining", "gone"):
+            self.not_ready.setdefault(name, now)
+            self.harness.listed("changes", self.harness.row(number, condition=change))
             return
-        self.drained.pop(name, None)
-        if what != "ready":
-            self.born[name] = now
-        build = self.build if what == "new build" else 1
-        self.stage.listed("changes", self.stage.row(number, build, age=None if what == "ready" else 0))
+        self.not_ready.pop(name, None)
+        if change != "ready":
+            self.started_at[name] = now
+        build = self.build if change == "new build" else 1
+        self.harness.listed("changes", self.harness.row(number, build, age=None if change == "ready" else 0))
 
     @rule(
         phase=st.sampled_from(["trial", "released", "reverting"]),
         stage=st.integers(0, 1),
         newer=st.booleans(),
     )
-    def news(self, phase: str, stage: int, newer: bool) -> None:
+    def update_rollout(self, phase: str, stage: int, newer: bool) -> None:
         self.build += newer
-        self.guarded = phase == "trial" and stage < TRIAL.guarded_stages
-        cap = {"trial": TRIAL.exposure_limits[stage], "released": 1.0, "reverting": 0.0}[phase]
-        self.stage.driver.rollout_read(
+        self.guarded = phase == "trial" and stage < CANARY_LIMITS.guarded_stages
+        cap = {"trial": CANARY_LIMITS.exposure_limits[stage], "released": 1.0, "reverting": 0.0}[phase]
+        self.harness.driver.rollout_read(
             RolloutMessage(self.build, stage, cast(Any, phase), cap, 0.0), False, AttemptOutcome.SUCCEEDED
         )
 
     @rule(payload=st.binary(max_size=40))
-    def heard(self, payload: bytes) -> None:
-        self.stage.driver.gossip_received(1, payload)
+    def receive_gossip(self, payload: bytes) -> None:
+        self.harness.driver.gossip_received(1, payload)
 
     @invariant()
-    def answers_are_one_each_and_in_time(self) -> None:
+    def each_request_is_answered_once_and_in_time(self) -> None:
         counts: dict[str, int] = {}
-        for _, pending, _ in self.stage.answers:
+        for _, pending, _ in self.harness.answers:
             counts[pending.id] = counts.get(pending.id, 0) + 1
-            assert pending.id not in self.left or not pending.request
-        assert all(many == 1 for many in counts.values())
-        for pending in self.stage.tickets:
-            if pending.request is not None and self.stage.hands.now > pending.request.deadline:
-                assert pending.answered, "no answer by its outer limit"
+            assert pending.id not in self.disconnected or not pending.request
+        assert all(count == 1 for count in counts.values())
+        for pending in self.harness.pending_requests:
+            if pending.request is not None and self.harness.hands.now > pending.request.deadline:
+                assert pending.answered, "not answered by its deadline"
 
     @invariant()
-    def effects_are_never_doubled(self) -> None:
-        shed = {pending for _, pending, outcome in self.stage.answers if outcome is RequestOutcome.REJECTED}
-        for pending in self.stage.tickets:
+    def no_request_is_executed_twice(self) -> None:
+        rejected = {pending for _, pending, outcome in self.harness.answers if outcome is RequestOutcome.REJECTED}
+        for pending in self.harness.pending_requests:
             if pending.request is None:
                 continue
             request_class, attempts = pending.request.request_class, pending.request.attempts
-            ran = [attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED]
+            may_have_run = [attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED]
             if request_class.idempotency is not Idempotency.IDEMPOTENT:
-                assert pending not in shed or not ran, "shed, though it may have run"
+                assert pending not in rejected or not may_have_run, "rejected, though it may have been executed"
             if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-                assert not ran or attempts[-1] is ran[0], "sent again, though it may have run"
-            if request_class.idempotency is Idempotency.KEYED and ran:
-                for attempt in attempts[attempts.index(ran[0]) + 1 :]:
-                    assert attempt.endpoint.zone == ran[0].endpoint.zone
-                    assert attempt.sent_at <= ran[0].sent_at + request_class.deduplication_window
+                assert not may_have_run or attempts[-1] is may_have_run[0], (
+                    "sent again, though it may have been executed"
+                )
+            if request_class.idempotency is Idempotency.KEYED and may_have_run:
+                for attempt in attempts[attempts.index(may_have_run[0]) + 1 :]:
+                    assert attempt.endpoint.zone == may_have_run[0].endpoint.zone
+                    assert attempt.sent_at <= may_have_run[0].sent_at + request_class.deduplication_window
 
     @invariant()
-    def drains_exposure_and_cold_units_are_kept(self) -> None:
-        sent = self.stage.hands.sent
-        for at, attempt in sent[self.checked :]:
-            name, now = self.stage.driver.registry.names[attempt.endpoint], at
-            assert name not in self.drained, "sent to a unit that drains or is gone"
-            born = self.born.get(name)
-            if born is not None and now - born < DUTIES.slow_start_time:
-                lately = sum(
+    def draining_exposure_and_slow_start_limits_hold(self) -> None:
+        sent = self.harness.hands.sent
+        for at, attempt in sent[self.checked_count :]:
+            name, now = self.harness.driver.registry.names[attempt.endpoint], at
+            assert name not in self.not_ready, "sent to an endpoint that is draining or removed"
+            started_at = self.started_at.get(name)
+            if started_at is not None and now - started_at < LIMITS.slow_start_time:
+                recent_count = sum(
                     1
                     for when, other in sent
-                    if other.endpoint is attempt.endpoint and when > now - DUTIES.overload_time
+                    if other.endpoint is attempt.endpoint and when > now - LIMITS.overload_time
                 )
-                assert lately <= 2 + DUTIES.overload_multiple * self.done / 4, "a cold unit was sent too much"
-            if attempt.endpoint.build > 1:
-                mine = [when for when, other in sent if other.endpoint.build == attempt.endpoint.build]
-                many = sum(1 for when in mine if when > now - TRIAL.window)
-                have = sum(1 for when in self.taken if when > now - TRIAL.window)
-                assert many <= TRIAL.uncounted_attempts + have or attempt.endpoint.build < self.build, (
-                    "over the cap of 1"
+                assert recent_count <= 2 + LIMITS.overload_multiple * self.succeeded_count / 4, (
+                    "an endpoint in slow start was overloaded"
                 )
+            if attempt.endpoint.build > 1:
+                build_times = [when for when, other in sent if other.endpoint.build == attempt.endpoint.build]
+                count = sum(1 for when in build_times if when > now - CANARY_LIMITS.window)
+                received_count = sum(1 for when in self.received_times if when > now - CANARY_LIMITS.window)
+                assert (
+                    count <= CANARY_LIMITS.uncounted_attempts + received_count or attempt.endpoint.build < self.build
+                ), "over the exposure limit"
                 if self.guarded and attempt.endpoint.build == self.build:
-                    assert attempt.request.request_class.idempotency is Idempotency.IDEMPOTENT, "a guarded stage"
-        self.checked = len(sent)
+                    assert attempt.request.request_class.idempotency is Idempotency.IDEMPOTENT, (
+                        "a request that is not idempotent was sent to a guarded stage"
+                    )
+        self.checked_count = len(sent)
 
 
-class Stories(unittest.TestCase):
-    def test_any_order_of_events_keeps_the_rules(self) -> None:
+class DriverTests(unittest.TestCase):
+    def test_invariants_hold_for_any_order_of_events(self) -> None:
         run_state_machine_as_test(
-            AnyOrder,
+            DriverStateMachine,
             settings=settings(max_examples=40, stateful_step_count=40, deadline=None, derandomize=True),
         )
 
-    def test_the_checker_sees_a_guard_that_is_gone(self) -> None:
-        class Careless(AnyOrder):
-            @rule(place=st.integers(0, 30))
-            def error_told_as_turned_away(self, place: int) -> None:
-                for attempt in list(self.stage.hands.out):
+    def test_invariants_detect_an_unsafe_retry(self) -> None:
+        class UnsafeRetryMachine(DriverStateMachine):
+            @rule(index=st.integers(0, 30))
+            def report_error_as_rejection(self, index: int) -> None:
+                for attempt in list(self.harness.hands.in_flight):
                     request_class = attempt.request.request_class
                     if request_class.idempotency is Idempotency.NON_IDEMPOTENT and not attempt.request.finished:
-                        self.stage.hands.out.pop(attempt)
+                        self.harness.hands.in_flight.pop(attempt)
                         attempt.outcome = None
-                        self.stage.driver.decisions.attempt_ended(attempt, AttemptOutcome.REJECTED, False, 1, None)
+                        self.harness.driver.decisions.attempt_ended(attempt, AttemptOutcome.REJECTED, False, 1, None)
                         attempt.outcome = AttemptOutcome.ERROR
-                        self.stage.driver._run_actions()
+                        self.harness.driver._run_actions()
                         return
 
         with self.assertRaises(AssertionError):
             run_state_machine_as_test(
-                Careless,
+                UnsafeRetryMachine,
                 settings=settings(
                     max_examples=150,
                     stateful_step_count=40,
@@ -319,55 +327,55 @@
                 ),
             )
 
-    def test_the_first_word_on_a_trip_counts_and_a_late_one_changes_nothing(self) -> None:
-        stage = Stage()
-        pending = stage.ask(LANES[2])
-        (attempt,) = stage.trips(pending)
-        stage.run(2 * SECOND)
+    def test_only_the_first_outcome_of_an_attempt_counts(self) -> None:
+        harness = Stage()
+        pending = harness.ask(LANES[2])
+        (attempt,) = harness.attempts_of(pending)
+        harness.run(2 * SECOND)
         self.assertIs(attempt.outcome, AttemptOutcome.TIMED_OUT)
-        stage.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
-
-    def test_a_trip_that_wrote_no_byte_by_its_limit_never_ran(self) -> None:
-        stage = Stage()
-        pending = stage.ask(LANES[2])
-        stage.hands.out[stage.trips(pending)[0]] = False
-        stage.run(2 * SECOND)
-        self.assertIs(stage.trips(pending)[0].outcome, AttemptOutcome.CONNECT_FAILED)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.REJECTED])
-
-    def test_a_relay_that_stood_still_passes_on_no_answer_that_is_too_late(self) -> None:
-        stage = Stage()
-        pending = stage.ask(LANES[0])
-        (attempt,) = stage.trips(pending)
-        stage.hands.now += 5 * SECOND
-        stage.end(attempt, AttemptOutcome.SUCCEEDED)
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.FAILED])
-
-    def test_beyond_the_allowance_it_is_shed_at_the_door(self) -> None:
-        stage = Stage(open_lookups=2)
+        harness.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
+        self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.FAILED])
+
+    def test_attempt_that_wrote_nothing_before_its_timeout_counts_as_not_connected(self) -> None:
+        harness = Stage()
+        pending = harness.ask(LANES[2])
+        harness.hands.in_flight[harness.attempts_of(pending)[0]] = False
+        harness.run(2 * SECOND)
+        self.assertIs(harness.attempts_of(pending)[0].outcome, AttemptOutcome.CONNECT_FAILED)
+        self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.REJECTED])
+
+    def test_no_late_response_is_delivered_after_a_stall(self) -> None:
+        harness = Stage()
+        pending = harness.ask(LANES[0])
+        (attempt,) = harness.attempts_of(pending)
+        harness.hands.now += 5 * SECOND
+        harness.end(attempt, AttemptOutcome.SUCCEEDED)
+        self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.FAILED])
+
+    def test_requests_over_the_pending_limit_are_rejected(self) -> None:
+        harness = Stage(pending_limit=2)
         for _ in range(3):
-            stage.ask(LANES[0])
-        self.assertEqual([outcome for _, _, outcome in stage.answers], [RequestOutcome.REJECTED])
-        self.assertEqual((stage.driver.counters.over_limit, stage.driver.counters.received), (1, 2))
+            harness.ask(LANES[0])
+        self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.REJECTED])
+        self.assertEqual((harness.driver.counters.over_limit, harness.driver.counters.received), (1, 2))
 
-    def test_a_drain_or_another_life_told_while_a_trip_waits_for_a_connection(self) -> None:
+    def test_destination_changes_when_the_endpoint_drains_or_restarts(self) -> None:
         for change in ({"condition": "draining"}, {"build": 2}, {"age": 0}):
-            stage = Stage()
-            pending = stage.ask(LANES[0])
-            (attempt,) = stage.trips(pending)
-            place = stage.driver.destination_of(attempt)
-            self.assertIsNotNone(place)
-            number = int(stage.driver.registry.names[attempt.endpoint][1:])
-            stage.listed("changes", stage.row(number, **change))
-            self.assertNotEqual(stage.driver.destination_of(attempt), place, change)
-
-    def test_a_unit_keeps_its_time_of_start_over_streams_with_other_clocks(self) -> None:
-        stage = Stage()
-        stage.listed("changes", stage.row(0, age=SECOND))
-        first = stage.driver.destinations[stage.driver.registry.get_or_add("u0")].started_at
-        stage.driver.endpoints_listed(EndpointListMessage("full", 1, 0.0, [stage.row(0, age=SECOND)]), 37)
-        self.assertEqual(stage.driver.destinations[stage.driver.registry.get_or_add("u0")].started_at, first)
+            harness = Stage()
+            pending = harness.ask(LANES[0])
+            (attempt,) = harness.attempts_of(pending)
+            destination = harness.driver.destination_of(attempt)
+            self.assertIsNotNone(destination)
+            number = int(harness.driver.registry.names[attempt.endpoint][1:])
+            harness.listed("changes", harness.row(number, **change))
+            self.assertNotEqual(harness.driver.destination_of(attempt), destination, change)
+
+    def test_start_time_is_kept_across_streams_with_other_clock_offsets(self) -> None:
+        harness = Stage()
+        harness.listed("changes", harness.row(0, age=SECOND))
+        first = harness.driver.destinations[harness.driver.registry.get_or_add("u0")].started_at
+        harness.driver.endpoints_listed(EndpointListMessage("full", 1, 0.0, [harness.row(0, age=SECOND)]), 37)
+        self.assertEqual(harness.driver.destinations[harness.driver.registry.get_or_add("u0")].started_at, first)
 
 
 if __name__ == "__main__":
