--- a/tests/short_id_gossip.py
+++ b/tests/short_id_gossip.py
@@ -1,4 +1,4 @@
-"""Endpoints whose names share a short id, and the gossip that is told of them, for tests of several modules."""
+"""Endpoints whose names share a short id, and helpers that encode and decode gossip about them."""
 
 from __future__ import annotations
 
@@ -20,64 +20,79 @@
 )
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND
 
-A, B, C = "u0", "u5578", "u1"  # the first two have one mark, the third its own
-TWINS = "ff81d0f447", "69d19deb1c"  # one wide mark
-THIRD = "u131424"  # their mark, and a wide mark of its own
+A, B, C = "u0", "u5578", "u1"  # A and B share a short id, C has one of its own
+SAME_LONG_ID = "ff81d0f447", "69d19deb1c"  # two names with one long id
+SAME_SHORT_ID = "u131424"  # shares the short id of `SAME_LONG_ID`, but not their long id
 FAULTS = [0, 1, 0, 0, 2]
 
-# Letters as written by the program before wide marks (f8e7855), of units of build 7: sightings of A, B, C of
-# 3, 9, 4 outcomes, loads of C, A, B of 5, 6, 7, 4 answers; the same of A and C alone with a pace of 0.8 s.
-BOTH = bytes.fromhex("43ff04afe0000700030001000002afe00007000900010000029f760007000400010000029f7605afe006afe007")
-FIRST = bytes.fromhex("422804afe00007000300010000029f760007000400010000029f7605afe006")
-# Its letters of 0 to 150 units that share no mark, each with its length before it; see `test_not_a_byte`.
-DIGEST = "5c9a76f04021065d93de8c2358a564c0f3a9dcbac923299a7f0aaf59cc291a36"
+# Messages as encoded by the version before long ids (f8e7855), about endpoints of build 7: observations of A, B, C with
+# 3, 9, 4 outcomes, in-flight counts of C, A, B of 5, 6, 7, and 4 completions. The second has no report about B, but a
+# fleet latency of 0.8 s.
+EARLIER_REPORT_OF_A_B_C = bytes.fromhex(
+    "43ff04afe0000700030001000002afe00007000900010000029f760007000400010000029f7605afe006afe007"
+)
+EARLIER_REPORT_OF_A_C = bytes.fromhex("422804afe00007000300010000029f760007000400010000029f7605afe006")
+# SHA-256 of that version's messages about 0 to 150 endpoints that share no short id, each after a byte with its length;
+# see `test_messages_are_unchanged_where_no_short_id_is_shared`.
+UNSHARED_MESSAGES_DIGEST = "5c9a76f04021065d93de8c2358a564c0f3a9dcbac923299a7f0aaf59cc291a36"
 
 
-def earlier(
-    text: bytes, units: Mapping[int, str], build: int, request_classes: int
+def decode_as_earlier_version(
+    message: bytes, endpoints: Mapping[int, str], build: int, request_classes: int
 ) -> dict[str, list[tuple[int, ...]]]:
-    """How the program before wide marks read a letter: rows of sightings and of loads by the units' names."""
-    row, load, found = Struct(">HHB6B"), Struct(">HB"), dict[str, list[tuple[int, ...]]]()
-    form, count = divmod(text[0], 32) if text else (2, 0)
-    end = 3 + count * row.size
-    if form != 2 or end > len(text):
+    """Decodes a message as the version before long ids did.
+
+    Returns, for each endpoint's name, the rows of its observations and then of its in-flight counts.
+    """
+    row_struct, entry_struct, decoded = Struct(">HHB6B"), Struct(">HB"), dict[str, list[tuple[int, ...]]]()
+    form, count = divmod(message[0], 32) if message else (2, 0)
+    end = 3 + count * row_struct.size
+    if form != 2 or end > len(message):
         return {}
-    for mark, made, request_class, *seen in row.iter_unpack(text[3:end]):
-        if mark in units and made == build and request_class < request_classes:
-            found.setdefault(units[mark], []).append(tuple(seen))
-    rest = text[end : len(text) - (len(text) - end) % load.size]
-    for mark, attempts in load.iter_unpack(rest):
-        if mark in units:
-            found.setdefault(units[mark], []).append((attempts,))
-    return found
+    for short_id, row_build, request_class, *observed in row_struct.iter_unpack(message[3:end]):
+        if short_id in endpoints and row_build == build and request_class < request_classes:
+            decoded.setdefault(endpoints[short_id], []).append(tuple(observed))
+    rest = message[end : len(message) - (len(message) - end) % entry_struct.size]
+    for short_id, attempts in entry_struct.iter_unpack(rest):
+        if short_id in endpoints:
+            decoded.setdefault(endpoints[short_id], []).append((attempts,))
+    return decoded
 
 
-def door(*names: str) -> EndpointRegistry:
-    found = EndpointRegistry(lambda mark: EndpointState(mark, SECOND, SECOND, 0.0))
+def registry_of(*names: str) -> EndpointRegistry:
+    """Returns a registry that knows ready endpoints of build 7 with these names."""
+    registry = EndpointRegistry(lambda short_id: EndpointState(short_id, SECOND, SECOND, 0.0))
     for name in names:
-        unit = found.get_or_add(name)
-        unit.build, unit.status = 7, EndpointStatus.READY
-    return found
+        endpoint = registry.get_or_add(name)
+        endpoint.build, endpoint.status = 7, EndpointStatus.READY
+    return registry
 
 
-def letters(teller: EndpointRegistry, loads: Mapping[str, int], seen: Mapping[str, int] | None = None) -> list[bytes]:
-    words: list[GossipEntry] = [
-        OutcomeObservation(teller.by_name[name], IDEMPOTENT_CLASS, 7, many, FAULTS)
-        for name, many in (seen or {}).items()
+def encode_reports(
+    sender: EndpointRegistry, in_flight: Mapping[str, int], observed: Mapping[str, int] | None = None
+) -> list[bytes]:
+    """Encodes observations with the given numbers of outcomes, and in-flight counts, by endpoint name."""
+    entries: list[GossipEntry] = [
+        OutcomeObservation(sender.by_name[name], IDEMPOTENT_CLASS, 7, count, FAULTS)
+        for name, count in (observed or {}).items()
     ]
     return encode_gossip(
-        [*words, *(InFlightCount(teller.by_name[name], many) for name, many in loads.items())], [IDEMPOTENT_CLASS]
+        [*entries, *(InFlightCount(sender.by_name[name], count) for name, count in in_flight.items())],
+        [IDEMPOTENT_CLASS],
     )
 
 
-def read(hearer: EndpointRegistry, texts: Sequence[bytes]) -> dict[str, list[int]]:
-    """Outcomes seen and trips out in rising order, by the units' names; '': what no other has more of."""
-    found = dict[str, list[int]]()
-    for text in texts:
-        for word in decode_gossip(text, hearer.short_ids, [IDEMPOTENT_CLASS]):
-            if isinstance(word, OutcomeObservation | InFlightCount):
-                many = word.outcomes if isinstance(word, OutcomeObservation) else word.attempts
-                found.setdefault(hearer.names[word.endpoint], []).append(many)
-            elif isinstance(word, InFlightBound):
-                found.setdefault("", []).append(word.attempts)
-    return {name: sorted(numbers) for name, numbers in found.items()}
+def decode_reports(receiver: EndpointRegistry, messages: Sequence[bytes]) -> dict[str, list[int]]:
+    """Decodes messages and returns numbers of outcomes and of attempts in flight, sorted, by endpoint name.
+
+    The name '' has the upper bounds for endpoints that the messages leave out.
+    """
+    decoded = dict[str, list[int]]()
+    for message in messages:
+        for entry in decode_gossip(message, receiver.short_ids, [IDEMPOTENT_CLASS]):
+            if isinstance(entry, OutcomeObservation | InFlightCount):
+                count = entry.outcomes if isinstance(entry, OutcomeObservation) else entry.attempts
+                decoded.setdefault(receiver.names[entry.endpoint], []).append(count)
+            elif isinstance(entry, InFlightBound):
+                decoded.setdefault("", []).append(entry.attempts)
+    return {name: sorted(numbers) for name, numbers in decoded.items()}
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Fifteen relays as processes, with letters over wires that fail, and more to do than units can."""
+"""Tests of fifteen relays as processes, with lossy gossip between them and overloaded endpoints."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
-RELAYS, HUBS, AIM = 15, 4, 800
-ENDS = RELAYS + 1  # the last is the test's own, which hears what the hubs tell
+RELAYS, AGGREGATORS, LATENCY_OBJECTIVE_MS = 15, 4, 800
+PEERS = RELAYS + 1  # the last peer is the test itself, which receives what the aggregators send
 
 
 class Fleet:
-    def __init__(self, folder: Path, place: Platform) -> None:
-        self.folder, self.place = folder, place
-        self.wires, self.turn, self.answered = Wires(ENDS, 7), 0, 0
-        self.shed: list[dict[str, bytes]] = []
-        self.ear = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.ear.bind(("127.0.0.1", 0))
-        self.ear.setblocking(False)
-        self.wires.join(RELAYS, self.ear.getsockname())
+    def __init__(self, folder: Path, platform: Platform) -> None:
+        self.folder, self.platform = folder, platform
+        self.wires, self.request_count, self.answered = Wires(PEERS, 7), 0, 0
+        self.rejections: list[dict[str, bytes]] = []
+        self.gossip_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.gossip_socket.bind(("127.0.0.1", 0))
+        self.gossip_socket.setblocking(False)
+        self.wires.join(RELAYS, self.gossip_socket.getsockname())
         self.ports = free_ports(RELAYS)
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, number: int) -> None:
-        letters = self.place.folder / f"{number}.json"
-        config: dict[str, Any] = json.loads((self.place.folder / "config.json").read_text())
-        listen = free_port(2)
-        self.wires.join(number, ("127.0.0.1", listen))
-        ends = [self.wires.address(number, end)[1] if end != number else listen for end in range(ENDS)]
+        config_path = self.platform.folder / f"{number}.json"
+        config: dict[str, Any] = json.loads((self.platform.folder / "config.json").read_text())
+        gossip_port = free_port(2)
+        self.wires.join(number, ("127.0.0.1", gossip_port))
+        peer_ports = [self.wires.address(number, peer)[1] if peer != number else gossip_port for peer in range(PEERS)]
         config["settings"] = {
             **SETTINGS,
             "me": number,
-            "instances": ENDS,
+            "instances": PEERS,
             "prices": {"probe": 0.08, "handshake": 0.02},
             "allowed": {**SETTINGS["allowed"], "secondCopies": False},
         }
@@ -57,10 +57,10 @@
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.ports[number]}",
             "seed": f"{number + 1:x}",
-            "peer_listen": f"127.0.0.1:{listen}",
-            "peers": [f"127.0.0.1:{port}" for port in ends],
+            "peer_listen": f"127.0.0.1:{gossip_port}",
+            "peers": [f"127.0.0.1:{port}" for port in peer_ports],
         }
-        letters.write_text(json.dumps(config))
+        config_path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -68,12 +68,15 @@
             "node",
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "NODE_CONFIG": str(letters), "PYTHONPATH": str(Path(__file__).parent.parent)},
+            env={**os.environ, "NODE_CONFIG": str(config_path), "PYTHONPATH": str(Path(__file__).parent.parent)},
         )
         self.processes.append(process)
 
-    async def listening(self) -> None:
-        """Guards against a client that waits for the others' relays to start, and is refused as silent."""
+    async def wait_until_listening(self) -> None:
+        """Waits until all relays accept connections.
+
+        Otherwise a client might wait for other relays to start, and its own relay disconnect it as silent.
+        """
         for port in self.ports:
             while True:
                 try:
@@ -91,111 +94,115 @@
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
-            self.place.writers.append(client.writer)
+            self.platform.writers.append(client.writer)
             client.writer.write(messages.startup("app", "shop"))
             await client.response()
             return client
 
-    async def told(self, enough: Callable[[int], bool]) -> None:
-        """Returns once a hub tells this end of a pace, in ms, that is enough."""
+    async def wait_for_latency(self, condition: Callable[[int], bool]) -> None:
+        """Waits until an aggregator reports a fleet latency, in ms, that meets the condition."""
         while True:
-            payload = datagrams.decode_plain(await asyncio.get_running_loop().sock_recv(self.ear, 512)) or b""
+            payload = datagrams.decode_plain(await asyncio.get_running_loop().sock_recv(self.gossip_socket, 512)) or b""
             if (
                 len(payload) >= HEADER_BYTES
                 and payload[1] != NOT_REPORTED
-                and enough(payload[1] * LATENCY_STEP_TICKS // 10)
+                and condition(payload[1] * LATENCY_STEP_TICKS // 10)
             ):
                 return
 
     async def flood(self, clients: list[tuple[int, PostgresClient]]) -> None:
-        async def one(number: int, client: PostgresClient) -> None:
-            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # its relay was killed
+        async def send_until_killed(number: int, client: PostgresClient) -> None:
+            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # the relay was killed
                 while True:
-                    self.turn += 1
-                    answer = await client.request(f"{number}-{self.turn}")
+                    self.request_count += 1
+                    answer = await client.request(f"{number}-{self.request_count}")
                     self.answered += 1
                     if answer.get("C") == b"53300":
-                        self.shed.append(answer)
+                        self.rejections.append(answer)
 
-        await asyncio.gather(*(one(number, client) for number, client in clients))
+        await asyncio.gather(*(send_until_killed(number, client) for number, client in clients))
 
-    async def ask(self, clients: dict[int, PostgresClient], rounds: int, request_class: str = "read") -> int:
-        """Each client asks in turn, `rounds` times; how many got a value."""
+    async def send_rounds(self, clients: dict[int, PostgresClient], rounds: int, request_class: str = "read") -> int:
+        """Sends `rounds` requests from each client, one after the other; returns how many got a value."""
         values = 0
         for _ in range(rounds):
-            self.turn += 1
-            answers = [client.request(f"{number}-{self.turn}", request_class) for number, client in clients.items()]
+            self.request_count += 1
+            answers = [
+                client.request(f"{number}-{self.request_count}", request_class) for number, client in clients.items()
+            ]
             values += sum("E" not in answer for answer in await asyncio.gather(*answers))
         return values
 
 
 @contextlib.asynccontextmanager
-async def fleet(units: list[ScriptedEndpoint]) -> AsyncIterator[Fleet]:
+async def fleet(endpoints: list[ScriptedEndpoint]) -> AsyncIterator[Fleet]:
     with tempfile.TemporaryDirectory() as name:
-        place = Platform(Path(name), units, 256)
-        await place.open()
-        found = Fleet(Path(name), place)
+        platform = Platform(Path(name), endpoints, 256)
+        await platform.open()
+        started = Fleet(Path(name), platform)
         try:
-            await asyncio.gather(*(found.start(number) for number in range(RELAYS)))
-            await found.listening()
-            yield found
+            await asyncio.gather(*(started.start(number) for number in range(RELAYS)))
+            await started.wait_until_listening()
+            yield started
         finally:
-            for process in found.processes:
+            for process in started.processes:
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
-            found.wires.close()
-            found.ear.close()
-            await place.close()
+            started.wires.close()
+            started.gossip_socket.close()
+            await platform.close()
 
 
-def slow(unit: ScriptedEndpoint) -> None:
-    """It answers one question at a time, and takes 0.15 s for each."""
-    one = asyncio.Lock()
+def make_slow(endpoint: ScriptedEndpoint) -> None:
+    """Makes an endpoint handle one request at a time, in 0.15 s each."""
+    lock = asyncio.Lock()
 
-    async def script(this: ScriptedEndpoint, text: bytes) -> bytes:
-        async with one:
+    async def script(scripted: ScriptedEndpoint, text: bytes) -> bytes:
+        async with lock:
             await asyncio.sleep(0.15)
-        return await echo_id(this, text)
+        return await echo_id(scripted, text)
 
-    unit.script = script
+    endpoint.script = script
 
 
 class Overload(unittest.TestCase):
     @live
     async def test_hubs_tell_how_long_trips_take_and_relays_shed_until_the_flood_is_over(self) -> None:
-        units = [ScriptedEndpoint(f"u{number}") for number in range(4)]
-        for unit in units:
-            slow(unit)
-        async with fleet(units) as relays:
-            crowd = [(number, await relays.client(number)) for number in range(RELAYS) for _ in range(3)]
-            flood = asyncio.create_task(relays.flood(crowd))
-            await relays.told(lambda took: took > AIM)
-            while len({answer.get("D") for answer in relays.shed}) < 5:  # times to come back are spread
+        endpoints = [ScriptedEndpoint(f"u{number}") for number in range(4)]
+        for endpoint in endpoints:
+            make_slow(endpoint)
+        async with fleet(endpoints) as relays:
+            clients = [(number, await relays.client(number)) for number in range(RELAYS) for _ in range(3)]
+            flood = asyncio.create_task(relays.flood(clients))
+            await relays.wait_for_latency(lambda latency_ms: latency_ms > LATENCY_OBJECTIVE_MS)
+            while len({answer.get("D") for answer in relays.rejections}) < 5:  # retry delays are spread
                 await asyncio.sleep(0.05)
-            for process in relays.processes[:HUBS]:  # without hubs each goes by what it sees itself
+            # Without aggregators, each relay goes by its own observations.
+            for process in relays.processes[:AGGREGATORS]:
                 process.send_signal(signal.SIGKILL)
             answered = relays.answered
             while relays.answered < answered + 40:
                 await asyncio.sleep(0.05)
             flood.cancel()
             await asyncio.gather(flood, return_exceptions=True)
-            rest = {number: await relays.client(number) for number in range(HUBS, RELAYS)}
-            while await relays.ask(rest, 1) < len(rest):  # it ends by itself
+            remaining_clients = {number: await relays.client(number) for number in range(AGGREGATORS, RELAYS)}
+            # Rejections must end by themselves.
+            while await relays.send_rounds(remaining_clients, 1) < len(remaining_clients):
                 await asyncio.sleep(0.05)
 
     @live
-    async def test_with_all_letters_lost_and_hubs_killed_each_serves_on_alone(self) -> None:
-        units = [ScriptedEndpoint(f"u{number}") for number in range(4)]
-        async with fleet(units) as relays:
-            clients = {number: await relays.client(number) for number in range(HUBS, RELAYS)}
+    async def test_relays_serve_alone_without_gossip_and_aggregators(self) -> None:
+        endpoints = [ScriptedEndpoint(f"u{number}") for number in range(4)]
+        async with fleet(endpoints) as relays:
+            clients = {number: await relays.client(number) for number in range(AGGREGATORS, RELAYS)}
             relays.wires.set(loss=0.2, delay=0.2, spread=0.8, double=0.1)
-            self.assertEqual((RELAYS - HUBS) * 5, await relays.ask(clients, 5))
-            for process in relays.processes[:HUBS]:
+            self.assertEqual((RELAYS - AGGREGATORS) * 5, await relays.send_rounds(clients, 5))
+            for process in relays.processes[:AGGREGATORS]:
                 process.send_signal(signal.SIGKILL)
-            self.assertEqual((RELAYS - HUBS) * 5, await relays.ask(clients, 5))
+            self.assertEqual((RELAYS - AGGREGATORS) * 5, await relays.send_rounds(clients, 5))
             relays.wires.partition(*([number] for number in range(RELAYS)))
-            self.assertEqual((RELAYS - HUBS) * 5, await relays.ask(clients, 5))
+            self.assertEqual((RELAYS - AGGREGATORS) * 5, await relays.send_rounds(clients, 5))
 
 
 if __name__ == "__main__":
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -1,4 +1,4 @@
-"""Stories of the platform's codecs: any split gives the same, and nothing spoilt is whole."""
+"""Tests of the PostgreSQL parsers: results do not depend on how bytes are split, and malformed ones are detected."""
 
 from __future__ import annotations
 
@@ -13,76 +13,83 @@
 from lanelead.pgwire.servers import Progress, ServerReader
 from tests.scripted_endpoints import row
 
-START = messages.startup("app", "shop")
-TALK = START + messages.query(b"SELECT 1") + messages.query(b"") + message(b"X")
-ANSWER = message(b"S", b"vitals\0inflight=7,util=0.5\0") + row(b"\x00\xffvalue") + READY
+STARTUP = messages.startup("app", "shop")
+CLIENT_BYTES = STARTUP + messages.query(b"SELECT 1") + messages.query(b"") + message(b"X")
+RESPONSE = message(b"S", b"vitals\0inflight=7,util=0.5\0") + row(b"\x00\xffvalue") + READY
 SELECT = b"SELECT doc FROM items WHERE id = 'ab12' /* id=1f,c=read,t=m,d=480 */"
 INSERT = b"INSERT INTO items (id, doc) VALUES ('ab12', '\\x9f03') RETURNING doc /* d=9.5,id=2f,c=file,r=1 */"
 
 
-def unit_reader() -> ServerReader:
+def server_reader() -> ServerReader:
     reader = ServerReader(4096, b"vitals")
     assert reader.feed(messages.WELCOME) is Progress.READY
     reader.begin_response()
     return reader
 
 
-class Clients(unittest.TestCase):
-    @given(st.lists(st.integers(1, len(TALK)), max_size=12))
+class ClientReaderTests(unittest.TestCase):
+    @given(st.lists(st.integers(1, len(CLIENT_BYTES)), max_size=12))
     def test_any_split_gives_the_same_events(self, cuts: list[int]) -> None:
         reader, events, last = ClientReader(100), list[clients.Event](), 0
-        for cut in [*sorted(cuts), len(TALK)]:
-            events += reader.feed(TALK[last:cut])
+        for cut in [*sorted(cuts), len(CLIENT_BYTES)]:
+            events += reader.feed(CLIENT_BYTES[last:cut])
             last = cut
         self.assertEqual(events, [Startup(False), Query(b"SELECT 1"), Query(b""), Terminate()])
 
     @settings(max_examples=300)
     @given(st.lists(st.binary(max_size=60), max_size=8), st.booleans())
-    def test_no_bytes_crash_it_or_fill_it(self, parts: list[bytes], started: bool) -> None:
+    def test_arbitrary_bytes_raise_nothing_and_are_buffered_up_to_the_limit(
+        self, parts: list[bytes], started: bool
+    ) -> None:
         reader = ClientReader(100)
         if started:
-            reader.feed(START)
+            reader.feed(STARTUP)
         for part in parts:
             reader.feed(part)
             self.assertLessEqual(len(reader._buffer), clients.MAX_STARTUP_BYTES)
 
-    def test_a_length_is_refused_before_its_bytes_come(self) -> None:
+    def test_invalid_length_is_rejected_before_the_body_is_received(self) -> None:
         for size in (-5, 0, 3, 107, 2**31 - 1):
             reader = ClientReader(100)
-            reader.feed(START)
+            reader.feed(STARTUP)
             events = reader.feed(b"Q" + size.to_bytes(4, "big", signed=True))
             self.assertIsInstance(events[0], ProtocolViolation, size)
-            self.assertEqual(reader.feed(b"x" * 1000), [])  # nothing more is read
+            self.assertEqual(reader.feed(b"x" * 1000), [])  # further bytes are ignored
         self.assertIsInstance(ClientReader(100).feed(b"GET / HTTP/1.1\r\n")[0], ProtocolViolation)
 
-    def test_what_is_not_a_simple_query(self) -> None:
+    def test_only_simple_queries_and_encryption_requests_are_accepted(self) -> None:
         for text in (message(b"P", b"\0"), message(b"S"), b"\xff\0\0\0\4", b"Q\0\0\0\4", b"Q\0\0\0\7a\0b"):
             reader = ClientReader(100)
-            reader.feed(START)
+            reader.feed(STARTUP)
             self.assertIsInstance(reader.feed(text)[0], ProtocolViolation, text)
-        wants = messages.HEADER.pack(b"\0", 8)[:0] + (8).to_bytes(4, "big") + (80877103).to_bytes(4, "big")
+        ssl_request = messages.HEADER.pack(b"\0", 8)[:0] + (8).to_bytes(4, "big") + (80877103).to_bytes(4, "big")
         reader = ClientReader(100)
-        self.assertEqual(reader.feed(wants + START), [EncryptionRequest(), Startup(False)])
-
-
-class Statements(unittest.TestCase):
-    def test_passed_on_unchanged_but_for_the_time(self) -> None:
-        found = statements.parse_statement(SELECT)
-        self.assertEqual((found.request_id, found.request_class, found.tenant, found.key), ("1f", "read", "m", "ab12"))
-        self.assertEqual(found.render(77), SELECT.replace(b"d=480", b"d=77"))
-        found = statements.parse_statement(INSERT)
-        self.assertEqual((found.write, found.idempotent, found.time_left_ms, found.tenant), (True, True, 9.5, None))
-        self.assertEqual(found.render(8), INSERT.replace(b"d=9.5", b"d=8"))
-
-    def test_names_are_the_customers_own_but_for_what_ends_a_pair_or_the_comment(self) -> None:
+        self.assertEqual(reader.feed(ssl_request + STARTUP), [EncryptionRequest(), Startup(False)])
+
+
+class StatementTests(unittest.TestCase):
+    def test_only_the_time_left_changes_in_a_rendered_statement(self) -> None:
+        statement = statements.parse_statement(SELECT)
+        self.assertEqual(
+            (statement.request_id, statement.request_class, statement.tenant, statement.key),
+            ("1f", "read", "m", "ab12"),
+        )
+        self.assertEqual(statement.render(77), SELECT.replace(b"d=480", b"d=77"))
+        statement = statements.parse_statement(INSERT)
+        self.assertEqual(
+            (statement.write, statement.idempotent, statement.time_left_ms, statement.tenant), (True, True, 9.5, None)
+        )
+        self.assertEqual(statement.render(8), INSERT.replace(b"d=9.5", b"d=8"))
+
+    def test_names_may_have_any_characters_except_those_that_end_a_pair_or_the_comment(self) -> None:
         for name in ("acme/eu", "a@b", "50%+", "Ισόρροπος", "x" * 128):
-            found = statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + name.encode() + b","))
-            self.assertEqual((found.request_class, found.tenant), (name, "m"))
-        for wrong in (b"a*/b", b"a/*b", b"a,b", b"a b", b"\xff\xfe", b"x" * 129):
+            statement = statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + name.encode() + b","))
+            self.assertEqual((statement.request_class, statement.tenant), (name, "m"))
+        for invalid in (b"a*/b", b"a/*b", b"a,b", b"a b", b"\xff\xfe", b"x" * 129):
             with self.assertRaises(statements.StatementError):
-                statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + wrong + b","))
+                statements.parse_statement(SELECT.replace(b"c=read,", b"c=" + invalid + b","))
 
-    def test_what_no_client_of_the_platform_sends(self) -> None:
+    def test_invalid_statements_are_rejected(self) -> None:
         for old, new in (
             (b"id=1f,", b""),
             (b"c=read,", b""),
@@ -105,34 +112,34 @@
             statements.parse_statement(INSERT.replace(b"9f03", b"9f0"))
 
     @given(st.binary(max_size=200))
-    def test_noise_is_never_a_statement(self, text: bytes) -> None:
+    def test_random_bytes_are_never_a_statement(self, text: bytes) -> None:
         with self.assertRaises(statements.StatementError):
             statements.parse_statement(text)
 
 
-class Units(unittest.TestCase):
-    @given(st.lists(st.integers(1, len(ANSWER)), max_size=12))
-    def test_any_split_gives_the_same_answer(self, cuts: list[int]) -> None:
-        reader, last = unit_reader(), 0
-        for cut in [*sorted(cuts), len(ANSWER)]:
+class ServerReaderTests(unittest.TestCase):
+    @given(st.lists(st.integers(1, len(RESPONSE)), max_size=12))
+    def test_any_split_gives_the_same_response(self, cuts: list[int]) -> None:
+        reader, last = server_reader(), 0
+        for cut in [*sorted(cuts), len(RESPONSE)]:
             if cut > last:
-                reader.feed(ANSWER[last:cut])
+                reader.feed(RESPONSE[last:cut])
             last = cut
         assert reader.response is not None
         self.assertEqual((reader.response.value, reader.response.raw), (b"\x00\xffvalue", row(b"\x00\xffvalue")))
         self.assertEqual((reader.response.report, reader.ready), (b"inflight=7,util=0.5", True))
 
-    def test_errors_have_their_code(self) -> None:
-        reader = unit_reader()
+    def test_error_response_has_its_code(self) -> None:
+        reader = server_reader()
         self.assertIs(reader.feed(messages.error("53300", "full") + READY), Progress.RESPONDED)
         assert reader.response is not None
         self.assertEqual((reader.response.error_code, reader.ready), ("53300", True))
 
-    def test_spoilt_answers_are_never_whole(self) -> None:
-        good = row(b"value")
-        describe, data, end = good[:29], good[29:-14], good[-14:]
+    def test_malformed_responses_are_detected(self) -> None:
+        valid = row(b"value")
+        describe, data, end = valid[:29], valid[29:-14], valid[-14:]
         self.assertEqual((describe[:1], data[:1], end[:1]), (b"T", b"D", b"C"))
-        for spoilt in (
+        for malformed in (
             b"noise and more noise",
             describe + data + data + end,
             data + end,
@@ -151,29 +158,29 @@
             message(b"E", b"C53300"),
             message(b"H"),
         ):
-            reader = unit_reader()
-            self.assertIs(reader.feed(spoilt), Progress.MALFORMED, spoilt)
-            self.assertIsNone(reader.response, spoilt)
-
-    def test_half_an_answer_is_awaited(self) -> None:
-        reader, good = unit_reader(), row(b"value")
-        told = [reader.feed(good[at : at + 1]) for at in range(len(good))]
-        self.assertEqual(told, [Progress.WAITING] * (len(good) - 1) + [Progress.RESPONDED])
-
-    def test_what_comes_behind_a_good_answer_only_ends_the_connection(self) -> None:
-        for behind in (row(b"value") + READY, b"\0noise", b"T", READY):
-            reader = unit_reader()
-            self.assertIs(reader.feed(row(b"value") + READY + behind), Progress.RESPONDED, behind)
+            reader = server_reader()
+            self.assertIs(reader.feed(malformed), Progress.MALFORMED, malformed)
+            self.assertIsNone(reader.response, malformed)
+
+    def test_incomplete_response_is_waited_for(self) -> None:
+        reader, valid = server_reader(), row(b"value")
+        progress = [reader.feed(valid[index : index + 1]) for index in range(len(valid))]
+        self.assertEqual(progress, [Progress.WAITING] * (len(valid) - 1) + [Progress.RESPONDED])
+
+    def test_bytes_after_a_valid_response_only_prevent_reuse_of_the_connection(self) -> None:
+        for trailing in (row(b"value") + READY, b"\0noise", b"T", READY):
+            reader = server_reader()
+            self.assertIs(reader.feed(row(b"value") + READY + trailing), Progress.RESPONDED, trailing)
             assert reader.response is not None
             self.assertEqual((reader.response.value, reader.ready), (b"value", False))
-        reader = unit_reader()
+        reader = server_reader()
         self.assertIs(reader.feed(row(b"value") + b"\0noise"), Progress.RESPONDED)
         self.assertFalse(reader.ready)
 
     @settings(max_examples=300)
     @given(st.lists(st.binary(max_size=80), max_size=8))
-    def test_no_bytes_crash_it_or_fill_it(self, parts: list[bytes]) -> None:
-        reader = unit_reader()
+    def test_arbitrary_bytes_raise_nothing_and_are_buffered_up_to_the_limit(self, parts: list[bytes]) -> None:
+        reader = server_reader()
         for part in parts:
             if reader.feed(part) is Progress.MALFORMED:
                 break
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -1,4 +1,4 @@
-"""What relays do with letters of two units that share a mark: loads, votes, drawn fleets, real processes."""
+"""Tests of decisions based on gossip about endpoints that share a short id."""
 
 from __future__ import annotations
 
@@ -32,121 +32,143 @@
 from lanelead.runtime.short_ids import long_id_of
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, FakeHost
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
-from tests.short_id_gossip import A, B, C, door, letters, read
+from tests.short_id_gossip import A, B, C, decode_reports, encode_reports, registry_of
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
 from tests.town import live
 
 
-class Stories(unittest.TestCase):
-    def test_a_hub_adds_up_and_tells_each_unit_by_itself_whatever_relays_know(self) -> None:
-        doors = {"first": door(A, B, C), "second": door(B, C, A), "hub": door(C, A, B), "one": door(A, C)}
-        out = {name: FleetInFlight(SECOND) for name in doors}
-
-        def tell(sender: int | None, text: bytes, hearer: str, now: Ticks) -> None:
-            said = decode_gossip(text, doors[hearer].short_ids, [IDEMPOTENT_CLASS])
-            out[hearer].receive(sender, [word for word in said if isinstance(word, InFlightCount | InFlightBound)], now)
-
-        def at(hearer: str, now: Ticks) -> dict[str, int]:
-            known = doors[hearer].by_name.items()
-            return {name: out[hearer].others_at(unit, now) for name, unit in known if isinstance(unit, EndpointState)}
+class SharedShortIdTests(unittest.TestCase):
+    def test_aggregator_adds_up_colliding_endpoints_separately(self) -> None:
+        registries = {
+            "first": registry_of(A, B, C),
+            "second": registry_of(B, C, A),
+            "aggregator": registry_of(C, A, B),
+            "one": registry_of(A, C),
+        }
+        fleet_in_flight = {name: FleetInFlight(SECOND) for name in registries}
+
+        def deliver(sender: int | None, message: bytes, receiver: str, now: Ticks) -> None:
+            entries = decode_gossip(message, registries[receiver].short_ids, [IDEMPOTENT_CLASS])
+            fleet_in_flight[receiver].receive(
+                sender, [entry for entry in entries if isinstance(entry, InFlightCount | InFlightBound)], now
+            )
+
+        def others_in_flight(receiver: str, now: Ticks) -> dict[str, int]:
+            known_endpoints = registries[receiver].by_name.items()
+            return {
+                name: fleet_in_flight[receiver].others_at(endpoint, now)
+                for name, endpoint in known_endpoints
+                if isinstance(endpoint, EndpointState)
+            }
 
         for now in range(0, 10 * SECOND, SECOND // 5):
-            for sender, (name, loads) in enumerate((("first", {A: 6, C: 1}), ("second", {B: 2}))):
-                (text,) = letters(doors[name], loads)
-                tell(sender, text, "hub", now)
-            total = out["hub"].aggregate([InFlightCount(doors["hub"].by_name[B], 1)], now)
-            self.assertEqual({A: 6, B: 3, C: 1}, {doors["hub"].names[load.endpoint]: load.attempts for load in total})
-            self.assertEqual({A: 6, B: 2, C: 1}, at("hub", now))
-            (text,) = encode_gossip(total, [IDEMPOTENT_CLASS])
+            for sender, (name, in_flight) in enumerate((("first", {A: 6, C: 1}), ("second", {B: 2}))):
+                (message,) = encode_reports(registries[name], in_flight)
+                deliver(sender, message, "aggregator", now)
+            total = fleet_in_flight["aggregator"].aggregate(
+                [InFlightCount(registries["aggregator"].by_name[B], 1)], now
+            )
+            self.assertEqual(
+                {A: 6, B: 3, C: 1}, {registries["aggregator"].names[entry.endpoint]: entry.attempts for entry in total}
+            )
+            self.assertEqual({A: 6, B: 2, C: 1}, others_in_flight("aggregator", now))
+            (message,) = encode_gossip(total, [IDEMPOTENT_CLASS])
             for name in ("first", "second", "one"):
-                tell(None, text, name, now)
-            self.assertEqual([{A: 6, B: 3, C: 1}] * 2, [at(name, now) for name in ("first", "second")])
-            self.assertEqual({A: 6, C: 1}, at("one", now))
+                deliver(None, message, name, now)
+            self.assertEqual([{A: 6, B: 3, C: 1}] * 2, [others_in_flight(name, now) for name in ("first", "second")])
+            self.assertEqual({A: 6, C: 1}, others_in_flight("one", now))
 
-    def votes(self, trial: str, other: str) -> list[Verdict]:
-        """A relay saw good answers of the one unit on trial, and hears from another of errors there."""
+    def votes(self, canary_name: str, other_name: str) -> list[Verdict]:
+        """Returns the votes of a relay that saw successes at the canary's endpoint while a peer reports errors."""
         host = FakeHost(endpoints=0, now=20 * SECOND)
-        home, abroad = EndpointRegistry(host.balancer.new_endpoint), door(trial, other)
-        for unit in [host.list_endpoint(1, endpoint=home.get_or_add(name)) for name in ("s-1", "s-2", "s-3")]:
-            host.record_outcomes(unit, 30, request_class=NON_IDEMPOTENT_CLASS)
+        own_registry, peer_registry = EndpointRegistry(host.balancer.new_endpoint), registry_of(canary_name, other_name)
+        for endpoint in [
+            host.list_endpoint(1, endpoint=own_registry.get_or_add(name)) for name in ("s-1", "s-2", "s-3")
+        ]:
+            host.record_outcomes(endpoint, 30, request_class=NON_IDEMPOTENT_CLASS)
         host.advance(SECOND)
         host.update_rollout(2, 0, RolloutPhase.CANARY, 0.5)
-        unit = host.list_endpoint(2, started_at=host.balancer.now, endpoint=home.get_or_add(trial))
-        host.list_endpoint(1, endpoint=home.get_or_add(other))
-        host.record_outcomes(unit, 10, request_class=NON_IDEMPOTENT_CLASS)
-        abroad.by_name[trial].build = 2
+        endpoint = host.list_endpoint(2, started_at=host.balancer.now, endpoint=own_registry.get_or_add(canary_name))
+        host.list_endpoint(1, endpoint=own_registry.get_or_add(other_name))
+        host.record_outcomes(endpoint, 10, request_class=NON_IDEMPOTENT_CLASS)
+        peer_registry.by_name[canary_name].build = 2
         for _ in range(30):
-            for text in encode_gossip(
-                [OutcomeObservation(abroad.by_name[trial], NON_IDEMPOTENT_CLASS, 2, 6, [2, 0, 0, 0, 0])],
+            for message in encode_gossip(
+                [OutcomeObservation(peer_registry.by_name[canary_name], NON_IDEMPOTENT_CLASS, 2, 6, [2, 0, 0, 0, 0])],
                 [NON_IDEMPOTENT_CLASS],
             ):
-                host.balancer.gossip_received(1, decode_gossip(text, home.short_ids, [NON_IDEMPOTENT_CLASS]))
+                host.balancer.gossip_received(1, decode_gossip(message, own_registry.short_ids, [NON_IDEMPOTENT_CLASS]))
             host.advance(SECOND // 5)
         return [vote.verdict for vote in host.votes()]
 
-    def test_a_bad_build_is_sent_back_though_its_unit_shares_its_mark(self) -> None:
-        # The sightings were taken as the other unit's, of an earlier build, and dropped: it voted 'on'.
-        alone, shared = self.votes(A, C), self.votes(A, B)
-        self.assertEqual([Verdict.ROLL_BACK], alone[:1])
-        self.assertEqual(alone, shared)
+    def test_bad_build_is_rolled_back_although_its_endpoint_shares_a_short_id(self) -> None:
+        # Guards against reports that are attributed to the other endpoint, which has an earlier build, and so are
+        # skipped: the relay then voted to promote.
+        without_collision, with_collision = self.votes(A, C), self.votes(A, B)
+        self.assertEqual([Verdict.ROLL_BACK], without_collision[:1])
+        self.assertEqual(without_collision, with_collision)
 
-    def test_drawn_fleets_are_told_of_right_or_not_at_all(self) -> None:
+    def test_random_fleets_are_reported_correctly_or_not_at_all(self) -> None:
         rng = Random(37)
-        for units, draws, rows in ((150, 20, 24), (780, 10, 24), (7800, 2, 40)):
-            for _ in range(draws):
-                names = list(dict.fromkeys(f"{rng.getrandbits(48):012x}" for _ in range(units)))
-                teller = door(*names)
-                hearer = door(*rng.sample(names, len(names)))
+        for endpoints, repetitions, rows in ((150, 20, 24), (780, 10, 24), (7800, 2, 40)):
+            for _ in range(repetitions):
+                names = list(dict.fromkeys(f"{rng.getrandbits(48):012x}" for _ in range(endpoints)))
+                sender = registry_of(*names)
+                receiver = registry_of(*rng.sample(names, len(names)))
                 for _ in range(rows):
-                    some = rng.sample(names, min(units, 100))
-                    loads = {name: 200 - place for place, name in enumerate(some)}
-                    found = read(hearer, letters(teller, loads))
-                    least = found.pop("", [200 - MAX_IN_FLIGHT_COUNTS + 1])[0]
-                    self.assertEqual({name: [loads[name]] for name in found}, found)
-                    left = [name for name in some if name not in found and teller.by_name[name].long_id >= 0]
-                    self.assertLessEqual(max(loads[name] for name in left), least)
-                    self.assertGreater(len(found), MAX_IN_FLIGHT_COUNTS - 24)
-
-
-def short_marks(text: bytes) -> list[int]:
-    """The marks of 16 bits in a letter, of sightings and loads."""
-    if text[0] >> 5 != MESSAGE_FORM:
+                    reported_names = rng.sample(names, min(endpoints, 100))
+                    in_flight = {name: 200 - position for position, name in enumerate(reported_names)}
+                    decoded = decode_reports(receiver, encode_reports(sender, in_flight))
+                    bound = decoded.pop("", [200 - MAX_IN_FLIGHT_COUNTS + 1])[0]
+                    self.assertEqual({name: [in_flight[name]] for name in decoded}, decoded)
+                    left = [
+                        name for name in reported_names if name not in decoded and sender.by_name[name].long_id >= 0
+                    ]
+                    self.assertLessEqual(max(in_flight[name] for name in left), bound)
+                    self.assertGreater(len(decoded), MAX_IN_FLIGHT_COUNTS - 24)
+
+
+def short_ids_in(message: bytes) -> list[int]:
+    """Returns the short ids in a message, of observations and in-flight counts."""
+    if message[0] >> 5 != MESSAGE_FORM:
         return []
-    end = 3 + (text[0] & 31) * OUTCOME_ROW.size
-    rest = text[end : len(text) - (len(text) - end) % IN_FLIGHT_ENTRY.size]
-    rows = [row[0] for row in OUTCOME_ROW.iter_unpack(text[3:end]) if row[2] != IN_FLIGHT_MARKER]
-    return rows + [mark for mark, _ in IN_FLIGHT_ENTRY.iter_unpack(rest)]
+    end = 3 + (message[0] & 31) * OUTCOME_ROW.size
+    rest = message[end : len(message) - (len(message) - end) % IN_FLIGHT_ENTRY.size]
+    ids = [row[0] for row in OUTCOME_ROW.iter_unpack(message[3:end]) if row[2] != IN_FLIGHT_MARKER]
+    return ids + [short_id for short_id, _ in IN_FLIGHT_ENTRY.iter_unpack(rest)]
 
 
-class Processes(unittest.TestCase):
+class ProcessTests(unittest.TestCase):
     @live
-    async def test_hubs_tell_of_a_silent_unit_and_not_of_the_other_with_its_mark(self) -> None:
-        units = [HeldEndpoint(A), ScriptedEndpoint(B), HeldEndpoint(C)]
-        ear, marks = door(A, B, C), list[int]()
+    async def test_aggregators_report_a_held_endpoint_but_not_the_other_with_its_short_id(self) -> None:
+        endpoints = [HeldEndpoint(A), ScriptedEndpoint(B), HeldEndpoint(C)]
+        registry, received_short_ids = registry_of(A, B, C), list[int]()
 
-        async def told(relays: Fleet) -> None:
-            """Returns once a hub tells of trips at the silent units and of none at the other."""
+        async def receive_expected(relays: Fleet) -> None:
+            """Waits until an aggregator reports attempts in flight at the held endpoints, and none at the other one."""
             while True:
-                data = await asyncio.get_running_loop().sock_recv(relays.ear, 512)
+                data = await asyncio.get_running_loop().sock_recv(relays.gossip_socket, 512)
                 payload = datagrams.decode_plain(data)
                 assert payload is not None and len(data) <= MAX_MESSAGE_BYTES
-                marks.extend(short_marks(payload))
-                out = {
-                    ear.names[word.endpoint]: word.attempts
-                    for word in decode_gossip(payload, ear.short_ids, [])
-                    if isinstance(word, InFlightCount)
+                received_short_ids.extend(short_ids_in(payload))
+                in_flight = {
+                    registry.names[entry.endpoint]: entry.attempts
+                    for entry in decode_gossip(payload, registry.short_ids, [])
+                    if isinstance(entry, InFlightCount)
                 }
-                if out.get(A) and out.get(C) and not out.get(B):
+                if in_flight.get(A) and in_flight.get(C) and not in_flight.get(B):
                     return
 
-        async with fleet(units) as relays:
+        async with fleet(endpoints) as relays:
             clients = {number: await relays.client(number) for number in range(RELAYS)}
-            asks = asyncio.create_task(relays.ask(clients, 1000))  # those at silent units wait, others end
-            await told(relays)
-            asks.cancel()
-            await asyncio.gather(asks, return_exceptions=True)
-        self.assertNotIn(long_id_of(A) & 0xFFFF, marks)
-        self.assertIn(long_id_of(C) & 0xFFFF, marks)
+            requests = asyncio.create_task(
+                relays.send_rounds(clients, 1000)
+            )  # requests to held endpoints wait, others end
+            await receive_expected(relays)
+            requests.cancel()
+            await asyncio.gather(requests, return_exceptions=True)
+        self.assertNotIn(long_id_of(A) & 0xFFFF, received_short_ids)
+        self.assertIn(long_id_of(C) & 0xFFFF, received_short_ids)
 
 
 if __name__ == "__main__":
