--- a/lanelead/runtime/endpoint_list.py
+++ b/lanelead/runtime/endpoint_list.py
@@ -33,7 +33,7 @@
     def __init__(self, registry: EndpointRegistry, readiness: Readiness | None, retention: Ticks) -> None:
         self.registry = registry
         self.destinations: dict[Endpoint, Destination] = {}
-        self.removed: dict[Endpoint, Ticks] = {}  # removed endpoints are kept until then
+        self.removed: dict[Endpoint, Ticks] = {}  # until when each removed endpoint is kept
         self._readiness = readiness
         self._retention = retention
         self._listed_records: dict[Endpoint, EndpointRecord] = {}  # as discovery sent them; empty without `readiness`
--- a/lanelead/runtime/gossip_codec.py
+++ b/lanelead/runtime/gossip_codec.py
@@ -228,9 +228,10 @@
 ) -> list[GossipEntry]:
     """Decodes in-flight counts from pairs of id and attempts.
 
-    If counts were skipped or the message was full, an upper bound for all other endpoints may follow the counts, so
-    that these are not taken as idle. If no count at all is understood, there is always a bound, so that the message is
-    not taken as one that reports nothing in flight.
+    If the message was full, the result ends with an upper bound for all endpoints without a count, which are not to be
+    taken as idle. It is omitted if all counts came by short id and were understood: the bound is then the last count.
+    If a message has counts but none is understood, a bound (of 0 if none is known) is the only result, so that the
+    message still replaces what its sender reported before.
     """
     attempts_by_id = dict(by_short_id)
     if len(attempts_by_id) < len(by_short_id):  # earlier versions report two endpoints under one short id
--- a/lanelead/runtime/loop_clock.py
+++ b/lanelead/runtime/loop_clock.py
@@ -11,7 +11,7 @@
 TICKS_PER_SECOND = 10_000
 # The clock starts at one hour instead of 0, so that endpoints started before the relay have positive start times.
 CLOCK_START_TICKS: Ticks = 3600 * TICKS_PER_SECOND
-# The loop rounds times to milliseconds; half of one avoids that the timer fires early.
+# The loop rounds times to milliseconds; half a millisecond is added so that the timer does not fire early.
 TIMER_SLACK_SECONDS = 5e-4
 
 
@@ -34,7 +34,7 @@
         self._loop = loop
         self._next_due = next_due
         self._tick = tick
-        self._started = time.monotonic()  # the loop's own clock may have a resolution of milliseconds only
+        self._started = time.monotonic()  # finer than the loop's clock, which counts milliseconds (uvloop)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at: Ticks = 0
 
