--- a/lanelead/pgwire/clients.py
+++ b/lanelead/pgwire/clients.py
@@ -137,7 +137,7 @@
         kind = data[start]
         if kind not in b"QX":
             if kind in UNSUPPORTED_MESSAGES:
-                return 0, ProtocolViolation("0A000", "only simple queries are supported")
+                return 0, ProtocolViolation("0A000", "only simple queries are taken here")
             return 0, ProtocolViolation("08P01", f"invalid frontend message type {kind}")
         if len(data) - start < 5:
             return 0, None
--- a/lanelead/pgwire/statements.py
+++ b/lanelead/pgwire/statements.py
@@ -63,7 +63,7 @@
     """Parses a statement. Raises StatementError if it does not have the expected form."""
     form = STATEMENT_PATTERN.match(text)
     if form is None:
-        raise StatementError("expected a SELECT or INSERT of one item, followed by a comment with name=value pairs")
+        raise StatementError("not a statement of the platform's, or no comment behind it")
     selected, inserted, value, comment = form.groups()
     if value is not None and len(value) % 2:
         raise StatementError("invalid hexadecimal data: odd number of digits")
@@ -74,24 +74,24 @@
     for pair in comment.split(b","):
         name, separator, item = pair.partition(b"=")
         if not separator or name in values or not COMMENT_VALUE_PATTERN.match(item):
-            raise StatementError("expected distinct name=value pairs in the comment, separated by commas")
+            raise StatementError("the comment is no list of names and values")
         values[name] = item
         if name == b"d":
             time_start = start + 2
             time_end = start + len(pair)
         start += len(pair) + 1
     if b"id" not in values:
-        raise StatementError("no id in the comment")
+        raise StatementError("no id")
     if b"c" not in values:
-        raise StatementError("no request class (c) in the comment")
+        raise StatementError("no class")
     if not MILLISECONDS_PATTERN.match(values.get(b"d", b"")) or not float(values[b"d"]) > 0:
-        raise StatementError("d in the comment is not a positive number of milliseconds")
+        raise StatementError("d is no positive number of milliseconds")
     try:
         request_id = values[b"id"].decode()
         request_class = values[b"c"].decode()
         tenant = values[b"t"].decode() if b"t" in values else None
     except UnicodeDecodeError:
-        raise StatementError("a value in the comment is not valid UTF-8") from None
+        raise StatementError("a name is not UTF-8") from None
     return Statement(
         request_id=request_id,
         request_class=request_class,
--- a/lanelead/runtime/driver.py
+++ b/lanelead/runtime/driver.py
@@ -1,13 +1,18 @@
-"""Connects a host's sockets with the decisions: events go in, actions come out. The driver decides nothing itself.
+"""Connects a host with the decisions: passes the host's events to them, and carries out the resulting actions.
 
-The driver does no I/O. The host reports events by calling the methods of `DecisionDriver`; the driver requests I/O
-through `HostOperations`, whose methods must not call the driver back before they return. Times are ticks (tenths of a
-millisecond) on the clock that is passed to the driver.
+The decisions are an implementation of `Decisions`, such as the balancer: the logic for routing and voting, which does
+no I/O. The host is the process or simulation around it, which has the sockets. The driver does no I/O either: the host
+reports events by calling the methods of `DecisionDriver`, and the driver requests I/O through `HostOperations`, whose
+methods must not call the driver back before they return. The driver itself only rejects requests that are over a limit
+or come too late, discards late responses, and withholds attempts and votes that a migration does not allow yet.
+
+Times are ticks (tenths of a millisecond) on the clock that is passed to the driver.
 
 This module handles the events. Related modules:
 
 - action_dispatch.py carries out the decisions' actions.
-- endpoint_list.py keeps the endpoint list and applies the migrations' readiness to it.
+- endpoint_list.py keeps the endpoint list. It reports endpoints as draining while their build must not receive
+  requests, since a database migration that it needs is not done (see lanelead/migrations/readiness.py).
 - timer_queue.py keeps the timers; gossip_codec.py encodes and decodes gossip.
 """
 
@@ -50,6 +55,8 @@
 class DecisionDriver:
     """Passes a host's events to the decisions and carries out the resulting actions.
 
+    The constructor already carries out the first actions, such as watching the endpoint list: it calls `host`.
+
     Parameters
     ----------
     decisions
@@ -61,13 +68,14 @@
     request_classes
         All request classes, in the order by which gossip refers to them.
     limits
-        The service's limits.
+        The service's limits, of which the driver uses `response_slack`.
     max_pending
         The most requests that may wait for an answer at once. Further ones are rejected.
     max_retry_after
-        The retry delay, in ticks, advised with such a rejection.
+        The retry delay, in ticks, that is advised whenever the driver itself rejects a request.
     readiness
-        Which builds the migrations allow to receive requests. None if no migrations are run: all builds may.
+        Which builds may receive requests, judging by the migrations that they need. None if no migrations are run:
+        all builds may.
     """
 
     def __init__(
@@ -91,7 +99,8 @@
         self._max_retry_after = max_retry_after
         self._class_order = list(request_classes)
         self._timers = TimerQueue()
-        # An attempt may still run at a removed endpoint until its request times out.
+        # An attempt may still run at a removed endpoint until its request times out. Twice the longest timeout leaves a
+        # margin.
         retention = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.endpoint_list = EndpointList(EndpointRegistry(decisions.new_endpoint), readiness, retention)
         self.registry = self.endpoint_list.registry
@@ -126,7 +135,7 @@
         """Accepts or rejects a client's request; the answer is delivered through `pending.reply`.
 
         `time_left` is the time in ticks until the client's deadline. A request with no time left, or beyond
-        `max_pending`, is rejected before the decisions see it.
+        `max_pending`, is rejected without being passed to the decisions.
         """
         now = self._advance_clock()
         if len(self.pending) >= self._max_pending or time_left <= 0:
@@ -142,7 +151,10 @@
         self._run_actions()
 
     def client_left(self, pending: PendingRequest) -> None:
-        """Drops a request whose client has disconnected; no answer is sent. Answered requests are ignored."""
+        """Drops a request whose client has disconnected; no answer is sent.
+
+        Does nothing if the request was answered, or was never passed to `receive`.
+        """
         if pending.answered or pending.request is None:
             return
         pending.answered = True
@@ -155,9 +167,11 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, answer: Any = None, report: LoadReport | None = None
     ) -> None:
-        """Handles the end of an attempt; reports after the first one are ignored.
+        """Handles the end of an attempt. Calls after the first one for an attempt are ignored.
 
-        `answer` is delivered to the client if the attempt succeeded; `report` is the endpoint's load report.
+        `answer` is the endpoint's response, which is delivered to the client if the attempt succeeded and the request
+        still waits for an answer. If it comes later than `response_slack` after the request's deadline, it is discarded
+        and the attempt counts as timed out. `report` is the endpoint's load report.
         """
         if attempt.outcome is not None:
             return
@@ -206,7 +220,10 @@
         self._run_actions()
 
     def endpoints_listed(self, message: EndpointListMessage, clock_offset: Ticks) -> None:
-        """Handles an endpoint list or changes to it; see `EndpointList.update` for `clock_offset`."""
+        """Handles an endpoint list or changes to it, and forgets endpoints that were removed long ago.
+
+        See `EndpointList.update` for `clock_offset`.
+        """
         self._advance_clock()
         scope, records = self.endpoint_list.update(message, clock_offset)
         self.decisions.endpoints_updated(scope, records)
@@ -222,10 +239,10 @@
     # Migrations and rollout
 
     def migrations_read(self, page: MigrationLogPage) -> None:
-        """Handles a page of the migration log.
+        """Handles a page of the migration log. The driver must have been given `readiness`.
 
-        Raises MessageError if an entry breaks the log's rules, or if the store's log is shorter than what was read
-        before, which means that the store was replaced or restored from an old copy.
+        Raises MessageError if an entry breaks the log's rules (the entries before it are kept), or if the store's log
+        is shorter than what was read before: the store was then replaced or restored from an old copy.
         """
         assert self.readiness is not None
         if page.last_seq < self.readiness.log.last_seq:
@@ -235,13 +252,14 @@
             )
         self._advance_clock()
         self.readiness.entries_received(page.entries)
-        self._update_readiness()
+        self._report_readiness_changes()
         self._run_actions()
 
     def rollout_read(self, message: RolloutMessage | None, is_vote_reply: bool, outcome: AttemptOutcome) -> None:
-        """Handles the rollout's state, or the reply to a vote if `is_vote_reply`.
+        """Handles the rollout's state, which comes in a reply to a vote if `is_vote_reply`.
 
-        `message` is None if a vote got no reply; `outcome` then tells why.
+        `outcome` is that of the vote, and SUCCEEDED for a state that was not requested by a vote. `message` is None if
+        a vote got no reply. The decisions then get a placeholder state, of which they use only the outcome.
         """
         self._advance_clock()
         if message is None:
@@ -252,11 +270,12 @@
             state = RolloutState(message.build, message.stage, phase, message.cap, age, is_vote_reply, outcome)
         if self.readiness is not None and message is not None:
             self.readiness.rollout_changed(message.build, message.stage, message.phase == "trial")
-            self._update_readiness()
+            self._report_readiness_changes()
         self.decisions.rollout_updated(state)
         self._run_actions()
 
-    def _update_readiness(self) -> None:
+    def _report_readiness_changes(self) -> None:
+        """Reports endpoints whose build may receive requests now, or may not any more, to the decisions."""
         changed = self.endpoint_list.changed_by_readiness()
         if changed:
             self.decisions.endpoints_updated(UpdateScope.DELTA, changed)
@@ -272,7 +291,7 @@
     def complaint_received(self, name: str, request_class: RequestClass, age: Ticks) -> bool:
         """Handles a client's complaint that an endpoint's answer was wrong; returns False for an unknown endpoint.
 
-        `name` is the endpoint's name, and `age` tells in ticks how long ago the answer was given.
+        `name` is the endpoint's name, and `age` is the answer's age in ticks as the client reports it.
         """
         if name not in self.registry.by_name:
             return False
@@ -284,7 +303,11 @@
     # Time
 
     def tick(self) -> None:
-        """Handles all timers that are due."""
+        """Handles all timers that are due.
+
+        A timer of an attempt that still runs stops the attempt as timed out. Timers of unfinished requests, and those
+        of the decisions' periodic work (target None), are passed to the decisions.
+        """
         now = self._advance_clock()
         heap = self._timers.heap
         while heap and heap[0][0] <= now:
--- a/lanelead/runtime/gossip_codec.py
+++ b/lanelead/runtime/gossip_codec.py
@@ -1,15 +1,21 @@
 """Encodes and decodes gossip: outcome observations, in-flight counts, fleet latency and completions.
 
-A message is at most 254 bytes long, since the datagram's checksum takes two of `MAX_MESSAGE_BYTES`. Numbers are
-big-endian. There are two message formats:
+An encoded message is at most 254 bytes long, since the checksum of a plain datagram takes two of `MAX_MESSAGE_BYTES`.
+Numbers are big-endian. There are two message formats:
 
 - Format 2 consists of one byte with the format (upper 3 bits) and the number of rows (lower 5 bits), one byte with the
-  latency in steps of `LATENCY_STEP_TICKS`, one byte with the number of completions (255 if latency or completions are
-  not reported), the rows, and the in-flight entries. A row is either an outcome observation by short id, or two
-  in-flight counts by long id; the latter has `IN_FLIGHT_MARKER` in place of the request class.
+  latency in steps of `LATENCY_STEP_TICKS`, one byte with the number of completions, the rows, and in-flight entries.
+  The bytes of latency and completions are capped at 254; each is 255 if its value is not reported. A row is either an
+  outcome observation by short id, or two in-flight counts by long id; the latter has `IN_FLIGHT_MARKER` in place of the
+  request class. An in-flight entry is a short id with its attempts in flight.
 - Format 3 consists of the same first byte and outcome observations by long id.
 
-Endpoints that share their short id with another one are reported by their long ids only; see short_ids.py.
+An endpoint's `long_id` tells how it is reported: by short id if it is 0, not at all if it is `NO_LONG_ID`, else by this
+long id, since the short id is shared with another endpoint; see short_ids.py.
+
+An aggregator receives from each relay the relay's own attempts in flight, in any order; endpoints that are missing have
+none. The other relays receive totals from the aggregator, in descending order. If totals are left out, since not all
+fit into a message, an upper bound for them is sent or implied, so that these endpoints are not taken as idle.
 """
 
 from __future__ import annotations
@@ -36,8 +42,9 @@
 
 CHECKSUM_BYTES = 2
 MAX_COUNT = 255  # higher counts are sent as this one
-FAULT_KINDS = 5  # number of fault counts in an outcome observation
+FAULT_KINDS = 5  # number of fault counts in an outcome observation, one for each `Fault`
 
+# OUTCOME_ROW and LONG_ID_IN_FLIGHT_ROW have the same size, and the request class or marker at the same offset.
 OUTCOME_ROW = Struct(f">HHB{1 + FAULT_KINDS}B")  # short id, build, request class, outcomes, faults by kind
 IN_FLIGHT_ENTRY = Struct(">HB")  # short id, attempts in flight
 IN_FLIGHT_MARKER = 255  # in place of a request class; earlier versions skip such a row as unknown
@@ -54,14 +61,15 @@
 PAYLOAD_BYTES = MAX_MESSAGE_BYTES - CHECKSUM_BYTES - HEADER_BYTES
 LONG_ID_PAYLOAD_BYTES = MAX_MESSAGE_BYTES - CHECKSUM_BYTES - LONG_ID_HEADER_BYTES
 
-DecodedRow = tuple[Any, ...]  # endpoint (None if unknown), build, index of the request class, outcomes, faults
+DecodedRow = tuple[Any, ...]  # endpoint or None, build, index of the request class, outcomes, *faults
 
 
 def encode_gossip(entries: Sequence[GossipEntry], request_classes: Sequence[RequestClass]) -> list[bytes]:
     """Encodes entries as messages of the allowed size.
 
-    All in-flight counts go into one message, since a receiver counts endpoints missing from it as idle. If not all
-    fit, the first ones are sent. Only the first latency and the first completion count are sent.
+    All in-flight counts go into one message, since each message with counts replaces the sender's earlier ones. If not
+    all fit, the first ones are sent. The first latency and the first completion count go into each message of format 2;
+    a completion count alone makes no message. Outcomes and counts of endpoints with `NO_LONG_ID` are left out.
     """
     rows, long_id_rows = _encode_outcomes(entries, request_classes)
     in_flight = [
@@ -77,6 +85,8 @@
     latency_and_completions = bytes([*(latencies[:1] or [NOT_REPORTED]), *(completions[:1] or [NOT_REPORTED])])
     row_groups = _group_rows(rows, PAYLOAD_BYTES // OUTCOME_ROW.size)
     tail = b""
+    # In-flight counts join the last group of rows if they fit, else a new group, which may have no rows. A latency that
+    # no other message would carry gets a message without rows too.
     if in_flight or (latencies and not row_groups):
         tail = b"".join(in_flight_entries)
         if row_groups and OUTCOME_ROW.size * (len(row_groups[-1]) + len(in_flight_rows)) + len(tail) <= PAYLOAD_BYTES:
@@ -122,10 +132,11 @@
 def _encode_in_flight(counts: Sequence[InFlightCount]) -> tuple[list[bytes], list[bytes]]:
     """Encodes as many in-flight counts as fit into a message, from the first one on.
 
-    Returns rows with counts by long id, and entries with counts by short id. Counts are expected in descending order:
-    if some are sent by long id and others are left out, the first count left out is sent under long id 0, as an upper
-    bound for all that are left out. Without long ids, a full message has `MAX_IN_FLIGHT_COUNTS` entries, and the
-    receiver takes the last one as the bound.
+    Returns rows with counts by long id, and entries with counts by short id. If some of the first
+    `MAX_IN_FLIGHT_COUNTS` counts are of endpoints with a long id and counts are left out, the first count left out is
+    sent under long id 0. This is an upper bound for all that are left out if counts are in descending order, as totals
+    are; receivers ignore it in a relay's own counts. Without long ids, a full message has `MAX_IN_FLIGHT_COUNTS`
+    entries, and the receiver takes the last one as the bound.
     """
     sent = counts[:MAX_IN_FLIGHT_COUNTS]
     by_long_id = sum(count.endpoint.long_id != 0 for count in sent)
@@ -165,8 +176,10 @@
 def decode_gossip(payload: bytes, short_ids: ShortIds, request_classes: Sequence[RequestClass]) -> list[GossipEntry]:
     """Decodes a message, skipping what this relay does not understand.
 
-    Rows are skipped if their endpoint, build or request class is unknown, and whole messages if their format is
-    unknown or their length is wrong. `short_ids.skipped` counts both by reason.
+    A row is skipped if its id does not belong to exactly one known endpoint, and an outcome observation also if its
+    request class is unknown, its build is not the endpoint's present one, or the endpoint is not ready. A whole message
+    is skipped if its format is unknown or its length is wrong. `short_ids.skipped` counts both by reason. One or two
+    surplus bytes after the in-flight entries of format 2 are ignored.
     """
     message_format, row_count = divmod(payload[0], 1 << ROW_COUNT_BITS) if payload else (MESSAGE_FORM, 0)
     long_id_length = LONG_ID_HEADER_BYTES + row_count * LONG_ID_OUTCOME_ROW.size
@@ -182,7 +195,7 @@
     completions = [CompletionCount(payload[2])] if payload[2] != NOT_REPORTED else []
     outcomes: list[OutcomeObservation] = []
     by_long_id: list[tuple[int, int]] = []
-    if row_count:  # skipped for speed: most messages have no rows, and an aggregator receives thousands a second
+    if row_count:  # for speed: most messages have no rows, and an aggregator receives thousands a second
         outcomes += _decode_short_id_rows(payload[HEADER_BYTES:rows_end], short_ids, request_classes)
         by_long_id += _decode_long_id_pairs(payload, rows_end)
     rest = payload[rows_end : len(payload) - (len(payload) - rows_end) % IN_FLIGHT_ENTRY.size]
@@ -228,9 +241,11 @@
 ) -> list[GossipEntry]:
     """Decodes in-flight counts from pairs of id and attempts.
 
-    If the message was full, the result ends with an upper bound for all endpoints without a count, which are not to be
-    taken as idle. It is omitted if all counts came by short id and were understood: the bound is then the last count.
-    If a message has counts but none is understood, a bound (of 0 if none is known) is the only result, so that the
+    The result ends with a bound if the message was full: the most attempts that an endpoint may have whose count did
+    not fit. The bound does not cover endpoints whose count was sent but not understood. It is omitted if all counts
+    came by short id and were understood: `FleetInFlight` then takes the last count of a full message as the bound.
+
+    If a message has counts but none is understood, the result is a bound in any case (0 if none is known), so that the
     message still replaces what its sender reported before.
     """
     attempts_by_id = dict(by_short_id)
