--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -147,7 +147,9 @@
                 self.assertTrue((ROOT / path).exists(), f"{page.name}: {path}")
 
     def test_every_module_named_without_its_package_is_there(self) -> None:
-        modules = {file.name for folder in ("lanelead", "tests", "benchmarks") for file in (ROOT / folder).rglob("*.py")}
+        modules = {
+            file.name for folder in ("lanelead", "tests", "benchmarks") for file in (ROOT / folder).rglob("*.py")
+        }
         for page in pages():
             for module in MODULE.findall(page.read_text()):
                 self.assertTrue(module in modules, f"{page.name}: {module}")
