--- a/lanelead/decisions/admission.py
+++ b/lanelead/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Guards on every attempt, whatever selected its endpoint: draining, retries, slow start, and canary exposure."""
+"""Checks that every attempt must pass: endpoint status, retry safety, slow start, and canary exposure."""
 
 from lanelead.decisions.counters import low_discrepancy_value
 from lanelead.decisions.endpoint_state import EndpointSet, EndpointState, warmup_fraction
@@ -18,12 +18,12 @@
 )
 from lanelead.decisions.relay_traffic import RelayTraffic
 
-# Outcomes of attempts that no endpoint executed.
+# Outcomes after which it is certain that no endpoint executed the attempt.
 NOT_EXECUTED = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class AdmissionGuards:
-    """Says which attempts the service's rules permit."""
+    """Decides which attempts the service's rules permit, independently of how endpoints are selected."""
 
     def __init__(
         self,
@@ -43,23 +43,23 @@
         self._parameters = parameters
 
     def permits(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
-        """Say whether an attempt may start now; to be asked right before each attempt."""
+        """Return whether an attempt may start now; must be called right before each attempt."""
         return self.accepts(endpoint, request, now) and self.exposure.allows(endpoint.build, request, now)
 
     def accepts(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
-        """Say the same, canary exposure apart."""
+        """Return whether an attempt may start now, ignoring the limits on canary exposure."""
         if endpoint.status is not EndpointStatus.READY:
             return False
         return self.may_attempt(endpoint, request, now) and self._has_slow_start_budget(endpoint, now)
 
     def may_be_served(self, request: Request, now: Ticks) -> bool:
-        """Say whether some ready endpoint may have a request, now or once it has capacity."""
+        """Return whether any ready endpoint may serve a request, now or once it has capacity."""
         if self.exposure.is_inadmissible(request):
             return False
         return any(self.may_attempt(endpoint, request, now) for endpoint in self._endpoints.ready)
 
     def may_attempt(self, endpoint: EndpointState, request: Request, now: Ticks) -> bool:
-        """Say whether a request's idempotency and earlier attempts allow one (more) attempt at an endpoint."""
+        """Return whether a request's idempotency, attempts so far and deadline allow another attempt at an endpoint."""
         if request.finished or len(request.attempts) >= self._quota.max_attempts or now >= request.deadline:
             return False
         executed = [attempt for attempt in request.attempts if attempt.outcome not in NOT_EXECUTED]
@@ -73,7 +73,7 @@
         return idempotency is Idempotency.IDEMPOTENT
 
     def _is_deduplicated(self, first: Attempt, endpoint: EndpointState, now: Ticks) -> bool:
-        """Say whether an endpoint will drop a repeat of an attempt with the same idempotency key."""
+        """Return whether an endpoint will still recognize a retry of an attempt by its idempotency key."""
         request_class = first.request.request_class
         scope = request_class.deduplication_scope
         if scope is DeduplicationScope.ZONE and first.endpoint.zone != endpoint.zone:
@@ -83,19 +83,21 @@
         return now < first.sent_at + request_class.deduplication_window - self._limits.tick
 
     def _has_slow_start_budget(self, endpoint: EndpointState, now: Ticks) -> bool:
-        """Say whether a warming endpoint may have one more attempt of this relay.
+        """Return whether an endpoint that is warming up may get another attempt from this relay.
 
-        Each relay keeps to its part of what the endpoint may get in the overload time. Parts of an attempt are
-        rounded up or down in turn, by a low-discrepancy sequence, or small relays would never send any.
+        A relay may use its share of the attempts that the endpoint can take within the overload time. The fractional
+        part of that share is rounded up or down by a low-discrepancy sequence: always rounding down would keep relays
+        with little traffic from ever sending an attempt.
         """
         limits = self._limits
-        warmed = warmup_fraction(endpoint, limits, now)
-        begun = endpoint.slow_start_count(now, limits.overload_time)
-        if warmed >= 1 or limits.overload_time <= 0:
+        warmup = warmup_fraction(endpoint, limits, now)
+        recent_attempts = endpoint.slow_start_count(now, limits.overload_time)
+        if warmup >= 1 or limits.overload_time <= 0:
             return True
-        completed = self._traffic.completed.read(now) / 4  # a second: the sum's time constant is 4 s
-        share = self._parameters.relay_quota or self._traffic.received.read(now) / 8
-        usual = max(completed, share / 2)
-        budget = limits.overload_multiple / 2 * warmed * usual * limits.overload_time / SECOND
+        completed = self._traffic.completed.read(now) / 4  # per second, since the sum's time constant is 4 s
+        # Without a quota, half of the rate of requests received.
+        expected_rate = self._parameters.relay_quota or self._traffic.received.read(now) / 8
+        usual_rate = max(completed, expected_rate / 2)
+        budget = limits.overload_multiple / 2 * warmup * usual_rate * limits.overload_time / SECOND
         budget /= len(self._endpoints.ready)
-        return begun + 1 <= budget + low_discrepancy_value(endpoint.phase_offset, now / limits.overload_time)
+        return recent_attempts + 1 <= budget + low_discrepancy_value(endpoint.phase_offset, now / limits.overload_time)
--- a/lanelead/decisions/endpoint_selection.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -1,6 +1,7 @@
-"""Selects two endpoints for a request's next attempt, the better first; ejects outliers and bounds queues.
+"""Selects endpoints for a request's next attempt, ejects outliers, and bounds queues.
 
-The selection is the power of two choices (Mitzenmacher 2001) by an expected wait; docs/design.md has the mechanism.
+The selection takes the better of two random choices (Mitzenmacher 2001), compared by expected wait; docs/design.md
+describes the mechanism.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,16 +16,16 @@
 from lanelead.decisions.relay_traffic import RelayTraffic
 from lanelead.decisions.zone_spillover import EndpointPools
 
-SAMPLE_SIZE = 16  # endpoints looked at for one selection, at most
-MIN_FAILURES_TO_EJECT = 2.0
-MIN_SUBSET_SIZE = 4  # endpoints that a relay keeps connections to, at least
+SAMPLE_SIZE = 16  # the maximum size of a random sample of endpoints
+MIN_FAILURES_TO_EJECT = 2.0  # weighted, see `FAILURE_WEIGHTS`
+MIN_SUBSET_SIZE = 4  # the fewest endpoints that a relay keeps connections to
 REQUESTS_PER_CONNECTION = 4
 Endpoints: TypeAlias = Sequence[EndpointState]
 EndpointPair: TypeAlias = list[EndpointState]
 
 
 class EndpointSelector:
-    """Selects endpoints among the ready ones that the guards allow, and ejects those that fail."""
+    """Selects among the ready endpoints that the guards permit, and ejects endpoints that fail."""
 
     def __init__(
         self,
@@ -38,7 +39,11 @@
         position: RelayPosition,
         rng: Random,
     ) -> None:
-        """`idle_timeout`: how long idle connections last, 0 where connections need not be saved."""
+        """Create a selector.
+
+        `idle_timeout` is the time after which an idle connection is closed, or 0 if the number of connections does not
+        matter.
+        """
         self._endpoints = endpoints
         self.guards = guards
         self._fleet_in_flight = fleet_in_flight
@@ -49,11 +54,14 @@
         self.rng = rng
 
     def record_outcome(self, endpoint: EndpointState, failure_weight: float, now: Ticks) -> None:
-        """Count an attempt that ended; eject its endpoint where half of its attempts fail, but never most endpoints."""
-        endpoint.attempt_rate.add(now, 1)
-        endpoint.failure_rate.add(now, failure_weight)
-        failures = endpoint.failure_rate.read(now)
-        failing = failures >= max(MIN_FAILURES_TO_EJECT, endpoint.attempt_rate.read(now) / 2)
+        """Count an attempt that ended; eject its endpoint if half of its attempts fail.
+
+        No endpoint is ejected once half of the ready endpoints are.
+        """
+        endpoint.recent_attempts.add(now, 1)
+        endpoint.recent_failures.add(now, failure_weight)
+        failures = endpoint.recent_failures.read(now)
+        failing = failures >= max(MIN_FAILURES_TO_EJECT, endpoint.recent_attempts.read(now) / 2)
         if not failing or endpoint.ejected_until > now:
             return
         ready = self._endpoints.ready
@@ -61,26 +69,27 @@
             endpoint.ejected_until = now + int(2 * self._parameters.longest_objective * (1 + self.rng.random()))
 
     def _has_capacity(self, endpoint: EndpointState, now: Ticks) -> bool:
-        """Say whether an endpoint may have one more attempt of this relay.
+        """Return whether an endpoint may get another attempt from this relay.
 
-        It may have as many as it lately completed for this relay in six tenths of the shortest latency objective,
-        and one in any case. Guards against long queues.
+        To keep queues short, an endpoint gets at most as many concurrent attempts as it recently completed for this
+        relay within 0.6 of the shortest latency objective, and always one.
         """
         target = self._parameters.shortest_objective // 2
         in_flight = len(endpoint.in_flight)
-        return not in_flight or in_flight < 1.2 * endpoint.completion_rate.read(now) / (2 * SECOND) * target
+        return not in_flight or in_flight < 1.2 * endpoint.recent_completions.read(now) / (2 * SECOND) * target
 
     def cost(self, endpoint: EndpointState, now: Ticks) -> float:
-        """Return the wait to expect at an endpoint, as a rank without a unit.
+        """Return the expected wait at an endpoint, as a number without unit that only serves to compare endpoints.
 
-        An endpoint that has gone silent answers nothing at all: the age of its oldest attempt raises its cost.
+        An endpoint that stops responding yields no outcomes, so the age of its oldest attempt in flight raises the cost
+        as well.
         """
-        attempts = endpoint.attempt_rate.read(now)
+        attempts = endpoint.recent_attempts.read(now)
         load = (1 + len(endpoint.in_flight) + self._fleet_in_flight.others_at(endpoint, now)) / endpoint.capacity
-        load *= (1 + endpoint.relative_latency.read(now)) / (1 + attempts)
+        load *= (1 + endpoint.relative_latency_sum.read(now)) / (1 + attempts)
         oldest = next(iter(endpoint.in_flight), None)
         silence = (now - oldest.sent_at) / oldest.request.request_class.latency_objective if oldest else 0.0
-        return load * (1 + 3 * endpoint.failure_rate.read(now) / (1 + attempts)) * (1 + silence)
+        return load * (1 + 3 * endpoint.recent_failures.read(now) / (1 + attempts)) * (1 + silence)
 
     def select(
         self,
@@ -90,10 +99,10 @@
         now: Ticks,
         already_checked: Endpoints,
     ) -> EndpointPair:
-        """Return two endpoints (or one, or none) of the first candidate pools that have any.
+        """Return up to two endpoints, the better first, from the first candidate pools that have any to offer.
 
-        `canary_bias` is the factor by which the newest build's cost may exceed the others'; `already_checked` are
-        endpoints whose health was checked for this request in vain.
+        `canary_bias` is the factor by which the cost of the newest build's endpoint may exceed that of the earlier
+        builds'. `already_checked` are endpoints whose health checks for this request found no short enough wait.
         """
         for pools in candidates:
             pair = self._select_by_build(pools, request, canary_bias, now, already_checked)
@@ -109,7 +118,10 @@
         now: Ticks,
         already_checked: Endpoints,
     ) -> EndpointPair:
-        """Compare the newest build that has capacity with all earlier ones; builds checked in vain come last."""
+        """Choose between the newest build that has capacity and all other builds.
+
+        Builds with an endpoint in `already_checked` come after all others.
+        """
         allows = self.guards.exposure.allows
         pools = [pool for build, pool in pools_by_build.items() if pool and allows(build, request, now)]
         pools.sort(key=lambda pool: any(endpoint in pool for endpoint in already_checked))
@@ -124,8 +136,11 @@
     def select_from(
         self, endpoints: Endpoints, request: Request, now: Ticks, already_checked: Endpoints
     ) -> EndpointPair:
-        """Return up to two endpoints with capacity, the better first; ejected and tried ones only if no other has."""
-        fresh = EndpointPair()
+        """Return up to two endpoints with capacity, the better first.
+
+        Endpoints that are ejected or that the request has already tried are returned only if there are no others.
+        """
+        first_choice = EndpointPair()
         second_choice = EndpointPair()
         subset = self._connection_subset(endpoints, now)
         sample = self.rng.sample(endpoints, min(SAMPLE_SIZE, len(endpoints)))
@@ -136,17 +151,17 @@
             if endpoint.ejected_until > now or any(attempt.endpoint is endpoint for attempt in request.attempts):
                 second_choice.append(endpoint)
                 continue
-            fresh.append(endpoint)
-            if len(fresh) == 2:
+            first_choice.append(endpoint)
+            if len(first_choice) == 2:
                 break
-        return sorted(fresh or second_choice[:2], key=lambda endpoint: self.cost(endpoint, now))
+        return sorted(first_choice or second_choice[:2], key=lambda endpoint: self.cost(endpoint, now))
 
     def _connection_subset(self, endpoints: Endpoints, now: Ticks) -> EndpointPair:
-        """Return a sample of the endpoints that this relay keeps connections to.
+        """Return a sample of the endpoints that this relay keeps connections to (deterministic subsetting).
 
-        They are a quarter as many as requests come while an idle connection lasts. All relays have the endpoints in
-        the same order, and each relay's subset begins where its number lies in that order. Guards against connections
-        that are used once.
+        Without a subset, a relay of a large fleet would use most connections only once. The subset has one endpoint for
+        every `REQUESTS_PER_CONNECTION` requests that arrive within the idle timeout. All relays order the endpoints in
+        the same way, and each starts its subset at an offset given by its number.
         """
         requests = self._traffic.received.read(now) * self._idle_timeout / (4 * SECOND)
         if not self._idle_timeout:
--- a/lanelead/decisions/endpoint_state.py
+++ b/lanelead/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""Endpoints as one relay knows them: from the endpoint list, from attempts and health checks. Nothing decides."""
+"""What one relay knows of endpoints, from the endpoint list, attempts and health checks; makes no decisions."""
 
 from __future__ import annotations
 
@@ -18,43 +18,43 @@
 
 
 class EndpointState(Endpoint):
-    """An endpoint, with what this relay has learned of it."""
+    """An endpoint with the statistics that this relay keeps of it."""
 
     def __init__(self, short_id: int, span: Ticks, completion_span: Ticks, phase_offset: float) -> None:
-        """Start with nothing learned.
+        """Create the state of an endpoint without any statistics.
 
-        `span` and `completion_span` are time constants of the decaying sums; `phase_offset` (0 to 1) is where the
-        sequence begins that rounds this endpoint's slow-start budget up or down.
+        `span` and `completion_span` are the time constants of the decaying sums. `phase_offset` (0 to 1) is where
+        the low-discrepancy sequence starts that rounds this endpoint's slow-start budget up or down.
         """
         super().__init__(short_id)
-        self.in_flight: dict[Attempt, None] = {}  # attempts that have not ended, the oldest first
-        self.listed_at: Ticks = 0  # when this instance (build and start) was first listed
+        self.in_flight: dict[Attempt, None] = {}  # oldest first
+        self.listed_at: Ticks = 0  # when this instance (build and start time) was first listed
         self.ejected_until: Ticks = 0
-        self.attempt_rate = DecayingSum(span)  # attempts that ended
-        self.failure_rate = DecayingSum(span)  # the failures among them, weighted
-        self.relative_latency = DecayingSum(span)  # latencies over latency objectives
-        self.completion_rate = DecayingSum(completion_span)  # attempts that succeeded
-        self.slow_start_attempts = deque[Ticks]()  # when attempts of the last overload time began
+        self.recent_attempts = DecayingSum(span)  # ended attempts
+        self.recent_failures = DecayingSum(span)  # failed attempts, weighted by `FAILURE_WEIGHTS`
+        self.relative_latency_sum = DecayingSum(span)  # latency / latency objective, of successful attempts
+        self.recent_completions = DecayingSum(completion_span)  # successful attempts
+        self.slow_start_attempts = deque[Ticks]()  # start times of attempts in the last overload time
         self.phase_offset = phase_offset
         self.unresponsive = False  # the last attempt got no response
-        self.health_checked_at: Ticks = -1  # when it last answered a health check
+        self.health_checked_at: Ticks = -1  # when it last responded to a health check, -1 for never
         self.estimated_wait: Ticks = 0  # as of that health check
 
     def slow_start_count(self, now: Ticks, span: Ticks) -> int:
-        """Return how many attempts began in the last `span`, and forget the earlier ones."""
+        """Return the number of attempts that began in the last `span`, and forget earlier ones."""
         while self.slow_start_attempts and self.slow_start_attempts[0] <= now - span:
             self.slow_start_attempts.popleft()
         return len(self.slow_start_attempts)
 
 
 def state_of(endpoint: Endpoint) -> EndpointState:
-    """Return an endpoint made by `Decisions.new_endpoint` as the state that it is."""
+    """Return an endpoint that `Decisions.new_endpoint` created as the `EndpointState` that it is."""
     assert isinstance(endpoint, EndpointState)
     return endpoint
 
 
 class EndpointSet:
-    """The endpoints as last listed, and the ready ones: all of them, and by build, the newest first."""
+    """The endpoints of the endpoint list, with the ready ones also by build, the newest build first."""
 
     def __init__(self) -> None:
         self.known = dict[EndpointState, None]()
@@ -62,7 +62,7 @@
         self.ready_by_build = dict[int, list[EndpointState]]()
 
     def apply(self, update_scope: UpdateScope, records: Iterable[EndpointRecord], now: Ticks) -> None:
-        """Take over an update of the endpoint list; a snapshot removes what it does not name."""
+        """Apply an update of the endpoint list; a snapshot or cached list removes endpoints that it does not name."""
         if update_scope is not UpdateScope.DELTA:
             for endpoint in self.known:
                 endpoint.status = EndpointStatus.REMOVED
@@ -84,7 +84,7 @@
 
 
 def warmup_fraction(endpoint: Endpoint, limits: ServiceLimits, now: Ticks) -> float:
-    """Return the part of its usual work that an endpoint may be given, by its age: 1 once it is warm."""
+    """Return the share of its full load that an endpoint may get at its age in slow start, 1 once it is warm."""
     age = now - endpoint.started_at
     if endpoint.started_at <= 0 or age >= limits.slow_start_time:
         return 1.0
--- a/lanelead/decisions/exposure_budget.py
+++ b/lanelead/decisions/exposure_budget.py
@@ -1,4 +1,4 @@
-"""How much traffic a canary build may get: a budget of attempts, guarded stages, and sticky keys."""
+"""Limits the traffic of a canary build: a budget of attempts, guarded stages, and sticky idempotency keys."""
 
 from math import inf
 from random import Random
@@ -15,16 +15,21 @@
     Ticks,
 )
 
-TOKEN_DEPTH = 2.0  # attempts that one of many relays may save up
-TOKENS_FOR_NEW_KEY = 2.0  # one attempt is kept for keys that are already bound to the canary
+TOKEN_DEPTH = 2.0  # the token bucket's depth, in attempts, for a relay of a large fleet
+TOKENS_FOR_NEW_KEY = 2.0  # leaves one attempt for keys that are already bound to the canary
 
 
 class ExposureBudget:
-    """Counts attempts at canary builds against the free number and the exposure limit times requests received."""
+    """Keeps attempts at canary builds within their budget.
 
-    def __init__(self, canary_limits: CanaryLimits, many_relays: bool, rng: Random) -> None:
+    The budget of a window is a fixed number of uncounted attempts plus the exposure limit times the requests received.
+    With sticky keys, an idempotency key that the newest build answered is bound to that build: no earlier build may get
+    it.
+    """
+
+    def __init__(self, canary_limits: CanaryLimits, is_large_fleet: bool, rng: Random) -> None:
         self._limits = canary_limits
-        self._many_relays = many_relays
+        self._is_large_fleet = is_large_fleet
         self._rng = rng
         self._buckets = dict[tuple[int, RequestClass | None], TokenBucket]()
         self._build_of_key = dict[str, int]()
@@ -32,20 +37,20 @@
         self.rollout: RolloutState | None = None
 
     def update(self, rollout: RolloutState) -> None:
-        """Take over where the newest build stands; a rollback frees all keys."""
+        """Apply the state of the newest build's rollout; a rollback releases all bound keys."""
         self.rollout = rollout
         if rollout.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
             self._build_of_key.clear()
 
     def is_canary(self, build: int) -> bool:
-        """Say whether a build is a canary: the newest one known until it is promoted, and any later one."""
+        """Return whether a build is a canary: the newest known build until its promotion, and any later build."""
         rollout = self.rollout
         if rollout is None:
             return True
         return build > rollout.build - (rollout.phase is not RolloutPhase.PROMOTED)
 
     def _exposure_limit(self, build: int) -> float:
-        """Return a canary's exposure limit; a build that the platform has not named has the first stage's."""
+        """Return a canary's exposure limit; a build that the platform has not announced yet has the first stage's."""
         if self.rollout is None:
             return 0.0
         if build > self.rollout.build:
@@ -53,24 +58,25 @@
         return self.rollout.exposure_limit if self.rollout.phase is RolloutPhase.CANARY else 0.0
 
     def _bucket(self, build: int, request_class: RequestClass) -> TokenBucket:
-        """Return the bucket of a build (and class, where classes are counted apart).
+        """Return the token bucket of a build, or of a build and request class where classes are limited separately.
 
-        One of many relays starts with a random part of an attempt: if hundreds each used the free number, they would
-        fill the canary's endpoints.
+        In a large fleet a bucket starts with a random fraction of a token: if hundreds of relays each used all their
+        uncounted attempts, they would overload the canary's endpoints.
         """
         key = (build, request_class if self._limits.by_class else None)
         bucket = self._buckets.get(key)
         if bucket is None:
-            tokens = self._rng.random() if self._many_relays else inf
-            depth = TOKEN_DEPTH if self._many_relays else inf
+            tokens = self._rng.random() if self._is_large_fleet else inf
+            depth = TOKEN_DEPTH if self._is_large_fleet else inf
             bucket = TokenBucket(self._limits.window, tokens, depth)
             self._buckets[key] = bucket
         return bucket
 
     def credit_request(self, request: Request, ready_by_build: dict[int, list[EndpointState]], now: Ticks) -> None:
-        """Credit each canary for a request received.
+        """Credit the budget of each canary with a request received.
 
-        The tokens earned are no more than the canary's share of endpoints, or its endpoints would fill up.
+        A request earns no more tokens than the ratio of the canary's endpoints to all others, so that the canary's
+        endpoints are not overloaded.
         """
         for build, endpoints in ready_by_build.items():
             if self.is_canary(build):
@@ -80,22 +86,22 @@
             self._recent_keys.record(request.key, now)
 
     def _bound_build(self, request: Request) -> int:
-        """Return the build that has answered the request's key, -1 for none; no earlier one may have it."""
+        """Return the build that the request's key is bound to, -1 if none; no earlier build may get the request."""
         return self._build_of_key.get(request.key or "", -1)
 
     def _is_guarded(self, build: int, request: Request) -> bool:
-        """Say whether a build's stage takes idempotent requests only, and this is none."""
+        """Return whether the build's stage admits idempotent requests only and the request is not idempotent."""
         stage = self.rollout.stage if self.rollout and build == self.rollout.build else 0
         guarded = stage < self._limits.guarded_stages
         return guarded and request.request_class.idempotency is not Idempotency.IDEMPOTENT
 
     def is_inadmissible(self, request: Request) -> bool:
-        """Say whether no build may have a request: its key is bound to a canary that may not take it."""
+        """Return whether no build may serve a request, because its key is bound to a canary whose stage excludes it."""
         bound = self._bound_build(request)
         return self.is_canary(bound) and self._is_guarded(bound, request)
 
     def allows(self, build: int, request: Request, now: Ticks) -> bool:
-        """Say whether a build may have one attempt of a request now."""
+        """Return whether a build may get an attempt of a request now."""
         bound = self._bound_build(request)
         if build < bound:
             return False
@@ -106,7 +112,8 @@
             return False
         needed = 1.0
         if self._limits.sticky_keys and request.key is not None and build != bound:
-            # Popular keys would use up the budget of requests that may go nowhere else: they come last.
+            # Only rarely used keys are newly bound. Each later request of a bound key must go to the canary, so
+            # popular keys would use up the budget that requests with bound keys depend on.
             needed = TOKENS_FOR_NEW_KEY
             rare_interval = 2 * self._limits.window * (1 - limit)
             if request.received_at - self._recent_keys.previous(request.key) < rare_interval:
@@ -115,12 +122,12 @@
         return min(self._limits.uncounted_attempts + bucket.minimum_balance(now), bucket.tokens) >= needed
 
     def charge(self, build: int, request: Request, now: Ticks) -> None:
-        """Count an attempt at a build."""
+        """Charge an attempt to the budget of a build, if it is a canary."""
         if self.is_canary(build):
             self._bucket(build, request.request_class).charge(now)
 
     def record_success(self, build: int, request: Request) -> None:
-        """Bind the key of a request that the newest build answered to that build."""
+        """Bind the key of a successful request to its build, if that is the newest build or a later one."""
         if not self._limits.sticky_keys or not request.key:
             return
         if self.rollout is None or build >= self.rollout.build:
--- a/lanelead/decisions/relay_parts.py
+++ b/lanelead/decisions/relay_parts.py
@@ -1,4 +1,4 @@
-"""What one relay's decisions are made of, joined, and the choices made once at its start."""
+"""Creates the parts of one relay's decisions, and makes the choices that are fixed when the relay starts."""
 
 from collections.abc import Sequence
 from random import Random
@@ -31,19 +31,19 @@
 from lanelead.decisions.rollout import RolloutPolicy
 from lanelead.decisions.zone_spillover import NO_ZONE_PREFERENCE, ZoneSpillover
 
-TRAFFIC_SPAN: Ticks = 4 * SECOND  # the time constant of sums of requests
-LOSS_SPAN: Ticks = 10 * SECOND  # the time constant of the sum of lost attempts
-SCORED_SPAN: Ticks = 5 * SECOND
-SCORE_DECAY_TIME: Ticks = 3 * SECOND
-MIN_WINDOW_OUTCOMES = 10
-MATURITY: Ticks = 5 * SECOND  # of an endpoint, from its listing, before its lateness counts
-REPORT_SPAN: Ticks = SECOND  # after which reports of in-flight attempts and latency are too old
-MAX_HEALTH_CHECK_COST = 0.1  # of a request's value, for the checks of one selection
-HEALTH_CHECKS_PER_SELECTION = 4  # two to four are sent
+TRAFFIC_SPAN: Ticks = 4 * SECOND  # the time constant of decaying sums of requests and attempts
+LOSS_SPAN: Ticks = 10 * SECOND  # the time constant of the decaying sum of lost attempts
+SCORED_SPAN: Ticks = 5 * SECOND  # the `span` of `BuildScoring`
+SCORE_DECAY_TIME: Ticks = 3 * SECOND  # the `decay_time` of `BuildScoring`
+MIN_WINDOW_OUTCOMES = 10  # the `min_outcomes` of `BuildScoring`
+MATURITY: Ticks = 5 * SECOND  # the time from an endpoint's listing until its late responses count
+REPORT_SPAN: Ticks = SECOND  # after which reports of attempts in flight and of latency expire
+MAX_HEALTH_CHECK_COST = 0.1  # of the health checks of one selection, as a share of a request's value
+HEALTH_CHECKS_PER_SELECTION = 4  # the maximum; two to four are sent
 
 
 class RelayOptions(TypedDict):
-    """What the decisions of one relay are made with."""
+    """The options that the decisions of one relay are created with."""
 
     position: RelayPosition
     request_classes: Sequence[RequestClass]
@@ -53,13 +53,13 @@
     canary_limits: CanaryLimits
     voting_rules: VotingRules
     prices: Prices
-    rng: Random  # the source of all random draws
-    now: Ticks
-    preference: NotRequired[ZonePreference]  # none: all zones are one
+    rng: Random  # the source of all randomness
+    now: Ticks  # the time at which the relay starts
+    preference: NotRequired[ZonePreference]  # without it, zones are not distinguished
 
 
 class RelayParts:
-    """The parts of one relay's decisions; subclasses add what is done with them."""
+    """Holds the parts of one relay's decisions; subclasses add the handling of events."""
 
     selector_type: type[EndpointSelector] = EndpointSelector
 
@@ -77,19 +77,19 @@
         self._rng = rng
         total_quota = sum(tenant.quota for tenant in options["tenants"])
         self.parameters = DecisionParameters(request_classes, total_quota, position.relay_count)
-        self._choose_gossip(position, options["voting_rules"], options["prices"])
+        self._configure_load_reporting(position, options["voting_rules"], options["prices"])
         self._endpoints = EndpointSet()
         self._traffic = RelayTraffic(TRAFFIC_SPAN)
-        self._rates = {request_class: DecayingSum(TRAFFIC_SPAN) for request_class in request_classes}
+        self._received_by_class = {request_class: DecayingSum(TRAFFIC_SPAN) for request_class in request_classes}
         self._on_time_counters = OnTimeCounters(TRAFFIC_SPAN)
         self._lost_attempts = DecayingSum(LOSS_SPAN)
         self._latency_estimator = LatencyEstimator(REPORT_SPAN, now)
         self._fleet_in_flight = FleetInFlight(REPORT_SPAN)
         self._observations = ObservationBuffer(len(Fault))
-        self._join_rollout(options)
-        self._join_selection(options)
+        self._create_rollout_parts(options)
+        self._create_selection_parts(options)
 
-    def _join_rollout(self, options: RelayOptions) -> None:
+    def _create_rollout_parts(self, options: RelayOptions) -> None:
         rng = options["rng"]
         self._exposure_budget = ExposureBudget(options["canary_limits"], self._is_large_fleet, rng)
         self._scoring = BuildScoring(
@@ -104,7 +104,7 @@
             rng=rng,
         )
 
-    def _join_selection(self, options: RelayOptions) -> None:
+    def _create_selection_parts(self, options: RelayOptions) -> None:
         quota = options["quota"]
         limits = options["limits"]
         rng = options["rng"]
@@ -134,11 +134,12 @@
             rng=rng,
         )
 
-    def _choose_gossip(self, position: RelayPosition, voting_rules: VotingRules, prices: Prices) -> None:
-        """Choose how this relay learns of load at other relays, and how often it updates.
+    def _configure_load_reporting(self, position: RelayPosition, voting_rules: VotingRules, prices: Prices) -> None:
+        """Choose how this relay learns of the load that other relays cause, and how often it updates.
 
-        One of many checks health before a selection where that is cheap; else relays send what they have in flight.
-        A watcher of a large fleet receives much gossip, and updates less often.
+        In a large fleet a relay checks endpoints' health before a selection if health checks are cheap enough; if not,
+        relays report their attempts in flight by gossip. A watcher of a large fleet receives much gossip and updates
+        less often.
         """
         quota = self._quota
         self._gossip_peers = GossipPeers(position, voting_rules.rollback_votes, self._rng)
@@ -148,7 +149,8 @@
         self._checks_health = self._is_large_fleet and health_checks_affordable
         self._reports_in_flight = self._is_large_fleet and quota.gossip and not self._checks_health
         self._saves_connections = self._reports_in_flight and prices.handshake > 0
-        self._max_loss_share = max(0.02, 2.5 * prices.handshake)  # of requests; beyond, idle connections close
+        # Lost attempts per request; above this share, idle connections are closed.
+        self._max_loss_share = max(0.02, 2.5 * prices.handshake)
         updates_per_second = 5
         if self._is_large_fleet and self._gossip_peers.is_watcher:
             updates_per_second = 2 if self._gossip_peers.watcher_count <= FULL_MESH_SIZE else 1
--- a/lanelead/decisions/request_routing.py
+++ b/lanelead/decisions/request_routing.py
@@ -1,4 +1,4 @@
-"""What happens to one request: selection, health checks, retries, hedging, and giving up."""
+"""The life of one request: endpoint selection, health checks, retries, hedging, and rejection or failure."""
 
 from collections.abc import Generator, Sequence
 from typing import Unpack
@@ -18,20 +18,22 @@
 from lanelead.decisions.relay_parts import TRAFFIC_SPAN, RelayOptions, RelayParts
 from lanelead.decisions.request_scheduling import RequestRoutine, RequestScheduler
 
-MAX_HEDGED_SHARE = 0.1  # hedged requests, of requests received
-MAX_LATENCY_SHARE = 0.75  # of the shortest objective, that the fleet's mean latency may be: attempts spread about it
+MAX_HEDGED_SHARE = 0.1  # hedged requests as a share of requests received
+# The target for the fleet's mean latency, as a share of the shortest latency objective. It is below 1 because single
+# latencies are spread around the mean.
+MAX_LATENCY_SHARE = 0.75
 
 
 class RequestRouter(RelayParts):
     """Routes requests to endpoints, and starts, hedges and cancels their attempts."""
 
     def __init__(self, **options: Unpack[RelayOptions]) -> None:
-        """Take the options of `RelayParts`."""
+        """Create the relay's parts and the scheduler of its requests."""
         super().__init__(**options)
         self._scheduler = RequestScheduler(self._start_attempt, lambda action: self.actions.append(action))
 
     def client_left(self, request: Request) -> None:
-        """End a request that has its final answer, or whose client left; cancel its attempts in flight."""
+        """End a request that has its final answer or whose client left, and cancel its attempts in flight."""
         if request.finished:
             return
         request.finished = True
@@ -42,9 +44,10 @@
                 self.actions.append(CancelAttempt(attempt))
 
     def _route(self, request: Request) -> RequestRoutine:
-        """Yield the endpoints to try, and until when to wait, until the request is answered or fails.
+        """Yield endpoints to try and times to wait until, as `RequestScheduler` expects, until the request ends.
 
-        It may wait for capacity for a sixth of its latency objective; requests of higher priority come first.
+        A request waits for capacity for at most a sixth of its latency objective after its arrival. Meanwhile waiting
+        requests of higher priority go first.
         """
         request_class = request.request_class
         hedge_at = request.received_at + request_class.latency_objective // 2
@@ -64,10 +67,10 @@
             else:
                 break
             yield from self._await_attempts(request, hedge_at)
-        self._give_up(request)
+        self._reject_or_fail(request)
 
     def _select_in_priority_order(self, request: Request, give_up_at: Ticks) -> list[EndpointState]:
-        """Select endpoints, unless the request may still wait and one of higher priority waits for capacity."""
+        """Select endpoints; return none if the request can still wait and one of higher priority waits for capacity."""
         if self.now < give_up_at:
             weight = request.request_class.priority_weight
             if any(other > weight for other in self._scheduler.waiting.values()):
@@ -75,7 +78,7 @@
         return self._select(request)
 
     def _await_attempts(self, request: Request, hedge_at: Ticks) -> RequestRoutine:
-        """Wait until no attempt is under way; once `hedge_at` has come, hedge at another endpoint."""
+        """Wait until no attempt is in flight; from `hedge_at` on, hedge the request at another endpoint."""
         while any(attempt.outcome is None for attempt in request.attempts):
             yield hedge_at if self.now < hedge_at and self._quota.hedging else request.deadline
             received = self._traffic.received
@@ -90,14 +93,21 @@
         return self._guards.permits(endpoint, request, self.now)
 
     def _select(self, request: Request, already_checked: Sequence[EndpointState] = ()) -> list[EndpointState]:
-        """Return up to two endpoints, the better first; the health of `already_checked` was checked in vain."""
+        """Return up to two endpoints, the better first.
+
+        `already_checked` are endpoints whose health checks for this request found no short enough wait.
+        """
         candidates = self._spillover.candidate_pools(self._endpoints.ready_by_build, request)
         return self._selector.select(candidates, request, self._rollout.canary_bias(), self.now, already_checked)
 
     def _check_health_first(
         self, request: Request, pair: list[EndpointState], until: Ticks
     ) -> Generator[Ticks, None, EndpointState | None]:
-        """Check the health of two endpoints, then of two others; return the first with a short queue, or None."""
+        """Check the health of two endpoints at a time; return the first with a short estimated wait.
+
+        Each pair gets half of the time up to `until` to respond before the next pair is checked. Return None if no
+        endpoint was found in time.
+        """
         already_checked = list[EndpointState]()
         began_at = self.now
         step = max(1, (until - self.now) // 2)
@@ -121,7 +131,7 @@
     def _shortest_wait(
         self, request: Request, already_checked: Sequence[EndpointState], began_at: Ticks
     ) -> EndpointState | None:
-        """Return the endpoint with the shortest wait among those that answered a health check since `began_at`."""
+        """Return the endpoint with the shortest estimated wait that responded to a health check after `began_at`."""
         answered = (
             endpoint
             for endpoint in already_checked
@@ -130,10 +140,11 @@
         return min(answered, key=lambda endpoint: endpoint.estimated_wait, default=None)
 
     def _is_shed_at_random(self, request: Request) -> bool:
-        """Say, by a random draw, whether a request is not to be attempted since too many would be late.
+        """Decide by a random draw whether to shed a request because too many requests would be late.
 
-        Where the fleet's latency is known, what is over is dropped from the classes of least priority. Elsewhere a
-        tenant's request class that is seldom in time is sent in part.
+        If the fleet's latency is known, the excess over `MAX_LATENCY_SHARE` is shed from the request classes of lowest
+        priority first. Otherwise a share of the requests is shed of each tenant and request class that is rarely on
+        time.
         """
         ended, on_time = self._on_time_counters[request.tenant, request.request_class]
         ended_count = ended.read(self.now)
@@ -142,18 +153,28 @@
         if latency is None:
             return self._rng.random() > 3 * (1 + on_time_count) / (1 + 2 * ended_count)
         excess = 1 - MAX_LATENCY_SHARE * self.parameters.shortest_objective / max(1, latency)
-        rates = {request_class: rate.read(self.now) for request_class, rate in self._rates.items()}
+        received_by_class = {
+            request_class: count.read(self.now) for request_class, count in self._received_by_class.items()
+        }
         weight = request.request_class.priority_weight
-        lower_rate = sum(rate for request_class, rate in rates.items() if request_class.priority_weight < weight)
-        return self._rng.random() * rates[request.request_class] < excess * sum(rates.values()) - lower_rate
+        lower_priority_count = sum(
+            count for request_class, count in received_by_class.items() if request_class.priority_weight < weight
+        )
+        return (
+            self._rng.random() * received_by_class[request.request_class]
+            < excess * sum(received_by_class.values()) - lower_priority_count
+        )
 
     def _has_few_observations(self) -> bool:
-        """Say whether this relay receives less than a request for each endpoint in a latency objective."""
+        """Return whether this relay must check health because its own attempts tell it too little about the endpoints.
+
+        That is so when it receives less than one request per endpoint in the longest latency objective.
+        """
         requests = self._traffic.received.read(self.now) * self.parameters.longest_objective / TRAFFIC_SPAN
         return self._checks_health and requests < len(self._endpoints.ready)
 
     def _start_attempt(self, request: Request, endpoint: EndpointState) -> None:
-        """Start an attempt if the guards still permit it."""
+        """Start an attempt at an endpoint if the guards still permit it."""
         if not self._permits(endpoint, request):
             return
         timeout = max(1, request.deadline - self.now)
@@ -165,10 +186,11 @@
         endpoint.slow_start_attempts.append(self.now)
         self.actions.append(StartAttempt(attempt))
 
-    def _give_up(self, request: Request) -> None:
-        """Fail a request that an endpoint may have executed; reject any other, with a time to retry after.
+    def _reject_or_fail(self, request: Request) -> None:
+        """Fail a request that an endpoint may have executed; reject any other with a time to retry after.
 
-        That time is spread, or all would come back at once, and grows with the part of requests rejected.
+        The time is randomized so that rejected clients do not all return at once, and grows with the share of requests
+        that are rejected.
         """
         received = self._traffic.received.read(self.now)
         overload = 0.5 + self._traffic.rejected.read(self.now) / max(1, received)
--- a/lanelead/decisions/request_scheduling.py
+++ b/lanelead/decisions/request_scheduling.py
@@ -1,7 +1,7 @@
-"""The requests under way, each a generator, and until when each waits. Nothing here decides.
+"""Runs one generator for each active request, and keeps the time until which each waits; makes no decisions.
 
-A routine yields an endpoint that it wants to try, or the time until which it waits. It is resumed with the attempt
-that ended, if one did.
+A request's routine yields either an endpoint to send an attempt to, or the time until which it waits. It is resumed
+with the attempt that ended, or None if it is resumed for another reason.
 """
 
 from __future__ import annotations
@@ -16,50 +16,52 @@
 
 
 class RequestScheduler:
-    """Resumes each request's routine when its time or one of its events has come."""
+    """Resumes the routines of requests when their timers fire or an event occurs that they wait for."""
 
-    def __init__(self, send: Callable[[Request, EndpointState], None], act: Callable[[Action], None]) -> None:
-        """`send` starts an attempt at an endpoint; `act` takes an action for the host."""
-        self._send = send
-        self._act = act
+    def __init__(
+        self, start_attempt: Callable[[Request, EndpointState], None], emit_action: Callable[[Action], None]
+    ) -> None:
+        """Create a scheduler; `start_attempt` starts an attempt at an endpoint, `emit_action` queues an action."""
+        self._start_attempt = start_attempt
+        self._emit_action = emit_action
         self._routines = dict[Request, RequestRoutine]()
         self._resume_at = dict[Request, Ticks]()
-        self.waiting: dict[Request, float] = {}  # requests that wait for capacity, with their priority weight
+        self.waiting: dict[Request, float] = {}  # requests that wait for capacity, with their priority weights
         self.awaiting_health_check: dict[Request, None] = {}
 
     def start(self, request: Request, routine: RequestRoutine) -> None:
-        """Begin a request's routine."""
+        """Start a request's routine."""
         self._routines[request] = routine
         self.resume(request)
 
     def highest_priority(self, count: int) -> list[Request]:
-        """Return the requests of highest priority that wait for capacity, `count` at most."""
+        """Return up to `count` requests that wait for capacity, those of highest priority first."""
         return sorted(self.waiting, key=lambda request: -self.waiting[request])[:count]
 
     def cancel_timer(self, request: Request) -> None:
-        """Let a request wait for its attempt alone from now on."""
+        """Drop a request's timer, so that only an event resumes it."""
         self._resume_at.pop(request, None)
 
     def is_due(self, request: Request, now: Ticks) -> bool:
-        """Say whether a request under way has waited long enough."""
+        """Return whether an unfinished request has waited until its time."""
         return not request.finished and self._resume_at.get(request, now + 1) <= now
 
     def resume(self, request: Request, attempt: Attempt | None = None) -> None:
-        """Run a request's routine until it waits; `attempt` is the one that ended, if one did."""
+        """Run a request's routine until it waits again; `attempt` is the attempt that ended, if any."""
         self._forget_waiting(request)
         try:
             wanted = self._routines[request].send(attempt)
             while isinstance(wanted, EndpointState):
-                self._send(request, wanted)
+                self._start_attempt(request, wanted)
                 wanted = next(self._routines[request])
         except StopIteration:
             return
         if wanted < request.deadline:
             self._resume_at[request] = wanted
-            self._act(SetTimer(wanted, request))
+            self._emit_action(SetTimer(wanted, request))
 
     def finish(self, request: Request) -> None:
-        """Forget a request."""
+        """Drop a request that has ended."""
         self._routines.pop(request, None)
         self._forget_waiting(request)
 
