--- a/lanelead/decisions/build_scoring.py
+++ b/lanelead/decisions/build_scoring.py
@@ -1,6 +1,7 @@
-"""Scores a canary build: z score against the earlier build x decay x percentile x weight of the fault.
+"""Scores a canary build by its faults, compared with the earlier builds' faults.
 
-The score is that of "Aegis" (docs/design.md names the paper, and says what was changed).
+The score of a kind of fault is z score x decay x percentile rank x weight, as in the paper "Aegis"; docs/design.md
+cites the paper and lists the differences.
 """
 
 from collections.abc import Iterable, Sequence
@@ -22,20 +23,23 @@
     z_score,
 )
 
-FULL_WINDOW_OUTCOMES = 200  # outcomes in the fullest window that a deviation is taken for
-MIN_Z_SCORE = 2  # a lower one is no anomaly
-MAX_ENDPOINT_SCORE = 6.0  # twice the margin for a rollback
+FULL_WINDOW_OUTCOMES = 200  # the most outcomes that a standard deviation is computed for
+MIN_Z_SCORE = 2  # up to this value a deviation is not an anomaly
+MAX_ENDPOINT_SCORE = 6.0  # twice the margin for a rollback (`ROLLBACK_MARGIN`)
 
 
 class Fault(Enum):
-    """Kinds of fault; the value is the weight, by how much such a fault is the build's own doing."""
+    """Kinds of fault; the value is the weight in the score, higher where the build is more likely the cause.
 
-    ERROR = 10.0  # what a build does wrong whatever its endpoint's load
-    WRONG_ANSWER = 10.1  # as a client reported
-    LATE = 1.0  # a build's doing, or a noisy neighbour's, or the load's
-    TIMED_OUT = 1.01  # the same, or a connection that was dropped unseen
-    UNAVAILABLE = 0.01  # rejected, unreachable, reset: hardly ever the build's doing
-    __hash__ = object.__hash__  # fast: faults are looked up for every outcome
+    The values must differ, since members with equal values would be aliases.
+    """
+
+    ERROR = 10.0  # an error response, which an endpoint's load does not cause
+    WRONG_ANSWER = 10.1  # a wrong answer, as reported by a client
+    LATE = 1.0  # over the latency objective, caused by the build, a noisy neighbour or load
+    TIMED_OUT = 1.01  # as for `LATE`, or a connection that was dropped without notice
+    UNAVAILABLE = 0.01  # rejected, unreachable or reset, hardly ever caused by the build
+    __hash__ = object.__hash__  # faster than Enum's own; faults are looked up for every outcome
 
 
 FAULT_OF_OUTCOME = {
@@ -45,33 +49,34 @@
     AttemptOutcome.TIMED_OUT: Fault.TIMED_OUT,
     AttemptOutcome.ERROR: Fault.ERROR,
 }
-FAILURE_WEIGHTS = {  # of an outcome, for the ejection of its endpoint
+FAILURE_WEIGHTS = {  # how much an outcome counts towards the ejection of its endpoint
     AttemptOutcome.CONNECT_FAILED: 2.0,
     AttemptOutcome.RESET: 1.0,
     AttemptOutcome.ERROR: 1.0,
     AttemptOutcome.TIMED_OUT: 1.0,
 }
-BUILD_FAULTS = (Fault.ERROR, Fault.WRONG_ANSWER)  # whatever the load
+BUILD_FAULTS = (Fault.ERROR, Fault.WRONG_ANSWER)  # faults that load does not cause
 NO_RESPONSE = (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET)
 EndpointWindow: TypeAlias = OutcomeWindow[EndpointState, Fault]
 
 
 @dataclass(slots=True, frozen=True)
 class CanaryScore:
-    """How badly a canary does."""
+    """The score of a canary; higher is worse."""
 
-    margin: float  # its score above the earlier builds', as endpoints and as a whole
+    margin: float  # excess over the earlier builds' score, by endpoint and for the build as a whole
     mean: float  # the mean score of its endpoints
 
 
 class BuildScoring:
-    """Keeps outcomes by endpoint, and scores the canary against the earlier builds."""
+    """Records outcomes by endpoint, and scores the canary against the earlier builds."""
 
     def __init__(self, *, span: Ticks, decay_time: Ticks, min_outcomes: int, maturity: Ticks) -> None:
-        """Start with no outcomes.
+        """Create scoring without any outcomes.
 
-        `span` is the stretch that is scored; a score halves when `decay_time` has passed since the change. Windows
-        are merged until they hold `min_outcomes`. Lateness counts once an endpoint was listed for `maturity`.
+        `span` is the time over which outcomes are scored. A score is halved once `decay_time` has passed since the
+        change (the start of an endpoint or stage). Windows are merged until they hold `min_outcomes`. Faults that load
+        can cause count only once an endpoint has been listed for `maturity`.
         """
         self._span = span
         self._decay_time = decay_time
@@ -79,12 +84,12 @@
         self._maturity = maturity
         self.history = OutcomeHistory[EndpointState, Fault](4 * span)
         self._baseline = dict[RequestClass | None, EndpointWindow]()
-        self._canary = 0  # its build
+        self._canary = 0  # the canary's build number
         self.stage_start: Ticks = 0
-        self.stage_outcomes = 0  # outcomes of the stage at the canary
+        self.stage_outcomes = 0  # outcomes at the canary in this stage
 
     def start_stage(self, canary: int, start: Ticks) -> None:
-        """Begin a stage of a canary build; the earlier build's last outcomes become the baseline."""
+        """Begin a stage of a canary build; the earlier builds' latest outcomes become the baseline."""
         self._canary = canary
         self.stage_start = start
         self.stage_outcomes = 0
@@ -94,7 +99,11 @@
     def record(
         self, endpoint: EndpointState, request_class: RequestClass, faults: dict[Fault, int], now: Ticks, outcomes: int
     ) -> None:
-        """Count outcomes; a warming endpoint is late, but never wrong, so only its lateness goes unscored."""
+        """Count outcomes at an endpoint.
+
+        A newly listed endpoint is still warming up, which makes it slow but causes no errors, so until `maturity` only
+        its `BUILD_FAULTS` are scored.
+        """
         mature = now - endpoint.listed_at >= self._maturity
         scored = {fault: count for fault, count in faults.items() if mature or fault in BUILD_FAULTS}
         self.history.add(endpoint, request_class, outcomes, scored, now)
@@ -113,10 +122,14 @@
         age: Ticks,
         shares: Sequence[float],
     ) -> float:
-        """Return the score of a kind of fault; `age` is the time since the change, `shares` those to rank among."""
+        """Return the score of a kind of fault.
+
+        `age` is the time since the change; `shares` are the sorted fault shares among which this one is ranked.
+        """
         if baseline is None or not baseline.outcomes or not outcomes:
             return 0.0
-        # Errors apart, one more fault than was seen: beside a small baseline without any, a few would look like many.
+        # Except for errors, one fault is added to the baseline: against a small baseline without faults, a few faults
+        # would look like a large deviation.
         baseline_faults = baseline.faults.get(fault, 0) + (fault is not Fault.ERROR)
         mean = baseline_faults / (baseline.outcomes + 1)
         z = z_score(faults, outcomes, mean, FULL_WINDOW_OUTCOMES)
@@ -126,7 +139,7 @@
         return z * decay * percentile_rank(faults / outcomes, shares) * fault.value
 
     def score(self, endpoints: Sequence[EndpointState], now: Ticks, span: Ticks = 0) -> CanaryScore:
-        """Score the canary's endpoints against the earlier builds', over the last `span` (0: the usual one)."""
+        """Score the canary's endpoints against those of earlier builds, over the last `span` (0 for the default)."""
         scores = dict.fromkeys(endpoints, 0.0)
         recent = self.history.since(now - (span or self._span))
         current = (window for window in recent if window.endpoint in scores and window.build == window.endpoint.build)
@@ -144,15 +157,16 @@
                 scores[window.endpoint] += self._score(count, window.outcomes, fault, class_baseline, age, class_shares)
         canary = [score for endpoint, score in scores.items() if endpoint.build == self._canary]
         earlier = [score for endpoint, score in scores.items() if endpoint.build < self._canary]
-        # One degraded endpoint must not dominate the mean.
+        # Scores are capped so that one degraded endpoint does not dominate the mean.
         mean = sum(min(score, MAX_ENDPOINT_SCORE) for score in canary) / max(1, len(canary))
         margin = mean - sum(earlier) / max(1, len(earlier)) + self._score_as_whole(merged, baseline.get(None), now)
         return CanaryScore(margin, mean)
 
     def _score_as_whole(self, windows: list[EndpointWindow], baseline: EndpointWindow | None, now: Ticks) -> float:
-        """Return the margin of the builds as wholes: it shows faults that are too few at any one endpoint.
+        """Return the margin between the canary as a whole and the earlier builds as a whole.
 
-        With no earlier endpoint left to compare with, lateness is as likely the load's doing, and not scored.
+        It shows faults that are too few at each single endpoint. Without any endpoint of an earlier build to compare
+        with, lateness may as well be caused by load, so only `BUILD_FAULTS` are scored.
         """
         total = 0.0
         has_earlier = any(window.build < self._canary for window in windows)
@@ -173,9 +187,9 @@
         return total
 
     def late_counts(self, now: Ticks, min_build: int = 0) -> tuple[int, int]:
-        """Return late responses and outcomes of the last span, with the worst quarter of endpoints winsorized.
+        """Return late outcomes and all outcomes of ready endpoints in the last span, the worst quarter winsorized.
 
-        With `min_build`, only of builds from that one on, and only of windows that were mature.
+        With `min_build`, only that build and later ones count, and only windows in which the endpoint was mature.
         """
         recent = (
             window for window in self.history.since(now - self._span) if window.endpoint.status is EndpointStatus.READY
--- a/lanelead/decisions/gossip.py
+++ b/lanelead/decisions/gossip.py
@@ -1,22 +1,23 @@
-"""Which relay sends gossip to which: outcomes that relays saw, and attempts that they have in flight."""
+"""Decides which relay sends gossip to which: observed outcomes, and counts of attempts in flight."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
 
 from lanelead.decisions.interface import GossipEntry, RelayPosition, SendGossip
 
-FULL_MESH_SIZE = 8  # relays that all send to each other, at most
-AGGREGATORS = FULL_MESH_SIZE // 2  # in a larger fleet
-TOTALS_EVERY = 4  # intervals in which an aggregator sends its totals to every relay once
+FULL_MESH_SIZE = 8  # the largest fleet of relays in which each sends to all others
+AGGREGATORS = FULL_MESH_SIZE // 2  # number of aggregators in a larger fleet
+TOTALS_EVERY = 4  # intervals in which an aggregator sends its totals once to every relay
 
 
 class GossipPeers:
     """The relays that one relay sends gossip to.
 
-    In a small fleet all send to all. In a larger one the first relays are aggregators: a relay sends what it saw to
-    one of them, drawn at random, which sends it to the watchers (as many as can roll a build back); it sends what it
-    has in flight to all of them, and each sends the totals to every relay in turn. Guards against traffic that grows
-    with the square of the relays, and against a lost aggregator.
+    In a small fleet every relay sends to every other. In a larger one such traffic would grow with the square of the
+    number of relays, so the first relays are aggregators. A relay sends the outcomes that it observed to one aggregator
+    chosen at random, which forwards them to the watchers: the first relays, a quarter more than the votes that a
+    rollback takes, and at least all aggregators. A relay sends its counts of attempts in flight to all aggregators, so
+    that the loss of one is tolerated, and each aggregator sends the totals to every relay in turn.
     """
 
     def __init__(self, position: RelayPosition, rollback_votes: int, rng: Random) -> None:
@@ -25,19 +26,22 @@
         self._relays = relays
         self._rng = rng
         self._aggregators = relays if relays <= FULL_MESH_SIZE else AGGREGATORS
-        self._intervals = position.number  # messages() calls so far, each relay's from a start of its own
+        self._intervals = position.number  # calls of messages(), starting at a different number in each relay
         self.watcher_count = min(relays, max(self._aggregators, rollback_votes * 5 // 4))
         self.is_aggregator = position.number < self._aggregators
         self.is_watcher = position.number < self.watcher_count
 
     def forwards_from(self, sender: int) -> bool:
-        """Say whether this relay forwards the outcomes that a sender reports."""
+        """Return whether this relay, as an aggregator, forwards the outcomes that a sender reports."""
         return self.is_aggregator and sender >= self._aggregators
 
     def messages(
         self, observed: Sequence[GossipEntry], in_flight: Sequence[GossipEntry], totals: Sequence[GossipEntry]
     ) -> Iterable[SendGossip]:
-        """Yield this interval's messages; `totals` are an aggregator's sums over all relays."""
+        """Yield the messages of one update interval.
+
+        `observed` and `in_flight` are the relay's own entries; `totals` are an aggregator's sums over all relays.
+        """
         self._intervals += 1
         both = [*observed, *in_flight]
         addressed: list[tuple[int, Sequence[GossipEntry]]]
--- a/lanelead/decisions/outcome_windows.py
+++ b/lanelead/decisions/outcome_windows.py
@@ -1,6 +1,6 @@
-"""Outcomes of attempts by endpoint, request class and second, and the statistics over them. Nothing decides.
+"""Outcomes of attempts by endpoint, request class and second, with statistics over them; makes no decisions.
 
-`EndpointT` is an endpoint and `FaultT` the kinds of fault that are counted (an enumeration).
+`EndpointT` is the type of endpoint, `FaultT` the enumeration of the kinds of fault that are counted.
 """
 
 from __future__ import annotations
@@ -21,10 +21,11 @@
 
 
 def z_score(faults: int, outcomes: int, mean: float, max_outcomes: int) -> float:
-    """Return how many standard deviations the share of faults lies above a mean share.
+    """Return by how many standard deviations the share of faults exceeds a mean share.
 
-    The deviation is the binomial one of a window with as many outcomes, `max_outcomes` at most, and never less
-    than one outcome's share: earlier windows hold too few outcomes to measure it, pooled ones far too many.
+    The standard deviation is the binomial one for the window's outcomes, at most `max_outcomes`, and at least the share
+    of one outcome. It is not measured from earlier windows: single ones hold too few outcomes for that, and pooled ones
+    far too many.
     """
     counted = min(outcomes, max_outcomes)
     deviation = max(sqrt(mean * max(0.0, 1 - mean) / counted), 1 / counted)
@@ -32,13 +33,13 @@
 
 
 def percentile_rank(value: float, ordered: Sequence[float]) -> float:
-    """Return the part (0 to 1) of values in rising order that a value exceeds, equal ones counted half."""
+    """Return the share (0 to 1) of ascending values that a value exceeds; equal values count half."""
     return (bisect_left(ordered, value) + bisect_right(ordered, value)) / 2 / max(1, len(ordered))
 
 
 @dataclass(slots=True, eq=False)
 class OutcomeWindow(Generic[EndpointT, FaultT]):
-    """The outcomes of one request class at one endpoint in a second, or in several that are counted together."""
+    """The outcomes of one request class at one endpoint in one second, or in several merged seconds."""
 
     endpoint: EndpointT
     request_class: RequestClass
@@ -48,24 +49,24 @@
     faults: dict[FaultT, int] = field(default_factory=dict)
 
     def add(self, outcomes: int, faults: Mapping[FaultT, int]) -> None:
-        """Add outcomes, and how many of them were faults of each kind."""
+        """Add outcomes, given with the number of faults of each kind among them."""
         self.outcomes += outcomes
         for fault, count in faults.items():
             self.faults[fault] = self.faults.get(fault, 0) + count
 
 
 class OutcomeHistory(Generic[EndpointT, FaultT]):
-    """The outcomes of each request class at each endpoint by the second, of the last `span`."""
+    """The outcomes of the last `span`, in windows of one second by endpoint and request class."""
 
     def __init__(self, span: Ticks) -> None:
         self._span = span
-        self.windows: deque[OutcomeWindow[EndpointT, FaultT]] = deque()  # the oldest first
+        self.windows: deque[OutcomeWindow[EndpointT, FaultT]] = deque()  # oldest first
         self._open: dict[tuple[EndpointT, RequestClass], OutcomeWindow[EndpointT, FaultT]] = {}
 
     def add(
         self, endpoint: EndpointT, request_class: RequestClass, outcomes: int, faults: Mapping[FaultT, int], now: Ticks
     ) -> None:
-        """Count outcomes in the window of the current second, and drop windows that are too old."""
+        """Add outcomes to the window of the current second, and drop windows older than the span."""
         window = self._open.get((endpoint, request_class))
         second = now - now % SECOND
         if window is None or window.start != second or window.build != endpoint.build:
@@ -75,19 +76,22 @@
         window.add(outcomes, faults)
         while self.windows[0].start < now - self._span:
             oldest = self.windows.popleft()
-            # An endpoint that is gone gets no later window: without this its last one would be kept for good.
+            # A removed endpoint gets no further window, so its last one would otherwise be kept forever.
             if self._open[oldest.endpoint, oldest.request_class] is oldest:
                 del self._open[oldest.endpoint, oldest.request_class]
 
     def since(self, start: Ticks) -> Iterator[OutcomeWindow[EndpointT, FaultT]]:
-        """Return the windows that began at `start` or later, the newest first."""
+        """Return the windows that began at `start` or later, newest first."""
         return takewhile(lambda window: window.start >= start, reversed(self.windows))
 
 
 def merge_to_minimum(
     windows: Iterable[OutcomeWindow[EndpointT, FaultT]], min_outcomes: int
 ) -> list[OutcomeWindow[EndpointT, FaultT]]:
-    """Merge windows, by endpoint and request class, into as few as hold `min_outcomes` each; empty ones go."""
+    """Merge windows of the same endpoint and request class until each holds `min_outcomes`; drop empty windows.
+
+    The last merged window of an endpoint and request class may hold fewer.
+    """
     merged_by_key: dict[tuple[EndpointT, RequestClass], list[OutcomeWindow[EndpointT, FaultT]]] = {}
     for window in windows:
         merged = merged_by_key.setdefault((window.endpoint, window.request_class), [])
@@ -100,7 +104,7 @@
 def fault_shares(
     windows: Sequence[OutcomeWindow[EndpointT, FaultT]],
 ) -> dict[tuple[RequestClass, FaultT], list[float]]:
-    """Return, for each kind of fault seen in a request class, its share of each window of the class, rising."""
+    """Return the ascending shares of each kind of fault in all windows of each request class in which it occurs."""
     seen = {(window.request_class, fault): None for window in windows for fault in window.faults}
     return {
         (request_class, fault): sorted(
@@ -113,7 +117,7 @@
 def pool_by_class(
     windows: Iterable[OutcomeWindow[EndpointT, FaultT]],
 ) -> dict[RequestClass | None, OutcomeWindow[EndpointT, FaultT]]:
-    """Pool windows into one of each request class, and (key None) one of all classes."""
+    """Pool windows into one per request class and one over all classes, under the key None."""
     pooled: dict[RequestClass | None, OutcomeWindow[EndpointT, FaultT]] = {}
     for window in windows:
         for request_class in (window.request_class, None):
@@ -126,7 +130,7 @@
 def count_faults(
     windows: Iterable[OutcomeWindow[EndpointT, FaultT]], fault: FaultT
 ) -> dict[EndpointT, tuple[int, int]]:
-    """Return, by endpoint, the faults of a kind and the outcomes."""
+    """Return the number of faults of one kind and of all outcomes, by endpoint."""
     counts: dict[EndpointT, tuple[int, int]] = {}
     for window in windows:
         faults, outcomes = counts.get(window.endpoint, (0, 0))
@@ -137,7 +141,7 @@
 def winsorized_totals(counts: Mapping[EndpointT, tuple[int, int]], kept: int) -> tuple[int, int]:
     """Return faults and outcomes over all endpoints, with the highest shares of faults winsorized.
 
-    `kept` is the rank (from 1, in rising order) of the share that higher ones are cut to; with 0, none counts.
+    Shares above the one of rank `kept` (from 1, in ascending order) are reduced to it; with `kept` 0, no fault counts.
     """
     shares = sorted(faults / outcomes for faults, outcomes in counts.values())
     highest = shares[kept - 1] if kept else 0.0
--- a/lanelead/decisions/rollout_votes.py
+++ b/lanelead/decisions/rollout_votes.py
@@ -1,4 +1,4 @@
-"""One relay's vote on a canary: which verdict, and when to cast it or cast it again."""
+"""One relay's vote on a canary: which verdict to vote for, and when to cast or repeat the vote."""
 
 from dataclasses import dataclass
 from random import Random
@@ -15,33 +15,34 @@
     VotingRules,
 )
 
-ROLLBACK_MARGIN = 3  # a score margin above which a build is rolled back, or held under a timer
+ROLLBACK_MARGIN = 3  # the score margin above which a build is rolled back, and the recent score above which it is held
 
 
 @dataclass(slots=True, frozen=True)
 class CanaryAssessment:
-    """What one relay makes of a canary now."""
+    """One relay's current assessment of a canary."""
 
-    is_mature: bool  # it was watched for long enough to be promoted
-    score_margin: float
-    recent_score: float  # the mean score of its endpoints over the last seconds
+    is_mature: bool  # it was observed for long enough to be promoted
+    score_margin: float  # its score above the earlier builds'
+    recent_score: float  # the mean score of its endpoints over `RECENT_SPAN`; 0 if the rules have no hold votes
     is_fleet_slowing: bool
 
 
 class VoteCaster:
-    """Chooses this relay's verdict, and says when it is to be cast."""
+    """Chooses this relay's verdict on a canary and decides when to cast the vote."""
 
     def __init__(self, voting_rules: VotingRules, rng: Random) -> None:
         self._rules = voting_rules
         self._rng = rng
         self._last_vote: CastVote | None = None
-        self._recast_at: Ticks = 0  # when the same vote must be cast again, before it lapses
-        self._no_vote_until: Ticks = 0
+        self._recast_at: Ticks = 0  # when to repeat the last vote, before it lapses
+        self._no_vote_until: Ticks = 0  # while an answer is awaited, or a failed vote waits to be repeated
 
     def vote_answered(self, rollout: RolloutState, now: Ticks) -> None:
-        """Take over the answer to a vote, if this state is one.
+        """Handle a rollout state that answers a vote; ignore any other.
 
-        A vote that failed may be lost: it is cast again after a random time, since all relays may have lost theirs.
+        A failed vote may be lost and is cast again, after a random time because all relays may have lost their votes at
+        once.
         """
         if not rollout.answers_vote:
             return
@@ -52,9 +53,10 @@
             self._no_vote_until = now + int(self._rules.vote_timeout * self._rng.uniform(0.1, 0.5))
 
     def should_cast(self, vote: CastVote, now: Ticks) -> bool:
-        """Say whether to cast a vote now, and if so take it for cast.
+        """Return whether to cast a vote now, and if so record it as cast.
 
-        A vote is due when it is new or the same one is about to lapse; a new one for a rollback does not wait.
+        A vote is due if it differs from the last one or if the last one is about to lapse. It waits for the answer to
+        the last vote, except for a new vote to roll back.
         """
         is_new = vote != self._last_vote
         due_at = self._no_vote_until if is_new else max(self._no_vote_until, self._recast_at)
@@ -66,7 +68,11 @@
         return True
 
     def choose_verdict(self, rollout: RolloutState, assessment: CanaryAssessment) -> Verdict | None:
-        """Return the verdict on a canary, or on a build just promoted; None for no vote."""
+        """Return the verdict on a canary or on a promoted build, or None for no vote.
+
+        Only a rollback is voted on a promoted build. Under promotion by timer the relay votes to hold, and abstains to
+        withdraw an earlier vote.
+        """
         is_canary = rollout.phase is RolloutPhase.CANARY
         if is_canary or rollout.phase is RolloutPhase.PROMOTED:
             fleet_slowed = assessment.is_fleet_slowing and assessment.is_mature
