--- a/lanelead/decisions/__init__.py
+++ b/lanelead/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a relay, without I/O: `balancer` joins them, `interface` has what a host exchanges with them."""
+"""The decisions of a relay, without I/O: `balancer` is the entry point, `interface` the types shared with the host."""
--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -1,8 +1,8 @@
-"""What the decisions of a relay and their host exchange: types only, no decisions.
+"""The interface between the decisions of a relay and their host; it contains types only.
 
-The host calls the methods of `Decisions` as events happen, and carries out the actions that they leave behind.
-Times are whole tenths of a millisecond (`Ticks`). Objects refer to each other; a host keeps its own table from the
-ids that it receives to these objects.
+The host calls the methods of `Decisions` as events occur, and carries out the actions that they append to `actions`.
+Times are whole tenths of a millisecond (`Ticks`). Objects refer to each other directly; a host keeps its own table from
+received ids to these objects.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from lanelead.decisions.parameters import VotingRules as VotingRules
 from lanelead.decisions.parameters import ZonePreference as ZonePreference
 
-MAX_IN_FLIGHT_COUNTS = 83  # entries of in-flight counts that one message between relays holds, at most
+MAX_IN_FLIGHT_COUNTS = 83  # the most in-flight counts in one gossip message
 
 
 class AttemptOutcome(Enum):
@@ -36,16 +36,16 @@
 
     SUCCEEDED = "succeeded"
     ERROR = "error"  # the endpoint executed it and failed
-    REJECTED = "rejected"  # by the endpoint, before it executed anything
+    REJECTED = "rejected"  # by the endpoint, before execution
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
-    RESET = "reset"  # the connection ended before the response did
+    RESET = "reset"  # the connection closed before the response was complete
     CANCELLED = "cancelled"  # by this relay
-    NOT_SENT = "not sent"  # no byte left this relay
+    NOT_SENT = "not sent"  # this relay sent no byte of it
 
 
 class EndpointStatus(Enum):
-    """Whether an endpoint may get new attempts: only while it is ready."""
+    """The status of an endpoint; only ready endpoints get new attempts."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -53,7 +53,7 @@
 
 
 class RolloutPhase(Enum):
-    """Where the newest build stands."""
+    """The phase of the newest build's rollout."""
 
     CANARY = 0
     ROLLING_BACK = 1
@@ -62,7 +62,7 @@
 
 
 class Verdict(Enum):
-    """What a relay votes on a canary; abstaining takes back a vote to hold."""
+    """A relay's vote on a canary; abstaining withdraws an earlier vote to hold."""
 
     ABSTAIN = 0
     PROMOTE = 1
@@ -71,12 +71,12 @@
 
 
 class UpdateScope(Enum):
-    """How much of the fleet an update of the endpoint list covers."""
+    """Which endpoints an update of the endpoint list covers."""
 
     DELTA = "changes"  # only the endpoints that changed
     SNAPSHOT = "full"  # all endpoints; what it does not name is removed
-    CACHED = "cached"  # all endpoints, from an earlier run of this relay
-    FAILED = "failed"  # a poll or subscription failed; the earlier list stays
+    CACHED = "cached"  # all endpoints, as stored by an earlier run of this relay
+    FAILED = "failed"  # a poll or subscription failed; the previous list stays valid
 
 
 # Endpoints, requests and reports
@@ -88,19 +88,19 @@
     __slots__ = ("build", "capacity", "cell", "kind", "long_id", "short_id", "started_at", "status", "zone")
 
     def __init__(self, short_id: int) -> None:
-        """Start with an endpoint that no list has described yet."""
+        """Create an endpoint that the endpoint list has not described yet."""
         self.short_id = short_id  # the same number at every relay, for messages between relays
-        self.long_id = 0  # the host's: what identifies it where others share its short id; 0: none does
+        self.long_id = 0  # set by the host to tell endpoints with the same short id apart; 0 if unique
         self.zone = ""
         self.cell = 0
         self.kind = ""
-        self.started_at: Ticks = 0  # 0: long ago
+        self.started_at: Ticks = 0  # 0 if long ago
         self.build = 0
-        self.capacity = 1.0  # relative to the others
+        self.capacity = 1.0  # relative to other endpoints
         self.status = EndpointStatus.REMOVED
 
     def update(self, record: EndpointRecord) -> None:
-        """Take over what the endpoint list says."""
+        """Apply a record of the endpoint list."""
         self.zone = record.zone
         self.cell = record.cell
         self.kind = record.kind
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
-    """One entry of the endpoint list: an endpoint, and what is said of it."""
+    """One entry of the endpoint list: an endpoint and its properties."""
 
     endpoint: Endpoint
     zone: str
@@ -133,8 +133,8 @@
     key: str | None  # the idempotency key
     received_at: Ticks
     deadline: Ticks  # when the client stops waiting
-    hint: Ticks | None = None  # the expected work, as time on a standard core, if known
-    is_retry: bool = False  # the client says that this repeats an earlier request
+    hint: Ticks | None = None  # the expected work as time on a standard core, None if unknown
+    is_retry: bool = False  # the client marks it as a repeat of an earlier request
     is_write: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     finished: bool = False
@@ -142,33 +142,33 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at an endpoint."""
+    """One attempt to serve a request at an endpoint."""
 
     request: Request
     endpoint: Endpoint
-    number: int  # from 0, among the attempts of its request
+    number: int  # counts the attempts of the request from 0
     sent_at: Ticks
-    timeout: Ticks  # from `sent_at` on
+    timeout: Ticks  # counted from `sent_at`
     outcome: AttemptOutcome | None = None  # None while it is in flight
     streaming: bool = False  # the response has begun to reach the client
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutState:
-    """Where the newest build stands; where it answers a vote that did not succeed, only `outcome` counts."""
+    """The state of the newest build's rollout; if it answers a vote that failed, only `outcome` is valid."""
 
     build: int
     stage: int
     phase: RolloutPhase
     exposure_limit: float  # the share (0 to 1) of requests that the canary may get
-    age: Ticks  # how long it has stood there
-    answers_vote: bool
-    outcome: AttemptOutcome
+    age: Ticks  # the time since the current stage or phase began
+    answers_vote: bool  # it answers this relay's vote
+    outcome: AttemptOutcome  # of the vote, if it answers one
 
 
 @dataclass(slots=True, frozen=True)
 class OutcomeTally:
-    """What the platform counted of a build and request class; decisions may use it or not."""
+    """The platform's own counts for a build and request class; decisions may ignore it."""
 
     build: int
     request_class: RequestClass
@@ -180,7 +180,7 @@
 
 @dataclass(slots=True)
 class OutcomeObservation:
-    """Outcomes at an endpoint that one relay reports to another, and how many were faults of each kind."""
+    """Outcomes at an endpoint that one relay reports to another, with the number of faults of each kind."""
 
     endpoint: Endpoint
     request_class: RequestClass
@@ -191,7 +191,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlightCount:
-    """Attempts in flight at an endpoint: those of the relay that reports, or of all relays."""
+    """The number of attempts in flight at an endpoint, from the reporting relay or from all relays."""
 
     endpoint: Endpoint
     attempts: int
@@ -199,26 +199,26 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlightBound:
-    """Some counts were left out or not understood: no endpoint without a count has more attempts in flight."""
+    """An upper bound of attempts in flight at endpoints whose counts were omitted or could not be decoded."""
 
     attempts: int
 
 
 @dataclass(slots=True, frozen=True)
 class FleetLatency:
-    """The recent mean latency over the whole fleet: attempts in flight over the rate of responses (Little's law)."""
+    """The recent mean latency over the whole fleet, by Little's law: attempts in flight over the rate of responses."""
 
     latency: Ticks
 
 
 @dataclass(slots=True, frozen=True)
 class CompletionCount:
-    """How many responses the reporting relay got in the last second."""
+    """The number of responses that the reporting relay received in the last second."""
 
     count: int
 
 
-# All that a sender has in flight: what it reported before holds no more.
+# A message with such entries replaces all counts that its sender reported before.
 InFlightEntry = InFlightCount | InFlightBound
 GossipEntry = OutcomeObservation | InFlightEntry | FleetLatency | CompletionCount
 
@@ -235,14 +235,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel an attempt whose response nobody needs."""
+    """Cancel an attempt whose response is no longer needed."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Reject a request that no endpoint executed; its client may retry after `retry_after` ticks."""
+    """Reject a request that no endpoint executed; the client may retry after `retry_after` ticks."""
 
     request: Request
     retry_after: Ticks
@@ -257,7 +257,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Call `timer_fired` at a time, for a request, or with None for the relay itself."""
+    """Call `timer_fired` at time `at` with the request, or with None for the relay's periodic update."""
 
     at: Ticks
     request: Request | None
@@ -265,14 +265,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Send a health check to an endpoint, and report its outcome by `health_checked`."""
+    """Send a health check to an endpoint, and report its outcome with `health_checked`."""
 
     endpoint: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close the connections to an endpoint that no attempt uses."""
+    """Close all idle connections to an endpoint."""
 
     endpoint: Endpoint
 
@@ -287,7 +287,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CastVote:
-    """Cast this relay's vote on a stage of a build; the answer comes by `rollout_updated`."""
+    """Cast this relay's vote on a stage of a build; report the answer with `rollout_updated`."""
 
     build: int
     stage: int
@@ -303,7 +303,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PollEndpoints:
-    """Ask for the endpoint list once."""
+    """Request the endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -327,13 +327,13 @@
     | PollEndpoints
     | LogEvent
 )
-LoadReport = dict[str, float]  # what an endpoint reports of its load, by name
+LoadReport = dict[str, float]  # load figures that an endpoint reports, by name
 
 
 class Decisions(Protocol):
-    """What a host calls, with `now` set before each call.
+    """The methods that a host calls, after it has set `now`.
 
-    After each call the host carries out `actions` in order, and empties the list.
+    After each call the host carries out `actions` in order and clears the list.
     """
 
     now: Ticks
@@ -341,41 +341,41 @@
     parameters: DecisionParameters
 
     def new_endpoint(self, short_id: int) -> Endpoint:
-        """Return the object for an endpoint that the host has met for the first time."""
+        """Return the object for an endpoint that is new to the host."""
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        """Take over an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
 
     def request_received(self, request: Request) -> None:
-        """Begin a request."""
+        """Start to route a new request."""
 
     def response_started(self, attempt: Attempt) -> None:
-        """Note that the response to an attempt has begun to reach the client."""
+        """Handle the start of an attempt's response to the client."""
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, elapsed: Ticks, report: LoadReport | None
     ) -> None:
-        """Note an attempt's end after `elapsed` ticks; `closed`: its request has its final answer by that."""
+        """Handle the end of an attempt after `elapsed` ticks; `closed` tells that its request has its final answer."""
 
     def client_left(self, request: Request) -> None:
-        """End a request whose client no longer waits."""
+        """End a request whose client no longer waits for the answer."""
 
     def timer_fired(self, request: Request | None) -> None:
-        """Note that the time of a `SetTimer` has come."""
+        """Handle a timer that was set by `SetTimer`."""
 
     def rollout_updated(self, rollout: RolloutState) -> None:
-        """Take over where the newest build stands."""
+        """Apply the state of the newest build's rollout."""
 
     def gossip_received(self, peer: int, entries: Sequence[GossipEntry]) -> None:
-        """Take over what a peer reports."""
+        """Apply the entries that a peer reports."""
 
     def complaint_received(self, endpoint: Endpoint, request_class: RequestClass, age: Ticks) -> None:
-        """Note a client's report that an endpoint's answer to an attempt sent `age` ticks ago was wrong."""
+        """Handle a client's report of a wrong answer to an attempt that was sent `age` ticks ago."""
 
     def tally_received(self, tally: OutcomeTally) -> None:
-        """Note what the platform counted."""
+        """Handle the platform's counts for a build."""
 
     def health_checked(
         self, endpoint: Endpoint, outcome: AttemptOutcome, elapsed: Ticks, report: LoadReport | None
     ) -> None:
-        """Note the outcome of a health check after `elapsed` ticks."""
+        """Handle the outcome of a health check that took `elapsed` ticks."""
--- a/lanelead/decisions/zone_spillover.py
+++ b/lanelead/decisions/zone_spillover.py
@@ -1,6 +1,6 @@
-"""Which tiers of zones a request may use; docs/zones.md has the mechanism.
+"""Decides which tiers of zones a request may use; docs/zones.md describes the mechanism.
 
-Without tiers all zones are one, and nothing here acts.
+Without tiers, zones are not distinguished and this module has no effect.
 """
 
 from collections.abc import Iterable, Iterator
@@ -20,14 +20,14 @@
 )
 
 NO_ZONE_PREFERENCE = ZonePreference()
-RATE_WINDOW_SECONDS = 4  # the time constant of the sum of requests received
-RATE_WINDOW: Ticks = 40_000
-MIN_OUTCOMES = 4  # fewer outcomes of a tier prove nothing
-STRAY_FAILURES = 2  # failures left to chance
-STRAY_FAILURE_SHARE = 0.1
-FULL_FAILURE_SHARE = 0.4  # beyond the stray ones, at which a tier counts as gone
-DEGRADED_SHARE = 0.25  # diverted share from which lateness is attributed to the zone, not to a build
-MAX_RECENT_LOSSES = 3.0
+RATE_WINDOW_SECONDS = 4  # the time constant of the decaying sum of requests received
+RATE_WINDOW: Ticks = 40_000  # the same in ticks
+MIN_OUTCOMES = 4  # with fewer outcomes, a tier's failures are not evaluated
+TOLERATED_FAILURES = 2  # isolated failures that are ignored
+TOLERATED_FAILURE_SHARE = 0.1  # the share of failures that is ignored
+LOST_TIER_FAILURE_SHARE = 0.4  # in addition to the tolerated ones; at this share a tier counts as lost
+DEGRADED_SHARE = 0.25  # diverted share above which lateness is attributed to the zone, not to a build
+MAX_RECENT_OUTAGES = 3.0  # bounds how much repeated outages slow the recovery
 MIN_ADMITTED_SHARE = 0.05
 INITIAL_ADMITTED_SHARE = 0.25
 MIN_TOKEN_DEPTH = 3.0
@@ -35,22 +35,25 @@
 
 
 class ZoneTier:
-    """Zones of equal preference, as one relay sees them. Capacities are sums of the endpoints' own."""
+    """The state of a group of equally preferred zones, as one relay sees it.
+
+    Capacities are sums of the capacities of endpoints.
+    """
 
     def __init__(self, span: Ticks) -> None:
-        self.full_capacity = 0.0  # as it lately was
-        self.present_capacity = 0.0  # the part of it that is listed and warm
+        self.full_capacity = 0.0  # the usual capacity; follows a loss only slowly
+        self.present_capacity = 0.0  # the share of `full_capacity` that is listed and warm, as a capacity
         self.outcomes = DecayingSum(span)
-        self.failures = DecayingSum(span)  # outcomes that an overloaded or lost tier gives
-        self.diverted_share = 0.0  # the part (0 to 1) of its requests that go to later tiers
-        self.admitted_share = 0.0  # the part of the limit that requests diverted from other tiers may use
-        self.tokens = 0.0  # attempts that such requests may start now
-        self.recent_losses = 0.0  # of the tier, decaying; each one stretches the recovery ramp
-        self.failing = False
+        self.failures = DecayingSum(span)  # outcomes typical of an overloaded or lost tier
+        self.diverted_share = 0.0  # the share (0 to 1) of its requests that go to later tiers
+        self.admitted_share = 0.0  # the share of `foreign_rate_limit` that is admitted
+        self.tokens = 0.0  # attempts of requests diverted from other tiers that may start now
+        self.recent_outages = 0.0  # a decaying count; each outage slows the recovery
+        self.failing = False  # an outage is in progress and has been counted
 
 
 class ZoneSpillover:
-    """Diverts a growing share of requests from a tier that is lost or failing, and lets it recover slowly."""
+    """Gradually diverts requests from a tier that is lost or failing, and gradually returns them as it recovers."""
 
     def __init__(
         self,
@@ -61,115 +64,128 @@
         update_interval: Ticks,
         rng: Random,
     ) -> None:
-        """`longest_objective`: of all request classes; `update_interval`: the time between calls of `update`."""
+        """Create the state of all tiers.
+
+        `longest_objective` is the longest latency objective of all request classes; `update_interval` is the time
+        between calls of `update`.
+        """
         self._preference = preference
         self._limits = limits
         self._longest_objective = longest_objective
         self._update_interval = update_interval
         self._rng = rng
-        self._rate = 0.0  # requests a second of this relay, averaged over many warm-ups
+        self._rate = 0.0  # this relay's requests per second, a long-term average
         self._updates = 0
         self.tiers = [ZoneTier(2 * longest_objective) for _ in preference.tiers]
         self._tier_of_zone = {zone: index for index, zones in enumerate(preference.tiers) for zone in zones}
-        self._draws = dict[Request, float]()
+        self._draws = dict[Request, float]()  # one random number per request, see `_tier_order`
 
     def tier_index(self, endpoint: EndpointState) -> int:
-        """Return an endpoint's tier; zones that no tier names come with the last."""
+        """Return the index of an endpoint's tier; zones that no tier names belong to the last tier."""
         return self._tier_of_zone.get(endpoint.zone, len(self.tiers) - 1)
 
     def record_outcomes(self, endpoint: EndpointState, outcomes: int, failures: int, now: Ticks) -> None:
-        """Count outcomes at an endpoint, and those among them that an overloaded or lost tier gives."""
+        """Count outcomes at an endpoint, and the failures among them that overload or an outage can cause."""
         if self.tiers:
             tier = self.tiers[self.tier_index(endpoint)]
             tier.outcomes.add(now, outcomes)
             tier.failures.add(now, failures)
 
     def is_degraded(self, endpoint: EndpointState) -> bool:
-        """Say whether an endpoint's tier is partly gone: its faults then do not count against a build."""
+        """Return whether an endpoint's tier is partly lost, so that its lateness must not count against a build."""
         return bool(self.tiers) and self.tiers[self.tier_index(endpoint)].diverted_share > DEGRADED_SHARE
 
     def forget(self, request: Request) -> None:
-        """Forget a request that is finished."""
+        """Drop the state of a finished request."""
         self._draws.pop(request, None)
 
-    def update(self, endpoints: Iterable[EndpointState], received: float, canary: bool, now: Ticks) -> None:
-        """Measure all tiers and move their shares one step.
+    def update(self, endpoints: Iterable[EndpointState], received: float, has_canary: bool, now: Ticks) -> None:
+        """Measure all tiers, and move their diverted and admitted shares by one step.
 
-        `received`: requests, a decaying sum over 4 s. `canary`: a canary's endpoints may run beside the earlier ones,
-        and are no lasting capacity.
+        `received` is the decaying sum of requests with a time constant of 4 s. `has_canary` tells that a canary's
+        endpoints may run in addition to the earlier ones; such capacity is temporary and does not raise the full
+        capacity.
         """
         if not self.tiers:
             return
         self._updates += 1
-        warmup_step = self._update_interval / max(1, self._limits.slow_start_time)  # in warm-up times
-        capacities, silent = self._measure(endpoints, now)
+        warmup_step = self._update_interval / max(1, self._limits.slow_start_time)  # as a fraction of the warm-up time
+        capacities, unanswered = self._measure(endpoints, now)
         self._update_rate(received, warmup_step)
         for index, tier in enumerate(self.tiers):
-            self._update_capacity(tier, capacities[index], canary, warmup_step)
-            self._update_diversion(tier, silent[index], warmup_step, now)
+            self._update_capacity(tier, capacities[index], has_canary, warmup_step)
+            self._update_diversion(tier, unanswered[index], warmup_step, now)
             self._update_admission(index, tier, now)
 
     def _measure(self, endpoints: Iterable[EndpointState], now: Ticks) -> tuple[list[float], list[int]]:
-        """Return each tier's capacity that is ready and warm, and its attempts without a response for too long."""
+        """Return, by tier, the ready and warm capacity and the number of attempts that have waited too long.
+
+        An attempt counts once it has been in flight for half of its latency objective.
+        """
         capacities = [0.0] * len(self.tiers)
-        silent = [0] * len(self.tiers)
+        unanswered = [0] * len(self.tiers)
         for endpoint in endpoints:
             if endpoint.status is EndpointStatus.READY:
                 index = self.tier_index(endpoint)
                 capacities[index] += endpoint.capacity * warmup_fraction(endpoint, self._limits, now)
                 for attempt in endpoint.in_flight:
                     if now - attempt.sent_at > attempt.request.request_class.latency_objective // 2:
-                        silent[index] += 1
-        return capacities, silent
+                        unanswered[index] += 1
+        return capacities, unanswered
 
     def _update_rate(self, received: float, warmup_step: float) -> None:
-        """Follow the rate of requests, ten times more slowly while a tier is gone."""
+        """Update the average rate of requests, ten times more slowly while a tier is degraded."""
         degraded = any(tier.diverted_share > 0 for tier in self.tiers)
-        # A decaying sum that has just begun is too low: it is divided by the part that it has reached.
+        # Shortly after the start the decaying sum is still too low, so it is divided by the share of its steady-state
+        # value that it has reached.
         reached = 1 - exp(-self._updates * self._update_interval / RATE_WINDOW)
         rate = received / (RATE_WINDOW_SECONDS * reached)
         self._rate += (rate - self._rate) * max(1 / self._updates, warmup_step / (20 if degraded else 2))
 
-    def _update_capacity(self, tier: ZoneTier, capacity: float, canary: bool, warmup_step: float) -> None:
-        """Let a tier's full capacity follow a rise within some warm-ups, and a fall within a hundred."""
-        if capacity > tier.full_capacity and not canary:
+    def _update_capacity(self, tier: ZoneTier, capacity: float, has_canary: bool, warmup_step: float) -> None:
+        """Let a tier's full capacity follow a rise within some five warm-up times, and a fall within a hundred."""
+        if capacity > tier.full_capacity and not has_canary:
             tier.full_capacity += (capacity - tier.full_capacity) * max(1 / self._updates, warmup_step / 5)
         else:
             tier.full_capacity -= max(0.0, tier.full_capacity - capacity) * warmup_step / 100
         tier.present_capacity = min(capacity, tier.full_capacity)
 
-    def _update_diversion(self, tier: ZoneTier, silent: int, warmup_step: float, now: Ticks) -> None:
-        """Move a tier's diverted share towards what the list lacks or outcomes show, whichever is more.
+    def _update_diversion(self, tier: ZoneTier, unanswered: int, warmup_step: float, now: Ticks) -> None:
+        """Move a tier's diverted share towards the larger of its unlisted share and its failed share.
 
-        Each step has a random part, so that relays that notice at the same moment move apart.
+        The step is randomized so that relays that notice an outage at the same moment do not divert in lockstep.
         """
-        target = max(self._unlisted_share(tier), self._failed_share(tier, silent, now))
+        target = max(self._unlisted_share(tier), self._failed_share(tier, unanswered, now))
         jitter = self._rng.uniform(0.5, 1.5)
         if target > tier.diverted_share:
             growth = self._update_interval / (self._preference.growth_time_factor * self._longest_objective) * jitter
             tier.diverted_share = min(target, tier.diverted_share + growth)
-            if target > 0.5 and not tier.failing:  # it fails once more: trusted more slowly, up to a bound
+            if target > 0.5 and not tier.failing:  # a new outage, which makes the recovery slower
                 tier.failing = True
-                tier.recent_losses = min(MAX_RECENT_LOSSES, tier.recent_losses + 1)
+                tier.recent_outages = min(MAX_RECENT_OUTAGES, tier.recent_outages + 1)
             return
-        decrease = warmup_step / (self._preference.shrink_time_factor * max(1.0, tier.recent_losses)) * jitter
+        decrease = warmup_step / (self._preference.shrink_time_factor * max(1.0, tier.recent_outages)) * jitter
         tier.diverted_share = max(target, tier.diverted_share - decrease)
-        tier.failing = tier.failing and target > 0.3  # a zone that flaps is counted before it is all back
+        # An outage ends before the tier has fully recovered, so that each outage of a flapping zone is counted.
+        tier.failing = tier.failing and target > 0.3
         if tier.diverted_share < 0.1:
-            tier.recent_losses = max(0.0, tier.recent_losses - warmup_step / 10)
+            tier.recent_outages = max(0.0, tier.recent_outages - warmup_step / 10)
 
     def _unlisted_share(self, tier: ZoneTier) -> float:
         return 1 - tier.present_capacity / tier.full_capacity if tier.full_capacity else 1.0
 
-    def _failed_share(self, tier: ZoneTier, silent: int, now: Ticks) -> float:
-        outcomes = tier.outcomes.read(now) + silent
-        failures = tier.failures.read(now) + silent
+    def _failed_share(self, tier: ZoneTier, unanswered: int, now: Ticks) -> float:
+        outcomes = tier.outcomes.read(now) + unanswered
+        failures = tier.failures.read(now) + unanswered
         if outcomes < MIN_OUTCOMES:
             return 0.0
-        return max(0.0, (failures - STRAY_FAILURES) / outcomes - STRAY_FAILURE_SHARE) / FULL_FAILURE_SHARE
+        return max(0.0, (failures - TOLERATED_FAILURES) / outcomes - TOLERATED_FAILURE_SHARE) / LOST_TIER_FAILURE_SHARE
 
     def foreign_rate_limit(self, index: int) -> float:
-        """Return the attempts a second that requests diverted from other tiers may make at a tier."""
+        """Return the attempts per second that requests diverted from other tiers may make at a tier.
+
+        As long as the first tier's capacity is unknown, that is the rate of this relay's requests.
+        """
         local = self.tiers[0]
         tier = self.tiers[index]
         if not local.full_capacity:
@@ -177,53 +193,59 @@
         return self._preference.max_foreign_load * self._rate * tier.present_capacity / local.full_capacity
 
     def _update_admission(self, index: int, tier: ZoneTier, now: Ticks) -> None:
-        """Admit fewer diverted requests to a tier that fails, more while an earlier tier is gone; refill tokens."""
+        """Refill a tier's tokens after updating its admitted share.
+
+        The share falls while the tier fails, and rises while requests are diverted from an earlier tier.
+        """
         outcomes = tier.outcomes.read(now)
         failures = tier.failures.read(now)
         jitter = self._rng.uniform(0.5, 1.5)
         step = self._update_interval / (self._preference.growth_time_factor * self._longest_objective) * jitter
-        if outcomes >= MIN_OUTCOMES and failures > STRAY_FAILURE_SHARE * outcomes:
+        if outcomes >= MIN_OUTCOMES and failures > TOLERATED_FAILURE_SHARE * outcomes:
             tier.admitted_share = max(MIN_ADMITTED_SHARE, tier.admitted_share * (1 - step))
         elif any(earlier.diverted_share > 0 for earlier in self.tiers[:index]):
             tier.admitted_share = min(1.0, max(INITIAL_ADMITTED_SHARE, tier.admitted_share) * (1 + step))
         else:
             tier.admitted_share = max(INITIAL_ADMITTED_SHARE, tier.admitted_share * (1 - step))
-        # Parts of a token add up, at a random rate: hundreds of relays that each sent "just one" would overload it.
-        # They are kept for half of the longest latency objective.
+        # Fractions of a token accumulate at a randomized rate, since hundreds of relays that each sent one attempt at
+        # once would overload the tier. At most the tokens of half of the longest latency objective are kept.
         refill = tier.admitted_share * self.foreign_rate_limit(index) * self._update_interval / 10_000
         depth = max(MIN_TOKEN_DEPTH, refill * self._longest_objective / self._update_interval / 2)
         tier.tokens = min(depth, tier.tokens + refill * self._rng.uniform(0.5, 1.5))
 
     def _tier_order(self, request: Request) -> list[list[int]]:
-        """Return the tiers that a request may use now, the best first; tiers to be used as one come in one list.
+        """Return the tiers that a request may use now, the best first; the tiers of an inner list are used together.
 
-        One random draw for each request decides for which tier it is meant.
+        A single random number per request decides whether it is diverted, so that repeated calls agree.
         """
         draw = self._draws.setdefault(request, self._rng.random())
         tried = {self._tier_of_zone.get(attempt.endpoint.zone, len(self.tiers) - 1) for attempt in request.attempts}
         if request.attempts and request.request_class.idempotency is Idempotency.KEYED:
-            return [sorted(tried)]  # its deduplication scope may be the zone: a retry never spills over
+            return [sorted(tried)]  # retries never spill over, as the deduplication scope may be the zone
         order = list[list[int]]()
         last = len(self.tiers) - 1
         for index, tier in enumerate(self.tiers):
             if self._may_use(index, tier, request, tried):
-                meant = draw >= tier.diverted_share
-                if meant or index == last or order:
+                is_not_diverted = draw >= tier.diverted_share
+                if is_not_diverted or index == last or order:
                     order.append([index])
             if tier.diverted_share > 0 and draw < tier.diverted_share:
                 draw = draw / tier.diverted_share
         if [0] not in order and 0 not in tried and self.tiers[0].diverted_share <= 0.5:
-            order.append([0])  # more than its share, but most of the tier is there, and full queues guard it
+            order.append([0])  # most of the tier is left, and the limit on queues protects it from overload
         return order or [sorted(tried)]
 
     def _may_use(self, index: int, tier: ZoneTier, request: Request, tried: set[int]) -> bool:
-        """Say whether a tier has tokens, was not tried, and is not too risky for a request that can't be retried."""
+        """Return whether a request may use a tier: not tried yet, with a token left, and not lost.
+
+        A tier that is almost lost may still get idempotent requests, since only those can be retried safely.
+        """
         if index in tried or (index > 0 and tier.tokens < 1):
             return False
         return tier.diverted_share <= 0.9 or request.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def take_token(self, endpoint: EndpointState) -> None:
-        """Take a token for an attempt outside the first tier."""
+        """Take a token for an attempt at an endpoint outside the first tier."""
         if not self.tiers:
             return
         index = self.tier_index(endpoint)
@@ -231,7 +253,7 @@
             self.tiers[index].tokens -= 1
 
     def candidate_pools(self, pools: EndpointPools, request: Request) -> Iterator[EndpointPools]:
-        """Yield the endpoints by build, cut down to the tiers that a request may use, the best tier first."""
+        """Yield the endpoints by build, once for each group of tiers that a request may use, the best group first."""
         if len(self.tiers) < 2:
             yield pools
             return
