--- a/tests/fake_decisions_host.py
+++ b/tests/fake_decisions_host.py
@@ -1,4 +1,4 @@
-"""A fake host of the decisions of one relay: it passes events in, records actions, and keeps the time."""
+"""A fake host for the decisions of one relay: it passes events to them, records actions, and keeps the time."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 )
 
 SECOND: Ticks = 10_000
-COSTLY_HEALTH_CHECK = 0.08  # a price of health checks at which relays report attempts in flight instead
+COSTLY_HEALTH_CHECK = 0.08  # a price of health checks at which relays report attempts in flight by gossip instead
 IDEMPOTENT_CLASS = RequestClass(
     "read", SECOND, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
 )
@@ -51,7 +51,7 @@
 
 
 class FakeHost:
-    """One relay with a few endpoints of build 1, promoted; each option changes one setting."""
+    """Hosts one relay with some endpoints of build 1, which is promoted; each option changes one setting."""
 
     def __init__(
         self,
@@ -100,6 +100,7 @@
         endpoint: Endpoint | None = None,
         zone: str = "z",
     ) -> Endpoint:
+        """List a new endpoint, or update a given one, and return it."""
         endpoint = endpoint or self.balancer.new_endpoint(0)
         record = EndpointRecord(endpoint, zone, 0, "std", started_at, build, 1.0, status)
         self.balancer.endpoints_updated(UpdateScope.DELTA, [record])
@@ -114,25 +115,28 @@
         answers_vote: bool = False,
         outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED,
     ) -> None:
+        """Send the relay a rollout state."""
         self.balancer.rollout_updated(RolloutState(build, stage, phase, exposure_limit, 0, answers_vote, outcome))
         self.take_actions()
 
     def send_request(
         self, request_class: RequestClass = IDEMPOTENT_CLASS, key: str | None = None, time_left: Ticks = 4 * SECOND
     ) -> Request:
+        """Send the relay a request whose client waits for `time_left` ticks."""
         request = Request(request_class, None, key, self.balancer.now, self.balancer.now + time_left)
         self.balancer.request_received(request)
         self.take_actions()
         return request
 
     def end_attempt(
-        self, attempt: Attempt, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED, took: Ticks = 1000
+        self, attempt: Attempt, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED, elapsed: Ticks = 1000
     ) -> None:
-        self.balancer.attempt_ended(attempt, outcome, outcome is AttemptOutcome.SUCCEEDED, took, None)
+        """End an attempt after `elapsed` ticks."""
+        self.balancer.attempt_ended(attempt, outcome, outcome is AttemptOutcome.SUCCEEDED, elapsed, None)
         self.take_actions()
 
     def take_actions(self) -> list[Action]:
-        """Records the actions that the relay has left, and returns just these."""
+        """Record the relay's new actions, and return them."""
         new_actions = list(self.balancer.actions)
         self.balancer.actions.clear()
         self.actions += new_actions
@@ -140,7 +144,7 @@
         return new_actions
 
     def advance(self, span: Ticks) -> None:
-        """Lets time pass, and fires each timer that falls due."""
+        """Let time pass, and fire each timer that becomes due."""
         until = self.balancer.now + span
         while due := [timer for timer in self.timers if timer[0] <= until]:
             timer = min(due, key=lambda entry: entry[0])
@@ -151,10 +155,12 @@
         self.balancer.now = until
 
     def attempts(self, request: Request | None = None) -> list[Attempt]:
+        """Return all attempts so far, or those of one request."""
         attempts = [action.attempt for action in self.actions if isinstance(action, StartAttempt)]
         return [attempt for attempt in attempts if request is None or attempt.request is request]
 
     def final_actions(self, request: Request) -> list[Action]:
+        """Return the actions that rejected or failed a request."""
         return [
             action
             for action in self.actions
@@ -168,14 +174,15 @@
         faults: dict[Fault, int] | None = None,
         request_class: RequestClass = IDEMPOTENT_CLASS,
     ) -> None:
-        """Have outcomes scored as if the relay had seen them now."""
+        """Score outcomes as if the relay had observed them now."""
         self.balancer._scoring.record(state_of(endpoint), request_class, faults or {}, self.balancer.now, outcomes)
 
     def sent_gossip(self) -> list[SendGossip]:
-        """The messages that the relay sends in its next half second."""
+        """Return the gossip that the relay sends in the next half second."""
         self.actions.clear()
         self.advance(SECOND // 2)
         return [action for action in self.actions if isinstance(action, SendGossip)]
 
     def votes(self) -> list[CastVote]:
+        """Return all votes that the relay has cast."""
         return [action for action in self.actions if isinstance(action, CastVote)]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Guards on every attempt: idempotency, draining and slow start."""
+"""Tests the checks that every attempt must pass: idempotency, draining and slow start."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Retries(unittest.TestCase):
-    def test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected(self) -> None:
+    def test_a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected(self) -> None:
         host = FakeHost()
         request = host.send_request(NON_IDEMPOTENT_CLASS)
         host.end_attempt(host.attempts(request)[0], AttemptOutcome.ERROR)
@@ -50,9 +50,9 @@
 
 
 class SlowStart(unittest.TestCase):
-    def test_a_restarted_relay_sends_a_warming_endpoint_little(self) -> None:
+    def test_a_restarted_relay_sends_few_attempts_to_a_warming_endpoint(self) -> None:
         host = FakeHost(endpoints=4, now=20 * SECOND)
-        cold = host.list_endpoint(1, started_at=host.balancer.now)
+        warming = host.list_endpoint(1, started_at=host.balancer.now)
         for _ in range(40):
             host.send_request()
-        self.assertLessEqual(sum(attempt.endpoint is cold for attempt in host.attempts()), 8)
+        self.assertLessEqual(sum(attempt.endpoint is warming for attempt in host.attempts()), 8)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""What a relay learns from outcomes, and when it closes idle connections."""
+"""Tests how a relay records outcomes, and when it closes idle connections."""
 
 from __future__ import annotations
 
@@ -13,29 +13,34 @@
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, SECOND, FakeHost
 
 
-class Learning(unittest.TestCase):
+class RecordedOutcomes(unittest.TestCase):
     def test_quick_errors_do_not_count_as_served(self) -> None:
-        # A fresh day of sicilia-stazioni, grown: requests that fail anywhere hid a build that slows all.
+        # Requests that fail at every endpoint counted as traffic served. The apparent growth of traffic then hid a
+        # build that slowed all endpoints (scenario sicilia-stazioni).
         host = FakeHost()
         for faults, attempts in (({}, 10), ({Fault.ERROR: 10}, 10), ({Fault.LATE: 10}, 20)):
             host.balancer._record_outcomes(state_of(host.endpoints[0]), IDEMPOTENT_CLASS, faults, 10, False)
             self.assertEqual(host.balancer._traffic.served.read(0), attempts)
 
-    def test_a_client_that_waits_less_than_the_objective_is_no_endpoints_fault(self) -> None:
-        # rough-2 of kortfjell-prod, grown: one tenant's short timeouts rolled a good build back.
-        for took, silent in ((SECOND // 4, 0), (SECOND, 1)):
+    def test_a_timeout_shorter_than_the_latency_objective_counts_against_no_endpoint(self) -> None:
+        # The short timeouts of one tenant's clients caused a good build to be rolled back (scenario rough-2 of
+        # kortfjell-prod).
+        for elapsed, timeouts in ((SECOND // 4, 0), (SECOND, 1)):
             host = FakeHost()
             host.advance(6 * SECOND)
             host.end_attempt(
-                host.attempts(host.send_request(IDEMPOTENT_CLASS, time_left=took))[0], AttemptOutcome.TIMED_OUT, took
+                host.attempts(host.send_request(IDEMPOTENT_CLASS, time_left=elapsed))[0],
+                AttemptOutcome.TIMED_OUT,
+                elapsed,
             )
             windows = host.balancer._scoring.history.windows
-            self.assertEqual(sum(Fault.TIMED_OUT in window.faults for window in windows), silent)
+            self.assertEqual(sum(Fault.TIMED_OUT in window.faults for window in windows), timeouts)
 
 
 class IdleConnections(unittest.TestCase):
     def test_idle_connections_are_closed_while_attempts_are_lost(self) -> None:
-        # big-1 of kortfjell-prod, grown: few connections accepted; big-2 of sicilia-stazioni: dropped unseen.
+        # Idle connections blocked new ones where endpoints accept few (scenario big-1 of kortfjell-prod), or had been
+        # dropped without notice (big-2 of sicilia-stazioni).
         for outcome, closes in ((AttemptOutcome.SUCCEEDED, 0), (AttemptOutcome.CONNECT_FAILED, 2)):
             host = FakeHost()
             first = host.attempts(host.send_request(IDEMPOTENT_CLASS))[0]
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""Low-discrepancy sequences, and counts that forget."""
+"""Tests low-discrepancy sequences, and counts of recent attempts."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class LowDiscrepancySequences(unittest.TestCase):
-    def test_each_part_of_the_range_has_its_share_of_steps(self) -> None:
+    def test_the_values_of_successive_steps_are_spread_evenly(self) -> None:
         for part in (0.05, 0.3, 0.8):
             for number in range(20):
                 phase_offset = number / 20 + 0.013
-                hits = sum(low_discrepancy_value(phase_offset, turn) < part for turn in range(200))
+                hits = sum(low_discrepancy_value(phase_offset, step) < part for step in range(200))
                 self.assertAlmostEqual(hits / 200, part, delta=0.02)
 
-    def test_at_one_moment_as_many_sequences_are_in_a_part_as_its_size(self) -> None:
+    def test_at_any_moment_the_values_of_all_sequences_are_spread_evenly(self) -> None:
         for moment in (0.0, 3.3, 917.8):
-            lucky = sum(low_discrepancy_value((number + 0.5) / 4000, moment) < 0.1 for number in range(4000))
-            self.assertAlmostEqual(lucky / 4000, 0.1, delta=0.02)
+            hits = sum(low_discrepancy_value((number + 0.5) / 4000, moment) < 0.1 for number in range(4000))
+            self.assertAlmostEqual(hits / 4000, 0.1, delta=0.02)
 
-    def test_sequences_advance_at_moments_of_their_own(self) -> None:
+    def test_sequences_advance_at_different_moments(self) -> None:
         phase_offsets = [(number + 0.5) / 4000 for number in range(4000)]
         for moment in (0.95, 1.2, 3.7):
             changed = sum(
@@ -33,7 +33,7 @@
 
 
 class SlowStartAttempts(unittest.TestCase):
-    def test_attempts_of_the_last_span_are_counted_and_forgotten(self) -> None:
+    def test_attempts_of_the_last_span_are_counted_and_earlier_ones_dropped(self) -> None:
         endpoint = EndpointState(1, SECOND, SECOND, 0.5)
         endpoint.slow_start_attempts.extend([0, 5000, 9000])
         self.assertEqual(
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to final answer: retries, hedging, health checks, priorities and rejection."""
+"""Tests requests from arrival to final answer: retries, hedging, health checks, priorities and rejection."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
         host.advance(4 * SECOND)
         self.assertEqual((len(host.attempts(request)), host.final_actions(request)), (1, []))
 
-    def test_a_response_that_streams_is_not_hedged(self) -> None:
-        for begun, attempts in ((False, 2), (True, 1)):
+    def test_a_request_is_not_hedged_once_its_response_streams(self) -> None:
+        for streaming, attempts in ((False, 2), (True, 1)):
             host = FakeHost()
             for _ in range(30):
                 host.end_attempt(host.attempts(host.send_request(IDEMPOTENT_CLASS))[0])
             request = host.send_request(IDEMPOTENT_CLASS)
-            if begun:
+            if streaming:
                 host.balancer.response_started(host.attempts(request)[0])
             host.advance(SECOND)
             self.assertEqual(len(host.attempts(request)), attempts)
@@ -54,19 +54,21 @@
 
 
 class HealthChecks(unittest.TestCase):
-    def test_a_relay_of_few_requests_checks_two_endpoints_and_takes_the_first_free_one(self) -> None:
-        # Incident i160e63: hundreds of relays that saw no queue drove a full fleet into answers all too late.
+    def test_a_relay_with_few_requests_checks_two_endpoints_and_uses_the_first_idle_one(self) -> None:
+        # Each of hundreds of relays saw no queue of its own; together they overloaded the fleet until all answers were
+        # late (incident i160e63).
         host = FakeHost(health_checks=True, relays=100)
         request = host.send_request(IDEMPOTENT_CLASS)
-        asked = [action.endpoint for action in host.actions if isinstance(action, CheckHealth)]
-        self.assertEqual((len(set(asked)), host.attempts(request)), (2, []))
+        checked = [action.endpoint for action in host.actions if isinstance(action, CheckHealth)]
+        self.assertEqual((len(set(checked)), host.attempts(request)), (2, []))
         host.advance(20)
-        host.balancer.health_checked(asked[1], AttemptOutcome.SUCCEEDED, 20, {"waiting": 0.0})
+        host.balancer.health_checked(checked[1], AttemptOutcome.SUCCEEDED, 20, {"waiting": 0.0})
         host.take_actions()
-        self.assertEqual([attempt.endpoint for attempt in host.attempts(request)], [asked[1]])
+        self.assertEqual([attempt.endpoint for attempt in host.attempts(request)], [checked[1]])
 
-    def test_builds_checked_in_vain_come_last(self) -> None:
-        # big-2 of athens-balancing, grown: all checked the same few canary endpoints, and rejected two of three.
+    def test_after_unanswered_health_checks_other_builds_are_checked_first(self) -> None:
+        # All relays checked the same few canary endpoints, and two of three requests were rejected (scenario big-2 of
+        # athens-balancing).
         host = FakeHost(health_checks=True, relays=100)
         new = [host.list_endpoint(2) for _ in range(4)]
         host.update_rollout(2, 1, RolloutPhase.CANARY, 1.0)
@@ -76,11 +78,11 @@
         host.actions.clear()
         request = host.send_request(IDEMPOTENT_CLASS)
         host.advance(SECOND // 6)
-        asked = [action.endpoint for action in host.actions if isinstance(action, CheckHealth)]
-        self.assertEqual([endpoint in new for endpoint in asked], [True, True, False, False])
+        checked = [action.endpoint for action in host.actions if isinstance(action, CheckHealth)]
+        self.assertEqual([endpoint in new for endpoint in checked], [True, True, False, False])
         self.assertEqual([type(action) for action in host.final_actions(request)], [RejectRequest])
 
-    def test_where_checks_are_dear_none_is_sent_and_the_endpoint_with_least_in_flight_is_taken(self) -> None:
+    def test_costly_health_checks_are_not_sent_and_gossip_shows_the_endpoint_with_least_in_flight(self) -> None:
         host = FakeHost(endpoints=2, health_checks=True, relays=100, number=50, health_check_price=COSTLY_HEALTH_CHECK)
         for _ in range(6):
             host.balancer.gossip_received(0, [InFlightCount(host.endpoints[0], 4)])
@@ -88,7 +90,7 @@
             host.end_attempt(host.attempts()[-1])
         self.assertFalse([action for action in host.actions if isinstance(action, CheckHealth)])
 
-    def test_cheap_checks_are_sent_and_no_gossip_is(self) -> None:
+    def test_cheap_health_checks_are_sent_and_no_gossip_is(self) -> None:
         host = FakeHost(health_checks=True, relays=100, number=50, health_check_price=0.01)
         host.send_request()
         self.assertTrue([action for action in host.actions if isinstance(action, CheckHealth)])
@@ -98,44 +100,45 @@
 class Overload(unittest.TestCase):
     def test_capacity_goes_to_the_request_of_higher_priority_first(self) -> None:
         host = FakeHost(endpoints=1)
-        first, cheap, dear = (
+        first, low_priority, high_priority = (
             host.send_request(IDEMPOTENT_CLASS),
             host.send_request(IDEMPOTENT_CLASS),
             host.send_request(NON_IDEMPOTENT_CLASS),
         )
         host.end_attempt(host.attempts(first)[0])
-        self.assertEqual((len(host.attempts(cheap)), len(host.attempts(dear))), (0, 1))
+        self.assertEqual((len(host.attempts(low_priority)), len(host.attempts(high_priority))), (0, 1))
 
-    def test_requests_that_are_always_late_are_sent_in_part(self) -> None:
-        # big-2 of kortfjell-prod, grown: one tenant's requests waited at every endpoint, and held all capacity.
-        for took, most, least in ((2 * SECOND, 70, 10), (1000, 100, 100)):
+    def test_only_a_share_of_requests_that_are_always_late_is_sent(self) -> None:
+        # One tenant's requests queued at every endpoint and took up all capacity (scenario big-2 of kortfjell-prod).
+        for elapsed, most, fewest in ((2 * SECOND, 70, 10), (1000, 100, 100)):
             host = FakeHost()
             for _ in range(100):
                 host.advance(SECOND // 10)
                 for attempt in host.attempts(host.send_request(IDEMPOTENT_CLASS)):
-                    host.end_attempt(attempt, took=took)
-            self.assertTrue(least <= len(host.attempts()) <= most)
+                    host.end_attempt(attempt, elapsed=elapsed)
+            self.assertTrue(fewest <= len(host.attempts()) <= most)
 
     def host(self, number: int) -> FakeHost:
         return FakeHost(
             endpoints=40, health_checks=True, relays=100, number=number, health_check_price=COSTLY_HEALTH_CHECK
         )
 
-    def sent_shares(self, host: FakeHost, took: int | None) -> dict[RequestClass, float]:
-        """The part of each class's requests that is sent, with the fleet's latency reported all along."""
-        sent, many = dict.fromkeys((IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS), 0), 60
-        for _ in range(many):
+    def sent_shares(self, host: FakeHost, latency: int | None) -> dict[RequestClass, float]:
+        """Return the share of each class's requests that is sent while the fleet's latency is reported."""
+        sent, requests = dict.fromkeys((IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS), 0), 60
+        for _ in range(requests):
             for request_class in sent:
                 host.advance(SECOND // 20)
-                host.balancer.gossip_received(0, [] if took is None else [FleetLatency(took)])
+                host.balancer.gossip_received(0, [] if latency is None else [FleetLatency(latency)])
                 if attempts := host.attempts(host.send_request(request_class)):
                     sent[request_class] += 1
                     host.end_attempt(attempts[0])
-        return {request_class: count / many for request_class, count in sent.items()}
+        return {request_class: count / requests for request_class, count in sent.items()}
 
     def test_excess_requests_are_rejected_lowest_priority_first(self) -> None:
-        # zone+mass, 15 s: 52% late and 12% in time while three times what is timely was sent.
-        for took, pure, effectful in (
+        # In scenario zone+mass, three times the load that can be served on time was sent for 15 s: 52% of requests were
+        # late and 12% on time.
+        for latency, idempotent_share, non_idempotent_share in (
             (None, 1, 1),
             (SECOND * 3 // 4, 1, 1),
             (SECOND, 0.5, 1),
@@ -143,19 +146,19 @@
             (3 * SECOND, 0, 0.5),
         ):
             host = self.host(50)
-            sent = self.sent_shares(host, took)
-            self.assertAlmostEqual(pure, sent[IDEMPOTENT_CLASS], delta=0.25, msg=took)
-            self.assertAlmostEqual(effectful, sent[NON_IDEMPOTENT_CLASS], delta=0.25, msg=took)
+            sent = self.sent_shares(host, latency)
+            self.assertAlmostEqual(idempotent_share, sent[IDEMPOTENT_CLASS], delta=0.25, msg=latency)
+            self.assertAlmostEqual(non_idempotent_share, sent[NON_IDEMPOTENT_CLASS], delta=0.25, msg=latency)
             times = [action.retry_after for action in host.actions if isinstance(action, RejectRequest)]
             self.assertEqual(len(times) > 10, len(set(times)) > 10)
             self.assertTrue(all(0 < time <= SECOND for time in times))
 
-    def test_without_a_known_latency_a_class_is_thinned_by_own_outcomes_but_not_for_one_loss(self) -> None:
-        for outcomes, thinned in ((1, False), (12, True)):
+    def test_without_a_known_latency_a_class_is_shed_by_own_outcomes_but_not_after_a_single_timeout(self) -> None:
+        for outcomes, is_shed in ((1, False), (12, True)):
             host = self.host(50)
             for _ in range(outcomes):
                 request = host.send_request(NON_IDEMPOTENT_CLASS)
                 for attempt in host.attempts(request):
-                    host.end_attempt(attempt, AttemptOutcome.TIMED_OUT, took=2 * SECOND)
+                    host.end_attempt(attempt, AttemptOutcome.TIMED_OUT, elapsed=2 * SECOND)
             requests = [host.send_request(NON_IDEMPOTENT_CLASS) for _ in range(20)]
-            self.assertEqual(thinned, any(host.final_actions(request) for request in requests))
+            self.assertEqual(is_shed, any(host.final_actions(request) for request in requests))
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Two dozen relays and more before warming endpoints, where each one's part rounds to nothing or to one."""
+"""Slow start with 24 relays and more, where each relay's share of a warming endpoint is less than one attempt."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from lanelead.decisions.endpoint_state import state_of
 from tests import hollow
 from tests.fake_decisions_host import FakeHost
-from tests.hollow import SECOND, play
+from tests.hollow import SECOND, simulate_slow_start
 from tests.postgres_platform import Platform, free_port, platform
 from tests.relay_processes import RelayProcess, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 from tests.town import live
 
 RELAYS = (24, 40, 60)
-LIST_OF, STARTED = Platform.list_of, time.time() * 1000
+PLATFORM_LIST, STARTED_AT_MS = Platform.list_of, time.time() * 1000
 
 
 class OverloadLimit(unittest.TestCase):
-    def test_all_relays_together_keep_to_what_a_warming_endpoint_may_get(self) -> None:
+    def test_all_relays_together_do_not_overload_a_warming_endpoint(self) -> None:
         for kind in ("one", "half", "all", "mass"):
             for relays in RELAYS:
                 with self.subTest(kind=kind, relays=relays):
-                    found = [play(kind, relays, 2.0, seed, load=1.5) for seed in (1, 2)]
-                    self.assertLessEqual(max(one.worst for one in found), 1.0)
+                    results = [simulate_slow_start(kind, relays, 2.0, seed, load=1.5) for seed in (1, 2)]
+                    self.assertLessEqual(max(result.worst_load for result in results), 1.0)
 
-    def test_it_is_kept_where_settings_promise_more_than_endpoints_do(self) -> None:
+    def test_the_limit_holds_where_the_configured_quota_exceeds_the_endpoints_capacity(self) -> None:
         for kind in ("all", "mass"):
-            found = play(kind, 40, 2.0, 3, load=3.0)
-            self.assertLessEqual(found.worst, 1.0)
+            result = simulate_slow_start(kind, 40, 2.0, 3, load=3.0)
+            self.assertLessEqual(result.worst_load, 1.0)
 
 
 class Memory(unittest.TestCase):
     def test_attempts_at_a_warm_endpoint_are_forgotten_after_the_overload_time(self) -> None:
-        # 45 minutes of a day held each attempt at each warm endpoint: 37 MB for 30.
+        # Start times of attempts were once kept for warm endpoints too: 37 MB for 30 endpoints after 45 minutes.
         host = FakeHost(endpoints=2)
         for _ in range(300):
             host.end_attempt(host.attempts(host.send_request())[-1])
@@ -51,64 +51,68 @@
 
 class IdleRelays(unittest.TestCase):
     def test_no_relay_is_idle_where_all_endpoints_are_warming(self) -> None:
-        """A tenth of the relays that have requests may be: the sequences of some advance late."""
+        """Up to a tenth of the relays with requests may be idle, since the sequences of some advance late."""
         for kind in ("all", "mass"):
-            found = [play(kind, relays, 1.0, seed) for relays in RELAYS for seed in (1, 2, 3)]
-            asked, idle = sum(one.asked for one in found), sum(one.idle for one in found)
-            self.assertGreater(asked, 60)
-            self.assertLessEqual(idle, asked / 10, kind)
+            results = [simulate_slow_start(kind, relays, 1.0, seed) for relays in RELAYS for seed in (1, 2, 3)]
+            busy, idle = sum(result.busy_relays for result in results), sum(result.idle_relays for result in results)
+            self.assertGreater(busy, 60)
+            self.assertLessEqual(idle, busy / 10, kind)
 
     def test_each_warming_endpoint_gets_work(self) -> None:
         for kind in ("one", "half", "all", "mass"):
             for relays in RELAYS:
-                self.assertGreater(play(kind, relays, 3.0, 1).least, 0, (kind, relays))
+                self.assertGreater(simulate_slow_start(kind, relays, 3.0, 1).fewest_attempts, 0, (kind, relays))
 
     def test_relays_that_have_just_started_without_a_quota_send_too(self) -> None:
-        found = [play("mass", relays, 3.0, seed, quota=0.0) for relays in RELAYS for seed in (1, 2)]
-        self.assertGreater(sum(one.done for one in found), 0.1 * sum(one.able for one in found))
-        self.assertLess(sum(one.idle for one in found), 0.3 * sum(one.asked for one in found))
-        self.assertLessEqual(max(one.worst for one in found), 1.0)
+        results = [simulate_slow_start("mass", relays, 3.0, seed, quota=0.0) for relays in RELAYS for seed in (1, 2)]
+        self.assertGreater(
+            sum(result.succeeded for result in results), 0.1 * sum(result.capacity for result in results)
+        )
+        self.assertLess(
+            sum(result.idle_relays for result in results), 0.3 * sum(result.busy_relays for result in results)
+        )
+        self.assertLessEqual(max(result.worst_load for result in results), 1.0)
 
     def test_without_an_overload_time_there_is_no_limit(self) -> None:
-        found = play("mass", 24, 3.0, 1, limits=replace(hollow.DUTIES, overload_time=0))
-        self.assertEqual(found.idle, 0)
-        self.assertGreater(found.done, 0.6 * found.able)
+        result = simulate_slow_start("mass", 24, 3.0, 1, limits=replace(hollow.LIMITS, overload_time=0))
+        self.assertEqual(result.idle_relays, 0)
+        self.assertGreater(result.succeeded, 0.6 * result.capacity)
 
 
 class Processes(unittest.TestCase):
     @live
-    async def test_six_relays_before_warming_endpoints_all_serve_and_none_is_overloaded(self) -> None:
-        """Each one's part of an endpoint is a sixth of a request a second; the endpoints stay cold throughout."""
-        at: dict[str, list[float]] = {}
+    async def test_six_relays_all_serve_and_overload_none_of_the_warming_endpoints(self) -> None:
+        """Each relay's share of an endpoint is a sixth of a request per second; no endpoint finishes warming up."""
+        arrivals: dict[str, list[float]] = {}
 
-        async def noted(unit: ScriptedEndpoint, text: bytes) -> bytes:
-            at.setdefault(unit.name, []).append(time.monotonic())
-            return await echo_id(unit, text)
+        async def record_arrival(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
+            arrivals.setdefault(endpoint.name, []).append(time.monotonic())
+            return await echo_id(endpoint, text)
 
-        with mock.patch.object(Platform, "list_of", cold_list):
-            async with platform(*(ScriptedEndpoint(f"u{number}", noted) for number in range(4))) as place:
+        with mock.patch.object(Platform, "list_of", warming_endpoint_list):
+            async with platform(*(ScriptedEndpoint(f"u{number}", record_arrival) for number in range(4))) as emulated:
                 async with contextlib.AsyncExitStack() as stack:
-                    relays = [await stack.enter_async_context(cold_relay(place, n)) for n in range(6)]
-                    for one in relays:
-                        await one.until("listening")
-                    await asyncio.gather(*(asked_until_served(one, n) for n, one in enumerate(relays)))
-        may = 4.0 * 2.0 * 0.5  # the multiple of what an endpoint does, 2 a second, half cold
-        for times in at.values():
+                    relays = [await stack.enter_async_context(relay_with_slow_start(emulated, n)) for n in range(6)]
+                    for relay in relays:
+                        await relay.until("listening")
+                    await asyncio.gather(*(send_requests_until_served(relay, n) for n, relay in enumerate(relays)))
+        allowed = 4.0 * 2.0 * 0.5  # overload multiple x 2 requests per second x half warm
+        for times in arrivals.values():
             window = max(sum(t - 1 < other <= t for other in times) for t in times)
-            self.assertLessEqual(window, may + 2 * sqrt(may) + 2)
+            self.assertLessEqual(window, allowed + 2 * sqrt(allowed) + 2)
 
 
-def cold_list(place: Platform, units: list[ScriptedEndpoint], full: bool = True) -> bytes:
-    """As the platform's own, but that all units have just started."""
-    endpoint_list = json.loads(LIST_OF(place, units, full))
+def warming_endpoint_list(emulated: Platform, endpoints: list[ScriptedEndpoint], full: bool = True) -> bytes:
+    """Return the platform's endpoint list with all endpoints marked as just started."""
+    endpoint_list = json.loads(PLATFORM_LIST(emulated, endpoints, full))
     for row in endpoint_list["servers"]:
-        row["started_ms"] = STARTED
+        row["started_ms"] = STARTED_AT_MS
     return json.dumps(endpoint_list).encode()
 
 
-async def asked_until_served(one: RelayProcess, number: int) -> None:
-    """Each request has its one final answer, the last of them a value."""
-    client, count = await one.client(), 0
+async def send_requests_until_served(relay: RelayProcess, number: int) -> None:
+    """Send requests until one succeeds; each other one must be rejected with error 53300."""
+    client, count = await relay.client(), 0
     while True:
         count += 1
         answer = await client.request(f"{number}a{count:x}")
@@ -120,18 +124,19 @@
 
 
 @contextlib.asynccontextmanager
-async def cold_relay(place: Platform, number: int) -> AsyncIterator[RelayProcess]:
-    config = json.loads((place.folder / "config.json").read_text())
+async def relay_with_slow_start(emulated: Platform, number: int) -> AsyncIterator[RelayProcess]:
+    """Run one of six relays, configured with a quota of 8 requests per second and a slow start of 10 minutes."""
+    config = json.loads((emulated.folder / "config.json").read_text())
     port = free_port()
     config |= {"name": f"n{number}", "listen": f"127.0.0.1:{port}", "seed": f"{number + 1:x}"}
     config |= {"peer_listen": "", "peers": []}
     config["settings"] |= {"me": number, "instances": 6}
     config["settings"]["accounts"][0]["quotaPerS"] = 8.0
     config["settings"]["contract"]["coldMs"] = 600_000.0
-    path = place.folder / f"cold{number}.json"
+    path = emulated.folder / f"cold{number}.json"
     path.write_text(json.dumps(config))
-    found = await start_relay(place, path, port)
+    relay = await start_relay(emulated, path, port)
     try:
-        yield found
+        yield relay
     finally:
-        await found.kill_and_wait()
+        await relay.kill_and_wait()
--- a/tests/test_zone_spillover.py
+++ b/tests/test_zone_spillover.py
@@ -1,4 +1,4 @@
-"""Zone spillover: how traffic leaves a lost or failing zone, and how it comes back."""
+"""Tests zone spillover: how traffic is diverted from a lost or failing zone, and how it returns."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class SpilloverFixture:
-    """Zone spillover alone, fed by hand: two zones of four endpoints each, ten requests a second."""
+    """Zone spillover without a relay: two zones of four endpoints each, ten requests per second."""
 
     def __init__(self, preference: ZonePreference = ZonePreference((("a",), ("b",)))) -> None:  # noqa: B008
         self.spillover = ZoneSpillover(
@@ -42,56 +42,61 @@
         self.run(10)
 
     def new_endpoint(self, zone: str, started_at: Ticks = 0) -> EndpointState:
+        """Create a ready endpoint in a zone."""
         endpoint = EndpointState(0, SECOND, SECOND, 0.5)
         endpoint.update(EndpointRecord(endpoint, zone, 0, "std", started_at, 1, 1.0, EndpointStatus.READY))
         return endpoint
 
     def run(self, seconds: float, failing: str = "") -> None:
+        """Update spillover for some seconds; every endpoint of the `failing` zones fails one attempt per interval."""
         for _ in range(round(seconds * 5)):
             self.now += UPDATE_INTERVAL
-            every = [endpoint for some in self.endpoints.values() for endpoint in some]
+            all_endpoints = [endpoint for endpoints in self.endpoints.values() for endpoint in endpoints]
             for zone in failing:
                 for endpoint in self.endpoints[zone]:
                     self.spillover.record_outcomes(endpoint, 1, 1, self.now)
-            begun = 1 - exp((self.began_at - self.now) / (4 * SECOND))  # the decaying sum of ten requests a second
-            self.spillover.update(every, 40.0 * begun, False, self.now)
+            reached = 1 - exp((self.began_at - self.now) / (4 * SECOND))  # of a decaying sum of 10 requests per second
+            self.spillover.update(all_endpoints, 40.0 * reached, False, self.now)
 
     def diverted_share(self) -> float:
+        """Return the first tier's diverted share."""
         return self.spillover.tiers[0].diverted_share
 
     def request(self, request_class: RequestClass = IDEMPOTENT_CLASS, tried: Endpoint | None = None) -> Request:
-        found = Request(request_class, None, None, self.now, self.now + SECOND)
+        """Create a request; with `tried`, an attempt at that endpoint has timed out."""
+        request = Request(request_class, None, None, self.now, self.now + SECOND)
         if tried is not None:
-            found.attempts.append(Attempt(found, tried, 0, self.now, SECOND, AttemptOutcome.TIMED_OUT))
-        return found
+            request.attempts.append(Attempt(request, tried, 0, self.now, SECOND, AttemptOutcome.TIMED_OUT))
+        return request
 
     def first_tier(self, request_class: RequestClass = IDEMPOTENT_CLASS, tried: Endpoint | None = None) -> list[int]:
+        """Return the first group of tiers that a new request may use."""
         return self.spillover._tier_order(self.request(request_class, tried))[0]
 
 
 class Diversion(unittest.TestCase):
-    def test_while_all_is_well_a_request_stays_in_its_zone(self) -> None:
+    def test_without_failures_requests_stay_in_their_zone(self) -> None:
         fixture = SpilloverFixture()
         self.assertEqual([fixture.first_tier() for _ in range(50)], [[0]] * 50)
 
-    def test_with_half_of_a_zone_half_is_diverted(self) -> None:
+    def test_with_half_of_a_zone_lost_half_of_its_requests_are_diverted(self) -> None:
         fixture = SpilloverFixture()
         del fixture.endpoints["a"][2:]
         fixture.run(4)
         self.assertAlmostEqual(fixture.diverted_share(), 0.5, delta=0.02)
         fixture.spillover.tiers[1].tokens = 1000.0
-        places = [fixture.first_tier()[0] for _ in range(1000)]
-        self.assertLess(abs(sum(places) / 1000 - 0.5), 0.1)
+        tiers = [fixture.first_tier()[0] for _ in range(1000)]
+        self.assertLess(abs(sum(tiers) / 1000 - 0.5), 0.1)
 
-    def test_a_lost_zone_is_left_by_steps_not_at_once(self) -> None:
-        fixture, seen = SpilloverFixture(), list[float]()
+    def test_requests_are_diverted_from_a_lost_zone_gradually(self) -> None:
+        fixture, shares = SpilloverFixture(), list[float]()
         fixture.endpoints["a"].clear()
         for _ in range(10):
             fixture.run(0.2)
-            seen.append(fixture.diverted_share())
-        self.assertTrue(0 < seen[0] < 0.4)
-        self.assertEqual(sorted(seen), seen)
-        self.assertEqual(seen[-1], 1.0)
+            shares.append(fixture.diverted_share())
+        self.assertTrue(0 < shares[0] < 0.4)
+        self.assertEqual(sorted(shares), shares)
+        self.assertEqual(shares[-1], 1.0)
 
     def test_relays_that_notice_at_the_same_moment_take_different_steps(self) -> None:
         steps = set()
@@ -103,12 +108,12 @@
             steps.add(round(fixture.diverted_share(), 4))
         self.assertEqual(len(steps), 5)
 
-    def test_a_zone_that_fails_while_it_is_listed_is_left_on_evidence(self) -> None:
+    def test_requests_are_diverted_from_a_listed_zone_whose_attempts_fail(self) -> None:
         fixture = SpilloverFixture()
         fixture.run(4, failing="a")
         self.assertGreater(fixture.diverted_share(), 0.8)
 
-    def test_a_silent_zone_shows_by_its_attempts_in_flight(self) -> None:
+    def test_requests_are_diverted_from_a_zone_that_does_not_respond(self) -> None:
         fixture = SpilloverFixture()
         for endpoint in fixture.endpoints["a"]:
             for _ in range(3):
@@ -117,7 +122,7 @@
         fixture.run(3)
         self.assertGreater(fixture.diverted_share(), 0.4)
 
-    def test_few_bad_outcomes_prove_nothing_of_a_whole_tier(self) -> None:
+    def test_a_few_failures_divert_no_requests(self) -> None:
         fixture = SpilloverFixture()
         fixture.spillover.record_outcomes(fixture.endpoints["a"][0], 5, 2, fixture.now)
         fixture.run(0.4)
@@ -145,26 +150,32 @@
         fixture.run(3, failing="b")
         self.assertLess(fixture.spillover.tiers[1].admitted_share, before / 2)
 
-    def test_endpoints_that_a_rollout_drains_are_no_lost_zone(self) -> None:
+    def test_endpoints_drained_by_a_rollout_do_not_count_as_a_lost_zone(self) -> None:
         fixture = SpilloverFixture()
         fixture.endpoints["a"] += [fixture.new_endpoint("a") for _ in range(4)]
         for _ in range(20):
             fixture.now += UPDATE_INTERVAL
-            fixture.spillover.update([s for some in fixture.endpoints.values() for s in some], 40.0, True, fixture.now)
+            fixture.spillover.update(
+                [endpoint for endpoints in fixture.endpoints.values() for endpoint in endpoints],
+                40.0,
+                True,
+                fixture.now,
+            )
         del fixture.endpoints["a"][:4]
         fixture.run(2)
         self.assertLess(fixture.diverted_share(), 0.05)
 
 
 class Recovery(unittest.TestCase):
-    def back(self, fixture: SpilloverFixture) -> None:
+    def restart_zone(self, fixture: SpilloverFixture) -> None:
+        """List four newly started endpoints in zone a."""
         fixture.endpoints["a"] = [fixture.new_endpoint("a", fixture.now) for _ in range(4)]
 
-    def test_traffic_comes_back_no_sooner_than_the_endpoints_warm_up(self) -> None:
+    def test_traffic_returns_no_faster_than_the_endpoints_warm_up(self) -> None:
         fixture = SpilloverFixture()
         fixture.endpoints["a"].clear()
         fixture.run(4)
-        self.back(fixture)
+        self.restart_zone(fixture)
         for _ in range(20):
             fixture.run(0.2)
             age = (fixture.now - fixture.endpoints["a"][0].started_at) / LIMITS.slow_start_time
@@ -172,55 +183,56 @@
         fixture.run(12)
         self.assertEqual(fixture.diverted_share(), 0.0)
 
-    def test_a_zone_that_failed_again_is_trusted_more_slowly_and_forgiven_in_time(self) -> None:
-        def until_back(fixture: SpilloverFixture) -> float:
-            self.back(fixture)
+    def test_recovery_is_slower_after_repeated_outages_up_to_a_bound(self) -> None:
+        def recovery_time(fixture: SpilloverFixture) -> float:
+            """Return the seconds from the zone's restart until no request is diverted."""
+            self.restart_zone(fixture)
             for step in range(1000):
                 fixture.run(0.2)
                 if fixture.diverted_share() == 0:
                     return step * 0.2
-            raise AssertionError("never back")
+            raise AssertionError("requests are still diverted 200 s after the zone's restart")
 
         fixture, times = SpilloverFixture(), list[float]()
         for _ in range(4):
             fixture.endpoints["a"].clear()
             fixture.run(4)
-            times.append(until_back(fixture))
+            times.append(recovery_time(fixture))
         self.assertGreater(times[1], times[0] * 1.3)
         self.assertGreater(times[2], times[1])
-        self.assertLess(times[3], times[0] * 4)  # up to a bound
+        self.assertLess(times[3], times[0] * 4)  # the slowdown is bounded
         fixture.run(400)
         fixture.endpoints["a"].clear()
         fixture.run(4)
-        self.assertLess(until_back(fixture), times[0] * 1.2)
+        self.assertLess(recovery_time(fixture), times[0] * 1.2)
 
-    def test_a_zone_that_flaps_is_left_alone_until_it_stays(self) -> None:
-        fixture, lowest = SpilloverFixture(), list[float]()
+    def test_a_flapping_zone_is_avoided_until_it_is_stable(self) -> None:
+        fixture, lowest_shares = SpilloverFixture(), list[float]()
         for _ in range(8):
             fixture.endpoints["a"].clear()
             fixture.run(2.6)
-            self.back(fixture)
-            low = 1.0
+            self.restart_zone(fixture)
+            lowest = 1.0
             for _ in range(15):
                 fixture.run(0.2)
-                low = min(low, fixture.diverted_share())
-            lowest.append(low)
-        self.assertGreater(min(lowest[3:]), max(0.5, lowest[0] + 0.1))
+                lowest = min(lowest, fixture.diverted_share())
+            lowest_shares.append(lowest)
+        self.assertGreater(min(lowest_shares[3:]), max(0.5, lowest_shares[0] + 0.1))
         fixture.run(40)
         self.assertEqual(fixture.diverted_share(), 0.0)
 
-    def test_a_zone_listed_as_gone_though_it_answers_is_used_again_once_listed(self) -> None:
+    def test_a_zone_missing_from_the_list_is_used_again_once_listed(self) -> None:
         fixture = SpilloverFixture()
         kept, fixture.endpoints["a"] = fixture.endpoints["a"], []
         fixture.run(4)
         self.assertEqual(fixture.diverted_share(), 1.0)
-        fixture.endpoints["a"] = kept  # warm as ever: only the pace of return holds it back
+        fixture.endpoints["a"] = kept  # still warm, so only the limit on the rate of recovery applies
         fixture.run(2)
         self.assertTrue(0 < fixture.diverted_share() < 1)
         fixture.run(10)
         self.assertEqual(fixture.diverted_share(), 0.0)
 
-    def test_a_relay_that_starts_anew_while_its_zone_is_lost_goes_to_the_next_tier_by_measure(self) -> None:
+    def test_a_relay_started_while_its_zone_is_lost_sends_to_the_next_tier_within_its_own_rate(self) -> None:
         fixture = SpilloverFixture()
         fixture.spillover = ZoneSpillover(
             ZonePreference((("a",), ("b",))),
@@ -239,12 +251,13 @@
             while fixture.spillover.tiers[1].tokens >= 1:
                 sent += 1
                 fixture.spillover.take_token(fixture.endpoints["b"][0])
-        self.assertLessEqual(sent, 10 * 10 + 10)  # it knows of no size of its own: what it takes is the limit
-        self.back(fixture)
+        # The capacity of the relay's own zone is unknown, so the limit is the rate of its requests.
+        self.assertLessEqual(sent, 10 * 10 + 10)
+        self.restart_zone(fixture)
         fixture.run(30)
         self.assertEqual(fixture.diverted_share(), 0.0)
 
-    def test_where_the_last_tier_is_overloaded_too_few_are_admitted(self) -> None:
+    def test_an_overloaded_last_tier_admits_few_until_it_recovers(self) -> None:
         fixture = SpilloverFixture()
         fixture.endpoints["a"].clear()
         fixture.run(12, failing="b")
@@ -262,13 +275,13 @@
         self.assertEqual({fixture.first_tier(NON_IDEMPOTENT_CLASS)[0] for _ in range(200)}, {1})
         self.assertEqual({fixture.first_tier(IDEMPOTENT_CLASS)[0] for _ in range(200)}, {0, 1})
 
-    def test_a_request_whose_attempt_failed_goes_to_the_next_tier_and_a_keyed_one_does_not(self) -> None:
+    def test_a_retry_goes_to_the_next_tier_except_for_a_keyed_request(self) -> None:
         fixture = SpilloverFixture()
-        home = fixture.endpoints["a"][0]
-        self.assertEqual(fixture.first_tier(IDEMPOTENT_CLASS, home), [1])
-        self.assertEqual(fixture.first_tier(KEYED_CLASS, home), [0])
+        tried = fixture.endpoints["a"][0]
+        self.assertEqual(fixture.first_tier(IDEMPOTENT_CLASS, tried), [1])
+        self.assertEqual(fixture.first_tier(KEYED_CLASS, tried), [0])
 
-    def test_in_a_degraded_tier_errors_are_held_against_a_build_and_lateness_is_not(self) -> None:
+    def test_in_a_degraded_tier_errors_count_against_a_build_and_lateness_does_not(self) -> None:
         host = FakeHost(endpoints=4)
         relay = host.balancer
         relay._spillover = ZoneSpillover(
@@ -285,7 +298,7 @@
         self.assertEqual(relay._scoring.history.windows[-1].faults, {Fault.ERROR: 2})
         self.assertGreater(relay._spillover.tiers[0].failures.read(relay.now), 0)
 
-    def test_without_tiers_all_endpoints_are_one(self) -> None:
+    def test_without_tiers_spillover_has_no_effect(self) -> None:
         spillover = ZoneSpillover(
             ZonePreference(), LIMITS, longest_objective=SECOND, update_interval=UPDATE_INTERVAL, rng=Random(1)
         )
