--- a/lanelead/decisions/interface.py
+++ b/lanelead/decisions/interface.py
@@ -161,7 +161,7 @@
     stage: int
     phase: RolloutPhase
     exposure_limit: float  # the share (0 to 1) of requests that the canary may get
-    age: Ticks  # the time since the current stage or phase began
+    age: Ticks  # the time since the current stage began, or the phase if that changed later
     answers_vote: bool  # it answers this relay's vote
     outcome: AttemptOutcome  # of the vote, if it answers one
 
--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -1,4 +1,4 @@
-"""Assesses a canary in each stage of its rollout, and derives this relay's votes on it."""
+"""Assesses a canary in each stage of its rollout; `rollout_votes` turns the assessment into this relay's votes."""
 
 from math import ceil
 from random import Random
@@ -21,17 +21,24 @@
 from lanelead.decisions.relay_traffic import RelayTraffic
 from lanelead.decisions.rollout_votes import CanaryAssessment, VoteCaster
 
-MAX_OBSERVATION_TIME: Ticks = 5 * SECOND  # for which a stage is observed before a vote to promote
-RECENT_SPAN: Ticks = 3 * SECOND  # scored to decide on a hold vote under promotion by timer
-MIN_STAGE_OUTCOMES = 10  # at the canary, before a vote to promote
-DOUBTFUL_MARGIN = 1  # the score margin above which the observation time starts again
-MAX_SLOWING_AGE: Ticks = 10 * SECOND  # after a promotion; later slowing is not attributed to the build
+# The longest time for which a stage is observed before this relay votes to promote.
+MAX_OBSERVATION_TIME: Ticks = 5 * SECOND
+# The time over which outcomes are scored to decide on a vote to hold.
+RECENT_SPAN: Ticks = 3 * SECOND
+# The fewest outcomes at the canary in a stage, including those reported by peers, for a vote to promote.
+MIN_STAGE_OUTCOMES = 10
+# Above this score margin the observation time starts again, and the canary is no longer preferred in selection.
+DOUBTFUL_MARGIN = 1
+# Slowing of the fleet that is found later than this after a promotion is not attributed to the build.
+MAX_SLOWING_AGE: Ticks = 10 * SECOND
+# The fewest outcomes, of all builds, for which slowing of the fleet is evaluated.
 MIN_SLOWING_OUTCOMES = 100
-BUSIER_FACTOR = 1.3  # times the baseline traffic; above it, traffic alone explains lateness
+# When traffic exceeds the baseline by this factor, it explains lateness by itself.
+BUSIER_FACTOR = 1.3
 
 
 class RolloutPolicy:
-    """Assesses the canary from one relay's observations, and decides on its votes."""
+    """Assesses the newest build's rollout from one relay's observations, and returns the votes of that relay."""
 
     def __init__(
         self,
@@ -48,28 +55,33 @@
         self._gossip_peers = gossip_peers
         self._scoring = scoring
         self._traffic = traffic
-        self.votes = VoteCaster(voting_rules, rng)
+        self.votes = VoteCaster(voting_rules, rng)  # chooses the verdicts, and when to cast them
         self.margin = 0.0  # the latest score margin of the canary
         self._stage = (-1, 0)  # build and stage
-        self.stage_began_at: Ticks = 0
-        self._last_doubtful_at: Ticks = 0
-        self.promotion_due_at: Ticks = 0
-        # Scaled down with the platform's shortest stage time.
+        self.stage_began_at: Ticks = 0  # when the current stage began, or the phase if that changed later
+        self._last_doubtful_at: Ticks = 0  # when the margin was last above `DOUBTFUL_MARGIN`
+        self.promotion_due_at: Ticks = 0  # the end of the observation time
+        # The observation time is five times the platform's shortest stage time, so that it suits deployments with short
+        # stages.
         self._observation_time = min(MAX_OBSERVATION_TIME, 5 * voting_rules.min_stage_time or MAX_OBSERVATION_TIME)
-        # The shares of late outcomes before the rollout and at the end of each stage so far.
+        # Shares of late outcomes: index 0 is the share before the rollout, index n the one at the end of stage n - 1.
         self.baseline_late_shares = list[float]()
-        self.baseline_served = 0.0  # `RelayTraffic.served` when stage 0 or 1 began
+        self.baseline_served = 0.0  # `RelayTraffic.served` when stage 0 began, replaced when stage 1 begins
 
     def canary_bias(self) -> float:
-        """Return the factor by which the cost of a canary's endpoint may exceed that of an earlier build's endpoint.
+        """Return the factor by which the cost of the newest build's endpoint may exceed that of an earlier build's.
 
-        A late promotion has a price, so the canary should get all the traffic that the exposure limit allows, unless
-        its score margin makes it doubtful.
+        A late promotion has a price, so the newest build should get all the traffic that the exposure limit allows,
+        unless the latest score margin makes it doubtful.
         """
         return 1 + 2 * self._rules.delay_price if self.margin <= DOUBTFUL_MARGIN else 1
 
     def update(self, rollout: RolloutState, now: Ticks) -> None:
-        """Apply the state of the newest build's rollout; on a new stage, record its baseline."""
+        """Note when the stage began; on a new build or stage, start its scoring and record the baselines.
+
+        The late share so far is appended only if the shares of all earlier stages are there. A relay that first sees a
+        rollout in a later stage lacks them.
+        """
         self.stage_began_at = now - rollout.age
         stage = (rollout.build, rollout.stage)
         if stage == self._stage:
@@ -84,7 +96,10 @@
             self.baseline_late_shares.append(late / outcomes)
 
     def evaluate(self, rollout: RolloutState, endpoints: EndpointSet, now: Ticks) -> list[Action]:
-        """Score the newest build; return a vote and a log event if a vote is due, else nothing."""
+        """Score the newest build; return a vote and a log event if a vote is due, else nothing.
+
+        Without a ready endpoint of the newest build nothing is scored, and the margin stays.
+        """
         canary = endpoints.ready_by_build.get(rollout.build)
         if not canary:
             return []
@@ -93,7 +108,7 @@
         if self._rules.hold_votes:
             recent_score = self._scoring.score(endpoints.ready, now, RECENT_SPAN).mean
         assessment = CanaryAssessment(
-            is_mature=self._is_mature(rollout, endpoints.ready, canary, now),
+            is_mature=self._is_observation_complete(rollout, endpoints.ready, canary, now),
             score_margin=self.margin,
             recent_score=recent_score,
             is_fleet_slowing=self.is_fleet_slowing(rollout, now),
@@ -106,42 +121,47 @@
             return []
         return [vote, LogEvent(f"{verdict.name} on build {rollout.build}: margin {self.margin:.1f}")]
 
-    def _is_mature(
+    def _is_observation_complete(
         self, rollout: RolloutState, ready: list[EndpointState], canary: list[EndpointState], now: Ticks
     ) -> bool:
-        """Return whether a stage was observed for long enough, on enough endpoints and outcomes, to be promoted.
+        """Return whether a stage was observed for long enough, on enough endpoints and outcomes.
 
-        The observation time starts again when the score margin is doubtful or when another endpoint of the canary
-        starts. If not all endpoints of the stage are listed, three times the observation time must have passed. While
-        at least half of the canary's endpoints are ejected, too little is observed to promote it.
+        Only then does this relay vote to promote, or to roll back because the fleet became slower. The observation time
+        starts again while the score margin is doubtful and when another endpoint of the canary starts; the method
+        updates `promotion_due_at` accordingly. If not all endpoints of the stage are ready, three times the observation
+        time must have passed since the stage began. While at least half of the canary's endpoints are ejected, too
+        little is observed.
 
-        A relay that has observed too few outcomes must not promote a build that other relays see fail. It may if
-        promotion takes more votes than there are watchers (see `GossipPeers`): then relays that get no outcomes by
-        gossip must vote too, and the watchers can still roll back.
+        `MIN_STAGE_OUTCOMES` outcomes at the canary are required, since a relay without them would promote a build that
+        other relays see fail. They are not required if promotion takes more votes than there are watchers (see
+        `GossipPeers`): then relays that get no outcomes by gossip must vote too, and the watchers can still roll back.
         """
         if self.margin > DOUBTFUL_MARGIN:
             self._last_doubtful_at = now
         started_at = max(endpoint.started_at for endpoint in canary)
         self.promotion_due_at = max(self.stage_began_at, self._last_doubtful_at, started_at) + self._observation_time
-        # The stage's share is of all ready endpoints where they are replaced in place, else of the earlier builds'.
+        # Where endpoints are replaced in place, the stage's share refers to all ready endpoints. Otherwise the canary's
+        # endpoints are additional, and the share refers to the endpoints of earlier builds.
         reference_count = sum(endpoint.build < rollout.build or self._limits.in_place for endpoint in ready)
         all_listed = len(canary) >= ceil(self._limits.shares[rollout.stage] * reference_count - 1e-6)
-        most_ejected = 2 * sum(endpoint.ejected_until > now for endpoint in canary) >= len(canary)
+        half_ejected = 2 * sum(endpoint.ejected_until > now for endpoint in canary) >= len(canary)
         watchers_suffice = self._rules.promote_votes <= self._gossip_peers.watcher_count
         has_evidence = not watchers_suffice or self._scoring.stage_outcomes >= MIN_STAGE_OUTCOMES
-        if now < self.promotion_due_at or not has_evidence or most_ejected:
+        if now < self.promotion_due_at or not has_evidence or half_ejected:
             return False
         return all_listed or now > self.stage_began_at + 3 * self._observation_time
 
     def is_fleet_slowing(self, rollout: RolloutState, now: Ticks) -> bool:
-        """Return whether the fleet, including the newest build's endpoints, became slower without more traffic.
+        """Return whether the fleet's share of late outcomes rose above the tolerated share without more traffic.
 
-        A build that slows the endpoints of all builds alike has no score margin, so the share of late outcomes is
-        compared with the one before the rollout. Slowing of the earlier builds' endpoints alone is not attributed to
-        the newest build.
+        A build that slows the endpoints of all builds alike has no score margin, so the share is compared with the one
+        before the rollout; traffic is compared with the start of stage 1. The slowing is not attributed to the newest
+        build if less than half of the tolerated share is late at its own mature endpoints. Without outcomes of those,
+        it is.
         """
         is_promoted = rollout.phase is RolloutPhase.PROMOTED
         is_busier = self._traffic.served.read(now) > BUSIER_FACTOR * self.baseline_served
+        # With less than a third of the endpoints, slowing of most endpoints is not attributed to the newest build.
         has_few_endpoints = self._limits.shares[rollout.stage] < 1 / 3
         has_no_baseline = len(self.baseline_late_shares) <= max(1, rollout.stage)
         if has_few_endpoints or has_no_baseline or is_busier:
@@ -150,9 +170,11 @@
             return False
         before, first_stage = self.baseline_late_shares[:2]
         late, outcomes = self._scoring.late_counts(now)
-        # Requests that this relay rejected count as late.
+        # The share of requests that this relay rejected counts as late too. The divisor is at least 100, so that a few
+        # rejected requests have little weight at low traffic.
         late += int(outcomes * self._traffic.rejected.read(now) / max(100, self._traffic.received.read(now)))
         own_late, own_outcomes = self._scoring.late_counts(now, rollout.build)
+        # The tolerated rise is a part of the delay price, or 1.5 times the rise in the first stage if that is more.
         tolerated_rise = max(self._rules.delay_price / (2 if is_promoted else 4), 1.5 * (first_stage - before))
         tolerated = before + tolerated_rise
         if outcomes < MIN_SLOWING_OUTCOMES or late <= tolerated * outcomes:
--- a/lanelead/decisions/rollout_votes.py
+++ b/lanelead/decisions/rollout_votes.py
@@ -22,7 +22,7 @@
 class CanaryAssessment:
     """One relay's current assessment of a canary."""
 
-    is_mature: bool  # it was observed for long enough to be promoted
+    is_mature: bool  # observed for long enough to promote, or to roll back for a slowing fleet
     score_margin: float  # its score above the earlier builds'
     recent_score: float  # the mean score of its endpoints over `RECENT_SPAN`; 0 if the rules have no hold votes
     is_fleet_slowing: bool
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -68,7 +68,7 @@
 
     def test_after_unanswered_health_checks_other_builds_are_checked_first(self) -> None:
         # All relays checked the same few canary endpoints, and two of three requests were rejected (scenario big-2 of
-        # athens-balancing).
+        # athens-balancing, enlarged).
         host = FakeHost(health_checks=True, relays=100)
         new = [host.list_endpoint(2) for _ in range(4)]
         host.update_rollout(2, 1, RolloutPhase.CANARY, 1.0)
@@ -109,7 +109,8 @@
         self.assertEqual((len(host.attempts(low_priority)), len(host.attempts(high_priority))), (0, 1))
 
     def test_only_a_share_of_requests_that_are_always_late_is_sent(self) -> None:
-        # One tenant's requests queued at every endpoint and took up all capacity (scenario big-2 of kortfjell-prod).
+        # One tenant's requests queued at every endpoint and took up all capacity (scenario big-2 of
+        # kortfjell-prod, enlarged).
         for elapsed, most, fewest in ((2 * SECOND, 70, 10), (1000, 100, 100)):
             host = FakeHost()
             for _ in range(100):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -84,11 +84,11 @@
         endpoint = host.list_endpoint(2, started_at=host.balancer.now)
         host.advance(6 * SECOND)
         self.assertEqual(host.votes(), [])
-        votes = host.balancer._rollout.votes
+        vote_caster = host.balancer._rollout.votes
         rollout = RolloutState(2, 0, RolloutPhase.CANARY, 0.1, 0, False, AttemptOutcome.SUCCEEDED)
-        self.assertEqual(votes.choose_verdict(rollout, CanaryAssessment(True, 0.0, 3.1, False)), Verdict.HOLD)
+        self.assertEqual(vote_caster.choose_verdict(rollout, CanaryAssessment(True, 0.0, 3.1, False)), Verdict.HOLD)
         self.assertEqual(
-            (votes.choose_verdict(rollout, CanaryAssessment(True, 0.0, 2.9, False)), endpoint.build), (None, 2)
+            (vote_caster.choose_verdict(rollout, CanaryAssessment(True, 0.0, 2.9, False)), endpoint.build), (None, 2)
         )
 
     def test_peers_outcomes_count_and_a_restarted_relay_votes_on_them(self) -> None:
