--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -79,8 +79,8 @@
     def update(self, rollout: RolloutState, now: Ticks) -> None:
         """Note when the stage began; on a new build or stage, start its scoring and record the baselines.
 
-        The late share so far is appended only if the shares of all earlier stages are there. A relay that first sees a
-        rollout in a later stage lacks them.
+        The late share so far is appended only if the list holds one share for each earlier stage. Stage 0 clears the
+        list and stage 1 keeps its first share; a relay that first sees a rollout in a later stage clears nothing.
         """
         self.stage_began_at = now - rollout.age
         stage = (rollout.build, rollout.stage)
