--- a/lanelead/configuration/actions.py
+++ b/lanelead/configuration/actions.py
@@ -1,4 +1,4 @@
-"""What a follower of the configuration wants done: its host carries it out, and tells what came of it."""
+"""The actions that a follower requests. Its host carries them out and reports the results."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Location:
-    """Where a source listens, or a relay stands."""
+    """The zone and region of a source or a relay, and the address (HOST:PORT) at which a source listens."""
 
     zone: str = ""
     region: str = ""
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class OpenWatch:
-    """Open a watch at `source` from version `since`, whose document has `digest`."""
+    """Open a watch of `source` (an index) from version `since`; `digest` is that of the document at this version."""
 
     source: int
     since: int
@@ -27,21 +27,21 @@
 
 @dataclass(frozen=True)
 class CloseWatch:
-    """End the watch, and what else was asked of its source."""
+    """Close the watch of `source` and cancel all other calls to it, except reports."""
 
     source: int
 
 
 @dataclass(frozen=True)
 class FetchDigestTree:
-    """Fetch the digest tree of a source's snapshot."""
+    """Fetch the digest tree of the snapshot that `source` serves."""
 
     source: int
 
 
 @dataclass(frozen=True)
 class FetchBuckets:
-    """Fetch whole buckets, by number, of a source's snapshot of `version`."""
+    """Fetch the buckets with these numbers, whole, from the snapshot of `version` at `source`."""
 
     source: int
     version: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class VersionApplied:
-    """A version has come into force; these keys have changed since the one before."""
+    """Put a version into force; `keys` are those whose entries changed since the one before."""
 
     version: int
     keys: tuple[str, ...]
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """Write a log line, with its reason and what an operator can do."""
+    """Write a log line: the event, its reason, and what an operator can do about it."""
 
     text: str
     reason: str
--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -1,15 +1,15 @@
-"""What a relay does to have the newest configuration in force, and to keep the last good one whatever comes.
+"""The follower of a relay: keeps the newest configuration in force, and the last good one through failures.
 
 Rules:
-1. What is in force is a whole version: changes are taken in order, each whole; a repair is made on a copy and
-   comes into force when its digest is the source's.
-2. It never goes back: a source whose head is lower, or of another history, changes nothing.
-3. It follows one source, the nearest that answers and hears a majority of the machines; an older word is
-   followed where no fresher one is to be had.
-4. What it hears nothing of stays in force, for as long as that lasts.
-5. A repair fetches only buckets that differ, at a bounded rate, and goes on at another source if it is cut.
-
-Without sockets and clocks: the host carries out the acts and tells what came of them. Times are seconds.
+1. Only whole versions are in force. Changes are applied in order, each one completely; a repair works on a copy,
+   which comes into force once its digest equals the source's.
+2. The version never decreases: a source with a lower committed version or another history changes nothing.
+3. One source is followed: the nearest one that responds and has recently heard from a majority of the replicas.
+   A stale source is followed only while no fresher one is available.
+4. While no source responds, the configuration stays in force, however long that lasts.
+5. A repair fetches only the buckets that differ, at a limited rate, and continues at another source if interrupted.
+
+There are no sockets or clocks here: the host carries out the actions and reports their results. Times are seconds.
 """
 
 from __future__ import annotations
@@ -32,33 +32,37 @@
 from lanelead.configuration.follower_state import Repair, SourceState
 from lanelead.protocols.configuration import AppliedVersion, Buckets, DigestTree, WatchLine
 
-WATCH_TIMEOUT_SECONDS = 1.2  # seconds without a line; a source writes one each 0.4 s
-FIRST_LINE_SECONDS = 0.7  # seconds until the first line, or two silent sources would be longer than a change may take
-MAX_FIRST_LINE_SECONDS = 10.0  # seconds until the first line at the most, where all are slow
-MAX_STALENESS_MS = 1500.0  # milliseconds since a source heard a majority, after which a fresher one is looked for
-RETRY_SECONDS = (0.1, 5.0)  # seconds until a source that failed is asked again: the first time, and at most
-SETTLED_SECONDS = 5.0  # seconds for which a source's old word counts before it is tried again
-DIVERGED_RETRY_SECONDS = 10.0  # seconds until a source of another history is asked again
-NEARER_SOURCE_SECONDS = (20.0, 40.0)  # seconds after which a nearer source is tried again
-FETCH_TIMEOUT_SECONDS = 3.0  # seconds for an outline or buckets
-FETCH_BYTES = 16384  # bytes of buckets asked for at once, about
-MAX_FAILED_FETCHES = 3  # outlines and buckets in a row that could not be had, after which another source is tried
-OVERSIZE_RETRY_SECONDS = (40.0, 80.0)  # seconds until a document over the bounds is looked at again
-MIN_REPORT_SECONDS = 0.2  # seconds between two words on what is in force, at the least
-MAX_REPORT_SECONDS = 10.0  # and at the most
+WATCH_TIMEOUT_SECONDS = 1.2  # longest gap between two lines of a watch; a source writes one every 0.4 s
+FIRST_LINE_SECONDS = 0.7  # first timeout for the first line; longer, two silent sources would make a change late
+MAX_FIRST_LINE_SECONDS = 10.0  # upper limit of that timeout, which grows when all links are slow
+MAX_STALENESS_MS = 1500.0  # a source that last heard from a majority longer ago is stale: a fresher one is tried
+RETRY_SECONDS = (0.1, 5.0)  # wait before a failed source is tried again: the first time, and at most
+SETTLED_SECONDS = 5.0  # a watch this old clears its source's failures; a stale source is avoided for as long
+DIVERGED_RETRY_SECONDS = 10.0  # wait before a source with another history is tried again
+NEARER_SOURCE_SECONDS = (20.0, 40.0)  # range of the random interval between two checks for a nearer source
+FETCH_TIMEOUT_SECONDS = 3.0  # for a digest tree or buckets
+FETCH_BYTES = 16384  # approximate size of the buckets requested at once
+MAX_FAILED_FETCHES = 3  # consecutive failed fetches of digest trees or buckets before another source is tried
+OVERSIZE_RETRY_SECONDS = (40.0, 80.0)  # range of the random wait after a document exceeded the limits
+MIN_REPORT_SECONDS = 0.2  # shortest interval between two reports of the version in force
+MAX_REPORT_SECONDS = 10.0  # longest interval
 OVERSIZE_REMEDY = (
-    "the last good one stays in force: raise most_entries or most_bytes in the file's section configuration "
-    "and restart this relay, or remove entries"
+    "the last good configuration stays in force: raise most_entries or most_bytes in section configuration of this "
+    "relay's file and restart the relay, or remove entries"
 )
 
 
 class Follower:
-    """`document`: what is in force; whoever holds it changes nothing. `rate`: bytes a second of a repair."""
+    """Chooses the source that a relay follows, applies its changes and repairs the document.
+
+    `document` is in force: callers must not modify it. `rate` limits a repair, in bytes per second. Methods append
+    to `actions`, which the host empties and carries out.
+    """
 
     def __init__(
         self,
         number: int,
-        place: Location,
+        location: Location,
         sources: Sequence[Location],
         document: Document,
         rate: float,
@@ -66,20 +70,17 @@
         now: float,
     ) -> None:
         self.document, self.history, self.actions = document, "", list[Action]()
-        self.rejected_keys: list[str] = []  # keys that the relay could not take; the host writes them
-        self.rejections = 0
+        self.rejected_keys: list[str] = []  # keys whose newest value the relay rejected; set by the host
+        self.rejections = 0  # rejected values since the start; set by the host
         self.repairs = self.lines = 0
-        self._relay, self._location, self._rate, self._rng = number, place, rate, rng
+        self._relay, self._location, self._rate, self._rng = number, location, rate, rng
         self._sources = [SourceState(source, rng.random()) for source in sources]
-        self._order = sorted(range(len(sources)), key=lambda n: (self._distance(n), self._sources[n].tie_break))
+        self._by_distance = sorted(range(len(sources)), key=lambda n: (self._distance(n), self._sources[n].tie_break))
         self._current: int | None = None
-        self._trial: tuple[int, float] | None = None  # one that may be better, and since when it is asked
-        self._last_line_at, self._watch_started_at, self._look_nearer_at = now, now, 0.0
-        self._opened = False  # a line has come on this watch
-        self._first_line_timeout, self._slow_watches = (
-            FIRST_LINE_SECONDS,
-            0,
-        )  # until the first line; watches in a row that gave none
+        self._trial: tuple[int, float] | None = None  # a possibly better source, and since when it is watched too
+        self._last_line_at, self._watch_started_at, self._nearer_check_at = now, now, 0.0
+        self._watch_open = False  # whether this watch has delivered a line
+        self._first_line_timeout, self._slow_watches = FIRST_LINE_SECONDS, 0  # watches in a row without a line
         self._repair: Repair | None = None
         self._report_pending, self._reported_at = False, -1e9
         self.tick(now)
@@ -87,28 +88,28 @@
     # Events
 
     def line_received(self, source: int, line: WatchLine, now: float) -> None:
-        """A line of a watch has come from `source`."""
+        """Handles a line of the watch of `source`."""
         if self._trial is not None and source == self._trial[0]:
-            began, self._trial = self._trial[1], None
+            started_at, self._trial = self._trial[1], None
             if self._current is not None:
                 self._close_watch(self._current)
-            self._set_current(source, began)
+            self._set_current(source, started_at)
         if source != self._current:
             return
-        self._last_line_at, known = now, self._sources[source]
-        known.staleness_ms, known.committed_version, known.last_line_at = line.staleness_ms, line.committed_version, now
+        self._last_line_at, state = now, self._sources[source]
+        state.staleness_ms, state.committed_version, state.last_line_at = line.staleness_ms, line.committed_version, now
         if now >= self._watch_started_at + SETTLED_SECONDS:
-            # Guards against a source that says a good line and then fails, over and over: it would be asked
-            # again ten times a second, and be preferred to others.
-            known.failures = 0
+            # A source that repeatedly sends one good line and then fails keeps its failure count. Otherwise it
+            # would be retried ten times a second, and preferred to other sources.
+            state.failures = 0
         self.lines += 1
         if self.history and line.history and line.history != self.history:
             self._history_differs(source, line, now)
             return
         self.history = self.history or line.history
-        if not self._opened:
-            self._opened = self._report_pending = True
-            # Guards against links so slow that no watch would ever be opened in the usual time.
+        if not self._watch_open:
+            self._watch_open = self._report_pending = True
+            # On slow links no first line would arrive within the initial timeout: allow twice what this one took.
             self._first_line_timeout, self._slow_watches = (
                 min(MAX_FIRST_LINE_SECONDS, max(FIRST_LINE_SECONDS, 2 * (now - self._watch_started_at))),
                 0,
@@ -117,111 +118,111 @@
                 line.resume_version is not None
                 and self.document.version < line.resume_version <= line.committed_version
             ):
-                self.document.version = line.resume_version  # what it holds is as it was then
+                self.document.version = line.resume_version  # the source knows this digest under that version
         try:
             for change in line.changes if self._repair is None else ():
                 if change.version > self.document.version:
                     self.document.apply(change)
                     self._version_applied([entry.key for entry in change.entries])
-        except DocumentError as fault:
-            # Guards against a version that would differ from everybody else's: buckets are compared.
-            self._log_event("a change of configuration was not taken", str(fault), "none: it is being repaired")
+        except DocumentError as error:
+            # A document that differs from the sources' must not be numbered as their version: compare buckets.
+            self._log_event("configuration change rejected", str(error), "none needed: the document is being repaired")
             self._begin_repair(now)
-        # Guards against machines on which nothing was ever decided: what the relay's file said stays.
+        # Replicas without a committed version must not erase the entries of the relay's own file.
         if line.needs_repair and 0 < line.committed_version >= self.document.version:
             self._begin_repair(now)
         self.tick(now)
 
     def watch_ended(self, source: int, reason: str, now: float) -> None:
-        """The watch has ended, or could not be had."""
+        """Handles a watch that ended or could not be opened."""
         if self._trial is not None and source == self._trial[0]:
             self._trial_failed(reason, now)
         elif source == self._current:
             self._source_failed(source, reason, now)
             self.tick(now)
 
-    def digest_tree_received(self, source: int, outline: DigestTree, now: float) -> None:
-        """The digest tree that was fetched has come."""
+    def digest_tree_received(self, source: int, digest_tree: DigestTree, now: float) -> None:
+        """Handles a fetched digest tree."""
         if (repair := self._repair_in_flight(source)) is None:
             return
         repair.in_flight = False
-        if outline.history != self.history or outline.version < self.document.version:
-            self._source_failed(source, f"an outline of version {outline.version}", now)
+        if digest_tree.history != self.history or digest_tree.version < self.document.version:
+            self._source_failed(source, f"digest tree of another history or too old: {digest_tree.version}", now)
         else:
             try:
-                repair.missing, repair.tree = repair.draft.differing_buckets(outline), outline
-            except DocumentError as fault:
-                self._source_failed(source, str(fault), now)
-            self._limit_rate(len(outline.bucket_digests), now)
+                repair.missing, repair.tree = repair.draft.differing_buckets(digest_tree), digest_tree
+            except DocumentError as error:
+                self._source_failed(source, str(error), now)
+            self._limit_rate(len(digest_tree.bucket_digests), now)
         self.tick(now)
 
     def buckets_received(self, source: int, buckets: Buckets, size: int, now: float) -> None:
-        """`size`: bytes that came."""
+        """Handles fetched buckets; `size` is that of the response in bytes."""
         repair = self._repair_in_flight(source)
         if repair is None or repair.tree is None:
             return
-        repair.in_flight, sums = False, bucket_digests_of(repair.tree)
+        repair.in_flight, tree_digests = False, bucket_digests_of(repair.tree)
         if buckets.version != repair.tree.version or not buckets.buckets:
-            self._source_failed(source, f"buckets of version {buckets.version}", now)
+            self._source_failed(source, f"no buckets, or buckets of another version: {buckets.version}", now)
             self.tick(now)
             return
-        wanted, over = dict.fromkeys(repair.missing), ""
+        remaining, size_error = dict.fromkeys(repair.missing), ""
         try:
             for number, entries in buckets.buckets.items():
-                if number in wanted:
-                    repair.draft.replace_bucket(number, entries, sums[number])
-                    del wanted[number]
-        except DocumentTooLargeError as fault:
-            over = str(fault)
-        except DocumentError as fault:
-            self._source_failed(source, str(fault), now)
-        repair.missing, repair.failed_fetches = list(wanted), 0
+                if number in remaining:
+                    repair.draft.replace_bucket(number, entries, tree_digests[number])
+                    del remaining[number]
+        except DocumentTooLargeError as error:
+            size_error = str(error)
+        except DocumentError as error:
+            self._source_failed(source, str(error), now)
+        repair.missing, repair.failed_fetches = list(remaining), 0
         repair.bucket_limit = max(1, min(256, FETCH_BYTES * len(buckets.buckets) // max(1, size)))
         self._limit_rate(size, now)
-        if over:
-            # Guards against fetching again and again what can't be held: no other source has less of it.
-            self._log_event("the configuration is larger than this relay may hold", over, OVERSIZE_REMEDY)
+        if size_error:
+            # Every source has the same oversized document: fetching it again at once would fail again.
+            self._log_event("configuration exceeds this relay's limits", size_error, OVERSIZE_REMEDY)
             repair.tree, repair.not_before = None, now + self._rng.uniform(*OVERSIZE_RETRY_SECONDS)
         self.tick(now)
 
     def fetch_failed(self, source: int, now: float) -> None:
-        """The snapshot that buckets were asked of is not kept any more, or the answer never came."""
+        """Handles a failed fetch: no usable response, or the snapshot has expired."""
         if (repair := self._repair_in_flight(source)) is not None:
             repair.in_flight, repair.tree, repair.failed_fetches = False, None, repair.failed_fetches + 1
-            repair.bucket_limit = max(1, repair.bucket_limit // 2)  # it may have been more than one answer can hold
+            repair.bucket_limit = max(1, repair.bucket_limit // 2)  # the response may have been too large
             repair.not_before = now + self._rng.uniform(*RETRY_SECONDS) / 5
             if repair.failed_fetches >= MAX_FAILED_FETCHES:
-                # Guards against a source that tells changes but no snapshot, where others have one.
+                # This source sends changes but serves no snapshot; others may serve one.
                 repair.failed_fetches = 0
-                self._source_failed(source, "no outline or buckets to be had", now)
+                self._source_failed(source, "repeated failures to fetch the digest tree or buckets", now)
             self.tick(now)
 
     def tick(self, now: float) -> None:
-        """To be called at `due`, or sooner."""
+        """Checks timeouts and starts what is due; to be called at `due` or earlier."""
         current = self._current
         if current is not None and now >= self._last_line_at + (
-            WATCH_TIMEOUT_SECONDS if self._opened else self._first_line_timeout
+            WATCH_TIMEOUT_SECONDS if self._watch_open else self._first_line_timeout
         ):
-            self._source_failed(current, "silent", now)
+            self._source_failed(current, "no line in time", now)
         elif self._trial is not None and now >= self._trial[1] + self._first_line_timeout:
-            self._trial_failed("silent", now)
-        elif current is not None and self._opened and self._trial is None:
-            self._look_for_better(current, now)
+            self._trial_failed("no line in time", now)
+        elif current is not None and self._watch_open and self._trial is None:
+            self._try_better_source(current, now)
         if self._current is None:
-            self._choose(now)
-        if self._repair is not None and self._current is not None and self._opened:
+            self._choose_source(now)
+        if self._repair is not None and self._current is not None and self._watch_open:
             self._continue_repair(self._current, self._repair, now)
         self._report_applied(now)
 
     @property
     def due(self) -> float:
-        """When `tick` is to be called at the latest."""
+        """The latest time at which `tick` must be called."""
         if self._current is None:
-            return min((known.retry_at for known in self._sources), default=self._reported_at + MAX_REPORT_SECONDS)
-        times = [self._last_line_at + (WATCH_TIMEOUT_SECONDS if self._opened else self._first_line_timeout)]
+            return min((state.retry_at for state in self._sources), default=self._reported_at + MAX_REPORT_SECONDS)
+        times = [self._last_line_at + (WATCH_TIMEOUT_SECONDS if self._watch_open else self._first_line_timeout)]
         if self._trial is not None:
             times.append(self._trial[1] + self._first_line_timeout)
-        if not self._opened:  # nothing is told or asked before the first line: no time for it is due
+        if not self._watch_open:  # no report or fetch is made before the first line
             return min(times)
         times.append(self._reported_at + (MIN_REPORT_SECONDS if self._report_pending else MAX_REPORT_SECONDS))
         if self._repair is not None:
@@ -232,15 +233,15 @@
 
     @property
     def state(self) -> dict[str, object]:
-        """What the relay's state document shows of its configuration."""
-        known = self._sources[self._current] if self._current is not None else None
+        """The section on configuration of the relay's state document."""
+        state = self._sources[self._current] if self._current is not None else None
         return {
             "version": self.document.version,
             "history": self.history,
             "entries": len(self.document.entries),
-            "source": known.location.address if known else None,
-            "head": known.committed_version if known else None,
-            "behind_ms": known.staleness_ms if known else None,
+            "source": state.location.address if state else None,
+            "head": state.committed_version if state else None,
+            "behind_ms": state.staleness_ms if state else None,
             "repairing": self._repair is not None,
             "repairs": self.repairs,
             "refused": self.rejections,
@@ -249,23 +250,23 @@
     # Sources
 
     def _distance(self, source: int) -> int:
-        where = self._sources[source].location
-        if where.zone == self._location.zone and where.region == self._location.region:
+        location = self._sources[source].location
+        if location.zone == self._location.zone and location.region == self._location.region:
             return 0
-        return 1 if where.region == self._location.region else 2
+        return 1 if location.region == self._location.region else 2
 
-    def _choose(self, now: float) -> None:
-        ready = [source for source in self._order if self._sources[source].retry_at <= now]
+    def _choose_source(self, now: float) -> None:
+        ready = [source for source in self._by_distance if self._sources[source].retry_at <= now]
         if not ready:
             return
-        # One that failed, or whose word was old lately, comes after those of whom that is not known.
+        # Sources that were stale recently come last, then those with more failures, then the farther ones.
         source = min(ready, key=lambda n: (self._is_stale(n, now), self._sources[n].failures))
         self._follow(source, now)
 
     def _is_stale(self, source: int, now: float) -> bool:
-        known = self._sources[source]
-        late = known.staleness_ms > MAX_STALENESS_MS or known.committed_version < self.document.version
-        return late and now < known.last_line_at + SETTLED_SECONDS
+        state = self._sources[source]
+        stale = state.staleness_ms > MAX_STALENESS_MS or state.committed_version < self.document.version
+        return stale and now < state.last_line_at + SETTLED_SECONDS
 
     def _follow(self, source: int, now: float) -> None:
         if self._current is not None:
@@ -274,14 +275,14 @@
         self._open_watch(source)
 
     def _set_current(self, source: int, now: float) -> None:
-        self._current, self._opened, self._last_line_at, self._watch_started_at = source, False, now, now
-        self._look_nearer_at = now + self._rng.uniform(*NEARER_SOURCE_SECONDS)
+        self._current, self._watch_open, self._last_line_at, self._watch_started_at = source, False, now, now
+        self._nearer_check_at = now + self._rng.uniform(*NEARER_SOURCE_SECONDS)
 
     def _open_watch(self, source: int) -> None:
         self.actions.append(OpenWatch(source, self.document.version, self.document.digest))
 
     def _start_trial(self, source: int, now: float) -> None:
-        """Asks one more, and leaves the present one once that has spoken."""
+        """Opens a watch of another source; the current one is left once that has sent a line."""
         self._trial = source, now
         self._open_watch(source)
 
@@ -291,59 +292,59 @@
         self._delay_retry(source, reason, now)
         self.actions.append(CloseWatch(source))
 
-    def _look_for_better(self, current: int, now: float) -> None:
-        """Leaves a source whose word is old for one that may know more, and a far one for a nearer."""
-        known = self._sources[current]
-        if known.staleness_ms > MAX_STALENESS_MS or known.committed_version < self.document.version:
-            others = [n for n in self._order if n != current and self._sources[n].retry_at <= now]
+    def _try_better_source(self, current: int, now: float) -> None:
+        """Starts a trial of a fresher source if the current one is stale, else now and then of a nearer one."""
+        state = self._sources[current]
+        if state.staleness_ms > MAX_STALENESS_MS or state.committed_version < self.document.version:
+            others = [n for n in self._by_distance if n != current and self._sources[n].retry_at <= now]
             fresh = [n for n in others if not self._is_stale(n, now)]
             if fresh:
                 self._start_trial(fresh[0], now)
-        elif now >= self._look_nearer_at:
-            self._look_nearer_at = now + self._rng.uniform(*NEARER_SOURCE_SECONDS)
-            nearer = [n for n in self._order if self._distance(n) < self._distance(current)]
+        elif now >= self._nearer_check_at:
+            self._nearer_check_at = now + self._rng.uniform(*NEARER_SOURCE_SECONDS)
+            nearer = [n for n in self._by_distance if self._distance(n) < self._distance(current)]
             ready = [n for n in nearer if self._sources[n].retry_at <= now and not self._is_stale(n, now)]
             ready.sort(key=lambda n: self._sources[n].failures)
             if ready and self._rng.random() < 1 / max(1, min(8, self._sources[ready[0]].failures)):
                 self._start_trial(ready[0], now)
 
     def _source_failed(self, source: int, reason: str, now: float) -> None:
-        if not self._opened:
+        if not self._watch_open:
             self._slow_watches += 1
             if self._slow_watches > 2:
                 self._first_line_timeout = min(MAX_FIRST_LINE_SECONDS, 2 * self._first_line_timeout)
         self._delay_retry(source, reason, now)
         self._close_watch(source)
         self._current = None
-        if self._trial is not None:  # it is asked already: its word is waited for
+        if self._trial is not None:  # its watch is open already: wait for its first line
             self._set_current(*self._trial)
             self._trial = None
 
     def _delay_retry(self, source: int, reason: str, now: float) -> None:
-        known = self._sources[source]
-        wait = min(RETRY_SECONDS[1], RETRY_SECONDS[0] * 2 ** min(known.failures, 10))
-        known.retry_at, known.failures = now + wait * self._rng.uniform(0.5, 1.5), known.failures + 1
-        if known.failures == 1:
+        state = self._sources[source]
+        wait = min(RETRY_SECONDS[1], RETRY_SECONDS[0] * 2 ** min(state.failures, 10))
+        state.retry_at, state.failures = now + wait * self._rng.uniform(0.5, 1.5), state.failures + 1
+        if state.failures == 1:
             self._log_event(
-                f"source of configuration lost: {known.location.address}",
+                f"configuration source lost: {state.location.address}",
                 reason,
-                "the last good configuration stays; look at that machine",
+                "the last good configuration stays in force; check the replica at this address",
             )
 
     def _close_watch(self, source: int) -> None:
         if self._repair is not None:
-            self._repair.in_flight, self._repair.tree = False, None  # the next source has its own snapshots
+            self._repair.in_flight, self._repair.tree = False, None  # the next source has other snapshots
         self.actions.append(CloseWatch(source))
 
     def _history_differs(self, source: int, line: WatchLine, now: float) -> None:
-        known = self._sources[source]
+        state = self._sources[source]
         self._log_event(
-            f"another history of configuration at {known.location.address}",
-            f"{line.history!r} to version {line.committed_version}, {self.history!r} is followed",
-            "if the machines were set up anew on purpose, restart this relay; else restore their disks",
+            f"different configuration history at {state.location.address}",
+            f"{line.history!r} up to version {line.committed_version} there, {self.history!r} followed here",
+            "if the replicas were set up anew on purpose, restart this relay; otherwise restore their disks",
         )
         self._source_failed(source, "another history", now)
-        known.retry_at = now + DIVERGED_RETRY_SECONDS
+        state.retry_at = now + DIVERGED_RETRY_SECONDS
 
     # Repair
 
@@ -373,14 +374,14 @@
         else:
             self._finish_repair(source, repair, repair.tree, now)
 
-    def _finish_repair(self, source: int, repair: Repair, outline: DigestTree, now: float) -> None:
+    def _finish_repair(self, source: int, repair: Repair, digest_tree: DigestTree, now: float) -> None:
         self._repair = None
-        repair.draft.finish_repair(outline)  # each bucket was held against the outline, and that against its digest
-        places, before = dict.fromkeys(self.document.differing_buckets(outline)), self.document
-        keys = [key for key in {**before.entries, **repair.draft.entries} if bucket_of(key) in places]
+        repair.draft.finish_repair(digest_tree)  # its digest and buckets have been checked
+        differing, previous = dict.fromkeys(self.document.differing_buckets(digest_tree)), self.document
+        keys = [key for key in {**previous.entries, **repair.draft.entries} if bucket_of(key) in differing]
         self.document = repair.draft
-        self._version_applied([key for key in keys if before.get(key) != repair.draft.get(key)])
-        self._follow(source, now)  # from here on by changes
+        self._version_applied([key for key in keys if previous.get(key) != repair.draft.get(key)])
+        self._follow(source, now)  # a new watch, from the repaired version on
 
     def _version_applied(self, keys: Sequence[str]) -> None:
         self.actions.append(VersionApplied(self.document.version, tuple(keys)))
@@ -388,12 +389,12 @@
 
     def _report_applied(self, now: float) -> None:
         wait = MIN_REPORT_SECONDS if self._report_pending else MAX_REPORT_SECONDS
-        if self._current is not None and self._opened and now >= self._reported_at + wait:
+        if self._current is not None and self._watch_open and now >= self._reported_at + wait:
             self._report_pending, self._reported_at = False, now
-            word = AppliedVersion(
+            report = AppliedVersion(
                 self._relay, self.document.version, self.rejected_keys[:20], self.rejections, self._location.zone
             )
-            self.actions.append(ReportApplied(self._current, word))
+            self.actions.append(ReportApplied(self._current, report))
 
     def _log_event(self, text: str, reason: str, remedy: str) -> None:
         self.actions.append(LogEvent(text, reason, remedy))
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -114,7 +114,7 @@
                     self.assertEqual(["tenant/new"], relay.changed, name)
                     await asyncio.sleep(1.0)
                     self.assertLessEqual(ill.count(WATCH), 5, name)
-                    self.assertEqual(1, len(relay.log.said("source of configuration lost")), name)
+                    self.assertEqual(1, len(relay.log.said("configuration source lost")), name)
                     self.assertLessEqual(ill.written, 8 << 20, name)
 
         await asyncio.gather(*(one(name, bad) for name, bad in BAD_WATCHES.items()))
@@ -128,8 +128,8 @@
                     await asyncio.sleep(4.0)
                     self.assertLessEqual(ill.count(WATCH), 9, name)
                     self.assertEqual(TenantValue(9.0), relay.feed.values.values["tenant/m"], name)
-                    (said,) = relay.log.said("source of configuration lost")
-                    self.assertIn("look at that machine", said["remedy"])
+                    (said,) = relay.log.said("configuration source lost")
+                    self.assertIn("check the replica at this address", said["remedy"])
                     self.assertLessEqual(len(relay.feed._tasks), 3, name)
 
         await asyncio.gather(*(one(name, bad) for name, bad in BAD_WATCHES.items()))
@@ -266,7 +266,7 @@
             async with scripted_replicas(2) as both:
                 self.filled(*both)
                 async with following(both, FILE, **bounds) as relay:
-                    while not (said := relay.log.said("larger than this relay may hold")):
+                    while not (said := relay.log.said("exceeds this relay's limits")):
                         await asyncio.sleep(0.01)
                     self.assertIn("raise most_entries or most_bytes", said[0]["remedy"])
                     before = [list(machine.asked) for machine in both]
@@ -284,7 +284,7 @@
             async with following([machine], FILE, most_entries=1) as relay:
                 await relay.until(1)
                 machine.publish(entry("tenant/n", {"quota_per_s": 1}))
-                while not relay.log.said("larger than this relay may hold"):
+                while not relay.log.said("exceeds this relay's limits"):
                     await asyncio.sleep(0.01)
                 before = len(machine.asked)
                 await asyncio.sleep(1.5)
