--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead configuration`: serve, publish and status."""
+"""The commands `lanelead configuration serve`, `publish` and `status`."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 from lanelead.protocols.configuration_replicas import ReplicaStatus
 from lanelead.protocols.feeds import MessageError, decode, encode
 
-REPLY_TIMEOUT_SECONDS = 30.0  # seconds for one answer: a machine ends a proposal before
-STATUS_POLL_SECONDS = 0.2  # seconds between two looks at who has a version in force
-MAX_BODY_BYTES = 16 << 20  # bytes of an answer, and of a file of entries
-MADE, REFUSED, UNKNOWN, LACKING = 0, 2, 3, 4  # exit statuses
-AT_OPTION = click.option("--at", "at", multiple=True, required=True, help="HOST:PORT of a machine; may be repeated.")
+REPLY_TIMEOUT_SECONDS = 30.0  # for one response; a replica gives up a proposal earlier
+STATUS_POLL_SECONDS = 0.2  # interval between two checks which relays have applied a version
+MAX_BODY_BYTES = 16 << 20  # limit of a response and of a file of entries
+EXIT_COMMITTED, EXIT_REJECTED, EXIT_UNKNOWN, EXIT_NOT_APPLIED = 0, 2, 3, 4  # exit statuses
+AT_OPTION = click.option("--at", "at", multiple=True, required=True, help="HOST:PORT of a replica; may be repeated.")
 
 
 @click.group()
 def configuration() -> None:
-    """Configuration told by version and change: its machines, changes and where they are in force."""
+    """Serves the configuration, publishes changes to it and shows its status."""
 
 
 @configuration.command()
 @click.argument("file", type=click.Path())
 def serve(file: str) -> None:
-    """Runs the machine that the settings FILE describes, until SIGTERM."""
+    """Runs the replica that the settings FILE describes, until SIGTERM or SIGINT."""
     from lanelead.configuration.main import run
 
     try:
         settings = read_settings(file)
-    except InvalidSettingsError as fault:
-        click.echo(str(fault), err=True)
+    except InvalidSettingsError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     run(settings)
 
 
-def addresses(at: Sequence[str]) -> list[str]:
-    """Checks that each is HOST:PORT; click.BadParameter otherwise."""
+def check_addresses(at: Sequence[str]) -> list[str]:
+    """Checks that each text has the form HOST:PORT. Raises click.BadParameter."""
     for text in at:
         try:
             address_of(text)
@@ -56,7 +56,7 @@
 
 
 async def call_replica(at: str, method: str, path: bytes, body: bytes, limit: float) -> tuple[int, bytes]:
-    """Raises CallFailedError where there is no answer."""
+    """Calls a replica, for `limit` seconds at most; returns status and body. Raises CallFailedError."""
     try:
         answer = await call(asyncio.get_running_loop(), address_of(at), method, path, body, limit)
     except TimeoutError:
@@ -67,85 +67,95 @@
 async def submit_proposal(
     at: Sequence[str], proposal: Proposal, patience: float
 ) -> AcceptedProposal | RejectedProposal:
-    """Asks one machine after another, with the same ident, until one says for certain or patience ends."""
-    end, pause, last = time.monotonic() + patience, 0.1, RejectedProposal("abstains", "no machine was asked")
+    """Proposes a change to one replica after another until the result is certain or `patience` seconds are over."""
+    deadline, pause, last = (
+        time.monotonic() + patience,
+        0.1,
+        RejectedProposal("abstains", "no replica was asked in time"),
+    )
     while True:
-        for each in at:
-            left = end - time.monotonic()
+        for address in at:
+            left = deadline - time.monotonic()
             if left <= 0:
                 return last
             try:
                 status, body = await call_replica(
-                    each, "POST", b"/configuration", encode(proposal), min(REPLY_TIMEOUT_SECONDS, left)
+                    address, "POST", b"/configuration", encode(proposal), min(REPLY_TIMEOUT_SECONDS, left)
                 )
                 if status == 200:
                     return decode(body, AcceptedProposal)
-                if status in (413, 431):  # what any server says of a request that is too large
+                if status in (413, 431):  # from the HTTP server, before the replica sees the request
                     return RejectedProposal("malformed", f"{body.decode('utf-8', 'replace')[:200]}: split the change")
                 found = decode(body, RejectedProposal)
-            except CallFailedError as fault:  # it may have been heard all the same
-                found = RejectedProposal("unknown", f"{each}: {fault}")
-            except MessageError as fault:
-                found = RejectedProposal("unknown", f"{each}: what came is no answer: {fault}")
+            except CallFailedError as error:  # the replica may have received the proposal nevertheless
+                found = RejectedProposal("unknown", f"{address}: {error}")
+            except MessageError as error:
+                found = RejectedProposal("unknown", f"{address}: invalid response: {error}")
             if found.reason in ("malformed", "stale"):
                 return found
-            # Once one did not say for certain that nothing was changed, no other can say so.
+            # After one unknown result the change may have been made, whatever the other replicas reply.
             last = found if found.reason == "unknown" or last.reason != "unknown" else last
-        await asyncio.sleep(min(pause, max(0.0, end - time.monotonic())))
+        await asyncio.sleep(min(pause, max(0.0, deadline - time.monotonic())))
         pause = min(2.0, pause * 2)
 
 
 async def collect_status(at: Sequence[str]) -> tuple[dict[str, ReplicaStatus], list[str]]:
-    """What all machines say of themselves, as far as any of these names them; who did not answer."""
-    found, silent, asked = dict[str, ReplicaStatus](), list[str](), list[str]()
-    todo = list(at)
-    while todo:
-        asked += todo
+    """Collects the status of the replicas at these addresses and of all peers that they name.
+
+    Returns the statuses by address, and the addresses that did not respond.
+    """
+    found, unanswered, queried = dict[str, ReplicaStatus](), list[str](), list[str]()
+    pending = list(at)
+    while pending:
+        queried += pending
         answers = await asyncio.gather(
-            *(call_replica(each, "GET", b"/configuration/status", b"", 2.0) for each in todo), return_exceptions=True
+            *(call_replica(address, "GET", b"/configuration/status", b"", 2.0) for address in pending),
+            return_exceptions=True,
         )
-        for each, answer in zip(todo, answers, strict=True):
+        for address, answer in zip(pending, answers, strict=True):
             if isinstance(answer, tuple) and answer[0] == 200:
                 try:
-                    found[each] = decode(answer[1], ReplicaStatus, MAX_BODY_BYTES)
+                    found[address] = decode(answer[1], ReplicaStatus, MAX_BODY_BYTES)
                     continue
                 except MessageError:
                     pass
             elif isinstance(answer, BaseException) and not isinstance(answer, CallFailedError):
                 raise answer
-            silent.append(each)
+            unanswered.append(address)
         named = [peer.address for status in found.values() for peer in status.peers]
-        todo = [each for each in dict.fromkeys(named) if each not in asked]
-    # One machine may be known by two addresses.
-    single = {status.replica: (each, status) for each, status in found.items()}
-    here = [status.replica for status in found.values()]
+        pending = [address for address in dict.fromkeys(named) if address not in queried]
+    # One replica may be known by two addresses: keep one status of each.
+    by_replica = {status.replica: (address, status) for address, status in found.items()}
+    responding_replicas = [status.replica for status in found.values()]
     numbers = {peer.address: peer.replica for status in found.values() for peer in status.peers}
-    return dict(single.values()), [each for each in silent if numbers.get(each) not in here]
+    return dict(by_replica.values()), [
+        address for address in unanswered if numbers.get(address) not in responding_replicas
+    ]
 
 
-def relays_of(found: dict[str, ReplicaStatus]) -> dict[int, AppliedVersion]:
-    """Each relay once, with the newest that it told any machine: it never goes back."""
+def latest_reports(found: dict[str, ReplicaStatus]) -> dict[int, AppliedVersion]:
+    """The report with the highest version of each relay, by its number; a relay's version never decreases."""
     relays = dict[int, AppliedVersion]()
     for status in found.values():
-        for told in status.relays:
-            if told.relay not in relays or relays[told.relay].version < told.version:
-                relays[told.relay] = told
+        for report in status.relays:
+            if report.relay not in relays or relays[report.relay].version < report.version:
+                relays[report.relay] = report
     return relays
 
 
 def applied_summary(relays: dict[int, AppliedVersion], version: int) -> tuple[str, bool]:
-    """How many of how many have it, by zone."""
-    every = Counter(told.zone or "?" for told in relays.values())
-    have = Counter(told.zone or "?" for told in relays.values() if told.version >= version)
-    zones = ", ".join(f"{zone} {have[zone]} of {every[zone]}" for zone in sorted(every))
-    text = f"{have.total()} of {every.total()} relays" + (f" ({zones})" if zones else "")
-    return text, have.total() == every.total()
+    """Counts the relays that have applied `version`: as a text with the zones, and whether all have."""
+    relay_counts = Counter(report.zone or "?" for report in relays.values())
+    applied_counts = Counter(report.zone or "?" for report in relays.values() if report.version >= version)
+    zones = ", ".join(f"{zone} {applied_counts[zone]} of {relay_counts[zone]}" for zone in sorted(relay_counts))
+    text = f"{applied_counts.total()} of {relay_counts.total()} relays" + (f" ({zones})" if zones else "")
+    return text, applied_counts.total() == relay_counts.total()
 
 
-def entries_of(text: bytes) -> list[Entry]:
-    """A JSON list of {key, value}, or an object of keys and values; null removes a key. Raises MessageError."""
+def parse_entries(text: bytes) -> list[Entry]:
+    """Parses a JSON list of {key, value} or an object of keys and values; null removes a key. Raises MessageError."""
     if len(text) > MAX_BODY_BYTES:
-        raise MessageError(f"{len(text)} bytes, of {MAX_BODY_BYTES} at most")
+        raise MessageError(f"{len(text)} bytes of entries; expected at most {MAX_BODY_BYTES}")
     try:
         found: Any = msgspec.json.decode(text)
         if isinstance(found, dict):
@@ -155,21 +165,29 @@
             for row in found
         ]
         return msgspec.convert(rows, list[Entry])
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, TypeError) as fault:
-        raise MessageError(f"not entries: {str(fault)[:200]}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, TypeError) as error:
+        raise MessageError(f"invalid entries: {str(error)[:200]}") from None
 
 
 @configuration.command()
 @click.argument("file", type=click.File("rb"))
 @AT_OPTION
-@click.option("--ident", default=None, help="Of this change: asked for twice, it is made once.")
-@click.option("--expect", multiple=True, help="KEY=VERSION: only if no later version has changed the key.")
-@click.option("--patience", default=60.0, type=click.FloatRange(0.1, 3600), help="Seconds until it is decided.")
+@click.option(
+    "--ident",
+    default=None,
+    help="Idempotency key of the change: 8 to 64 letters, digits, dots, underscores or hyphens; random if not given.",
+)
+@click.option(
+    "--expect",
+    multiple=True,
+    help="KEY=VERSION: reject the change if a version after this one has changed the key; may be repeated.",
+)
+@click.option("--patience", default=60.0, type=click.FloatRange(0.1, 3600), help="Seconds to wait for the decision.")
 @click.option(
     "--in-force",
     default=None,
     type=click.FloatRange(0.0, 3600),
-    help="Seconds to wait until all relays have told that they have it.",
+    help="Seconds to wait until all relays have reported that the change is in force.",
 )
 def publish(
     file: Any,
@@ -179,20 +197,21 @@
     patience: float,
     in_force: float | None,
 ) -> None:
-    """Makes the entries of FILE, JSON (- for standard input), one change.
+    """Publishes the entries in FILE (JSON; - for standard input) as one change.
 
-    Exits with 0 once it is made (and, with --in-force, all relays have it), with 2 where it was refused and
-    nothing was changed, with 3 where it may be made or not (ask again with the same --ident), and with 4
-    where it is made and not all relays have told that they have it."""
-    where = addresses(at)
+    Exits with 0 if the change is committed (and, with --in-force, in force at all relays), with 2 if it was rejected
+    and nothing was changed, with 3 if the result is unknown (repeat the command with the same --ident), and with 4
+    if it is committed but not all relays have reported that it is in force.
+    """
+    replicas = check_addresses(at)
     try:
-        entries = entries_of(file.read(MAX_BODY_BYTES + 1))
+        entries = parse_entries(file.read(MAX_BODY_BYTES + 1))
         proposal = Proposal(ident or f"p-{secrets.token_hex(12)}", entries, _expected_versions(expect))
         decode(encode(proposal), Proposal, MAX_BODY_BYTES)
-    except MessageError as fault:
-        click.echo(str(fault), err=True)
-        sys.exit(REFUSED)
-    sys.exit(asyncio.run(_publish(where, proposal, patience, in_force)))
+    except MessageError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_REJECTED)
+    sys.exit(asyncio.run(_publish(replicas, proposal, patience, in_force)))
 
 
 def _expected_versions(texts: Sequence[str]) -> dict[str, int]:
@@ -210,63 +229,74 @@
     if isinstance(result, RejectedProposal):
         click.echo(f"{result.reason}: {result.text}", err=True)
         if result.reason != "unknown":
-            return REFUSED
-        click.echo(f"it may be made or not: ask again with --ident {proposal.ident}", err=True)
-        return UNKNOWN
+            return EXIT_REJECTED
+        click.echo(
+            f"the change may or may not be committed: repeat the command with --ident {proposal.ident}", err=True
+        )
+        return EXIT_UNKNOWN
     click.echo(f"version {result.version}, ident {proposal.ident}")
     if in_force is None:
-        return MADE
-    end, known = time.monotonic() + in_force, list(at)
+        return EXIT_COMMITTED
+    deadline, known = time.monotonic() + in_force, list(at)
     while True:
-        found, silent = await collect_status(known)
+        found, unanswered = await collect_status(known)
         known = list(dict.fromkeys([*known, *found]))
-        text, all_have = applied_summary(relays_of(found), result.version)
-        if (all_have and found) or time.monotonic() >= end:
+        text, all_have = applied_summary(latest_reports(found), result.version)
+        if (all_have and found) or time.monotonic() >= deadline:
             break
-        await asyncio.sleep(min(STATUS_POLL_SECONDS, max(0.0, end - time.monotonic())))
+        await asyncio.sleep(min(STATUS_POLL_SECONDS, max(0.0, deadline - time.monotonic())))
     click.echo(f"in force: {text}")
-    for each in silent:
-        click.echo(f"{each} does not answer: relays that follow by it alone are not counted", err=True)
-    return MADE if all_have and found else LACKING
+    for address in unanswered:
+        click.echo(f"{address} does not answer: relays that report only to it are not counted", err=True)
+    return EXIT_COMMITTED if all_have and found else EXIT_NOT_APPLIED
 
 
 @configuration.command()
 @AT_OPTION
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the status documents as JSON.")
 def status(at: tuple[str, ...], as_json: bool) -> None:
-    """Head and history, each machine's head and age, relays by version. Exits with 3 where something is
-    wrong."""
-    found, silent = asyncio.run(collect_status(addresses(at)))
+    """Shows the committed version and history, the state of each replica, and the relays by version.
+
+    Exits with 3 if a replica does not answer, does not vote though it is a voter, or has a store fault, or if
+    histories differ or committed versions differ by more than one.
+    """
+    found, unanswered = asyncio.run(collect_status(check_addresses(at)))
     if as_json:
-        click.echo(encode({"machines": found, "silent": silent}).decode())
+        click.echo(encode({"machines": found, "silent": unanswered}).decode())
     else:
-        for line in status_lines(found, silent):
+        for line in status_lines(found, unanswered):
             click.echo(line)
-    heads = [each.committed_version for each in found.values()]
-    good = bool(found) and not silent and not any(each.fault or each.non_voting for each in found.values())
-    same = len({each.history for each in found.values()}) == 1
-    sys.exit(0 if good and same and max(heads) - min(heads) <= 1 else 3)
+    versions = [replica.committed_version for replica in found.values()]
+    good = bool(found) and not unanswered and not any(replica.fault or replica.non_voting for replica in found.values())
+    same_history = len({replica.history for replica in found.values()}) == 1
+    sys.exit(0 if good and same_history and max(versions) - min(versions) <= 1 else 3)
 
 
-def status_lines(found: dict[str, ReplicaStatus], silent: Sequence[str]) -> list[str]:
-    """The status of all replicas as lines for a terminal."""
+def status_lines(found: dict[str, ReplicaStatus], unanswered: Sequence[str]) -> list[str]:
+    """Formats the status of all replicas as lines for a terminal."""
     if not found:
-        return ["no machine answers"]
-    newest = max(found.values(), key=lambda each: each.committed_version)
-    lines = [f"head {newest.committed_version}, history {newest.history or 'none'}, {newest.entries} entries"]
-    lines.append(f"{'machine':>7}  {'address':22} {'zone':12} {'head':>8} {'heard':>9}  ")
-    for at, each in sorted(found.items(), key=lambda row: row[1].replica):
-        words = ["votes" if not each.non_voting else "abstains until others have gone on"] if each.voter else []
-        words += [f"history {each.history}"] if each.history != newest.history else []
-        words += [each.fault] if each.fault else []
-        heard = f"{each.staleness_ms / 1000:.1f} s" if each.staleness_ms < 9e7 else "never"
-        row = f"{each.replica:>7}  {at:22} {each.zone:12} {each.committed_version:>8} {heard:>9}  {', '.join(words)}"
+        return ["no replica answers"]
+    newest = max(found.values(), key=lambda status: status.committed_version)
+    lines = [
+        f"committed version {newest.committed_version}, history {newest.history or 'none'}, {newest.entries} entries"
+    ]
+    lines.append(f"{'replica':>7}  {'address':22} {'zone':12} {'version':>8} {'heard':>9}  ")
+    for at, state in sorted(found.items(), key=lambda row: row[1].replica):
+        notes = (
+            ["votes" if not state.non_voting else "abstains until the others have decided later versions"]
+            if state.voter
+            else []
+        )
+        notes += [f"history {state.history}"] if state.history != newest.history else []
+        notes += [state.fault] if state.fault else []
+        heard = f"{state.staleness_ms / 1000:.1f} s" if state.staleness_ms < 9e7 else "never"
+        row = f"{state.replica:>7}  {at:22} {state.zone:12} {state.committed_version:>8} {heard:>9}  {', '.join(notes)}"
         lines.append(row.rstrip())
-    lines += [f"{'':>7}  {at:22} does not answer" for at in silent]
-    versions = Counter(told.version for told in relays_of(found).values())
+    lines += [f"{'':>7}  {at:22} does not answer" for at in unanswered]
+    versions = Counter(report.version for report in latest_reports(found).values())
     for version, many in sorted(versions.items(), reverse=True):
         lines.append(f"version {version}: {many} relays")
-    refusing = sum(bool(told.rejected_keys) for told in relays_of(found).values())
-    if refusing:
-        lines.append(f"{refusing} relays could not take some key: see the relays' logs")
+    rejecting = sum(bool(report.rejected_keys) for report in latest_reports(found).values())
+    if rejecting:
+        lines.append(f"{rejecting} relays rejected the value of some key: see the logs of the relays")
     return lines
--- a/lanelead/configuration/settings.py
+++ b/lanelead/configuration/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a machine: a JSON file, the same on all machines but for `machine` and `store`."""
+"""The settings of a replica: a JSON file that is the same for all replicas but for `machine` and `store`."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from lanelead.protocols.platform import parse_address
 from lanelead.settings.service_settings import Address
 
-MAX_FILE_BYTES = 1 << 20  # bytes of the file
+MAX_FILE_BYTES = 1 << 20
 ReplicaNumber = Annotated[int, Meta(ge=0, le=63)]
 LocationName = Annotated[str, Meta(max_length=64)]
 NonEmptyText = Annotated[str, Meta(min_length=1, max_length=1024)]
 
 
 class InvalidSettingsError(ConfigurationError):
-    """Nothing of the file is used; `faults` names each field that is wrong, and what is expected of it."""
+    """The settings file is invalid and not used; `errors` has a message for each field that is wrong."""
 
-    def __init__(self, file: str, faults: list[str]) -> None:
-        super().__init__("\n".join(f"{file}: {fault}" for fault in faults))
-        self.errors = faults
+    def __init__(self, file: str, errors: list[str]) -> None:
+        super().__init__("\n".join(f"{file}: {error}" for error in errors))
+        self.errors = errors
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,7 +38,11 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`connections` at a time, each with at most `request_bytes` coming in and `unsent_bytes` going out."""
+    """Limits of one replica.
+
+    `connections` may be open at a time, each with at most `request_bytes` of a request body and `unsent_bytes` of
+    responses waiting to be sent. The document has at most `entries` and `document_bytes`, the log keeps `log_changes`.
+    """
 
     connections: Annotated[int, Meta(ge=16, le=100_000)] = 2048
     request_bytes: Annotated[int, Meta(ge=1 << 19, le=16 << 20)] = 1 << 20
@@ -51,7 +55,7 @@
 class Settings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"replica": "machine", "replicas": "machines"}
 ):
-    """`listen`: where this machine listens, if not at the address that the others call."""
+    """All settings of a replica; `listen` is its own listening address, if the other replicas call another one."""
 
     replica: ReplicaNumber
     store: NonEmptyText
@@ -72,79 +76,81 @@
 
 
 def read_settings(file: str | Path) -> Settings:
-    """Raises InvalidSettingsError, with all that is wrong."""
+    """Reads and checks a settings file. Raises InvalidSettingsError, which lists every error found."""
     name = str(file)
     try:
         text = Path(file).read_bytes()
-    except OSError as fault:
-        raise InvalidSettingsError(name, [f"cannot be read: {fault.strerror}"]) from None
+    except OSError as error:
+        raise InvalidSettingsError(name, [f"cannot be read: {error.strerror}"]) from None
     if len(text) > MAX_FILE_BYTES:
         raise InvalidSettingsError(name, [f"{len(text)} bytes; expected {MAX_FILE_BYTES} at most"])
     try:
         found = msgspec.json.decode(text)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise InvalidSettingsError(name, [f"no JSON: {str(fault)[:200]}"]) from None
-    faults = list[str]()
-    _field_errors(found, Settings, "", faults)
-    if faults:
-        raise InvalidSettingsError(name, faults)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidSettingsError(name, [f"not valid JSON: {str(error)[:200]}"]) from None
+    errors = list[str]()
+    _field_errors(found, Settings, "", errors)
+    if errors:
+        raise InvalidSettingsError(name, errors)
     settings = msgspec.convert(found, Settings)
-    if faults := _consistency_errors(settings):
-        raise InvalidSettingsError(name, faults)
+    if errors := _consistency_errors(settings):
+        raise InvalidSettingsError(name, errors)
     return settings
 
 
-def _field_errors(found: Any, kind: Any, at: str, faults: list[str]) -> None:
-    """Field by field: a decoder of the whole names but the first that is wrong."""
-    bare = get_args(kind)[0] if get_origin(kind) is Annotated else kind
-    of = get_args(bare)[0] if get_origin(bare) is list else None
-    if isinstance(found, dict) and isinstance(bare, type) and issubclass(bare, msgspec.Struct):
-        hints = get_type_hints(bare, include_extras=True)
-        fields = msgspec.structs.fields(bare)
+def _field_errors(found: Any, kind: Any, path: str, errors: list[str]) -> None:
+    """Checks field by field, since a decoder of the whole file reports only the first error."""
+    plain_type = get_args(kind)[0] if get_origin(kind) is Annotated else kind
+    item_type = get_args(plain_type)[0] if get_origin(plain_type) is list else None
+    if isinstance(found, dict) and isinstance(plain_type, type) and issubclass(plain_type, msgspec.Struct):
+        hints = get_type_hints(plain_type, include_extras=True)
+        fields = msgspec.structs.fields(plain_type)
         for field in fields:
             name = field.encode_name
-            path = f"{at}.{name}" if at else name
+            field_path = f"{path}.{name}" if path else name
             if name in found:
-                _field_errors(found[name], hints[field.name], path, faults)
+                _field_errors(found[name], hints[field.name], field_path, errors)
             elif field.required:
-                faults.append(f"{path}: missing")
+                errors.append(f"{field_path}: missing")
         known = {field.encode_name for field in fields}
-        faults += [f"{at}.{key}".lstrip(".")[:200] + ": no such field" for key in found if key not in known]
-    elif isinstance(found, list) and of is not None and issubclass(of, msgspec.Struct) and len(found) <= 64:
+        errors += [f"{path}.{key}".lstrip(".")[:200] + ": unknown field" for key in found if key not in known]
+    elif (
+        isinstance(found, list) and item_type is not None and issubclass(item_type, msgspec.Struct) and len(found) <= 64
+    ):
         for index, row in enumerate(found):
-            _field_errors(row, of, f"{at}[{index}]", faults)
+            _field_errors(row, item_type, f"{path}[{index}]", errors)
         if not found:
-            faults.append(f"{at}: empty; expected one at least")
+            errors.append(f"{path}: empty; expected at least one")
     else:
         try:
             msgspec.convert(found, kind)
-        except msgspec.ValidationError as fault:
-            faults.append(f"{at or 'the file'}: {fault}")
+        except msgspec.ValidationError as error:
+            errors.append(f"{path or 'the file'}: {error}")
 
 
 def _consistency_errors(settings: Settings) -> list[str]:
-    """What no field can say alone."""
-    faults = list[str]()
+    """Checks that involve several fields or the file system."""
+    errors = list[str]()
     rows = settings.replicas
     for index, row in enumerate(rows):
         if row.number in [other.number for other in rows[:index]]:
-            faults.append(f"machines[{index}].number: {row.number} again; expected a number used once")
+            errors.append(f"machines[{index}].number: {row.number} is used twice; expected unique numbers")
         if row.address in [other.address for other in rows[:index]]:
-            faults.append(f"machines[{index}].address: {row.address} again; expected one used once")
-        faults += _address_errors(f"machines[{index}].address", row.address)
+            errors.append(f"machines[{index}].address: {row.address} is used twice; expected unique addresses")
+        errors += _address_errors(f"machines[{index}].address", row.address)
     if settings.listen:
-        faults += _address_errors("listen", settings.listen)
+        errors += _address_errors("listen", settings.listen)
     if settings.replica not in [row.number for row in rows]:
-        faults.append(f"machine: {settings.replica}; expected the number of one of the machines")
+        errors.append(f"machine: {settings.replica}; expected the number of one of the machines")
     if not settings.voters:
-        faults.append("machines: no voter; expected three, five or seven")
+        errors.append("machines: no voters; expected three, five or seven")
     elif len(settings.voters) % 2 == 0:
-        faults.append(
-            f"machines: {len(settings.voters)} voters; expected an odd number, as one more bears no loss more"
+        errors.append(
+            f"machines: {len(settings.voters)} voters; expected an odd number: an even one tolerates no more failures"
         )
     if not Path(settings.store).resolve().parent.is_dir():
-        faults.append(f"store: {settings.store}: no such folder")
-    return faults
+        errors.append(f"store: {settings.store}: no such folder for the store file")
+    return errors
 
 
 def _address_errors(name: str, text: str) -> list[str]:
@@ -156,5 +162,5 @@
 
 
 def address_of(text: str) -> Address:
-    """Parses HOST:PORT. Raises MessageError."""
+    """Parses HOST:PORT. Raises MessageError if the text has another form."""
     return Address(*parse_address(text))
--- a/lanelead/configuration/value_types.py
+++ b/lanelead/configuration/value_types.py
@@ -1,7 +1,7 @@
-"""What an entry's value must be, by the kind that its key names, and what is in force of a document.
+"""The types of entry values, chosen by the kind in the entry's key, and the values of a document in force.
 
-A value that is unfit is refused alone: of its key the last good value stays in force. A kind that this
-program does not know is kept in the document and not in force: relays of two versions follow one document.
+An invalid value is rejected on its own: the last good value of its key stays in force. Entries of an unknown kind
+stay in the document but are not in force, so that relays of different program versions can follow one document.
 """
 
 from __future__ import annotations
@@ -15,26 +15,30 @@
 from lanelead.configuration.document import Document
 from lanelead.configuration.errors import ConfigurationError
 
-MAX_NAMED_KEYS = 100  # refused keys that are kept by name
+MAX_NAMED_KEYS = 100  # limit of the rejected keys, and of the unknown kinds, that are recorded by name
 
 
 class InvalidValueError(ConfigurationError):
-    """The text names the field, and what to do."""
+    """A value of an entry is invalid; the text names the field and what to do, `key` the entry."""
 
-    def __init__(self, key: str, what: str) -> None:
-        super().__init__(f"{key[:80]}: {what}; publish the key anew with a value that fits")
+    def __init__(self, key: str, reason: str) -> None:
+        super().__init__(f"{key[:80]}: {reason}; publish the key anew with a valid value")
         self.key = key
 
 
 class TenantValue(msgspec.Struct, frozen=True):
-    """Lookups a second that are the tenant's own, and its share of the fleet's."""
+    """A tenant's own quota, in requests per second over all relays, and its share (0 to 1) of the fleet's."""
 
     quota_per_s: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0
 
 
 class ClassValue(msgspec.Struct, frozen=True):
-    """Of a class that the settings name: what may change while requests of it are under way."""
+    """The values of a request class that may change while its requests are in flight.
+
+    `aim_ms` is the latency objective and `deadline_ms` the timeout, both in milliseconds; `credit` is the value of a
+    response within the objective, and `late_worth` the part of it that a later response is worth.
+    """
 
     aim_ms: Annotated[float, Meta(gt=0, le=1e7)]
     deadline_ms: Annotated[float, Meta(gt=0, le=1e7)]
@@ -53,50 +57,50 @@
 
 
 def decode_value(key: str, value: bytes) -> EntryValue | None:
-    """None: a kind that is not known here. Raises InvalidValueError."""
+    """Decodes and checks a value; None if the kind of the key is unknown. Raises InvalidValueError."""
     kind, _ = split_key(key)
     if kind not in VALUE_TYPES:
         return None
     try:
-        found: EntryValue = msgspec.json.decode(value, type=VALUE_TYPES[kind])
-    except (msgspec.MsgspecError, RecursionError) as fault:
-        raise InvalidValueError(key, str(fault)[:200]) from None
-    if isinstance(found, ClassValue) and found.deadline_ms < found.aim_ms:
-        raise InvalidValueError(key, f"deadline_ms {found.deadline_ms:g} is under aim_ms {found.aim_ms:g}")
-    return found
+        decoded: EntryValue = msgspec.json.decode(value, type=VALUE_TYPES[kind])
+    except (msgspec.MsgspecError, RecursionError) as error:
+        raise InvalidValueError(key, str(error)[:200]) from None
+    if isinstance(decoded, ClassValue) and decoded.deadline_ms < decoded.aim_ms:
+        raise InvalidValueError(key, f"deadline_ms {decoded.deadline_ms:g} is less than aim_ms {decoded.aim_ms:g}")
+    return decoded
 
 
 class AppliedValues:
-    """The values in force, by key: the document's, but for keys whose newest value is unfit."""
+    """The values in force by key: the document's, except that an invalid value leaves the previous one in force."""
 
     def __init__(self) -> None:
         self.values: dict[str, EntryValue] = {}
-        self.rejected: dict[str, str] = {}  # keys whose newest value is unfit, with why; bounded
-        self.rejections = 0
-        self.unknown_kinds: dict[str, int] = {}  # entries by kinds that are not known here
+        self.rejected: dict[str, str] = {}  # keys whose newest value is invalid, and the reasons; bounded
+        self.rejections = 0  # invalid values since the start
+        self.unknown_kinds: dict[str, int] = {}  # number of entries applied, by unknown kind; bounded
 
     def apply(self, document: Document, keys: Iterable[str]) -> tuple[list[str], list[InvalidValueError]]:
-        """The keys that have changed in force, and what was refused."""
-        changed, faults = list[str](), list[InvalidValueError]()
+        """Applies keys of a document; returns those whose value in force changed, and the errors of invalid values."""
+        changed, errors = list[str](), list[InvalidValueError]()
         for key in keys:
             value = document.get(key)
             try:
-                found = decode_value(key, value) if value is not None else None
-            except InvalidValueError as fault:
-                faults.append(fault)
+                decoded = decode_value(key, value) if value is not None else None
+            except InvalidValueError as error:
+                errors.append(error)
                 self.rejections += 1
                 if len(self.rejected) < MAX_NAMED_KEYS:
-                    self.rejected[key] = str(fault)
+                    self.rejected[key] = str(error)
                 continue
             self.rejected.pop(key, None)
-            if found is None and value is not None:
+            if decoded is None and value is not None:
                 kind, _ = split_key(key)
                 if kind in self.unknown_kinds or len(self.unknown_kinds) < MAX_NAMED_KEYS:
                     self.unknown_kinds[kind] = self.unknown_kinds.get(kind, 0) + 1
-            elif found != self.values.get(key):
-                if found is None:
+            elif decoded != self.values.get(key):
+                if decoded is None:
                     del self.values[key]
                 else:
-                    self.values[key] = found
+                    self.values[key] = decoded
                 changed.append(key)
-        return changed, faults
+        return changed, errors
--- a/tests/scripted_replica.py
+++ b/tests/scripted_replica.py
@@ -1,4 +1,4 @@
-"""A machine that tells a configuration, in a test's hand: it answers as one does, or as the test says."""
+"""A replica for tests of the relay's client: it responds like a real one, or as a test scripts it."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class ScriptedReplica:
-    """`says`: by path, what it says instead of what it should."""
+    """An HTTP server with a publisher; `overrides` has responses, by path, that replace the normal ones."""
 
     def __init__(self) -> None:
         self.source = ChangePublisher()
-        self.says: dict[str, Answer] = {}
-        self.asked: list[str] = []  # paths
-        self.written = 0
-        self.open = 0  # connections
+        self.overrides: dict[str, Answer] = {}
+        self.requests: list[str] = []  # paths of the requests received
+        self.written = 0  # bytes
+        self.open_connections = 0  # number of open connections
         self.port = 0
         self._server: asyncio.Server | None = None
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._met, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
@@ -56,7 +56,7 @@
         self.source.append(made)
 
     def count(self, path: str) -> int:
-        return self.asked.count(path)
+        return self.requests.count(path)
 
     async def write(self, writer: asyncio.StreamWriter, text: bytes) -> None:
         if writer.is_closing():
@@ -68,24 +68,24 @@
     async def answer(self, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
         await self.write(writer, serialization.response(status, (), body, keep=False))
 
-    async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks[task] = None
-        self.open += 1
+        self.open_connections += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             target = urlsplit((await reader.readuntil(b"\r\n\r\n")).split()[1].decode())
             query = {name: values[0] for name, values in parse_qs(target.query).items()}
-            self.asked.append(target.path)
-            if target.path in self.says:
-                await self.says[target.path](self, writer)
+            self.requests.append(target.path)
+            if target.path in self.overrides:
+                await self.overrides[target.path](self, writer)
             else:
-                await self._usual(target.path, query, reader, writer)
-        self.open -= 1
+                await self._respond(target.path, query, reader, writer)
+        self.open_connections -= 1
         writer.close()
         self._tasks.pop(task, None)
 
-    async def _usual(
+    async def _respond(
         self, path: str, query: Mapping[str, str], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         source, loop = self.source, asyncio.get_running_loop()
@@ -116,11 +116,13 @@
 
 
 def line(source: ChangePublisher) -> bytes:
-    """A good sign of life."""
+    """A valid line without changes: a heartbeat."""
     return encode(WatchLine(source.history, source.document.version, 0.0)) + b"\n"
 
 
 class RecordedLog:
+    """A logger that records its lines with their fields."""
+
     def __init__(self) -> None:
         self.rows: list[tuple[str, dict[str, Any]]] = []
 
@@ -129,39 +131,39 @@
 
     error = warning
 
-    def said(self, text: str) -> list[dict[str, Any]]:
+    def logged(self, text: str) -> list[dict[str, Any]]:
         return [more for event, more in self.rows if text in event]
 
 
 class FollowingClient:
-    """A feed that follows these machines, the first one of its own zone."""
+    """A configuration client that follows these replicas, the first of them in its own zone."""
 
-    def __init__(self, machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
-        self.log, self.changed, self.puts = RecordedLog(), list[str](), 0
-        sources = [ConfigurationSource(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(machines)]
+    def __init__(self, replicas: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]], **more: Any) -> None:
+        self.log, self.changed, self.change_calls = RecordedLog(), list[str](), 0
+        sources = [ConfigurationSource(f"127.0.0.1:{at.port}", f"zone-{n}", "one") for n, at in enumerate(replicas)]
         more = {"zone": "zone-0", "region": "one", "catch_up_bytes_per_s": 1e8, **more}
         following = ConfigurationSources(sources, **more)
-        self.feed = ConfigurationClient(
+        self.client = ConfigurationClient(
             asyncio.get_running_loop(),
             number=7,
             following=following,
             entries=entries,
-            on_change=self._put,
+            on_change=self._on_change,
             rng=Random(5),
             log=self.log,
         )
 
-    def _put(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
-        self.puts += 1
+    def _on_change(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
+        self.change_calls += 1
         self.changed += keys
 
     @property
     def version(self) -> int:
-        return self.feed.follower.document.version
+        return self.client.follower.document.version
 
-    async def until(self, version: int) -> None:
-        """That version is in force, and put so."""
-        while self.version < version or self.feed.follower.actions:
+    async def wait_for_version(self, version: int) -> None:
+        """Waits until this version is in force and its actions are carried out."""
+        while self.version < version or self.client.follower.actions:
             await asyncio.sleep(0.01)
 
 
@@ -169,25 +171,25 @@
 async def scripted_replicas(count: int) -> AsyncIterator[list[ScriptedReplica]]:
     found = [ScriptedReplica() for _ in range(count)]
     try:
-        for machine in found:
-            await machine.start()
+        for replica in found:
+            await replica.start()
         yield found
     finally:
-        for machine in found:
-            await machine.stop()
+        for replica in found:
+            await replica.stop()
 
 
 @contextlib.asynccontextmanager
 async def following(
-    machines: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
+    replicas: Sequence[ScriptedReplica], entries: Sequence[tuple[str, bytes]] = (), faults: bool = False, **more: Any
 ) -> AsyncIterator[FollowingClient]:
-    """`faults`: of the program itself are expected."""
-    found = FollowingClient(machines, entries, **more)
-    task = asyncio.create_task(found.feed.run())
+    """Runs a client that follows these replicas. With `faults`, exceptions inside the client are expected."""
+    found = FollowingClient(replicas, entries, **more)
+    task = asyncio.create_task(found.client.run())
     try:
         yield found
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     if not faults:
-        assert not found.log.said("following the configuration failed"), found.log.rows
+        assert not found.log.logged("following the configuration failed"), found.log.rows
