--- a/lanelead/configuration/commands.py
+++ b/lanelead/configuration/commands.py
@@ -209,7 +209,10 @@
         proposal = Proposal(ident or f"p-{secrets.token_hex(12)}", entries, _expected_versions(expect))
         decode(encode(proposal), Proposal, MAX_BODY_BYTES)
     except MessageError as error:
-        click.echo(str(error), err=True)
+        text = str(error)
+        if text.endswith("at `$.ident`"):  # the decoder names the field of the message, not the flag
+            text = f"--ident {(ident or '')[:80]!r}: expected 8 to 64 letters, digits, dots, underscores or hyphens"
+        click.echo(text, err=True)
         sys.exit(EXIT_REJECTED)
     sys.exit(asyncio.run(_publish(replicas, proposal, patience, in_force)))
 
--- a/lanelead/configuration/publisher.py
+++ b/lanelead/configuration/publisher.py
@@ -22,7 +22,7 @@
 MAX_KEPT_CHANGES = 1000  # a follower that lacks more has to repair, which then costs less than sending changes
 MAX_KEPT_BYTES = 16 << 20  # limit of the kept changes, counted as key and value sizes
 MAX_LINE_CHANGES = 100  # limit of changes in one line
-SNAPSHOT_REFRESH_SECONDS = 10.0  # age at which a snapshot is replaced by a newer one
+SNAPSHOT_REFRESH_SECONDS = 10.0  # a newer snapshot is made only when the last one is older
 MAX_SNAPSHOTS = 3  # older ones are kept too, so that repairs in progress can finish
 MAX_REPLY_BUCKETS = 256  # limit of buckets in one response
 MAX_FOLLOWERS = 10_000  # limit of relays whose reports are kept
@@ -43,7 +43,7 @@
     majority_heard_at: float = 0.0  # when this replica last heard from a majority
     _changes: deque[Change] = field(default_factory=deque)
     _kept_bytes: int = 0
-    _digests: dict[int, str] = field(default_factory=dict)  # by version: before and after each kept change
+    _digests: dict[int, str] = field(default_factory=dict)  # by version, before and after each kept change
     _snapshots: list[tuple[float, Document]] = field(default_factory=list)  # time made, and copy
     _reports: dict[int, tuple[float, AppliedVersion]] = field(default_factory=dict)  # by relay
 
@@ -110,7 +110,7 @@
         return changes
 
     def digest_tree(self, now: float) -> DigestTree:
-        """The digest tree of the newest snapshot; makes a new snapshot if the last one is too old."""
+        """The digest tree of the newest snapshot; makes a new one if it is outdated and old enough."""
         created_at, newest = self._snapshots[-1] if self._snapshots else (now - SNAPSHOT_REFRESH_SECONDS, None)
         if newest is None or (newest.version != self.document.version and now >= created_at + SNAPSHOT_REFRESH_SECONDS):
             newest = self.document.copy()
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -204,6 +204,34 @@
             self.assertEqual(1, text.count("\n"))
 
 
+class Idents(unittest.TestCase):
+    def test_an_invalid_ident_is_rejected_with_the_flag_its_value_and_the_expected_form(self) -> None:
+        for ident in ("i1", "x" * 65, "with a space"):
+            result = CliRunner().invoke(
+                configuration, ["publish", "-", "--at", "127.0.0.1:1", "--ident", ident], input='{"x/a": 1}'
+            )
+            with self.subTest(ident=ident):
+                self.assertEqual((2, ""), (result.exit_code, result.stdout))
+                self.assertIn(f"--ident {ident!r}: expected 8 to 64 letters", result.stderr)
+
+    def test_invalid_entries_and_expected_versions_are_not_blamed_on_the_ident(self) -> None:
+        cases = [
+            ("i1", '{"no-kind": 1}', "x/a=1", "invalid entries"),
+            ("i1", '{"x/a": 1}', "x/a", "--expect 'x/a'"),
+            ("ident-0001", "{}", "x/a=1", "Expected `array` of length >= 1 - at `$.entries`"),
+        ]
+        for ident, text, expect, message in cases:
+            result = CliRunner().invoke(
+                configuration,
+                ["publish", "-", "--at", "127.0.0.1:1", "--ident", ident, "--expect", expect],
+                input=text,
+            )
+            with self.subTest(text=text, expect=expect):
+                self.assertEqual((2, ""), (result.exit_code, result.stdout))
+                self.assertIn(message, result.stderr)
+                self.assertNotIn("--ident", result.stderr)
+
+
 class Unreachable(unittest.TestCase):
     @live
     async def test_without_any_response_the_result_is_unknown_and_the_ident_is_printed(self) -> None:
