--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -72,7 +72,7 @@
         self.document, self.history, self.actions = document, "", list[Action]()
         self.rejected_keys: list[str] = []  # keys whose newest value the relay rejected; set by the host
         self.rejections = 0  # rejected values since the start; set by the host
-        self.repairs = self.lines = 0
+        self.repairs = self.lines = 0  # repairs begun and lines handled since the start
         self._relay, self._location, self._rate, self._rng = number, location, rate, rng
         self._sources = [SourceState(source, rng.random()) for source in sources]
         self._by_distance = sorted(range(len(sources)), key=lambda n: (self._distance(n), self._sources[n].tie_break))
--- a/lanelead/configuration/publisher.py
+++ b/lanelead/configuration/publisher.py
@@ -84,7 +84,9 @@
         if self._digests.get(since) == digest:
             return since
         # Entries from a relay's own file have no version: use the newest version with the same digest.
-        return next((at for at in sorted(self._digests, reverse=True) if self._digests[at] == digest), None)
+        return next(
+            (version for version in sorted(self._digests, reverse=True) if self._digests[version] == digest), None
+        )
 
     def next_line(self, position: int | None, now: float) -> tuple[WatchLine, int | None]:
         """The next line for a follower at this position, and its position after that line."""
@@ -110,7 +112,10 @@
         return changes
 
     def digest_tree(self, now: float) -> DigestTree:
-        """The digest tree of the newest snapshot; makes a new one if it is outdated and old enough."""
+        """The digest tree of the newest snapshot.
+
+        A new snapshot is made if the document has changed and the last one is SNAPSHOT_REFRESH_SECONDS old.
+        """
         created_at, newest = self._snapshots[-1] if self._snapshots else (now - SNAPSHOT_REFRESH_SECONDS, None)
         if newest is None or (newest.version != self.document.version and now >= created_at + SNAPSHOT_REFRESH_SECONDS):
             newest = self.document.copy()
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -375,10 +375,10 @@
             return
         publisher, now, max_unsent_bytes = self._publisher(), self._now(), self._settings.bounds.unsent_bytes
         lines = dict[int | None, tuple[bytes, int | None]]()
-        head = self.replica.state.committed_version
+        committed_version = self.replica.state.committed_version
         for connection, watcher in list(self._watchers.items()):
             while connection.transport is not None:
-                has_changes = watcher.position is not None and watcher.position < head
+                has_changes = watcher.position is not None and watcher.position < committed_version
                 if not has_changes and watcher.written_at > before:
                     break
                 if connection.transport.get_write_buffer_size() > max_unsent_bytes:
--- a/lanelead/configuration/value_types.py
+++ b/lanelead/configuration/value_types.py
@@ -27,7 +27,7 @@
 
 
 class TenantValue(msgspec.Struct, frozen=True):
-    """A tenant's own quota, in requests per second over all relays, and its share (0 to 1) of the fleet's."""
+    """A tenant's own quota, in requests per second over all relays, and its share (0 to 1) of the fleet's requests."""
 
     quota_per_s: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0
