--- a/lanelead/configuration/follower.py
+++ b/lanelead/configuration/follower.py
@@ -1,13 +1,13 @@
 """The follower of a relay: keeps the newest configuration in force, and the last good one through failures.
 
 Rules:
-1. Only whole versions are in force. Changes are applied in order, each one completely; a repair works on a copy,
-   which comes into force once its digest equals the source's.
+1. Only whole versions are in force: changes are applied in order; a repair works on a copy until the digests agree.
 2. The version never decreases: a source with a lower committed version or another history changes nothing.
-3. One source is followed: the nearest one that responds and has recently heard from a majority of the replicas.
-   A stale source is followed only while no fresher one is available.
+3. One source is followed: one not known to be stale first, then the one with the fewest failures, then the nearest.
+   From time to time a nearer one is tried again.
 4. While no source responds, the configuration stays in force, however long that lasts.
 5. A repair fetches only the buckets that differ, at a limited rate, and continues at another source if interrupted.
+   Changes received meanwhile are ignored; the watch opened afterwards sends them again.
 
 There are no sockets or clocks here: the host carries out the actions and reports their results. Times are seconds.
 """
@@ -33,16 +33,16 @@
 from lanelead.protocols.configuration import AppliedVersion, Buckets, DigestTree, WatchLine
 
 WATCH_TIMEOUT_SECONDS = 1.2  # longest gap between two lines of a watch; a source writes one every 0.4 s
-FIRST_LINE_SECONDS = 0.7  # first timeout for the first line; longer, two silent sources would make a change late
-MAX_FIRST_LINE_SECONDS = 10.0  # upper limit of that timeout, which grows when all links are slow
-MAX_STALENESS_MS = 1500.0  # a source that last heard from a majority longer ago is stale: a fresher one is tried
+FIRST_LINE_SECONDS = 0.7  # initial wait for a first line; two silent sources in a row must not delay changes too long
+MAX_FIRST_LINE_SECONDS = 10.0  # upper limit: it doubles from the third failure in a row without a line on
+MAX_STALENESS_MS = 1500.0  # a source is stale if it heard from a majority longer ago, or has a lower version
 RETRY_SECONDS = (0.1, 5.0)  # wait before a failed source is tried again: the first time, and at most
 SETTLED_SECONDS = 5.0  # a watch this old clears its source's failures; a stale source is avoided for as long
 DIVERGED_RETRY_SECONDS = 10.0  # wait before a source with another history is tried again
 NEARER_SOURCE_SECONDS = (20.0, 40.0)  # range of the random interval between two checks for a nearer source
 FETCH_TIMEOUT_SECONDS = 3.0  # for a digest tree or buckets
 FETCH_BYTES = 16384  # approximate size of the buckets requested at once
-MAX_FAILED_FETCHES = 3  # consecutive failed fetches of digest trees or buckets before another source is tried
+MAX_FAILED_FETCHES = 3  # failed fetches since the last buckets, at any source, before another one is tried
 OVERSIZE_RETRY_SECONDS = (40.0, 80.0)  # range of the random wait after a document exceeded the limits
 MIN_REPORT_SECONDS = 0.2  # shortest interval between two reports of the version in force
 MAX_REPORT_SECONDS = 10.0  # longest interval
@@ -55,8 +55,7 @@
 class Follower:
     """Chooses the source that a relay follows, applies its changes and repairs the document.
 
-    `document` is in force: callers must not modify it. `rate` limits a repair, in bytes per second. Methods append
-    to `actions`, which the host empties and carries out.
+    Callers must not modify `document`; they carry out and empty `actions`. `rate` limits repairs, in bytes per second.
     """
 
     def __init__(
@@ -77,7 +76,7 @@
         self._sources = [SourceState(source, rng.random()) for source in sources]
         self._by_distance = sorted(range(len(sources)), key=lambda n: (self._distance(n), self._sources[n].tie_break))
         self._current: int | None = None
-        self._trial: tuple[int, float] | None = None  # a possibly better source, and since when it is watched too
+        self._trial: tuple[int, float] | None = None  # source watched beside the current one, and since when
         self._last_line_at, self._watch_started_at, self._nearer_check_at = now, now, 0.0
         self._watch_open = False  # whether this watch has delivered a line
         self._first_line_timeout, self._slow_watches = FIRST_LINE_SECONDS, 0  # watches in a row without a line
@@ -99,8 +98,7 @@
         self._last_line_at, state = now, self._sources[source]
         state.staleness_ms, state.committed_version, state.last_line_at = line.staleness_ms, line.committed_version, now
         if now >= self._watch_started_at + SETTLED_SECONDS:
-            # A source that repeatedly sends one good line and then fails keeps its failure count. Otherwise it
-            # would be retried ten times a second, and preferred to other sources.
+            # Not sooner: a source that fails after each first line would be retried ten times a second and preferred.
             state.failures = 0
         self.lines += 1
         if self.history and line.history and line.history != self.history:
@@ -118,17 +116,17 @@
                 line.resume_version is not None
                 and self.document.version < line.resume_version <= line.committed_version
             ):
-                self.document.version = line.resume_version  # the source knows this digest under that version
+                self.document.version = line.resume_version  # entries of the relay's file began as version 0
         try:
             for change in line.changes if self._repair is None else ():
                 if change.version > self.document.version:
                     self.document.apply(change)
-                    self._version_applied([entry.key for entry in change.entries])
+                    self._request_apply([entry.key for entry in change.entries])
         except DocumentError as error:
             # A document that differs from the sources' must not be numbered as their version: compare buckets.
-            self._log_event("configuration change rejected", str(error), "none needed: the document is being repaired")
+            self._log_event("configuration change rejected", str(error), "usually none: a repair has begun")
             self._begin_repair(now)
-        # Replicas without a committed version must not erase the entries of the relay's own file.
+        # Replicas with no or an older version must not erase or set back what the relay has.
         if line.needs_repair and 0 < line.committed_version >= self.document.version:
             self._begin_repair(now)
         self.tick(now)
@@ -186,11 +184,11 @@
         self.tick(now)
 
     def fetch_failed(self, source: int, now: float) -> None:
-        """Handles a failed fetch: no usable response, or the snapshot has expired."""
+        """Handles a failed fetch: no usable response in time, or the snapshot has expired."""
         if (repair := self._repair_in_flight(source)) is not None:
             repair.in_flight, repair.tree, repair.failed_fetches = False, None, repair.failed_fetches + 1
-            repair.bucket_limit = max(1, repair.bucket_limit // 2)  # the response may have been too large
-            repair.not_before = now + self._rng.uniform(*RETRY_SECONDS) / 5
+            repair.bucket_limit = max(1, repair.bucket_limit // 2)  # the buckets may exceed one response
+            repair.not_before = now + self._rng.uniform(*RETRY_SECONDS) / 5  # 0.02 to 1 s
             if repair.failed_fetches >= MAX_FAILED_FETCHES:
                 # This source sends changes but serves no snapshot; others may serve one.
                 repair.failed_fetches = 0
@@ -198,7 +196,7 @@
             self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Checks timeouts and starts what is due; to be called at `due` or earlier."""
+        """Checks timeouts and starts what is due; the host calls it at `due` at the latest."""
         current = self._current
         if current is not None and now >= self._last_line_at + (
             WATCH_TIMEOUT_SECONDS if self._watch_open else self._first_line_timeout
@@ -216,7 +214,7 @@
 
     @property
     def due(self) -> float:
-        """The latest time at which `tick` must be called."""
+        """The latest time of the next `tick`; checks for a better source wait for any tick."""
         if self._current is None:
             return min((state.retry_at for state in self._sources), default=self._reported_at + MAX_REPORT_SECONDS)
         times = [self._last_line_at + (WATCH_TIMEOUT_SECONDS if self._watch_open else self._first_line_timeout)]
@@ -233,7 +231,7 @@
 
     @property
     def state(self) -> dict[str, object]:
-        """The section on configuration of the relay's state document."""
+        """The configuration in the relay's state document, under the names used there."""
         state = self._sources[self._current] if self._current is not None else None
         return {
             "version": self.document.version,
@@ -259,11 +257,11 @@
         ready = [source for source in self._by_distance if self._sources[source].retry_at <= now]
         if not ready:
             return
-        # Sources that were stale recently come last, then those with more failures, then the farther ones.
-        source = min(ready, key=lambda n: (self._is_stale(n, now), self._sources[n].failures))
+        # In order of recent staleness, failures and distance.
+        source = min(ready, key=lambda n: (self._recently_stale(n, now), self._sources[n].failures))
         self._follow(source, now)
 
-    def _is_stale(self, source: int, now: float) -> bool:
+    def _recently_stale(self, source: int, now: float) -> bool:
         state = self._sources[source]
         stale = state.staleness_ms > MAX_STALENESS_MS or state.committed_version < self.document.version
         return stale and now < state.last_line_at + SETTLED_SECONDS
@@ -282,51 +280,53 @@
         self.actions.append(OpenWatch(source, self.document.version, self.document.digest))
 
     def _start_trial(self, source: int, now: float) -> None:
-        """Opens a watch of another source; the current one is left once that has sent a line."""
+        """Opens a second watch, of another source, which becomes the current one with its first line."""
         self._trial = source, now
         self._open_watch(source)
 
     def _trial_failed(self, reason: str, now: float) -> None:
         assert self._trial is not None
         source, self._trial = self._trial[0], None
-        self._delay_retry(source, reason, now)
+        self._record_failure(source, reason, now)
         self.actions.append(CloseWatch(source))
 
     def _try_better_source(self, current: int, now: float) -> None:
-        """Starts a trial of a fresher source if the current one is stale, else now and then of a nearer one."""
+        """Starts a trial: of a source not known as stale if the current one is, else now and then of a nearer one."""
         state = self._sources[current]
         if state.staleness_ms > MAX_STALENESS_MS or state.committed_version < self.document.version:
             others = [n for n in self._by_distance if n != current and self._sources[n].retry_at <= now]
-            fresh = [n for n in others if not self._is_stale(n, now)]
+            fresh = [n for n in others if not self._recently_stale(n, now)]
             if fresh:
                 self._start_trial(fresh[0], now)
         elif now >= self._nearer_check_at:
             self._nearer_check_at = now + self._rng.uniform(*NEARER_SOURCE_SECONDS)
             nearer = [n for n in self._by_distance if self._distance(n) < self._distance(current)]
-            ready = [n for n in nearer if self._sources[n].retry_at <= now and not self._is_stale(n, now)]
+            ready = [n for n in nearer if self._sources[n].retry_at <= now and not self._recently_stale(n, now)]
             ready.sort(key=lambda n: self._sources[n].failures)
+            # A source that failed n times is tried at one check in n, at least at one in eight.
             if ready and self._rng.random() < 1 / max(1, min(8, self._sources[ready[0]].failures)):
                 self._start_trial(ready[0], now)
 
     def _source_failed(self, source: int, reason: str, now: float) -> None:
+        """Drops the current source; a source on trial takes its place."""
         if not self._watch_open:
             self._slow_watches += 1
             if self._slow_watches > 2:
                 self._first_line_timeout = min(MAX_FIRST_LINE_SECONDS, 2 * self._first_line_timeout)
-        self._delay_retry(source, reason, now)
+        self._record_failure(source, reason, now)
         self._close_watch(source)
         self._current = None
         if self._trial is not None:  # its watch is open already: wait for its first line
             self._set_current(*self._trial)
             self._trial = None
 
-    def _delay_retry(self, source: int, reason: str, now: float) -> None:
+    def _record_failure(self, source: int, reason: str, now: float) -> None:
         state = self._sources[source]
         wait = min(RETRY_SECONDS[1], RETRY_SECONDS[0] * 2 ** min(state.failures, 10))
         state.retry_at, state.failures = now + wait * self._rng.uniform(0.5, 1.5), state.failures + 1
         if state.failures == 1:
             self._log_event(
-                f"configuration source lost: {state.location.address}",
+                f"configuration source failed: {state.location.address}",
                 reason,
                 "the last good configuration stays in force; check the replica at this address",
             )
@@ -376,14 +376,14 @@
 
     def _finish_repair(self, source: int, repair: Repair, digest_tree: DigestTree, now: float) -> None:
         self._repair = None
-        repair.draft.finish_repair(digest_tree)  # its digest and buckets have been checked
+        repair.draft.finish_repair(digest_tree)  # cannot fail: the tree and each bucket were checked on receipt
         differing, previous = dict.fromkeys(self.document.differing_buckets(digest_tree)), self.document
         keys = [key for key in {**previous.entries, **repair.draft.entries} if bucket_of(key) in differing]
         self.document = repair.draft
-        self._version_applied([key for key in keys if previous.get(key) != repair.draft.get(key)])
+        self._request_apply([key for key in keys if previous.get(key) != repair.draft.get(key)])
         self._follow(source, now)  # a new watch, from the repaired version on
 
-    def _version_applied(self, keys: Sequence[str]) -> None:
+    def _request_apply(self, keys: Sequence[str]) -> None:
         self.actions.append(VersionApplied(self.document.version, tuple(keys)))
         self._report_pending = True
 
--- a/lanelead/configuration/follower_state.py
+++ b/lanelead/configuration/follower_state.py
@@ -35,4 +35,4 @@
     fetched_at: float = 0.0  # when the last fetch began
     not_before: float = 0.0  # earliest time of the next fetch
     bucket_limit: int = FIRST_FETCH_BUCKETS  # buckets of one request at most
-    failed_fetches: int = 0  # consecutive
+    failed_fetches: int = 0  # since the last buckets received, at any source
--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 service of a configuration replica, in front of its protocol, its store and its publisher.
+"""The HTTP/1.1 service of a configuration replica.
 
     relays     GET  /configuration/watch?from=&digest=, /configuration/outline,
                     /configuration/buckets?version=&numbers=; POST /configuration/applied
@@ -6,8 +6,8 @@
     replicas   POST /configuration/prepare, accept, decided, sign; GET /configuration/log?from=,
                     /configuration/snapshot?version=&page=
 
-docs/configuration.md describes the bodies. The settings limit connections, request sizes and unsent bytes: a client
-over a limit gets an error response, or its connection is reset if it does not read.
+An `outline` is a digest tree, a `sign` a heartbeat; docs/configuration.md describes the bodies. The settings limit
+connections, request sizes and unsent bytes: beyond, a client gets an error response, or a reset if it does not read.
 """
 
 from __future__ import annotations
@@ -62,9 +62,9 @@
 
 JSON_HEADERS = [(b"content-type", b"application/json")]
 MAX_REPLY_BYTES = 16 << 20  # limit of another replica's response
-WATCH_CHECK_SECONDS = 0.1  # interval between two checks which watches need a heartbeat
+WATCH_CHECK_SECONDS = 0.1  # interval of the check for heartbeats; they are written one interval early
 IDLE_SECONDS = 60.0  # a connection without a request for longer is closed
-REJECTED_SEND_SECONDS = 2.0  # how long a connection is still read after its request was rejected
+REJECTED_SEND_SECONDS = 2.0  # how long a rejected request is still read: a reset would lose the response
 MAX_PENDING_PROPOSALS = 256  # limit of the operators' calls waiting for a decision
 PeerReply = Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage
 PEER_CALLS: dict[type, tuple[bytes, type[PeerReply] | None]] = {
@@ -86,7 +86,7 @@
         others = [row.number for row in settings.replicas if row.number != settings.replica]
         self._addresses = {row.number: address_of(row.address) for row in settings.replicas}
         self.replica = Replica(
-            settings.replica, settings.voters, others, state, rng, self._loop.time(), self._log_report
+            settings.replica, settings.voters, others, state, rng, self._loop.time(), self._log_warning
         )
         self._connections: dict[ServerConnection, float] = {}  # by connection: time of the last request
         self._watchers: dict[ServerConnection, Watcher] = {}
@@ -113,7 +113,7 @@
     def _now(self) -> float:
         return self._loop.time()
 
-    def _log_report(self, text: str, remedy: str) -> None:
+    def _log_warning(self, text: str, remedy: str) -> None:
         self._log.warning(text, remedy=remedy)
 
     def _decode(self, body: bytes, kind: type[Any]) -> Any:
@@ -122,7 +122,7 @@
     # Start, stop and timers
 
     async def open(self) -> None:
-        """Starts listening and the timers. Raises OSError if the address cannot be listened at."""
+        """Opens the listening socket and starts the timers. Raises OSError if the address is not available."""
         address = address_of(self._settings.listen or self._settings.own.address)
         bounds = self._settings.bounds
 
@@ -136,7 +136,7 @@
         self._after_event()
 
     async def close(self) -> None:
-        """Stops listening, cancels calls and closes the store."""
+        """Stops listening, cancels calls and closes the store; timers go on until the caller ends the event loop."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -156,7 +156,7 @@
                 connection.close()
 
     def _after_event(self) -> None:
-        """Follows every event: sends calls to peers, answers decided proposals, and writes new changes to watches."""
+        """To be called after events: sends calls, answers finished proposals, writes new changes, sets the timer."""
         replica = self.replica
         calls, replica.outgoing = replica.outgoing, []
         for call in calls:
@@ -203,7 +203,7 @@
             if response.status == 200 and kind is not None:
                 reply = decode(response.body, kind, MAX_REPLY_BYTES)
         except (client.CallFailedError, MessageError, TimeoutError):
-            pass  # handled as no reply: the replica repeats the call
+            pass  # no reply, as after any status but 200; lost decisions are fetched after a heartbeat
         self.replica.handle_reply(call, reply, self._now())
         self._after_event()
 
@@ -292,7 +292,7 @@
     ) -> None:
         status = 200 if isinstance(result, AcceptedProposal) else REJECTION_STATUS[result.reason]
         if isinstance(result, AcceptedProposal):
-            self._log.info("change committed", version=result.version)
+            self._log.info("change committed", version=result.version)  # again if its ident is repeated
         self._respond(connection, request, status, encode(result))
 
     def status(self) -> ReplicaStatus:
@@ -336,7 +336,7 @@
 
     def _decided_route(self, body: bytes) -> msgspec.Struct:
         self.replica.handle_decided(self._decode(body, DecidedChange), self._now())
-        return self.replica.heartbeat()
+        return self.replica.heartbeat()  # not read by the caller
 
     def _snapshot_route(self, query: dict[str, str]) -> msgspec.Struct:
         version, page = integer_parameter(query, "version"), integer_parameter(query, "page")
@@ -350,6 +350,7 @@
     # Relays: publisher.py decides what they are sent
 
     def _publisher(self) -> ChangePublisher:
+        """The publisher, with its majority time updated. Raises RejectedCallError without a committed version."""
         state = self.replica.state
         if not state.committed_version:
             raise RejectedCallError(
@@ -361,7 +362,7 @@
     def _applied_route(self, body: bytes) -> msgspec.Struct:
         report = self._decode(body, AppliedVersion)
         self.replica.state.publisher.record_applied(report, self._now())
-        return AcceptedProposal(report.version)
+        return AcceptedProposal(report.version)  # only acknowledges the report
 
     def _watch_route(self, connection: ServerConnection, query: dict[str, str]) -> None:
         position = self._publisher().resume_position(integer_parameter(query, "from"), query.get("digest", ""))
@@ -374,7 +375,7 @@
         if not self._watchers:
             return
         publisher, now, max_unsent_bytes = self._publisher(), self._now(), self._settings.bounds.unsent_bytes
-        lines = dict[int | None, tuple[bytes, int | None]]()
+        lines = dict[int | None, tuple[bytes, int | None]]()  # by position: data, and the position after it
         committed_version = self.replica.state.committed_version
         for connection, watcher in list(self._watchers.items()):
             while connection.transport is not None:
@@ -385,7 +386,7 @@
                     # Unsent lines for a client that does not read would fill the memory.
                     connection.reset()
                     break
-                if watcher.written_at < 0 and watcher.position is not None:  # first line
+                if watcher.written_at < 0 and watcher.position is not None:  # a first line, which names that version
                     line, after = publisher.next_line(watcher.position, now)
                     line = msgspec.structs.replace(line, resume_version=watcher.position)
                     data = chunk(encode(line) + b"\n")
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -118,7 +118,7 @@
                     self.assertEqual(["tenant/new"], relay.changed, name)
                     await asyncio.sleep(1.0)
                     self.assertLessEqual(faulty.count(WATCH), 5, name)
-                    self.assertEqual(1, len(relay.log.logged("configuration source lost")), name)
+                    self.assertEqual(1, len(relay.log.logged("configuration source failed")), name)
                     self.assertLessEqual(faulty.written, 8 << 20, name)
 
         await asyncio.gather(*(check_case(name, response) for name, response in BAD_WATCHES.items()))
@@ -132,7 +132,7 @@
                     await asyncio.sleep(4.0)
                     self.assertLessEqual(faulty.count(WATCH), 9, name)
                     self.assertEqual(TenantValue(9.0), relay.client.values.values["tenant/m"], name)
-                    (logged,) = relay.log.logged("configuration source lost")
+                    (logged,) = relay.log.logged("configuration source failed")
                     self.assertIn("check the replica at this address", logged["remedy"])
                     self.assertLessEqual(len(relay.client._tasks), 3, name)
 
--- a/tests/test_configuration_sources.py
+++ b/tests/test_configuration_sources.py
@@ -76,7 +76,7 @@
                 harness.receive_line(0, 0)
                 harness.end_watch(0, "no JSON")
         self.assertGreaterEqual(harness.follower._sources[0].failures, 6)
-        self.assertEqual(1, len([note for note in harness.logged_events() if "lost" in note]))
+        self.assertEqual(1, len([note for note in harness.logged_events() if "failed" in note]))
         while not harness.opened_watches():
             harness.advance(0.05)
         harness.receive_line(0, 0)
@@ -265,7 +265,7 @@
         harness.receive_line(1, 0)
         self.assertEqual([1], [action.source for action in harness.reports()])
 
-    def test_a_lost_source_is_logged_once(self) -> None:
+    def test_a_failed_source_is_logged_once(self) -> None:
         harness = FollowerHarness()
         for _ in range(5):
             harness.end_watch(0)
