--- a/lanelead/membership/__init__.py
+++ b/lanelead/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which relays are there, in which incarnation, and where: SWIM-like membership without sockets or clocks."""
+"""SWIM-like membership of relays: state, incarnation and address of each, without sockets or clocks."""
--- a/lanelead/membership/anti_entropy.py
+++ b/lanelead/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: how members that have just joined, were cut off or missed something get what others know."""
+"""Anti-entropy: transfers member tables to members that have just joined, were partitioned or missed gossip."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
     encode_message,
 )
 
-UNKNOWN_START = 0  # as a target's start: whoever it is
+UNKNOWN_START = 0  # `target_started_at_ms` of a ping whose target's process is not known
 
 
 class AntiEntropy(MemberTable):
-    """Exchanges of whole member tables: which members are asked, and the responses to those that ask."""
+    """Requests member tables from other members, serves their requests, and pings absent members to reconnect."""
 
     def _synchronize(self) -> None:
+        """Retries an expired transfer; once per period, also tries to join or to reach an absent member."""
         transfer = self._table_transfer
         if transfer is not None and self.now >= transfer.expires_at:
             self._table_transfer = None
@@ -39,16 +40,17 @@
         if not self.joined and self._table_transfer is None:
             self._request_table(self._rng.choice(self._seeds), 0, 0)
         elif not self._peers or self._rng.random() < 1 / RECONNECT_INTERVAL_PERIODS:
-            self._ping_absent_member()  # in each period if alone: its periods have grown long by its own failures
+            self._ping_absent_member()  # each period when alone: failed probes have already lengthened its periods
 
     def _ping_absent_member(self) -> None:
-        """Pings a dead member, a seed that is not there, or the address of a dead one whose record is dropped.
+        """Pings a dead member, an absent seed, or the remembered address of a dead member whose record was dropped.
 
-        Whoever is there answers with its own record, and the digests differ. Seeds that are there cost nothing.
+        A process at that address answers with its own record, and the digests in the messages then differ, which starts
+        a table transfer. Seeds that are present are not pinged here.
         """
         dead = [number for number in self._departed_at if self.records[number].state == DEAD]
         present = set(map(self._address_of, self._peer_positions))
-        # A seed whose address is remembered too is pinged no more often than others: it may never return.
+        # Without duplicates: a dead seed whose address is also remembered is pinged no more often than others.
         remembered = [remembered.address for remembered in self._remembered_addresses.values()]
         candidates = dict.fromkeys([*self._seeds, *remembered])
         absent = [address for address in candidates if address not in present]
@@ -67,9 +69,10 @@
         self._send(source, TableRequest(*self._header(), first_number, False), [self.own])
 
     def _handle_digest_mismatch(self, source: Address, unknown_sender: bool) -> None:
-        """Fetches the table of a member that takes others to be there.
+        """Requests the table of a member whose digest differs from this member's.
 
-        Not for what gossip under way will bring: only some time after the last change, or from an unknown sender.
+        Shortly after a change, gossip still in progress explains the difference. So a known sender's table is requested
+        only if this member's own has not changed for the minimum suspicion time; an unknown sender's is at once.
         """
         if self._table_transfer is not None:
             return
@@ -78,6 +81,7 @@
             self._request_table(source, 0, TABLE_REQUEST_RETRIES)
 
     def _send_table(self, request: TableRequest, source: Address) -> None:
+        """Answers a request with up to `MAX_PAGES_PER_REQUEST` pages; the requester asks again for the rest."""
         numbers = sorted(number for number in self.records if number >= request.first_number)
         start = 0
         for page_index in range(MAX_PAGES_PER_REQUEST):
@@ -90,8 +94,9 @@
                 break
 
     def _send_page(self, source: Address, first_number: int, numbers: list[int], is_last_page: bool) -> int:
-        """Sends as many records as fit, and returns how many."""
+        """Sends a page with as many of the members' records as fit, and returns how many it holds."""
         records: list[MemberRecord] = [self.records[number] for number in numbers[:MAX_RECORDS_PER_PAGE]]
+        # The final `next_number` depends on how many records fit, so the room is measured with the largest header.
         largest_page = TablePage(*self._header(), first_number, NUMBERS_END, True)
         taken = len(encode_message(largest_page, records)[1])
         next_number = numbers[taken] if taken < len(numbers) else NUMBERS_END
@@ -105,7 +110,7 @@
         self._contacted = True
         transfer = self._table_transfer
         if transfer is None or page.first_number != transfer.first_number:
-            return  # a page before it was lost: it is requested again when the transfer expires
+            return  # an earlier page was lost: it is requested again when the transfer expires
         if page.next_number >= NUMBERS_END:
             self._table_transfer = None
         elif page.more_follows:
--- a/lanelead/membership/commands.py
+++ b/lanelead/membership/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead membership` (earlier: `circle`): asks any relay which members it knows."""
+"""`lanelead membership` (formerly `lanelead circle`): prints the member table of a relay."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 )
 from lanelead.protocols import datagrams
 
-OBSERVER_NUMBER = 65535  # as a sender: one that is no member
+OBSERVER_NUMBER = 65535  # the sender's number in requests of this command, which is not a member
 MAX_TRIES = 5
 EXIT_NO_ANSWER = 1
 EXIT_USAGE = 2
 
 
 def fetch_table(host: str, port: int, timeout: float = 1.0) -> list[MemberRecord]:
-    """Returns the table of the relay whose peers.listen is there, by member number.
+    """Returns the member table of the relay whose `peers.listen` is HOST:PORT, sorted by member number.
 
-    Raises TimeoutError if it doesn't answer `MAX_TRIES` times in `timeout` seconds each, OSError if nothing is there.
+    Raises TimeoutError if `MAX_TRIES` requests in a row get no page within `timeout` seconds each, and OSError if no
+    socket is open at that address.
     """
     records: dict[int, MemberRecord] = {}
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -55,7 +56,7 @@
 
 
 def _receive_pages(udp: socket.socket, first_number: int, timeout: float, records: dict[int, MemberRecord]) -> int:
-    """Adds the records of the pages that answer one request; returns the number from which the next one is to ask."""
+    """Adds the records of all pages that answer one request; returns the `first_number` of the next request."""
     deadline = time.monotonic() + timeout
     more_follows = True
     while more_follows and first_number < NUMBERS_END:
@@ -85,25 +86,30 @@
 
 @click.group()
 def membership() -> None:
-    """Which relays are there, as one of them sees it."""
+    """Show the relays that are members, as one relay sees them."""
 
 
-AT_OPTION = click.option("--at", required=True, metavar="HOST:PORT", help="Where a relay's peers.listen is.")
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
+AT_OPTION = click.option(
+    "--at", required=True, metavar="HOST:PORT", help="Address in the relay's peers.listen setting."
+)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 
 
 def _fetch_or_exit(address: str) -> list[MemberRecord]:
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        click.echo(f"{address!r} is no HOST:PORT; give the relay's peers.listen, as in 127.0.0.1:7946", err=True)
+        click.echo(
+            f"{address!r} is not an address: expected HOST:PORT of a relay's peers.listen, such as 127.0.0.1:7946",
+            err=True,
+        )
         sys.exit(EXIT_USAGE)
     try:
         return fetch_table(host.strip("[]"), int(port))
     except (TimeoutError, OSError) as error:
-        reason = "no answer" if isinstance(error, TimeoutError) else error.strerror or str(error)
+        reason = "no response" if isinstance(error, TimeoutError) else error.strerror or str(error)
         click.echo(
-            f"{address}: {reason}. Is it a relay's peers.listen, with `circle` in its settings? "
-            "Ask another relay, or look for `member` in this one's log.",
+            f"{address}: {reason}. Check that this is the peers.listen of a relay with `circle` in its settings. "
+            "Try another relay, or search this relay's log for `member`.",
             err=True,
         )
         sys.exit(EXIT_NO_ANSWER)
@@ -117,7 +123,7 @@
 @AT_OPTION
 @JSON_OPTION
 def members(at: str, as_json: bool) -> None:
-    """Every member that it knows: state, start, incarnation, zone, region, address."""
+    """List all members with state, start time, incarnation ("turn"), zone, region and address."""
     records = _fetch_or_exit(at)
     if as_json:
         found = [
@@ -147,7 +153,7 @@
 @AT_OPTION
 @JSON_OPTION
 def status(at: str, as_json: bool) -> None:
-    """How many are in each state, by region and zone."""
+    """Count the members in each state, by region and zone."""
     records = _fetch_or_exit(at)
     counts = Counter((record.region, record.zone, STATE_NAMES[record.state]) for record in records)
     if as_json:
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -1,20 +1,22 @@
-"""Which relays are there: SWIM's failure detector with suspicion and incarnations, and Lifeguard's local health.
+"""Failure detector for relays: SWIM with suspicion and incarnations, and Lifeguard's local health.
 
-Without sockets and clocks: messages and times in, messages and changes out. The same object runs in a relay, in virtual
-time and in the checker. Invariants, whatever is lost, duplicated, delayed or out of order:
+Uses no sockets and no clock: it takes messages and times, and produces messages and membership changes. The same class
+runs in relays, in the simulation and in the model checker. These rules hold whatever is lost, duplicated, delayed or
+reordered:
 
-1. What is known of a member never goes back: of two records the one of the higher (start, incarnation, state) holds.
-2. Only a member itself raises its start or its incarnation, and takes neither from another's report.
-3. No two processes of one number count as two; the earlier one stops sending when it receives a record of the later.
-4. Nobody is found dead here who was not suspected here for the least timeout, and pinged in vain before its end.
-   What another member found is taken from it, and is undone by the dead member's own message.
-5. A member that left stays gone for that process.
+1. The record of a member never regresses: of two records, the one with the higher (start, incarnation, state) wins.
+2. Only a member itself raises its start or its incarnation; it takes neither from another member's report.
+3. Two processes with the same number never count as two members; the earlier process stops sending as soon as it
+   receives a record of the later one.
+4. A member declares another dead only after it has itself suspected it for the minimum timeout and has got no answer to
+   its own pings. A death that another member reports is accepted, and the dead member's own message revokes it.
+5. A process that has left does not become a member again.
 
 Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W 2018),
-section 3. Departures: a ping is repeated within its period, and a suspect is pinged again in each round; gossip has
-rounds of its own; digests in each message show what gossip has missed; the dead, seeds that are not there and, long
-after their records are dropped, some of the dead's addresses are pinged now and then, so that groups that were cut
-apart find each other.
+section 3. Differences from them: a ping is repeated within its period, and a suspect is pinged again in each round;
+gossip has rounds of its own; a digest in each message reveals what gossip has missed; and so that partitioned groups
+find each other again, a member occasionally pings dead members, absent seeds, and some addresses of dead members long
+after their records were dropped.
 """
 
 from __future__ import annotations
@@ -55,12 +57,12 @@
 
 
 class Membership(AntiEntropy):
-    """A member: what its host calls, its answers to others, and the failure detector."""
+    """One member: the methods that its host process calls, its replies to other members, and the failure detector."""
 
-    # What the host calls
+    # Called by the host process
 
     def receive(self, payload: bytes, source: Address, now: Ticks) -> None:
-        """Takes a message; one that can't be decoded is counted."""
+        """Handles a message; one that can't be decoded is only counted."""
         self.now = now
         message = decode_message(payload)
         if message is None:
@@ -77,7 +79,7 @@
             return
         known = self.records.get(message.sender)
         if known is not None and known.started_at_ms > message.started_at_ms:
-            # An earlier process that still sends: it is notified that it is replaced, and its messages are ignored.
+            # The sender was replaced by a later process: it is sent that process's record, and its message is ignored.
             self._send(source, Gossip(*self._header()), [known])
             return
         self._receive_from_member(message, source)
@@ -95,7 +97,7 @@
             self._handle_digest_mismatch(source, not sender_known)
 
     def tick(self, now: Ticks) -> None:
-        """Does a round if it is due. A late call means that the host itself is slow: that lowers its local health."""
+        """Runs a round if one is due. A call late by more than a period worsens local health: this process stalled."""
         self.now = now
         if self.replaced_by is not None:
             self._next_round_at = now + self._timings.period
@@ -120,14 +122,14 @@
         self._synchronize()
 
     def leave(self, now: Ticks) -> None:
-        """Notifies some members that this one leaves."""
+        """Marks this member as having left, and notifies some others."""
         self.now = now
         self.own = msgspec.structs.replace(self.own, incarnation=self.own.incarnation + 1, state=LEFT)
         self._store_record(self.own)
         for number in self._sample_peers(2 * GOSSIP_FANOUT):
             self._send(self._address_of(number), Gossip(*self._header()), [self._claim(self.own, self.own.number)])
 
-    # Answers
+    # Replies
 
     def _reply(self, message: AnyMessage, source: Address, sender_known: bool) -> None:
         match message:
@@ -148,13 +150,14 @@
                 pass
 
     def _acknowledge(self, ping: Ping, source: Address, sender_known: bool) -> None:
-        """Answers a ping, with this member's record if the sender may not know it, or knows another process."""
+        """Answers a ping; adds this member's record if the sender may not know it or knows an earlier process."""
         knows_this_process = ping.target == self.own.number and ping.target_started_at_ms == self.own.started_at_ms
         own_record: list[Update] = [] if knows_this_process and sender_known and not ping.claims else [self.own]
         ack = Ack(*self._header(), ping.sequence_number)
         self._send(source, ack, [*own_record, *self._claims_against(ping.sender)])
 
     def _relay_probe(self, request: PingRequest) -> None:
+        """Pings the target of another member's request, within `MAX_RELAYED_PROBES` at a time."""
         if request.target not in self.records or request.target == self.own.number:
             return
         if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
@@ -166,6 +169,7 @@
         self._send_ping(request.target, sequence_number)
 
     def _handle_ack(self, ack: Ack) -> None:
+        """Forwards the answer to a relayed probe to its requester, or completes this member's own probe."""
         relayed = self._relayed_probes.pop(ack.sequence_number, None)
         if relayed is not None and relayed.requester is not None:
             requester = relayed.requester
@@ -183,6 +187,7 @@
     # The failure detector
 
     def _start_period(self) -> None:
+        """Evaluates the last period's probe, and pings the next member in the random probe order."""
         last = self._probe
         if last is not None and not last.acknowledged and last.target in self.records:
             self._handle_failed_probe(last)
@@ -200,7 +205,7 @@
     def _handle_failed_probe(self, probe: Probe) -> None:
         record = self.records[probe.target]
         missing_nacks = probe.helpers_asked - probe.nacks
-        # Lifeguard 3.1: helpers that don't answer either point at this member's own link.
+        # Lifeguard 3.1: if the helpers don't answer either, this member's own connection may be at fault.
         self._adjust_local_health(1 if missing_nacks > 0 or not probe.helpers_asked else 0)
         if record.state == ALIVE:
             self.counters.suspicions += 1
@@ -212,6 +217,7 @@
                 self._confirm_suspicion(suspicion, self._claim(record, self.own.number))
 
     def _repeat_probe(self) -> None:
+        """Pings the unacknowledged target again, directly and through other members."""
         probe = self._probe
         if probe is None or probe.acknowledged or probe.target not in self._peer_positions:
             return
@@ -221,7 +227,7 @@
             self._send(self._address_of(helper), PingRequest(*self._header(), probe.sequence_number, probe.target))
 
     def _handle_stall(self, delay: Ticks) -> None:
-        """After a stall of this process, answers may lie unread: no member is suspected for that."""
+        """Discards the probe and extends suspicions after a stall of this process: answers may lie unread."""
         self._adjust_local_health(1)
         if self._probe is not None:
             self._probe = None
@@ -230,20 +236,21 @@
             suspicion.since += delay
 
     def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
-        """Lifeguard 3.2: twice the least while only one member suspects, down to the least as others do."""
-        least = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
+        """Returns the timeout (Lifeguard 3.2): twice the minimum with one reporter, down to the minimum with more."""
+        minimum = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
         share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
-        return int(least * (2 - share))
+        return int(minimum * (2 - share))
 
     def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, timeout: Ticks) -> bool:
-        """Returns whether this member pings a suspect itself: after a quarter of the timeout all that suspect it do.
+        """Returns whether this member itself pings a suspect, which it always does after a quarter of the timeout.
 
-        Else one that gossip passed by would find it dead by others' reports alone.
+        Otherwise a member that missed the refuting gossip would declare the suspect dead on others' reports alone.
         """
         suspicion.probed |= waited >= timeout // 4
         return suspicion.probed
 
     def _expire_relayed_probes(self) -> None:
+        """Sends a `Nack` for each relayed probe whose target has not answered in time."""
         expired = [number for number, probe in self._relayed_probes.items() if probe.expires_at <= self.now]
         for sequence_number in expired:
             requester = self._relayed_probes.pop(sequence_number).requester
@@ -252,6 +259,7 @@
                 self._send(self._address_of(requester.number), nack)
 
     def _expire_suspicions(self) -> None:
+        """Declares suspects dead whose timeout has passed, and pings the others as needed."""
         for number, suspicion in list(self._suspicions.items()):
             waited = self.now - suspicion.since
             timeout = self._suspicion_timeout(suspicion)
--- a/lanelead/membership/member_table.py
+++ b/lanelead/membership/member_table.py
@@ -1,4 +1,4 @@
-"""A member's table: which records and claims of others it takes, which it disseminates, and by which messages."""
+"""A member's table of all members: merges received records and claims, and disseminates changes in messages."""
 
 from __future__ import annotations
 
@@ -42,10 +42,12 @@
 
 
 class MemberTable:
-    """One member's view of all.
+    """One member's records of all members, itself included.
 
-    `outbox` fills with addresses and payloads to send, `changes` with what became of members: the host empties both.
-    `configured_addresses` hold over those that members report. `known`: records of members known from the start.
+    outbox: addresses and payloads to send; the host process empties it.
+    changes: changes of members' states and processes; the host process empties it.
+    configured_addresses: by member number; they take precedence over the addresses that members report.
+    known: records of members that are known from the start.
     """
 
     def __init__(
@@ -65,7 +67,7 @@
         self.outbox: list[tuple[Address, bytes]] = []
         self.changes: list[MemberChange] = []
         self.counters = MembershipCounters()
-        self.local_health = 0  # 0: best
+        self.local_health = 0  # 0 (best) to MAX_LOCAL_HEALTH
         self.replaced_by: MemberRecord | None = None  # a later process with this member's number
         self._timings = timings
         self._rng = rng
@@ -100,19 +102,19 @@
         return self._next_round_at
 
     def present_members(self) -> list[MemberRecord]:
-        """Returns all that are there, suspects among them, by number."""
+        """Returns the records of all members that are alive or suspect, sorted by number."""
         return sorted(
             (record for record in self.records.values() if not record.has_departed), key=lambda record: record.number
         )
 
-    # What others report
+    # Reports from other members
 
     def _merge_record(self, record: MemberRecord) -> None:
         known = self.records.get(record.number)
         if record.number == self.own.number:
             self._refute(record)
         elif known is None and record.has_departed:
-            pass  # a dropped record is not brought back by members that keep it longer
+            pass  # a record that was dropped here is not restored by members that keep it longer
         elif known is None or record.rank > known.rank:
             if record.state == SUSPECT:
                 self._start_suspicion(record, record.number)  # a record does not name its reporter
@@ -125,7 +127,7 @@
             self._refute(claim)
             return
         if known is None or claim.started_at_ms != known.started_at_ms:
-            return  # a record must come first: a claim has no address
+            return  # a claim has no address, so the record must be known first
         if (claim.started_at_ms, claim.incarnation, claim.state) > known.rank:
             record = msgspec.structs.replace(known, incarnation=claim.incarnation, state=claim.state)
             if claim.state == SUSPECT:
@@ -138,13 +140,13 @@
                 self._confirm_suspicion(suspicion, claim)
 
     def _confirm_suspicion(self, suspicion: Suspicion, claim: StateClaim) -> None:
-        """Counts one more member that suspects the same, and disseminates that, up to as many as matter."""
+        """Adds a reporter to a suspicion and disseminates its claim, until further reporters have no effect."""
         if claim.reporter not in suspicion.reporters and len(suspicion.reporters) <= SUSPICION_CONFIRMATIONS:
             suspicion.reporters[claim.reporter] = None
             self._disseminate(claim)
 
     def _refute(self, update: Update) -> None:
-        """Takes what others report of this member. Rule 2: only it raises its own incarnation."""
+        """Handles a report about this member: refutes a wrong one with a higher incarnation (rule 2 in `member`)."""
         own = self.own
         if update.started_at_ms > own.started_at_ms:
             if isinstance(update, MemberRecord):
@@ -158,7 +160,7 @@
         self.own = msgspec.structs.replace(own, incarnation=update.incarnation + 1, state=ALIVE)
         self._store_record(self.own)
         self.counters.refutations += 1
-        self._adjust_local_health(1)  # Lifeguard 3.1: one that must defend itself may be the slow one
+        self._adjust_local_health(1)  # Lifeguard 3.1: a member that others suspect may itself be slow
 
     def _mark_replaced(self, later: MemberRecord) -> None:
         self.replaced_by = later
@@ -189,7 +191,7 @@
         return StateClaim(record.number, record.started_at_ms, record.incarnation, record.state, reporter)
 
     def _update_peers(self, record: MemberRecord) -> None:
-        """Keeps the members that are there in a list, for draws in constant time."""
+        """Keeps present members in a list with their positions, so that insertion, removal and sampling are O(1)."""
         position = self._peer_positions.get(record.number)
         if record.has_departed:
             self._departed_at.setdefault(record.number, self.now)
@@ -205,7 +207,7 @@
             if position is None:
                 self._peer_positions[record.number] = len(self._peers)
                 self._peers.append(record.number)
-                # SWIM 4.3: a new member is put into the round at a random place.
+                # SWIM 4.3: a new member is inserted at a random position of the probe order.
                 self._probe_order.insert(self._rng.randrange(len(self._probe_order) + 1), record.number)
 
     def _start_suspicion(self, record: MemberRecord, reporter: int) -> None:
@@ -213,13 +215,14 @@
         self._suspicions[record.number] = Suspicion(self.now, {reporter: None}, reporter == self.own.number)
 
     def _drop_departed(self) -> None:
-        """Drops records of members that left or died long ago.
+        """Drops the records of members that left or died longer ago than the retention time.
 
-        Some addresses of the dead are remembered longer: of a region that is only cut off, no other may be known here.
+        Some addresses of dead members are kept longer: if a whole region is partitioned, this member may know no other
+        way to reach it.
         """
         for number, departed_at in list(self._departed_at.items()):
             if self.now - departed_at < self._timings.retention:
-                break  # they are in the order of their departure
+                break  # the dictionary is in the order of departure
             if self.records[number].state == DEAD:
                 self._remember_address(number)
             del self._departed_at[number]
@@ -231,7 +234,10 @@
             del self._remembered_addresses[number]
 
     def _remember_address(self, number: int) -> None:
-        """Bounded; which one goes is drawn, so that a few late deaths don't drive out a whole region."""
+        """Keeps a dead member's address; if there are too many, evicts a random one.
+
+        Random eviction makes it unlikely that a few later deaths evict all addresses of a partitioned region.
+        """
         if len(self._remembered_addresses) >= MAX_REMEMBERED_ADDRESSES:
             del self._remembered_addresses[self._rng.choice(list(self._remembered_addresses))]
         expires_at = self.now + ADDRESS_RETENTION_FACTOR * self._timings.retention
@@ -244,7 +250,7 @@
         return self.configured_addresses.get(number, (record.host, record.port))
 
     def _send(self, to: Address, message: AnyMessage, required: Iterable[Update] = ()) -> None:
-        """Sends a message with the updates that must be in it, and pending ones as there is room."""
+        """Sends a message with the required updates and as many pending ones as fit."""
         required = list(required)
         numbers = {update.number for update in required}
         pending = [update for update in self._least_sent_updates() if update.update.number not in numbers]
@@ -262,7 +268,7 @@
         self.outbox.append((to, payload))
 
     def _least_sent_updates(self) -> list[PendingUpdate]:
-        """Returns the updates sent least often, a few more than a message holds."""
+        """Returns the pending updates that were sent least often, more than fit into a message."""
         by_sent_count = sorted(self._pending_updates.values(), key=lambda update: update.sent_count)
         return by_sent_count[:MAX_UPDATES_PER_MESSAGE]
 
@@ -271,11 +277,11 @@
         self._pending_updates[update.number] = PendingUpdate(update)
 
     def _header(self) -> tuple[int, int, int, list[MemberRecord], list[StateClaim]]:
-        """Returns the fields that each message begins with."""
+        """Returns the fields that all messages start with."""
         return self.own.number, self.own.started_at_ms, self._digest, [], []
 
     def _claims_against(self, number: int) -> list[Update]:
-        """Returns what is claimed against a member, to be sent to it first (Lifeguard 3.3, the buddy system)."""
+        """Returns the claim against a member that is not alive, for messages to it (Lifeguard 3.3, buddy system)."""
         record = self.records.get(number)
         if record is None or record.state == ALIVE:
             return []
@@ -290,12 +296,13 @@
         return self._sequence_number
 
     def _sample_peers(self, count: int, excluded: int = -1) -> list[int]:
-        drawn = self._rng.sample(self._peers, min(len(self._peers), count + 1))
-        return [number for number in drawn if number != excluded][:count]
+        sampled = self._rng.sample(self._peers, min(len(self._peers), count + 1))
+        return [number for number in sampled if number != excluded][:count]
 
     # Local health
 
     def _adjust_local_health(self, step: int) -> None:
+        """Worsens (positive step) or improves (negative step) local health within its bounds."""
         self.local_health = min(MAX_LOCAL_HEALTH, max(0, self.local_health + step))
 
     def _probe_period(self) -> Ticks:
--- a/lanelead/membership/messages.py
+++ b/lanelead/membership/messages.py
@@ -1,8 +1,9 @@
-"""Messages between members, as msgpack within the size of one datagram between relays.
+"""Messages between members, encoded as msgpack; each fits into one datagram between relays.
 
-Kinds after SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol", DSN 2002), `Nack` after Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018), `TableRequest` and `TablePage` for
-members that have just joined or have missed something. All are arrays: the order of fields is the wire's.
+The kinds follow SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol", DSN 2002). `Nack` follows Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). `TableRequest` and `TablePage`
+bring members up to date that have just joined or have missed updates. Structs are encoded as arrays, so the order of
+their fields is part of the protocol.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATE_NAMES = ("alive", "suspect", "dead", "left")
 NUMBERS_END = 65536  # one above the highest member number
-LIST_HEADERS_BYTES = 4  # the headers of both lists of updates may grow by two bytes each
+LIST_HEADERS_BYTES = 4  # the array headers of `records` and `claims` may grow by two bytes each
 
 MemberNumber = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 StartTime = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
 Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=ALIVE, le=LEFT)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
-Host = Annotated[str, msgspec.Meta(min_length=1, max_length=45)]  # as long as an address of IPv6
+Host = Annotated[str, msgspec.Meta(min_length=1, max_length=45)]  # the length of the longest IPv6 address
 SequenceNumber = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 PageBound = Annotated[int, msgspec.Meta(ge=0, le=NUMBERS_END)]
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A member as it is known.
+    """The full record of a member, with its address.
 
-    `started_at_ms`: milliseconds since 1970 when its process started; a restart is another process with a later start.
-    `incarnation`: SWIM's incarnation number within that process, which only the member itself raises.
+    started_at_ms: when its process started, in milliseconds since 1970; a restarted process has a later start.
+    incarnation: SWIM's incarnation number within that process, which only the member itself raises.
     """
 
     number: MemberNumber
@@ -49,17 +50,17 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two records of one member, the one of the higher rank holds (SWIM, section 4.2)."""
+        """The precedence: of two records of a member, the one with the higher rank wins (SWIM, section 4.2)."""
         return self.started_at_ms, self.incarnation, self.state
 
     @property
     def has_departed(self) -> bool:
-        """Whether it is dead or left."""
+        """Whether the member is dead or has left."""
         return self.state >= DEAD
 
 
 class StateClaim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What `reporter` says of a member whose record is known; shorter than a record, without an address."""
+    """The state of a member as `reporter` claims it; shorter than a record, as it has no address."""
 
     number: MemberNumber
     started_at_ms: StartTime
@@ -72,7 +73,11 @@
 
 
 class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag_field="kind"):
-    """A message from `sender`; `digest` is of all members that it takes to be there. Any kind carries updates."""
+    """Base of all messages, each of which carries updates.
+
+    digest: of the records of all members that the sender has as alive or suspect.
+    records, claims: the updates.
+    """
 
     sender: MemberNumber
     started_at_ms: StartTime
@@ -82,11 +87,11 @@
 
 
 class Gossip(Message, tag=0):
-    """Updates only."""
+    """Carries updates only."""
 
 
 class Ping(Message, tag=1):
-    """Asks `target` for an `Ack`; `target_started_at_ms` shows whether the sender knows its present process."""
+    """Asks `target` for an `Ack`; `target_started_at_ms` identifies the target's process that the sender knows."""
 
     sequence_number: SequenceNumber
     target: MemberNumber
@@ -113,14 +118,17 @@
 
 
 class TableRequest(Message, tag=5):
-    """Asks for the table from member `first_number` on. An `observer` reads it and is no member."""
+    """Asks for the records of members from `first_number` on; an `observer` only reads them and is not a member."""
 
     first_number: PageBound
     observer: bool
 
 
 class TablePage(Message, tag=6):
-    """Records of members from `first_number` up to, and without, `next_number`; `more_follows`: without a request."""
+    """Records of members from `first_number` up to, excluding, `next_number`.
+
+    more_follows: whether the next page is sent without another request.
+    """
 
     first_number: PageBound
     next_number: PageBound
@@ -133,7 +141,7 @@
 
 
 def decode_message(payload: bytes) -> AnyMessage | None:
-    """Returns the message, or None if the payload is none of these or out of bounds."""
+    """Returns the decoded message, or None if the payload is not a valid message."""
     try:
         message: AnyMessage = _decoder.decode(payload)
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -142,18 +150,18 @@
 
 
 def encoded_size(update: Update) -> int:
-    """Returns how many bytes an update takes in a message."""
+    """Returns the size of an encoded update in bytes."""
     return len(_encoder.encode(update))
 
 
 def encode_message(message: AnyMessage, updates: Iterable[Update] = ()) -> tuple[bytes, list[Update]]:
-    """Adds as many of the updates as fit, first ones first; returns the payload and the updates that went in.
+    """Encodes a message with as many of the updates as fit, in order; returns the payload and the added updates.
 
-    Raises ValueError if the message alone is too long: its own records are the caller's to bound.
+    Raises ValueError if the message without the updates is already too long.
     """
     size = len(_encoder.encode(message))
     if size > MAX_MESSAGE_BYTES:
-        raise ValueError(f"{size} bytes, of {MAX_MESSAGE_BYTES} at most")
+        raise ValueError(f"{size} bytes exceed the limit of {MAX_MESSAGE_BYTES} bytes per message")
     remaining = MAX_MESSAGE_BYTES - size - LIST_HEADERS_BYTES
     added: list[Update] = []
     for update in updates:
--- a/tests/test_circle_reunion.py
+++ b/tests/test_circle_reunion.py
@@ -1,4 +1,7 @@
-"""Regions that lose each other for longer than the dead are remembered, and meet again."""
+"""Regions that are partitioned for longer than the records of dead members are retained find each other again.
+
+Once those records are dropped, nothing but configured seeds and remembered addresses tells a member whom to ping.
+"""
 
 from __future__ import annotations
 
@@ -31,213 +34,213 @@
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
 HOUR = 3600 * SECOND
-TEMPO = MembershipTimings(3000, 600 * SECOND)
-QUICK = MembershipTimings(3000, 60 * SECOND)  # forgets ten times as soon: for stories in which no hour is needed
-SOON = 30 * SECOND
+TIMINGS = MembershipTimings(3000, 600 * SECOND)
+SHORT_TIMINGS = MembershipTimings(3000, 60 * SECOND)  # a tenth of the retention: the partition can be shorter
+MERGE_TIME = 30 * SECOND
 
 
-def apart(town: Town) -> None:
+def partition(town: Town) -> None:
     regions = {number: town.row(number, 1).region for number in range(len(town.members) + 10)}
     town.wires.cut = lambda sender, receiver: regions[sender] != regions[receiver]
 
 
-def together(town: Town) -> None:
+def heal(town: Town) -> None:
     town.wires.cut = lambda sender, receiver: False
 
 
-def told(town: Town) -> list[dict[int, tuple[int, int, int]]]:
+def ranks(town: Town) -> list[dict[int, tuple[int, int, int]]]:
     return [{number: row.rank for number, row in m.records.items()} for m in town.members.values()]
 
 
-class Reunion(unittest.TestCase):
-    def meets(self, town: Town) -> None:
-        """All take all that run, and nobody else, to be there; their tables are alike to the last row."""
-        until = town.now + SOON
+class MergeAfterPartition(unittest.TestCase):
+    def assert_merged(self, town: Town) -> None:
+        """Every member has exactly the running members as present, and all tables are equal."""
+        until = town.now + MERGE_TIME
         while town.now < until and not town.agreed():
             town.run(town.now + SECOND)
         self.assertTrue(town.agreed(), [len(view) for view in town.views()])
-        town.run(town.now + SOON)
-        first, *others = told(town)
+        town.run(town.now + MERGE_TIME)
+        first, *others = ranks(town)
         self.assertEqual([first] * len(others), others)
 
-    def forgotten(self, town: Town) -> None:
-        """Nobody has a row of the other region: else the story would prove nothing."""
+    def assert_other_region_dropped(self, town: Town) -> None:
+        """No member has a record of the other region: otherwise the case would prove nothing."""
         for member in town.members.values():
             self.assertEqual({member.own.region}, {row.region for row in member.records.values()})
 
-    def story(
+    def check_merge(
         self,
-        many: int,
-        tempo: MembershipTimings,
-        long: int,
+        count: int,
+        timings: MembershipTimings,
+        duration: int,
         loss: float = 0.0,
-        meanwhile: Callable[[Town], None] | None = None,
-        before: Callable[[Town], None] | None = None,
+        during_partition: Callable[[Town], None] | None = None,
+        before_partition: Callable[[Town], None] | None = None,
     ) -> None:
-        town = Town(many, 11, tempo, Wires(loss=loss))
+        town = Town(count, 11, timings, Wires(loss=loss))
         town.run(SECOND)
-        if before is not None:
-            before(town)
-            town.run(town.now + tempo.retention + 20 * SECOND)
-        apart(town)
-        town.run(town.now + long // 2)
-        if meanwhile is not None:
-            meanwhile(town)
-        town.run(town.now + long // 2)
-        self.forgotten(town)
-        together(town)
-        self.meets(town)
-
-    def test_an_hour_apart(self) -> None:
-        for many, loss in ((8, 0.0), (8, 0.05), (40, 0.0)):
-            with self.subTest(many=many, loss=loss):
-                self.story(many, TEMPO, HOUR, loss)
-
-    def test_only_one_side_has_forgotten_the_other(self) -> None:
-        for many in (8, 40):
+        if before_partition is not None:
+            before_partition(town)
+            town.run(town.now + timings.retention + 20 * SECOND)
+        partition(town)
+        town.run(town.now + duration // 2)
+        if during_partition is not None:
+            during_partition(town)
+        town.run(town.now + duration // 2)
+        self.assert_other_region_dropped(town)
+        heal(town)
+        self.assert_merged(town)
+
+    def test_regions_merge_after_an_hour_of_partition(self) -> None:
+        for count, loss in ((8, 0.0), (8, 0.05), (40, 0.0)):
+            with self.subTest(count=count, loss=loss):
+                self.check_merge(count, TIMINGS, HOUR, loss)
+
+    def test_regions_merge_when_only_one_has_dropped_the_records_of_the_other(self) -> None:
+        for count in (8, 40):
             for side in "ab":
-                with self.subTest(many=many, side=side):
-                    town = Town(many, 12, TEMPO, Wires())
+                with self.subTest(count=count, side=side):
+                    town = Town(count, 12, TIMINGS, Wires())
                     for member in town.members.values():
                         if member.own.region == side:
-                            member._timings = QUICK
-                    apart(town)
+                            member._timings = SHORT_TIMINGS
+                    partition(town)
                     town.run(300 * SECOND)
                     for member in town.members.values():
                         seen = {row.region for row in member.records.values()}
                         self.assertEqual({side} if member.own.region == side else {"a", "b"}, seen)
-                    together(town)
-                    self.meets(town)
+                    heal(town)
+                    self.assert_merged(town)
 
-    def test_the_seeds_are_dead_for_good(self) -> None:
+    def test_regions_merge_when_all_seeds_are_dead(self) -> None:
         def kill(town: Town) -> None:
             for seed in range(3):
                 town.kill(seed)
 
-        for many in (8, 40):
+        for count in (8, 40):
             for when in ("before", "meanwhile"):
-                with self.subTest(many=many, when=when):
+                with self.subTest(count=count, when=when):
                     if when == "before":
-                        self.story(many, QUICK, 400 * SECOND, before=kill)
+                        self.check_merge(count, SHORT_TIMINGS, 400 * SECOND, before_partition=kill)
                     else:
-                        self.story(many, QUICK, 400 * SECOND, meanwhile=kill)
+                        self.check_merge(count, SHORT_TIMINGS, 400 * SECOND, during_partition=kill)
 
-    def test_those_that_restarted_meanwhile_have_new_addresses(self) -> None:
+    def test_regions_merge_when_members_restarted_at_new_addresses(self) -> None:
         def move(town: Town) -> None:
-            town.seeds = (0, 1, 3)  # of these only 3 is where the new settings say, of the old ones none
+            town.seeds = (0, 1, 3)  # only 3 of these keeps its address, and none of the former seeds (0, 1, 2)
             for number in (0, 1, 2, 4):
                 town.kill(number)
                 town.start(number, 2, place=1)
 
-        for many in (8, 40):
-            with self.subTest(many=many):
-                self.story(many, QUICK, 400 * SECOND, meanwhile=move)
+        for count in (8, 40):
+            with self.subTest(count=count):
+                self.check_merge(count, SHORT_TIMINGS, 400 * SECOND, during_partition=move)
 
 
-def row(number: int, life: int = 1, place: int = 0) -> MemberRecord:
-    return MemberRecord(number, life, 0, ALIVE, False, "a", "r", f"10.0.{number}.{place}", 7946)
+def make_record(number: int, started_at_ms: int = 1, place: int = 0) -> MemberRecord:
+    return MemberRecord(number, started_at_ms, 0, ALIVE, False, "a", "r", f"10.0.{number}.{place}", 7946)
 
 
-def at(number: int, place: int = 0) -> Address:
+def address_of(number: int, place: int = 0) -> Address:
     return f"10.0.{number}.{place}", 7946
 
 
-def one(seeds: Sequence[int], *known: int) -> Membership:
+def make_member(seeds: Sequence[int], *known: int) -> Membership:
     return Membership(
-        own=row(0),
-        timings=TEMPO,
-        seeds=[at(seed) for seed in seeds],
+        own=make_record(0),
+        timings=TIMINGS,
+        seeds=[address_of(seed) for seed in seeds],
         rng=Random(1),
         now=0,
-        known=list(map(row, known)),
+        known=list(map(make_record, known)),
     )
 
 
-def says(member: Membership, *rumors: MemberRecord | StateClaim) -> None:
-    """Word from 1, which is there."""
-    member.receive(encode_message(Gossip(1, 1, 0, [], []), rumors)[0], at(1), member.now)
+def deliver_gossip(member: Membership, *updates: MemberRecord | StateClaim) -> None:
+    """Delivers gossip from member 1, which is alive."""
+    member.receive(encode_message(Gossip(1, 1, 0, [], []), updates)[0], address_of(1), member.now)
 
 
-def calls(member: Membership, long: int) -> Counter[Address]:
-    """Pings beside the detector's in so many ticks, while 1 answers all that it is sent."""
-    found, until = Counter[Address](), member.now + long
+def count_pings(member: Membership, duration: int) -> Counter[Address]:
+    """Counts pings to members other than 1 for `duration` ticks, while member 1 acknowledges all of its own."""
+    pings, until = Counter[Address](), member.now + duration
     while member.next_round_at() < until:
         member.tick(member.next_round_at())
-        out, member.outbox = member.outbox, []
-        for to, text in out:
-            if not isinstance(ping := decode_message(text), Ping):
+        outbox, member.outbox = member.outbox, []
+        for address, payload in outbox:
+            if not isinstance(ping := decode_message(payload), Ping):
                 continue
-            if to == at(1):
+            if address == address_of(1):
                 member.receive(
-                    encode_message(Ack(1, 1, ping.digest, [], [], ping.sequence_number))[0], at(1), member.now
+                    encode_message(Ack(1, 1, ping.digest, [], [], ping.sequence_number))[0], address_of(1), member.now
                 )
             else:
-                found[to] += 1
-    return found
-
-
-class Calls(unittest.TestCase):
-    """Whom a member calls on that it does not take to be there, and that it does so seldom."""
-
-    def test_seeds_that_are_there_are_not_called_and_the_others_once_in_many_periods(self) -> None:
-        self.assertEqual({}, calls(one([1], 1), HOUR))
-        member = one([1, 2, 3], 1)
-        found = calls(member, HOUR)
-        self.assertEqual({at(2), at(3)}, set(found))
-        periods = HOUR // TEMPO.period
-        self.assertAlmostEqual(1.0, found.total() / (periods / RECONNECT_INTERVAL_PERIODS), delta=0.15)
-        self.assertAlmostEqual(1.0, found[at(2)] / found[at(3)], delta=0.3)
-
-    def test_where_the_forgotten_dead_were_is_called_for_a_time(self) -> None:
-        member = one([], 1, 5)
-        says(member, StateClaim(5, 1, 0, DEAD, 1))
-        calls(member, TEMPO.retention + SECOND)
+                pings[address] += 1
+    return pings
+
+
+class ReconnectPings(unittest.TestCase):
+    """Which absent members and addresses a member pings to reconnect, and how often."""
+
+    def test_present_seeds_are_not_pinged_and_absent_ones_once_per_reconnect_interval(self) -> None:
+        self.assertEqual({}, count_pings(make_member([1], 1), HOUR))
+        member = make_member([1, 2, 3], 1)
+        pings = count_pings(member, HOUR)
+        self.assertEqual({address_of(2), address_of(3)}, set(pings))
+        periods = HOUR // TIMINGS.period
+        self.assertAlmostEqual(1.0, pings.total() / (periods / RECONNECT_INTERVAL_PERIODS), delta=0.15)
+        self.assertAlmostEqual(1.0, pings[address_of(2)] / pings[address_of(3)], delta=0.3)
+
+    def test_the_remembered_address_of_a_dead_member_is_pinged_until_it_expires(self) -> None:
+        member = make_member([], 1, 5)
+        deliver_gossip(member, StateClaim(5, 1, 0, DEAD, 1))
+        count_pings(member, TIMINGS.retention + SECOND)
         self.assertNotIn(5, member.records)
-        self.assertEqual({at(5)}, set(calls(member, HOUR)))
-        member.now = member.now + ADDRESS_RETENTION_FACTOR * TEMPO.retention
+        self.assertEqual({address_of(5)}, set(count_pings(member, HOUR)))
+        member.now = member.now + ADDRESS_RETENTION_FACTOR * TIMINGS.retention
         member.tick(member.now)
         member.outbox.clear()
-        self.assertEqual({}, calls(member, HOUR))
-
-    def test_a_seed_dead_for_good_is_called_no_more_often_than_another(self) -> None:
-        member = one([5], 1, 5, 6)
-        says(member, *(StateClaim(number, 1, 0, DEAD, 1) for number in (5, 6)))
-        calls(member, TEMPO.retention + SECOND)
-        found = calls(member, HOUR)
-        self.assertAlmostEqual(1.0, found[at(5)] / found[at(6)], delta=0.3)
-
-    def test_one_that_is_alone_calls_in_each_period_though_its_own_have_grown_long(self) -> None:
-        member = one([], 5)
-        says(member, StateClaim(5, 1, 0, DEAD, 1))
+        self.assertEqual({}, count_pings(member, HOUR))
+
+    def test_a_dead_seed_is_pinged_no_more_often_than_another_dead_member(self) -> None:
+        member = make_member([5], 1, 5, 6)
+        deliver_gossip(member, *(StateClaim(number, 1, 0, DEAD, 1) for number in (5, 6)))
+        count_pings(member, TIMINGS.retention + SECOND)
+        pings = count_pings(member, HOUR)
+        self.assertAlmostEqual(1.0, pings[address_of(5)] / pings[address_of(6)], delta=0.3)
+
+    def test_a_lone_member_pings_in_each_period_at_the_worst_local_health(self) -> None:
+        member = make_member([], 5)
+        deliver_gossip(member, StateClaim(5, 1, 0, DEAD, 1))
         member.local_health = MAX_LOCAL_HEALTH
-        found = calls(member, 100 * TEMPO.period * (1 + MAX_LOCAL_HEALTH))
-        self.assertAlmostEqual(100, found[at(5)], delta=2)
+        pings = count_pings(member, 100 * TIMINGS.period * (1 + MAX_LOCAL_HEALTH))
+        self.assertAlmostEqual(100, pings[address_of(5)], delta=2)
 
-    def test_of_many_forgotten_a_bounded_number_is_called(self) -> None:
+    def test_a_bounded_number_of_remembered_addresses_is_pinged(self) -> None:
         dead = range(2, 2 + 4 * MAX_REMEMBERED_ADDRESSES)
-        member = one([], 1, *dead)
+        member = make_member([], 1, *dead)
         for number in dead:
-            says(member, StateClaim(number, 1, 0, DEAD, 1))
-        calls(member, TEMPO.retention + SECOND)
+            deliver_gossip(member, StateClaim(number, 1, 0, DEAD, 1))
+        count_pings(member, TIMINGS.retention + SECOND)
         self.assertEqual([0, 1], sorted(member.records))
-        found = calls(member, 10 * HOUR)
-        self.assertEqual(MAX_REMEMBERED_ADDRESSES, len(found))
-        late = sum(at(number) in found for number in dead[len(dead) // 2 :])
-        # Neither the first nor the last ones alone.
-        self.assertIn(late, range(MAX_REMEMBERED_ADDRESSES // 2, MAX_REMEMBERED_ADDRESSES))
-
-    def test_who_left_is_not_called(self) -> None:
-        member = one([], 1, 5)
-        says(member, StateClaim(5, 1, 1, LEFT, 5))
-        self.assertEqual({}, calls(member, HOUR))
-
-    def test_who_came_back_elsewhere_is_not_called_where_it_was(self) -> None:
-        member = one([], 1, 5)
-        says(member, StateClaim(5, 1, 0, DEAD, 1))
-        calls(member, TEMPO.retention + SECOND)
-        says(member, row(5, life=2, place=1))
-        says(member, StateClaim(5, 2, 0, LEFT, 5))  # so that the detector leaves it alone
-        self.assertEqual({}, calls(member, HOUR))
+        pings = count_pings(member, 10 * HOUR)
+        self.assertEqual(MAX_REMEMBERED_ADDRESSES, len(pings))
+        late_count = sum(address_of(number) in pings for number in dead[len(dead) // 2 :])
+        # Evicted at random: neither only the first nor only the last addresses are left.
+        self.assertIn(late_count, range(MAX_REMEMBERED_ADDRESSES // 2, MAX_REMEMBERED_ADDRESSES))
+
+    def test_a_member_that_left_is_not_pinged(self) -> None:
+        member = make_member([], 1, 5)
+        deliver_gossip(member, StateClaim(5, 1, 1, LEFT, 5))
+        self.assertEqual({}, count_pings(member, HOUR))
+
+    def test_a_member_that_returned_at_another_address_is_not_pinged_at_the_former_one(self) -> None:
+        member = make_member([], 1, 5)
+        deliver_gossip(member, StateClaim(5, 1, 0, DEAD, 1))
+        count_pings(member, TIMINGS.retention + SECOND)
+        deliver_gossip(member, make_record(5, started_at_ms=2, place=1))
+        deliver_gossip(member, StateClaim(5, 2, 0, LEFT, 5))  # so that the failure detector does not ping it
+        self.assertEqual({}, count_pings(member, HOUR))
 
 
 if __name__ == "__main__":
