--- a/lanelead/migrations/__init__.py
+++ b/lanelead/migrations/__init__.py
@@ -1,1 +1,1 @@
-"""Ordered schema and data migrations: plans, their log, and the runner that carries them out."""
+"""Ordered schema and data migrations: plans, the log of their steps, and the runner that executes them."""
--- a/lanelead/migrations/backoff.py
+++ b/lanelead/migrations/backoff.py
@@ -1,31 +1,37 @@
-"""The rate of a backfill: a bounded rate that yields to requests. Without I/O; times in seconds.
+"""Pacing of a backfill's batches, so that other writes to the store are not delayed for long. Without I/O.
 
-A batch holds the store's only writer for as long as it takes, and other writes wait meanwhile. So a batch shrinks until
-it takes `max_hold_seconds` at most, the rate stays below the plan's, and after each batch the store is left alone
-for at least as long as the batch took. On a store that others keep busy a backfill is slow; that is intended.
+The store has a single writer, which a batch occupies while other writes wait. So batches shrink until one takes at most
+`max_hold_seconds`, the rate stays below the plan's, and each batch is followed by a pause at least as long as the batch
+took. A backfill of a busy store is slow on purpose.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIN_BATCH_ROWS = 10  # however slow the store is
+MIN_BATCH_ROWS = 10  # batches do not shrink below this, however slow the store is
 
 
 @dataclass
 class BatchPacer:
-    """The size of the next batch, and the wait before it."""
+    """Sets the size of the next batch and the pause before it.
+
+    max_rows: the largest batch.
+    max_rows_per_second: the rate that the plan allows.
+    max_hold_seconds: the time that a batch should take at most.
+    rows: the size of the next batch; 0 at creation: a quarter of `max_rows`.
+    """
 
     max_rows: int
     max_rows_per_second: float
     max_hold_seconds: float
-    rows: int = 0  # of the next batch; 0: a quarter of max_rows
+    rows: int = 0
 
     def __post_init__(self) -> None:
         self.rows = self.rows or min(self.max_rows, max(MIN_BATCH_ROWS, self.max_rows // 4))
 
     def wait_after_batch(self, rows: int, seconds: float) -> float:
-        """Takes in a batch of `rows` rows that took `seconds`; returns the seconds to wait before the next."""
+        """Adapts the batch size to a batch of `rows` rows that took `seconds`; returns the pause before the next."""
         if seconds > self.max_hold_seconds:
             shrunk = int(self.rows * max(0.25, self.max_hold_seconds / seconds))
             self.rows = max(min(MIN_BATCH_ROWS, self.max_rows), shrunk)
--- a/lanelead/migrations/calls.py
+++ b/lanelead/migrations/calls.py
@@ -1,4 +1,4 @@
-"""The calls of a runner to the migration store, and their replies. Values only."""
+"""The calls of a runner to the migration store, and the replies to them, as plain values."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from lanelead.protocols.migrations import ApplyRequest, EffectProgress, LogEntry
 
-# Calls; `name` is their name in logs and at the points where tests interrupt a runner.
+# Calls. `name` identifies a call in log events and in the names of the points at which tests interrupt a runner.
 
 
 @dataclass(frozen=True)
 class AcquireLease:
-    """Acquire a lease, in place of any that this runner has."""
+    """Acquire a new lease, which replaces any lease that this runner holds."""
 
     name: ClassVar = "acquire_lease"
 
 
 @dataclass(frozen=True)
 class ReadLog:
-    """Read the log's entries after `since_seq`."""
+    """Read the log entries after `since_seq`."""
 
     name: ClassVar = "read_log"
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class AppendEntry:
-    """Append an entry right after `after_seq`."""
+    """Append an entry to the log, whose last entry must be `after_seq`."""
 
     name: ClassVar = "append_entry"
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class QueryProgress:
-    """Ask how much of an intent has been applied."""
+    """Query how much of an intent has been applied."""
 
     name: ClassVar = "query_progress"
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class ApplyPart:
-    """Apply one part of a step. `batched`: it is a batch of a backfill."""
+    """Apply one part of a step; `batched` if the part is a batch of a backfill."""
 
     name: ClassVar = "apply_part"
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class QueryUnacknowledged:
-    """Ask which relays have not acknowledged a barrier."""
+    """Query which relays have not acknowledged a barrier."""
 
     name: ClassVar = "query_unacknowledged"
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class RunResult:
-    """Nothing more to call: the runner has reached its goal, or can't."""
+    """The end of a run: the runner has reached its goal, or can't reach it."""
 
     succeeded: bool
     message: str
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class LeaseGranted:
-    """A lease with its fencing token."""
+    """The lease was granted with a fencing token."""
 
     token: int
 
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True)
 class CallRejected:
-    """The store changed nothing. `reason`: see protocols.migrations.RejectedCall."""
+    """The store rejected the call and changed nothing; for `reason` see protocols.migrations.RejectedCall."""
 
     reason: str
     message: str = ""
@@ -101,14 +101,14 @@
 
 @dataclass(frozen=True)
 class OutcomeUnknown:
-    """The call may have been carried out, or may be later."""
+    """No reply was received: the call may have been executed, or may still be."""
 
     message: str = ""
 
 
 @dataclass(frozen=True)
 class WaitingForRelays:
-    """The relays that have not acknowledged the barrier; empty: all have."""
+    """The relays that have not acknowledged the barrier; empty if all have."""
 
     relays: tuple[int, ...]
 
--- a/lanelead/migrations/client.py
+++ b/lanelead/migrations/client.py
@@ -1,4 +1,4 @@
-"""Calls to the migration store over HTTP."""
+"""HTTP client of the migration store."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from lanelead.settings.service_settings import Address
 
 ReplyType = TypeVar("ReplyType", bound=msgspec.Struct)
-CALL_TIMEOUT_SECONDS = 5.0  # for a call that has no timeout of its own
+CALL_TIMEOUT_SECONDS = 5.0  # default of a call
 STATUS_OK = 200
 REJECTED_STATUSES = (400, 409, 422)
 
 
 class MigrationStoreClient:
-    """Calls the store. A call ends in its reply, in RejectedCall, or in StoreUnavailableError: outcome unknown."""
+    """Calls the migration store: each call returns its reply or RejectedCall, or raises StoreUnavailableError."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -35,7 +35,10 @@
         body: msgspec.Struct | None = None,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> ReplyType | RejectedCall:
-        """One call. Raises StoreUnavailableError."""
+        """Sends one call and returns the decoded reply.
+
+        Raises StoreUnavailableError if there is no usable reply; the call may have been executed nevertheless.
+        """
         payload = b"" if body is None else encode(body)
         try:
             response = await call(self._loop, self._address, method, path.encode(), payload, timeout_seconds)
@@ -44,13 +47,13 @@
             if response.status in REJECTED_STATUSES:
                 return decode(response.body, RejectedCall)
         except TimeoutError:
-            raise StoreUnavailableError(f"no answer in {timeout_seconds:g} s") from None
+            raise StoreUnavailableError(f"no response within {timeout_seconds:g} s") from None
         except (CallFailedError, MessageError, msgspec.MsgspecError) as error:
             raise StoreUnavailableError(str(error)) from None
-        raise StoreUnavailableError(f"status {response.status}")
+        raise StoreUnavailableError(f"unexpected HTTP status {response.status}")
 
     async def read_log(self, log: MigrationLog) -> None:
-        """Brings a log up to date. Raises StoreUnavailableError, or InvalidEntryError where an entry breaks a rule."""
+        """Appends all new entries to `log`. Raises StoreUnavailableError, or InvalidEntryError for an invalid entry."""
         while True:
             page = await self.call("GET", f"/record?since={log.last_seq}", MigrationLogPage)
             if isinstance(page, RejectedCall):
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -1,4 +1,4 @@
-"""`lanelead migrations`: check, plan, status, run, undo and resume; and `lanelead store`."""
+"""The commands `lanelead migrations` (check, plan, status, run, undo, resume) and `lanelead store`."""
 
 from __future__ import annotations
 
@@ -29,13 +29,16 @@
 from lanelead.settings.read import read_with_positions
 from lanelead.settings.service_settings import Address
 
-EXIT_UNUSABLE = 2  # plans, arguments or a store that can't be used
-EXIT_INCOMPLETE = 3  # a step is under way or has failed
+EXIT_UNUSABLE = 2  # a plan or an argument is invalid, or the store is unavailable
+EXIT_INCOMPLETE = 3  # a step is active or has failed, or the operation did not succeed
 
 
 @dataclass(frozen=True)
 class RunArguments:
-    """The arguments of run, undo and resume, by their names on the command line. Times in seconds."""
+    """The arguments of run, undo and resume, named as on the command line; times in seconds.
+
+    without_relay: relays that will not return, for whose acknowledgements the run does not wait.
+    """
 
     file: str
     store: str
@@ -48,14 +51,14 @@
 
 
 def load_plans(files: tuple[str, ...]) -> list[MigrationPlan]:
-    """The plans of some files, checked one by one and all together; exits with 2 where they are unfit."""
+    """Reads plans and checks them, each alone and all together; prints errors and exits with 2 if any is invalid."""
     plans: list[tuple[MigrationPlan, Any]] = []
     failed = False
     for file in files:
         try:
             record, positions = read_with_positions(file)
-        except SettingsError as unfit:
-            click.echo(str(unfit), err=True)
+        except SettingsError as error:
+            click.echo(str(error), err=True)
             failed = True
             continue
         if not isinstance(record, MigrationPlan):
@@ -65,8 +68,8 @@
         plans.append((record, positions))
     try:
         check_plans(plans)
-    except SettingsError as unfit:
-        click.echo(str(unfit), err=True)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
         failed = True
     if failed:
         sys.exit(EXIT_UNUSABLE)
@@ -74,7 +77,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address HOST:PORT; without a host, on loopback. Raises click.BadParameter."""
+    """Parses HOST:PORT; the host defaults to 127.0.0.1. Raises click.BadParameter."""
     host, _, port = text.rpartition(":")
     if not port.isdecimal() or not 0 < int(port) < 65536:
         raise click.BadParameter(f"{text!r}: expected HOST:PORT")
@@ -83,40 +86,44 @@
 
 @click.group()
 def migrations() -> None:
-    """Ordered schema and data migrations: checked, run, resumed and undone, with a log in the store."""
+    """Check, run, resume and undo ordered schema and data migrations, logged in a store."""
 
 
-STORE = click.option("--store", required=True, help="The store's HOST:PORT.")
+STORE = click.option("--store", required=True, help="Address of the migration store.")
 
 
 @migrations.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Checks plans, each by itself and all together; prints all that is wrong, and exits with 2 where anything is."""
+    """Check plan files, each alone and all together.
+
+    Prints all errors; exits with 2 if there are any.
+    """
     for plan in load_plans(files):
         click.echo(f"{plan.name}: {len(plan.steps)} steps, {len(plan.builds)} builds, good")
 
 
 @migrations.command()
 @click.argument("file", type=click.Path())
-@click.option("--store", help="HOST:PORT of a store, whose log takes the plan up: nothing is run.")
+@click.option("--store", help="HOST:PORT of a store in whose log the plan is registered, without running it.")
 def plan(file: str, store: str | None) -> None:
-    """The order in which FILE's steps run, and what each does to the builds' readiness.
+    """Print the order of FILE's steps, and from which step on each build may or may not receive traffic.
 
-    With `--store` the plan is taken up too: from then on its builds wait for what they need.
+    With --store, also registers the plan in the store's log: from then on, its builds receive no traffic before the
+    steps that they need are done.
     """
-    (found,) = load_plans((file,))
+    (migration_plan,) = load_plans((file,))
     log = MigrationLog()
-    log.register_plan(found)
-    for number, step in enumerate(execution_order(found), 1):
+    log.register_plan(migration_plan)
+    for number, step in enumerate(execution_order(migration_plan), 1):
         state = log.steps[step.name]
         ready_before = [build for build in log.builds() if log.is_ready(build)]
         ended = log.builds_ended_by(state, "apply")
         state.status = StepStatus.DONE
         ready_after = [build for build in log.builds() if log.is_ready(build)]
         notes = [step.kind] if step.undoing else [step.kind, "can't be undone"]
-        notes += [f"then build {build} may have traffic" for build in ready_after if build not in ready_before]
-        notes += [f"from its start on no rollback to build {build}" for build in ended]
+        notes += [f"afterwards build {build} may have traffic" for build in ready_after if build not in ready_before]
+        notes += [f"once it begins, no rollback to build {build}" for build in ended]
         click.echo(f"{number:3}  {step.name:24} {', '.join(notes)}")
     if store is not None:
         execute("take", RunArguments(file, store))
@@ -124,11 +131,11 @@
 
 @migrations.command()
 @STORE
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def status(store: str, as_json: bool) -> None:
-    """The status of each step, which builds may have traffic, and until when a rollback is possible.
+    """Print the status of each step, which builds may have traffic, and up to which step a rollback is possible.
 
-    Exits with 3 where a step is under way or has failed.
+    Exits with 3 if a step is active or has failed, and with 2 if the store is unavailable or its log invalid.
     """
     address = parse_address(store)
     try:
@@ -145,7 +152,7 @@
 
 
 async def read_status(address: Address) -> tuple[MigrationLog, EffectProgress | None]:
-    """A store's log, and the progress of its active or failed step.
+    """Reads a store's log, and the progress of its active or failed step; None if there is no such step.
 
     Raises StoreUnavailableError and InvalidEntryError.
     """
@@ -160,7 +167,7 @@
 
 
 def status_document(log: MigrationLog, progress: EffectProgress | None) -> dict[str, Any]:
-    """The status as a JSON document."""
+    """Builds the JSON document that `lanelead migrations status --json` prints."""
     steps = [
         {
             "step": state.step.name,
@@ -180,9 +187,9 @@
 
 
 def status_lines(log: MigrationLog, progress: EffectProgress | None) -> list[str]:
-    """The status as lines for people."""
+    """Builds the lines that `lanelead migrations status` prints."""
     if not log.steps:
-        return ["no plan has been taken up"]
+        return ["no plan is registered"]
     lines: list[str] = []
     for state in log.steps.values():
         text = state.status.value
@@ -195,27 +202,34 @@
         lines.append(f"{state.step.name:24} {text}")
     for build in log.builds():
         ending_step = log.rollback_ended_by(build)
-        text = "may have traffic" if log.is_ready(build) else "may have none"
+        text = "may have traffic" if log.is_ready(build) else "may not have traffic"
         text += f", until {ending_step!r} begins" if ending_step else ""
         lines.append(f"build {build:<18} {text}")
     return lines
 
 
 def run_options(command: Callable[..., None]) -> Callable[..., None]:
-    """The options of run, undo and resume; see RunArguments."""
+    """Adds the options of run, undo and resume to a command; see RunArguments."""
     for option in (
-        click.option("--past-back", is_flag=True, help="Steps may make a rollback impossible."),
-        click.option("--without-relay", multiple=True, type=click.IntRange(0), help="It will not return."),
-        click.option("--ttl", default=5.0, type=click.FloatRange(0.2, 3600), help="Seconds of a lease."),
+        click.option(
+            "--past-back", is_flag=True, help="Also run steps that make a rollback to an earlier build impossible."
+        ),
+        click.option(
+            "--without-relay",
+            multiple=True,
+            type=click.IntRange(0),
+            help="Number of a relay that will not return: don't wait for it. Repeatable.",
+        ),
+        click.option("--ttl", default=5.0, type=click.FloatRange(0.2, 3600), help="Duration of the lease in seconds."),
         click.option(
             "--patience",
             "wait_seconds",
             default=30.0,
             type=click.FloatRange(0, 86400),
-            help="Seconds to wait for a store, a lease or relays.",
+            help="Seconds to wait for the store, the lease or the relays.",
         ),
-        click.option("--console", is_flag=True, help="Logs for people rather than JSON lines."),
-        click.option("--to", default="", help="The last step to apply, or to undo."),
+        click.option("--console", is_flag=True, help="Log readable text instead of JSON lines."),
+        click.option("--to", default="", help="Last step to apply or to undo. Default: all steps."),
         STORE,
         click.argument("file", type=click.Path()),
     ):
@@ -224,7 +238,7 @@
 
 
 def execute(operation: Operation, arguments: RunArguments) -> None:
-    """Runs an operation, prints its result, and ends the program with 0, or with 3 where it did not succeed."""
+    """Runs an operation, prints its result, and exits with 0, or with 3 if it did not succeed."""
     address = parse_address(arguments.store)
     (plan,) = load_plans((arguments.file,))
     goal = Goal(plan, operation, arguments.to, arguments.past_back)
@@ -234,7 +248,7 @@
 
 
 async def run_to_result(goal: Goal, address: Address, arguments: RunArguments) -> RunResult:
-    """Runs a goal on a store, with log events on standard error, and a bar of a backfill's rows on a terminal."""
+    """Runs a goal on a store; logs to standard error, and shows a backfill's progress bar on a terminal."""
     name = f"{socket.gethostname()[:40]}-{os.getpid()}"
     run_logger = logger("console" if arguments.console else "json").bind(runner=name)
     with tqdm(unit="row", file=sys.stderr, disable=None) as bar:
@@ -260,9 +274,9 @@
 @migrations.command()
 @run_options
 def run(**arguments: Any) -> None:
-    """Runs FILE's steps in order, up to `--to` or all; goes on where an earlier run was interrupted.
+    """Run FILE's steps in order, up to --to or all; continues a run that was interrupted.
 
-    Exits with 3 where it can't, and the log says why.
+    Exits with 3 if it can't complete, and prints the reason.
     """
     execute("run", RunArguments(**arguments))
 
@@ -270,25 +284,25 @@
 @migrations.command()
 @run_options
 def undo(**arguments: Any) -> None:
-    """Undoes FILE's steps, the last first, down to and with `--to` or all."""
+    """Undo FILE's steps in reverse order, down to and including --to, or all."""
     execute("undo", RunArguments(**arguments))
 
 
 @migrations.command()
 @run_options
 def resume(**arguments: Any) -> None:
-    """Tries again what has failed, from where it stopped, and goes on."""
+    """Retry the failed step from where it stopped; if it was being applied, continue with the steps after it."""
     execute("resume", RunArguments(**arguments))
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--port", default=0, type=click.IntRange(0, 65535), help="0: any free one.")
+@click.option("--port", default=0, type=click.IntRange(0, 65535), help="Port to listen on; 0 chooses a free one.")
 def store(file: str, port: int) -> None:
-    """Serves the embedded migration store, the SQLite FILE, on loopback until SIGTERM."""
+    """Serve the embedded migration store, the SQLite file FILE, on loopback until SIGTERM."""
     from lanelead.store.service import run as serve
 
     if not Path(file).resolve().parent.is_dir():
-        click.echo(f"{file}: no such folder", err=True)
+        click.echo(f"{file}: its directory does not exist", err=True)
         sys.exit(EXIT_UNUSABLE)
     serve(file, port)
--- a/lanelead/migrations/errors.py
+++ b/lanelead/migrations/errors.py
@@ -1,16 +1,16 @@
-"""The errors of the migrations package."""
+"""Errors of the migrations package."""
 
 from __future__ import annotations
 
 
 class MigrationError(Exception):
-    """The base of all errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class InvalidEntryError(MigrationError):
-    """A log entry breaks a rule of the migration log (see migration_log), or can't be read.
+    """A log entry can't be decoded, or breaks a rule of the migration log (see the module migration_log).
 
-    rule: the number of the broken rule; None where the entry is unusable in itself.
+    rule: the number of the broken rule; None if the entry itself is invalid.
     """
 
     def __init__(self, reason: str, rule: int | None = None) -> None:
@@ -20,15 +20,18 @@
 
 
 class StoreUnavailableError(MigrationError):
-    """The migration store gave no usable reply, so the outcome of the call is unknown."""
+    """The migration store sent no usable reply, so the outcome of the call is unknown."""
 
 
 class AcknowledgementTimeoutError(MigrationError):
-    """Relays did not acknowledge a barrier in time; nothing was changed yet."""
+    """Relays did not acknowledge a barrier in time; the step has not changed anything yet.
+
+    relays: the numbers of these relays.
+    """
 
     def __init__(self, relays: list[int]) -> None:
         super().__init__(
-            f"relays {relays} have not acknowledged that traffic must end: nothing was changed yet; "
-            "run again, undo, or say --without-relay for one that is gone for good"
+            f"relays {relays} have not acknowledged the barrier in time; the step has changed nothing yet. "
+            "Run again, undo, or use --without-relay for a relay that will not return"
         )
         self.relays = relays
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -1,4 +1,4 @@
-"""Carries out a runner's calls to the migration store; decides nothing itself."""
+"""Sends a runner's calls to the migration store and waits as needed; all decisions are the runner's."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True)
 class ExecutorOptions:
-    """How long to hold and wait.
+    """Options of a run.
 
-    lease_ttl_seconds: after which the lease ends unless renewed.
-    wait_seconds: how long to wait for the store, for another runner's lease, and for relays.
-    without_relays: relays that will not return: barriers do not wait for them.
+    lease_ttl_seconds: how long the lease lasts unless renewed.
+    wait_seconds: how long to wait for the store, for another runner's lease, and for relays' acknowledgements.
+    without_relays: relays that will not return, for which barriers do not wait.
     """
 
     lease_ttl_seconds: float = 5.0
@@ -66,11 +66,11 @@
 
 
 class MigrationExecutor:
-    """One runner at work.
+    """Executes one run: asks the runner for the next call, sends it, and passes the reply to the runner.
 
-    logger: a structlog logger for the run's events; None: none.
-    on_progress: called after each call with the log, and the progress of the active intent where it is known.
-    on_point: called before and after each call with a point's name: tests end the process there.
+    logger: a structlog logger for the run's events, or None.
+    on_progress: called after each call with the log, and with the progress of the active intent or None.
+    on_point: called before and after each call with the name of that point, at which tests end the process.
     """
 
     def __init__(
@@ -92,10 +92,10 @@
         self._on_point = on_point
         self.log = MigrationLog()
         self.runner = Runner(goal)
-        self._pacers: dict[int, BatchPacer] = {}  # by intent
+        self._pacers: dict[int, BatchPacer] = {}  # by the sequence number of the intent
 
     async def run(self) -> RunResult:
-        """Runs until the goal is reached or can't be; the log says how far it came either way."""
+        """Runs until the goal is reached or can't be reached; the migration log has the steps that were done."""
         unavailable_since = None
         while True:
             call = self.runner.next_call(self.log)
@@ -112,13 +112,15 @@
                 unavailable_since = unavailable_since or time.monotonic()
                 self._log_event("migration store unavailable", call=call.name, reason=str(error))
                 if time.monotonic() - unavailable_since > self._options.wait_seconds:
-                    return RunResult(False, f"the store is unavailable: {error}; run again to find out where it stands")
+                    return RunResult(
+                        False, f"the migration store is unavailable: {error}; run again to continue from the log"
+                    )
                 await asyncio.sleep(RETRY_DELAY_SECONDS)
             except AcknowledgementTimeoutError as error:
                 await self._release_lease()
                 return RunResult(False, str(error))
             except InvalidEntryError as error:
-                return RunResult(False, f"the migration log is invalid: {error}")
+                return RunResult(False, f"the store's migration log is invalid: {error}")
             self._on_point(f"{call.name}.after")
             self.runner = self.runner.after_reply(call, reply)
             self._on_progress(self.log, self.runner.progress)
@@ -132,7 +134,7 @@
             try:
                 await self._client.call("POST", "/release", Lease, Lease(self.runner.token))
             except StoreUnavailableError:
-                return  # the lease ends by itself
+                return  # the lease expires
 
     async def _carry_out(self, call: PendingCall) -> Reply:
         match call:
@@ -154,7 +156,7 @@
                 raise AssertionError("a result is not a call")
 
     async def _acquire_lease(self) -> Reply:
-        """Waits while another runner has the lease: it may be dead, and its lease end."""
+        """Acquires the lease; waits while another runner holds it, since the lease of a dead runner expires."""
         began = time.monotonic()
         ttl_seconds = self._options.lease_ttl_seconds
         while True:
@@ -167,6 +169,7 @@
             await asyncio.sleep(min(MAX_LEASE_POLL_SECONDS, ttl_seconds / 4))
 
     async def _append(self, call: AppendEntry) -> Reply:
+        """Appends an entry to the store's log and to the local copy."""
         entry = call.entry
         request = AppendRequest(call.token, call.after_seq, entry)
         reply = await self._client.call("POST", "/record", AppendReply, request)
@@ -179,7 +182,7 @@
         return CallCompleted()
 
     async def _wait_for_relays(self, barrier_seq: int) -> Reply:
-        """Waits until all relays have acknowledged a barrier. Raises AcknowledgementTimeoutError."""
+        """Waits for all relays to acknowledge a barrier; renews the lease. Raises AcknowledgementTimeoutError."""
         began = time.monotonic()
         logged_relays: list[int] = []
         token = self.runner.token
@@ -204,6 +207,7 @@
                 return _rejection(renewed)
 
     async def _apply(self, call: ApplyPart) -> Reply:
+        """Applies one part; for a backfill, sets the batch size and pauses after the batch."""
         request = call.request
         active = self.log.active_step()
         pacer = self._pacer(call)
@@ -222,12 +226,14 @@
         return reply
 
     def _pacer(self, call: ApplyPart) -> BatchPacer | None:
-        """The pacer of a backfill's intent; None for other steps."""
+        """The pacer of the active backfill's intent; None for other steps."""
         active = self.log.active_step()
         if not call.batched or active is None or active.step.batch is None:
             return None
         batch = active.step.batch
-        max_rows = max(1, min(batch.rows, int(batch.rate)))  # so that no wait outlasts a lease
+        max_rows = max(
+            1, min(batch.rows, int(batch.rate))
+        )  # at most one second's rows, so that no pause outlasts the lease
         fresh = BatchPacer(max_rows, batch.rate, batch.hold_ms / 1000)
         return self._pacers.setdefault(call.request.intent_seq, fresh)
 
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -1,17 +1,17 @@
-"""The migration log, read into what may run next, which builds may get traffic, and whether a rollback is possible.
+"""The state that the migration log describes: step statuses, builds that may have traffic, possible rollbacks.
 
-The rules; an entry that breaks one is rejected, and changes nothing:
+Rules of the log; an entry that breaks one is rejected without any change:
 
- 1  the steps of a plan have new names, and a plan is registered only while no step is active
- 2  one step is active at a time; while one has failed, no other begins
- 3  a step is applied when all steps that it comes after are done, and undone when no step that is done comes after it
+ 1  a plan is registered once, with step names that no other plan has, and only while no step is active or has failed
+ 2  only one step is active at a time; while a step has failed, no other step begins
+ 3  a step is applied only when all steps in its `after` are done, and undone only when all its dependents are pending
  4  a step that can't be undone is not undone
- 5  an intent that ends a build's readiness names the barrier entry before it
- 6  an outcome follows its own intent, once; a failed step is resumed, undone, or dropped where no part was applied
+ 5  an intent that ends the readiness of a build names the step's barrier entry, which precedes it
+ 6  an intent is followed by one outcome; a failed step is resumed or undone, or dropped if no part of it was applied
 
-A build is ready at a rollout stage when its needs up to that stage are done and no step of its `until` has begun. A
-barrier counts as begun: relays withhold traffic from then on, and the store accepts the intent only when all of them
-have acknowledged the barrier. All of this is without I/O and without a clock.
+A build is ready at a rollout stage when the steps that it needs up to that stage are done and no step in its `until`
+has begun. A step begins with its barrier entry, if it has one: from then on relays withhold traffic, and the store
+accepts the intent only when all relays have acknowledged the barrier. This module uses no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class StepStatus(Enum):
-    """Where a step is; the values are the words that `lanelead migrations status` prints."""
+    """The status of a step; the values are what `lanelead migrations status` prints."""
 
     PENDING = "waiting"
-    AT_BARRIER = "closing"  # relays are asked to acknowledge; nothing has been changed
-    IN_PROGRESS = "intended"  # something may have been changed: the store knows how much
+    AT_BARRIER = "closing"  # waits for the relays to acknowledge the barrier; nothing has been changed
+    IN_PROGRESS = "intended"  # parts of it may have been applied; the store records which
     DONE = "done"
     FAILED = "failed"
 
@@ -41,8 +41,9 @@
 class StepState:
     """The state of one step.
 
-    intent_seq, barrier_seq: the entries of its last intent and barrier; 0 where there was none.
-    failure_reason, parts_applied: of its last failure.
+    direction: whether it was last applied or undone.
+    intent_seq, barrier_seq: sequence numbers of its last intent entry and barrier entry; 0: none.
+    failure_reason, parts_applied: the reason of its last failure, and the parts applied before it.
     """
 
     step: MigrationStep
@@ -56,21 +57,21 @@
 
     @property
     def active(self) -> bool:
-        """Is the step being applied or undone?"""
+        """Whether the step is being applied or undone."""
         return self.status in (StepStatus.AT_BARRIER, StepStatus.IN_PROGRESS)
 
 
 class MigrationLog:
-    """The state that the log's entries up to `last_seq` make."""
+    """The state after the log's entries up to `last_seq`."""
 
     def __init__(self) -> None:
         self.last_seq = 0
         self.plans: dict[str, MigrationPlan] = {}
-        self.steps: dict[str, StepState] = {}  # in execution order
+        self.steps: dict[str, StepState] = {}  # by name, in execution order within a plan
         self._build_requirements: dict[int, list[BuildRequirements]] = {}
 
     def copy(self) -> MigrationLog:
-        """An independent copy."""
+        """Returns an independent copy."""
         other = MigrationLog()
         other.last_seq = self.last_seq
         other.plans = dict(self.plans)
@@ -81,9 +82,9 @@
     # Writing
 
     def append(self, logged: LoggedEntry) -> None:
-        """Adds the next entry. Raises InvalidEntryError, and then changes nothing."""
+        """Applies the next entry. Raises InvalidEntryError, in which case nothing changes."""
         if logged.seq != self.last_seq + 1:
-            raise InvalidEntryError(f"entry {logged.seq} after {self.last_seq}")
+            raise InvalidEntryError(f"entry {logged.seq} does not directly follow entry {self.last_seq}")
         entry = logged.entry
         if entry.kind == "plan":
             self._append_plan(entry)
@@ -92,12 +93,14 @@
         self.last_seq = logged.seq
 
     def register_plan(self, plan: MigrationPlan) -> None:
-        """Adds a plan, all of whose steps are pending. Raises InvalidEntryError."""
+        """Registers a plan with all of its steps pending. Raises InvalidEntryError."""
         if plan.name in self.plans:
-            raise InvalidEntryError(f"plan {plan.name!r} is in the log already", rule=1)
+            raise InvalidEntryError(f"plan {plan.name!r} is already registered", rule=1)
         for step in plan.steps:
             if step.name in self.steps:
-                raise InvalidEntryError(f"plan {self.steps[step.name].plan_name!r} claims {step.name!r}", rule=1)
+                raise InvalidEntryError(
+                    f"plan {self.steps[step.name].plan_name!r} already has a step {step.name!r}", rule=1
+                )
         self.plans[plan.name] = plan
         for step in execution_order(plan):
             self.steps[step.name] = StepState(step, plan.name)
@@ -108,9 +111,9 @@
         try:
             plan = msgspec.json.decode(entry.text, type=MigrationPlan)
         except msgspec.MsgspecError as error:
-            raise InvalidEntryError(f"not a plan: {error}") from None
+            raise InvalidEntryError(f"the entry holds no valid plan: {error}") from None
         if self.active_step() or self.failed_step():
-            raise InvalidEntryError("a step is active or has failed", rule=1)
+            raise InvalidEntryError("a plan can't be registered while a step is active or has failed", rule=1)
         self.register_plan(plan)
 
     def _append_step_entry(self, entry: LogEntry, seq: int) -> None:
@@ -145,32 +148,33 @@
     # Reading
 
     def active_step(self) -> StepState | None:
-        """The step that is being applied or undone."""
+        """The step that is being applied or undone, or None."""
         return next((state for state in self.steps.values() if state.active), None)
 
     def failed_step(self) -> StepState | None:
-        """The step that has failed."""
+        """The step that has failed, or None."""
         return next((state for state in self.steps.values() if state.status is StepStatus.FAILED), None)
 
     def is_done(self, name: str) -> bool:
-        """Has a step been applied? Raises KeyError where no plan has it."""
+        """Whether a step has been applied. Raises KeyError if no plan has it."""
         return self.steps[name].status is StepStatus.DONE
 
     def has_begun(self, name: str) -> bool:
-        """Has a step begun, or ended? Raises KeyError where no plan has it."""
+        """Whether a step is anything but pending. Raises KeyError if no plan has it."""
         return self.steps[name].status is not StepStatus.PENDING
 
     def builds(self) -> list[int]:
-        """The builds that the plans name, in order."""
+        """The builds that the plans name, in ascending order."""
         return sorted(self._build_requirements)
 
     def is_ready(
         self, build: int, stage: int = 0, assumed: StepState | None = None, direction: Direction = "apply"
     ) -> bool:
-        """May a build have traffic at a rollout stage?
+        """Whether a build may have traffic at a rollout stage.
 
-        assumed: judge as if this step had begun in that direction.
-        A build that no plan names counts as the nearest earlier one that is named, or as the first of all.
+        assumed, direction: a step that is taken to have begun in this direction.
+        A build that no plan names has the requirements of the nearest earlier build that is named, or if there is none,
+        of the first one. Without any plan, all builds are ready.
         """
         named = self.builds()
         if not named:
@@ -188,17 +192,17 @@
         return True
 
     def builds_ended_by(self, state: StepState, direction: Direction) -> list[int]:
-        """The builds that are ready now and would no longer be once the step begins in that direction."""
+        """The builds that are ready now, and no longer once the step begins in this direction."""
         return [
             build for build in self.builds() if self.is_ready(build) and not self.is_ready(build, 0, state, direction)
         ]
 
     def dependents(self, state: StepState) -> list[StepState]:
-        """The steps that come directly after one."""
+        """The steps that name this one in their `after`."""
         return [other for other in self.steps.values() if state.step.name in other.step.after]
 
     def rollback_ended_by(self, build: int) -> str | None:
-        """The first pending step that would make a rollback to a build impossible."""
+        """The first pending step that makes a rollback to a build impossible once it begins; None if there is none."""
         if not self.is_ready(build):
             return None
         for state in self.steps.values():
@@ -209,12 +213,12 @@
     # Rules
 
     def violation(self, entry: LogEntry) -> InvalidEntryError | None:
-        """The error with which a step's entry would be rejected; None where it may be appended."""
+        """The error with which an entry of a step would be rejected; None if it may be appended."""
         if entry.kind == "plan":
             return None
         state = self.steps.get(entry.step)
         if state is None:
-            return InvalidEntryError(f"no step {entry.step!r}")
+            return InvalidEntryError(f"no registered plan has a step {entry.step!r}")
         if entry.kind in (BARRIER, "intent"):
             return self._begin_violation(state, entry)
         return _outcome_violation(state, entry)
@@ -222,27 +226,32 @@
     def _begin_violation(self, state: StepState, entry: LogEntry) -> InvalidEntryError | None:
         other = self.active_step() or self.failed_step()
         if other is not None and other is not state:
-            return InvalidEntryError(f"{other.step.name!r} is {other.status.value}", rule=2)
+            return InvalidEntryError(f"{other.step.name!r} must end first: its status is {other.status.value}", rule=2)
         name = state.step.name
         if state.status is StepStatus.AT_BARRIER:
             if entry.kind == BARRIER:
-                return InvalidEntryError(f"{name!r} is at its barrier already", rule=2)
+                return InvalidEntryError(f"{name!r} already has a barrier entry", rule=2)
             if entry.direction != state.direction or entry.barrier_seq != state.barrier_seq:
                 return InvalidEntryError(
-                    f"the barrier of {name!r} is entry {state.barrier_seq}, {state.direction}", rule=5
+                    f"the intent of {name!r} must name barrier entry {state.barrier_seq}, direction {state.direction}",
+                    rule=5,
                 )
         elif entry.kind == "intent":
             ended = self.builds_ended_by(state, entry.direction)
             if ended:
-                return InvalidEntryError(f"no barrier entry, and builds {ended} would lose their state", rule=5)
+                return InvalidEntryError(
+                    f"a barrier entry must precede the intent: it ends the readiness of builds {ended}", rule=5
+                )
         return self._apply_violation(state) if entry.direction == "apply" else self._undo_violation(state)
 
     def _apply_violation(self, state: StepState) -> InvalidEntryError | None:
         if state.status not in (StepStatus.PENDING, StepStatus.AT_BARRIER):
-            return InvalidEntryError(f"{state.step.name!r} is {state.status.value}", rule=6)
+            return InvalidEntryError(
+                f"{state.step.name!r} can't be applied: its status is {state.status.value}", rule=6
+            )
         for name in state.step.after:
             if not self.is_done(name):
-                return InvalidEntryError(f"{name!r} is not done", rule=3)
+                return InvalidEntryError(f"{name!r} must be done first", rule=3)
         return None
 
     def _undo_violation(self, state: StepState) -> InvalidEntryError | None:
@@ -250,10 +259,13 @@
         if not state.step.undoing:
             return InvalidEntryError(f"{name!r} can't be undone", rule=4)
         if state.status not in (StepStatus.DONE, StepStatus.FAILED, StepStatus.AT_BARRIER):
-            return InvalidEntryError(f"{name!r} is {state.status.value}", rule=6)
+            return InvalidEntryError(f"{name!r} can't be undone: its status is {state.status.value}", rule=6)
         for later in self.dependents(state):
             if later.status is not StepStatus.PENDING:
-                return InvalidEntryError(f"{later.step.name!r} comes after it, and is {later.status.value}", rule=3)
+                return InvalidEntryError(
+                    f"{later.step.name!r} depends on it and must be undone first: its status is {later.status.value}",
+                    rule=3,
+                )
         return None
 
 
@@ -262,10 +274,12 @@
     status = state.status
     if entry.kind in ("done", "failed"):
         if status is not StepStatus.IN_PROGRESS or entry.direction != state.direction:
-            return InvalidEntryError(f"{name!r} is {status.value}, with no intent to {entry.direction} it", rule=6)
+            return InvalidEntryError(f"{name!r} is {status.value}, without an intent to {entry.direction} it", rule=6)
     elif entry.kind == "resumed":
         if status is not StepStatus.FAILED:
             return InvalidEntryError(f"{name!r} has not failed", rule=6)
     elif status is not StepStatus.AT_BARRIER and (status is not StepStatus.FAILED or state.parts_applied):
-        return InvalidEntryError(f"{name!r} is {status.value}, and parts of it may be applied", rule=6)
+        return InvalidEntryError(
+            f"{name!r} is {status.value}, and can't be dropped once parts of it may have been applied", rule=6
+        )
     return None
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -1,9 +1,9 @@
-"""What a migration runner does next, given the log as it knows it. Without I/O, and without a clock.
+"""Decides the next call of a migration runner from its state and its copy of the log. Without I/O or a clock.
 
-A runner's own state is small and is never trusted: whatever it does not know (its call timed out, its connection was
-cut, its process was suspended) it settles in one way: it acquires a new lease, whose fencing token invalidates all
-calls that it or any other runner sent before, reads the log, and asks how much of the intent has been applied. Only
-then is the answer "nothing" final.
+When the outcome of a call is unknown (it timed out, or the connection was cut), the runner does not rely on what it
+remembers: it acquires a new lease, whose fencing token invalidates all calls sent before by any runner, reads the log,
+and queries how much of the intent has been applied. Without the new token, a call still in transit could be executed
+after a reply that nothing was applied.
 """
 
 from __future__ import annotations
@@ -41,18 +41,20 @@
 )
 from lanelead.settings.migration_settings import MigrationPlan
 
-MAX_ATTEMPTS = 4  # for one intent whose outcome stays unknown, before it is logged as failed
+MAX_ATTEMPTS = 4  # consecutive calls to apply with unknown outcome, after which the step is logged as failed
 MAX_FAILURE_REASON_CHARACTERS = 500
 
-Operation = Literal["run", "undo", "resume", "take"]  # take: only register the plan, so that its builds are withheld
+Operation = Literal[
+    "run", "undo", "resume", "take"
+]  # take: only register the plan, so that its builds wait for their steps
 
 
 @dataclass(frozen=True)
 class Goal:
-    """What the operator asked for.
+    """The operation that the operator requested.
 
-    last_step: the last step to apply, or the last to undo; empty: all.
-    allow_ending_rollback: steps may make a rollback impossible.
+    last_step: the last step to apply or undo; empty: all.
+    allow_ending_rollback: whether steps may run that make a rollback impossible.
     """
 
     plan: MigrationPlan = field(compare=False)
@@ -62,20 +64,22 @@
 
     @property
     def plan_json(self) -> str:
-        """The plan as the log has it."""
+        """The plan as JSON, as it stands in the log."""
         return msgspec.json.encode(self.plan).decode()
 
 
 @dataclass(frozen=True)
 class Runner:
-    """The state of a runner between two calls.
-
-    token: of its lease; 0: none.
-    progress: of the active intent; None: not asked yet.
-    acknowledged: all relays have acknowledged the active barrier.
-    attempts: at the active intent, with an unknown outcome.
-    failure_reason: why the store rejected the active part.
-    has_resumed: a failed step was resumed once; a second failure ends the run.
+    """The immutable state of a runner between two calls.
+
+    token: the fencing token of its lease; 0: no lease.
+    log_read: whether the copy of the log is up to date.
+    progress: the progress of the active intent; None: not queried yet.
+    acknowledged: whether all relays have acknowledged the active barrier.
+    attempts: consecutive calls to apply a part of the active step whose outcome was unknown.
+    failure_reason: why the store rejected the current part; empty: it did not.
+    has_resumed: whether a failed step was resumed; another failure ends the run.
+    result: the result of the run; None: not ended.
     """
 
     goal: Goal
@@ -89,7 +93,7 @@
     result: RunResult | None = None
 
     def next_call(self, log: MigrationLog) -> PendingCall:
-        """The next call to the store, or the result."""
+        """Returns the next call to the store, or the result of the run."""
         if self.result is not None:
             return self.result
         if not self.token:
@@ -99,12 +103,12 @@
         plan = self.goal.plan
         if plan.name not in log.plans:
             if log.active_step() or log.failed_step():
-                return RunResult(False, "a step of another plan is under way")
+                return RunResult(False, "a step of another plan is active or has failed")
             return self._append(log, LogEntry("plan", text=self.goal.plan_json))
         if log.plans[plan.name] != plan:
-            return RunResult(False, f"the log has another plan named {plan.name!r}")
+            return RunResult(False, f"the log has a different plan named {plan.name!r}")
         if self.goal.operation == "take":
-            return RunResult(True, "taken up: its builds have traffic as its steps allow")
+            return RunResult(True, "registered: its builds have traffic as its steps allow")
         return self._step_call(log)
 
     def _step_call(self, log: MigrationLog) -> PendingCall:
@@ -123,7 +127,7 @@
 
     def _at_barrier(self, log: MigrationLog, state: StepState) -> PendingCall:
         name = state.step.name
-        if self.goal.operation == "undo" and state.direction == "apply":  # nothing was changed: traffic may go on
+        if self.goal.operation == "undo" and state.direction == "apply":  # nothing was changed, so traffic may resume
             return self._append(log, LogEntry("dropped", name, state.direction))
         if not self.acknowledged:
             return QueryUnacknowledged(state.barrier_seq)
@@ -144,7 +148,7 @@
         return self._apply_part(state, self.progress)
 
     def _failure_of(self, state: StepState) -> str:
-        """Why the active step is to be logged as failed; empty where it goes on."""
+        """The reason to log the active step as failed; empty if it continues."""
         if self.failure_reason:
             return self.failure_reason
         if self.goal.operation == "undo" and state.direction == "apply":
@@ -197,7 +201,9 @@
         name = state.step.name
         ended = log.builds_ended_by(state, direction)
         if ended and direction == "apply" and not self.goal.allow_ending_rollback:
-            return RunResult(False, f"{name!r} would make a rollback to build {ended[0]} impossible: say --past-back")
+            return RunResult(
+                False, f"{name!r} would make a rollback to build {ended[0]} impossible: say --past-back to run it"
+            )
         entry = LogEntry(BARRIER if ended else "intent", name, direction)
         violation = log.violation(entry)
         if violation is not None:
@@ -205,15 +211,15 @@
         return self._append(log, entry)
 
     def after_reply(self, call: PendingCall, reply: Reply) -> Runner:
-        """The runner after a reply to its call. What was read or appended is added to the log elsewhere."""
+        """Returns the runner's state after a reply to its call; the caller updates the log."""
         match reply:
-            case OutcomeUnknown():  # fence off what may still be under way, then read and ask
+            case OutcomeUnknown():  # fence off calls in transit with a new lease, then read and query
                 attempts = self.attempts + isinstance(call, ApplyPart)
-                return replace(self._without_knowledge(), token=0, attempts=attempts)
+                return replace(self._with_unread_log(), token=0, attempts=attempts)
             case CallRejected():
                 return self._after_rejection(call, reply)
             case LeaseGranted(token):
-                return replace(self._without_knowledge(), token=token)
+                return replace(self._with_unread_log(), token=token)
             case WaitingForRelays(relays):
                 return replace(self, acknowledged=not relays)
             case EffectProgress():
@@ -221,14 +227,14 @@
             case CallCompleted():
                 return self._after_append(call.entry) if isinstance(call, AppendEntry) else replace(self, log_read=True)
 
-    def _without_knowledge(self) -> Runner:
+    def _with_unread_log(self) -> Runner:
         return replace(self, log_read=False, progress=None, acknowledged=False)
 
     def _after_rejection(self, call: PendingCall, rejected: CallRejected) -> Runner:
         if rejected.reason == "behind":
-            return self._without_knowledge()
+            return self._with_unread_log()
         if rejected.reason == "fenced":
-            return replace(self, result=RunResult(False, "another runner has taken over"))
+            return replace(self, result=RunResult(False, "another runner has acquired the lease"))
         if rejected.reason == "failed" and isinstance(call, ApplyPart):
             return replace(self, failure_reason=rejected.message or "the store rejected it", progress=None)
         if rejected.reason == UNACKNOWLEDGED:
@@ -238,7 +244,7 @@
     def _after_append(self, entry: LogEntry) -> Runner:
         goal = self.goal
         if goal.operation == "resume" and entry.direction == "undo" and entry.kind in ("resumed", "done"):
-            goal = replace(goal, operation="undo", last_step=entry.step)  # what is resumed is a rollback
+            goal = replace(goal, operation="undo", last_step=entry.step)  # the resumed step was being undone
         return replace(
             self,
             goal=goal,
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -1,4 +1,4 @@
-"""What the migration log means for a relay: in the module, in the driver, and over sockets."""
+"""A relay's readiness of builds by the migration log: as a module, in the driver, and over sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
 from tests.test_driver import ANSWER, LANES, SECOND, Stage
-from tests.test_migration_runner import plan, step, through
+from tests.test_migration_runner import done_entries, plan, step
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
 PLAN: MigrationPlan = plan(
@@ -53,17 +53,17 @@
         readiness.entries_received([])
         self.assertTrue(readiness.accepts_traffic(2))
 
-    def test_a_build_waits_for_the_needs_of_its_stage_and_a_promotion_for_the_next_ones(self) -> None:
-        readiness = self.readiness(*through("a"))
+    def test_traffic_waits_for_the_needs_of_the_stage_and_a_promotion_for_those_of_the_next(self) -> None:
+        readiness = self.readiness(*done_entries("a"))
         readiness.rollout_changed(2, 0, True)
         self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, False))
         readiness.rollout_changed(2, 1, True)
         self.assertFalse(readiness.accepts_traffic(2))
-        readiness.entries_received(page(*through("b"), since=3).entries)
+        readiness.entries_received(page(*done_entries("b"), since=3).entries)
         self.assertEqual((readiness.accepts_traffic(2), readiness.allows_promotion(2, 0)), (True, True))
 
-    def test_a_barrier_is_acknowledged_when_nothing_is_in_flight_that_it_forbids(self) -> None:
-        readiness = self.readiness(*through("a", "b"))
+    def test_a_barrier_is_acknowledged_when_no_attempt_is_in_flight_to_builds_without_traffic(self) -> None:
+        readiness = self.readiness(*done_entries("a", "b"))
         forbidden, allowed = self.attempt(), self.attempt()
         readiness.attempt_sent(1, forbidden)
         readiness.attempt_sent(2, allowed)
@@ -76,7 +76,7 @@
         self.assertEqual(readiness.acknowledgement_due(0), 0)
 
     def test_an_attempt_with_an_unknown_end_may_still_run_until_its_timeout_and_the_grace(self) -> None:
-        readiness = self.readiness(*through("a", "b"), LogEntry("closing", "end"))
+        readiness = self.readiness(*done_entries("a", "b"), LogEntry("closing", "end"))
         unknown_end = self.attempt(100)
         readiness.attempt_sent(1, unknown_end)
         readiness.attempt_ended(unknown_end, False)
@@ -85,17 +85,17 @@
 
     def test_a_relay_that_has_just_started_does_not_acknowledge_for_its_earlier_process(self) -> None:
         readiness = Readiness(SECOND, 5 * SECOND)
-        readiness.entries_received(page(PLAN_ENTRY, *through("a", "b"), LogEntry("closing", "end")).entries)
+        readiness.entries_received(page(PLAN_ENTRY, *done_entries("a", "b"), LogEntry("closing", "end")).entries)
         self.assertEqual(
             (readiness.acknowledgement_due(5 * SECOND - 1), readiness.acknowledgement_due(5 * SECOND)), (0, 6)
         )
 
-    def test_a_log_that_breaks_a_rule_is_rejected_and_what_came_before_stays(self) -> None:
-        readiness = self.readiness(*through("a"))
+    def test_an_entry_that_breaks_a_rule_is_rejected_and_earlier_entries_are_kept(self) -> None:
+        readiness = self.readiness(*done_entries("a"))
         with self.assertRaises(MessageError):
             readiness.entries_received(page(LogEntry("done", "b"), since=3).entries)
         self.assertTrue(readiness.accepts_traffic(2))
-        readiness.entries_received(page(PLAN_ENTRY, *through("a")).entries)  # a stream that begins anew
+        readiness.entries_received(page(PLAN_ENTRY, *done_entries("a")).entries)  # a reopened stream repeats entries
         self.assertEqual(readiness.log.last_seq, 3)
 
 
@@ -108,7 +108,7 @@
         self.driver.rollout_read(RolloutMessage(2, 0, "trial", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
     def builds(self, count: int = 40) -> set[int]:
-        """The builds that requests go to."""
+        """Sends `count` requests, and returns the builds to which attempts went."""
         before = len(self.stage.hands.sent)
         for _ in range(count):
             self.stage.hands.now += SECOND // 10
@@ -119,14 +119,14 @@
                     self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
         return {self.driver.destinations[attempt.endpoint].build for _, attempt in self.stage.hands.sent[before:]}
 
-    def test_a_build_has_no_attempt_until_its_step_is_done_and_then_has_some(self) -> None:
+    def test_a_build_receives_no_attempt_until_its_step_is_done(self) -> None:
         self.assertEqual(self.builds(), {1})
-        self.driver.migrations_read(page(*through("a"), since=1))
-        self.stage.run(30 * SECOND)  # what the earlier build did lately is forgotten
+        self.driver.migrations_read(page(*done_entries("a"), since=1))
+        self.stage.run(30 * SECOND)  # until the recent outcomes of the earlier build no longer count
         self.assertIn(2, self.builds())
 
-    def test_a_log_that_has_become_shorter_is_rejected_and_what_was_known_stays(self) -> None:
-        self.driver.migrations_read(page(*through("a"), since=1))
+    def test_a_log_that_became_shorter_is_rejected_and_the_known_log_is_kept(self) -> None:
+        self.driver.migrations_read(page(*done_entries("a"), since=1))
         with self.assertRaisesRegex(MessageError, "1 entries, of which 3 were read"):
             self.driver.migrations_read(page(PLAN_ENTRY))
         self.stage.run(30 * SECOND)
@@ -136,30 +136,30 @@
         self.stage.ask()
         attempt = self.stage.hands.sent[-1][1]
         self.assertIsNotNone(self.driver.destination_of(attempt))
-        self.driver.migrations_read(page(*through("a", "b"), LogEntry("closing", "end"), since=1))
+        self.driver.migrations_read(page(*done_entries("a", "b"), LogEntry("closing", "end"), since=1))
         self.assertIsNone(self.driver.destination_of(attempt))
 
-    def test_a_vote_to_promote_past_the_stage_waits_and_one_to_roll_back_does_not(self) -> None:
-        self.driver.migrations_read(page(*through("a"), since=1))
+    def test_a_vote_to_promote_waits_for_the_next_stage_and_one_to_roll_back_does_not(self) -> None:
+        self.driver.migrations_read(page(*done_entries("a"), since=1))
         self.driver.decisions.actions += [CastVote(2, 0, Verdict.PROMOTE), CastVote(2, 0, Verdict.ROLL_BACK)]
         self.driver._run_actions()
         self.assertEqual([vote.verdict for vote in self.stage.hands.votes], [Verdict.ROLL_BACK])
         self.assertEqual(self.driver.counters.withheld_votes, 1)
-        self.driver.migrations_read(page(*through("b"), since=3))
+        self.driver.migrations_read(page(*done_entries("b"), since=3))
         self.driver.decisions.actions.append(CastVote(2, 0, Verdict.PROMOTE))
         self.driver._run_actions()
         self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.PROMOTE)
 
-    def test_an_endpoint_that_drains_stays_draining_whatever_its_build_may(self) -> None:
+    def test_a_draining_endpoint_stays_draining_when_its_build_becomes_ready(self) -> None:
         self.stage.listed("changes", *(self.stage.row(n, build=2, condition="draining") for n in (1, 3)))
-        self.driver.migrations_read(page(*through("a"), since=1))
+        self.driver.migrations_read(page(*done_entries("a"), since=1))
         self.stage.run(30 * SECOND)
         self.assertEqual(self.builds(), {1})
 
 
 class ReadinessOverSockets(unittest.TestCase):
     @live
-    async def test_a_relay_withholds_releases_and_acknowledges_a_barrier(self) -> None:
+    async def test_a_relay_withholds_traffic_releases_it_and_acknowledges_a_barrier(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             server = FaultyMigrationStoreServer(MigrationStore(Path(directory, "store.db")))
             port = await server.start(0)
@@ -183,7 +183,7 @@
 
                 await asyncio.sleep(0.3)
                 self.assertEqual(await bodies(30), {b"old"})
-                last = write(*through("a", "b"), LogEntry("closing", "end"))
+                last = write(*done_entries("a", "b"), LogEntry("closing", "end"))
                 place.desk._change(2, 1, "released")
                 while b"new" not in (seen := await bodies(5)):
                     await asyncio.sleep(0.05)
@@ -192,7 +192,7 @@
                 self.assertEqual(seen, {b"new"})
                 while server.store.unacknowledged_relays(last):
                     await asyncio.sleep(0.05)
-                server.close()  # it goes on with what it knew
+                server.close()  # the relay goes on with the log that it has
                 await asyncio.sleep(0.2)
                 self.assertEqual(await bodies(10), {b"new"})
                 self.assertFalse(state_of(place)["feeds"]["migrations"])
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -1,4 +1,4 @@
-"""Migration plans, their log and their runner; and a search of every order of calls and faults."""
+"""Migration plans, their log, their runner, and a model check of the runner over all orders of calls and faults."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 )
 
 
-def written(*entries: LogEntry, of: MigrationPlan = ONE_AFTER_ANOTHER) -> MigrationLog:
+def log_with(*entries: LogEntry, of: MigrationPlan = ONE_AFTER_ANOTHER) -> MigrationLog:
     log = MigrationLog()
     body = msgspec.json.encode(of).decode()
     for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
@@ -71,7 +71,7 @@
     return log
 
 
-def through(*names: str) -> list[LogEntry]:
+def done_entries(*names: str) -> list[LogEntry]:
     return [entry for name in names for entry in (LogEntry("intent", name), LogEntry("done", name))]
 
 
@@ -82,7 +82,7 @@
         'builds: [{build: 1, until: ["b"]}, {build: 2, needs: [{step: "a"}]}]}'
     )
 
-    def rejected(self, *texts: str) -> str:
+    def check_output(self, *texts: str) -> str:
         with tempfile.TemporaryDirectory() as directory:
             files = [Path(directory, f"{n}.cue") for n in range(len(texts))]
             for file, text in zip(files, texts, strict=True):
@@ -91,11 +91,11 @@
             self.assertEqual(result.exit_code, 2, result.output)
             return result.output
 
-    def test_a_good_plan_passes_and_its_order_is_printed(self) -> None:
+    def test_a_valid_plan_passes_and_its_order_is_printed(self) -> None:
         for path in PLANS.glob("*.cue"):
             self.assertEqual(CliRunner().invoke(main, ["steps", "check", str(path)]).exit_code, 0)
-        shown = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
-        self.assertIn("no rollback to build 1", shown)
+        output = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
+        self.assertIn("no rollback to build 1", output)
         self.assertEqual([s.name for s in execution_order(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
 
     def test_each_fault_of_a_plan_is_reported_with_line_and_reason(self) -> None:
@@ -122,37 +122,37 @@
         ):
             text = self.GOOD.replace(original, replacement, 1)
             self.assertNotEqual(text, self.GOOD, original)
-            shown = self.rejected(text)
-            self.assertIn(message, shown)
-            self.assertRegex(shown, r"0\.cue:1:\d+")
+            output = self.check_output(text)
+            self.assertIn(message, output)
+            self.assertRegex(output, r"0\.cue:1:\d+")
 
-    def test_two_plans_that_claim_a_name_are_rejected_together(self) -> None:
-        self.assertIn("which plan 'p' claims", self.rejected(self.GOOD, self.GOOD.replace('"p"', '"q"')))
+    def test_two_plans_with_the_same_step_name_are_rejected(self) -> None:
+        self.assertIn("which plan 'p' claims", self.check_output(self.GOOD, self.GOOD.replace('"p"', '"q"')))
 
 
 class MigrationLogRules(unittest.TestCase):
-    def test_a_build_gets_traffic_when_its_needs_are_done_stage_by_stage(self) -> None:
-        log = written()
+    def test_a_build_is_ready_at_a_stage_when_its_needs_up_to_that_stage_are_done(self) -> None:
+        log = log_with()
         self.assertEqual((log.is_ready(1), log.is_ready(2)), (True, False))
-        log = written(*through("a"))
+        log = log_with(*done_entries("a"))
         self.assertEqual((log.is_ready(2, 0), log.is_ready(2, 1)), (True, False))
-        log = written(*through("a", "b"))
+        log = log_with(*done_entries("a", "b"))
         self.assertTrue(log.is_ready(2, 1))
 
     def test_a_step_that_is_in_progress_or_failed_is_not_done(self) -> None:
-        for rest in ([], [LogEntry("failed", "a", parts_applied=0, text="x")]):
-            self.assertFalse(written(LogEntry("intent", "a"), *rest).is_ready(2))
+        for later_entries in ([], [LogEntry("failed", "a", parts_applied=0, text="x")]):
+            self.assertFalse(log_with(LogEntry("intent", "a"), *later_entries).is_ready(2))
 
     def test_a_build_that_no_plan_names_counts_as_the_nearest_earlier_one(self) -> None:
-        log = written()
+        log = log_with()
         self.assertEqual([log.is_ready(build) for build in (0, 1, 2, 3)], [True, True, False, False])
         self.assertTrue(MigrationLog().is_ready(7))
 
     def test_the_step_that_ends_a_rollback_is_known_before_it_begins(self) -> None:
-        log = written(*through("a", "b", "c"))
+        log = log_with(*done_entries("a", "b", "c"))
         self.assertEqual(log.rollback_ended_by(1), "d")
         self.assertIsNone(log.rollback_ended_by(2))
-        log = written(*through("a", "b", "c"), LogEntry("closing", "d"))
+        log = log_with(*done_entries("a", "b", "c"), LogEntry("closing", "d"))
         self.assertFalse(log.is_ready(1))
 
     def test_entries_that_break_a_rule_are_rejected_and_change_nothing(self) -> None:
@@ -163,37 +163,37 @@
             ([LogEntry("intent", "a")], LogEntry("plan", text=body), 1),
             ([LogEntry("intent", "a")], LogEntry("intent", "b"), 2),
             ([], LogEntry("intent", "b"), 3),
-            (through("a", "b"), LogEntry("intent", "a", "undo"), 5),
-            (through("a", "b"), LogEntry("closing", "a", "undo"), 3),
-            (through("a", "b", "c"), LogEntry("intent", "d"), 5),
+            (done_entries("a", "b"), LogEntry("intent", "a", "undo"), 5),
+            (done_entries("a", "b"), LogEntry("closing", "a", "undo"), 3),
+            (done_entries("a", "b", "c"), LogEntry("intent", "d"), 5),
             (
-                [*through("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", barrier_seq=8)],
+                [*done_entries("a", "b", "c"), LogEntry("closing", "d"), LogEntry("intent", "d", barrier_seq=8)],
                 LogEntry("closing", "d", "undo"),
                 4,
             ),
             ([], LogEntry("done", "a"), 6),
-            (through("a"), LogEntry("done", "a"), 6),
+            (done_entries("a"), LogEntry("done", "a"), 6),
             ([], LogEntry("resumed", "a"), 6),
             ([LogEntry("intent", "a"), LogEntry("failed", "a", parts_applied=1)], LogEntry("dropped", "a"), 6),
         ):
-            log = written(*before)
+            log = log_with(*before)
             statuses = [state.status for state in log.steps.values()]
             with self.assertRaisesRegex(InvalidEntryError, f"rule {number}"):
                 log.append(LoggedEntry(log.last_seq + 1, 1, "r", 0.0, entry))
             self.assertEqual([state.status for state in log.steps.values()], statuses)
         with self.assertRaises(InvalidEntryError):  # a gap
-            written().append(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
+            log_with().append(LoggedEntry(5, 1, "r", 0.0, LogEntry("intent", "a")))
 
 
 class RunnerDecisions(unittest.TestCase):
     def test_a_run_logs_intent_before_effect_and_outcome_after(self) -> None:
-        store = self.play(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
         kinds = [(entry.kind, entry.step) for entry in store.entries]
         self.assertEqual(kinds[1:3], [("intent", "a"), ("done", "a")])
         self.assertEqual(kinds[-3:], [("closing", "d"), ("intent", "d"), ("done", "d")])
         self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1, "d": 1})
 
-    def play(self, goal: Goal, store: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
+    def run_to_end(self, goal: Goal, store: StoreModel = StoreModel()) -> StoreModel:  # noqa: B008
         process = RunnerProcess(Runner(goal))
         for _ in range(200):
             call = process.next_call(store)
@@ -203,16 +203,16 @@
             store = replace(store, acknowledged_seq=len(store.entries))
             store, reply = store.carry_out(call, ALL_CHECKS)
             process = process.after_reply(call, reply, store)
-        raise AssertionError("it never ends")
+        raise AssertionError("the run does not end within 200 calls")
 
-    def test_it_stops_before_a_rollback_becomes_impossible_and_says_so(self) -> None:
-        store = self.play(Goal(ONE_AFTER_ANOTHER))
+    def test_a_run_stops_before_a_rollback_becomes_impossible_and_reports_it(self) -> None:
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER))
         self.assertFalse(self.result.succeeded)
         self.assertIn("rollback to build 1 impossible", self.result.message)
         self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
     def test_a_failed_step_stays_failed_until_it_is_resumed(self) -> None:
-        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, last_step="a"))
         process = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
         parts = 0
         for _ in range(50):
@@ -228,28 +228,28 @@
         state = replayed(store.entries).failed_step()
         assert state is not None
         self.assertEqual((state.step.name, state.parts_applied, state.failure_reason), ("b", 1, "disk full"))
-        self.assertEqual(self.play(Goal(ONE_AFTER_ANOTHER), store).entries, store.entries)
+        self.assertEqual(self.run_to_end(Goal(ONE_AFTER_ANOTHER), store).entries, store.entries)
         self.assertIn("after 1 parts: disk full", self.result.message)
-        store = self.play(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), store)
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), store)
         self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
-    def test_a_partly_applied_step_is_undone_and_an_untouched_one_dropped(self) -> None:
+    def test_undo_undoes_a_partly_applied_step_and_drops_one_without_applied_parts(self) -> None:
         body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)
-        half = StoreModel(
-            (body, *through("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
+        partly_applied = StoreModel(
+            (body, *done_entries("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
             1,
             ((2, 0), (4, 0)),
         )
-        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), half)
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), partly_applied)
         self.assertEqual(replayed(store.entries).steps["b"].status, StepStatus.PENDING)
         self.assertEqual(store.applied_parts()["b"], 0)
-        none = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
-        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), none)
+        nothing_applied = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo"), nothing_applied)
         self.assertEqual((store.entries[-1].kind, store.effects), ("dropped", ()))
 
-    def test_an_undo_ends_the_later_builds_traffic_first(self) -> None:
-        store = self.play(Goal(ONE_AFTER_ANOTHER, last_step="a"))
-        store = self.play(Goal(ONE_AFTER_ANOTHER, "undo"), store)
+    def test_an_undo_ends_the_traffic_of_later_builds_first(self) -> None:
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, last_step="a"))
+        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo"), store)
         self.assertEqual([entry.kind for entry in store.entries[-3:]], ["closing", "intent", "done"])
         self.assertEqual(store.applied_parts(), {"a": 0})
 
@@ -267,56 +267,59 @@
             process = process.after_reply(call, reply, store)
         self.assertEqual((apply_calls, store.entries[-1].kind), (MAX_ATTEMPTS, "failed"))
 
-    def test_a_backfill_shrinks_slow_batches_and_waits_as_long_as_they_took(self) -> None:
+    def test_a_backfill_shrinks_slow_batches_and_pauses_as_long_as_they_took(self) -> None:
         pacer = BatchPacer(1000, 10_000, 0.02, 800)
         self.assertAlmostEqual(pacer.wait_after_batch(800, 0.08), 0.08)
         self.assertEqual(pacer.rows, 200)
-        self.assertAlmostEqual(pacer.wait_after_batch(200, 0.001), 0.019)  # the rate bounds it where the store is quick
+        self.assertAlmostEqual(pacer.wait_after_batch(200, 0.001), 0.019)  # limited by the rate, as the store is fast
         self.assertGreater(pacer.rows, 200)
         for _ in range(30):
             pacer.wait_after_batch(pacer.rows, 1.0)
         self.assertEqual(pacer.rows, 10)
 
 
-class EveryCallOrder(unittest.TestCase):
-    """Two runners, one store: every order of their calls, with faults; see testbed/simulation/migrations.py."""
+class AllCallOrders(unittest.TestCase):
+    """Model check of two runners on one store, over all orders of their calls with faults.
 
-    TWO = plan(step("a"), step("b", "a", kind="backfill"), builds=(BuildRequirements(1, [], [], ""),))
-    ENDS = plan(
+    The search is in testbed/simulation/migrations.py.
+    """
+
+    TWO_STEPS = plan(step("a"), step("b", "a", kind="backfill"), builds=(BuildRequirements(1, [], [], ""),))
+    WITH_CONTRACT = plan(
         step("a"),
         step("d", "a", kind="contract"),
         builds=(BuildRequirements(1, [], ["d"], ""), BuildRequirements(2, [StageNeed("a", 0)], [], "")),
     )
 
-    def test_two_runners_that_run_the_same_plan(self) -> None:
-        result = search((Goal(self.TWO), Goal(self.TWO)), faults=1)
+    def test_two_runners_of_the_same_plan_violate_nothing(self) -> None:
+        result = search((Goal(self.TWO_STEPS), Goal(self.TWO_STEPS)), faults=1)
         self.assertEqual(result.violation, "")
         self.assertGreater(result.states, 1000)
         self.assertGreater(result.ends, 3)
 
-    def test_one_that_runs_and_one_that_undoes(self) -> None:
-        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+    def test_a_run_and_an_undo_at_once_violate_nothing(self) -> None:
+        goals = Goal(self.WITH_CONTRACT, allow_ending_rollback=True), Goal(self.WITH_CONTRACT, "undo")
         self.assertEqual(search(goals, faults=1).violation, "")
 
-    def test_without_fencing_a_late_effect_is_found(self) -> None:
-        goals = Goal(self.TWO), Goal(self.TWO, "undo")
+    def test_a_late_effect_is_found_without_fencing(self) -> None:
+        goals = Goal(self.TWO_STEPS), Goal(self.TWO_STEPS, "undo")
         self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(fencing=False)).violation)
 
-    def test_without_effect_marks_a_repeated_effect_is_found(self) -> None:
-        goals = Goal(self.TWO), Goal(self.TWO)
+    def test_a_repeated_effect_is_found_without_effect_marks(self) -> None:
+        goals = Goal(self.TWO_STEPS), Goal(self.TWO_STEPS)
         self.assertIn("twice", search(goals, 1, SafetyChecks(effect_marks=False)).violation)
 
     def test_an_effect_before_its_intent_is_found(self) -> None:
-        goals = Goal(self.TWO), Goal(self.TWO)
+        goals = Goal(self.TWO_STEPS), Goal(self.TWO_STEPS)
         self.assertIn("while the log says otherwise", search(goals, 1, SafetyChecks(intent_first=False)).violation)
 
-    def test_without_waiting_for_relays_a_change_under_traffic_is_found(self) -> None:
-        goals = Goal(self.ENDS, allow_ending_rollback=True), Goal(self.ENDS, "undo")
+    def test_a_change_under_traffic_is_found_without_waiting_for_relays(self) -> None:
+        goals = Goal(self.WITH_CONTRACT, allow_ending_rollback=True), Goal(self.WITH_CONTRACT, "undo")
         self.assertIn("before the relay had acknowledged", search(goals, 1, SafetyChecks(barrier=False)).violation)
 
 
 class RandomOrders(RuleBasedStateMachine):
-    """The same for plans of up to nine steps, orders drawn at random, and three runners with any operation."""
+    """Random orders of calls and faults: three runners that run, undo and resume a plan of up to ten steps."""
 
     checks = ALL_CHECKS
 
@@ -333,7 +336,7 @@
         self.plan = plan(*steps, builds=builds)
         operations: tuple[Operation, ...] = ("run", "undo", "resume")
         self.fresh = tuple(Runner(Goal(self.plan, operation, allow_ending_rollback=True)) for operation in operations)
-        self.state = ModelState(StoreModel(), tuple(RunnerProcess(one) for one in self.fresh), (), 12)
+        self.state = ModelState(StoreModel(), tuple(RunnerProcess(runner) for runner in self.fresh), (), 12)
 
     @rule(data=st.data(), count=st.integers(1, 8))
     def any_process_goes_on(self, data: Any, count: int) -> None:
@@ -343,18 +346,18 @@
                 return
             self.state = states[data.draw(st.integers(0, len(states) - 1))]
 
-    @rule(who=st.integers(0, 2), count=st.integers(1, 40))
-    def one_process_goes_on(self, who: int, count: int) -> None:
+    @rule(index=st.integers(0, 2), count=st.integers(1, 40))
+    def one_process_goes_on(self, index: int, count: int) -> None:
         for _ in range(count):
-            call = self.state.processes[who].next_call(self.state.store)
+            call = self.state.processes[index].next_call(self.state.store)
             if isinstance(call, calls.RunResult):
                 return
-            states = self.state.process_steps(who, call, self.checks, self.fresh)
+            states = self.state.process_steps(index, call, self.checks, self.fresh)
             self.state = next(states)
 
-    @rule(who=st.integers(0, 2))
-    def process_restarts(self, who: int) -> None:
-        processes = self.state.with_process(who, RunnerProcess(self.fresh[who]))
+    @rule(index=st.integers(0, 2))
+    def process_restarts(self, index: int) -> None:
+        processes = self.state.with_process(index, RunnerProcess(self.fresh[index]))
         self.state = replace(self.state, processes=processes)
 
     @invariant()
@@ -371,7 +374,7 @@
     checks = SafetyChecks(fencing=False)
 
 
-BOUND = settings(
+RANDOM_ORDER_SETTINGS = settings(
     max_examples=60,
     stateful_step_count=25,
     deadline=None,
@@ -380,13 +383,13 @@
     suppress_health_check=list(HealthCheck),
 )
 RandomOrdersTest = RandomOrders.TestCase
-RandomOrdersTest.settings = BOUND
+RandomOrdersTest.settings = RANDOM_ORDER_SETTINGS
 
 
 class SeededFault(unittest.TestCase):
-    def test_the_random_orders_find_missing_fencing_too(self) -> None:
+    def test_random_orders_find_missing_fencing(self) -> None:
         case = RandomOrdersWithoutFencing.TestCase
-        case.settings = settings(BOUND, max_examples=200, phases=[Phase.generate])
+        case.settings = settings(RANDOM_ORDER_SETTINGS, max_examples=200, phases=[Phase.generate])
         with self.assertRaises(InvariantViolationError):
             case("runTest").debug()
 
