--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -234,7 +234,7 @@
         if rejected.reason == "behind":
             return self._with_unread_log()
         if rejected.reason == "fenced":
-            return replace(self, result=RunResult(False, "another runner has acquired the lease"))
+            return replace(self, result=RunResult(False, "another runner has taken over the lease"))
         if rejected.reason == "failed" and isinstance(call, ApplyPart):
             return replace(self, failure_reason=rejected.message or "the store rejected it", progress=None)
         if rejected.reason == UNACKNOWLEDGED:
--- a/lanelead/store/__init__.py
+++ b/lanelead/store/__init__.py
@@ -1,1 +1,1 @@
-"""The migration store, which holds the migration log and applies its steps: SQLite behind a small HTTP service."""
+"""The migration store, which keeps the migration log and applies migration steps: SQLite behind an HTTP service."""
--- a/lanelead/store/migration_store.py
+++ b/lanelead/store/migration_store.py
@@ -1,13 +1,15 @@
-"""The migration store on SQLite: lease, log, acknowledgements and effects; each call is one transaction.
-
- lease    one at a time; its fencing token grows with each, and calls under an earlier one are rejected
- log      an entry is appended only right after the last that its writer knows
- barrier  an intent that waits for a barrier is accepted only when every registered relay has acknowledged it
- effect   a part's effect and its progress are one transaction; a part whose progress is recorded is not applied again
-
-A lease ends by the store's own clock; no other clock is asked. WAL and synchronous FULL: what was replied is on disk. A
-step's statements may not touch the store's own tables, end the transaction, attach a file or set a pragma; SQLite's
-authorizer rejects them.
+"""The migration store on SQLite: lease, log, relays' acknowledgements and effects; each call is one transaction.
+
+ lease    there is one lease at a time; each new one has a higher fencing token, and calls with an earlier token are
+          rejected
+ log      an entry is appended only if its writer knows the log's last entry
+ barrier  an intent that names a barrier is accepted only when every registered relay has acknowledged the barrier
+ effect   the effect of a part and the record of its progress are written in one transaction; a part that is recorded
+          is not applied again
+
+Leases expire by the store's clock only. With WAL and synchronous=FULL, a change is on disk before its reply is sent.
+SQLite's authorizer rejects statements of steps that access the store's own tables, end the transaction, attach a file
+or set a pragma.
 """
 
 from __future__ import annotations
@@ -43,8 +45,8 @@
     more INTEGER NOT NULL, rows INTEGER NOT NULL, PRIMARY KEY (intent, part)) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}seen (relay INTEGER PRIMARY KEY, seq INTEGER NOT NULL);
 """
-LOWEST_KEY = -(2**63)  # SQLite's lowest integer: below every key
-PAGE_ENTRIES = 5000
+LOWEST_KEY = -(2**63)  # SQLite's lowest integer, which no key is below
+PAGE_ENTRIES = 5000  # maximum of log entries in a reply
 FORBIDDEN_ACTIONS = frozenset(
     {
         sqlite3.SQLITE_TRANSACTION,
@@ -57,7 +59,7 @@
 
 
 class StoreRejectedError(Exception):
-    """A call was rejected, and nothing was changed. `reason`: see protocols.migrations.RejectedCall."""
+    """A call was rejected without any change; for `reason` see protocols.migrations.RejectedCall."""
 
     def __init__(self, reason: RejectionReason, message: str = "") -> None:
         super().__init__(message or reason)
@@ -69,10 +71,10 @@
 
 
 class MigrationStore:
-    """A store's file.
+    """A store in one SQLite file.
 
-    clock: seconds, which leases end by; may start anew with the process.
-    fault_hook: called at named points in and around the transactions; the emulated store injects its faults there.
+    clock: returns the time in seconds by which leases expire; it may restart with the process.
+    fault_hook: called at named points in and around transactions; the emulated store injects faults there.
     """
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.monotonic) -> None:
@@ -82,22 +84,22 @@
         self._connection.execute("PRAGMA journal_mode=WAL")
         self._connection.execute("PRAGMA synchronous=FULL")
         self._connection.executescript(SCHEMA)
-        # The clock may have started anew: a lease that was granted before ends a whole term from now. A lease that was
-        # released stays so.
+        # The clock may have restarted, so an unexpired lease is extended by its whole term from now. A lease that was
+        # released (until = 0) stays released.
         self._connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl WHERE until != 0", (clock(),))
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the database."""
         self._connection.close()
 
     @property
     def connection(self) -> sqlite3.Connection:
-        """The connection to the file, for tests and the emulated store."""
+        """The database connection, for tests and the emulated store."""
         return self._connection
 
     @contextmanager
     def _transaction(self, point: str) -> Iterator[sqlite3.Connection]:
-        """One transaction: all of what is inside, or nothing."""
+        """Runs the body in one transaction, which is rolled back if the body raises."""
         self.fault_hook(f"{point}.before")
         self._connection.execute("BEGIN IMMEDIATE")
         try:
@@ -113,13 +115,15 @@
     # Lease
 
     def acquire_lease(self, request: LeaseRequest) -> int:
-        """Grants the lease and returns its token. Raises StoreRejectedError ("held") while another runner has it."""
+        """Grants a lease and returns its token. Raises StoreRejectedError ("held") while another runner holds it."""
         with self._transaction("lease") as connection:
             row = connection.execute(f"SELECT token, runner, until FROM {TABLE_PREFIX}lease").fetchone()
             token, runner, until = row or (0, "", 0.0)
             left = until - self._clock()
             if row and runner != request.runner and left > 0:
-                raise StoreRejectedError("held", f"{runner} has the lease, for {left:.1f} s more unless it renews")
+                raise StoreRejectedError(
+                    "held", f"{runner} has the lease, which expires in {left:.1f} s unless renewed"
+                )
             ttl_seconds = request.ttl_ms / 1000
             connection.execute(
                 f"INSERT OR REPLACE INTO {TABLE_PREFIX}lease VALUES (1, ?, ?, ?, ?)",
@@ -128,33 +132,33 @@
             return int(token) + 1
 
     def renew_lease(self, token: int) -> None:
-        """Extends the lease by its term. Raises StoreRejectedError ("fenced")."""
+        """Extends the lease by its term from now. Raises StoreRejectedError ("fenced")."""
         with self._transaction("renew") as connection:
             self._require_token(connection, token)
 
     def release_lease(self, token: int) -> None:
-        """Ends the lease, so that another runner need not wait for its end."""
+        """Ends the lease, so that another runner need not wait until it expires."""
         with self._transaction("release") as connection:
             connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = 0 WHERE token = ?", (token,))
 
     def _require_token(self, connection: sqlite3.Connection, token: int) -> str:
-        """Checks that a token is the last one, renews its lease, and returns its runner."""
+        """Checks that a token is the latest one, renews its lease, and returns the name of its runner."""
         row = connection.execute(f"SELECT token, runner FROM {TABLE_PREFIX}lease").fetchone()
         if row is None or row[0] != token:
-            raise StoreRejectedError("fenced", f"token {token}, while the last is {row[0] if row else 0}")
-        # The holder of the last token keeps the lease even past its end: no other runner has come since.
+            raise StoreRejectedError("fenced", f"token {token} is not valid: the latest one is {row[0] if row else 0}")
+        # An expired lease is renewed too: no other runner has acquired one since, or the token would be a later one.
         connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl", (self._clock(),))
         return str(row[1])
 
     # Log
 
     def last_seq(self) -> int:
-        """The sequence number of the last entry; 0: none."""
+        """The sequence number of the last entry; 0 if the log is empty."""
         row = self._connection.execute(f"SELECT COALESCE(MAX(seq), 0) FROM {TABLE_PREFIX}record").fetchone()
         return int(row[0])
 
     def append(self, request: AppendRequest) -> LoggedEntry:
-        """Appends an entry. Raises StoreRejectedError ("fenced", "behind", "unseen")."""
+        """Appends an entry. Raises StoreRejectedError ("fenced", "behind", "unseen"); see RejectedCall."""
         with self._transaction("append") as connection:
             runner = self._require_token(connection, request.token)
             last_seq = self.last_seq()
@@ -173,7 +177,7 @@
         return logged
 
     def read_page(self, since_seq: int, max_entries: int = PAGE_ENTRIES) -> MigrationLogPage:
-        """The entries after `since_seq`, `max_entries` at most."""
+        """Reads the entries after `since_seq`, at most `max_entries`."""
         rows = self._connection.execute(
             f"SELECT seq, token, runner, at, body FROM {TABLE_PREFIX}record WHERE seq > ? ORDER BY seq LIMIT ?",
             (since_seq, max_entries),
@@ -187,14 +191,14 @@
     # Relays
 
     def register_relay(self, relay: int) -> None:
-        """A relay is about to receive the log: from now on barriers wait for it."""
+        """Registers a relay, which is about to receive the log; from now on barriers wait for it."""
         query = f"SELECT 1 FROM {TABLE_PREFIX}seen WHERE relay = ?"
         if self._connection.execute(query, (relay,)).fetchone() is None:
             with self._transaction("register") as connection:
                 connection.execute(f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, 0)", (relay,))
 
     def acknowledge(self, relay: int, seq: int) -> None:
-        """A relay acknowledges all entries up to `seq`; what is not in the log yet is not acknowledged."""
+        """Records that a relay has acknowledged the entries up to `seq`, or to the end of the log if earlier."""
         with self._transaction("acknowledge") as connection:
             connection.execute(
                 f"INSERT INTO {TABLE_PREFIX}seen VALUES (?, ?) "
@@ -203,14 +207,14 @@
             )
 
     def unacknowledged_relays(self, barrier_seq: int) -> list[int]:
-        """The registered relays that have not acknowledged an entry, in order."""
+        """The registered relays that have not acknowledged a barrier entry, in ascending order."""
         rows = self._connection.execute(
             f"SELECT relay FROM {TABLE_PREFIX}seen WHERE seq < ? ORDER BY relay", (barrier_seq,)
         )
         return [int(row[0]) for row in rows]
 
     def forget_relay(self, token: int, relay: int) -> None:
-        """Barriers no longer wait for a relay. Raises StoreRejectedError ("fenced")."""
+        """Removes a relay, for which barriers then no longer wait. Raises StoreRejectedError ("fenced")."""
         with self._transaction("forget") as connection:
             self._require_token(connection, token)
             connection.execute(f"DELETE FROM {TABLE_PREFIX}seen WHERE relay = ?", (relay,))
@@ -230,9 +234,9 @@
         return EffectProgress(row[0], cursor, not more, row[1])
 
     def apply_part(self, request: ApplyRequest) -> EffectProgress:
-        """Applies one part, unless it is recorded as applied, and returns the intent's progress.
+        """Applies one part unless it is recorded as applied, and returns the progress of the intent.
 
-        Raises StoreRejectedError ("fenced", "no intent", "failed"); then nothing of the part was applied.
+        Raises StoreRejectedError ("fenced", "no intent", "failed"), in which case nothing of the part was applied.
         """
         try:
             with self._transaction("apply") as connection:
@@ -275,7 +279,7 @@
     def _execute_statements(
         self, connection: sqlite3.Connection, statements: tuple[str, ...], values: dict[str, int]
     ) -> None:
-        """Executes a plan's statements under the authorizer, each with those of the values that it names."""
+        """Executes a step's statements under the authorizer, each with the parameters that it names."""
         connection.set_authorizer(_authorize)
         try:
             for number, text in enumerate(statements):
@@ -286,7 +290,7 @@
             connection.set_authorizer(None)
 
     def _batch_end(self, batch: BatchRange) -> tuple[int | None, bool, int]:
-        """The last key of a batch, None where no row is left; whether more rows follow; the batch's rows."""
+        """Returns a batch's last key (None if no rows are left), whether more rows follow, and its number of rows."""
         low = LOWEST_KEY if batch.after_key is None else batch.after_key
         key = f'"{batch.key}"'
         table = f'"{batch.table}"'
@@ -301,7 +305,7 @@
 
 
 def _authorize(action: int, first: str | None, second: str | None, *_: str | None) -> int:
-    """SQLite's authorizer: denies forbidden actions, and any that name the store's own tables."""
+    """Authorizer callback of SQLite: denies forbidden actions and all access to the store's own tables."""
     if action in FORBIDDEN_ACTIONS or any((name or "").lower().startswith(TABLE_PREFIX) for name in (first, second)):
         return sqlite3.SQLITE_DENY
     return sqlite3.SQLITE_OK
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -1,10 +1,10 @@
-"""The migration store as a process: HTTP/1.1 calls and a stream of the log, in front of one MigrationStore.
+"""HTTP/1.1 service in front of one MigrationStore: calls, and a stream of the log.
 
     POST /lease, /renew, /release, /record, /apply, /seen, /forget
     GET  /record, /marks, /unseen, /record/watch
 
-docs/protocols.md has the bodies. A call is replied to when its change is on disk, or with a RejectedCall, which says
-that nothing was changed.
+The bodies are described in docs/protocols.md. The reply to a call is sent after its change is on disk; a RejectedCall
+means that nothing was changed.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 from lanelead.store.migration_store import MigrationStore, StoreRejectedError
 
 JSON_HEADERS = [(b"content-type", b"application/json")]
-WATCH_LINE_ENTRIES = 500
+WATCH_LINE_ENTRIES = 500  # maximum of log entries in one line of the stream
 HEARTBEAT_INTERVAL_SECONDS = 1
-MAX_QUERY_DIGITS = 15  # below 2**53
+MAX_QUERY_DIGITS = 15  # keeps values below 2**53
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
-STATUS_CONFLICT = 409  # of a rejection for any other reason than these
+STATUS_CONFLICT = 409  # for rejections whose reason is not in STATUS_OF_REASON
 STATUS_OF_REASON = {"malformed": 400, "failed": 422}
 
 Query = dict[str, int]
@@ -51,11 +51,11 @@
 
 
 class MigrationStoreServer:
-    """Serves one store on loopback."""
+    """HTTP server of one store on loopback."""
 
     def __init__(self, store: MigrationStore) -> None:
         self.store = store
-        self._watchers: dict[ServerConnection, int] = {}  # with the last entry that was sent
+        self._watchers: dict[ServerConnection, int] = {}  # the sequence number of the last entry sent to each
         self._server: asyncio.Server | None = None
         self._heartbeat_task: asyncio.Task[None] | None = None
         self._calls: dict[tuple[str, str], Call] = {
@@ -72,7 +72,7 @@
         }
 
     async def start(self, port: int) -> int:
-        """Listens on a port (0: any free one), and returns it. Raises OSError."""
+        """Listens on a port (0: a free one), and returns the port. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self.request_received), "127.0.0.1", port, backlog=512, reuse_address=True
@@ -81,7 +81,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Stops listening, resets the watchers' connections, and closes the store."""
+        """Stops listening, resets the connections of watchers, and closes the store."""
         if self._server is not None:
             self._server.close()
         if self._heartbeat_task is not None:
@@ -93,7 +93,7 @@
     # Calls
 
     def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
-        """Replies to a request, or begins a stream."""
+        """Replies to a request, or starts a stream."""
         split = urlsplit(request.target.decode("latin-1"))
         query = _integers(split.query)
         if split.path == "/record/watch" and request.method == "GET":
@@ -105,7 +105,7 @@
             connection.close()
 
     def handle(self, method: str, path: str, request: HttpRequest, query: Query) -> tuple[int, bytes]:
-        """The status and body of the reply to a call."""
+        """Executes a call; returns the status and the body of its reply."""
         call = self._calls.get((method, path))
         if call is None:
             return STATUS_NOT_FOUND, encode(RejectedCall("malformed", f"no call {method} {path}"))
@@ -113,7 +113,7 @@
             return STATUS_OK, encode(call(request, query))
         except MessageError as error:
             rejected = RejectedCall("malformed", str(error))
-        except sqlite3.Error as error:  # rolled back: the disk is full, for example
+        except sqlite3.Error as error:  # the transaction was rolled back, for example because the disk is full
             rejected = RejectedCall("failed", f"{type(error).__name__}: {error}")
         except StoreRejectedError as error:
             rejected = RejectedCall(error.reason, error.message)
@@ -153,19 +153,19 @@
     # Streams
 
     def entry_written(self, logged: LoggedEntry) -> None:
-        """Sends an entry, which is on disk, to all watchers."""
+        """Sends new entries to all watchers; called when an entry is on disk."""
         for connection in list(self._watchers):
             self._send_new_entries(connection)
 
     def _watch(self, connection: ServerConnection, query: Query) -> None:
-        # On disk before anything is sent: from then on no barrier is passed without this relay.
+        # Registered on disk before any entry is sent: from then on every barrier waits for this relay.
         if "relay" in query:
             self.store.register_relay(query["relay"])
         since_seq = query.get("since", 0)
         connection.write(STREAM)
         self._watchers[connection] = since_seq
         connection.close_callbacks.append(lambda: self._stop_watching(connection))
-        # A page without entries, so that the watcher knows the last entry.
+        # A page without entries first, from which the watcher learns the sequence number of the last entry.
         connection.write(chunk(encode(self.store.read_page(since_seq, 0)) + b"\n"))
         self._send_new_entries(connection)
 
@@ -184,13 +184,13 @@
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             for connection in list(self._watchers):
-                # An entry may be on disk whose call was cut before it was sent to the watchers.
+                # An entry on disk may not have been sent to the watchers, if its call was interrupted after the commit.
                 self._send_new_entries(connection)
                 connection.write(chunk(b"\n"))
 
 
 def _integers(query: str) -> Query:
-    """The query's non-negative integers; other values are passed over."""
+    """Parses the non-negative integers of a query string; other values are ignored."""
     found = parse_qs(query)
     return {
         name: int(values[0])
@@ -200,7 +200,7 @@
 
 
 async def serve(server: MigrationStoreServer, port: int) -> None:
-    """Serves until SIGTERM or SIGINT. The line `ready PORT` on standard output says that it listens."""
+    """Serves until SIGTERM or SIGINT; prints the line `ready PORT` once it listens."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -212,7 +212,7 @@
 
 
 def run(file: str, port: int) -> None:
-    """Serves a file in this process until SIGTERM or SIGINT."""
+    """Serves the store in a file until SIGTERM or SIGINT."""
 
     async def serve_file() -> None:
         await serve(MigrationStoreServer(MigrationStore(file)), port)
--- a/tests/test_migration_store.py
+++ b/tests/test_migration_store.py
@@ -1,4 +1,4 @@
-"""The migration store: its transactions, its faults, and a plan interrupted at every point."""
+"""The migration store: its transactions, injected faults, and plans whose runs are interrupted at every point."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.test_migration_runner import PLANS
 
 
-def offers() -> MigrationPlan:
+def offers_plan() -> MigrationPlan:
     plan = read(PLANS / "offers.cue")
     assert isinstance(plan, MigrationPlan)
     return with_tally(plan)
@@ -52,14 +52,14 @@
     def rejected(self, reason: str) -> contextlib.AbstractContextManager[object]:
         return self.assertRaisesRegex(StoreRejectedError, reason)
 
-    def test_one_runner_at_a_time_until_its_lease_ends_by_the_stores_clock(self) -> None:
+    def test_one_runner_holds_the_lease_until_it_expires_by_the_stores_clock(self) -> None:
         self.lease()
         with self.assertRaisesRegex(StoreRejectedError, "one has the lease"):
             self.lease("two")
         self.now = 1.5
         self.assertEqual(self.lease("two"), 2)
 
-    def test_a_call_under_an_earlier_token_changes_nothing(self) -> None:
+    def test_a_call_with_an_earlier_token_changes_nothing(self) -> None:
         token = self.lease()
         intent = self.intent(token)
         self.now = 2.0
@@ -74,7 +74,7 @@
                 call()
         self.assertEqual((self.rows(), self.store.last_seq()), ([], 1))
 
-    def test_an_entry_goes_right_after_the_last_that_its_writer_knows(self) -> None:
+    def test_an_entry_is_rejected_if_its_writer_does_not_know_the_last_one(self) -> None:
         token = self.lease()
         self.intent(token)
         with self.rejected("ends at 1"):
@@ -83,15 +83,15 @@
     def test_an_intent_waits_for_every_registered_relay(self) -> None:
         token = self.lease()
         self.store.register_relay(4)
-        closing = self.store.append(AppendRequest(token, 0, LogEntry("closing", "s"))).seq
-        request = AppendRequest(token, closing, LogEntry("intent", "s", barrier_seq=closing))
+        barrier_seq = self.store.append(AppendRequest(token, 0, LogEntry("closing", "s"))).seq
+        request = AppendRequest(token, barrier_seq, LogEntry("intent", "s", barrier_seq=barrier_seq))
         with self.rejected(r"relays \[4\]"):
             self.store.append(request)
-        self.store.acknowledge(4, closing + 100)  # no relay has seen what is not written
-        self.assertEqual(self.store.unacknowledged_relays(closing + 1), [4])
+        self.store.acknowledge(4, barrier_seq + 100)  # entries that do not exist yet are not acknowledged
+        self.assertEqual(self.store.unacknowledged_relays(barrier_seq + 1), [4])
         self.store.append(request)
 
-    def test_a_relay_is_forgotten_only_by_the_operator(self) -> None:
+    def test_a_forgotten_relay_is_no_longer_waited_for(self) -> None:
         token = self.lease()
         self.store.register_relay(4)
         self.store.register_relay(5)
@@ -135,15 +135,17 @@
             self.assertEqual(caught.exception.reason, "failed")
         self.assertEqual((self.rows(), self.store.last_seq()), ([], 1))
 
-    def test_a_backfill_goes_by_keys_and_ends_with_the_rows(self) -> None:
+    def test_a_backfill_proceeds_by_keys_and_ends_after_the_last_row(self) -> None:
         self.store.connection.executemany("INSERT INTO t (id) VALUES (?)", [(n,) for n in (-5, 1, 2, 9, 40)])
         token = self.lease()
-        intent, low, batches = self.intent(token), None, list[tuple[int | None, bool, int]]()
+        intent, after_key, batches = self.intent(token), None, list[tuple[int | None, bool, int]]()
         for part in range(3):
             text = "UPDATE t SET n = n + 1 WHERE id > :low AND id <= :high"
-            progress = self.store.apply_part(ApplyRequest(token, intent, part, (text,), BatchRange("t", "id", 2, low)))
-            low = progress.cursor
-            batches.append((low, progress.finished, progress.rows))
+            progress = self.store.apply_part(
+                ApplyRequest(token, intent, part, (text,), BatchRange("t", "id", 2, after_key))
+            )
+            after_key = progress.cursor
+            batches.append((after_key, progress.finished, progress.rows))
         self.assertEqual(batches, [(1, False, 2), (9, False, 4), (40, True, 5)])
         self.assertEqual(self.rows(), [1] * 5)
         self.store.connection.execute("DELETE FROM t")
@@ -151,7 +153,7 @@
         progress = self.store.apply_part(ApplyRequest(token, other, 0, (text,), BatchRange("t", "id", 2, None)))
         self.assertTrue(progress.finished)
 
-    def test_all_is_kept_when_the_process_ends_and_its_clock_starts_anew(self) -> None:
+    def test_log_and_lease_survive_a_restart_whose_clock_starts_again(self) -> None:
         self.now = 500.0
         token = self.lease()
         self.intent(token)
@@ -173,7 +175,7 @@
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
-        self.trial = CrashTrial(offers(), Path(directory.name))
+        self.trial = CrashTrial(offers_plan(), Path(directory.name))
 
     def test_a_runner_killed_at_every_point(self) -> None:
         points = self.trial.points_of_run()
@@ -181,21 +183,21 @@
         for number, point in enumerate(points):
             self.assertEqual(self.trial.runner_killed(number), [], f"at {number}, {point}")
 
-    def test_a_runner_suspended_past_its_lease_changes_nothing_when_it_wakes(self) -> None:
+    def test_a_runner_suspended_beyond_its_lease_changes_nothing_when_it_resumes(self) -> None:
         points = self.trial.points_of_run()
-        for number in range(2, len(points), 6):  # the rest by hand: benchmarks/step_interrupts.py
+        for number in range(2, len(points), 6):  # a sample; benchmarks/step_interrupts.py covers all points
             self.assertEqual(self.trial.runner_paused(number), [], f"at {number}, {points[number]}")
 
-    def test_a_store_whose_transactions_are_cut_at_every_point(self) -> None:
+    def test_a_store_whose_transactions_are_interrupted_at_every_point(self) -> None:
         for point in ("before", "mid", "commit", "after"):
-            for call, many in (("apply", 16), ("append", 18)):
+            for call, call_count in (("apply", 16), ("append", 18)):
                 if (call, point) != ("append", "mid"):
-                    for skip in range(0, many, 4):
+                    for skip in range(0, call_count, 4):
                         case = call, point, skip
                         self.assertEqual(self.trial.store_fault("cut", f"{call}.{point}", skip), [], case)
 
-    def test_a_store_that_rejects_drops_or_is_late(self) -> None:
-        for kind, path, more in (
+    def test_a_store_that_rejects_drops_or_delays_calls(self) -> None:
+        for kind, path, parameters in (
             ("refuse", "/apply", {}),
             ("drop", "/apply", {}),
             ("drop", "/record", {}),
@@ -204,9 +206,9 @@
             ("late", "/apply", {"size": 0.05}),
             ("drop", "/marks", {}),
         ):
-            self.assertEqual(self.trial.store_fault(kind, path, 3 if path != "/lease" else 0, **more), [], kind)
+            self.assertEqual(self.trial.store_fault(kind, path, 3 if path != "/lease" else 0, **parameters), [], kind)
 
-    def test_a_full_disk_is_logged_as_a_failure_and_resumed_when_there_is_room(self) -> None:
+    def test_a_full_disk_is_logged_as_a_failure_and_the_step_resumed_later(self) -> None:
         store = self.trial.start_store()
         self.addCleanup(store.close)
         store.inject(kind="full")
@@ -217,7 +219,7 @@
         self.assertTrue(self.trial.run(store, "resume").succeeded)
         self.assertEqual(find_violations(store.file, self.trial.plan, whole=True), [])
 
-    def test_a_call_that_the_disk_has_no_room_for_is_rejected_with_the_reason(self) -> None:
+    def test_a_call_that_fails_on_a_full_disk_is_rejected_with_the_reason(self) -> None:
         store = self.trial.start_store()
         self.addCleanup(store.close)
         big = msgspec.structs.replace(self.trial.plan, name="big")
@@ -236,18 +238,18 @@
         self.assertTrue(trial.run(store).succeeded)
         self.assertEqual(find_violations(store.file, trial.plan, whole=True), [])
 
-    def test_writes_meanwhile_fit_the_schema_and_without_readiness_they_do_not(self) -> None:
-        for heeded in (True, False):
+    def test_writes_during_a_run_fit_the_schema_only_if_traffic_heeds_readiness(self) -> None:
+        for readiness_heeded in (True, False):
             store = self.trial.start_store()
             self.trial.run(store, "take")
-            traffic = WriteTraffic(store.port, self.trial.plan, heeded)
+            traffic = WriteTraffic(store.port, self.trial.plan, readiness_heeded)
             try:
                 store.inject(kind="cut", at="apply.commit", skip=2)
                 self.assertTrue(self.trial.run(store).succeeded)
             finally:
                 traffic.close()
                 store.close()
-            self.assertEqual(bool(traffic.failures), not heeded, traffic.failures[:3])
+            self.assertEqual(bool(traffic.failures), not readiness_heeded, traffic.failures[:3])
             self.assertGreater(min(traffic.writes.get(build, 0) for build in (1, 2)), 0)
             self.assertEqual(find_violations(store.file, self.trial.plan, whole=True), [])
 
@@ -272,9 +274,9 @@
 
 
 class StoreProcesses(unittest.TestCase):
-    def test_the_command_line_runs_a_plan_on_a_store_that_is_killed_on_the_way(self) -> None:
+    def test_the_command_line_runs_a_plan_on_a_store_that_is_killed_during_the_run(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            trial = CrashTrial(offers(), Path(name), lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
+            trial = CrashTrial(offers_plan(), Path(name), lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
             store = trial.start_store()
             self.addCleanup(store.close)
             plan = Path(name, "offers.cue")
