--- a/lanelead/membership/anti_entropy.py
+++ b/lanelead/membership/anti_entropy.py
@@ -29,7 +29,7 @@
     """Requests member tables from other members, serves their requests, and pings absent members to reconnect."""
 
     def _synchronize(self) -> None:
-        """Retries an expired transfer; once per period, also tries to join or to reach an absent member."""
+        """Retries an expired transfer; once per period, tries to join or, at intervals, pings an absent member."""
         transfer = self._table_transfer
         if transfer is not None and self.now >= transfer.expires_at:
             self._table_transfer = None
--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -9,7 +9,7 @@
 3. Two processes with the same number never count as two members; the earlier process stops sending as soon as it
    receives a record of the later one.
 4. A member declares another dead only after it has itself suspected it for the minimum timeout and has got no answer to
-   its own pings. A death that another member reports is accepted, and the dead member's own message revokes it.
+   its own pings. A death that another member reports is accepted; the dead member itself refutes it.
 5. A process that has left does not become a member again.
 
 Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W 2018),
@@ -62,7 +62,7 @@
     # Called by the host process
 
     def receive(self, payload: bytes, source: Address, now: Ticks) -> None:
-        """Handles a message; one that can't be decoded is only counted."""
+        """Handles a message. Counts those that can't be decoded, and ignores all once this process is replaced."""
         self.now = now
         message = decode_message(payload)
         if message is None:
@@ -150,7 +150,7 @@
                 pass
 
     def _acknowledge(self, ping: Ping, source: Address, sender_known: bool) -> None:
-        """Answers a ping; adds this member's record if the sender may not know it or knows an earlier process."""
+        """Answers a ping; adds this member's record unless the sender knows this process and claims nothing."""
         knows_this_process = ping.target == self.own.number and ping.target_started_at_ms == self.own.started_at_ms
         own_record: list[Update] = [] if knows_this_process and sender_known and not ping.claims else [self.own]
         ack = Ack(*self._header(), ping.sequence_number)
@@ -205,7 +205,7 @@
     def _handle_failed_probe(self, probe: Probe) -> None:
         record = self.records[probe.target]
         missing_nacks = probe.helpers_asked - probe.nacks
-        # Lifeguard 3.1: if the helpers don't answer either, this member's own connection may be at fault.
+        # Lifeguard 3.1: if helpers sent no Nack either, or there were none, the fault may be this member's connection.
         self._adjust_local_health(1 if missing_nacks > 0 or not probe.helpers_asked else 0)
         if record.state == ALIVE:
             self.counters.suspicions += 1
@@ -236,7 +236,11 @@
             suspicion.since += delay
 
     def _suspicion_timeout(self, suspicion: Suspicion) -> Ticks:
-        """Returns the timeout (Lifeguard 3.2): twice the minimum with one reporter, down to the minimum with more."""
+        """Returns the timeout of a suspicion, in ticks (Lifeguard 3.2).
+
+        It falls from twice the minimum with one reporter to the minimum with `SUSPICION_CONFIRMATIONS` more. The
+        minimum is multiplied by (1 + local health), as this member itself may be slow.
+        """
         minimum = self._timings.min_suspicion_time(len(self._peers) + 1) * (1 + self.local_health)
         share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
         return int(minimum * (2 - share))
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -100,7 +100,7 @@
     Prints all errors; exits with 2 if there are any.
     """
     for plan in load_plans(files):
-        click.echo(f"{plan.name}: {len(plan.steps)} steps, {len(plan.builds)} builds, good")
+        click.echo(f"{plan.name}: {len(plan.steps)} steps, {len(plan.builds)} builds, valid")
 
 
 @migrations.command()
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -231,9 +231,8 @@
         if not call.batched or active is None or active.step.batch is None:
             return None
         batch = active.step.batch
-        max_rows = max(
-            1, min(batch.rows, int(batch.rate))
-        )  # at most one second's rows, so that no pause outlasts the lease
+        # At most the rows of one second at the plan's rate, so that no pause outlasts the lease.
+        max_rows = max(1, min(batch.rows, int(batch.rate)))
         fresh = BatchPacer(max_rows, batch.rate, batch.hold_ms / 1000)
         return self._pacers.setdefault(call.request.intent_seq, fresh)
 
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -44,9 +44,8 @@
 MAX_ATTEMPTS = 4  # consecutive calls to apply with unknown outcome, after which the step is logged as failed
 MAX_FAILURE_REASON_CHARACTERS = 500
 
-Operation = Literal[
-    "run", "undo", "resume", "take"
-]  # take: only register the plan, so that its builds wait for their steps
+# "take" only registers the plan, so that its builds wait for their steps.
+Operation = Literal["run", "undo", "resume", "take"]
 
 
 @dataclass(frozen=True)
--- a/lanelead/store/migration_store.py
+++ b/lanelead/store/migration_store.py
@@ -1,15 +1,16 @@
 """The migration store on SQLite: lease, log, relays' acknowledgements and effects; each call is one transaction.
 
- lease    there is one lease at a time; each new one has a higher fencing token, and calls with an earlier token are
-          rejected
+ lease    there is one lease at a time; each new one has a higher fencing token; calls with the latest token renew the
+          lease, and calls with an earlier one are rejected
  log      an entry is appended only if its writer knows the log's last entry
  barrier  an intent that names a barrier is accepted only when every registered relay has acknowledged the barrier
  effect   the effect of a part and the record of its progress are written in one transaction; a part that is recorded
           is not applied again
 
 Leases expire by the store's clock only. With WAL and synchronous=FULL, a change is on disk before its reply is sent.
-SQLite's authorizer rejects statements of steps that access the store's own tables, end the transaction, attach a file
-or set a pragma.
+The store does not check the rules of the migration log (see migrations.migration_log): the log's readers do. SQLite's
+authorizer rejects statements of steps that access the store's own tables, end the transaction, attach a file or set a
+pragma.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
     more INTEGER NOT NULL, rows INTEGER NOT NULL, PRIMARY KEY (intent, part)) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS {TABLE_PREFIX}seen (relay INTEGER PRIMARY KEY, seq INTEGER NOT NULL);
 """
-LOWEST_KEY = -(2**63)  # SQLite's lowest integer, which no key is below
+LOWEST_KEY = -(2**63)  # SQLite's lowest integer, from which the first batch starts
 PAGE_ENTRIES = 5000  # maximum of log entries in a reply
 FORBIDDEN_ACTIONS = frozenset(
     {
@@ -84,8 +85,8 @@
         self._connection.execute("PRAGMA journal_mode=WAL")
         self._connection.execute("PRAGMA synchronous=FULL")
         self._connection.executescript(SCHEMA)
-        # The clock may have restarted, so an unexpired lease is extended by its whole term from now. A lease that was
-        # released (until = 0) stays released.
+        # The clock may have restarted, so it is unknown how much of a lease has passed: it lasts its whole term from
+        # now. A lease that was released (until = 0) stays released.
         self._connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl WHERE until != 0", (clock(),))
 
     def close(self) -> None:
@@ -121,9 +122,7 @@
             token, runner, until = row or (0, "", 0.0)
             left = until - self._clock()
             if row and runner != request.runner and left > 0:
-                raise StoreRejectedError(
-                    "held", f"{runner} has the lease, which expires in {left:.1f} s unless renewed"
-                )
+                raise StoreRejectedError("held", f"{runner} has the lease, for {left:.1f} s more unless it renews")
             ttl_seconds = request.ttl_ms / 1000
             connection.execute(
                 f"INSERT OR REPLACE INTO {TABLE_PREFIX}lease VALUES (1, ?, ?, ?, ?)",
@@ -145,7 +144,7 @@
         """Checks that a token is the latest one, renews its lease, and returns the name of its runner."""
         row = connection.execute(f"SELECT token, runner FROM {TABLE_PREFIX}lease").fetchone()
         if row is None or row[0] != token:
-            raise StoreRejectedError("fenced", f"token {token} is not valid: the latest one is {row[0] if row else 0}")
+            raise StoreRejectedError("fenced", f"token {token}, while the last is {row[0] if row else 0}")
         # An expired lease is renewed too: no other runner has acquired one since, or the token would be a later one.
         connection.execute(f"UPDATE {TABLE_PREFIX}lease SET until = ? + ttl", (self._clock(),))
         return str(row[1])
