--- a/lanelead/membership/member.py
+++ b/lanelead/membership/member.py
@@ -1,22 +1,35 @@
 """Failure detector for relays: SWIM with suspicion and incarnations, and Lifeguard's local health.
 
-Uses no sockets and no clock: it takes messages and times, and produces messages and membership changes. The same class
-runs in relays, in the simulation and in the model checker. These rules hold whatever is lost, duplicated, delayed or
-reordered:
+`Membership` uses no sockets and no clock: it is given messages and times, and it produces messages and membership
+changes. So the same class runs in relays and, in virtual time, in the simulation and in checks.
+
+A period consists of `ROUNDS_PER_PERIOD` rounds. The first round pings the next member; the other rounds repeat that
+ping while it is unanswered, also through other members. Each message carries a digest of its sender's table, which
+shows whether two tables differ. Local health is a number from 0, the best, upwards; it lengthens periods and timeouts.
+
+These rules hold whatever is lost, duplicated, delayed or reordered, as long as the record of a member is kept:
 
 1. The record of a member never regresses: of two records, the one with the higher (start, incarnation, state) wins.
-2. Only a member itself raises its start or its incarnation; it takes neither from another member's report.
-3. Two processes with the same number never count as two members; the earlier process stops sending as soon as it
-   receives a record of the later one.
-4. A member declares another dead only after it has itself suspected it for the minimum timeout and has got no answer to
-   its own pings. A death that another member reports is accepted; the dead member itself refutes it.
+2. Only a member itself raises its start or its incarnation. A report that it is suspect or dead makes it choose an
+   incarnation above the reported one.
+3. Two processes with the same number never count as two members; the earlier process stops sending as soon as it learns
+   of the later one.
+4. A member declares another dead only after it has itself suspected it for the minimum timeout, has pinged it, and has
+   received no record that refutes the suspicion. A death that another member reports is accepted; a member that was
+   wrongly declared dead refutes that with a higher incarnation.
 5. A process that has left does not become a member again.
 
+The record of a dead or departed member is dropped after the retention time. A delayed older record of it then counts as
+that of a new member, until that member is declared dead again.
+
 Sources: Das, Gupta, Motivala (SWIM, DSN 2002), sections 3 and 4; Dadgar, Phillips, Currey (Lifeguard, DSN-W 2018),
-section 3. Differences from them: a ping is repeated within its period, and a suspect is pinged again in each round;
-gossip has rounds of its own; a digest in each message reveals what gossip has missed; and so that partitioned groups
-find each other again, a member occasionally pings dead members, absent seeds, and some addresses of dead members long
-after their records were dropped.
+section 3. Differences from them:
+
+- A ping is repeated within its period, and a suspect is pinged again in each round.
+- Gossip is also sent on its own, in each round.
+- Digests reveal what gossip has missed.
+- A member occasionally pings dead members, seeds that are not present, and former addresses of dead members whose
+  records were dropped. So groups find each other again after a partition.
 """
 
 from __future__ import annotations
@@ -79,7 +92,7 @@
             return
         known = self.records.get(message.sender)
         if known is not None and known.started_at_ms > message.started_at_ms:
-            # The sender was replaced by a later process: it is sent that process's record, and its message is ignored.
+            # The sender was replaced by a later process: send it that process's record, and ignore its message.
             self._send(source, Gossip(*self._header()), [known])
             return
         self._receive_from_member(message, source)
@@ -92,7 +105,7 @@
         if self.replaced_by is not None:
             return
         sender_known = message.sender in self.records
-        self._reply(message, source, sender_known)
+        self._dispatch(message, source, sender_known)
         if not sender_known or message.digest != self._digest:
             self._handle_digest_mismatch(source, not sender_known)
 
@@ -108,6 +121,7 @@
         round_time = self._probe_period() // ROUNDS_PER_PERIOD
         if delay > self._timings.period:
             self._handle_stall(delay)
+        # The schedule is kept if less than a round late; otherwise missed rounds are skipped.
         next_round_at = self._next_round_at + round_time if delay < round_time else now + round_time
         self._next_round_at = max(now + 1, next_round_at)
         if self._round % ROUNDS_PER_PERIOD == 0:
@@ -129,9 +143,9 @@
         for number in self._sample_peers(2 * GOSSIP_FANOUT):
             self._send(self._address_of(number), Gossip(*self._header()), [self._claim(self.own, self.own.number)])
 
-    # Replies
+    # Handling of messages
 
-    def _reply(self, message: AnyMessage, source: Address, sender_known: bool) -> None:
+    def _dispatch(self, message: AnyMessage, source: Address, sender_known: bool) -> None:
         match message:
             case Ping():
                 self._acknowledge(message, source, sender_known)
@@ -150,14 +164,18 @@
                 pass
 
     def _acknowledge(self, ping: Ping, source: Address, sender_known: bool) -> None:
-        """Answers a ping; adds this member's record unless the sender knows this process and claims nothing."""
+        """Answers a ping, with any claim against the sender that is known here.
+
+        Adds this member's record if the sender is unknown here, has pinged another process of this number, or has sent
+        claims, which may be about this member.
+        """
         knows_this_process = ping.target == self.own.number and ping.target_started_at_ms == self.own.started_at_ms
         own_record: list[Update] = [] if knows_this_process and sender_known and not ping.claims else [self.own]
         ack = Ack(*self._header(), ping.sequence_number)
         self._send(source, ack, [*own_record, *self._claims_against(ping.sender)])
 
     def _relay_probe(self, request: PingRequest) -> None:
-        """Pings the target of another member's request, within `MAX_RELAYED_PROBES` at a time."""
+        """Pings the target of another member's request; ignores it if `MAX_RELAYED_PROBES` are pending."""
         if request.target not in self.records or request.target == self.own.number:
             return
         if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
@@ -182,7 +200,7 @@
         probe = self._probe
         if probe is not None and ack.sequence_number == probe.sequence_number and not probe.acknowledged:
             probe.acknowledged = True
-            self._adjust_local_health(-1)
+            self._adjust_local_health(-1)  # improves it
 
     # The failure detector
 
@@ -203,10 +221,11 @@
                 break
 
     def _handle_failed_probe(self, probe: Probe) -> None:
+        """Suspects the target of an unanswered probe, or confirms an existing suspicion."""
         record = self.records[probe.target]
-        missing_nacks = probe.helpers_asked - probe.nacks
-        # Lifeguard 3.1: if helpers sent no Nack either, or there were none, the fault may be this member's connection.
-        self._adjust_local_health(1 if missing_nacks > 0 or not probe.helpers_asked else 0)
+        missing_nacks = probe.ping_requests - probe.nacks
+        # Lifeguard 3.1: if any requested Nack is missing, or none was requested, the fault may be this member's own.
+        self._adjust_local_health(1 if missing_nacks > 0 or not probe.ping_requests else 0)
         if record.state == ALIVE:
             self.counters.suspicions += 1
             self._start_suspicion(msgspec.structs.replace(record, state=SUSPECT), self.own.number)
@@ -223,11 +242,14 @@
             return
         self._send_ping(probe.target, probe.sequence_number)
         for helper in self._sample_peers(INDIRECT_PROBES, probe.target):
-            probe.helpers_asked += 1
+            probe.ping_requests += 1
             self._send(self._address_of(helper), PingRequest(*self._header(), probe.sequence_number, probe.target))
 
     def _handle_stall(self, delay: Ticks) -> None:
-        """Discards the probe and extends suspicions after a stall of this process: answers may lie unread."""
+        """Starts a new period if a probe is running, and extends all suspicions by the duration of a stall.
+
+        While this process stalled, answers may have arrived that are still in the socket's buffer.
+        """
         self._adjust_local_health(1)
         if self._probe is not None:
             self._probe = None
@@ -245,9 +267,10 @@
         share = log(min(len(suspicion.reporters), SUSPICION_CONFIRMATIONS + 1)) / log(SUSPICION_CONFIRMATIONS + 1)
         return int(minimum * (2 - share))
 
-    def _probes_suspect(self, suspicion: Suspicion, waited: Ticks, timeout: Ticks) -> bool:
-        """Returns whether this member itself pings a suspect, which it always does after a quarter of the timeout.
+    def _update_probed(self, suspicion: Suspicion, waited: Ticks, timeout: Ticks) -> bool:
+        """Sets and returns `probed`: whether this member itself pings a suspect.
 
+        It does so once its own probe of the suspect has failed, and in any case after a quarter of the timeout.
         Otherwise a member that missed the refuting gossip would declare the suspect dead on others' reports alone.
         """
         suspicion.probed |= waited >= timeout // 4
@@ -263,17 +286,18 @@
                 self._send(self._address_of(requester.number), nack)
 
     def _expire_suspicions(self) -> None:
-        """Declares suspects dead whose timeout has passed, and pings the others as needed."""
+        """Declares suspects dead whose timeout has passed; pings other suspects, whose answers refute the suspicion."""
         for number, suspicion in list(self._suspicions.items()):
             waited = self.now - suspicion.since
             timeout = self._suspicion_timeout(suspicion)
             if waited >= timeout:
                 record = self.records[number]
                 self._store_record(msgspec.structs.replace(record, state=DEAD), self.own.number)
-            elif self._probes_suspect(suspicion, waited, timeout):
+            elif self._update_probed(suspicion, waited, timeout):
                 self._send_ping(number, self._next_sequence_number())
 
     def _send_gossip(self) -> None:
+        """Sends pending updates, which `_send` adds to any message, to a few random members."""
         if not self._pending_updates:
             return
         for number in self._sample_peers(GOSSIP_FANOUT):
--- a/lanelead/membership/member_state.py
+++ b/lanelead/membership/member_state.py
@@ -77,7 +77,7 @@
     expires_at: Ticks
     requester: ProbeRequester | None = None
     nacks: int = 0
-    helpers_asked: int = 0
+    ping_requests: int = 0  # sent to other members, several to one if repeated
     acknowledged: bool = False
 
 
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -1,4 +1,7 @@
-"""Decides the next call of a migration runner from its state and its copy of the log. Without I/O or a clock.
+"""Decides the next call of a migration runner from its state and its copy of the log; uses no I/O and no clock.
+
+A step begins with an intent entry, or with a barrier entry if it ends the readiness of a build: relays then withhold
+traffic from that build, and the intent follows when all of them have acknowledged the barrier (see migration_log).
 
 When the outcome of a call is unknown (it timed out, or the connection was cut), the runner does not rely on what it
 remembers: it acquires a new lease, whose fencing token invalidates all calls sent before by any runner, reads the log,
@@ -44,7 +47,8 @@
 MAX_ATTEMPTS = 4  # consecutive calls to apply with unknown outcome, after which the step is logged as failed
 MAX_FAILURE_REASON_CHARACTERS = 500
 
-# "take" only registers the plan, so that its builds wait for their steps.
+# run: applies the pending steps. undo: undoes the done steps, the last first. resume: retries the failed step, and then
+# applies the pending ones. take: only registers the plan; its builds then get no traffic before their needs are done.
 Operation = Literal["run", "undo", "resume", "take"]
 
 
@@ -52,8 +56,10 @@
 class Goal:
     """The operation that the operator requested.
 
-    last_step: the last step to apply or undo; empty: all.
-    allow_ending_rollback: whether steps may run that make a rollback impossible.
+    plan: not compared and not hashed, as a plan holds lists.
+    last_step: the last step to begin to apply or undo; empty: all. A step that is active or has failed at the start is
+        handled first in any case.
+    allow_ending_rollback: whether steps may begin that make a rollback impossible; a step that has begun continues.
     """
 
     plan: MigrationPlan = field(compare=False)
@@ -72,12 +78,12 @@
     """The immutable state of a runner between two calls.
 
     token: the fencing token of its lease; 0: no lease.
-    log_read: whether the copy of the log is up to date.
-    progress: the progress of the active intent; None: not queried yet.
+    log_read: whether the log was read since the lease was granted or the store last reported newer entries.
+    progress: the progress of the active intent; None: to be queried.
     acknowledged: whether all relays have acknowledged the active barrier.
     attempts: consecutive calls to apply a part of the active step whose outcome was unknown.
-    failure_reason: why the store rejected the current part; empty: it did not.
-    has_resumed: whether a failed step was resumed; another failure ends the run.
+    failure_reason: why the store rejected the current part; empty: it did not. Ignored if the step proves finished.
+    has_resumed: whether this run has resumed a failed step, which it does at most once.
     result: the result of the run; None: not ended.
     """
 
@@ -107,10 +113,17 @@
         if log.plans[plan.name] != plan:
             return RunResult(False, f"the log has a different plan named {plan.name!r}")
         if self.goal.operation == "take":
-            return RunResult(True, "registered: its builds have traffic as its steps allow")
+            return RunResult(
+                True, "the plan is registered; its builds get traffic once the steps that they need are done"
+            )
         return self._step_call(log)
 
     def _step_call(self, log: MigrationLog) -> PendingCall:
+        """Returns the call for the active step, else for the failed step, else for the next step to begin.
+
+        An active or failed step comes first even if it belongs to another plan. "run" first completes the undoing of a
+        step that is being undone, and then applies the step again.
+        """
         active = log.active_step()
         if active is not None and active.status is StepStatus.AT_BARRIER:
             return self._at_barrier(log, active)
@@ -126,13 +139,14 @@
 
     def _at_barrier(self, log: MigrationLog, state: StepState) -> PendingCall:
         name = state.step.name
-        if self.goal.operation == "undo" and state.direction == "apply":  # nothing was changed, so traffic may resume
+        if self.goal.operation == "undo" and state.direction == "apply":  # ends the barrier; nothing was changed
             return self._append(log, LogEntry("dropped", name, state.direction))
         if not self.acknowledged:
             return QueryUnacknowledged(state.barrier_seq)
         return self._append(log, LogEntry("intent", name, state.direction, state.barrier_seq))
 
     def _in_progress(self, log: MigrationLog, state: StepState) -> PendingCall:
+        """Returns the call for a step whose intent is logged; a finished step is logged as done in any case."""
         if self.progress is None:
             return QueryProgress(state.intent_seq)
         if self.progress.finished:
@@ -147,7 +161,11 @@
         return self._apply_part(state, self.progress)
 
     def _failure_of(self, state: StepState) -> str:
-        """The reason to log the active step as failed; empty if it continues."""
+        """The reason to log the active step as failed; empty if it continues.
+
+        The texts are stored in the log. "given up": an undo was requested while the step was being applied. "its
+        outcome could not be determined": `MAX_ATTEMPTS` calls in a row had no usable reply, and the step is unfinished.
+        """
         if self.failure_reason:
             return self.failure_reason
         if self.goal.operation == "undo" and state.direction == "apply":
@@ -159,6 +177,8 @@
     def _apply_part(self, state: StepState, progress: EffectProgress) -> ApplyPart:
         step = state.step
         statements = tuple(step.apply if state.direction == "apply" else step.undoing)
+        # `:low` is the SQL parameter for the lower bound of a batch's keys. Statements without it, such as an undo that
+        # needs no batches, are applied as one part. The executor replaces the batch size.
         batch_range = None
         if step.batch is not None and any(":low" in text for text in statements):
             batch_range = BatchRange(step.batch.table, step.batch.key, step.batch.rows, progress.cursor)
@@ -166,6 +186,11 @@
         return ApplyPart(request, step.limit_ms, batch_range is not None)
 
     def _after_failure(self, log: MigrationLog, state: StepState) -> PendingCall:
+        """Returns the call for a failed step.
+
+        "undo" drops or undoes a step that failed to be applied. Otherwise "run" ends, and other operations resume the
+        step, at most once per run.
+        """
         name = state.step.name
         if self.goal.operation == "undo" and state.direction == "apply":
             if not state.parts_applied:
@@ -201,7 +226,7 @@
         ended = log.builds_ended_by(state, direction)
         if ended and direction == "apply" and not self.goal.allow_ending_rollback:
             return RunResult(
-                False, f"{name!r} would make a rollback to build {ended[0]} impossible: say --past-back to run it"
+                False, f"{name!r} would make a rollback to build {ended[0]} impossible: pass --past-back to run it"
             )
         entry = LogEntry(BARRIER if ended else "intent", name, direction)
         violation = log.violation(entry)
@@ -243,7 +268,8 @@
     def _after_append(self, entry: LogEntry) -> Runner:
         goal = self.goal
         if goal.operation == "resume" and entry.direction == "undo" and entry.kind in ("resumed", "done"):
-            goal = replace(goal, operation="undo", last_step=entry.step)  # the resumed step was being undone
+            # The step was being undone: continue as an undo that ends at this step, so that it is not applied again.
+            goal = replace(goal, operation="undo", last_step=entry.step)
         return replace(
             self,
             goal=goal,
--- a/tests/test_migration_store.py
+++ b/tests/test_migration_store.py
@@ -294,7 +294,7 @@
             self.assertIn("may have traffic, until 'drop-price' begins", call("status")[1])
             code, output = call("run", str(plan))
             self.assertEqual(code, 3)
-            self.assertIn("say --past-back", output)
+            self.assertIn("pass --past-back", output)
             self.assertEqual(call("run", str(plan), "--past-back")[0], 0)
             self.assertEqual(call("undo", str(plan))[0], 3)  # its last step can't be undone
             self.assertEqual(find_violations(store.file, trial.plan, whole=True), [])
