--- a/lanelead/configuration/__init__.py
+++ b/lanelead/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration told by version and change: machines that agree on changes, and relays that follow them."""
+"""Versioned configuration: replicas that agree on changes, and relays that follow them."""
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -1,51 +1,55 @@
-"""The document: all entries in force at one version, with a digest that two holders compare.
+"""The document: all entries in force at one version, with a digest by which two holders compare theirs.
 
 Rules:
-1. A document changes only by the change that follows its version, or by whole buckets while it is repaired.
-2. A change is taken whole or not at all; what would come out with another digest than the change names is not
-   taken.
-3. The digest is of keys and values alone, not of how they came about: a relay that starts with yesterday's
-   file lacks only the buckets that differ.
-
-A bucket's digest is the sum of its entries' hashes modulo 2^64, so that a change costs by its own size (an
-incremental hash of a set: Bellare and Micciancio, EUROCRYPT 1997); the document's is the hash of all of them.
-It guards against loss and mistakes, not against somebody who forges entries.
+1. A document changes only by the change that follows its version, or by whole buckets during a repair.
+2. A change is applied whole or not at all. It is refused where the result would have another digest than the one
+   that the change names.
+3. The digest depends on keys and values alone, not on how they came about, so a relay that starts with an old file
+   fetches only the buckets that differ.
+
+A bucket's digest is the sum of its entries' hashes modulo 2^64, so the cost of a change depends on its own size only
+(an incremental hash of a set: Bellare and Micciancio, EUROCRYPT 1997). The document's digest is the hash of all
+bucket digests. It detects loss and mistakes; it does not protect against forged entries.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from hashlib import blake2b
-from struct import Struct, error
+from struct import Struct
+from struct import error as struct_error
 
 import msgspec
 
 from lanelead.configuration.errors import ConfigurationError
 from lanelead.protocols.configuration import BUCKET_COUNT, MAX_CHANGE_BYTES, MAX_VALUE_BYTES, Change, DigestTree, Entry
 
-REMOVED_VALUE = b"null"
+REMOVED_VALUE = b"null"  # the value that removes a key
 MODULUS = 1 << 64
 BUCKET_DIGESTS = Struct(f">{BUCKET_COUNT}Q")
 
 
 class DocumentError(ConfigurationError):
-    """A change or a bucket that was not taken; the document is as it was."""
+    """A change or a bucket was not applied; the document is unchanged."""
 
 
 class OutOfOrderError(DocumentError):
-    """It does not follow the version held: ask for the changes between."""
+    """The change does not follow this document's version: fetch the changes between."""
 
 
 class DigestMismatchError(DocumentError):
-    """The digest would come out otherwise than the other end says: compare the buckets."""
+    """The digest differs from the one that the sender names: compare the buckets."""
 
 
 class DocumentTooLargeError(DocumentError):
-    """Over the document's bounds: raise them in the settings, or remove entries first."""
+    """A limit on a value, a change or the document would be exceeded.
+
+    The document's limits are in the settings; removing entries makes room too.
+    """
 
 
 class UnreadableValueError(DocumentError):
-    """A value that can't be read: mend it where it was written."""
+    """A value is not valid JSON: correct it where it was written."""
 
 
 def bucket_of(key: str) -> int:
@@ -59,20 +63,26 @@
 
 
 def canonical(value: msgspec.Raw | bytes) -> bytes:
-    """The same value as the same bytes, whatever spaces and order of fields it had. Raises UnreadableValueError."""
+    """Canonical JSON: equal values give equal bytes, whatever their spacing and order of fields.
+
+    Raises UnreadableValueError.
+    """
     try:
         return msgspec.json.encode(msgspec.json.decode(bytes(value)), order="sorted")
-    except (msgspec.MsgspecError, RecursionError, UnicodeError) as fault:
-        raise UnreadableValueError(f"a value that is no JSON: {str(fault)[:100]}") from None
+    except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
+        raise UnreadableValueError(f"the value is not valid JSON: {str(error)[:100]}") from None
 
 
 class Document:
-    """`most`, `most_bytes`: entries, and bytes of keys and values, that it may hold."""
+    """The entries of one version, with digests.
+
+    It holds at most `most` entries, and `most_bytes` bytes of keys and values.
+    """
 
     def __init__(self, most: int = 200_000, most_bytes: int = 64 << 20) -> None:
         self.version = 0
         self.entries: dict[str, bytes] = {}
-        self.changed: dict[str, int] = {}  # the version at which a key last changed, as far as it is known
+        self.changed: dict[str, int] = {}  # the version that last changed a key, where known
         self.size = 0  # bytes of keys and values
         self._max_entries, self._max_bytes = most, most_bytes
         self._bucket_digests = [0] * BUCKET_COUNT
@@ -99,70 +109,85 @@
         return other
 
     def digest_after(self, entries: Sequence[Entry]) -> str:
-        """The digest if these were set. Raises DocumentTooLargeError."""
-        wanted = _canonical_entries(entries)
-        self._check_bounds(wanted)
-        if (size := sum(len(key) + len(value) for key, value in wanted.items())) > MAX_CHANGE_BYTES:
-            raise DocumentTooLargeError(f"a change of {size} bytes, of {MAX_CHANGE_BYTES} at most")
-        sums = dict[int, int]()
-        for key, value in wanted.items():
-            place = bucket_of(key)
-            sums[place] = (sums.get(place, self._bucket_digests[place]) + self._digest_delta(key, value)) % MODULUS
-        every = self._bucket_digests.copy()
-        for place, total in sums.items():
-            every[place] = total
-        return _document_digest(every)
+        """The digest that the document would have with these entries.
+
+        Raises DocumentTooLargeError and UnreadableValueError.
+        """
+        new_values = _canonical_entries(entries)
+        self._check_bounds(new_values)
+        if (size := sum(len(key) + len(value) for key, value in new_values.items())) > MAX_CHANGE_BYTES:
+            raise DocumentTooLargeError(f"the change has {size} bytes; the maximum is {MAX_CHANGE_BYTES}")
+        digests = dict[int, int]()
+        for key, value in new_values.items():
+            bucket_number = bucket_of(key)
+            digests[bucket_number] = (
+                digests.get(bucket_number, self._bucket_digests[bucket_number]) + self._digest_delta(key, value)
+            ) % MODULUS
+        all_digests = self._bucket_digests.copy()
+        for bucket_number, total in digests.items():
+            all_digests[bucket_number] = total
+        return _document_digest(all_digests)
 
     def apply(self, change: Change) -> None:
         """Applies the next version's change. Raises OutOfOrderError, DigestMismatchError and DocumentTooLargeError."""
         if change.version != self.version + 1:
-            raise OutOfOrderError(f"version {change.version}, where {self.version} is held")
+            raise OutOfOrderError(f"version {change.version} does not follow version {self.version}")
         if self.digest_after(change.entries) != change.digest:
-            raise DigestMismatchError(f"version {change.version} would come out otherwise than its digest says")
+            raise DigestMismatchError(f"version {change.version} would not have the digest that the change names")
         for key, value in _canonical_entries(change.entries).items():
             self._set(key, value)
             self.changed[key] = change.version
         self.version = change.version
 
     def load(self, entries: Iterable[tuple[str, bytes]]) -> None:
-        """Sets entries beside any version: what stands in a file at start. Raises DocumentTooLargeError."""
-        wanted = {key: canonical(value) for key, value in entries}
-        self._check_bounds(wanted)
-        for key, value in wanted.items():
+        """Sets entries without changing the version, as for a file at start.
+
+        Raises DocumentTooLargeError and UnreadableValueError.
+        """
+        new_values = {key: canonical(value) for key, value in entries}
+        self._check_bounds(new_values)
+        for key, value in new_values.items():
             self._set(key, value)
 
     # Repair
 
     def digest_tree(self, history: str) -> DigestTree:
         """The digests of all buckets at this version."""
-        sums = BUCKET_DIGESTS.pack(*self._bucket_digests).hex()
-        return DigestTree(history, self.version, self.digest, sums)
-
-    def differing_buckets(self, outline: DigestTree) -> list[int]:
-        """The buckets that are not as the outline has them."""
-        theirs = bucket_digests_of(outline)
-        return [place for place in range(BUCKET_COUNT) if self._bucket_digests[place] != theirs[place]]
-
-    def bucket(self, place: int) -> list[Entry]:
+        digests = BUCKET_DIGESTS.pack(*self._bucket_digests).hex()
+        return DigestTree(history, self.version, self.digest, digests)
+
+    def differing_buckets(self, tree: DigestTree) -> list[int]:
+        """The numbers of the buckets whose digests differ from those of a digest tree. Raises DigestMismatchError."""
+        theirs = bucket_digests_of(tree)
+        return [
+            bucket_number
+            for bucket_number in range(BUCKET_COUNT)
+            if self._bucket_digests[bucket_number] != theirs[bucket_number]
+        ]
+
+    def bucket(self, bucket_number: int) -> list[Entry]:
         """The entries of one bucket, by its number."""
-        return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._bucket_keys[place]]
-
-    def replace_bucket(self, place: int, entries: Sequence[Entry], digest: int) -> None:
-        """A whole bucket of another version. Raises DigestMismatchError and DocumentTooLargeError."""
-        wanted = _canonical_entries(entries)
-        total = sum(_entry_hash(key, value) for key, value in wanted.items()) % MODULUS
-        if total != digest or any(bucket_of(key) != place for key in wanted):
-            raise DigestMismatchError(f"bucket {place} does not have the digest that its outline names")
-        gone = {key: REMOVED_VALUE for key in self._bucket_keys[place] if key not in wanted}
-        self._check_bounds(wanted | gone)
-        for key, value in (gone | wanted).items():
+        return [Entry(key, msgspec.Raw(self.entries[key])) for key in self._bucket_keys[bucket_number]]
+
+    def replace_bucket(self, bucket_number: int, entries: Sequence[Entry], digest: int) -> None:
+        """Replaces a whole bucket with that of another version, which has the given digest.
+
+        Raises DigestMismatchError, DocumentTooLargeError and UnreadableValueError.
+        """
+        new_values = _canonical_entries(entries)
+        total = sum(_entry_hash(key, value) for key, value in new_values.items()) % MODULUS
+        if total != digest or any(bucket_of(key) != bucket_number for key in new_values):
+            raise DigestMismatchError(f"bucket {bucket_number} does not have the digest that the digest tree names")
+        removed = {key: REMOVED_VALUE for key in self._bucket_keys[bucket_number] if key not in new_values}
+        self._check_bounds(new_values | removed)
+        for key, value in (removed | new_values).items():
             self._set(key, value)
 
-    def finish_repair(self, outline: DigestTree) -> None:
-        """All buckets are as the outline has them: this is that version now. Raises DigestMismatchError."""
-        if self.digest != outline.digest:
-            raise DigestMismatchError(f"not yet version {outline.version}")
-        self.version = outline.version
+    def finish_repair(self, tree: DigestTree) -> None:
+        """Takes on the version of a digest tree once all buckets match it. Raises DigestMismatchError."""
+        if self.digest != tree.digest:
+            raise DigestMismatchError(f"the buckets do not match version {tree.version} yet")
+        self.version = tree.version
 
     def __iter__(self) -> Iterator[tuple[str, bytes]]:
         return iter(self.entries.items())
@@ -174,43 +199,47 @@
         )
 
     def _set(self, key: str, value: bytes) -> None:
-        place, old = bucket_of(key), self.entries.get(key)
-        self._bucket_digests[place] = (self._bucket_digests[place] + self._digest_delta(key, value)) % MODULUS
+        bucket_number, old = bucket_of(key), self.entries.get(key)
+        self._bucket_digests[bucket_number] = (
+            self._bucket_digests[bucket_number] + self._digest_delta(key, value)
+        ) % MODULUS
         self.size += _entry_bytes(key, value) - (_entry_bytes(key, old) if old is not None else 0)
         if value != REMOVED_VALUE:
             self.entries[key] = value
-            self._bucket_keys[place][key] = None
+            self._bucket_keys[bucket_number][key] = None
         else:
             self.entries.pop(key, None)
-            self._bucket_keys[place].pop(key, None)
+            self._bucket_keys[bucket_number].pop(key, None)
             self.changed.pop(key, None)
 
-    def _check_bounds(self, wanted: Mapping[str, bytes]) -> None:
-        """Guards against a document that outgrows the memory of those who hold it."""
-        for key, value in wanted.items():
+    def _check_bounds(self, new_values: Mapping[str, bytes]) -> None:
+        """Keeps the document within the memory of its holders; a document over a limit may still shrink."""
+        for key, value in new_values.items():
             if len(value) > MAX_VALUE_BYTES:
-                raise DocumentTooLargeError(f"{key[:80]}: {len(value)} bytes, of {MAX_VALUE_BYTES} at most")
+                raise DocumentTooLargeError(
+                    f"{key[:80]}: the value has {len(value)} bytes; the maximum is {MAX_VALUE_BYTES}"
+                )
         held = self.entries
-        many = len(held) + sum((value != REMOVED_VALUE) - (key in held) for key, value in wanted.items())
+        count = len(held) + sum((value != REMOVED_VALUE) - (key in held) for key, value in new_values.items())
         size = self.size + sum(
             _entry_bytes(key, value) - (_entry_bytes(key, held[key]) if key in held else 0)
-            for key, value in wanted.items()
+            for key, value in new_values.items()
         )
-        if (many > self._max_entries and many > len(held)) or (size > self._max_bytes and size > self.size):
+        if (count > self._max_entries and count > len(held)) or (size > self._max_bytes and size > self.size):
             raise DocumentTooLargeError(
-                f"{many} entries of {size} bytes, of {self._max_entries} and {self._max_bytes} at most"
+                f"{count} entries of {size} bytes; the maximum is {self._max_entries} and {self._max_bytes}"
             )
 
 
-def bucket_digests_of(outline: DigestTree) -> tuple[int, ...]:
-    """Raises DigestMismatchError where it is not of this form."""
+def bucket_digests_of(tree: DigestTree) -> tuple[int, ...]:
+    """The bucket digests of a digest tree. Raises DigestMismatchError where it is malformed or inconsistent."""
     try:
-        sums = BUCKET_DIGESTS.unpack(bytes.fromhex(outline.bucket_digests))
-    except (ValueError, error) as fault:
-        raise DigestMismatchError(f"not an outline: {str(fault)[:100]}") from None
-    if _document_digest(sums) != outline.digest:
-        raise DigestMismatchError("an outline whose digest is not that of its buckets")
-    return sums
+        digests = BUCKET_DIGESTS.unpack(bytes.fromhex(tree.bucket_digests))
+    except (ValueError, struct_error) as error:
+        raise DigestMismatchError(f"malformed digest tree: {str(error)[:100]}") from None
+    if _document_digest(digests) != tree.digest:
+        raise DigestMismatchError("the digest of the digest tree does not match its buckets")
+    return digests
 
 
 def _canonical_entries(entries: Sequence[Entry]) -> dict[str, bytes]:
@@ -221,5 +250,5 @@
     return len(key.encode()) + len(value) if value != REMOVED_VALUE else 0
 
 
-def _document_digest(sums: Sequence[int]) -> str:
-    return blake2b(BUCKET_DIGESTS.pack(*sums), digest_size=16).hexdigest()
+def _document_digest(digests: Sequence[int]) -> str:
+    return blake2b(BUCKET_DIGESTS.pack(*digests), digest_size=16).hexdigest()
--- a/lanelead/configuration/errors.py
+++ b/lanelead/configuration/errors.py
@@ -1,7 +1,7 @@
-"""The root of this package's errors: each module's own errors derive from it."""
+"""The base class of this package's errors; each module derives its own errors from it."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(Exception):
-    """Something about the configuration could not be done; the text says what went wrong."""
+    """An operation on the configuration failed; the text says what went wrong."""
--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -1,4 +1,4 @@
-"""What a machine sends, and what it knows of each of the others."""
+"""Calls that a replica makes to its peers, and what it knows of each peer."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 from lanelead.protocols.configuration import Accept, Heartbeat, Prepare
 from lanelead.protocols.configuration_replicas import DecidedChange, SnapshotPage
 
-LONG_AGO_SECONDS = -1e6  # seconds before its start
+LONG_AGO_SECONDS = -1e6  # stands for a time before the start of the process
 
 
 @dataclass(frozen=True)
 class CatchUpRequest:
-    """Changes from a version on, or a page of a snapshot."""
+    """A request for the changes from version `since` on.
+
+    With `snapshot`, for that page of the snapshot of version `since`; 0 stands for the newest version.
+    """
 
     since: int
     snapshot: bool = False
@@ -22,26 +25,26 @@
 
 @dataclass(frozen=True, eq=False)
 class PeerCall:
-    """A request to another replica, and how long its reply is waited for in seconds."""
+    """A call to another replica. `proposer` receives the reply to Prepare and Accept."""
 
     peer: int
     body: Prepare | Accept | DecidedChange | Heartbeat | CatchUpRequest
     sent_at: float
     proposer: Proposer | None = None
-    timeout: float = MAX_REPLY_SECONDS  # seconds to wait for an answer
+    timeout: float = MAX_REPLY_SECONDS  # seconds to wait for the reply
 
 
 @dataclass
 class PeerState:
-    """Another machine, as its last answer had it."""
+    """What a replica knows of a peer, mostly from the peer's last heartbeat response."""
 
-    unanswered: int = 0
-    heartbeat_sent_at: float | None = None  # when the sign was sent that was answered last
-    caught_up_at: float | None = None  # the same, where its head was not above one's own
+    unanswered: int = 0  # heartbeats sent to it that wait for a response
+    heartbeat_sent_at: float | None = None  # when the last heartbeat that it answered was sent
+    caught_up_at: float | None = None  # the same, where its version was not above one's own
     committed_version: int = 0
     empty: bool = False
     ready: bool = False
     history: str = ""
-    ignored_reason: str = ""  # why it is left alone
-    fetch_deadline: float = LONG_AGO_SECONDS  # until when its answer is waited for
-    pages: list[SnapshotPage] = field(default_factory=list)
+    ignored_reason: str = ""  # why it is ignored; empty where it is not
+    fetch_deadline: float = LONG_AGO_SECONDS  # when the changes requested from it time out
+    pages: list[SnapshotPage] = field(default_factory=list)  # of a snapshot that is being fetched
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -1,24 +1,25 @@
-"""One of the machines that hold the configuration: its rules, without sockets and clocks.
+"""One replica of the configuration: its rules, without sockets and clocks.
 
 Rules:
- 1. Every 0.5 s a machine gives a sign of life to each other one. Only an answer to its own sign counts, as of
-    when the sign was sent: what was held up on the way makes nothing look fresh.
- 2. Whoever hears of a higher head asks for the changes between, or for a snapshot where they are not kept.
- 3. One history is followed: a machine of another, or one whose settings name other voters, is left alone.
- 4. A voter that starts with nothing on its disk may have voted before, and abstains. Once it has heard, since
-    its start, from so many voters that do vote that one of them has accepted whatever it once held as decided
-    (with n voters and a majority of m: n - m + 1 others), it votes again from their highest head plus 3 on:
-    that voter held all but the last version that this one held, and this one voted on one more at the most.
- 5. In a first start every voter is empty. One that sees all the others empty, and none that votes, becomes
-    ready, on disk; one that is ready begins to vote when it sees all ready, or one that votes. One that is
-    empty where somebody votes is not part of a first start: rule 4.
- 6. Nothing is proposed for version 1 but by a voter that votes: else rule 5 could miss a vote.
- 7. One proposal at a time, the others wait, a bounded number of them. What is decided is told to all.
- 8. A change that a voter has accepted and that is not decided a while later is finished by that voter, for
-    this version only: its proposer may have ended behind its answer and before a word to the others.
- 9. `heard`: when a majority of voters, with itself, last had no higher head than its own.
-
-What is to be sent is in `calls`; whoever carries them tells `answered`, with none where no answer came.
+ 1. A replica sends a heartbeat to every other one each 0.5 s. Only a response to its own heartbeat counts, as of
+    when that heartbeat was sent, so a message that was delayed never makes a peer look up to date.
+ 2. A replica that learns of a higher committed version fetches the changes between, or a snapshot where the
+    peer's log no longer has them.
+ 3. A replica follows one history. It ignores a peer with another history or with other voters in its settings.
+ 4. A voter that starts with an empty store may have voted before, so it abstains until it has heard, since its
+    start, from n - m + 1 voters that do vote (of n, with a majority of m). One of them accepted the last version
+    that this voter ever held as decided, and so held the version before it; this voter had voted on one version
+    more at most. It votes again from the highest committed version of those voters plus 3.
+ 5. In a first start every voter is empty. A voter that sees all others empty, and none that votes, stores that
+    it is ready. A ready voter begins to vote when it sees all others ready, or any that votes. An empty voter
+    that sees another vote is not part of a first start: rule 4 applies.
+ 6. Only a replica that votes proposes for version 1. Otherwise rule 5 could overlook a vote.
+ 7. One proposal runs at a time; a bounded number waits. A decided change is sent to all replicas.
+ 8. A voter completes a change that it accepted and that stays undecided, for that version only: the proposer
+    may have ended after it answered its caller and before it told any other replica.
+ 9. `majority_heard_at` is when a majority of the voters, itself included, last had no higher version.
+
+Calls to make are in `outgoing`; the caller passes each reply to `handle_reply`, or None where none came.
 """
 
 from __future__ import annotations
@@ -55,29 +56,29 @@
 
 
 class Replica:
-    """`told`: is called with what an operator should read, and what to do."""
+    """A replica's rules. `report` is called with a problem for the operator and its remedy."""
 
     def __init__(
         self,
         number: int,
         voters: Sequence[int],
-        others: Sequence[int],
-        holding: ReplicaState,
+        peer_numbers: Sequence[int],
+        state: ReplicaState,
         rng: Random,
         now: float,
-        told: Callable[[str, str], None] = lambda text, remedy: None,
+        report: Callable[[str, str], None] = lambda text, remedy: None,
     ) -> None:
-        self.number, self.voters, self.state = number, tuple(voters), holding
-        self.peers = {other: PeerState() for other in others}
+        self.number, self.voters, self.state = number, tuple(voters), state
+        self.peers = {peer_number: PeerState() for peer_number in peer_numbers}
         self.outgoing: list[PeerCall] = []
-        self._rng, self._report, self._started = rng, told, now
-        self._store_health = StoreHealth(told)
+        self._rng, self._report, self._started = rng, report, now
+        self._store_health = StoreHealth(report)
         self._quorum = len(self.voters) // 2 + 1
         self._queue: deque[Proposer] = deque()
         self._next_heartbeat = now
         self._now = now
-        self._completion: tuple[int, float] | None = None  # a version, and when it is to be finished
-        self._last_report = ""  # what was told last of changes that could not be taken
+        self._completion: tuple[int, float] | None = None  # a version, and when to complete its change
+        self._last_report = ""  # the last problem reported by `_report_once`
         self._completion_delay = COMPLETION_DELAY_SECONDS
         self._update_voting()
 
@@ -88,12 +89,12 @@
 
     @property
     def store_fault(self) -> str:
-        """Of the store, at its last try; empty: none."""
+        """The error of the last use of the store, or an empty string."""
         return self._store_health.fault
 
     @property
     def queued(self) -> int:
-        """Proposals that wait or are under way."""
+        """The number of proposals that wait or are under way."""
         return len(self._queue)
 
     @property
@@ -103,12 +104,12 @@
 
     @property
     def majority_heard_at(self) -> float:
-        """When a majority of the voters was last heard."""
+        """When a majority of the voters last had no higher version than this replica (rule 9)."""
         times = [self._now] if self.number in self.voters else []
         for voter in self.voters:
-            seen = self.peers.get(voter)
-            if seen is not None and seen.caught_up_at is not None and not seen.empty:
-                times.append(seen.caught_up_at)
+            peer = self.peers.get(voter)
+            if peer is not None and peer.caught_up_at is not None and not peer.empty:
+                times.append(peer.caught_up_at)
         times.sort(reverse=True)
         return times[self._quorum - 1] if len(times) >= self._quorum else self._started + LONG_AGO_SECONDS
 
@@ -117,15 +118,15 @@
         self._now = max(self._now, now)
         if now >= self._next_heartbeat:
             self._next_heartbeat = now + HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1)
-            for other, seen in self.peers.items():
-                if seen.unanswered < MAX_UNANSWERED_HEARTBEATS:
-                    seen.unanswered += 1
-                    self.outgoing.append(PeerCall(other, self.heartbeat(), now))
+            for peer_number, peer in self.peers.items():
+                if peer.unanswered < MAX_UNANSWERED_HEARTBEATS:
+                    peer.unanswered += 1
+                    self.outgoing.append(PeerCall(peer_number, self.heartbeat(), now))
         self._complete_accepted(now)
         self._advance_proposals(now)
 
     def _complete_accepted(self, now: float) -> None:
-        """Rule 8. Voters wait for times that differ, and longer each time: they would hinder each other."""
+        """Rule 8. Delays are random and double each time: voters that propose at once block each other."""
         acceptor = self.state.acceptor
         if acceptor.change is None or acceptor.non_voting:
             self._completion, self._completion_delay = None, COMPLETION_DELAY_SECONDS
@@ -137,94 +138,92 @@
             self._completion_delay = min(MAX_COMPLETION_DELAY_SECONDS, self._completion_delay * 2)
             self._completion = self._completion[0], now + self._completion_delay * (1 + self._rng.random())
             change = acceptor.change
-            what = Proposal(change.ident, change.entries)
-            self._queue.append(Proposer(self.number, self.voters, what, self.state, self._rng, now, change))
+            proposal = Proposal(change.ident, change.entries)
+            self._queue.append(Proposer(self.number, self.voters, proposal, self.state, self._rng, now, change))
 
     def heartbeat(self) -> Heartbeat:
         """This replica's heartbeat as of now."""
-        holding = self.state
-        empty = self.number in self.voters and holding.acceptor.non_voting
+        state = self.state
+        empty = self.number in self.voters and state.acceptor.non_voting
         return Heartbeat(
-            self.number, holding.history, holding.committed_version, empty, holding.ready and empty, list(self.voters)
+            self.number, state.history, state.committed_version, empty, state.ready and empty, list(self.voters)
         )
 
-    # What others ask. Each raises StoreError where nothing may be said.
+    # Requests of others. Each raises StoreError where its reply could not be persisted or read.
 
-    def handle_prepare(self, ask: Prepare, now: float) -> Promise:
-        """Answers Prepare. Raises StoreError."""
-        if ask.epoch != self.state.epoch and ask.version == self.state.committed_version + 1:
+    def handle_prepare(self, request: Prepare, now: float) -> Promise:
+        """Answers Prepare; a replica that lacks earlier versions fetches them. Raises StoreError."""
+        if request.epoch != self.state.epoch and request.version == self.state.committed_version + 1:
             return Promise("abstains", self.state.committed_version)
         if self.number not in self.voters:
             return Promise("abstains", self.state.committed_version)
         with self._store_health.track():
-            promise = self.state.acceptor.prepare(ask)
+            promise = self.state.acceptor.prepare(request)
         if promise.outcome == "behind":
-            self._fetch(ask.ballot.replica, now)
+            self._fetch(request.ballot.replica, now)
         return promise
 
-    def handle_accept(self, ask: Accept, now: float) -> AcceptReply:
-        """Raises UnacceptableChangeError, too."""
-        if ask.epoch != self.state.epoch and ask.change.version == self.state.committed_version + 1:
+    def handle_accept(self, request: Accept, now: float) -> AcceptReply:
+        """Answers Accept like Prepare. Raises StoreError and UnacceptableChangeError."""
+        if request.epoch != self.state.epoch and request.change.version == self.state.committed_version + 1:
             return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
             return AcceptReply("abstains", self.state.committed_version)
         with self._store_health.track():
-            vote = self.state.acceptor.accept(ask)
-        if vote.outcome == "behind":
-            self._fetch(ask.ballot.replica, now)
-        return vote
+            accept_reply = self.state.acceptor.accept(request)
+        if accept_reply.outcome == "behind":
+            self._fetch(request.ballot.replica, now)
+        return accept_reply
 
-    def handle_decided(self, told: DecidedChange, now: float) -> None:
+    def handle_decided(self, message: DecidedChange, now: float) -> None:
         """Commits a change that another replica saw decided."""
-        if told.epoch == self.state.epoch:
-            self._commit_changes([told.change])
+        if message.epoch == self.state.epoch:
+            self._commit_changes([message.change])
             self._advance_proposals(now)
 
-    def handle_heartbeat(self, sign: Heartbeat, now: float) -> Heartbeat:
-        """Answers a peer's heartbeat, and fetches changes where the peer has more."""
-        seen = self.peers.get(sign.replica)
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
+        """Answers a peer's heartbeat, and fetches changes where the peer's version is higher."""
+        peer = self.peers.get(heartbeat.replica)
         if (
-            seen is not None
-            and self._check_peer(sign.replica, seen, sign)
-            and sign.committed_version > self.state.committed_version
+            peer is not None
+            and self._check_peer(heartbeat.replica, peer, heartbeat)
+            and heartbeat.committed_version > self.state.committed_version
         ):
-            self._fetch(sign.replica, now)
+            self._fetch(heartbeat.replica, now)
         return self.heartbeat()
 
     def read_log(self, since: int) -> LogPage:
-        """Decided changes from version `since` on. Raises StoreError."""
+        """Returns a page of decided changes from version `since` on. Raises StoreError."""
         with self._store_health.track():
-            changes, gone = self.state.log(since)
-        return LogPage(self.state.history, self.state.committed_version, changes, gone)
+            changes, truncated = self.state.log(since)
+        return LogPage(self.state.history, self.state.committed_version, changes, truncated)
 
     def propose(self, proposal: Proposal, now: float) -> Proposer | RejectedProposal:
-        """What to wait for: its `result`."""
+        """Queues a proposal. The caller waits for the `result` of the Proposer returned."""
         if len(self._queue) >= MAX_QUEUED_PROPOSALS:
-            return RejectedProposal(
-                "overloaded", f"{MAX_QUEUED_PROPOSALS} proposals wait already: ask again in a while"
-            )
+            return RejectedProposal("overloaded", f"{MAX_QUEUED_PROPOSALS} proposals are queued already: retry later")
         if self.state.committed_version == 0 and not self.votes:
-            return RejectedProposal("abstains", "this machine holds nothing yet: ask another, or again in a while")
+            return RejectedProposal("abstains", "this replica has no version yet: ask another one, or retry later")
         proposer = Proposer(self.number, self.voters, proposal, self.state, self._rng, now)
-        if self._queue and self._queue[0].completes is not None:
-            self._queue.popleft()  # any other one finishes that too, and first
+        if self._queue and self._queue[0].change_to_complete is not None:
+            self._queue.popleft()  # the new proposer learns of that change from the promises and proposes it first
         self._queue.append(proposer)
         self._advance_proposals(now)
         return proposer
 
-    # What came of calls
+    # Replies
 
     def handle_reply(
         self, call: PeerCall, answer: Promise | AcceptReply | Heartbeat | LogPage | SnapshotPage | None, now: float
     ) -> None:
         """Takes the reply to a call from `outgoing`, or None where none came."""
         self._now = max(self._now, now)
-        seen, proposer = self.peers[call.peer], call.proposer
+        peer, proposer = self.peers[call.peer], call.proposer
         match call.body, answer:
             case Heartbeat(), _:
-                seen.unanswered -= 1
+                peer.unanswered -= 1
                 if isinstance(answer, Heartbeat):
-                    self._handle_heartbeat_reply(call, seen, answer, now)
+                    self._handle_heartbeat_reply(call, peer, answer, now)
             case Prepare(), Promise() if proposer is not None:
                 proposer.handle_promise(call.peer, call.body, answer, now)
                 if answer.outcome == "ahead":
@@ -234,137 +233,137 @@
                 if answer.outcome == "ahead":
                     self._fetch(call.peer, now)
             case CatchUpRequest(), _:
-                seen.fetch_deadline = LONG_AGO_SECONDS
+                peer.fetch_deadline = LONG_AGO_SECONDS
                 if isinstance(answer, LogPage):
-                    self._handle_log_page(call, seen, answer, now)
+                    self._handle_log_page(call, peer, answer, now)
                 elif isinstance(answer, SnapshotPage):
-                    self._handle_snapshot_page(call, seen, answer, now)
+                    self._handle_snapshot_page(call, peer, answer, now)
                 else:
-                    seen.pages = []
+                    peer.pages = []
         self._advance_proposals(now)
 
-    def _handle_heartbeat_reply(self, call: PeerCall, seen: PeerState, sign: Heartbeat, now: float) -> None:
-        if (seen.heartbeat_sent_at is not None and call.sent_at < seen.heartbeat_sent_at) or not self._check_peer(
-            call.peer, seen, sign
+    def _handle_heartbeat_reply(self, call: PeerCall, peer: PeerState, heartbeat: Heartbeat, now: float) -> None:
+        if (peer.heartbeat_sent_at is not None and call.sent_at < peer.heartbeat_sent_at) or not self._check_peer(
+            call.peer, peer, heartbeat
         ):
             return
-        seen.heartbeat_sent_at, seen.committed_version, seen.history = (
+        peer.heartbeat_sent_at, peer.committed_version, peer.history = (
             call.sent_at,
-            sign.committed_version,
-            sign.history,
+            heartbeat.committed_version,
+            heartbeat.history,
         )
-        seen.empty, seen.ready = sign.empty, sign.ready
-        if sign.committed_version <= self.state.committed_version:
-            seen.caught_up_at = call.sent_at
+        peer.empty, peer.ready = heartbeat.empty, heartbeat.ready
+        if heartbeat.committed_version <= self.state.committed_version:
+            peer.caught_up_at = call.sent_at
         else:
             self._fetch(call.peer, now)
         self._update_voting()
 
-    def _check_peer(self, number: int, seen: PeerState, sign: Heartbeat) -> bool:
-        """Guards against versions of two histories taken for one, and majorities of two sets of voters."""
-        why = mismatch(sign, number, self.state.history, self.voters)
-        if why and why != seen.ignored_reason:
-            self._report(f"machine {number} is left alone", why)
-        seen.ignored_reason = why
+    def _check_peer(self, number: int, peer: PeerState, heartbeat: Heartbeat) -> bool:
+        """Whether a peer is of this group, by its heartbeat (rule 3); reports why it is ignored when that changes."""
+        why = mismatch(heartbeat, number, self.state.history, self.voters)
+        if why and why != peer.ignored_reason:
+            self._report(f"replica {number} is ignored", why)
+        peer.ignored_reason = why
         if why:
-            seen.caught_up_at = None
+            peer.caught_up_at = None
         return not why
 
     def _update_voting(self) -> None:
-        """Rules 4 and 5."""
-        holding = self.state
-        if self.number not in self.voters or holding.acceptor.votes_from is not None:
+        """Begins to vote, or becomes ready to, by rules 4 and 5."""
+        state = self.state
+        if self.number not in self.voters or state.acceptor.votes_from is not None:
             return
         others = [self.peers[voter] for voter in self.voters if voter != self.number]
-        fresh = [seen for seen in others if seen.heartbeat_sent_at is not None and not seen.ignored_reason]
-        voting = [seen for seen in fresh if not seen.empty]
+        heard = [peer for peer in others if peer.heartbeat_sent_at is not None and not peer.ignored_reason]
+        voting = [peer for peer in heard if not peer.empty]
         try:
-            whole = len(fresh) == len(others)
-            new = whole and not voting and all(seen.committed_version == 0 and not seen.history for seen in fresh)
-            if holding.committed_version == 0 and not holding.ready and new:
+            all_heard = len(heard) == len(others)
+            new = all_heard and not voting and all(peer.committed_version == 0 and not peer.history for peer in heard)
+            if state.committed_version == 0 and not state.ready and new:
                 with self._store_health.track():
-                    holding.set_voting(True, None)
-            if holding.ready and (voting or (whole and all(seen.ready for seen in fresh))):
+                    state.set_voting(True, None)
+            if state.ready and (voting or (all_heard and all(peer.ready for peer in heard))):
                 with self._store_health.track():
-                    holding.set_voting(True, 1)
-            elif not holding.ready and len(voting) >= len(self.voters) - self._quorum + 1:
+                    state.set_voting(True, 1)
+            elif not state.ready and len(voting) >= len(self.voters) - self._quorum + 1:
                 with self._store_health.track():
-                    holding.set_voting(False, max(seen.committed_version for seen in voting) + 3)
+                    state.set_voting(False, max(peer.committed_version for peer in voting) + 3)
         except StoreError:
-            return  # told already, and tried again with the next sign
+            return  # `track` has reported it; the next heartbeat tries again
 
     # Catching up
 
-    def _fetch(self, other: int, now: float) -> None:
-        seen = self.peers.get(other)
-        if seen is None or seen.ignored_reason or seen.fetch_deadline > now:
+    def _fetch(self, peer_number: int, now: float) -> None:
+        peer = self.peers.get(peer_number)
+        if peer is None or peer.ignored_reason or peer.fetch_deadline > now:
             return
         if sum(peer.fetch_deadline > now for peer in self.peers.values()) < MAX_CONCURRENT_FETCHES:
-            seen.pages = []
-            self._request_changes(other, seen, CatchUpRequest(self.state.committed_version + 1), now)
+            peer.pages = []
+            self._request_changes(peer_number, peer, CatchUpRequest(self.state.committed_version + 1), now)
 
-    def _request_changes(self, other: int, seen: PeerState, asked: CatchUpRequest, now: float) -> None:
-        seen.fetch_deadline = now + MAX_REPLY_SECONDS
-        self.outgoing.append(PeerCall(other, asked, now))
+    def _request_changes(self, peer_number: int, peer: PeerState, request: CatchUpRequest, now: float) -> None:
+        peer.fetch_deadline = now + MAX_REPLY_SECONDS
+        self.outgoing.append(PeerCall(peer_number, request, now))
 
-    def _handle_log_page(self, call: PeerCall, seen: PeerState, log: LogPage, now: float) -> None:
-        mine = self.state.history
-        if not log.history or (mine and log.history != mine):
+    def _handle_log_page(self, call: PeerCall, peer: PeerState, log: LogPage, now: float) -> None:
+        own_history = self.state.history
+        if not log.history or (own_history and log.history != own_history):
             return
         if log.truncated:
-            self._request_changes(call.peer, seen, CatchUpRequest(0, True), now)
-        elif log.changes and not mine and log.changes[0].ident != log.history:
-            self._report_once(f"the log of machine {call.peer}", "it does not begin with its history")
+            self._request_changes(call.peer, peer, CatchUpRequest(0, True), now)
+        elif log.changes and not own_history and log.changes[0].ident != log.history:
+            self._report_once(f"rejected the log of replica {call.peer}", "its first ident is not its history")
         elif self._commit_changes(log.changes) and self.state.committed_version < log.committed_version:
-            self._request_changes(call.peer, seen, CatchUpRequest(self.state.committed_version + 1), now)
-
-    def _handle_snapshot_page(self, call: PeerCall, seen: PeerState, page: SnapshotPage, now: float) -> None:
-        seen.pages.append(page)
-        if page.page != len(seen.pages) - 1 or page.version != seen.pages[0].version:
-            seen.pages = []
-        elif len(seen.pages) < SNAPSHOT_PAGES:
-            self._request_changes(call.peer, seen, CatchUpRequest(page.version, True, page.page + 1), now)
+            self._request_changes(call.peer, peer, CatchUpRequest(self.state.committed_version + 1), now)
+
+    def _handle_snapshot_page(self, call: PeerCall, peer: PeerState, page: SnapshotPage, now: float) -> None:
+        peer.pages.append(page)
+        if page.page != len(peer.pages) - 1 or page.version != peer.pages[0].version:
+            peer.pages = []
+        elif len(peer.pages) < SNAPSHOT_PAGES:
+            self._request_changes(call.peer, peer, CatchUpRequest(page.version, True, page.page + 1), now)
         else:
-            pages, seen.pages = seen.pages, []
+            pages, peer.pages = peer.pages, []
             try:
                 with self._store_health.track():
                     self.state.install(pages)
-            except DivergenceError as fault:
-                self._report_once(f"the snapshot of machine {call.peer} is not taken", str(fault))
+            except DivergenceError as error:
+                self._report_once(f"a snapshot of replica {call.peer} was rejected", str(error))
             except StoreError:
                 return
             self._refresh_caught_up()
 
     def _commit_changes(self, changes: Sequence[Change]) -> bool:
-        """Has the head moved?"""
+        """Commits decided changes in order; returns whether the committed version rose."""
         before = self.state.committed_version
         try:
             with self._store_health.track():
                 for change in changes:
                     self.state.commit(change)
-        except DivergenceError as fault:
-            remedy = "start this machine with no file, or with the same bounds as the others"
-            self._report_once(str(fault), remedy)
+        except DivergenceError as error:
+            remedy = "restart this replica without its store file, or with the same bounds as the others"
+            self._report_once(str(error), remedy)
         except StoreError:
             pass
         self._refresh_caught_up()
         return self.state.committed_version > before
 
     def _report_once(self, text: str, remedy: str) -> None:
-        """Guards against a log that fills: what can't be taken is asked for again with each sign."""
+        """Reports a problem, but not the same one again with each heartbeat, which would fill the log."""
         if text != self._last_report:
             self._report(text, remedy)
         self._last_report = text
 
     def _refresh_caught_up(self) -> None:
-        for seen in self.peers.values():
-            if seen.heartbeat_sent_at is not None and seen.committed_version <= self.state.committed_version:
-                seen.caught_up_at = seen.heartbeat_sent_at
+        for peer in self.peers.values():
+            if peer.heartbeat_sent_at is not None and peer.committed_version <= self.state.committed_version:
+                peer.caught_up_at = peer.heartbeat_sent_at
 
     # Proposals
 
     def _advance_proposals(self, now: float) -> None:
-        """Goes on with the first proposal as far as that is possible now."""
+        """Advances the first proposal in the queue as far as is possible now."""
         while self._queue:
             proposer = self._queue[0]
             proposer.step(now)
@@ -373,27 +372,27 @@
                 continue
             if proposer.decided is not None:
                 change, proposer.decided = proposer.decided, None
-                told = DecidedChange(change, self.state.epoch)
-                self.outgoing += [PeerCall(other, told, now) for other in self.peers]
+                message = DecidedChange(change, self.state.epoch)
+                self.outgoing += [PeerCall(peer_number, message, now) for peer_number in self.peers]
                 if not self._commit_changes([change]):
                     return
                 continue
             if not proposer.requests:
                 return
-            asks, proposer.requests = proposer.requests, []
-            for voter, ask in asks:
+            requests, proposer.requests = proposer.requests, []
+            for voter, request in requests:
                 if voter != self.number:
-                    self.outgoing.append(PeerCall(voter, ask, now, proposer, proposer.attempt_timeout))
-            # Its own vote last, once the others' are under way.
-            for voter, ask in asks:
+                    self.outgoing.append(PeerCall(voter, request, now, proposer, proposer.attempt_timeout))
+            # Its own vote comes last, after the requests to the other voters are queued.
+            for voter, request in requests:
                 if voter == self.number:
-                    self._vote_locally(proposer, ask, now)
+                    self._vote_locally(proposer, request, now)
 
-    def _vote_locally(self, proposer: Proposer, ask: Prepare | Accept, now: float) -> None:
+    def _vote_locally(self, proposer: Proposer, request: Prepare | Accept, now: float) -> None:
         try:
-            if isinstance(ask, Prepare):
-                proposer.handle_promise(self.number, ask, self.handle_prepare(ask, now), now)
+            if isinstance(request, Prepare):
+                proposer.handle_promise(self.number, request, self.handle_prepare(request, now), now)
             else:
-                proposer.handle_accept_reply(self.number, ask, self.handle_accept(ask, now), now)
+                proposer.handle_accept_reply(self.number, request, self.handle_accept(request, now), now)
         except (StoreError, UnacceptableChangeError):
             proposer.outcomes[self.number] = "fault"
--- a/lanelead/configuration/replica_checks.py
+++ b/lanelead/configuration/replica_checks.py
@@ -1,4 +1,4 @@
-"""What a replica finds wrong with others and with its own store."""
+"""Checks of a replica: whether a peer belongs to its group, and whether its own store can be used."""
 
 from __future__ import annotations
 
@@ -10,21 +10,27 @@
 
 
 def mismatch(heartbeat: Heartbeat, number: int, history: str, voters: Sequence[int]) -> str:
-    """Why the replica behind this heartbeat is left alone, with what to do; empty: it belongs to this group.
+    """Why the sender of a heartbeat is to be ignored, with the remedy; empty where it belongs to this group.
 
-    Guards against versions of two histories taken for one, and majorities of two sets of voters.
+    `number` is the sender's number in this replica's settings. Ignoring strangers prevents mixing the versions of
+    two histories, and majorities counted over two different sets of voters.
     """
     if heartbeat.replica != number:
-        return f"machine {heartbeat.replica} answers at its address: mend the address in the settings"
+        return f"replica {heartbeat.replica} answers at its address: correct the address in the settings"
     if sorted(heartbeat.voters) != sorted(voters):
-        return f"its settings name the voters {sorted(heartbeat.voters)}: give all machines the same"
+        return f"its settings name the voters {sorted(heartbeat.voters)}: configure the same voters on all replicas"
     if history and heartbeat.history and heartbeat.history != history:
-        return f"it holds the history {heartbeat.history}, this one {history}: start the wrong one with no file"
+        return (
+            f"it has history {heartbeat.history}, this replica {history}: restart the wrong one without its store file"
+        )
     return ""
 
 
 class StoreHealth:
-    """Whether the store could be used at its last try; `report` gets the text and remedy of a new fault."""
+    """The error of the last use of the store, in `fault`; empty where it succeeded.
+
+    `report` is called with the text and remedy of an error that follows a success.
+    """
 
     def __init__(self, report: Callable[[str, str], None]) -> None:
         self._report = report
@@ -32,7 +38,7 @@
 
     @contextmanager
     def track(self) -> Iterator[None]:
-        """Notes whether the store could be used within."""
+        """Records whether the code of the `with` block raised StoreError, and reraises it."""
         try:
             yield
         except StoreError as error:
--- a/lanelead/configuration/replica_limits.py
+++ b/lanelead/configuration/replica_limits.py
@@ -1,8 +1,8 @@
-"""The times and bounds that a replica goes by."""
+"""Intervals and limits of a replica. Times are in seconds."""
 
-HEARTBEAT_INTERVAL_SECONDS = 0.5  # seconds
-MAX_UNANSWERED_HEARTBEATS = 12  # signs to one machine without an answer yet, at the most
-MAX_CONCURRENT_FETCHES = 3  # machines that are asked for changes at a time
-MAX_QUEUED_PROPOSALS = 64  # proposals
-COMPLETION_DELAY_SECONDS = 0.75  # seconds until a change that was accepted here and not decided is finished, at least
-MAX_COMPLETION_DELAY_SECONDS = 24.0  # the same for later tries
+HEARTBEAT_INTERVAL_SECONDS = 0.5
+MAX_UNANSWERED_HEARTBEATS = 12  # to one peer; no further heartbeat is sent until one is answered or times out
+MAX_CONCURRENT_FETCHES = 3  # peers that changes are fetched from at the same time
+MAX_QUEUED_PROPOSALS = 64
+COMPLETION_DELAY_SECONDS = 0.75  # shortest wait before a voter completes an undecided change that it accepted
+MAX_COMPLETION_DELAY_SECONDS = 24.0  # the wait doubles with each attempt, up to this
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -1,12 +1,13 @@
-"""What a machine keeps, in one SQLite file: its votes, the changes decided, and the document they come to.
+"""The store of a replica, one SQLite file: its votes, the decided changes, and the document that they make.
 
- votes    promised, accepted and from which version it may vote: on disk before they are said
- changes  the log of late, the document's entries and the idents made move on together, in one transaction
- bounds   the log by number and age, idents by number, the document by its own bounds
+- Promised and accepted ballots, and the version from which the replica may vote, are on disk before any reply.
+- The log, the document's entries and the idents of completed proposals change together, in one transaction.
+- The log is bounded by number and age, the idents by number, and the document by its own limits.
 
-WAL and synchronous FULL: what was answered is on disk. The file is one process's alone. A copy of yesterday
-put in its place would forget votes: never restore one; a machine that starts with no file takes all from the
-others.
+WAL mode with synchronous=FULL: what was answered is on disk. One process has the file open at a time.
+
+Never restore an older copy of the file: it would lack votes that the replica has given. A replica that starts
+without a file gets everything from its peers.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 from lanelead.protocols.configuration import Ballot, Change
 from lanelead.protocols.configuration_replicas import CompletedProposal
 
-MAX_COMPLETED_PROPOSALS = 10_000  # of changes made last, kept to make none twice
-LOG, LOG_SECONDS = 20_000, 86_400.0
-LOG_PAGE_BYTES = 1 << 20  # of changes in one answer, about
+MAX_COMPLETED_PROPOSALS = 10_000  # idents of the latest changes; a retry with one of them is not made again
+MAX_LOG_CHANGES, MAX_LOG_AGE_SECONDS = 20_000, 86_400.0  # the log keeps whichever is fewer
+LOG_PAGE_BYTES = 1 << 20  # encoded changes in one reply; a single larger change is sent alone
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS one (one INTEGER PRIMARY KEY CHECK (one = 1), form INTEGER NOT NULL,
     history TEXT NOT NULL, head INTEGER NOT NULL, digest TEXT NOT NULL, floor INTEGER NOT NULL,
@@ -44,51 +45,54 @@
 
 
 class StoreError(ConfigurationError):
-    """What was to be kept was not, and nothing of it counts. `remedy`: what an operator can do."""
+    """The store could not be read or written; a write that failed has no effect.
+
+    `remedy` tells the operator what to do.
+    """
 
-    remedy = "look at the disk; the machine goes on when it can write again"
+    remedy = "check the disk; the replica continues once it can write again"
 
 
 class DiskFullError(StoreError):
-    """The disk has no room."""
+    """The disk is full."""
 
-    remedy = "make room on the disk; the machine goes on when it can write again"
+    remedy = "free space on the disk; the replica continues once it can write again"
 
 
 class ReadOnlyStoreError(StoreError):
-    """The file or its folder cannot be written."""
+    """The file or its directory is not writable."""
 
-    remedy = "make the file and its folder writable for the process, or mount the disk so"
+    remedy = "make the file and its directory writable for the process, or remount the disk as writable"
 
 
 class CorruptStoreError(StoreError):
     """The file's rows cannot be read or contradict each other."""
 
     remedy = (
-        "move the file and those named as it with -wal and -shm away and start again: the machine then takes"
-        " all from the others, and votes again two changes later; never put an older copy in its place"
+        "move the file and its -wal and -shm files away and restart: the replica then gets everything from its"
+        " peers, and votes again two changes later; never restore an older copy of the file"
     )
 
 
 class StoreInUseError(StoreError):
     """Another process has the file open."""
 
-    remedy = "end the other process that has the file open; two machines never share one"
+    remedy = "stop the other process that has the file open; two replicas never share a file"
 
 
 class NewerFormatError(StoreError):
-    """The file has another format than this program writes."""
+    """The file's format version differs from the one that this program writes."""
 
-    remedy = "start the later version of the program, which wrote the file"
+    remedy = "start the newer version of the program that wrote the file"
 
 
 class StoreIOError(StoreError):
-    """An input or output error, or a folder that is not there."""
+    """An I/O error, or a directory that does not exist."""
 
 
-def store_error(fault: Exception, doing: str) -> StoreError:
-    """The StoreError that stands for an error of SQLite or the operating system."""
-    code = getattr(fault, "sqlite_errorcode", None)
+def store_error(error: Exception, action: str) -> StoreError:
+    """The StoreError for an error of SQLite or the operating system; `action` says what was being done."""
+    code = getattr(error, "sqlite_errorcode", None)
     kind: type[StoreError] = StoreIOError
     match (code or 0) & 0xFF:
         case sqlite3.SQLITE_FULL:
@@ -99,13 +103,16 @@
             kind = CorruptStoreError
         case sqlite3.SQLITE_BUSY | sqlite3.SQLITE_LOCKED:
             kind = StoreInUseError
-    return kind(f"{doing}: {fault}")
+    return kind(f"{action}: {error}")
 
 
 @dataclass
 class StoredState:
-    """What was on disk at the start. `entries`: key to value and the version of its change, where known;
-    the value of a key that is gone is empty."""
+    """What was on disk at the start.
+
+    `entries` maps each key to its value and the version that last changed it, where that is known. The value of a
+    removed key is empty.
+    """
 
     history: str = ""
     committed_version: int = 0
@@ -120,23 +127,26 @@
 
 
 class Store:
-    """Every call that changes something raises StoreError, and nothing was changed then. `at` is called at
-    named points, in and around the transactions: tests cause their faults there."""
+    """The store of a replica. Each method that writes raises StoreError, and has no effect then.
+
+    `on_step` is called at named points in and around the transactions, where tests inject faults. `log` is the
+    number of changes that the log keeps.
+    """
 
-    def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = LOG) -> None:
+    def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = MAX_LOG_CHANGES) -> None:
         self._clock, self._max_log_changes = clock, log
-        self.on_step: Callable[[str], None] = lambda point: None
+        self.on_step: Callable[[str], None] = lambda name: None
         self.completed: OrderedDict[str, CompletedProposal] = OrderedDict()
         self.committed_version = 0
         try:
             self._db = self._connect(file)
-        except sqlite3.Error as fault:
-            raise store_error(fault, f"opening {file}") from None
+        except sqlite3.Error as error:
+            raise store_error(error, f"opening {file}") from None
         try:
             self.loaded = self._load()
-        except (sqlite3.Error, OSError) as fault:
+        except (sqlite3.Error, OSError) as error:
             self._db.close()
-            raise store_error(fault, f"opening {file}") from None
+            raise store_error(error, f"opening {file}") from None
         except StoreError:
             self._db.close()
             raise
@@ -154,74 +164,74 @@
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
         db.executescript(SCHEMA)
-        db.execute("BEGIN EXCLUSIVE")  # guards against a disk that takes no writing, and a second process
+        db.execute("BEGIN EXCLUSIVE")  # fails early where the disk is not writable, or another process has the file
         db.execute("UPDATE one SET ready = ready")
         db.execute("COMMIT")
-        # Guards against a file that was torn: a wrong vote is worse than none.
+        # Refuses a damaged file, since a wrong vote is worse than none.
         if (found := db.execute("PRAGMA quick_check(1)").fetchone()[0]) != "ok":
-            raise CorruptStoreError(f"the file does not hold together: {str(found)[:200]}")
+            raise CorruptStoreError(f"the integrity check failed: {str(found)[:200]}")
         row = db.execute("SELECT form, history, head, digest, floor, ready, votes_from FROM one").fetchone()
         if row is None:
             if any(db.execute(f"SELECT 1 FROM {name} LIMIT 1").fetchone() for name in ("log", "entry", "vote")):
-                raise CorruptStoreError("the file has changes or votes, but not how far they go")
+                raise CorruptStoreError("the file has changes or votes, but no row with the committed version")
             return StoredState()
         if row[0] != FILE_FORMAT:
-            raise NewerFormatError(f"a file of form {row[0]}, where this program knows {FILE_FORMAT}")
-        held = StoredState(row[1], row[2], row[3], row[4], bool(row[5]), row[6])
-        self.committed_version = held.committed_version
+            raise NewerFormatError(f"the file has format {row[0]}; this program supports format {FILE_FORMAT}")
+        state = StoredState(row[1], row[2], row[3], row[4], bool(row[5]), row[6])
+        self.committed_version = state.committed_version
         try:
-            self._load_vote(held)
+            self._load_vote(state)
             for key, value, changed in db.execute("SELECT key, value, changed FROM entry"):
-                held.entries[key] = (bytes(value), changed)
-            for ident, version, mark in db.execute("SELECT ident, version, mark FROM made ORDER BY version"):
-                self.completed[ident] = CompletedProposal(ident, version, mark)
-        except (msgspec.MsgspecError, TypeError, ValueError) as fault:
-            raise CorruptStoreError(f"a row that can't be read: {fault}") from None
+                state.entries[key] = (bytes(value), changed)
+            for ident, version, entries_hash in db.execute("SELECT ident, version, mark FROM made ORDER BY version"):
+                self.completed[ident] = CompletedProposal(ident, version, entries_hash)
+        except (msgspec.MsgspecError, TypeError, ValueError) as error:
+            raise CorruptStoreError(f"a row cannot be decoded: {error}") from None
         last = db.execute("SELECT MAX(version), MIN(version), COUNT(*) FROM log").fetchone()
-        if last[2] and (last[0] != held.committed_version or last[0] - last[1] + 1 != last[2]):
+        if last[2] and (last[0] != state.committed_version or last[0] - last[1] + 1 != last[2]):
             raise CorruptStoreError(
-                f"the log has {last[2]} changes up to {last[0]}, where the head is {held.committed_version}"
+                f"the log has {last[2]} changes up to {last[0]}; the committed version is {state.committed_version}"
             )
-        return held
+        return state
 
-    def _load_vote(self, held: StoredState) -> None:
+    def _load_vote(self, state: StoredState) -> None:
         row = self._db.execute(
             "SELECT version, promised, promised_by, accepted, accepted_by, change FROM vote"
         ).fetchone()
-        if row is None or row[0] <= held.committed_version:
-            return  # of a version that has been decided since
-        if row[0] != held.committed_version + 1:
-            raise CorruptStoreError(f"a vote for version {row[0]}, where the head is {held.committed_version}")
-        held.promised = Ballot(row[1], row[2])
+        if row is None or row[0] <= state.committed_version:
+            return  # that version was decided after the vote
+        if row[0] != state.committed_version + 1:
+            raise CorruptStoreError(f"a vote for version {row[0]}; the committed version is {state.committed_version}")
+        state.promised = Ballot(row[1], row[2])
         if row[3] is not None:
-            held.accepted = Ballot(row[3], row[4])
-            held.change = msgspec.json.decode(row[5], type=Change)
+            state.accepted = Ballot(row[3], row[4])
+            state.change = msgspec.json.decode(row[5], type=Change)
 
     @contextmanager
-    def _transaction(self, point: str) -> Iterator[sqlite3.Connection]:
-        """All of what is inside, or nothing."""
+    def _transaction(self, name: str) -> Iterator[sqlite3.Connection]:
+        """Runs a transaction; an exception rolls it back. `name` names it in errors and for `on_step`."""
         try:
-            self.on_step(f"{point}.before")
+            self.on_step(f"{name}.before")
             self._db.execute("BEGIN IMMEDIATE")
             try:
                 self._db.execute("INSERT OR IGNORE INTO one VALUES (1, ?, '', 0, '', 0, 0, NULL)", (FILE_FORMAT,))
                 yield self._db
-                self.on_step(f"{point}.commit")
+                self.on_step(f"{name}.commit")
                 self._db.execute("COMMIT")
             except BaseException:
                 if self._db.in_transaction:
                     self._db.execute("ROLLBACK")
                 raise
-            self.on_step(f"{point}.after")
-        except (sqlite3.Error, OSError) as fault:
-            raise store_error(fault, point) from None
+            self.on_step(f"{name}.after")
+        except (sqlite3.Error, OSError) as error:
+            raise store_error(error, name) from None
 
     # Votes
 
     def save_vote(self, version: int, promised: Ballot, accepted: Ballot | None, change: Change | None) -> None:
-        """Guards against a vote that is said and then forgotten."""
+        """Stores a vote, before the reply is sent. Raises StoreError."""
         if version != self.committed_version + 1:
-            raise CorruptStoreError(f"a vote for version {version}, where the head is {self.committed_version}")
+            raise CorruptStoreError(f"a vote for version {version}; the committed version is {self.committed_version}")
         row = (
             version,
             promised.number,
@@ -234,41 +244,44 @@
             db.execute("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?, ?)", row)
 
     def save_voting(self, ready: bool, votes_from: int | None) -> None:
-        """Stores readiness and the first version to vote on. Raises StoreError."""
+        """Stores whether the voter is ready, and the first version that it votes on. Raises StoreError."""
         with self._transaction("stand") as db:
             db.execute("UPDATE one SET ready = ?, votes_from = ?", (ready, votes_from))
 
     # Changes
 
-    def append(self, history: str, change: Change, entries: list[tuple[str, bytes | None]], mark: str) -> None:
-        """The change after the head. `entries` as the document keeps them; none: the key is gone."""
+    def append(self, history: str, change: Change, entries: list[tuple[str, bytes | None]], entries_hash: str) -> None:
+        """Stores the change that follows the committed version. Raises StoreError.
+
+        `entries` has the canonical values of the keys that it sets, and None for those that it removes.
+        """
         if change.version != self.committed_version + 1:
-            raise CorruptStoreError(f"version {change.version}, where the head is {self.committed_version}")
+            raise CorruptStoreError(f"version {change.version}; the committed version is {self.committed_version}")
         with self._transaction("decide") as db:
             db.execute("UPDATE one SET history = ?, head = ?, digest = ?", (history, change.version, change.digest))
             now = self._clock()
-            body = msgspec.json.encode(change)
-            # A commit that was told as failed may be on disk all the same: the same change once more.
-            db.execute("INSERT OR REPLACE INTO log VALUES (?, ?, ?)", (change.version, now, body))
+            encoded_change = msgspec.json.encode(change)
+            # REPLACE, since a commit that raised an error may be on disk all the same; the retry has the same change.
+            db.execute("INSERT OR REPLACE INTO log VALUES (?, ?, ?)", (change.version, now, encoded_change))
             db.executemany(
                 "INSERT OR REPLACE INTO entry VALUES (?, ?, ?)",
                 [(key, value or b"", change.version) for key, value in entries],
             )
-            db.execute("INSERT OR REPLACE INTO made VALUES (?, ?, ?)", (change.ident, change.version, mark))
+            db.execute("INSERT OR REPLACE INTO made VALUES (?, ?, ?)", (change.ident, change.version, entries_hash))
             self._trim(db, now)
         self.committed_version = change.version
         self.completed.pop(change.ident, None)
-        self.completed[change.ident] = CompletedProposal(change.ident, change.version, mark)
+        self.completed[change.ident] = CompletedProposal(change.ident, change.version, entries_hash)
         while len(self.completed) > MAX_COMPLETED_PROPOSALS:
             self.completed.popitem(last=False)
 
     def _trim(self, db: sqlite3.Connection, now: float) -> None:
-        """The log keeps the last changes or those of a day, whichever are fewer, and one at least."""
+        """Trims the log to the latest changes or those of a day, whichever are fewer, but keeps at least one."""
         db.execute("DELETE FROM log WHERE version <= (SELECT MAX(version) FROM log) - ?", (self._max_log_changes,))
         db.execute(
             "DELETE FROM log WHERE version < (SELECT MAX(version) FROM log) AND version <= "
             "(SELECT COALESCE(MAX(version), 0) FROM log WHERE at < ?)",
-            (now - LOG_SECONDS,),
+            (now - MAX_LOG_AGE_SECONDS,),
         )
         db.execute(
             "DELETE FROM made WHERE version <= (SELECT COALESCE(MIN(version), 0) FROM "
@@ -281,17 +294,19 @@
         history: str,
         version: int,
         digest: str,
-        floor: int,
+        pruned_version: int,
         entries: dict[str, tuple[bytes, int | None]],
-        made: list[CompletedProposal],
+        completed: list[CompletedProposal],
     ) -> None:
-        """The whole document as another machine has it, in place of an older one."""
+        """Replaces the document with a newer one of another replica, and empties the log. Raises StoreError."""
         if version <= self.committed_version:
-            raise CorruptStoreError(f"a snapshot of version {version}, where the head is {self.committed_version}")
+            raise CorruptStoreError(
+                f"a snapshot of version {version}; the committed version is {self.committed_version}"
+            )
         with self._transaction("replace") as db:
             db.execute(
                 "UPDATE one SET history = ?, head = ?, digest = ?, floor = ?",
-                (history, version, digest, floor),
+                (history, version, digest, pruned_version),
             )
             for table in ("log", "entry", "made"):
                 db.execute(f"DELETE FROM {table}")
@@ -299,44 +314,49 @@
             db.executemany("INSERT INTO entry VALUES (?, ?, ?)", rows)
             db.executemany(
                 "INSERT OR REPLACE INTO made VALUES (?, ?, ?)",
-                [(row.ident, row.version, row.entries_hash) for row in made],
+                [(row.ident, row.version, row.entries_hash) for row in completed],
             )
         self.committed_version = version
-        self.completed = OrderedDict((row.ident, row) for row in made)
+        self.completed = OrderedDict((row.ident, row) for row in completed)
 
     def prune_removed(self, version: int) -> None:
-        """Keys that are gone since this version or longer are forgotten."""
+        """Forgets keys that were removed at this version or earlier. Raises StoreError."""
         with self._transaction("prune") as db:
             db.execute("DELETE FROM entry WHERE value = X'' AND changed <= ?", (version,))
             db.execute("UPDATE one SET floor = MAX(floor, ?)", (version,))
 
     @property
     def first_log_version(self) -> int:
-        """The earliest version of the log; the one after the head where it is empty."""
+        """The earliest version in the log, or the next version where the log is empty. Raises StoreError."""
         try:
             found = self._db.execute("SELECT MIN(version) FROM log").fetchone()[0]
-        except sqlite3.Error as fault:
-            raise store_error(fault, "reading the log") from None
+        except sqlite3.Error as error:
+            raise store_error(error, "reading the log") from None
         return self.committed_version + 1 if found is None else int(found)
 
-    def read_log(self, since: int, most: int = 1000, size: int = LOG_PAGE_BYTES) -> tuple[list[Change], bool]:
-        """Changes from version `since` on, in order, and whether that one is not kept any more."""
+    def read_log(
+        self, since: int, max_changes: int = 1000, max_bytes: int = LOG_PAGE_BYTES
+    ) -> tuple[list[Change], bool]:
+        """Changes from version `since` on, in order, and whether the log no longer has that version.
+
+        Returns at most `max_changes`, and at least one even if it exceeds `max_bytes`. Raises StoreError.
+        """
         if since > self.committed_version:
             return [], False
         found, total = list[Change](), 0
         try:
             rows = self._db.execute(
-                "SELECT version, change FROM log WHERE version >= ? ORDER BY version LIMIT ?", (since, most)
+                "SELECT version, change FROM log WHERE version >= ? ORDER BY version LIMIT ?", (since, max_changes)
             )
-            for version, body in rows:
+            for version, encoded_change in rows:
                 if version != since + len(found):
                     return [], True
-                total += len(body)
-                if found and total > size:
+                total += len(encoded_change)
+                if found and total > max_bytes:
                     break
-                found.append(msgspec.json.decode(body, type=Change))
-        except sqlite3.Error as fault:
-            raise store_error(fault, "reading the log") from None
-        except msgspec.MsgspecError as fault:
-            raise CorruptStoreError(f"a change in the log that can't be read: {fault}") from None
+                found.append(msgspec.json.decode(encoded_change, type=Change))
+        except sqlite3.Error as error:
+            raise store_error(error, "reading the log") from None
+        except msgspec.MsgspecError as error:
+            raise CorruptStoreError(f"a change in the log cannot be decoded: {error}") from None
         return found, not found
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -1,5 +1,8 @@
-"""Machines of the configuration in virtual time: links that lose, double, delay and cut, disks that outlive
-a process or are lost, kills between any two steps. What holds at all times is checked after each event."""
+"""Configuration replicas in virtual time, with injected faults.
+
+Links lose, duplicate, delay and cut messages; disks outlive a process or are lost; processes are killed at any step
+of a store's transaction. The invariants are checked after each event.
+"""
 
 from __future__ import annotations
 
@@ -33,11 +36,11 @@
 
 
 class Killed(BaseException):
-    """The process ended here."""
+    """Raised in the step of a replica at which its process is killed."""
 
 
 class SharedConnectionStore(Store):
-    """A store whose connection stands for the disk: it outlives the process."""
+    """A store on a given connection, which stands for a disk that outlives the process."""
 
     def __init__(self, disk: sqlite3.Connection, log: int = 20_000) -> None:
         self._disk = disk
@@ -48,94 +51,103 @@
             self._disk.execute("ROLLBACK")
         return self._disk
 
-    def close(self) -> None: ...
+    def close(self) -> None: ...  # the connection outlives the process
 
 
 @dataclass
 class Link:
+    """One direction between two replicas. Times are in seconds, `loss` and `duplication` are probabilities."""
+
     cut: bool = False
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
     delay: float = 0.001
-    spread: float = 0.004
+    jitter: float = 0.004  # a random time up to this is added to the delay
 
 
 def proposal(ident: str, key: str = "tenant/a", value: Any = None, **expect: int) -> Proposal:
+    """A proposal of one entry. `expect` has expected versions by key, with `_` for the slash."""
     body = msgspec.json.encode({"quota_per_s": 1.0} if value is None else value)
     return Proposal(ident, [Entry(key, msgspec.Raw(body))], {k.replace("_", "/"): v for k, v in expect.items()})
 
 
 @dataclass
 class SimulatedReplicas:
-    """`voters` of `many` machines. `kills`: the chance of a process to end at each point of its store."""
+    """`count` replicas, of which `voters` vote, or all.
 
-    many: int
+    `kill_probability` is the probability that a process is killed at each named point of its store (`Store.on_step`).
+    `log` is the number of changes that each replica's log keeps.
+    """
+
+    count: int
     seed: int
     voters: Sequence[int] = ()
-    kills: float = 0.0
+    kill_probability: float = 0.0
     log: int = 20_000
     now: float = 0.0
-    machines: dict[int, Replica | None] = field(default_factory=dict)
-    decided: dict[int, tuple[str, str]] = field(default_factory=dict)  # version to ident and digest
+    replicas: dict[int, Replica | None] = field(default_factory=dict)
+    decided: dict[int, tuple[str, str]] = field(default_factory=dict)  # ident and digest by version
     answers: dict[str, AcceptedProposal | RejectedProposal] = field(default_factory=dict)
-    notes: list[tuple[int, str, str]] = field(default_factory=list)
-    dropped: Callable[[PeerCall], bool] = lambda call: False  # a fault by hand
+    reports: list[tuple[int, str, str]] = field(default_factory=list)
+    drops: Callable[[PeerCall], bool] = lambda call: False  # a fault that a test injects
 
     def __post_init__(self) -> None:
-        self.chance = Random(f"machines {self.seed}")
-        self.voters = self.voters or range(self.many)
-        self.links = {(a, b): Link() for a in range(self.many) for b in range(self.many) if a != b}
-        self.disks = {number: self._disk() for number in range(self.many)}
-        self.lives = dict.fromkeys(range(self.many), 0)
-        self._checked = dict.fromkeys(range(self.many), 0)
+        self.rng = Random(f"machines {self.seed}")  # the text is part of the seed: another one gives other schedules
+        self.voters = self.voters or range(self.count)
+        self.links = {(a, b): Link() for a in range(self.count) for b in range(self.count) if a != b}
+        self.disks = {number: self._new_disk() for number in range(self.count)}
+        self.incarnations = dict.fromkeys(range(self.count), 0)
+        self._checked = dict.fromkeys(range(self.count), 0)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = itertools.count()
-        self._asked: list[tuple[str, int, int, Proposer]] = []
+        self._event_numbers = itertools.count()
+        self._open_proposals: list[tuple[str, int, int, Proposer]] = []
         self._idents: dict[str, int] = {}
-        for number in range(self.many):
+        for number in range(self.count):
             self.start(number)
 
-    def _disk(self) -> sqlite3.Connection:
+    def _new_disk(self) -> sqlite3.Connection:
         return sqlite3.connect(":memory:", isolation_level=None)
 
     # Processes
 
     def start(self, number: int, empty: bool = False) -> None:
+        """Starts a process; with `empty`, on a new disk."""
         if empty:
-            self.disks[number] = self._disk()
+            self.disks[number] = self._new_disk()
             self._checked[number] = 0
-        self.lives[number] += 1
+        self.incarnations[number] += 1
         store = SharedConnectionStore(self.disks[number], self.log)
-        holding = ReplicaState(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
-        others = [other for other in range(self.many) if other != number]
-        machine = Replica(
+        state = ReplicaState(store, list(self.voters), Document, lambda: 1.7e9 + self.now)
+        others = [other for other in range(self.count) if other != number]
+        replica = Replica(
             number,
             list(self.voters),
             others,
-            holding,
-            self.chance,
+            state,
+            self.rng,
             self.now,
-            lambda text, remedy: self.notes.append((number, text, remedy)),
+            lambda text, remedy: self.reports.append((number, text, remedy)),
         )
-        store.on_step = lambda point: self._fate(number, point)
-        self.machines[number] = machine
-        self._tick(number, self.lives[number])
+        store.on_step = lambda point: self._maybe_kill(number, point)
+        self.replicas[number] = replica
+        self._tick(number, self.incarnations[number])
 
-    def _fate(self, number: int, point: str) -> None:
-        if self.kills and self.chance.random() < self.kills:
+    def _maybe_kill(self, number: int, point: str) -> None:
+        if self.kill_probability and self.rng.random() < self.kill_probability:
             raise Killed
 
     def kill(self, number: int) -> None:
-        self.machines[number] = None
-        self.lives[number] += 1
+        """Ends a process; its disk stays."""
+        self.replicas[number] = None
+        self.incarnations[number] += 1
 
-    def lost(self) -> list[int]:
-        """Voters whose disk does not count: they abstain, whether they run or not."""
+    def abstaining_voters(self) -> list[int]:
+        """Voters that may not vote after they lost their disk, whether they run or not."""
         found = []
         for voter in self.voters:
-            machine = self.machines[voter]
-            if machine is not None:
-                holds = not machine.state.acceptor.non_voting
+            replica = self.replicas[voter]
+            if replica is not None:
+                holds = not replica.state.acceptor.non_voting
             else:
                 row = SharedConnectionStore(self.disks[voter], self.log).loaded
                 holds = row.votes_from is not None and row.committed_version + 1 >= row.votes_from
@@ -145,137 +157,144 @@
 
     # Time
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._count), what))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        """Calls `action` at a virtual time."""
+        heapq.heappush(self._events, (when, next(self._event_numbers), action))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
+        """Runs events for so many virtual seconds, or until the condition holds; returns whether it holds."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             if until():
                 return True
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
             self.check()
         self.now = end
         return until()
 
-    def _step(self, number: int, what: Callable[[Replica], Any]) -> Any:
-        """Something happens in a process, which may end at it."""
-        machine = self.machines[number]
-        if machine is None:
+    def _step(self, number: int, action: Callable[[Replica], Any]) -> Any:
+        """Runs an action in a process, which may be killed at it, and sends the calls that it makes."""
+        replica = self.replicas[number]
+        if replica is None:
             return None
         try:
-            answer = what(machine)
+            answer = action(replica)
         except Killed:
             self.kill(number)
             return None
         except (StoreError, UnacceptableChangeError):
             answer = None
-        calls, machine.outgoing = machine.outgoing, []
+        calls, replica.outgoing = replica.outgoing, []
         for call in calls:
             self._send(number, call)
         return answer
 
-    def _tick(self, number: int, life: int) -> None:
-        if self.lives[number] != life:
+    def _tick(self, number: int, incarnation: int) -> None:
+        if self.incarnations[number] != incarnation:
             return
-        self._step(number, lambda machine: machine.tick(self.now))
-        machine = self.machines[number]
-        if machine is not None:
-            self.at(max(machine.due, self.now + 0.005), lambda: self._tick(number, life))
+        self._step(number, lambda replica: replica.tick(self.now))
+        replica = self.replicas[number]
+        if replica is not None:
+            self.schedule(max(replica.due, self.now + 0.005), lambda: self._tick(number, incarnation))
 
-    def _passes(self, a: int, b: int) -> list[float]:
-        """When copies of what a says to b arrive."""
+    def _arrival_times(self, a: int, b: int) -> list[float]:
+        """When the copies of a message from a to b arrive; empty where it is lost."""
         link = self.links[a, b]
-        if link.cut or self.chance.random() < link.loss:
+        if link.cut or self.rng.random() < link.loss:
             return []
-        many = 1 + (self.chance.random() < link.double)
-        return [self.now + link.delay + link.spread * self.chance.random() for _ in range(many)]
+        count = 1 + (self.rng.random() < link.duplication)
+        return [self.now + link.delay + link.jitter * self.rng.random() for _ in range(count)]
 
     def _send(self, number: int, call: PeerCall) -> None:
-        life, done = self.lives[number], list[bool]()
+        incarnation, done = self.incarnations[number], list[bool]()
 
-        def ended(answer: Any) -> None:
-            if not done and self.lives[number] == life:
+        def finish(answer: Any) -> None:
+            if not done and self.incarnations[number] == incarnation:
                 done.append(True)
-                self._step(number, lambda machine: machine.handle_reply(call, answer, self.now))
+                self._step(number, lambda replica: replica.handle_reply(call, answer, self.now))
 
-        def arrived() -> None:
-            answer = self._step(call.peer, lambda machine: self.serve(machine, call.body))
+        def deliver() -> None:
+            answer = self._step(call.peer, lambda replica: self.serve(replica, call.body))
             if answer is not None:
-                for when in self._passes(call.peer, number):
-                    self.at(when, lambda: ended(answer))
+                for when in self._arrival_times(call.peer, number):
+                    self.schedule(when, lambda: finish(answer))
 
-        for when in self._passes(number, call.peer) if not self.dropped(call) else ():
-            self.at(when, arrived)
-        self.at(self.now + call.timeout, lambda: ended(None))
+        for when in self._arrival_times(number, call.peer) if not self.drops(call) else ():
+            self.schedule(when, deliver)
+        self.schedule(self.now + call.timeout, lambda: finish(None))
 
-    def serve(self, machine: Replica, body: Any) -> Any:
+    def serve(self, replica: Replica, body: Any) -> Any:
+        """Answers a call as a replica's HTTP service does."""
         match body:
             case Prepare():
-                return machine.handle_prepare(body, self.now)
+                return replica.handle_prepare(body, self.now)
             case Accept():
-                return machine.handle_accept(body, self.now)
+                return replica.handle_accept(body, self.now)
             case DecidedChange():
-                return machine.handle_decided(body, self.now)
+                return replica.handle_decided(body, self.now)
             case Heartbeat():
-                return machine.handle_heartbeat(body, self.now)
+                return replica.handle_heartbeat(body, self.now)
             case CatchUpRequest(since, False, _):
-                return machine.read_log(since)
+                return replica.read_log(since)
             case CatchUpRequest(version, True, page):
-                return machine.state.snapshot(version, page, self.now)
+                return replica.state.snapshot(version, page, self.now)
 
     # Proposals
 
-    def propose(self, number: int, what: Proposal) -> None:
-        found = self._step(number, lambda machine: machine.propose(what, self.now))
+    def propose(self, number: int, proposal: Proposal) -> None:
+        """Proposes at a replica; the result will be in `answers`."""
+        found = self._step(number, lambda replica: replica.propose(proposal, self.now))
         if isinstance(found, Proposer):
-            self._asked.append((what.ident, number, self.lives[number], found))
+            self._open_proposals.append((proposal.ident, number, self.incarnations[number], found))
         elif isinstance(found, RejectedProposal):
-            self.answers.setdefault(what.ident, found)
+            self.answers.setdefault(proposal.ident, found)
 
     def answered(self, ident: str, seconds: float) -> bool:
+        """Runs until a proposal has a result, at most so many seconds; returns whether it has one."""
         return self.run(seconds, lambda: ident in self.answers)
 
-    # What holds at all times
+    # Invariants
 
     def check(self) -> None:
-        for number, machine in self.machines.items():
-            if machine is None or machine.state.committed_version == self._checked[number]:
+        """Asserts that each version is decided once, each ident is made once, and no replica goes back."""
+        for number, replica in self.replicas.items():
+            if replica is None or replica.state.committed_version == self._checked[number]:
                 continue
-            holding, since = machine.state, self._checked[number] + 1
-            assert holding.committed_version >= since, "a machine went back"
-            changes, gone = holding.log(max(since, holding._store.first_log_version))
+            state, since = replica.state, self._checked[number] + 1
+            assert state.committed_version >= since, "the committed version of a replica went back"
+            changes, gone = state.log(max(since, state._store.first_log_version))
             for change in changes:
-                self._once(change.version, change.ident, change.digest)
-            if gone or not changes:  # taken as a snapshot
-                known = self.decided.get(holding.committed_version)
-                assert known is None or known[1] == holding.document.digest, "a snapshot of something else"
-            self._checked[number] = changes[-1].version if changes else holding.committed_version
-        for entry in list(self._asked):
-            ident, number, life, proposer = entry
-            if self.lives[number] != life:  # nobody was answered: it may be made or not
-                self._asked.remove(entry)
+                self._record_decided(change.version, change.ident, change.digest)
+            if gone or not changes:  # it installed a snapshot
+                known = self.decided.get(state.committed_version)
+                assert known is None or known[1] == state.document.digest, "a snapshot differs from its version"
+            self._checked[number] = changes[-1].version if changes else state.committed_version
+        for entry in list(self._open_proposals):
+            ident, number, incarnation, proposer = entry
+            if self.incarnations[number] != incarnation:  # the process ended, and the caller has no result
+                self._open_proposals.remove(entry)
             elif proposer.result is not None:
-                self._asked.remove(entry)
-                self._told(ident, proposer.result)
+                self._open_proposals.remove(entry)
+                self._record_answer(ident, proposer.result)
 
-    def _told(self, ident: str, result: AcceptedProposal | RejectedProposal) -> None:
+    def _record_answer(self, ident: str, result: AcceptedProposal | RejectedProposal) -> None:
         if isinstance(result, AcceptedProposal):
             known = self.decided.get(result.version)
-            assert known is not None and known[0] == ident, f"{ident} answered as made, and is not"
+            assert known is not None and known[0] == ident, f"{ident} was reported as accepted but is not decided"
         before = self.answers.get(ident)
         assert not isinstance(before, AcceptedProposal) or before == result or isinstance(result, RejectedProposal)
         if not isinstance(before, AcceptedProposal):
             self.answers[ident] = result
 
-    def _once(self, version: int, ident: str, digest: str) -> None:
-        assert self.decided.setdefault(version, (ident, digest)) == (ident, digest), f"two of version {version}"
+    def _record_decided(self, version: int, ident: str, digest: str) -> None:
+        assert self.decided.setdefault(version, (ident, digest)) == (ident, digest), f"two changes of version {version}"
         assert self._idents.setdefault(ident, version) == version, f"{ident} made twice"
 
     # Faults
 
     def cut(self, side: Iterable[int], other: Iterable[int], one_way: bool = False) -> None:
+        """Cuts the links from each replica of `side` to each of `other`, and back unless `one_way`."""
         there = list(other)
         for a in side:
             for b in there:
@@ -284,18 +303,23 @@
                     self.links[b, a].cut = self.links[b, a].cut or not one_way
 
     def heal(self) -> None:
+        """Restores all links to their defaults."""
         for pair in self.links:
             self.links[pair] = Link()
 
-    def up(self) -> list[Replica]:
-        return [machine for machine in self.machines.values() if machine is not None]
+    def running(self) -> list[Replica]:
+        """The replicas whose process runs."""
+        return [replica for replica in self.replicas.values() if replica is not None]
 
-    def alive(self, number: int) -> Replica:
-        machine = self.machines[number]
-        assert machine is not None
-        return machine
+    def replica(self, number: int) -> Replica:
+        """The replica of this number, which must be running."""
+        replica = self.replicas[number]
+        assert replica is not None
+        return replica
 
     def agreed(self) -> bool:
-        """Do all run, and hold the same?"""
-        found = self.up()
-        return len(found) == self.many and all(m.state.committed_version == max(self.decided, default=0) for m in found)
+        """Whether all replicas run and have the newest decided version."""
+        found = self.running()
+        return len(found) == self.count and all(
+            m.state.committed_version == max(self.decided, default=0) for m in found
+        )
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -1,4 +1,7 @@
-"""One change for each version, over seeded schedules of faults; and each rule of the agreement by itself."""
+"""Paxos: one change per version over seeded schedules of faults, and each rule of agreement.py by itself.
+
+The numbers in test names are those of the rules in agreement.py.
+"""
 
 from __future__ import annotations
 
@@ -20,137 +23,148 @@
 from tests.simulated_replicas import SimulatedReplicas, proposal
 
 
-def trouble(world: SimulatedReplicas, rng: Random) -> None:
-    """One thing goes wrong, or right again."""
-    number = rng.randrange(world.many)
-    most = len(world.voters) - (len(world.voters) // 2 + 1)
+def inject_fault(sim: SimulatedReplicas, rng: Random) -> None:
+    """Injects one random fault, or repairs earlier ones."""
+    number = rng.randrange(sim.count)
+    max_lost = len(sim.voters) - (len(sim.voters) // 2 + 1)
     match rng.randrange(9):
         case 0:
-            world.kill(number)
+            sim.kill(number)
         case 1 | 2:
-            for each, machine in world.machines.items():
-                if machine is None:
-                    world.start(each)
+            for each, replica in sim.replicas.items():
+                if replica is None:
+                    sim.start(each)
         case 3:
-            lost = world.lost()
-            if number in world.voters and len([v for v in lost if v != number]) < most and world.decided:
-                world.kill(number)
-                world.start(number, empty=True)
+            abstaining_voters = sim.abstaining_voters()
+            if number in sim.voters and len([v for v in abstaining_voters if v != number]) < max_lost and sim.decided:
+                sim.kill(number)
+                sim.start(number, empty=True)
         case 4:
-            world.cut([number], range(world.many), one_way=True)
+            sim.cut([number], range(sim.count), one_way=True)
         case 5:
-            world.cut(range(world.many), [number], one_way=True)
+            sim.cut(range(sim.count), [number], one_way=True)
         case 6:
-            side = rng.sample(range(world.many), world.many // 2)
-            world.cut(side, [each for each in range(world.many) if each not in side])
+            side = rng.sample(range(sim.count), sim.count // 2)
+            sim.cut(side, [each for each in range(sim.count) if each not in side])
         case 7:
-            world.heal()
+            sim.heal()
         case 8:
-            for link in world.links.values():
-                link.loss, link.double = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.0, 0.3))
-                link.spread = rng.choice((0.005, 0.1, 2.0))
-
-
-def play(many: int, seed: int, seconds: int = 40, kills: float = 0.01, log: int = 20_000) -> SimulatedReplicas:
-    world, rng = SimulatedReplicas(many, seed, log=log), Random(f"trouble {seed}")
-    assert world.run(20, lambda: all(machine.votes for machine in world.up())), "a first start never ends"
-    world.kills = kills
+            for link in sim.links.values():
+                link.loss, link.duplication = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.0, 0.3))
+                link.jitter = rng.choice((0.005, 0.1, 2.0))
+
+
+def run_schedule(
+    count: int, seed: int, seconds: int = 40, kill_probability: float = 0.01, log: int = 20_000
+) -> SimulatedReplicas:
+    """Proposes changes under random faults, then repairs all and checks that every replica catches up and votes."""
+    sim, rng = SimulatedReplicas(count, seed, log=log), Random(f"trouble {seed}")  # the text is part of the seed
+    assert sim.run(20, lambda: all(replica.votes for replica in sim.running())), "the first start does not end"
+    sim.kill_probability = kill_probability
     for number in range(seconds * 5):
         what = proposal(f"change-{number}", f"tenant/t{rng.randrange(9)}", {"quota_per_s": number})
-        places = rng.sample(range(many), rng.choice((1, 1, 2)))
-        for place in places:  # one and the same at two machines, now and then
-            world.propose(place, what)
+        proposers = rng.sample(range(count), rng.choice((1, 1, 2)))
+        for proposer in proposers:  # now and then the same proposal at two replicas
+            sim.propose(proposer, what)
         if rng.random() < 0.2:
-            trouble(world, rng)
-        world.run(0.2)
-    world.kills = 0.0
-    world.heal()
-    for number, machine in world.machines.items():
-        if machine is None:
-            world.start(number)
-    world.run(40)
-    made = [answer.version for answer in world.answers.values() if isinstance(answer, AcceptedProposal)]
-    heads = [machine.state.committed_version for machine in world.up()]
-    assert min(heads) >= max(made, default=0), "what was answered as made is not everywhere"
+            inject_fault(sim, rng)
+        sim.run(0.2)
+    sim.kill_probability = 0.0
+    sim.heal()
+    for number, replica in sim.replicas.items():
+        if replica is None:
+            sim.start(number)
+    sim.run(40)
+    accepted_versions = [answer.version for answer in sim.answers.values() if isinstance(answer, AcceptedProposal)]
+    versions = [replica.state.committed_version for replica in sim.running()]
+    assert min(versions) >= max(accepted_versions, default=0), "a replica lacks a change that was reported as accepted"
     for number in range(4):
-        # Those that lost their disks vote again two changes later, all others at once.
+        # Voters that lost their disks vote again two changes later; all others vote at once.
         ident = f"healed-{number}"
-        world.propose(number % many, proposal(ident))
-        assert world.answered(ident, 15), f"{ident} not decided in time"
-        assert isinstance(world.answers[ident], AcceptedProposal), world.answers[ident]
-        world.run(2)
-    assert world.run(5, world.agreed), "they don't hold the same"
-    assert not world.lost(), "some abstain for ever"
-    documents = [machine.state.document for machine in world.up()]
+        sim.propose(number % count, proposal(ident))
+        assert sim.answered(ident, 15), f"{ident} not decided in time"
+        assert isinstance(sim.answers[ident], AcceptedProposal), sim.answers[ident]
+        sim.run(2)
+    assert sim.run(5, sim.agreed), "the replicas have different versions"
+    assert not sim.abstaining_voters(), "some voters still abstain"
+    documents = [replica.state.document for replica in sim.running()]
     assert len({document.digest for document in documents}) == 1
-    return world
+    return sim
+
 
+def run_safety_schedule(count: int, seed: int, seconds: int = 30) -> SimulatedReplicas:
+    """Runs a harsher schedule, which checks the invariants only and not that proposals succeed.
 
-def storm(many: int, seed: int, seconds: int = 30) -> SimulatedReplicas:
-    """Harsher, for safety alone: all propose all the time, letters take as long as tries, processes end at
-    every other step and come back at once, and a minority at a time without their disks."""
-    world, rng = SimulatedReplicas(many, seed), Random(f"storm {seed}")
-    assert world.run(20, lambda: all(machine.votes for machine in world.up()))
-    most = many - (many // 2 + 1)
-    for link in world.links.values():
-        link.loss, link.double, link.spread = 0.05, 0.3, rng.choice((0.05, 0.3, 1.0))
+    All replicas propose all the time, messages take as long as attempts, processes are killed often and restart at
+    once, and up to a minority of them at a time restarts without its disk.
+    """
+    sim, rng = SimulatedReplicas(count, seed), Random(f"storm {seed}")  # the text is part of the seed
+    assert sim.run(20, lambda: all(replica.votes for replica in sim.running()))
+    max_lost = count - (count // 2 + 1)
+    for link in sim.links.values():
+        link.loss, link.duplication, link.jitter = 0.05, 0.3, rng.choice((0.05, 0.3, 1.0))
     for step in range(seconds * 10):
-        for number, machine in world.machines.items():
-            if machine is None:
-                lost = [voter for voter in world.lost() if voter != number]
-                world.start(number, empty=bool(world.decided) and len(lost) < most and rng.random() < 0.7)
-        world.kills = rng.choice((0.0, 0.05))
-        for number in range(many):
+        for number, replica in sim.replicas.items():
+            if replica is None:
+                abstaining_voters = [voter for voter in sim.abstaining_voters() if voter != number]
+                sim.start(number, empty=bool(sim.decided) and len(abstaining_voters) < max_lost and rng.random() < 0.7)
+        sim.kill_probability = rng.choice((0.0, 0.05))
+        for number in range(count):
             if rng.random() < 0.5:
-                world.propose(number, proposal(f"change-{step}-{number}", f"tenant/t{rng.randrange(9)}"))
-        world.run(0.1)
-    return world
+                sim.propose(number, proposal(f"change-{step}-{number}", f"tenant/t{rng.randrange(9)}"))
+        sim.run(0.1)
+    return sim
 
 
 class Schedules(unittest.TestCase):
-    def test_three_machines(self) -> None:
+    """The invariants hold over seeded schedules of faults."""
+
+    def test_three_replicas(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
-                self.assertGreater(max(play(3, seed).decided), 9)
+                self.assertGreater(max(run_schedule(3, seed).decided), 9)
 
-    def test_five_machines(self) -> None:
+    def test_five_replicas(self) -> None:
         for seed in range(100, 108):
             with self.subTest(seed=seed):
-                self.assertGreater(max(play(5, seed).decided), 9)
+                self.assertGreater(max(run_schedule(5, seed).decided), 9)
 
-    def test_seven_machines_and_a_short_log(self) -> None:
+    def test_seven_replicas_and_a_short_log(self) -> None:
         for seed in range(200, 204):
             with self.subTest(seed=seed):
-                self.assertGreater(max(play(7, seed, 25, log=5).decided), 9)
+                self.assertGreater(max(run_schedule(7, seed, 25, log=5).decided), 9)
 
-    def test_storms(self) -> None:
+    def test_harsh_schedules_keep_the_invariants(self) -> None:
         for seed in range(300, 306):
             with self.subTest(seed=seed):
-                storm((3, 5)[seed % 2], seed)
+                run_safety_schedule((3, 5)[seed % 2], seed)
 
-    def test_many_proposers_at_once_each_get_theirs_once(self) -> None:
-        world = SimulatedReplicas(5, 7)
-        world.run(5)
+    def test_each_of_many_concurrent_proposals_is_made_once(self) -> None:
+        sim = SimulatedReplicas(5, 7)
+        sim.run(5)
         for number in range(60):
-            world.propose(number % 5, proposal(f"at-once-{number}"))
-        world.run(60, lambda: len(world.answers) == 60)
-        made = [answer.version for answer in world.answers.values() if isinstance(answer, AcceptedProposal)]
-        self.assertEqual(list(range(1, 61)), sorted(made))
+            sim.propose(number % 5, proposal(f"at-once-{number}"))
+        sim.run(60, lambda: len(sim.answers) == 60)
+        accepted_versions = [answer.version for answer in sim.answers.values() if isinstance(answer, AcceptedProposal)]
+        self.assertEqual(list(range(1, 61)), sorted(accepted_versions))
 
 
 def change(ident: str = "some-change", version: int = 1) -> Change:
+    """A change whose digest is not checked."""
     return Change(version, ident, "0" * 32, proposal(ident).entries)
 
 
 class Rules(unittest.TestCase):
+    """The rules of the voter's side."""
+
     def setUp(self) -> None:
-        self.kept: list[tuple[int, Ballot, Ballot | None, Change | None]] = []
-        self.acceptor = Acceptor(lambda *row: self.kept.append(row))
+        self.persisted: list[tuple[int, Ballot, Ballot | None, Change | None]] = []
+        self.acceptor = Acceptor(lambda *row: self.persisted.append(row))
 
-    def test_1_no_vote_for_another_version_than_the_one_after_the_head(self) -> None:
+    def test_1_votes_only_on_the_version_after_the_committed_one(self) -> None:
         self.acceptor.advance(3)
-        words = [self.acceptor.prepare(Prepare(version, Ballot(1, 0))).outcome for version in (3, 4, 5)]
-        self.assertEqual(["ahead", "promised", "behind"], words)
+        outcomes = [self.acceptor.prepare(Prepare(version, Ballot(1, 0))).outcome for version in (3, 4, 5)]
+        self.assertEqual(["ahead", "promised", "behind"], outcomes)
         votes = [self.acceptor.accept(Accept(Ballot(1, 0), change(version=v))).outcome for v in (3, 5)]
         self.assertEqual(["ahead", "behind"], votes)
 
@@ -164,13 +178,13 @@
         self.assertEqual("refused", self.acceptor.accept(Accept(Ballot(1, 1), change())).outcome)
         self.assertEqual("accepted", self.acceptor.accept(Accept(Ballot(2, 1), change())).outcome)
 
-    def test_4_a_promise_tells_what_was_accepted_last(self) -> None:
+    def test_4_a_promise_carries_the_change_accepted_last(self) -> None:
         self.acceptor.accept(Accept(Ballot(1, 1), change("the-earlier")))
         self.acceptor.accept(Accept(Ballot(2, 1), change("the-later")))
         promise = self.acceptor.prepare(Prepare(1, Ballot(3, 0)))
         self.assertEqual((Ballot(2, 1), "the-later"), (promise.accepted, promise.change and promise.change.ident))
 
-    def test_6_what_can_not_be_kept_is_not_said(self) -> None:
+    def test_6_no_reply_and_no_change_of_state_if_persisting_fails(self) -> None:
         def fails(*row: object) -> None:
             raise OSError
 
@@ -182,25 +196,25 @@
                 acceptor.accept(Accept(Ballot(1, 0), change()))
         self.assertEqual((Ballot(), None, None), (acceptor.promised, acceptor.accepted, acceptor.change))
 
-    def test_7_one_that_lost_its_disk_abstains(self) -> None:
-        for since, word in ((None, "abstains"), (2, "abstains"), (1, "promised")):
+    def test_7_a_voter_that_lost_its_disk_abstains(self) -> None:
+        for since, outcome in ((None, "abstains"), (2, "abstains"), (1, "promised")):
             self.acceptor.votes_from = since
-            self.assertEqual(word, self.acceptor.prepare(Prepare(1, Ballot(1, 0))).outcome)
+            self.assertEqual(outcome, self.acceptor.prepare(Prepare(1, Ballot(1, 0))).outcome)
         self.acceptor.votes_from = 2
         self.assertEqual("abstains", self.acceptor.accept(Accept(Ballot(1, 0), change())).outcome)
 
-    def test_8_a_change_that_does_not_fit_gets_no_vote(self) -> None:
+    def test_8_a_change_that_does_not_fit_is_not_accepted(self) -> None:
         def unfit(change: Change) -> None:
             raise UnacceptableChangeError
 
         self.acceptor.validate = unfit
         with self.assertRaises(UnacceptableChangeError):
             self.acceptor.accept(Accept(Ballot(1, 0), change()))
-        self.assertEqual([], self.kept)
+        self.assertEqual([], self.persisted)
 
 
-class Holder:
-    """The proposer's machine, by hand."""
+class FakeTarget:
+    """The state of the proposer's replica, as the test sets it."""
 
     committed_version = 0
     epoch = ""
@@ -213,68 +227,73 @@
 
 
 class Proposing(unittest.TestCase):
+    """The rules of the proposer's side."""
+
     def setUp(self) -> None:
-        self.holder = Holder()
-        self.proposer = Proposer(0, (0, 1, 2), proposal("own-change"), self.holder, Random(1), 0.0)
+        self.target = FakeTarget()
+        self.proposer = Proposer(0, (0, 1, 2), proposal("own-change"), self.target, Random(1), 0.0)
         self.proposer.step(0.0)
 
-    def asks(self) -> list[Prepare | Accept]:
-        asks, self.proposer.requests = self.proposer.requests, []
-        return [ask for _, ask in asks]
+    def take_requests(self) -> list[Prepare | Accept]:
+        """Returns and removes the requests that the proposer wants to send."""
+        requests, self.proposer.requests = self.proposer.requests, []
+        return [request for _, request in requests]
 
     def prepare(self) -> Prepare:
-        found = self.asks()[0]
+        """The Prepare request that the proposer sends."""
+        found = self.take_requests()[0]
         assert isinstance(found, Prepare)
         return found
 
-    def test_4_it_goes_on_with_the_change_of_the_highest_ballot(self) -> None:
-        ask = self.prepare()
+    def test_4_proposes_the_change_of_the_highest_ballot(self) -> None:
+        request = self.prepare()
         for voter, number in ((1, 3), (2, 2)):
-            found = Promise("promised", 0, ask.ballot, Ballot(number, 2), change(f"at-ballot-{number}"))
-            self.proposer.handle_promise(voter, ask, found, 0.0)
-        accept = self.asks()[0]
+            found = Promise("promised", 0, request.ballot, Ballot(number, 2), change(f"at-ballot-{number}"))
+            self.proposer.handle_promise(voter, request, found, 0.0)
+        accept = self.take_requests()[0]
         assert isinstance(accept, Accept)
         self.assertEqual("at-ballot-3", accept.change.ident)
 
-    def test_5_9_each_voter_counts_once_and_for_this_ballot_only(self) -> None:
-        ask = self.prepare()
+    def test_5_9_each_voter_counts_once_and_for_the_current_ballot_only(self) -> None:
+        request = self.prepare()
         for _ in range(3):
-            self.proposer.handle_promise(1, ask, Promise("promised", 0, ask.ballot), 0.0)
-        self.assertEqual([], self.asks())
+            self.proposer.handle_promise(1, request, Promise("promised", 0, request.ballot), 0.0)
+        self.assertEqual([], self.take_requests())
         old = Prepare(1, Ballot(0, 0))
         self.proposer.handle_promise(2, old, Promise("promised", 0, old.ballot), 0.0)
-        self.assertEqual([], self.asks())
-        self.proposer.handle_promise(2, ask, Promise("promised", 0, ask.ballot), 0.0)
-        accept = self.asks()[0]
+        self.assertEqual([], self.take_requests())
+        self.proposer.handle_promise(2, request, Promise("promised", 0, request.ballot), 0.0)
+        accept = self.take_requests()[0]
         assert isinstance(accept, Accept)
         for _ in range(3):
-            self.proposer.handle_accept_reply(1, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
+            self.proposer.handle_accept_reply(1, accept, AcceptReply("accepted", 0, request.ballot), 0.0)
         other = Accept(Ballot(0, 0), accept.change)
         self.proposer.handle_accept_reply(2, other, AcceptReply("accepted", 0, other.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
-        self.proposer.handle_accept_reply(2, accept, AcceptReply("accepted", 0, ask.ballot), 0.0)
+        self.proposer.handle_accept_reply(2, accept, AcceptReply("accepted", 0, request.ballot), 0.0)
         self.assertEqual(accept.change, self.proposer.decided)
 
-    def test_9_an_answer_for_an_earlier_version_is_none_for_this_one_at_the_same_ballot(self) -> None:
-        """Else a promise for a version that is decided since would stand for one that nobody has promised."""
+    def test_9_a_reply_for_an_earlier_version_does_not_count_at_the_same_ballot(self) -> None:
+        """Otherwise promises for a version that was decided since would count for a version that nobody promised."""
         before = self.prepare()
-        self.holder.committed_version = 1
+        self.target.committed_version = 1
         self.proposer.step(0.0)
-        ask = self.prepare()
-        self.assertEqual((before.ballot, 2), (ask.ballot, ask.version))
+        request = self.prepare()
+        self.assertEqual((before.ballot, 2), (request.ballot, request.version))
         for voter in (1, 2):
-            self.proposer.handle_promise(voter, before, Promise("promised", 0, ask.ballot), 0.0)
-        self.assertEqual([], self.asks())
+            self.proposer.handle_promise(voter, before, Promise("promised", 0, request.ballot), 0.0)
+        self.assertEqual([], self.take_requests())
         for voter in (1, 2):
-            self.proposer.handle_promise(voter, ask, Promise("promised", 1, ask.ballot), 0.0)
-        accept = self.asks()[0]
+            self.proposer.handle_promise(voter, request, Promise("promised", 1, request.ballot), 0.0)
+        accept = self.take_requests()[0]
         assert isinstance(accept, Accept)
-        old = Accept(ask.ballot, change("own-change", 1))
+        old = Accept(request.ballot, change("own-change", 1))
         for voter in (1, 2):
-            self.proposer.handle_accept_reply(voter, old, AcceptReply("accepted", 0, ask.ballot), 0.0)
+            self.proposer.handle_accept_reply(voter, old, AcceptReply("accepted", 0, request.ballot), 0.0)
         self.assertIsNone(self.proposer.decided)
 
-    def end(self) -> str:
+    def run_to_rejection(self) -> str:
+        """Lets time pass until the proposal is rejected; returns the reason."""
         now = 0.0
         while self.proposer.result is None:
             now = max(now + 0.001, self.proposer.due)
@@ -283,44 +302,46 @@
         assert isinstance(self.proposer.result, RejectedProposal)
         return self.proposer.result.reason
 
-    def test_10_without_answers_it_ends_and_nothing_was_changed(self) -> None:
-        self.assertEqual("abstains", self.end())
-        self.assertLessEqual(len(self.asks()), MAX_ATTEMPTS * 3)
+    def test_10_without_replies_it_ends_and_nothing_was_changed(self) -> None:
+        self.assertEqual("abstains", self.run_to_rejection())
+        self.assertLessEqual(len(self.take_requests()), MAX_ATTEMPTS * 3)
 
-    def test_10_once_it_was_sent_to_be_accepted_the_end_is_unknown(self) -> None:
-        ask = self.prepare()
+    def test_10_after_accept_was_sent_the_result_is_unknown(self) -> None:
+        request = self.prepare()
         for voter in (1, 2):
-            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
-        self.assertEqual("unknown", self.end())
+            self.proposer.handle_promise(voter, request, Promise("promised", 0, request.ballot), 0.0)
+        self.assertEqual("unknown", self.run_to_rejection())
 
-    def test_10_decided_otherwise_it_can_not_be_made_any_more(self) -> None:
-        ask = self.prepare()
+    def test_10_not_unknown_once_the_version_was_decided_with_another_change(self) -> None:
+        request = self.prepare()
         for voter in (1, 2):
-            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
-        self.holder.committed_version = 1  # with somebody else's change
-        self.assertEqual("abstains", self.end())
+            self.proposer.handle_promise(voter, request, Promise("promised", 0, request.ballot), 0.0)
+        self.target.committed_version = 1  # with another proposer's change
+        self.assertEqual("abstains", self.run_to_rejection())
 
-    def test_what_is_finished_is_so_for_its_own_version_only(self) -> None:
+    def test_an_accepted_change_is_completed_for_its_own_version_only(self) -> None:
         found = change("own-change")
-        self.proposer = Proposer(0, (0, 1, 2), proposal("own-change"), self.holder, Random(1), 0.0, found)
+        self.proposer = Proposer(0, (0, 1, 2), proposal("own-change"), self.target, Random(1), 0.0, found)
         self.proposer.step(0.0)
-        ask = self.prepare()
+        request = self.prepare()
         for voter in (1, 2):
-            self.proposer.handle_promise(voter, ask, Promise("promised", 0, ask.ballot), 0.0)
-        accept = self.asks()[0]
+            self.proposer.handle_promise(voter, request, Promise("promised", 0, request.ballot), 0.0)
+        accept = self.take_requests()[0]
         assert isinstance(accept, Accept)
         self.assertIs(found, accept.change)
-        self.holder.committed_version = 1
+        self.target.committed_version = 1
         self.proposer.step(0.1)
         assert isinstance(self.proposer.result, RejectedProposal)
-        self.assertEqual(("stale", []), (self.proposer.result.reason, self.asks()))
+        self.assertEqual(("stale", []), (self.proposer.result.reason, self.take_requests()))
 
-    def test_11_proposers_that_meet_wait_for_times_that_differ(self) -> None:
+    def test_11_pauses_between_attempts_are_random_and_grow(self) -> None:
         pauses = []
         for _ in range(6):
-            ask = self.prepare()
+            request = self.prepare()
             for voter in (1, 2):
-                self.proposer.handle_promise(voter, ask, Promise("refused", 0, Ballot(ask.ballot.number, 2)), 0.0)
+                self.proposer.handle_promise(
+                    voter, request, Promise("refused", 0, Ballot(request.ballot.number, 2)), 0.0
+                )
             pauses.append(self.proposer.due)
             self.proposer.step(self.proposer.due)
         self.assertEqual(6, len(set(pauses)))
