--- a/tests/replica_processes.py
+++ b/tests/replica_processes.py
@@ -1,4 +1,4 @@
-"""Machines of the configuration as processes, with wires between them, for tests."""
+"""Configuration replicas as processes, connected through proxies that inject faults."""
 
 from __future__ import annotations
 
@@ -22,27 +22,29 @@
 
 
 class ReplicaProcesses:
-    """Machines, each of which finds the others over the wires; operators call them as they are."""
+    """Replica processes that reach each other through `links`; a test calls them directly, as an operator does."""
 
-    def __init__(self, many: int, folder: Path, voters: int) -> None:
-        self.many, self.folder, self.voters = many, folder, voters
-        self.wires, self.ports = FaultyTcpLinks(many), free_ports(many)
+    def __init__(self, count: int, folder: Path, voters: int) -> None:
+        self.count, self.folder, self.voters = count, folder, voters
+        self.links, self.ports = FaultyTcpLinks(count), free_ports(count)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.answers: dict[str, AcceptedProposal] = {}
 
     def at(self, *numbers: int) -> list[str]:
+        """The addresses of these replicas."""
         return [f"127.0.0.1:{self.ports[number]}" for number in numbers]
 
     def settings(self, number: int) -> Path:
+        """Writes the settings of a replica; returns their file."""
         rows = [
             {
                 "number": other,
                 "zone": f"zone-{other % 2}",
                 "region": "hellas",
                 "voter": other < self.voters,
-                "address": self.at(number)[0] if other == number else self.wires.address(number, other),
+                "address": self.at(number)[0] if other == number else self.links.address(number, other),
             }
-            for other in range(self.many)
+            for other in range(self.count)
         ]
         file = self.folder / f"machine-{number}.json"
         store = str(self.folder / f"machine-{number}.sqlite")
@@ -51,6 +53,7 @@
         return file
 
     async def start(self, number: int, empty: bool = False) -> None:
+        """Starts a process and waits until it is ready; with `empty`, without its store file."""
         if empty:
             for file in self.folder.glob(f"machine-{number}.sqlite*"):
                 file.unlink()
@@ -70,64 +73,72 @@
         assert (await out.readline()).startswith(b"ready")
 
     async def kill(self, number: int) -> None:
+        """Kills a process and waits for its end."""
         self.processes[number].send_signal(signal.SIGKILL)
         await self.processes[number].wait()
 
-    def signal(self, number: int, what: signal.Signals) -> None:
-        self.processes[number].send_signal(what)
+    def signal(self, number: int, signal_to_send: signal.Signals) -> None:
+        """Sends a signal to a process."""
+        self.processes[number].send_signal(signal_to_send)
 
     async def status(self, number: int) -> ReplicaStatus:
+        """Returns the status document of a replica."""
         status, body = await call_replica(self.at(number)[0], "GET", b"/configuration/status", b"", 5.0)
         assert status == 200
         return decode(body, ReplicaStatus)
 
     async def makes(self, ident: str, *numbers: int) -> int:
-        """By these machines, the one after the other until it is made."""
+        """Proposes a change at these replicas, one after another until one accepts; returns its version."""
         answer = await submit_proposal(self.at(*numbers), proposal(ident, f"tenant/{ident}"), 25.0)
         assert isinstance(answer, AcceptedProposal), answer
         self.answers[ident] = answer
         return answer.version
 
-    async def until_voting(self, *numbers: int) -> None:
+    async def wait_until_voting(self, *numbers: int) -> None:
+        """Waits until these voters vote."""
         for number in numbers:
             while (await self.status(number)).non_voting:
                 await asyncio.sleep(0.05)
 
-    async def agree(self) -> None:
-        """All hold the same, every change answered as made is there, and none is there twice."""
+    async def wait_for_agreement(self) -> None:
+        """Waits until all replicas have the same document, then checks their logs.
+
+        Each accepted change is there at its version, and none is there twice.
+        """
         while True:
-            found = [await self.status(number) for number in range(self.many)]
-            if len({(each.committed_version, each.digest) for each in found}) == 1:
+            statuses = [await self.status(number) for number in range(self.count)]
+            if len({(each.committed_version, each.digest) for each in statuses}) == 1:
                 break
             await asyncio.sleep(0.05)
         logs = []
-        for number in range(self.many):
+        for number in range(self.count):
             _, body = await call_replica(self.at(number)[0], "GET", b"/configuration/log?from=1", b"", 5.0)
             log = decode(body, LogPage)
             if not log.truncated:
                 logs.append([change.ident for change in log.changes])
         assert logs and all(idents == logs[0] for idents in logs)
-        assert len(set(logs[0])) == len(logs[0]), "made twice"
+        assert len(set(logs[0])) == len(logs[0]), "an ident was made twice"
         for ident, answer in self.answers.items():
             assert logs[0][answer.version - 1] == ident, f"{ident} lost"
-        for number in range(self.many):  # and asked for once more it is still the one
+        for number in range(self.count):  # a retry gets the same result
             for ident, answer in list(self.answers.items())[:2]:
-                again = await submit_proposal(self.at(number), proposal(ident, f"tenant/{ident}"), 5.0)
-                assert again == answer, again
+                retried = await submit_proposal(self.at(number), proposal(ident, f"tenant/{ident}"), 5.0)
+                assert retried == answer, retried
 
 
 @contextlib.asynccontextmanager
-async def replica_processes(many: int = 3, voters: int | None = None) -> AsyncIterator[ReplicaProcesses]:
+async def replica_processes(count: int = 3, voters: int | None = None) -> AsyncIterator[ReplicaProcesses]:
+    """Runs replicas, of which the first `voters` vote, or all, and waits until they vote."""
     with tempfile.TemporaryDirectory() as name:
-        found = ReplicaProcesses(many, Path(name), voters or many)
-        await found.wires.open(found.ports)
+        replicas = ReplicaProcesses(count, Path(name), voters or count)
+        await replicas.links.open(replicas.ports)
         try:
-            await asyncio.gather(*(found.start(number) for number in range(many)))
-            await found.until_voting(*range(found.voters))
-            yield found
+            await asyncio.gather(*(replicas.start(number) for number in range(count)))
+            await replicas.wait_until_voting(*range(replicas.voters))
+            yield replicas
         finally:
-            for process in found.processes.values():
+            for process in replicas.processes.values():
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
-            await found.wires.close()
+            await replicas.links.close()
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Relays as processes that follow machines as processes, with wires between them that fail."""
+"""Relay processes that follow replica processes through proxies that inject faults."""
 
 from __future__ import annotations
 
@@ -27,23 +27,24 @@
 from tests.scripted_endpoints import ScriptedEndpoint
 from tests.town import live
 
-MACHINES, RELAYS = 3, 6
+REPLICAS, RELAYS = 3, 6
 
 
 class Fleet:
-    """Three machines and six relays; relay n finds machine m over `wires.ways[MACHINES + n, m]`."""
+    """Three replicas and six relays; relay n reaches replica m over `links.directions[REPLICAS + n, m]`."""
 
     def __init__(self, machines: ReplicaProcesses, place: Platform) -> None:
         self.machines, self.place = machines, place
-        self.wires = FaultyTcpLinks(MACHINES + RELAYS)
+        self.links = FaultyTcpLinks(REPLICAS + RELAYS)
         self.ports = free_ports(RELAYS)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
 
     async def start(self, number: int, quota: float = 100.0) -> None:
+        """Starts a relay whose settings file has this quota for tenant m."""
         config: dict[str, Any] = json.loads((self.place.folder / "config.json").read_text())
         sources = [
-            {"address": self.wires.address(MACHINES + number, m), "zone": f"zone-{m}", "region": "hellas"}
-            for m in range(MACHINES)
+            {"address": self.links.address(REPLICAS + number, m), "zone": f"zone-{m}", "region": "hellas"}
+            for m in range(REPLICAS)
         ]
         config["settings"] = {
             **SETTINGS,
@@ -54,17 +55,17 @@
         config |= {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.ports[number]}",
-            "peer_listen": "",  # the file that is copied has one gossip port for all
+            "peer_listen": "",  # the copied settings have the same gossip port for all relays
             "peers": [],
             "seed": f"{number + 1:x}",
-            "configuration": {"sources": sources, "zone": f"zone-{number % MACHINES}", "region": "hellas"},
+            "configuration": {"sources": sources, "zone": f"zone-{number % REPLICAS}", "region": "hellas"},
         }
         file = self.place.folder / f"relay-{number}.json"
         file.write_text(json.dumps(config))
         await self.again(number, file)
 
     async def again(self, number: int, file: Path) -> None:
-        """Starts a relay with the file as it stands."""
+        """Starts a relay with an existing settings file."""
         with (self.place.folder / f"relay-{number}.log").open("ab") as log:
             self.processes[number] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -77,30 +78,33 @@
             )
 
     async def kill(self, number: int) -> None:
+        """Kills a relay and waits for its end."""
         self.processes[number].kill()
         await self.processes[number].wait()
 
     def log(self, number: int) -> str:
+        """The log of a relay."""
         return (self.place.folder / f"relay-{number}.log").read_text()
 
     async def publish(self, ident: str, entries: list[tuple[str, bytes]], *at: int) -> int:
+        """Publishes entries through the first of these replicas (default: all) that accepts; returns the version."""
         rows = [decode(encode({"key": key, "value": json.loads(value)}), Entry) for key, value in entries]
         answer = await submit_proposal(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
         assert isinstance(answer, AcceptedProposal), answer
         return answer.version
 
     async def versions(self, *machines: int) -> dict[int, int]:
-        """What each relay has told that it has in force, by any of these machines."""
-        found: dict[int, int] = {}
-        for number in machines or range(MACHINES):
+        """The newest version that each relay reported as applied, by these replicas, or by all."""
+        versions: dict[int, int] = {}
+        for number in machines or range(REPLICAS):
             with contextlib.suppress(Exception):
                 _, body = await call_replica(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
                 for row in decode(body, ReplicaStatus).relays:
-                    found[row.relay] = max(found.get(row.relay, 0), row.version)
-        return found
+                    versions[row.relay] = max(versions.get(row.relay, 0), row.version)
+        return versions
 
     async def in_force(self, version: int, *machines: int, relays: int = RELAYS) -> float:
-        """Seconds until so many relays have told that they have it."""
+        """Waits until so many relays report this version or a newer one as applied; returns the seconds."""
         began = time.monotonic()
         while sum(v >= version for v in (await self.versions(*machines)).values()) < relays:
             await asyncio.sleep(0.05)
@@ -109,102 +113,111 @@
 
 @contextlib.asynccontextmanager
 async def fleet() -> AsyncIterator[Fleet]:
-    async with replica_processes(MACHINES) as machines, platform(ScriptedEndpoint("u0"), listening=False) as place:
-        found = Fleet(machines, place)
-        await found.wires.open([*machines.ports, *found.ports])
+    """Runs replicas and relays, and waits until all relays apply the first version."""
+    async with (
+        replica_processes(REPLICAS) as machines,
+        platform(ScriptedEndpoint("u0"), listening=False) as place,
+    ):
+        running_fleet = Fleet(machines, place)
+        await running_fleet.links.open([*machines.ports, *running_fleet.ports])
         first = [("tenant/m", b'{"quota_per_s":100.0,"share":1.0}')]
-        await found.publish("first-of-all", first)
+        await running_fleet.publish("first-of-all", first)
         try:
-            await asyncio.gather(*(found.start(number) for number in range(RELAYS)))
-            await found.in_force(1)
-            yield found
+            await asyncio.gather(*(running_fleet.start(number) for number in range(RELAYS)))
+            await running_fleet.in_force(1)
+            yield running_fleet
         finally:
-            for process in found.processes.values():
+            for process in running_fleet.processes.values():
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
-            await found.wires.close()
+            await running_fleet.links.close()
 
 
 def tenant(quota: float) -> bytes:
+    """The JSON value of a tenant."""
     return b'{"quota_per_s":%f,"share":0.5}' % quota
 
 
 class Processes(unittest.TestCase):
+    """Changes reach all relays under faults of replicas, links and relays."""
+
     @live
-    async def test_a_change_is_in_force_everywhere_in_time_also_with_a_machine_killed(self) -> None:
-        async with fleet() as all_:
-            version = await all_.publish("new-tenant", [("tenant/new", tenant(5))])
-            self.assertLess(await all_.in_force(version), 3.0)
+    async def test_a_change_is_applied_by_all_relays_in_time_also_with_a_replica_killed(self) -> None:
+        async with fleet() as running_fleet:
+            version = await running_fleet.publish("new-tenant", [("tenant/new", tenant(5))])
+            self.assertLess(await running_fleet.in_force(version), 3.0)
             for number in range(RELAYS):
-                self.assertIn("tenant/new", all_.log(number))
-            await all_.machines.kill(0)
-            version = await all_.publish("next-tenant", [("tenant/next", tenant(6))], 1, 2)
-            self.assertLess(await all_.in_force(version, 1, 2), 3.0)
-            await all_.machines.start(0, empty=True)  # it holds nothing, and takes nothing from anybody
-            version = await all_.publish("third-tenant", [("tenant/third", tenant(7))], 2)
-            self.assertLess(await all_.in_force(version), 3.0)
-            self.assertNotIn("another history", "".join(map(all_.log, range(RELAYS))))
+                self.assertIn("tenant/new", running_fleet.log(number))
+            await running_fleet.machines.kill(0)
+            version = await running_fleet.publish("next-tenant", [("tenant/next", tenant(6))], 1, 2)
+            self.assertLess(await running_fleet.in_force(version, 1, 2), 3.0)
+            await running_fleet.machines.start(
+                0, empty=True
+            )  # an empty replica must not make a relay drop its document
+            version = await running_fleet.publish("third-tenant", [("tenant/third", tenant(7))], 2)
+            self.assertLess(await running_fleet.in_force(version), 3.0)
+            self.assertNotIn("another history", "".join(map(running_fleet.log, range(RELAYS))))
 
     @live
-    async def test_a_machine_that_stands_still_and_is_woken(self) -> None:
-        async with fleet() as all_:
-            all_.machines.signal(0, signal.SIGSTOP)
-            version = await all_.publish("stopped-one", [("tenant/a", tenant(1))], 1, 2)
-            self.assertLess(await all_.in_force(version, 1, 2), 3.0)
-            all_.machines.signal(0, signal.SIGCONT)
-            version = await all_.publish("woken-again", [("tenant/a", tenant(2))], 0)
-            self.assertLess(await all_.in_force(version), 3.0)
+    async def test_a_replica_is_stopped_and_continued(self) -> None:
+        async with fleet() as running_fleet:
+            running_fleet.machines.signal(0, signal.SIGSTOP)
+            version = await running_fleet.publish("stopped-one", [("tenant/a", tenant(1))], 1, 2)
+            self.assertLess(await running_fleet.in_force(version, 1, 2), 3.0)
+            running_fleet.machines.signal(0, signal.SIGCONT)
+            version = await running_fleet.publish("woken-again", [("tenant/a", tenant(2))], 0)
+            self.assertLess(await running_fleet.in_force(version), 3.0)
 
     @live
-    async def test_ways_cut_in_one_direction_broken_and_delayed_by_two_seconds(self) -> None:
-        async with fleet() as all_:
-            relays = range(MACHINES, MACHINES + RELAYS)
-            all_.wires.cut([1], relays, one_way=True)  # what machine 1 says comes to no relay
-            version = await all_.publish("one-way-cut", [("tenant/b", tenant(1))], 1)
-            self.assertLess(await all_.in_force(version), 3.0)
-            all_.wires.heal()
+    async def test_links_cut_in_one_direction_broken_and_delayed_by_two_seconds(self) -> None:
+        async with fleet() as running_fleet:
+            relays = range(REPLICAS, REPLICAS + RELAYS)
+            running_fleet.links.cut([1], relays, one_way=True)  # no relay gets anything from replica 1
+            version = await running_fleet.publish("one-way-cut", [("tenant/b", tenant(1))], 1)
+            self.assertLess(await running_fleet.in_force(version), 3.0)
+            running_fleet.links.heal()
             for relay in relays:
-                all_.wires.ways[2, relay].breaks = 400
-            version = await all_.publish("broken-often", [("tenant/c", tenant(1))], 0)
-            self.assertLess(await all_.in_force(version), 3.0)
-            all_.wires.heal()
+                running_fleet.links.directions[2, relay].break_after = 400
+            version = await running_fleet.publish("broken-often", [("tenant/c", tenant(1))], 0)
+            self.assertLess(await running_fleet.in_force(version), 3.0)
+            running_fleet.links.heal()
             for relay in relays:
-                all_.wires.ways[0, relay].delay = 2.0
-            version = await all_.publish("delayed-by-two", [("tenant/d", tenant(1))], 0)
-            await all_.in_force(version)
+                running_fleet.links.directions[0, relay].delay = 2.0
+            version = await running_fleet.publish("delayed-by-two", [("tenant/d", tenant(1))], 0)
+            await running_fleet.in_force(version)
 
     @live
-    async def test_all_machines_gone_relays_go_on_and_so_does_the_next_version(self) -> None:
-        async with fleet() as all_:
-            version = await all_.publish("before-it-all", [("tenant/new", tenant(5))])
-            await all_.in_force(version)
-            await asyncio.gather(*(all_.machines.kill(number) for number in range(MACHINES)))
+    async def test_relays_keep_running_without_replicas_and_follow_them_again(self) -> None:
+        async with fleet() as running_fleet:
+            version = await running_fleet.publish("before-it-all", [("tenant/new", tenant(5))])
+            await running_fleet.in_force(version)
+            await asyncio.gather(*(running_fleet.machines.kill(number) for number in range(REPLICAS)))
             await asyncio.sleep(2.0)
-            _, writer = await asyncio.open_connection("127.0.0.1", all_.ports[0])
+            _, writer = await asyncio.open_connection("127.0.0.1", running_fleet.ports[0])
             writer.close()
-            await asyncio.gather(*(all_.machines.start(number) for number in range(MACHINES)))
-            await all_.machines.until_voting(*range(MACHINES))
-            version = await all_.publish("after-it-all", [("tenant/new", tenant(6))])
-            await all_.in_force(version)
-            self.assertTrue(all(process.returncode is None for process in all_.processes.values()))
+            await asyncio.gather(*(running_fleet.machines.start(number) for number in range(REPLICAS)))
+            await running_fleet.machines.wait_until_voting(*range(REPLICAS))
+            version = await running_fleet.publish("after-it-all", [("tenant/new", tenant(6))])
+            await running_fleet.in_force(version)
+            self.assertTrue(all(process.returncode is None for process in running_fleet.processes.values()))
 
     @live
     async def test_all_relays_killed_and_back_with_their_old_files(self) -> None:
-        async with fleet() as all_:
-            version = await all_.publish("a-change-since", [("tenant/m", tenant(7)), ("tenant/x", tenant(1))])
-            await all_.in_force(version)
-            await asyncio.gather(*(all_.kill(number) for number in range(RELAYS)))
-            version = await all_.publish("while-away", [("tenant/m", tenant(8))])
-            await asyncio.gather(*(all_.start(number) for number in range(RELAYS - 1)))
-            await all_.start(RELAYS - 1, quota=3.0)  # a file of no version: only what differs is fetched
-            await all_.in_force(version)
+        async with fleet() as running_fleet:
+            version = await running_fleet.publish("a-change-since", [("tenant/m", tenant(7)), ("tenant/x", tenant(1))])
+            await running_fleet.in_force(version)
+            await asyncio.gather(*(running_fleet.kill(number) for number in range(RELAYS)))
+            version = await running_fleet.publish("while-away", [("tenant/m", tenant(8))])
+            await asyncio.gather(*(running_fleet.start(number) for number in range(RELAYS - 1)))
+            await running_fleet.start(RELAYS - 1, quota=3.0)  # its file is of no version: it fetches only what differs
+            await running_fleet.in_force(version)
 
     @live
-    async def test_what_is_unfit_is_refused_to_who_published_and_what_is_unknown_is_kept(self) -> None:
-        async with fleet() as all_:
+    async def test_an_invalid_value_is_rejected_and_unknown_kinds_are_kept(self) -> None:
+        async with fleet() as running_fleet:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
-            answer = await submit_proposal(all_.machines.at(0), bad, 5.0)
+            answer = await submit_proposal(running_fleet.machines.at(0), bad, 5.0)
             assert isinstance(answer, RejectedProposal)
             self.assertEqual("malformed", answer.reason)
             self.assertIn("tenant/bad", answer.text)
@@ -213,8 +226,8 @@
                 ("later/kind", b"[1]"),
                 ("class/nobody", b'{"aim_ms":5,"deadline_ms":9}'),
             ]
-            version = await all_.publish("two-are-unknown", rows)
-            self.assertEqual(2, version)  # the bad one made none
-            await all_.in_force(version)
+            version = await running_fleet.publish("two-are-unknown", rows)
+            self.assertEqual(2, version)  # the rejected proposal made no version
+            await running_fleet.in_force(version)
             for number in range(RELAYS):
-                self.assertIn("values of classes that the settings do not have", all_.log(number))
+                self.assertIn("values of classes that the settings do not have", running_fleet.log(number))
