--- a/lanelead/configuration/agreement.py
+++ b/lanelead/configuration/agreement.py
@@ -17,8 +17,8 @@
     ident was made before.
  9. A reply counts only if it is for the current version and ballot. Each voter counts once.
 10. From when Accept is first sent for a proposal's change until that version is decided with another change, the
-    proposal may still be made. If the proposer ends in between, the result is `unknown`; every other rejection
-    means that nothing was changed.
+    proposal may still be made. If it ends in between, its result is `unknown`; every other rejection means that
+    nothing was changed.
 11. Attempts are bounded in number. The pauses between them grow and are random, so that competing proposers do
     not block each other forever.
 """
@@ -190,7 +190,7 @@
         return min(self._next_step, self._deadline)
 
     def step(self, now: float) -> None:
-        """Goes on as far as is possible at `now`: starts, ends or retries an attempt."""
+        """Advances the proposal as far as is possible at `now`: starts, ends or retries an attempt."""
         if self.result is not None:
             return
         if self._version != self._target.committed_version + 1:
--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -227,7 +227,7 @@
         )
         if (count > self._max_entries and count > len(held)) or (size > self._max_bytes and size > self.size):
             raise DocumentTooLargeError(
-                f"{count} entries of {size} bytes; the maximum is {self._max_entries} and {self._max_bytes}"
+                f"{count} entries of {size} bytes exceed the maximum of {self._max_entries} and {self._max_bytes}"
             )
 
 
--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -8,7 +8,7 @@
 from lanelead.protocols.configuration import Accept, Heartbeat, Prepare
 from lanelead.protocols.configuration_replicas import DecidedChange, SnapshotPage
 
-LONG_AGO_SECONDS = -1e6  # stands for a time before the start of the process
+LONG_AGO_SECONDS = -1e6  # stands for never; counted from the start of the process, or as a time of its own
 
 
 @dataclass(frozen=True)
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -17,7 +17,8 @@
  7. One proposal runs at a time; a bounded number waits. A decided change is sent to all replicas.
  8. A voter completes a change that it accepted and that stays undecided, for that version only: the proposer
     may have ended after it answered its caller and before it told any other replica.
- 9. `majority_heard_at` is when a majority of the voters, itself included, last had no higher version.
+ 9. `majority_heard_at` is when a majority of the voters, itself included and empty ones not counted, last had no
+    version higher than its own.
 
 Calls to make are in `outgoing`; the caller passes each reply to `handle_reply`, or None where none came.
 """
@@ -114,7 +115,7 @@
         return times[self._quorum - 1] if len(times) >= self._quorum else self._started + LONG_AGO_SECONDS
 
     def tick(self, now: float) -> None:
-        """Sends heartbeats, completes accepted changes and goes on with proposals; to be called at `due`."""
+        """Sends heartbeats, completes accepted changes and advances proposals; to be called at `due`."""
         self._now = max(self._now, now)
         if now >= self._next_heartbeat:
             self._next_heartbeat = now + HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1)
@@ -164,7 +165,7 @@
         return promise
 
     def handle_accept(self, request: Accept, now: float) -> AcceptReply:
-        """Answers Accept like Prepare. Raises StoreError and UnacceptableChangeError."""
+        """Answers Accept; fetches missing versions likewise. Raises StoreError and UnacceptableChangeError."""
         if request.epoch != self.state.epoch and request.change.version == self.state.committed_version + 1:
             return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
--- a/lanelead/configuration/replica_state.py
+++ b/lanelead/configuration/replica_state.py
@@ -98,7 +98,7 @@
         """A hash of the history and the voters, as sent in Prepare."""
         return blake2b(f"{self._voters} {self.history}".encode(), digest_size=8).hexdigest()
 
-    # agreement.ProposalTarget
+    # The methods of agreement.ProposalTarget
 
     def completed(self, proposal: Proposal) -> AcceptedProposal | RejectedProposal | None:
         """The earlier result of a proposal whose ident was used before; None where it was not.
@@ -235,7 +235,7 @@
         )
 
     def install(self, pages: Sequence[SnapshotPage]) -> bool:
-        """Replaces the document with a snapshot, given as all its pages, unless its version is not newer.
+        """Replaces the document with a snapshot, given as all its pages, if its version is newer.
 
         Returns whether it did. Raises DivergenceError and StoreError.
         """
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -29,6 +29,8 @@
 MAX_COMPLETED_PROPOSALS = 10_000  # idents of the latest changes; a retry with one of them is not made again
 MAX_LOG_CHANGES, MAX_LOG_AGE_SECONDS = 20_000, 86_400.0  # the log keeps whichever is fewer
 LOG_PAGE_BYTES = 1 << 20  # encoded changes in one reply; a single larger change is sent alone
+# Table and column names belong to the file format. `one` has the replica's state: `form` is the file format, `head` the
+# committed version and `floor` the pruned version. `made` has the completed proposals, with `mark` the entries' hash.
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS one (one INTEGER PRIMARY KEY CHECK (one = 1), form INTEGER NOT NULL,
     history TEXT NOT NULL, head INTEGER NOT NULL, digest TEXT NOT NULL, floor INTEGER NOT NULL,
@@ -45,7 +47,7 @@
 
 
 class StoreError(ConfigurationError):
-    """The store could not be read or written; a write that failed has no effect.
+    """The store could not be read or written; a write that failed does not count.
 
     `remedy` tells the operator what to do.
     """
@@ -127,10 +129,13 @@
 
 
 class Store:
-    """The store of a replica. Each method that writes raises StoreError, and has no effect then.
+    """The store of a replica. Each method that writes raises StoreError where it fails.
+
+    A failed write does not count: the state in memory stays as it was, and the caller may retry. Only where the commit
+    itself failed may the rows be on disk nevertheless.
 
     `on_step` is called at named points in and around the transactions, where tests inject faults. `log` is the
-    number of changes that the log keeps.
+    number of changes that the log keeps at most. `loaded` has what was on disk at the start.
     """
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = MAX_LOG_CHANGES) -> None:
@@ -209,7 +214,7 @@
 
     @contextmanager
     def _transaction(self, name: str) -> Iterator[sqlite3.Connection]:
-        """Runs a transaction; an exception rolls it back. `name` names it in errors and for `on_step`."""
+        """Runs a transaction; an exception rolls it back. `name` appears in errors and in the steps of `on_step`."""
         try:
             self.on_step(f"{name}.before")
             self._db.execute("BEGIN IMMEDIATE")
@@ -276,7 +281,10 @@
             self.completed.popitem(last=False)
 
     def _trim(self, db: sqlite3.Connection, now: float) -> None:
-        """Trims the log to the latest changes or those of a day, whichever are fewer, but keeps at least one."""
+        """Trims the idents of completed proposals by number, and the log by number and age.
+
+        The log keeps the latest changes or those of a day, whichever are fewer, but at least one.
+        """
         db.execute("DELETE FROM log WHERE version <= (SELECT MAX(version) FROM log) - ?", (self._max_log_changes,))
         db.execute(
             "DELETE FROM log WHERE version < (SELECT MAX(version) FROM log) AND version <= "
