--- a/lanelead/configuration/messages.py
+++ b/lanelead/configuration/messages.py
@@ -40,9 +40,9 @@
 
     unanswered: int = 0  # heartbeats sent to it that wait for a response
     heartbeat_sent_at: float | None = None  # when the last heartbeat that it answered was sent
-    caught_up_at: float | None = None  # the same, where its version was not above one's own
+    caught_up_at: float | None = None  # the same, of the last response with which this replica was not behind it
     committed_version: int = 0
-    empty: bool = False
+    empty: bool = False  # a voter that started without a store and may not vote yet
     ready: bool = False
     history: str = ""
     ignored_reason: str = ""  # why it is ignored; empty where it is not
--- a/lanelead/configuration/replica.py
+++ b/lanelead/configuration/replica.py
@@ -1,24 +1,25 @@
 """One replica of the configuration: its rules, without sockets and clocks.
 
+An empty voter is one that started without a store and may not vote yet, even if it has fetched versions since.
+
 Rules:
- 1. A replica sends a heartbeat to every other one each 0.5 s. Only a response to its own heartbeat counts, as of
-    when that heartbeat was sent, so a message that was delayed never makes a peer look up to date.
- 2. A replica that learns of a higher committed version fetches the changes between, or a snapshot where the
-    peer's log no longer has them.
- 3. A replica follows one history. It ignores a peer with another history or with other voters in its settings.
- 4. A voter that starts with an empty store may have voted before, so it abstains until it has heard, since its
-    start, from n - m + 1 voters that do vote (of n, with a majority of m). One of them accepted the last version
-    that this voter ever held as decided, and so held the version before it; this voter had voted on one version
-    more at most. It votes again from the highest committed version of those voters plus 3.
- 5. In a first start every voter is empty. A voter that sees all others empty, and none that votes, stores that
-    it is ready. A ready voter begins to vote when it sees all others ready, or any that votes. An empty voter
-    that sees another vote is not part of a first start: rule 4 applies.
+ 1. A replica sends a heartbeat to every other one each 0.5 s. How up to date a peer is follows only from responses
+    to its own heartbeats, as of when those were sent: a delayed message never makes a peer look up to date.
+ 2. A replica that learns of a higher committed version fetches the changes; a snapshot if the peer's log lacks them.
+ 3. It ignores a peer with another history, other voters in its settings, or another number than expected.
+ 4. An empty voter may have voted before, so it abstains until it has heard, since its start, from n - m + 1 voters
+    that do vote (of n, with a majority of m). At least one of these is in the majority that accepted the last version
+    this voter had committed, so it holds the version before that one. This voter had voted at most on the version
+    after it. So it votes again from the highest committed version of those voters plus 3.
+ 5. In a first start every voter is empty. A voter that sees all others empty, at version 0 and without a history,
+    stores that it is ready. A ready voter begins to vote when it sees all others ready, or one that votes already.
+    For an empty voter that is not ready by then, rule 4 applies.
  6. Only a replica that votes proposes for version 1. Otherwise rule 5 could overlook a vote.
  7. One proposal runs at a time; a bounded number waits. A decided change is sent to all replicas.
  8. A voter completes a change that it accepted and that stays undecided, for that version only: the proposer
     may have ended after it answered its caller and before it told any other replica.
- 9. `majority_heard_at` is when a majority of the voters, itself included and empty ones not counted, last had no
-    version higher than its own.
+ 9. `majority_heard_at` is when a majority of the voters last had no version higher than this replica's own. Empty
+    peers do not count; this replica counts if it is a voter.
 
 Calls to make are in `outgoing`; the caller passes each reply to `handle_reply`, or None where none came.
 """
@@ -57,7 +58,7 @@
 
 
 class Replica:
-    """A replica's rules. `report` is called with a problem for the operator and its remedy."""
+    """A replica's rules. `report` is called with a problem for the operator and its remedy or cause."""
 
     def __init__(
         self,
@@ -90,7 +91,7 @@
 
     @property
     def store_fault(self) -> str:
-        """The error of the last use of the store, or an empty string."""
+        """The last error of the store; empty once an operation succeeded after it."""
         return self._store_health.fault
 
     @property
@@ -105,7 +106,7 @@
 
     @property
     def majority_heard_at(self) -> float:
-        """When a majority of the voters last had no higher version than this replica (rule 9)."""
+        """When a majority last had no higher version (rule 9); long before the start where that was never so."""
         times = [self._now] if self.number in self.voters else []
         for voter in self.voters:
             peer = self.peers.get(voter)
@@ -115,7 +116,7 @@
         return times[self._quorum - 1] if len(times) >= self._quorum else self._started + LONG_AGO_SECONDS
 
     def tick(self, now: float) -> None:
-        """Sends heartbeats, completes accepted changes and advances proposals; to be called at `due`."""
+        """Queues heartbeats in `outgoing`, completes accepted changes and advances proposals; call it at `due`."""
         self._now = max(self._now, now)
         if now >= self._next_heartbeat:
             self._next_heartbeat = now + HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1)
@@ -127,7 +128,7 @@
         self._advance_proposals(now)
 
     def _complete_accepted(self, now: float) -> None:
-        """Rule 8. Delays are random and double each time: voters that propose at once block each other."""
+        """Proposes an accepted, undecided change (rule 8). Delays are random and double, so voters rarely collide."""
         acceptor = self.state.acceptor
         if acceptor.change is None or acceptor.non_voting:
             self._completion, self._completion_delay = None, COMPLETION_DELAY_SECONDS
@@ -150,10 +151,10 @@
             self.number, state.history, state.committed_version, empty, state.ready and empty, list(self.voters)
         )
 
-    # Requests of others. Each raises StoreError where its reply could not be persisted or read.
+    # Requests of others. handle_prepare, handle_accept and read_log raise StoreError.
 
     def handle_prepare(self, request: Prepare, now: float) -> Promise:
-        """Answers Prepare; a replica that lacks earlier versions fetches them. Raises StoreError."""
+        """Answers Prepare; a voter that lacks earlier versions fetches them. Raises StoreError."""
         if request.epoch != self.state.epoch and request.version == self.state.committed_version + 1:
             return Promise("abstains", self.state.committed_version)
         if self.number not in self.voters:
@@ -165,7 +166,7 @@
         return promise
 
     def handle_accept(self, request: Accept, now: float) -> AcceptReply:
-        """Answers Accept; fetches missing versions likewise. Raises StoreError and UnacceptableChangeError."""
+        """Answers Accept, and fetches as for Prepare. Raises StoreError and UnacceptableChangeError."""
         if request.epoch != self.state.epoch and request.change.version == self.state.committed_version + 1:
             return AcceptReply("abstains", self.state.committed_version)
         if self.number not in self.voters:
@@ -177,13 +178,13 @@
         return accept_reply
 
     def handle_decided(self, message: DecidedChange, now: float) -> None:
-        """Commits a change that another replica saw decided."""
+        """Commits a decided change of this epoch if it is the next version; ignores any other."""
         if message.epoch == self.state.epoch:
             self._commit_changes([message.change])
             self._advance_proposals(now)
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
-        """Answers a peer's heartbeat, and fetches changes where the peer's version is higher."""
+        """Answers a peer's heartbeat; unless the peer is ignored, fetches changes where its version is higher."""
         peer = self.peers.get(heartbeat.replica)
         if (
             peer is not None
@@ -207,7 +208,7 @@
             return RejectedProposal("abstains", "this replica has no version yet: ask another one, or retry later")
         proposer = Proposer(self.number, self.voters, proposal, self.state, self._rng, now)
         if self._queue and self._queue[0].change_to_complete is not None:
-            self._queue.popleft()  # the new proposer learns of that change from the promises and proposes it first
+            self._queue.popleft()  # the new proposer first completes it if a promise carries it; else rule 8 retries
         self._queue.append(proposer)
         self._advance_proposals(now)
         return proposer
@@ -261,7 +262,7 @@
         self._update_voting()
 
     def _check_peer(self, number: int, peer: PeerState, heartbeat: Heartbeat) -> bool:
-        """Whether a peer is of this group, by its heartbeat (rule 3); reports why it is ignored when that changes."""
+        """Records and reports why a peer is ignored, if it is (rule 3); returns whether it is not."""
         why = mismatch(heartbeat, number, self.state.history, self.voters)
         if why and why != peer.ignored_reason:
             self._report(f"replica {number} is ignored", why)
@@ -291,7 +292,7 @@
                 with self._store_health.track():
                     state.set_voting(False, max(peer.committed_version for peer in voting) + 3)
         except StoreError:
-            return  # `track` has reported it; the next heartbeat tries again
+            return  # `track` reports it; the next heartbeat response tries again
 
     # Catching up
 
@@ -314,7 +315,7 @@
         if log.truncated:
             self._request_changes(call.peer, peer, CatchUpRequest(0, True), now)
         elif log.changes and not own_history and log.changes[0].ident != log.history:
-            self._report_once(f"rejected the log of replica {call.peer}", "its first ident is not its history")
+            self._report_once(f"rejected the log of replica {call.peer}", "its history is not the ident of version 1")
         elif self._commit_changes(log.changes) and self.state.committed_version < log.committed_version:
             self._request_changes(call.peer, peer, CatchUpRequest(self.state.committed_version + 1), now)
 
@@ -336,14 +337,14 @@
             self._refresh_caught_up()
 
     def _commit_changes(self, changes: Sequence[Change]) -> bool:
-        """Commits decided changes in order; returns whether the committed version rose."""
+        """Commits those changes that follow the committed version in turn; returns whether it rose."""
         before = self.state.committed_version
         try:
             with self._store_health.track():
                 for change in changes:
                     self.state.commit(change)
         except DivergenceError as error:
-            remedy = "restart this replica without its store file, or with the same bounds as the others"
+            remedy = "set the same bounds as on the other replicas, or restart without the store file"
             self._report_once(str(error), remedy)
         except StoreError:
             pass
@@ -351,7 +352,7 @@
         return self.state.committed_version > before
 
     def _report_once(self, text: str, remedy: str) -> None:
-        """Reports a problem, but not the same one again with each heartbeat, which would fill the log."""
+        """Reports a problem unless it was the last one reported here: each heartbeat may lead to the same one."""
         if text != self._last_report:
             self._report(text, remedy)
         self._last_report = text
@@ -364,7 +365,7 @@
     # Proposals
 
     def _advance_proposals(self, now: float) -> None:
-        """Advances the first proposal in the queue as far as is possible now."""
+        """Advances the queue of proposals, the first one at a time, as far as is possible now."""
         while self._queue:
             proposer = self._queue[0]
             proposer.step(now)
@@ -384,7 +385,7 @@
             for voter, request in requests:
                 if voter != self.number:
                     self.outgoing.append(PeerCall(voter, request, now, proposer, proposer.attempt_timeout))
-            # Its own vote comes last, after the requests to the other voters are queued.
+            # This replica's own vote comes last, after the requests to the other voters are queued.
             for voter, request in requests:
                 if voter == self.number:
                     self._vote_locally(proposer, request, now)
--- a/lanelead/configuration/replica_checks.py
+++ b/lanelead/configuration/replica_checks.py
@@ -27,7 +27,7 @@
 
 
 class StoreHealth:
-    """The error of the last use of the store, in `fault`; empty where it succeeded.
+    """The last error of the store, in `fault`; empty once a `track` block ended without StoreError.
 
     `report` is called with the text and remedy of an error that follows a success.
     """
--- a/lanelead/configuration/store.py
+++ b/lanelead/configuration/store.py
@@ -2,7 +2,8 @@
 
 - Promised and accepted ballots, and the version from which the replica may vote, are on disk before any reply.
 - The log, the document's entries and the idents of completed proposals change together, in one transaction.
-- The log is bounded by number and age, the idents by number, and the document by its own limits.
+- The log is bounded by number and age, checked when a change is appended; the idents by number; the document by its
+  own limits.
 
 WAL mode with synchronous=FULL: what was answered is on disk. One process has the file open at a time.
 
@@ -26,8 +27,9 @@
 from lanelead.protocols.configuration import Ballot, Change
 from lanelead.protocols.configuration_replicas import CompletedProposal
 
-MAX_COMPLETED_PROPOSALS = 10_000  # idents of the latest changes; a retry with one of them is not made again
-MAX_LOG_CHANGES, MAX_LOG_AGE_SECONDS = 20_000, 86_400.0  # the log keeps whichever is fewer
+MAX_COMPLETED_PROPOSALS = 10_000  # kept by ident: a retry of one of them gets its earlier result
+# The log keeps the changes that are within both bounds, and at least the newest one.
+MAX_LOG_CHANGES, MAX_LOG_AGE_SECONDS = 20_000, 86_400.0
 LOG_PAGE_BYTES = 1 << 20  # encoded changes in one reply; a single larger change is sent alone
 # Table and column names belong to the file format. `one` has the replica's state: `form` is the file format, `head` the
 # committed version and `floor` the pruned version. `made` has the completed proposals, with `mark` the entries' hash.
@@ -47,18 +49,18 @@
 
 
 class StoreError(ConfigurationError):
-    """The store could not be read or written; a write that failed does not count.
+    """The store could not be read or written; a write that failed does not count (see Store).
 
     `remedy` tells the operator what to do.
     """
 
-    remedy = "check the disk; the replica continues once it can write again"
+    remedy = "check the disk; a running replica continues once it can use it again"
 
 
 class DiskFullError(StoreError):
     """The disk is full."""
 
-    remedy = "free space on the disk; the replica continues once it can write again"
+    remedy = "free space on the disk; a running replica continues once it can write again"
 
 
 class ReadOnlyStoreError(StoreError):
@@ -68,7 +70,7 @@
 
 
 class CorruptStoreError(StoreError):
-    """The file's rows cannot be read or contradict each other."""
+    """The file's rows cannot be read or contradict each other, or a write does not follow its committed version."""
 
     remedy = (
         "move the file and its -wal and -shm files away and restart: the replica then gets everything from its"
@@ -83,13 +85,13 @@
 
 
 class NewerFormatError(StoreError):
-    """The file's format version differs from the one that this program writes."""
+    """The file has another format than this program's; there is no older format than this one, so it is newer."""
 
     remedy = "start the newer version of the program that wrote the file"
 
 
 class StoreIOError(StoreError):
-    """An I/O error, or a directory that does not exist."""
+    """Any other error of SQLite or the operating system, such as an I/O error or a missing directory."""
 
 
 def store_error(error: Exception, action: str) -> StoreError:
@@ -113,7 +115,8 @@
     """What was on disk at the start.
 
     `entries` maps each key to its value and the version that last changed it, where that is known. The value of a
-    removed key is empty.
+    removed key is empty. `change` is the change that was accepted at the ballot `accepted`. `votes_from` is the first
+    version to vote on, None where the voter may not vote yet.
     """
 
     history: str = ""
@@ -135,7 +138,8 @@
     itself failed may the rows be on disk nevertheless.
 
     `on_step` is called at named points in and around the transactions, where tests inject faults. `log` is the
-    number of changes that the log keeps at most. `loaded` has what was on disk at the start.
+    number of changes that the log keeps at most. `loaded` has what was on disk at the start; ReplicaState empties
+    its entries.
     """
 
     def __init__(self, file: str | Path, clock: Callable[[], float] = time.time, log: int = MAX_LOG_CHANGES) -> None:
@@ -157,6 +161,7 @@
             raise
 
     def _connect(self, file: str | Path) -> sqlite3.Connection:
+        """Opens the database; tests override it."""
         return sqlite3.connect(file, isolation_level=None, timeout=0.5)
 
     def close(self) -> None:
@@ -204,9 +209,11 @@
             "SELECT version, promised, promised_by, accepted, accepted_by, change FROM vote"
         ).fetchone()
         if row is None or row[0] <= state.committed_version:
-            return  # that version was decided after the vote
+            return  # no vote, or one on a version that was decided since
         if row[0] != state.committed_version + 1:
-            raise CorruptStoreError(f"a vote for version {row[0]}; the committed version is {state.committed_version}")
+            raise CorruptStoreError(
+                f"a vote for version {row[0]} does not follow the committed version {state.committed_version}"
+            )
         state.promised = Ballot(row[1], row[2])
         if row[3] is not None:
             state.accepted = Ballot(row[3], row[4])
@@ -214,7 +221,10 @@
 
     @contextmanager
     def _transaction(self, name: str) -> Iterator[sqlite3.Connection]:
-        """Runs a transaction; an exception rolls it back. `name` appears in errors and in the steps of `on_step`."""
+        """Runs a transaction, with the row of table `one` inserted if missing; an exception rolls it back.
+
+        `name` appears in errors and in the steps of `on_step`.
+        """
         try:
             self.on_step(f"{name}.before")
             self._db.execute("BEGIN IMMEDIATE")
@@ -234,9 +244,11 @@
     # Votes
 
     def save_vote(self, version: int, promised: Ballot, accepted: Ballot | None, change: Change | None) -> None:
-        """Stores a vote, before the reply is sent. Raises StoreError."""
+        """Stores a vote on the next version, before the reply is sent. Raises StoreError."""
         if version != self.committed_version + 1:
-            raise CorruptStoreError(f"a vote for version {version}; the committed version is {self.committed_version}")
+            raise CorruptStoreError(
+                f"a vote for version {version} does not follow the committed version {self.committed_version}"
+            )
         row = (
             version,
             promised.number,
@@ -261,7 +273,9 @@
         `entries` has the canonical values of the keys that it sets, and None for those that it removes.
         """
         if change.version != self.committed_version + 1:
-            raise CorruptStoreError(f"version {change.version}; the committed version is {self.committed_version}")
+            raise CorruptStoreError(
+                f"version {change.version} does not follow the committed version {self.committed_version}"
+            )
         with self._transaction("decide") as db:
             db.execute("UPDATE one SET history = ?, head = ?, digest = ?", (history, change.version, change.digest))
             now = self._clock()
@@ -306,10 +320,13 @@
         entries: dict[str, tuple[bytes, int | None]],
         completed: list[CompletedProposal],
     ) -> None:
-        """Replaces the document with a newer one of another replica, and empties the log. Raises StoreError."""
+        """Replaces the document, completed proposals and pruned version by another replica's; empties the log.
+
+        The version must be newer. Raises StoreError.
+        """
         if version <= self.committed_version:
             raise CorruptStoreError(
-                f"a snapshot of version {version}; the committed version is {self.committed_version}"
+                f"a snapshot of version {version} is not newer than the committed version {self.committed_version}"
             )
         with self._transaction("replace") as db:
             db.execute(
@@ -328,7 +345,7 @@
         self.completed = OrderedDict((row.ident, row) for row in completed)
 
     def prune_removed(self, version: int) -> None:
-        """Forgets keys that were removed at this version or earlier. Raises StoreError."""
+        """Forgets keys removed at this version or earlier; raises the pruned version to it. Raises StoreError."""
         with self._transaction("prune") as db:
             db.execute("DELETE FROM entry WHERE value = X'' AND changed <= ?", (version,))
             db.execute("UPDATE one SET floor = MAX(floor, ?)", (version,))
