--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -1,8 +1,8 @@
-"""One client connection in PostgreSQL's protocol: each request gets one final response, in their order.
+"""One client connection in PostgreSQL's protocol: each request gets one final response, in order of arrival.
 
-Between requests a relay may close a connection. A request that crosses this and that the relay has not read is
-sent again by its client (the protocol's page, 'Clients to relays'). So what waits in the kernel is either read
-and answered, or left there unread.
+A relay may close a connection between requests. If a request arrives just then and the relay has not read it, the
+client sends it again on another connection (see 'Clients to relays' on the protocol's page). Bytes in the kernel's
+receive buffer are therefore either read and answered, or left there unread.
 """
 
 from __future__ import annotations
@@ -23,21 +23,23 @@
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 READ_BUFFER_BYTES = 32768
-MAX_COMMANDS_PER_READ = 64  # with more in one read, none of them is taken
-MAX_PIPELINED_REQUESTS = 128  # that wait for responses on one connection: one more is rejected
-MAX_PENDING_BYTES = 1 << 20  # of the requests that wait: one more is rejected
-MAX_RESPONSE_SLOTS = 1024  # responses in order, those rejections among them
-MAX_WRITE_BUFFER_BYTES = 1 << 18  # of responses that a client leaves unread: with more, nothing of its is read
-MAX_DISCARDED_BYTES = 1 << 22  # read from a client after a protocol violation
-CLOSE_LINGER_SECONDS = 0.25  # for a client to read the last bytes that were written
-# SQLSTATE codes of rejections: the request never ran, and a retry elsewhere is harmless.
+MAX_COMMANDS_PER_READ = 64  # a read with more queries is a protocol violation, and none of them runs
+MAX_PIPELINED_REQUESTS = 128  # pending responses of one connection; further requests are rejected
+MAX_PENDING_BYTES = 1 << 20  # total size of a connection's pending requests; further requests are rejected
+MAX_RESPONSE_SLOTS = 1024  # pending responses and rejections; one more command is a protocol violation
+MAX_WRITE_BUFFER_BYTES = 1 << 18  # responses that the client has not read; above this the relay reads no requests
+MAX_DISCARDED_BYTES = 1 << 22  # read and discarded after a protocol violation; then the relay stops reading
+CLOSE_LINGER_SECONDS = 0.25  # from shutdown to close, so that the client can read the last response
+# SQLSTATE codes of rejections. A rejected request never ran, so a retry on another relay is harmless.
 TOO_MANY_CONNECTIONS = "53300"
 CANNOT_CONNECT_NOW = "57P03"
 
 
 class ClientConnection:
-    """One connection. While `closing` it ends once all responses are written, either after a protocol violation
-    (`violation_at`) or because the relay stops (`draining`). Times are the event loop's, in seconds.
+    """A client connection with the requests pending on it and the responses still to be written.
+
+    Once `closing` is set, the connection closes after its last response is written. The cause is a protocol violation
+    or a rejection (at `violation_at`), or that the relay stops (`draining`). Times are the event loop's, in seconds.
     """
 
     __slots__ = (
@@ -66,8 +68,8 @@
         self.reader = ClientReader(listener.max_query_bytes)
         self.slots: deque[ResponseSlot] = deque()
         self.pending_bytes = 0
-        self.write_buffer = bytearray()  # responses that the kernel did not take
-        self.has_requested = False  # it has sent a request that could be read
+        self.write_buffer = bytearray()  # responses that the kernel has not accepted yet
+        self.has_requested = False  # a well-formed request has arrived
         self.closing = False
         self.draining = False
         self.violation_at: float | None = None
@@ -78,30 +80,30 @@
         self.last_activity = now
         self.writing = False
         self.reading = True
-        self.reading_paused = False  # the write buffer is too large
+        self.reading_paused = False  # backpressure: the write buffer is too large
         listener.loop.add_reader(sock, self._on_readable)
 
     @property
     def has_pending_response(self) -> bool:
-        """Whether a response is pending, or waits to be written."""
+        """Whether a response is pending or not completely written."""
         return bool(self.slots or self.write_buffer)
 
     @property
     def is_idle(self) -> bool:
-        """Nothing is owed, no message has begun, and nothing waits to be read."""
+        """Whether no response is pending, no message has arrived in part, and no bytes wait to be read."""
         return not self.has_pending_response and not self.reader.has_partial_message and is_idle_socket(self.sock)
 
     # Requests
 
     def _on_readable(self) -> None:
         if self._receive() >= 0:
-            if self.draining and self.has_requested:  # its first request after all: it closes after the response
+            if self.draining and self.has_requested:  # the first request arrived during the drain
                 self.closing = True
             self.flush()
         self.listener.after_event()
 
     def _receive(self) -> int:
-        """Reads one buffer at most and handles it; returns the bytes read, or -1 where the connection is over."""
+        """Reads at most one buffer and handles it; returns the number of bytes, or -1 if the connection has closed."""
         try:
             data = self.sock.recv(READ_BUFFER_BYTES)
         except (BlockingIOError, InterruptedError):
@@ -112,15 +114,16 @@
             self.on_disconnect()
             return -1
         if self.violation_at is not None:
-            # Read only to notice the end, and lest a reset destroy the error that is owed.
+            # Discards the bytes. They are read only to notice a disconnect, and because a close with unread bytes
+            # resets the connection, which could destroy the error response before the client reads it.
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.stop_reading()
             return len(data)
         self.last_activity = self.listener.loop.time()
         events = self.reader.feed(data)
-        many = len(events) > MAX_COMMANDS_PER_READ
-        if many and sum(type(event) is Query for event in events) > MAX_COMMANDS_PER_READ:
+        many_events = len(events) > MAX_COMMANDS_PER_READ
+        if many_events and sum(type(event) is Query for event in events) > MAX_COMMANDS_PER_READ:
             self.reader.finished = True
             events = [ProtocolViolation("54000", f"more than {MAX_COMMANDS_PER_READ} commands at once")]
         for event in events:
@@ -168,9 +171,9 @@
             return
         self._mark_requested()
         size = len(text)
-        # While draining, what comes after the requests that were received in time is rejected. Nor may one
-        # connection hold all that the relay may. Each request gets a response of its own, since a client may
-        # write them one after another.
+        # A closing connection rejects requests that arrive behind pending ones. The other two limits keep one
+        # connection from taking up the relay's whole capacity. Clients may pipeline requests, so each rejected
+        # request gets its own response and the connection stays open.
         if (
             (self.closing and self.slots)
             or len(self.slots) >= MAX_PIPELINED_REQUESTS
@@ -200,7 +203,7 @@
         self.listener.without_request.pop(self, None)
 
     def close_with_violation(self, code: str, text: str) -> None:
-        """Answers with an error, after all earlier responses, and closes; nothing more is taken."""
+        """Sends an error after all earlier responses, then closes the connection; further requests are discarded."""
         if self.violation_at is not None:
             return
         self.listener.protocol_violations += 1
@@ -209,7 +212,7 @@
         self._queue_response(messages.error(code, text, fatal=True))
 
     def stop_reading(self) -> None:
-        """Leaves all further bytes in the kernel."""
+        """Stops reading for good: further bytes stay in the kernel's receive buffer."""
         if self.reading:
             self.reading = False
             self.listener.loop.remove_reader(self.sock)
@@ -266,7 +269,7 @@
             self.write_buffer.clear()
             self.listener.loop.call_soon(self.on_disconnect)
             return
-        if size:  # a client that reads slowly, but reads, is not cut off
+        if size:  # a slow client that still reads must not time out
             self.last_activity = self.listener.loop.time()
         del self.write_buffer[:size]
         if self.write_buffer and not self.writing:
@@ -277,8 +280,9 @@
             self.listener.loop.remove_writer(self.sock)
 
     def _apply_backpressure(self) -> None:
-        """Stops reading while the write buffer is too large: further requests wait in the kernel. A client that reads
-        nothing for long is closed by the listener's sweep.
+        """Stops reading while the write buffer is too large, so that further requests wait in the kernel.
+
+        The listener's sweep closes the connection of a client that does not read for too long.
         """
         if self.sock.fileno() < 0:
             return
@@ -297,26 +301,31 @@
             self._finish()
 
     def _finish(self) -> None:
-        """Closes after a delay in which the client may read: a close with bytes unread resets the connection."""
+        """Shuts down writing, and closes the socket after a delay in which the client can read the last response.
+
+        Requests that have arrived meanwhile are read first, since a close with unread bytes resets the connection.
+        """
         if self.write_closed or self.sock.fileno() < 0:
             return
         if self.violation_at is None:
-            if self.reader.has_partial_message:  # a close would lose the request
+            if self.reader.has_partial_message:  # the rest of the request is still to come
                 return
-            if not is_idle_socket(self.sock):  # a request came behind the last one: it is read and answered
+            if not is_idle_socket(self.sock):  # another request has arrived: read and answer it first
                 self.listener.loop.call_soon(self._on_readable)
                 return
-            self.stop_reading()  # a request that crosses the close stays unread: its client sends it again
+            self.stop_reading()  # a request that arrives from now on stays unread, and its client sends it again
         self.write_closed = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
         self.listener.loop.call_later(CLOSE_LINGER_SECONDS, self.close)
 
-    # Ends
+    # Closing
 
     def drain(self) -> None:
-        """The relay stops: what has arrived is taken, and the connection closes once that is answered. One
-        without a request so far stays open for now, since its request may be on its way.
+        """Accepts the requests that have arrived and closes the connection once they are answered.
+
+        Called when the relay stops. A connection without any request so far stays open for now, since its first
+        request may be on its way.
         """
         if self.closing:
             return
@@ -330,8 +339,10 @@
         self.flush()
 
     def close_with_rejection(self, code: str, text: str) -> None:
-        """Closes a connection whose next request has not arrived completely, with a rejection that tells its
-        client to go elsewhere. It answers whatever crosses it, which is dropped: what is rejected never runs.
+        """Closes a connection whose next request has not arrived completely, with a rejection.
+
+        The client then retries on another relay. A request that arrives after this call is discarded and never runs;
+        the rejection is its response.
         """
         if self.violation_at is not None or self.write_closed or self.sock.fileno() < 0:
             return
@@ -342,28 +353,31 @@
         self.flush()
 
     def evict(self, text: str) -> None:
-        """Rejects and closes at once, to make room; nothing unread may wait on the connection."""
+        """Rejects and closes at once, to make room for another connection; no unread bytes may wait on this one."""
         with contextlib.suppress(OSError):
             self.sock.send(messages.error(TOO_MANY_CONNECTIONS, text, fatal=True))
         self.close()
 
     def fail_requests(self, due_by: float = math.inf) -> int:
-        """Answers the requests whose deadline is `due_by` or earlier: they may have run. Returns how many."""
-        late = [
+        """Fails the pending requests whose deadline is `due_by` or earlier; returns their number.
+
+        The response says that the request may have run.
+        """
+        failed = [
             (slot, slot.pending)
             for slot in self.slots
             if slot.pending is not None and slot.response is None and slot.deadline <= due_by
         ]
-        for slot, pending in late:
+        for slot, pending in failed:
             self.listener.open_request_ids.pop(pending.id, None)
             slot.response = self.listener.error_response(RequestOutcome.FAILED, 0)
         self.flush()
-        for _, pending in late:  # by the loop: a failure there must not keep others from their responses
+        for _, pending in failed:  # from the loop, so that an exception in one call does not prevent the others
             self.listener.loop.call_soon(self.listener.driver.client_left, pending)
-        return len(late)
+        return len(failed)
 
     def on_disconnect(self) -> None:
-        """The client has gone: its requests are abandoned."""
+        """Closes the connection after the client has disconnected, and abandons its requests."""
         slots = self.slots
         self.slots = deque()
         self.close()
@@ -373,7 +387,7 @@
                 self.listener.driver.client_left(slot.pending)
 
     def close(self) -> None:
-        """Closes the socket; responses that were not written are lost."""
+        """Closes the socket; responses that are not written yet are lost."""
         if self.sock.fileno() < 0:
             return
         self.listener.loop.remove_reader(self.sock)
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -1,8 +1,8 @@
-"""Accepts client connections, closes silent ones, and answers all of them when the relay stops.
+"""Accepts client connections, closes silent ones, and drains all of them when the relay stops.
 
-Nothing that a client sends costs more than a bounded buffer. What cannot be read is answered by an error and the
-end of its connection; requests before it on the connection are answered first, or fail after a moment. A client
-that is not accepted gets a rejection, which is safe to retry elsewhere.
+A client can make the relay buffer only a bounded number of bytes. After a protocol violation the client gets an error
+and the connection closes; earlier requests on it are answered first, or fail after VIOLATION_GRACE_SECONDS. A client
+for which there is no room gets a rejection, after which a retry on another relay is safe.
 """
 
 from __future__ import annotations
@@ -29,23 +29,26 @@
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import RequestOutcome
 
-SILENCE_TIMEOUT_SECONDS = 2.0  # for a client to send a request, or the rest of a message
-IDLE_TIMEOUT_SECONDS = 10.0  # after which a connection without a further request is closed
-VIOLATION_GRACE_SECONDS = 1.0  # for the requests before a protocol violation
-OVERDUE_GRACE_SECONDS = 0.2  # after its deadline, before a request without a response is failed
-NEW_CONNECTION_GRACE_SECONDS = 0.1  # for a client to begin, before its place may go to another
+SILENCE_TIMEOUT_SECONDS = 2.0  # without a byte of the first request, or of the rest of a message
+IDLE_TIMEOUT_SECONDS = 10.0  # between requests, and for the first request to arrive completely
+VIOLATION_GRACE_SECONDS = 1.0  # for requests that are pending at a protocol violation; then they fail
+OVERDUE_GRACE_SECONDS = 0.2  # after a request's deadline; then a request without a response fails
+NEW_CONNECTION_GRACE_SECONDS = 0.1  # for a new client to send its request, before it may be evicted
 MAX_ACCEPTS_PER_TURN = 64
-MAX_REJECTED_SOCKETS = 8  # that may still read their rejection; of the reserved descriptors
+MAX_REJECTED_SOCKETS = 8  # kept open for clients to read their rejection; they use the reserved descriptors
 MAX_CACHED_REJECTIONS = 1000
 POLL_INTERVAL_SECONDS = 0.02
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-INCOMPLETE_MESSAGE = ("08P01", "the rest of a message never came")
-RELAY_STOPS = (CANNOT_CONNECT_NOW, "this relay stops: nothing ran")
+INCOMPLETE_MESSAGE_ERROR = ("08P01", "the rest of a message never came")
+RELAY_STOPPING_ERROR = (CANNOT_CONNECT_NOW, "this relay stops: nothing ran")
 
 
 @dataclass(frozen=True)
 class ListenerLimits:
-    """`response_slack`: how much earlier than the client's own timeout a response is due."""
+    """Limits that a relay's resources set, and `response_slack`.
+
+    `response_slack` is the time in ticks by which a response is due before the client's own timeout.
+    """
 
     max_connections: int
     max_query_bytes: int
@@ -55,8 +58,8 @@
 class ClientListener:
     """The listening socket and all client connections.
 
-    `drain_deadline`: when all has to be answered, on the loop's clock, once the relay stops; `after_event` is
-    called after the driver was notified of something.
+    `after_event` is called after the driver has been notified of an event. `drain_deadline` is None until the relay
+    stops; then it is the time on the loop's clock, in seconds, at which every request has to be answered.
     """
 
     def __init__(
@@ -75,8 +78,8 @@
         self.response_slack = limits.response_slack
         self._log = log
         self.clients: dict[ClientConnection, None] = {}
-        self.without_request: dict[ClientConnection, None] = {}  # the oldest first
-        self.open_request_ids: dict[str, None] = {}  # of requests without a response yet
+        self.without_request: dict[ClientConnection, None] = {}  # oldest first
+        self.open_request_ids: dict[str, None] = {}  # ids of the requests without a response so far
         self.after_event: Callable[[], None] = lambda: None
         self.unreadable_statements = 0
         self.protocol_violations = 0
@@ -91,7 +94,10 @@
         self._failure_message = messages.error("58000", "broken off: whether it ran is not known") + messages.READY
 
     def error_response(self, outcome: RequestOutcome, retry_after: Ticks) -> bytes:
-        """The error message and ReadyForQuery of a request that was rejected or failed."""
+        """Returns the ErrorResponse and ReadyForQuery for a request that was rejected or failed.
+
+        `retry_after`, in ticks, is sent with a rejection if it is positive.
+        """
         if outcome is RequestOutcome.FAILED:
             return self._failure_message
         if retry_after not in self._rejection_messages:
@@ -105,7 +111,7 @@
     # Accepting
 
     def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Returns the address; raises OSError where it cannot be bound."""
+        """Opens the listening socket and returns its address; raises OSError if the address cannot be bound."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -117,7 +123,10 @@
         return str(name[0]), int(name[1])
 
     def _accept(self) -> bool:
-        """Accepts a bounded number of connections, so that requests get their turn; returns whether more may wait."""
+        """Accepts connections and returns whether more may be waiting.
+
+        Their number per call is bounded, so that the loop gets to handle requests as well.
+        """
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._sock is None:
                 return False
@@ -127,8 +136,10 @@
                 return False
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRORS:
-                    continue  # that connection broke before it was accepted
-                self._log.warning("cannot accept", reason=str(error), remedy="more descriptors for the process")
+                    continue  # the connection broke before it was accepted
+                self._log.warning(
+                    "cannot accept", reason=str(error), remedy="raise the process's limit of open file descriptors"
+                )
                 if self._evict_one():
                     return True
                 self._pause_accepting()
@@ -147,7 +158,10 @@
         self.without_request[client] = None
 
     def _pause_accepting(self) -> None:
-        """Guards against a busy loop: a waiting connection would call `_accept` again at once, in vain."""
+        """Stops accepting for a moment.
+
+        Otherwise the loop would call `_accept` again at once for the connection that waits, and spin without success.
+        """
         assert self._sock is not None
         self.loop.remove_reader(self._sock)
         self.loop.call_later(NEW_CONNECTION_GRACE_SECONDS, self._resume_accepting)
@@ -157,9 +171,12 @@
             self.loop.add_reader(self._sock, self._accept)
 
     def _reject_connection(self, sock: socket.socket) -> None:
-        """The client may read its rejection for as long as no other needs the descriptor."""
+        """Sends a rejection, and keeps the socket open for a moment so that the client can read it.
+
+        The socket closes earlier if more than MAX_REJECTED_SOCKETS wait.
+        """
         self.rejected_connections += 1
-        with contextlib.suppress(OSError):  # what has come is read, since a close with bytes unread resets
+        with contextlib.suppress(OSError):  # reads what has arrived, since a close with unread bytes is a reset
             sock.recv(READ_BUFFER_BYTES)
         with contextlib.suppress(OSError):
             sock.send(messages.error(TOO_MANY_CONNECTIONS, "no room for another connection: nothing ran", fatal=True))
@@ -175,22 +192,25 @@
             sock.close()
 
     def _evict_one(self) -> bool:
-        """Closes one connection on which nothing waits to be read: one without a request so far, or else the one
-        idle for longest. The kernel is asked for each only when its turn comes.
+        """Closes one connection on which no bytes wait to be read, and returns whether there was one.
+
+        Connections without any request so far come first, then the one that has been idle for longest. To check for
+        unread bytes costs a system call, so it is done candidate by candidate.
         """
         now = self.loop.time()
-        # A new one may be about to send its request; but many of them must not push out those who do.
+        # A new client may be about to send its request, so it gets a grace period. When half of all connections are
+        # without a request there is none: they must not crowd out the clients that do send requests.
         half_are_unused = 2 * len(self.without_request) >= len(self.clients)
         for client in self.without_request:
             if client.has_pending_response:
                 continue
-            may_close = half_are_unused or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS
-            if may_close and is_idle_socket(client.sock):
+            may_evict = half_are_unused or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS
+            if may_evict and is_idle_socket(client.sock):
                 self.evicted_connections += 1
                 client.evict("nothing was asked, and others need the room")
                 return True
-        settled = [client for client in self.clients if client.has_requested and not client.has_pending_response]
-        for client in sorted(settled, key=lambda client: client.last_activity):
+        candidates = [client for client in self.clients if client.has_requested and not client.has_pending_response]
+        for client in sorted(candidates, key=lambda client: client.last_activity):
             if client.is_idle:
                 self.evicted_connections += 1
                 client.close()
@@ -200,16 +220,18 @@
     # Timeouts
 
     def sweep(self) -> None:
-        """To be called a few times a second: applies the timeouts. Closes nothing on which bytes wait to be read:
-        to a relay that was suspended all of its clients look silent.
+        """Applies the timeouts; to be called a few times a second.
+
+        A connection counts as silent only if no bytes wait to be read. Otherwise all clients would look silent to a
+        relay whose process was suspended.
         """
         now = self.loop.time()
         for client in list(self.clients):
-            # Guards against a request that an error within the relay left without a response.
-            late = client.fail_requests(now - OVERDUE_GRACE_SECONDS)
-            if late:
-                self.overdue_requests += late
-                self._log.error("requests without a response in time", failed=late)
+            # An internal error of the relay may have left a request without a response.
+            failed = client.fail_requests(now - OVERDUE_GRACE_SECONDS)
+            if failed:
+                self.overdue_requests += failed
+                self._log.error("overdue requests failed", failed=failed)
             if client.closing:
                 self._sweep_closing(client, now)
             elif client.write_buffer:
@@ -223,25 +245,25 @@
         if client.violation_at is not None and client.violation_at < now - VIOLATION_GRACE_SECONDS:
             client.fail_requests()
         if client.last_activity < now - 2 * SILENCE_TIMEOUT_SECONDS and not client.slots:
-            client.close()  # it does not read its last response
+            client.close()  # the client does not read its last response
         elif client.violation_at is None and self._is_stuck(client, now):
-            client.close_with_violation(*INCOMPLETE_MESSAGE)
+            client.close_with_violation(*INCOMPLETE_MESSAGE_ERROR)
             client.flush()
 
     def _sweep_silent(self, client: ClientConnection, now: float) -> None:
-        end = self._timeout_action(client, now)
-        if end is not None and is_idle_socket(client.sock):
-            end()
+        action = self._timeout_action(client, now)
+        if action is not None and is_idle_socket(client.sock):
+            action()
             client.flush()
 
     def _is_stuck(self, client: ClientConnection, now: float) -> bool:
         return client.reader.has_partial_message and client.last_activity < now - SILENCE_TIMEOUT_SECONDS
 
     def _timeout_action(self, client: ClientConnection, now: float) -> Callable[[], None] | None:
-        """How to end a connection that was silent for too long; None where it was not."""
+        """Returns the call that closes a connection which was silent for too long; None if it was not."""
         if self._is_stuck(client, now):
-            return lambda: client.close_with_violation(*INCOMPLETE_MESSAGE)
-        # One whose bytes keep coming is about to send its request: it has the longer timeout.
+            return lambda: client.close_with_violation(*INCOMPLETE_MESSAGE_ERROR)
+        # While bytes of the first request keep arriving, only the longer timeout applies.
         if not client.has_requested and (
             client.last_activity < now - SILENCE_TIMEOUT_SECONDS or client.opened_at < now - IDLE_TIMEOUT_SECONDS
         ):
@@ -251,9 +273,11 @@
     # Draining
 
     async def drain(self, linger: float, response_seconds: float) -> None:
-        """Serves on for `linger` seconds, since clients still connect; then accepts what has arrived and answers
-        all of it within `response_seconds`. What would take longer fails, so that each request has its response
-        before the process is killed.
+        """Stops accepting connections, answers all requests that have arrived, and closes the connections.
+
+        Serves as usual for `linger` seconds first, since clients still connect. Then all pending requests have to be
+        answered within `response_seconds`. Those that take longer fail, so that each request has its response before
+        the process is killed.
         """
         self.drain_deadline = self.loop.time() + linger + response_seconds
         await asyncio.sleep(linger)
@@ -263,20 +287,23 @@
         self.after_event()
         await self._wait_until_closed(self.loop.time() + min(CLOSE_LINGER_SECONDS, response_seconds))
         for client in list(self.clients):
-            client.drain()  # its request may have arrived just now
+            client.drain()  # the first request may have arrived meanwhile
             if not client.has_requested and not client.reader.has_partial_message:
-                client.close_with_rejection(*RELAY_STOPS)
+                client.close_with_rejection(*RELAY_STOPPING_ERROR)
         self.after_event()
         await self._wait_until_closed(self.drain_deadline)
         for client in list(self.clients):
             client.fail_requests()
-            if client.reader.has_partial_message:  # its rest did not come in time
-                client.close_with_rejection(*RELAY_STOPS)
+            if client.reader.has_partial_message:  # the rest of the request did not arrive in time
+                client.close_with_rejection(*RELAY_STOPPING_ERROR)
         self.after_event()
         await self._wait_until_closed(self.loop.time() + 1.2 * CLOSE_LINGER_SECONDS)
 
     def _stop_listening(self) -> None:
-        """Accepts what waits, as much as the relay may hold at most, and closes the listening socket."""
+        """Accepts the connections that wait in the listening socket's queue, then closes that socket.
+
+        The number of calls is bounded, so that clients that keep connecting cannot hold up the drain.
+        """
         for _ in range(self._max_connections):
             if not self._accept():
                 break
@@ -286,5 +313,6 @@
             self._sock = None
 
     async def _wait_until_closed(self, deadline: float) -> None:
+        """Waits until all connections have closed, but not beyond `deadline` on the loop's clock."""
         while self.clients and self.loop.time() < deadline:  # noqa: ASYNC110 - many places close a connection
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/lanelead/postgres_relay/connection_owner.py
+++ b/lanelead/postgres_relay/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of the listener that accepted it, and its queue of responses."""
+"""The interface through which client connections use their listener, and the slots of their pending responses."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class ConnectionOwner(Protocol):
-    """The listener, as its connections see it."""
+    """The part of `ClientListener` that its connections use; see there for the attributes."""
 
     loop: asyncio.AbstractEventLoop
     driver: DecisionDriver
     tenants: Mapping[str, Tenant]
     max_query_bytes: int
     response_slack: Ticks
-    open_request_ids: dict[str, None]  # of requests without a response yet
+    open_request_ids: dict[str, None]  # ids of the requests without a response so far
     after_event: Callable[[], None]
     clients: dict[ClientConnection, None]
     without_request: dict[ClientConnection, None]
@@ -33,12 +33,15 @@
     drain_deadline: float | None
 
     def error_response(self, outcome: RequestOutcome, retry_after: Ticks) -> bytes:
-        """The error message and ReadyForQuery of a request that was rejected or failed."""
+        """Returns the ErrorResponse and ReadyForQuery for a request that was rejected or failed."""
         ...
 
 
 class ResponseSlot:
-    """A command's place in the order of responses. `response` is None until it is known."""
+    """The response to one command, in its place in a connection's queue of responses.
+
+    `response` is None until it is known. `pending` is None if the relay answers the command itself, without the driver.
+    """
 
     __slots__ = ("deadline", "pending", "response", "size")
 
@@ -47,5 +50,5 @@
     ) -> None:
         self.pending = pending
         self.response = response
-        self.deadline = deadline  # on the loop's clock, seconds
-        self.size = size  # bytes of the command
+        self.deadline = deadline  # on the loop's clock, in seconds
+        self.size = size  # length of the command's text in bytes
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -1,7 +1,7 @@
-"""Upstream connections: one pool for each endpoint and start of it, and which connections may be reused.
+"""Upstream connections: a pool for each incarnation of an endpoint, and when a connection may be reused.
 
-A connection carries one request at a time. It is reused only after a complete response with nothing behind it,
-and after a delay: a duplicated response may arrive some milliseconds late and would pass for the next one.
+A connection carries one request at a time. It is reused only if no bytes follow a complete response, and after a delay:
+a duplicated response may arrive some milliseconds late and would be taken for the next request's.
 """
 
 from __future__ import annotations
@@ -17,13 +17,17 @@
 from lanelead.postgres_relay.load_reports import is_idle_socket
 from lanelead.runtime.destination import Destination
 
-IDLE_LIMIT_FACTOR = 0.6  # of the endpoint's own idle timeout, so that this side closes first
+IDLE_LIMIT_FACTOR = 0.6  # share of the endpoint's own idle timeout, so that the relay closes the connection first
 REUSE_DELAY_SECONDS = 0.01  # duplicated responses arrive 2 to 3 ms late
 
 
 @dataclass(frozen=True)
 class PoolLimits:
-    """Timeouts in seconds; `idle_timeout` is that after which the endpoint closes an idle connection."""
+    """The limits of all upstream connections together.
+
+    Timeouts are in seconds; after `idle_timeout` the endpoint closes an idle connection. `max_response_bytes` is the
+    maximum size of one message.
+    """
 
     connect_timeout: float
     idle_timeout: float
@@ -55,13 +59,13 @@
         self.sock = sock
         self.pool = pool
         self.reader = ServerReader(max_response_bytes, b"vitals")
-        self.attempt: Attempt | None = None  # running on it, or to run once it is connected
+        self.attempt: Attempt | None = None  # in flight on it, or to be sent once it is connected
         self.health_check: Endpoint | None = None
         self.connected = False  # the endpoint has sent its ReadyForQuery
-        self.query_sent = False  # the kernel has taken the query's last byte
-        self.unsent = memoryview(b"")  # the rest of a query that the kernel took in part
+        self.query_sent = False  # the kernel has accepted the query's last byte
+        self.unsent = memoryview(b"")  # the part of the query that the kernel has not accepted yet
         self.writing = False
-        self.last_activity = 0.0  # when it fell idle, or when response bytes last arrived
+        self.last_activity = 0.0  # when it was opened or became idle, or when bytes last arrived
         self.reusable_at = 0.0
         self.health_check_started = 0.0
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -69,16 +73,19 @@
 
 
 class EndpointPool:
-    """The connections to one start of an endpoint."""
+    """The idle connections to one incarnation of an endpoint.
+
+    Once `retired` is set, connections close when their request ends instead of becoming idle.
+    """
 
     def __init__(self, destination: Destination) -> None:
         self.destination = destination
-        self.idle: list[UpstreamConnection] = []  # the most recently used last
+        self.idle: list[UpstreamConnection] = []  # the most recently used one last
         self.retired = False
 
 
 class ConnectionPool:
-    """All upstream connections. A subclass handles what passes on them, by the two methods that it overrides."""
+    """All upstream connections. A subclass overrides `_on_writable` and `_on_connect_timeout` and sends the queries."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, log: Any) -> None:
         self._loop = loop
@@ -93,15 +100,15 @@
         self.descriptor_shortages = 0
 
     def _on_writable(self, connection: UpstreamConnection) -> None:
-        """The connection came up, failed to, or takes more bytes."""
+        """Called when the connection is established, has failed, or accepts more bytes."""
         raise NotImplementedError
 
     def _on_connect_timeout(self, connection: UpstreamConnection) -> None:
-        """The connection was not ready for a query in time."""
+        """Called when the connection may not have become ready for a query in time."""
         raise NotImplementedError
 
     def _pool_for(self, endpoint: Endpoint, destination: Destination) -> EndpointPool:
-        """The endpoint's pool; a new one where its address or start has changed."""
+        """Returns the endpoint's pool; a new one if its address or incarnation has changed."""
         pool = self._pools.get(endpoint)
         if pool is None or pool.destination != destination:
             if pool is not None:
@@ -111,7 +118,10 @@
         return pool
 
     def _take_idle(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """Takes the most recently used reusable connection; closes those with unsolicited bytes or an end."""
+        """Takes the most recently used connection that may be reused, or returns None.
+
+        Closes connections on which unsolicited bytes have arrived or which the endpoint has closed.
+        """
         now = self._loop.time()
         for connection in reversed(pool.idle.copy()):
             if connection.reusable_at > now:
@@ -123,7 +133,10 @@
         return None
 
     def _open_connection(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """Starts to connect; None where all descriptors are in use and no idle connection can be closed."""
+        """Starts to connect.
+
+        Returns None if the process has no descriptor left, or if the limit is reached and no connection is idle.
+        """
         if len(self.connections) >= self._max_connections and not self._close_longest_idle():
             self.descriptor_shortages += 1
             return None
@@ -141,12 +154,13 @@
         self.opened += 1
         connection.last_activity = self._loop.time()
         connection.connect_timer = self._loop.call_later(self._connect_timeout, self._on_connect_timeout, connection)
-        with contextlib.suppress(OSError):  # in progress, or failed: `_on_writable` finds out
+        with contextlib.suppress(OSError):  # in progress or failed; `_on_writable` tells which
             sock.connect((destination.host, destination.port))
         self._loop.add_writer(sock, self._on_writable, connection)
         return connection
 
     def _close_longest_idle(self) -> bool:
+        """Closes the connection that has been idle for longest; returns False if none is idle."""
         pools = [pool for pool in self._pools.values() if pool.idle]
         if not pools:
             return False
@@ -155,6 +169,7 @@
         return True
 
     def _keep_idle(self, connection: UpstreamConnection) -> None:
+        """Makes the connection available for reuse, or closes it if its pool is retired."""
         if connection.pool.retired:
             self._close_connection(connection)
             return
@@ -179,7 +194,7 @@
             self._close_connection(connection)
 
     def _retire(self, pool: EndpointPool) -> None:
-        """Closes its idle connections now, and the others as their requests end."""
+        """Closes the pool's idle connections now, and its other connections when their requests end."""
         self._close_idle_in(pool)
         pool.retired = True
 
@@ -189,7 +204,7 @@
         if pool is not None:
             self._close_idle_in(pool)
 
-    def _close_excess_idle(self) -> None:
+    def _close_expired_idle(self) -> None:
         """Closes connections that were idle for too long, and drops the pools of removed endpoints."""
         oldest = self._loop.time() - self._idle_limit
         for endpoint, pool in list(self._pools.items()):
@@ -200,6 +215,6 @@
                 del self._pools[endpoint]
 
     def close_all(self) -> None:
-        """Closes every connection; requests on them get no outcome."""
+        """Closes every connection, without reporting outcomes of the attempts and health checks on them."""
         for connection in list(self.connections):
             self._close_connection(connection)
--- a/lanelead/postgres_relay/event_loop_monitor.py
+++ b/lanelead/postgres_relay/event_loop_monitor.py
@@ -1,4 +1,4 @@
-"""How late the event loop is, and what the process uses: for the state document."""
+"""Event-loop lag, garbage collection pauses, CPU time and memory of the process, for the state document."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EventLoopMonitor:
-    """The longest delays since the last `reset`, in seconds: of the event loop, and by the garbage collector."""
+    """Keeps the longest event-loop lag and the longest garbage collection pause since the last `reset`, in seconds."""
 
     def __init__(self) -> None:
         self.loop_lag_seconds = 0.0
@@ -17,19 +17,19 @@
         self._gc_started = 0.0
 
     def start(self) -> None:
-        """Begins to time the garbage collector."""
+        """Starts to time garbage collections."""
         gc.callbacks.append(self._on_gc)
 
     def stop(self) -> None:
-        """Ends what `start` began."""
+        """Stops timing garbage collections."""
         gc.callbacks.remove(self._on_gc)
 
     def record_lag(self, seconds: float) -> None:
-        """A timer of the loop fired this much too late."""
+        """Records that a timer of the event loop fired `seconds` too late."""
         self.loop_lag_seconds = max(self.loop_lag_seconds, seconds)
 
     def reset(self) -> None:
-        """Forgets the longest delays."""
+        """Sets both maxima back to zero."""
         self.loop_lag_seconds = 0.0
         self.gc_pause_seconds = 0.0
 
@@ -40,7 +40,7 @@
             self.gc_pause_seconds = max(self.gc_pause_seconds, time.monotonic() - self._gc_started)
 
     def state(self) -> dict[str, float]:
-        """The fields of the state document."""
+        """Returns the fields for the state document: milliseconds, CPU seconds and megabytes."""
         return {
             "loop_lag_ms": round(self.loop_lag_seconds * 1000, 1),
             "gc_pause_ms": round(self.gc_pause_seconds * 1000, 1),
@@ -50,7 +50,7 @@
 
 
 def resident_mb() -> float:
-    """The process's resident memory in megabytes (proc(5), statm); 0 where it cannot be read."""
+    """Returns the process's resident memory in megabytes (proc(5), statm), or 0 if it cannot be read."""
     try:
         with open("/proc/self/statm") as file:
             return round(int(file.read().split()[1]) * PAGE_BYTES / 1e6, 1)
--- a/lanelead/postgres_relay/gossip_transport.py
+++ b/lanelead/postgres_relay/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Gossip between relays as UDP datagrams, which may be late, lost, duplicated or a stranger's."""
+"""Gossip between relays as UDP datagrams, which may be late, lost, duplicated or from an unknown sender."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 from lanelead.protocols import datagrams
 from lanelead.protocols.platform import parse_address
 
-MAX_DATAGRAMS_PER_TURN = 64  # so that requests get their turn
+MAX_DATAGRAMS_PER_TURN = 64  # the loop handles other events in between
 READ_BUFFER_BYTES = 512
 
 
 class GossipTransport:
-    """Calls `on_gossip` with a peer's number and its payload, and `after_batch` once all that has come is read.
+    """Sends and receives the gossip of one relay.
 
-    `number` is this relay's own, `peers` the addresses of all relays by number.
+    `number` is this relay's own number; `peers` are the addresses of all relays, in the order of their numbers.
+    `on_gossip` is called with the sender's number and the payload of each datagram, and `after_batch` after each batch
+    of datagrams. A datagram that is malformed or not from another relay's address is dropped and counted.
     """
 
     def __init__(
@@ -42,20 +44,24 @@
         self.dropped_datagrams = 0
 
     def open(self, host: str, port: int) -> None:
-        """Binds the socket. Where that fails the relay goes on without gossip, as if all of it were lost."""
+        """Binds the socket. If that fails, the relay runs without gossip, as if every datagram were lost."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
             sock.bind((host, port))
         except OSError as error:
-            self._log.error("no gossip", reason=str(error), remedy="free the address peer_listen names")
+            self._log.error(
+                "cannot bind the gossip socket: running without gossip",
+                reason=str(error),
+                remedy="free the address in peer_listen and restart the relay",
+            )
             sock.close()
             return
         self._sock = sock
         self._loop.add_reader(sock, self._on_readable)
 
     def send(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        """Sends to one peer, or to all; datagrams may be lost."""
+        """Sends the payloads to one peer, or to all peers if `peer` is None; datagrams may be lost."""
         if self._sock is None:
             return
         for number, address in enumerate(self._peers):
@@ -83,7 +89,7 @@
         self._after_batch()
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Stops receiving and closes the socket; does nothing if it is not open."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock)
             self._sock.close()
--- a/lanelead/postgres_relay/load_reports.py
+++ b/lanelead/postgres_relay/load_reports.py
@@ -1,4 +1,4 @@
-"""Endpoints' load reports, and whether a socket has anything to read."""
+"""Parses endpoints' load reports, and checks whether a socket has anything to read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def parse_load_report(text: bytes | None, names: frozenset[str]) -> LoadReport | None:
-    """The fields in `names` of a report `name=value,name=value`; None where it has none or cannot be read."""
+    """Parses a report of the form `name=value,name=value` and keeps the fields in `names`.
+
+    Returns None if the report is malformed or has none of these fields.
+    """
     if not text or not names:
         return None
     report: LoadReport = {}
@@ -28,7 +31,7 @@
 
 
 def is_idle_socket(sock: socket.socket) -> bool:
-    """Nothing waits to be read, and the other end has not closed."""
+    """Returns whether no bytes wait to be read and the peer has not closed the connection."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -1,7 +1,7 @@
 """Attempts and health checks on upstream connections in PostgreSQL's protocol, and the outcome of each.
 
-docs/postgres-relay.md has the table of outcomes. An attempt can have run once its last byte was handed to the
-kernel, and no sooner.
+docs/postgres-relay.md has the table of outcomes. An attempt may have run only if the kernel has accepted the last byte
+of its query.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 class UpstreamRequests(ConnectionPool):
     """Starts attempts and health checks and reports their outcomes to the driver.
 
-    `report_names`: the load report fields to keep. `driver` has to be set before use; `after_event` is called
-    after the driver was notified of something.
+    `report_names` are the load report fields to keep. `driver` has to be set before use. `after_event` is called after
+    the driver has been notified of an event.
     """
 
     def __init__(
@@ -56,16 +56,19 @@
     # Attempts
 
     def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        """Keeps an attempt for `start_waiting`."""
+        """Enqueues an attempt; `start_waiting` starts it."""
         self._in_flight[attempt] = pending, None
         self._waiting_attempts.append(attempt)
 
     def enqueue_health_check(self, endpoint: Endpoint) -> None:
-        """Keeps a health check for `start_waiting`."""
+        """Enqueues a health check; `start_waiting` starts it."""
         self._waiting_health_checks.append(endpoint)
 
     def start_waiting(self) -> None:
-        """Starts what is enqueued. Not to be called by the driver: it is notified of immediate failures."""
+        """Starts all enqueued attempts and health checks.
+
+        The driver must not call this itself, since it is notified of immediate failures within the call.
+        """
         while self._waiting_attempts or self._waiting_health_checks:
             attempts = self._waiting_attempts
             self._waiting_attempts = []
@@ -82,7 +85,7 @@
         if connection is None:
             return False
         connection.attempt = None
-        if connection.connected:  # one that is still connecting becomes idle
+        if connection.connected:  # otherwise it becomes idle once it is connected
             self._close_connection(connection)
         return connection.query_sent
 
@@ -179,14 +182,14 @@
         elif not connection.connected:
             self._on_ready(connection)
         elif connection.writing and reader.response and reader.response.error_code != REJECTED_CODE:
-            # An endpoint begins once the query's last byte has come: this response is to something else.
-            self._fail_malformed(connection, "it came before the query was written completely")
+            # An endpoint runs a query only once all of it has arrived, so this cannot be the response to it.
+            self._fail_malformed(connection, "response before the query was sent completely")
         else:
             self._on_response(connection)
         self.after_event()
 
     def _on_ready(self, connection: UpstreamConnection) -> None:
-        """The endpoint has accepted the connection: what waits for it starts."""
+        """Sends the query that waits for the connection, now that the endpoint has accepted it."""
         connection.connected = True
         if connection.connect_timer is not None:
             connection.connect_timer.cancel()
@@ -238,7 +241,9 @@
         self._fail_connection(connection)
 
     def _fail_connection(self, connection: UpstreamConnection) -> None:
-        """Closes a connection that broke. A query that was sent completely may have run."""
+        """Closes a broken connection and reports the outcome: RESET if its query was sent completely and may have run,
+        CONNECT_FAILED if it cannot have run.
+        """
         attempt = connection.attempt
         connection.attempt = None
         health_check = connection.health_check
@@ -271,19 +276,22 @@
             self.after_event()
 
     def sweep(self) -> None:
-        """To be called a few times a second: closes worn connections and those with an incomplete response."""
-        self._close_excess_idle()
+        """Closes connections that were idle for too long, and those on which a response stopped before its end.
+
+        To be called a few times a second.
+        """
+        self._close_expired_idle()
         oldest = self._loop.time() - self._connect_timeout
-        # Guards against an endpoint that sends less than it announced: the attempt would wait until its timeout.
+        # An endpoint may send fewer bytes than it announced. The attempt would then wait until its timeout.
         incomplete = [
             connection
             for connection in self.connections
             if connection.connected and connection.attempt and connection.reader.response_begun
         ]
         for connection in incomplete:
-            # Bytes that wait to be read were delayed by this relay, not by the endpoint.
+            # If bytes wait to be read, this relay is late and not the endpoint.
             if connection.last_activity < oldest and is_idle_socket(connection.sock):
-                self._fail_malformed(connection, "it stopped in the middle")
+                self._fail_malformed(connection, "response stopped before its end")
         self.after_event()
 
     # Health checks
@@ -321,7 +329,7 @@
     def _health_check_ended(
         self, endpoint: Endpoint, outcome: AttemptOutcome, connection: UpstreamConnection, report: LoadReport | None
     ) -> None:
-        # Guards against the timer of this health check ending a later one on the same connection.
+        # Otherwise the timer of this health check could end a later one on the same connection.
         if connection.health_check_timer is not None:
             connection.health_check_timer.cancel()
             connection.health_check_timer = None
