--- a/tests/test_client_violations.py
+++ b/tests/test_client_violations.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol or fall silent."""
+"""Clients that violate the protocol or stay silent."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tests.town import live
 
 
-async def no_response(unit: ScriptedEndpoint, text: bytes) -> bytes:
+async def no_response(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
     await asyncio.sleep(5)
     return b""
 
 
 class ClientViolations(unittest.TestCase):
     @live
-    async def test_each_gets_an_error_or_an_end_and_no_trip(self) -> None:
+    async def test_each_violation_gets_an_error_or_a_close_and_no_attempt(self) -> None:
         start = messages.startup("app", "shop")
         many = b"".join(messages.query(statement(str(n))) for n in range(300))
         with mock.patch.multiple(client_listener, SILENCE_TIMEOUT_SECONDS=0.3):
@@ -44,20 +44,20 @@
                 ):
                     client = await place.client(start=False)
                     client.writer.write(text)
-                    found = b""
-                    while b"SERROR\0" not in found and (more := await client.reader.read(65536)):
-                        found += more
-                    self.assertNotIn(b"C53300", found, text[:50])
-                    self.assertNotIn(b"DataRow", found)
+                    received = b""
+                    while b"SERROR\0" not in received and (more := await client.reader.read(65536)):
+                        received += more
+                    self.assertNotIn(b"C53300", received, text[:50])
+                    self.assertNotIn(b"DataRow", received)
                 self.assertEqual(place.endpoints[0].queries, [])
                 self.assertIn("D", await (await place.client()).request("1a"))
                 await place.until(lambda: len(place.relay.listener.clients) <= 1 + 4)
 
     @live
-    async def test_what_was_taken_before_is_still_answered(self) -> None:
-        async def slow(unit: ScriptedEndpoint, text: bytes) -> bytes:
+    async def test_request_before_a_violation_is_answered(self) -> None:
+        async def slow(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.1)
-            return await echo_id(unit, text)
+            return await echo_id(endpoint, text)
 
         async with platform(ScriptedEndpoint("u0", slow)) as place:
             client = await place.client()
@@ -68,7 +68,7 @@
             self.assertEqual(await client.reader.read(), b"")
 
     @live
-    async def test_or_broken_off_after_a_moment(self) -> None:
+    async def test_request_before_a_violation_fails_after_the_grace_period(self) -> None:
         with mock.patch.multiple(client_listener, VIOLATION_GRACE_SECONDS=0.2):
             async with platform(ScriptedEndpoint("u0", no_response)) as place:
                 client = await place.client()
@@ -79,13 +79,13 @@
                 self.assertEqual((place.relay.driver.pending, place.relay.listener.open_request_ids), ({}, {}))
 
     @live
-    async def test_a_crowd_that_says_nothing_leaves_room_for_those_who_ask(self) -> None:
+    async def test_silent_connections_leave_room_for_active_clients(self) -> None:
         async with platform(ScriptedEndpoint("u0"), sockets=64) as place:
-            asks = await place.client()
-            await asks.request("1a")
+            requester = await place.client()
+            await requester.request("1a")
             for _ in range(60):
                 await place.client(start=False)
             await asyncio.sleep(0.15)
-            self.assertIn("D", await asks.request("2a"))
+            self.assertIn("D", await requester.request("2a"))
             self.assertIn("D", await (await place.client()).request("3a"))
             self.assertLessEqual(len(place.relay.listener.clients), 20)
--- a/tests/test_upstream_races.py
+++ b/tests/test_upstream_races.py
@@ -1,4 +1,7 @@
-"""What crosses on a unit's connection, each held by the test at its byte: docs/crossings.md has the table."""
+"""Races on connections to endpoints: late, early and duplicated responses, broken connections, changed endpoints.
+
+docs/crossings.md has the table of races. Each test produces its race at a fixed point of the byte stream or the clock.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,7 @@
 from typing import Any, cast
 from unittest import mock
 
-from lanelead.decisions.interface import AttemptOutcome
-from lanelead.decisions.interface import Endpoint as Known
+from lanelead.decisions.interface import AttemptOutcome, Endpoint
 from lanelead.pgwire.messages import READY, error, query
 from lanelead.postgres_relay.connection_pool import UpstreamConnection
 from lanelead.protocols.feeds import decode
@@ -23,107 +25,111 @@
 
 
 def manual_loop(place: Platform) -> ManualLoop:
-    """The clock and the timers of the relay's connections to units, in the test's hand."""
-    hand = ManualLoop(asyncio.get_running_loop())
-    place.relay.upstream._loop = cast(asyncio.AbstractEventLoop, hand)
-    return hand
+    """Lets the test advance the clock and the timers of the relay's upstream connections; nothing else is affected."""
+    clock = ManualLoop(asyncio.get_running_loop())
+    place.relay.upstream._loop = cast(asyncio.AbstractEventLoop, clock)
+    return clock
 
 
-def connection_of(place: Platform, name: str = "u0") -> Known:
+def registered_endpoint(place: Platform, name: str = "u0") -> Endpoint:
+    """Returns the relay's record of an endpoint."""
     return place.relay.driver.registry.by_name[name]
 
 
 def idle_connections(place: Platform, name: str = "u0") -> list[UpstreamConnection]:
-    return place.relay.upstream._pools[connection_of(place, name)].idle
+    """Returns the relay's idle connections to an endpoint."""
+    return place.relay.upstream._pools[registered_endpoint(place, name)].idle
 
 
-def list_changed(place: Platform, **fields: Any) -> None:
-    """The relay is told of the first unit anew, at once."""
-    found = json.loads(place.list_of(place.endpoints[:1], full=False))
-    found["servers"][0] |= fields
-    place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+def change_listed_endpoint(place: Platform, **fields: Any) -> None:
+    """Hands the relay an endpoint list at once, in which the first endpoint has the given fields."""
+    listing = json.loads(place.list_of(place.endpoints[:1], full=False))
+    listing["servers"][0] |= fields
+    place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(listing).encode(), EndpointList)))
 
 
 class HealthChecks(unittest.TestCase):
     @live
-    async def test_the_timer_of_an_earlier_probe_ends_no_later_one(self) -> None:
-        unit = HeldEndpoint()
-        async with platform(unit) as place:
-            hand, links, heard = manual_loop(place), place.relay.upstream, mock.Mock()
-            with mock.patch.object(place.relay.driver, "health_checked", heard):
-                unit.permits.release()
-                place.relay.check_health(connection_of(place))
+    async def test_timer_of_an_earlier_health_check_does_not_end_a_later_one(self) -> None:
+        endpoint = HeldEndpoint()
+        async with platform(endpoint) as place:
+            clock, upstream, health_checked = manual_loop(place), place.relay.upstream, mock.Mock()
+            with mock.patch.object(place.relay.driver, "health_checked", health_checked):
+                endpoint.permits.release()
+                place.relay.check_health(registered_endpoint(place))
                 place.relay.after_event()
-                await place.until(lambda: heard.call_count == 1)
-                hand.advance(0.2)  # the second sets out 0.05 s before the first one's time is over
-                place.relay.check_health(connection_of(place))
+                await place.until(lambda: health_checked.call_count == 1)
+                clock.advance(0.2)  # the second starts 0.05 s before the first one's timeout
+                place.relay.check_health(registered_endpoint(place))
                 place.relay.after_event()
-                await place.until(lambda: len(unit.queries) == 2)
-                self.assertEqual((unit.connections, len(links.connections)), (1, 1))
-                hand.advance(0.1)
-                self.assertEqual((heard.call_count, len(links.connections)), (1, 1))
-                unit.permits.release()
-                await place.until(lambda: heard.call_count == 2)
-                self.assertEqual([call.args[1] for call in heard.call_args_list], [AttemptOutcome.SUCCEEDED] * 2)
+                await place.until(lambda: len(endpoint.queries) == 2)
+                self.assertEqual((endpoint.connections, len(upstream.connections)), (1, 1))
+                clock.advance(0.1)
+                self.assertEqual((health_checked.call_count, len(upstream.connections)), (1, 1))
+                endpoint.permits.release()
+                await place.until(lambda: health_checked.call_count == 2)
+                self.assertEqual(
+                    [call.args[1] for call in health_checked.call_args_list], [AttemptOutcome.SUCCEEDED] * 2
+                )
 
     @live
-    async def test_a_probe_that_fails_at_once_calls_nobody_back_within_the_call(self) -> None:
+    async def test_immediate_health_check_failure_is_not_reported_within_the_call(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             await (await place.client()).request("1a")
             await place.until_reusable()
-            idle_connections(place)[0].sock.shutdown(socket.SHUT_WR)  # it looks sound, and takes no byte
-            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
-                place.relay.check_health(connection_of(place))
-                self.assertEqual(heard.call_count, 0)
+            idle_connections(place)[0].sock.shutdown(socket.SHUT_WR)  # it looks usable, but sending fails
+            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as health_checked:
+                place.relay.check_health(registered_endpoint(place))
+                self.assertEqual(health_checked.call_count, 0)
                 place.relay.after_event()
-                self.assertEqual(heard.call_args.args[1], AttemptOutcome.CONNECT_FAILED)
+                self.assertEqual(health_checked.call_args.args[1], AttemptOutcome.CONNECT_FAILED)
 
 
-class Idle(unittest.TestCase):
+class IdleConnections(unittest.TestCase):
     @live
-    async def test_a_second_answer_that_comes_late_is_no_later_lookups_value(self) -> None:
-        async def twice(unit: ScriptedEndpoint, text: bytes) -> bytes:
-            if b"id=2a," in text:  # only now comes the second copy of the first answer, where that went
-                unit.writers[0].write(await echo_id(unit, unit.queries[0]))
-                if len(unit.writers) == 1:
+    async def test_late_duplicate_response_is_not_taken_for_the_next_one(self) -> None:
+        async def repeat_first_response(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
+            if b"id=2a," in text:  # a late duplicate of the first response, on its connection
+                endpoint.writers[0].write(await echo_id(endpoint, endpoint.queries[0]))
+                if len(endpoint.writers) == 1:
                     return b""
-            return await echo_id(unit, text)
+            return await echo_id(endpoint, text)
 
-        async with platform(ScriptedEndpoint("u0", twice)) as place:
-            manual_loop(place)  # for the relay's pools no time passes
+        async with platform(ScriptedEndpoint("u0", repeat_first_response)) as place:
+            manual_loop(place)  # no time passes for the relay's pools
             client = await place.client()
             self.assertTrue((await client.request("1a"))["D"].endswith(b"value of 1a"))
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
     @live
-    async def test_an_answered_connection_is_used_again_after_its_rest(self) -> None:
+    async def test_connection_is_reused_after_the_delay(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
-            hand, client = manual_loop(place), await place.client()
+            clock, client = manual_loop(place), await place.client()
             for number in range(3):
                 await client.request(f"{number}a")
-                hand.advance(0.02)
+                clock.advance(0.02)
             self.assertEqual(place.endpoints[0].connections, 1)
 
     @live
-    async def test_a_connection_that_breaks_right_before_its_question_never_ran_it(self) -> None:
+    async def test_attempt_on_a_broken_idle_connection_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
             client = await place.client()
             for number in range(8):
                 await client.request(f"{number}a")
                 await place.until_reusable()
-            links = place.relay.upstream
-            for link in links.connections:
-                link.sock.shutdown(socket.SHUT_WR)
-            self.assertIn("D", await client.request("9a", "file"))  # effectful, and yet it goes on
+            upstream = place.relay.upstream
+            for connection in upstream.connections:
+                connection.sock.shutdown(socket.SHUT_WR)
+            self.assertIn("D", await client.request("9a", "file"))  # not idempotent, yet retried
             self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
             self.assertGreaterEqual(place.relay.driver.counters.outcomes[AttemptOutcome.CONNECT_FAILED], 1)
 
     @live
-    async def test_a_unit_that_has_read_a_question_and_resets_may_have_run_it(self) -> None:
-        async def once(unit: ScriptedEndpoint, text: bytes) -> bytes | None:
-            return None if b"id=2a," in text else await echo_id(unit, text)
+    async def test_attempt_reset_after_its_query_was_read_may_have_run(self) -> None:
+        async def reset_second(endpoint: ScriptedEndpoint, text: bytes) -> bytes | None:
+            return None if b"id=2a," in text else await echo_id(endpoint, text)
 
-        async with platform(ScriptedEndpoint("u0", once)) as place:
+        async with platform(ScriptedEndpoint("u0", reset_second)) as place:
             client = await place.client()
             await client.request("1a", "file")
             await place.until_reusable()
@@ -132,100 +138,100 @@
             self.assertEqual(len(place.endpoints[0].queries), 2)
 
     @live
-    async def test_ready_that_comes_late_passes_the_answer_and_ends_the_connection(self) -> None:
-        answers = [row(b"first"), row(b"second") + READY]
+    async def test_response_without_ready_is_passed_on_and_its_connection_closes(self) -> None:
+        responses = [row(b"first"), row(b"second") + READY]
 
-        async def without(unit: ScriptedEndpoint, text: bytes) -> bytes:
-            return answers.pop(0)
+        async def omit_ready(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
+            return responses.pop(0)
 
-        async with platform(ScriptedEndpoint("u0", without)) as place:
+        async with platform(ScriptedEndpoint("u0", omit_ready)) as place:
             client = await place.client()
             self.assertTrue((await client.request("1a"))["D"].endswith(b"first"))
             self.assertTrue((await client.request("2a"))["D"].endswith(b"second"))
             self.assertEqual(place.endpoints[0].connections, 2)
 
     @live
-    async def test_an_answer_before_the_question_is_whole_is_none(self) -> None:
-        class Narrow(socket.socket):
+    async def test_response_before_the_query_was_sent_completely_is_malformed(self) -> None:
+        class SmallSendBufferSocket(socket.socket):
             def __init__(self, *args: Any, **fields: Any) -> None:
                 super().__init__(*args, **fields)
                 self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-        async def hasty(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big") - 4)
                 writer.write(READY)
-                await reader.readexactly(100)  # of a question of 120,000 bytes
+                await reader.readexactly(100)  # of a query of 120,000 bytes
                 writer.write(row(b"not its value") + READY)
                 await reader.read()
             writer.close()
 
-        server = await asyncio.start_server(hasty, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
         server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        unit = ScriptedEndpoint("u0")
-        async with platform(unit, ScriptedEndpoint("u1")) as place:
-            unit.server.close()
-            list_changed(place, addr=f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+        endpoint = ScriptedEndpoint("u0")
+        async with platform(endpoint, ScriptedEndpoint("u1")) as place:
+            endpoint.server.close()
+            change_listed_endpoint(place, addr=f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
             client, text = await place.client(), statement("1a", "file").decode()
-            wide = text.replace(
+            large_statement = text.replace(
                 "SELECT doc FROM items WHERE id = 'ab12'",
                 f"INSERT INTO items (id, doc) VALUES ('ab12', '\\x{'00' * 60_000}') RETURNING doc",
             )
-            with mock.patch("lanelead.postgres_relay.connection_pool.socket.socket", Narrow):
-                for number in range(6):  # some of them go to the hasty one first
-                    client.writer.write(query(wide.replace("id=1a", f"id={number}a").encode()))
-                    answer = await client.response()
-                    self.assertTrue(answer["D"].endswith(b"value of %da" % number), answer)
+            with mock.patch("lanelead.postgres_relay.connection_pool.socket.socket", SmallSendBufferSocket):
+                for number in range(6):  # some of the first attempts go to the endpoint that responds too early
+                    client.writer.write(query(large_statement.replace("id=1a", f"id={number}a").encode()))
+                    response = await client.response()
+                    self.assertTrue(response["D"].endswith(b"value of %da" % number), response)
             self.assertGreaterEqual(place.relay.upstream.malformed_responses, 1)
             self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
         server.close()
 
 
-class Connecting(unittest.TestCase):
-    async def _on_its_way(self, place: Platform, request_class: str = "file") -> PostgresClient:
-        """A lookup whose connection has come up and has not been welcomed."""
-        unit = place.endpoints[0]
-        unit.accepts.clear()
+class ConnectingAttempts(unittest.TestCase):
+    async def _client_with_connecting_attempt(self, place: Platform, request_class: str = "file") -> PostgresClient:
+        """Sends a request whose upstream connection is established, but gets no startup response yet."""
+        endpoint = place.endpoints[0]
+        endpoint.accepts.clear()
         client = await place.client()
         client.send("1a", request_class)
-        await place.until(lambda: unit.connections == 1)
+        await place.until(lambda: endpoint.connections == 1)
         return client
 
     @live
-    async def test_a_unit_told_as_leaving_meanwhile_gets_nothing(self) -> None:
+    async def test_endpoint_listed_as_leaving_while_connecting_gets_no_query(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             manual_loop(place)
-            client = await self._on_its_way(place)
-            list_changed(place, state="leaving")
+            client = await self._client_with_connecting_attempt(place)
+            change_listed_endpoint(place, state="leaving")
             place.endpoints[0].accepts.set()
             self.assertEqual((await client.response())["C"], b"53300")
             self.assertEqual(place.endpoints[0].queries, [])
 
     @live
-    async def test_a_units_id_that_comes_back_elsewhere_or_with_another_build_is_another_unit(self) -> None:
+    async def test_endpoint_with_a_new_address_or_incarnation_gets_a_new_connection(self) -> None:
         for fields in ({"revision_no": 2}, {"started_ms": 5e11}):
             async with platform(ScriptedEndpoint("u0")) as place:
                 manual_loop(place)
-                client = await self._on_its_way(place)
-                list_changed(place, **fields)
+                client = await self._client_with_connecting_attempt(place)
+                change_listed_endpoint(place, **fields)
                 place.endpoints[0].accepts.set()
                 self.assertIn("D", await client.response())
                 self.assertEqual((place.endpoints[0].connections, len(place.endpoints[0].queries)), (2, 1))
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
             manual_loop(place)
             other = place.endpoints[1]
-            list_changed(place, id="u1", state="left")
-            client = await self._on_its_way(place)
-            list_changed(place, addr=f"127.0.0.1:{other.port}")
+            change_listed_endpoint(place, id="u1", state="left")
+            client = await self._client_with_connecting_attempt(place)
+            change_listed_endpoint(place, addr=f"127.0.0.1:{other.port}")
             place.endpoints[0].accepts.set()
             self.assertIn("D", await client.response())
             self.assertEqual((place.endpoints[0].queries, len(other.queries)), ([], 1))
 
     @live
-    async def test_a_connection_given_up_on_its_way_is_the_next_trips(self) -> None:
+    async def test_connection_of_a_cancelled_attempt_serves_the_next_one(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             manual_loop(place)
-            client = await self._on_its_way(place)
+            client = await self._client_with_connecting_attempt(place)
             client.writer.close()
             await place.until(lambda: not place.relay.driver.pending)
             place.endpoints[0].accepts.set()
@@ -234,54 +240,54 @@
             self.assertEqual((place.endpoints[0].connections, len(place.relay.upstream.connections)), (1, 1))
 
     @live
-    async def test_one_that_is_never_welcomed_ends_and_its_trip_never_ran(self) -> None:
+    async def test_attempt_without_a_startup_response_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
-            hand = manual_loop(place)
-            client = await self._on_its_way(place)
+            clock = manual_loop(place)
+            client = await self._client_with_connecting_attempt(place)
             place.change_state(place.endpoints[0], "leaving")
-            await place.until(lambda: connection_of(place).status.value == "draining")
-            hand.advance(0.3)
-            self.assertEqual((await client.response())["C"], b"53300")  # a shed: it never ran
+            await place.until(lambda: registered_endpoint(place).status.value == "draining")
+            clock.advance(0.3)
+            self.assertEqual((await client.response())["C"], b"53300")  # rejected, so it never ran
             self.assertEqual(place.relay.upstream.connections, {})
 
 
 class Retries(unittest.TestCase):
     @live
-    async def test_an_answer_after_its_trip_was_given_up_reaches_nobody(self) -> None:
-        unit = HeldEndpoint()
-        async with platform(unit) as place:
+    async def test_response_after_the_attempt_timed_out_is_dropped(self) -> None:
+        endpoint = HeldEndpoint()
+        async with platform(endpoint) as place:
             client = await place.client()
             self.assertEqual((await client.request("1a", "file", left=200))["C"], b"58000")
-            unit.permits.release()
-            unit.permits.release()
+            endpoint.permits.release()
+            endpoint.permits.release()
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
             self.assertEqual(place.relay.driver.counters.outcomes[AttemptOutcome.TIMED_OUT], 1)
-            self.assertEqual(unit.connections, 2)
+            self.assertEqual(endpoint.connections, 2)
 
     @live
-    async def test_a_turned_away_one_is_repeated_and_an_error_is_not(self) -> None:
-        for code, done in (("53300", True), ("XX000", False)):
-            answers = [error(code, "") + READY]
+    async def test_rejected_attempt_is_retried_and_an_error_is_not(self) -> None:
+        for code, retried in (("53300", True), ("XX000", False)):
+            responses = [error(code, "") + READY]
 
-            async def first(unit: ScriptedEndpoint, text: bytes, answers: list[bytes] = answers) -> bytes:
-                return answers.pop() if answers else await echo_id(unit, text)
+            async def fail_first(endpoint: ScriptedEndpoint, text: bytes, responses: list[bytes] = responses) -> bytes:
+                return responses.pop() if responses else await echo_id(endpoint, text)
 
-            async with platform(ScriptedEndpoint("u0", first), ScriptedEndpoint("u1", first)) as place:
-                answer = await (await place.client()).request("1a", "file")
-                self.assertEqual("D" in answer, done)
-                self.assertEqual(sum(len(unit.queries) for unit in place.endpoints), 1 + done)
+            async with platform(ScriptedEndpoint("u0", fail_first), ScriptedEndpoint("u1", fail_first)) as place:
+                response = await (await place.client()).request("1a", "file")
+                self.assertEqual("D" in response, retried)
+                self.assertEqual(sum(len(endpoint.queries) for endpoint in place.endpoints), 1 + retried)
 
 
 class Timers(unittest.TestCase):
     @live
-    async def test_no_timer_stays_behind_an_end(self) -> None:
+    async def test_closing_connections_cancels_their_timers(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
-            hand, links = manual_loop(place), place.relay.upstream
+            clock, upstream = manual_loop(place), place.relay.upstream
             place.endpoints[0].accepts.clear()
-            place.relay.check_health(connection_of(place))
+            place.relay.check_health(registered_endpoint(place))
             place.relay.after_event()
             await place.until(lambda: place.endpoints[0].connections == 1)
-            links.close_all()
-            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as heard:
-                hand.advance(1)
-                self.assertEqual(heard.call_count, 0)
+            upstream.close_all()
+            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as health_checked:
+                clock.advance(1)
+                self.assertEqual(health_checked.call_count, 0)
--- a/tests/test_upstream_requests.py
+++ b/tests/test_upstream_requests.py
@@ -19,25 +19,25 @@
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id, row
 from tests.town import live
 
-FULL = messages.error("53300", "full") + READY
-WRONG = messages.error("XX000", "internal") + READY
+REJECTION = messages.error("53300", "full") + READY
+INTERNAL_ERROR = messages.error("XX000", "internal") + READY
 
 
-async def reset(unit: ScriptedEndpoint, text: bytes) -> None:
+async def reset(endpoint: ScriptedEndpoint, text: bytes) -> None:
     return None
 
 
-async def no_response(unit: ScriptedEndpoint, text: bytes) -> bytes:
+async def no_response(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
     await asyncio.sleep(5)
     return b""
 
 
-def responding(*answers: bytes) -> ScriptedEndpoint:
-    """A unit that gives these answers in turn, and good ones afterwards."""
-    rest = list(answers)
+def responding(*responses: bytes) -> ScriptedEndpoint:
+    """An endpoint that sends these responses in turn, and then the usual ones."""
+    remaining = list(responses)
 
-    async def script(unit: ScriptedEndpoint, text: bytes) -> bytes:
-        return rest.pop(0) if rest else await echo_id(unit, text)
+    async def script(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
+        return remaining.pop(0) if remaining else await echo_id(endpoint, text)
 
     return ScriptedEndpoint("u0", script)
 
@@ -48,21 +48,21 @@
         value = bytes(range(256)) * 200
         async with platform(responding(row(value) + READY)) as place:
             client = await place.client()
-            client.writer.write(messages.query(statement("1a", left=1000, more=",r=1")))
-            answer = await client.response()
-            self.assertEqual(answer["D"], b"\0\1" + len(value).to_bytes(4, "big") + value)
+            client.writer.write(messages.query(statement("1a", left=1000, extra=",r=1")))
+            response = await client.response()
+            self.assertEqual(response["D"], b"\0\1" + len(value).to_bytes(4, "big") + value)
             before, _, left = place.endpoints[0].queries[0].partition(b",d=")
             self.assertEqual(before, statement("1a").partition(b",d=")[0])
             self.assertTrue(left.endswith(b",r=1 */") and 0 < int(left.split(b",")[0]) < 1000, left)
 
     @live
     async def test_a_query_behind_the_startup_and_several_at_once_are_answered_in_order(self) -> None:
-        async def slow_first(unit: ScriptedEndpoint, text: bytes) -> bytes:
+        async def slow_first(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.2 if b"id=1," in text else 0)
-            return await echo_id(unit, text)
+            return await echo_id(endpoint, text)
 
-        units = [ScriptedEndpoint(f"u{n}", slow_first) for n in range(4)]
-        async with platform(*units) as place:
+        endpoints = [ScriptedEndpoint(f"u{n}", slow_first) for n in range(4)]
+        async with platform(*endpoints) as place:
             client = await place.client(start=False)
             client.writer.write((8).to_bytes(4, "big") + (80877103).to_bytes(4, "big"))
             self.assertEqual(await client.reader.readexactly(1), b"N")
@@ -74,34 +74,37 @@
                 self.assertTrue((await client.response())["D"].endswith(b"value of %d" % number))
 
     @live
-    async def test_a_shed_is_at_once_with_a_time_to_come_back(self) -> None:
+    async def test_rejection_is_immediate_and_has_a_retry_time(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             place.change_state(place.endpoints[0], "leaving")
             client = await place.client()
             await place.until(lambda: place.relay.state()["endpoints"] == 1 and len(place.list_requests) > 2)
-            answer = await client.request("1a", "file")
-            self.assertEqual(answer["C"], b"53300")
-            self.assertGreater(int(answer["M"] and answer["D"]), 0)
+            response = await client.request("1a", "file")
+            self.assertEqual(response["C"], b"53300")
+            self.assertGreater(int(response["M"] and response["D"]), 0)
             self.assertEqual(place.endpoints[0].queries, [])
 
     @live
-    async def test_a_client_that_goes_away_frees_its_id(self) -> None:
+    async def test_disconnect_frees_the_request_id(self) -> None:
         async with platform(ScriptedEndpoint("u0", no_response)) as place:
             client = await place.client()
             client.send("1a")
             await place.until(lambda: bool(place.endpoints[0].queries))
-            self.assertEqual((await (await place.client()).request("1a"))["C"], b"42601")  # open
+            self.assertEqual((await (await place.client()).request("1a"))["C"], b"42601")  # the id is in use
             client.writer.close()
             await place.until(lambda: not place.relay.listener.open_request_ids)
             self.assertEqual(place.relay.driver.pending, {})
 
 
 class AttemptOutcomes(unittest.TestCase):
-    """PROTOCOL's table: has it run? A row each; an effectful lookup goes on only where it never ran."""
+    """Whether an attempt may have run, for each row of the table in docs/postgres-relay.md.
+
+    A request that is not idempotent (class `file`) is retried only if its attempt never ran.
+    """
 
     @live
-    async def test_turned_away_never_ran(self) -> None:
-        async with platform(responding(FULL), ScriptedEndpoint("u1")) as place:
+    async def test_rejected_attempt_never_ran(self) -> None:
+        async with platform(responding(REJECTION), ScriptedEndpoint("u1")) as place:
             client = await place.client()
             for number in range(6):
                 self.assertIn("D", await client.request(str(number), "file"))
@@ -109,16 +112,19 @@
 
     @live
     async def test_an_error_and_a_reset_may_have_run(self) -> None:
-        for script, outcome in ((responding(WRONG).script, AttemptOutcome.ERROR), (reset, AttemptOutcome.RESET)):
+        for script, outcome in (
+            (responding(INTERNAL_ERROR).script, AttemptOutcome.ERROR),
+            (reset, AttemptOutcome.RESET),
+        ):
             async with platform(ScriptedEndpoint("u0", script)) as place:
                 client = await place.client()
-                answer = await client.request("1a", "file")
-                self.assertEqual(answer["C"], b"58000")
+                response = await client.request("1a", "file")
+                self.assertEqual(response["C"], b"58000")
                 self.assertEqual(len(place.endpoints[0].queries), 1)
                 self.assertEqual(place.relay.driver.counters.outcomes, {outcome: 1})
 
     @live
-    async def test_a_pure_one_is_tried_elsewhere(self) -> None:
+    async def test_idempotent_request_is_retried_elsewhere(self) -> None:
         async with platform(ScriptedEndpoint("u0", reset), ScriptedEndpoint("u1")) as place:
             client = await place.client()
             for number in range(6):
@@ -126,7 +132,7 @@
             self.assertTrue(place.endpoints[0].queries)
 
     @live
-    async def test_refused_or_silent_before_the_welcome_never_ran(self) -> None:
+    async def test_attempt_refused_or_without_startup_response_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
             place.endpoints[0].server.close()
             client = await place.client()
@@ -135,64 +141,70 @@
             self.assertLessEqual(
                 set(place.relay.driver.counters.outcomes), {AttemptOutcome.SUCCEEDED, AttemptOutcome.CONNECT_FAILED}
             )
-        with socket.socket() as deaf:  # connections come up, and nothing is ever said
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(8)
-            unit = ScriptedEndpoint("u0")
-            async with platform(unit, ScriptedEndpoint("u1")) as place:
-                unit.port = deaf.getsockname()[1]
-                place.change_state(unit, "active")
-                await place.until(lambda: any(p.port == unit.port for p in place.relay.driver.destinations.values()))
+        with socket.socket() as unresponsive:  # the kernel accepts connections, but nothing responds on them
+            unresponsive.bind(("127.0.0.1", 0))
+            unresponsive.listen(8)
+            endpoint = ScriptedEndpoint("u0")
+            async with platform(endpoint, ScriptedEndpoint("u1")) as place:
+                endpoint.port = unresponsive.getsockname()[1]
+                place.change_state(endpoint, "active")
+                await place.until(
+                    lambda: any(p.port == endpoint.port for p in place.relay.driver.destinations.values())
+                )
                 client = await place.client()
                 for number in range(6):
                     self.assertIn("D", await client.request(str(number), "file"))
                 self.assertEqual(len(place.endpoints[1].queries), 6)
 
     @live
-    async def test_silence_may_have_run_and_its_connection_goes(self) -> None:
+    async def test_attempt_without_a_response_may_have_run_and_its_connection_closes(self) -> None:
         async with platform(ScriptedEndpoint("u0", no_response)) as place:
             client = await place.client()
-            answer = await client.request("1a", "file", left=300)
-            self.assertEqual(answer["C"], b"58000")
+            response = await client.request("1a", "file", left=300)
+            self.assertEqual(response["C"], b"58000")
             self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.TIMED_OUT: 1})
             self.assertEqual(len(place.relay.upstream.connections), 0)
 
 
 class MalformedResponses(unittest.TestCase):
     @live
-    async def test_nothing_spoilt_reaches_a_client(self) -> None:
-        for spoilt in (b"\0noise", row(b"v")[:-14] + row(b"v")[29:], b"T\x7f\xff\xff\xff", b"D" * 100):
-            async with platform(responding(spoilt)) as place:
+    async def test_malformed_response_does_not_reach_the_client(self) -> None:
+        for malformed in (b"\0noise", row(b"v")[:-14] + row(b"v")[29:], b"T\x7f\xff\xff\xff", b"D" * 100):
+            async with platform(responding(malformed)) as place:
                 client = await place.client()
-                answer = await client.request("1a", "file")
-                self.assertEqual((answer["C"], "D" in answer), (b"58000", False), spoilt)
+                response = await client.request("1a", "file")
+                self.assertEqual((response["C"], "D" in response), (b"58000", False), malformed)
                 self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
                 self.assertEqual(place.endpoints[0].connections, 2)
 
     @live
-    async def test_an_answer_that_stops_in_the_middle_does_not_take_all_the_time(self) -> None:
+    async def test_incomplete_response_fails_before_the_timeout(self) -> None:
         async with platform(responding(row(b"value")[:-20])) as place:
             client = await place.client()
             self.assertEqual((await client.request("1a", "file", left=1400))["C"], b"58000")
             self.assertEqual(place.relay.driver.counters.outcomes, {AttemptOutcome.RESET: 1})
 
     @live
-    async def test_an_answer_that_waits_unread_has_not_stopped(self) -> None:
+    async def test_response_with_an_unread_rest_is_not_incomplete(self) -> None:
         whole = row(b"value") + READY
         async with platform(responding(whole[:30])) as place:
             client = await place.client()
             client.send("1a")
-            links = place.relay.upstream
-            await place.until(lambda: any(link.reader.response_begun for link in links.connections if link.connected))
-            # The rest comes, and the relay, held up meanwhile, looks for stopped answers before it reads.
+            upstream = place.relay.upstream
+            await place.until(
+                lambda: any(
+                    connection.reader.response_begun for connection in upstream.connections if connection.connected
+                )
+            )
+            # The rest arrives, but the relay was suspended and looks for incomplete responses before it reads.
             os.write(place.endpoints[0].writers[0].get_extra_info("socket").fileno(), whole[30:])
-            for link in links.connections:
-                link.last_activity -= 10
-            links.sweep()
+            for connection in upstream.connections:
+                connection.last_activity -= 10
+            upstream.sweep()
             self.assertTrue((await client.response())["D"].endswith(b"value"))
 
     @live
-    async def test_a_second_copy_is_never_the_next_lookups_value(self) -> None:
+    async def test_duplicate_response_is_not_taken_for_the_next_one(self) -> None:
         for behind in (row(b"old") + READY, b"\0noise"):
             async with platform(responding(row(b"old") + READY + behind)) as place:
                 client = await place.client()
@@ -200,18 +212,18 @@
                 self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
     @live
-    async def test_unasked_bytes_on_an_idle_connection_end_it(self) -> None:
+    async def test_unsolicited_bytes_close_an_idle_connection(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             client = await place.client()
             await client.request("1a")
-            # Written and asked in one breath: the relay may not have read it when it takes the connection.
+            # The next request follows at once: the relay may not have read the bytes when it takes the connection.
             place.endpoints[0].writers[-1].write(row(b"unasked") + READY)
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
             self.assertEqual(place.endpoints[0].connections, 2)
 
 
 class HealthChecks(unittest.TestCase):
-    def test_a_report_that_cannot_be_read_is_none(self) -> None:
+    def test_malformed_load_report_is_none(self) -> None:
         names = frozenset(("waiting", "cpu"))
         self.assertEqual(parse_load_report(b"waiting=7,cpu=0.5,new=1", names), {"waiting": 7.0, "cpu": 0.5})
         for text in (None, b"", b"\xff\xfe", b"waiting", b"waiting=x", b"waiting=nan", b"waiting=-1", b"a=1"):
@@ -219,32 +231,34 @@
         self.assertIsNone(parse_load_report(b"waiting=7", frozenset()))
 
     @live
-    async def test_what_a_probe_tells(self) -> None:
-        for answer, outcome, report in (
+    async def test_outcomes_of_health_checks(self) -> None:
+        for response, outcome, report in (
             (row(b"waiting=3,cpu=0.5") + READY, AttemptOutcome.SUCCEEDED, {"waiting": 3.0, "cpu": 0.5}),
             (messages.error("57P03", "not now") + READY, AttemptOutcome.ERROR, None),
             (b"\0noise", AttemptOutcome.RESET, None),
             (b"", AttemptOutcome.TIMED_OUT, None),
         ):
-            async with platform(responding(answer)) as place:
-                driver, heard = place.relay.driver, mock.Mock()
-                with mock.patch.object(driver, "health_checked", heard):
+            async with platform(responding(response)) as place:
+                driver, health_checked = place.relay.driver, mock.Mock()
+                with mock.patch.object(driver, "health_checked", health_checked):
                     place.relay.check_health(driver.registry.by_name["u0"])
-                    await place.until(lambda heard=heard: heard.called)  # type: ignore[misc]
-                self.assertEqual((heard.call_args.args[1], heard.call_args.args[3]), (outcome, report))
+                    await place.until(lambda health_checked=health_checked: health_checked.called)  # type: ignore[misc]
+                self.assertEqual(
+                    (health_checked.call_args.args[1], health_checked.call_args.args[3]), (outcome, report)
+                )
                 self.assertEqual(place.endpoints[0].queries, [b"SHOW vitals"])
 
     @live
-    async def test_a_unit_that_comes_back_with_another_build_gets_connections_of_its_own(self) -> None:
+    async def test_endpoint_with_a_new_build_gets_new_connections(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as place:
             client = await place.client()
             await client.request("1a")
             await place.until_reusable()
             await client.request("2a")
             self.assertEqual(place.endpoints[0].connections, 1)
-            found = json.loads(place.list_of(place.endpoints, full=False))
-            found["servers"][0]["revision_no"] = 2
-            place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
+            listing = json.loads(place.list_of(place.endpoints, full=False))
+            listing["servers"][0]["revision_no"] = 2
+            place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(listing).encode(), EndpointList)))
             self.assertIn("D", await client.request("3a"))
             self.assertEqual(place.endpoints[0].connections, 2)
             await place.until(lambda: place.endpoints[0].closed == 1)
