--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -72,14 +72,14 @@
         self.has_requested = False  # a well-formed request has arrived
         self.closing = False
         self.draining = False
-        self.violation_at: float | None = None
+        self.violation_at: float | None = None  # if set, further bytes from the client are discarded
         self.write_closed = False
         self.discarded_bytes = 0
         now = listener.loop.time()
         self.opened_at = now
         self.last_activity = now
         self.writing = False
-        self.reading = True
+        self.reading = True  # False once `stop_reading` was called
         self.reading_paused = False  # backpressure: the write buffer is too large
         listener.loop.add_reader(sock, self._on_readable)
 
@@ -172,8 +172,8 @@
         self._mark_requested()
         size = len(text)
         # A closing connection rejects requests that arrive behind pending ones. The other two limits keep one
-        # connection from taking up the relay's whole capacity. Clients may pipeline requests, so each rejected
-        # request gets its own response and the connection stays open.
+        # connection from taking up the relay's whole capacity. Each rejected request gets a response of its own, since
+        # clients may pipeline requests.
         if (
             (self.closing and self.slots)
             or len(self.slots) >= MAX_PIPELINED_REQUESTS
--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -35,7 +35,7 @@
 OVERDUE_GRACE_SECONDS = 0.2  # after a request's deadline; then a request without a response fails
 NEW_CONNECTION_GRACE_SECONDS = 0.1  # for a new client to send its request, before it may be evicted
 MAX_ACCEPTS_PER_TURN = 64
-MAX_REJECTED_SOCKETS = 8  # kept open for clients to read their rejection; they use the reserved descriptors
+MAX_REJECTED_SOCKETS = 8  # kept open for clients to read their rejection; covered by RESERVED_DESCRIPTORS
 MAX_CACHED_REJECTIONS = 1000
 POLL_INTERVAL_SECONDS = 0.02
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True)
 class ListenerLimits:
-    """Limits that a relay's resources set, and `response_slack`.
+    """The limits of the client connections.
 
-    `response_slack` is the time in ticks by which a response is due before the client's own timeout.
+    A response is due `response_slack` ticks before the client's own timeout.
     """
 
     max_connections: int
