--- a/lanelead/postgres_relay/client_listener.py
+++ b/lanelead/postgres_relay/client_listener.py
@@ -31,11 +31,11 @@
 
 SILENCE_TIMEOUT_SECONDS = 2.0  # without a byte of the first request, or of the rest of a message
 IDLE_TIMEOUT_SECONDS = 10.0  # between requests, and for the first request to arrive completely
-VIOLATION_GRACE_SECONDS = 1.0  # for requests that are pending at a protocol violation; then they fail
+VIOLATION_GRACE_SECONDS = 1.0  # for requests pending at a protocol violation or a rejection; then they fail
 OVERDUE_GRACE_SECONDS = 0.2  # after a request's deadline; then a request without a response fails
-NEW_CONNECTION_GRACE_SECONDS = 0.1  # for a new client to send its request, before it may be evicted
+NEW_CONNECTION_GRACE_SECONDS = 0.1  # before a connection without a request may be evicted, see `_evict_one`
 MAX_ACCEPTS_PER_TURN = 64
-MAX_REJECTED_SOCKETS = 8  # kept open for clients to read their rejection; covered by RESERVED_DESCRIPTORS
+MAX_REJECTED_SOCKETS = 8  # that clients may still read from; from RESERVED_DESCRIPTORS of service_parameters.py
 MAX_CACHED_REJECTIONS = 1000
 POLL_INTERVAL_SECONDS = 0.02
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -47,7 +47,8 @@
 class ListenerLimits:
     """The limits of the client connections.
 
-    A response is due `response_slack` ticks before the client's own timeout.
+    A response is due `response_slack`, in ticks of 0.1 ms, before the client's timeout or the request class's,
+    whichever is earlier.
     """
 
     max_connections: int
@@ -58,8 +59,9 @@
 class ClientListener:
     """The listening socket and all client connections.
 
-    `after_event` is called after the driver has been notified of an event. `drain_deadline` is None until the relay
-    stops; then it is the time on the loop's clock, in seconds, at which every request has to be answered.
+    `after_event` is called whenever the driver may have been notified of an event; the service then starts enqueued
+    attempts and sets the driver's timer. `drain_deadline` is None until the relay stops; then it is the time on the
+    loop's clock, in seconds, at which every request has to be answered.
     """
 
     def __init__(
@@ -78,15 +80,15 @@
         self.response_slack = limits.response_slack
         self._log = log
         self.clients: dict[ClientConnection, None] = {}
-        self.without_request: dict[ClientConnection, None] = {}  # oldest first
+        self.without_request: dict[ClientConnection, None] = {}  # without a well-formed request, oldest first
         self.open_request_ids: dict[str, None] = {}  # ids of the requests without a response so far
         self.after_event: Callable[[], None] = lambda: None
         self.unreadable_statements = 0
         self.protocol_violations = 0
-        self.rejected_connections = 0
-        self.evicted_connections = 0
-        self.rejections = 0
-        self.overdue_requests = 0
+        self.rejected_connections = 0  # when they were accepted, for lack of room
+        self.evicted_connections = 0  # closed to make room for others
+        self.rejections = 0  # requests over a connection's limits, and open connections closed with a rejection
+        self.overdue_requests = 0  # that `sweep` failed after their deadline
         self._sock: socket.socket | None = None
         self.drain_deadline: float | None = None
         self._rejected_sockets: deque[socket.socket] = deque()
@@ -96,7 +98,7 @@
     def error_response(self, outcome: RequestOutcome, retry_after: Ticks) -> bytes:
         """Returns the ErrorResponse and ReadyForQuery for a request that was rejected or failed.
 
-        `retry_after`, in ticks, is sent with a rejection if it is positive.
+        If `retry_after`, in ticks of 0.1 ms, is positive, the rejection tells it to the client in milliseconds.
         """
         if outcome is RequestOutcome.FAILED:
             return self._failure_message
@@ -123,9 +125,10 @@
         return str(name[0]), int(name[1])
 
     def _accept(self) -> bool:
-        """Accepts connections and returns whether more may be waiting.
+        """Accepts connections and returns whether to continue.
 
-        Their number per call is bounded, so that the loop gets to handle requests as well.
+        Their number per call is bounded, so that the loop gets to handle requests as well. Returns False if no
+        connection waits, or if there is no descriptor for it and accepting pauses.
         """
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._sock is None:
@@ -136,7 +139,7 @@
                 return False
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRORS:
-                    continue  # the connection broke before it was accepted
+                    continue  # such as a connection that broke before it was accepted
                 self._log.warning(
                     "cannot accept", reason=str(error), remedy="raise the process's limit of open file descriptors"
                 )
@@ -158,7 +161,7 @@
         self.without_request[client] = None
 
     def _pause_accepting(self) -> None:
-        """Stops accepting for a moment.
+        """Stops accepting for NEW_CONNECTION_GRACE_SECONDS.
 
         Otherwise the loop would call `_accept` again at once for the connection that waits, and spin without success.
         """
@@ -194,17 +197,17 @@
     def _evict_one(self) -> bool:
         """Closes one connection on which no bytes wait to be read, and returns whether there was one.
 
-        Connections without any request so far come first, then the one that has been idle for longest. To check for
-        unread bytes costs a system call, so it is done candidate by candidate.
+        Connections without a well-formed request so far come first; they get a rejection. Then comes the one that has
+        been idle for longest. To check for unread bytes costs a system call, so it is done candidate by candidate.
         """
         now = self.loop.time()
-        # A new client may be about to send its request, so it gets a grace period. When half of all connections are
-        # without a request there is none: they must not crowd out the clients that do send requests.
-        half_are_unused = 2 * len(self.without_request) >= len(self.clients)
+        # A new client may be about to send its request, so it gets a grace period. The grace period is waived when at
+        # least half of all connections have no request: they must not crowd out the clients that do send requests.
+        half_without_request = 2 * len(self.without_request) >= len(self.clients)
         for client in self.without_request:
             if client.has_pending_response:
                 continue
-            may_evict = half_are_unused or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS
+            may_evict = half_without_request or now - client.opened_at >= NEW_CONNECTION_GRACE_SECONDS
             if may_evict and is_idle_socket(client.sock):
                 self.evicted_connections += 1
                 client.evict("nothing was asked, and others need the room")
@@ -222,8 +225,8 @@
     def sweep(self) -> None:
         """Applies the timeouts; to be called a few times a second.
 
-        A connection counts as silent only if no bytes wait to be read. Otherwise all clients would look silent to a
-        relay whose process was suspended.
+        Where nothing is pending, a connection counts as silent only if no bytes wait to be read: after its process was
+        suspended, all clients would look silent to the relay.
         """
         now = self.loop.time()
         for client in list(self.clients):
@@ -236,7 +239,7 @@
                 self._sweep_closing(client, now)
             elif client.write_buffer:
                 if client.last_activity < now - 2 * SILENCE_TIMEOUT_SECONDS:
-                    client.on_disconnect()
+                    client.on_disconnect()  # the client does not read its responses
             elif not client.slots:
                 self._sweep_silent(client, now)
         self.after_event()
@@ -246,7 +249,7 @@
             client.fail_requests()
         if client.last_activity < now - 2 * SILENCE_TIMEOUT_SECONDS and not client.slots:
             client.close()  # the client does not read its last response
-        elif client.violation_at is None and self._is_stuck(client, now):
+        elif client.violation_at is None and self._is_message_overdue(client, now):
             client.close_with_violation(*INCOMPLETE_MESSAGE_ERROR)
             client.flush()
 
@@ -256,12 +259,16 @@
             action()
             client.flush()
 
-    def _is_stuck(self, client: ClientConnection, now: float) -> bool:
+    def _is_message_overdue(self, client: ClientConnection, now: float) -> bool:
+        """Returns whether part of a message has arrived, but no further byte in time."""
         return client.reader.has_partial_message and client.last_activity < now - SILENCE_TIMEOUT_SECONDS
 
     def _timeout_action(self, client: ClientConnection, now: float) -> Callable[[], None] | None:
-        """Returns the call that closes a connection which was silent for too long; None if it was not."""
-        if self._is_stuck(client, now):
+        """Returns the call that ends a connection which has exceeded a timeout; None if it has not.
+
+        The call may only enqueue an error; the connection then closes when that is written.
+        """
+        if self._is_message_overdue(client, now):
             return lambda: client.close_with_violation(*INCOMPLETE_MESSAGE_ERROR)
         # While bytes of the first request keep arriving, only the longer timeout applies.
         if not client.has_requested and (
@@ -273,11 +280,11 @@
     # Draining
 
     async def drain(self, linger: float, response_seconds: float) -> None:
-        """Stops accepting connections, answers all requests that have arrived, and closes the connections.
+        """Stops accepting connections, answers all requests that have arrived, and waits until connections have closed.
 
         Serves as usual for `linger` seconds first, since clients still connect. Then all pending requests have to be
         answered within `response_seconds`. Those that take longer fail, so that each request has its response before
-        the process is killed.
+        the process is killed. A connection whose client does not read may still be open at the end.
         """
         self.drain_deadline = self.loop.time() + linger + response_seconds
         await asyncio.sleep(linger)
@@ -302,7 +309,8 @@
     def _stop_listening(self) -> None:
         """Accepts the connections that wait in the listening socket's queue, then closes that socket.
 
-        The number of calls is bounded, so that clients that keep connecting cannot hold up the drain.
+        The kernel resets those for which there is no descriptor. The loop is bounded, so that clients that keep
+        connecting cannot hold up the drain.
         """
         for _ in range(self._max_connections):
             if not self._accept():
@@ -314,5 +322,5 @@
 
     async def _wait_until_closed(self, deadline: float) -> None:
         """Waits until all connections have closed, but not beyond `deadline` on the loop's clock."""
-        while self.clients and self.loop.time() < deadline:  # noqa: ASYNC110 - many places close a connection
+        while self.clients and self.loop.time() < deadline:  # noqa: ASYNC110 - connections close in many places, without an event to await
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/lanelead/postgres_relay/connection_pool.py
+++ b/lanelead/postgres_relay/connection_pool.py
@@ -25,8 +25,9 @@
 class PoolLimits:
     """The limits of all upstream connections together.
 
-    Timeouts are in seconds; after `idle_timeout` the endpoint closes an idle connection. `max_response_bytes` is the
-    maximum size of one message.
+    Timeouts are in seconds. `connect_timeout` bounds the time until a connection is ready for a query, a whole health
+    check, and a pause within a response. After `idle_timeout` the endpoint closes an idle connection.
+    `max_response_bytes` is the maximum size of one message.
     """
 
     connect_timeout: float
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -26,16 +26,17 @@
 from lanelead.runtime.pending_requests import PendingRequest
 
 READ_BUFFER_BYTES = 65536
-STARTUP_MESSAGE = messages.startup("app", "shop")
+STARTUP_MESSAGE = messages.startup("app", "shop")  # user and database
 REJECTED_CODE = "53300"  # SQLSTATE too_many_connections
-HEALTH_CHECK_QUERY = messages.query(b"SHOW vitals")
+HEALTH_CHECK_QUERY = messages.query(b"SHOW vitals")  # the result is the endpoint's load report
 
 
 class UpstreamRequests(ConnectionPool):
-    """Starts attempts and health checks and reports their outcomes to the driver.
+    """Starts attempts and health checks and reports their outcomes to the driver, except for cancelled attempts.
 
-    `report_names` are the load report fields to keep. `driver` has to be set before use. `after_event` is called after
-    the driver has been notified of an event.
+    `report_names` are the load report fields to keep. `driver` has to be set before use. `after_event` is called
+    whenever the driver may have been notified of an event; the service then starts enqueued attempts and sets the
+    driver's timer.
     """
 
     def __init__(
@@ -47,13 +48,15 @@
         self.after_event: Callable[[], None] = lambda: None
         self._waiting_attempts: list[Attempt] = []
         self._waiting_health_checks: list[Endpoint] = []
+        # From `enqueue_attempt` until the outcome; the connection is None before the attempt starts.
         self._in_flight: dict[Attempt, tuple[PendingRequest, UpstreamConnection | None]] = {}
-        self.reused_connections = 0
+        self.reused_connections = 0  # by attempts; reuse by health checks is not counted
+        # Also unsolicited bytes, early or incomplete responses, and errors in place of a startup response.
         self.malformed_responses = 0
-        self.refused_connections = 0
-        self.handshake_timeouts = 0
+        self.refused_connections = 0  # connects that failed, for any reason
+        self.handshake_timeouts = 0  # connections that were not ready for a query in time
 
-    # Attempts
+    # Enqueueing and attempts
 
     def enqueue_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
         """Enqueues an attempt; `start_waiting` starts it."""
@@ -67,7 +70,7 @@
     def start_waiting(self) -> None:
         """Starts all enqueued attempts and health checks.
 
-        The driver must not call this itself, since it is notified of immediate failures within the call.
+        The driver must not call this: it would be notified of immediate failures within its own call.
         """
         while self._waiting_attempts or self._waiting_health_checks:
             attempts = self._waiting_attempts
@@ -80,7 +83,10 @@
                 self._start_health_check(endpoint)
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        """Stops waiting for the response; returns whether the attempt may have run."""
+        """Drops an attempt without reporting an outcome; returns whether it may have run.
+
+        Closes its connection if that was ready for queries.
+        """
         _, connection = self._in_flight.pop(attempt, (None, None))
         if connection is None:
             return False
@@ -113,6 +119,7 @@
             self._send_query(connection, self._statement_message(attempt, pending.message))
 
     def _statement_message(self, attempt: Attempt, statement: Statement) -> bytes:
+        """Encodes the query with the attempt's time left in milliseconds, as of the driver's last event."""
         time_left = attempt.sent_at + attempt.timeout - self.driver.decisions.now
         return messages.query(statement.render(max(1, time_left // 10)))
 
@@ -134,8 +141,9 @@
             self._loop.add_writer(connection.sock, self._on_writable, connection)
 
     def _on_writable(self, connection: UpstreamConnection) -> None:
+        """Handles the end of a connect, or sends more of a query if `writing` is set."""
         if not connection.writing:
-            self._on_connected(connection)
+            self._on_connect_ended(connection)
             return
         try:
             connection.unsent = connection.unsent[connection.sock.send(connection.unsent) :]
@@ -155,7 +163,7 @@
             report = parse_load_report(result.report, self._report_names) if result else None
             self.driver.attempt_ended(attempt, outcome, result, report)
 
-    # Responses
+    # Events on connections
 
     def _on_readable(self, connection: UpstreamConnection) -> None:
         try:
@@ -177,19 +185,24 @@
             return
         if progress is Progress.MALFORMED:
             in_use = connection.attempt is not None or connection.health_check is not None
+            # For bytes on an idle connection: how late they came, since they may be a duplicated response.
             idle_ms = None if in_use else round(idle_seconds * 1000, 1)
             self._fail_malformed(connection, reader.reason[:120], idle_ms=idle_ms)
         elif not connection.connected:
             self._on_ready(connection)
         elif connection.writing and reader.response and reader.response.error_code != REJECTED_CODE:
-            # An endpoint runs a query only once all of it has arrived, so this cannot be the response to it.
+            # An endpoint runs a query only once all of it has arrived, so it can only reject it before that.
             self._fail_malformed(connection, "response before the query was sent completely")
         else:
             self._on_response(connection)
         self.after_event()
 
     def _on_ready(self, connection: UpstreamConnection) -> None:
-        """Sends the query that waits for the connection, now that the endpoint has accepted it."""
+        """Handles the endpoint's first ReadyForQuery: sends the query for which the connection was opened.
+
+        The connection becomes idle if there is none any more, or if the attempt's endpoint is now listed with another
+        destination; the attempt then ends as NOT_SENT.
+        """
         connection.connected = True
         if connection.connect_timer is not None:
             connection.connect_timer.cancel()
@@ -232,7 +245,7 @@
             if result.error_code is None:
                 report = parse_load_report(result.value, self._report_names)
                 self._health_check_ended(health_check, AttemptOutcome.SUCCEEDED, connection, report)
-            else:
+            else:  # also a rejection
                 self._health_check_ended(health_check, AttemptOutcome.ERROR, connection, None)
 
     def _fail_malformed(self, connection: UpstreamConnection, reason: str, **fields: float | None) -> None:
@@ -255,7 +268,11 @@
         if health_check is not None:
             self._health_check_ended(health_check, outcome, connection, None)
 
-    def _on_connected(self, connection: UpstreamConnection) -> None:
+    def _on_connect_ended(self, connection: UpstreamConnection) -> None:
+        """Sends the startup message, or fails the connection if the connect has failed.
+
+        `connection.connected` is set only later, by `_on_ready`.
+        """
         self._loop.remove_writer(connection.sock)
         try:
             error = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -276,9 +293,9 @@
             self.after_event()
 
     def sweep(self) -> None:
-        """Closes connections that were idle for too long, and those on which a response stopped before its end.
+        """Closes connections that were idle for too long, and those on which an attempt's response has stopped.
 
-        To be called a few times a second.
+        Also drops the pools of removed endpoints. To be called a few times a second.
         """
         self._close_expired_idle()
         oldest = self._loop.time() - self._connect_timeout
@@ -323,13 +340,14 @@
             self.after_event()
 
     def _health_check_not_sent(self, endpoint: Endpoint) -> None:
+        """Reports a health check for which there is no destination or no connection could be opened."""
         self.driver.health_checked(endpoint, AttemptOutcome.CONNECT_FAILED, 0, None)
         self.after_event()
 
     def _health_check_ended(
         self, endpoint: Endpoint, outcome: AttemptOutcome, connection: UpstreamConnection, report: LoadReport | None
     ) -> None:
-        # Otherwise the timer of this health check could end a later one on the same connection.
+        # If its timer went on, it could end a later health check on the same connection.
         if connection.health_check_timer is not None:
             connection.health_check_timer.cancel()
             connection.health_check_timer = None
