--- a/lanelead/http/client.py
+++ b/lanelead/http/client.py
@@ -1,4 +1,7 @@
-"""Small HTTP/1.1 calls and line streams: to discovery, the rollout platform, configuration replicas and stores."""
+"""A small HTTP/1.1 client for single calls and streams of lines.
+
+It is used for discovery, the rollout platform, configuration replicas and migration stores.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 from lanelead.protocols.feeds import LineSplitter, MessageError
 from lanelead.settings.service_settings import Address
 
-BUFFER = 16384  # bytes read at once
+BUFFER_BYTES = 16384  # maximum size of one read
 MAX_RESPONSE_BYTES = 16 << 20
 
 
 class CallFailedError(Exception):
-    """The other end could not be reached, or what it sent was no response; the text says why."""
+    """The server could not be reached or did not send a valid response; the text gives the reason."""
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: Address) -> socket.socket:
-    """A connected TCP socket, without Nagle's delay. Raises OSError."""
+    """Opens a TCP connection with TCP_NODELAY set. Raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
     try:
         sock.setblocking(False)
@@ -35,12 +38,15 @@
 
 
 async def call(
-    loop: asyncio.AbstractEventLoop, address: Address, method: str, path: bytes, body: bytes, limit: float
+    loop: asyncio.AbstractEventLoop, address: Address, method: str, path: bytes, body: bytes, timeout_seconds: float
 ) -> HttpResponse:
-    """One request on a connection of its own. Raises CallFailedError, or TimeoutError after `limit` seconds."""
+    """Sends a request on a new connection and returns the response.
+
+    Raises CallFailedError, or TimeoutError if the response is not complete within `timeout_seconds`.
+    """
     sock: socket.socket | None = None
     try:
-        async with asyncio.timeout(limit):
+        async with asyncio.timeout(timeout_seconds):
             sock = await connect(loop, address)
             headers = [(b"host", address.host.encode()), (b"connection", b"close")]
             if body:
@@ -58,72 +64,72 @@
 
 async def _read_response(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> HttpResponse:
     reader = ResponseReader(MAX_RESPONSE_BYTES)
-    buffer = bytearray(BUFFER)
+    buffer = bytearray(BUFFER_BYTES)
     view = memoryview(buffer)
     while True:
         size = await loop.sock_recv_into(sock, buffer)
         progress = reader.feed(view[:size]) if size else reader.eof()
         if progress is Progress.BROKEN:
-            raise CallFailedError(reader.reason or "the connection was closed")
+            raise CallFailedError(reader.reason or "connection closed before the response was complete")
         if reader.response is not None:
             return reader.response
 
 
 class _BodyCollector:
-    """Collects the parts of a streamed body from the parser."""
+    """Collects the parts of a streamed response body from the parser."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
-        self.over = False
+        self.complete = False
 
     def on_body(self, part: bytes) -> None:
-        """Called by the parser."""
+        """Adds a part of the body; called by the parser."""
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
-        self.over = True
+        """Marks the body as complete; called by the parser."""
+        self.complete = True
 
     def feed(self, data: memoryview) -> list[bytes]:
-        """The parts that these bytes bring. Raises CallFailedError where the status isn't 200."""
+        """Returns the parts of the body in `data`. Raises CallFailedError if the status is not 200."""
         self.parser.feed_data(data)
         parts = self.parts
         self.parts = []
         if parts and self.parser.get_status_code() != 200:
-            raise CallFailedError(f"status {self.parser.get_status_code()}")
+            raise CallFailedError(f"status {self.parser.get_status_code()}; expected 200")
         return parts
 
 
 async def stream(
-    loop: asyncio.AbstractEventLoop, address: Address, path: bytes, silence: float
+    loop: asyncio.AbstractEventLoop, address: Address, path: bytes, idle_seconds: float
 ) -> AsyncIterator[bytes]:
-    """The lines of an endless response.
+    """Sends a GET request and yields the lines of the response, which has no end.
 
-    Raises CallFailedError where the stream ends, errs, or brings nothing for `silence` seconds.
+    Raises CallFailedError if the stream ends, fails, or receives no data for `idle_seconds`.
     """
     sock: socket.socket | None = None
     try:
-        async with asyncio.timeout(silence):
+        async with asyncio.timeout(idle_seconds):
             sock = await connect(loop, address)
             headers = [(b"host", address.host.encode()), (b"accept", b"application/x-ndjson")]
             await loop.sock_sendall(sock, serialization.request("GET", path, headers, b""))
         collector = _BodyCollector()
         lines = LineSplitter()
-        buffer = bytearray(BUFFER)
+        buffer = bytearray(BUFFER_BYTES)
         view = memoryview(buffer)
         while True:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(idle_seconds):
                 size = await loop.sock_recv_into(sock, buffer)
             if size == 0:
-                raise CallFailedError("the stream was closed")
+                raise CallFailedError("the server closed the connection of the stream")
             for part in collector.feed(view[:size]):
                 for line in lines.feed(part):
                     yield line
-            if collector.over:
-                raise CallFailedError("the stream ended")
+            if collector.complete:
+                raise CallFailedError("the server ended the stream")
     except TimeoutError:
-        raise CallFailedError(f"silent for {silence:g} s") from None
+        raise CallFailedError(f"no data for {idle_seconds:g} s") from None
     except (OSError, httptools.HttpParserError, MessageError) as error:
         raise CallFailedError(str(error)) from None
     finally:
--- a/lanelead/http/requests.py
+++ b/lanelead/http/requests.py
@@ -1,13 +1,14 @@
-"""The server's side of a connection: reads requests and refuses what another reader could read otherwise.
-
-Rules, in the order in which they act (RFC 9112 unless said otherwise):
- 1. the head stays within its bound (section 3: 431 is RFC 6585, section 5)
- 2. framing is beyond doubt: llhttp in strict mode refuses both length headers, repeated lengths, bad chunk
-    sizes, obs-fold, bare LF and white space before a colon (sections 2.2, 5.1, 5.2, 6.1 to 6.3, 7.1)
- 3. the version is 1.0 or 1.1, a 1.0 request is not chunked (6.1), a 1.1 request has one Host (3.2)
- 4. the body stays within its bound (413, RFC 9110, section 15.5.14)
- 5. an expectation other than 100-continue is refused (417, RFC 9110, section 10.1.1)
-After a refusal the connection is over: nothing behind it is read, since its place is no longer certain.
+"""The server side of a connection: parses requests and rejects those that another parser could frame differently.
+
+Rejecting them guards against request smuggling. The checks, in the order in which they apply (sections are those of
+RFC 9112 unless stated otherwise):
+ 1. The head does not exceed its limit (section 3; status 431: RFC 6585, section 5).
+ 2. The framing is unambiguous: llhttp in strict mode rejects Content-Length together with Transfer-Encoding, repeated
+    lengths, bad chunk sizes, obs-fold, bare LF and white space before a colon (2.2, 5.1, 5.2, 6.1 to 6.3, 7.1).
+ 3. The version is 1.0 or 1.1, a 1.0 request is not chunked (6.1), a 1.1 request has exactly one Host (3.2).
+ 4. The body does not exceed its limit (status 413: RFC 9110, section 15.5.14).
+ 5. There is no expectation other than 100-continue (status 417: RFC 9110, section 10.1.1).
+After a rejected request nothing more is read from the connection, since it is not certain where the next one starts.
 """
 
 from __future__ import annotations
@@ -19,47 +20,48 @@
 
 Headers = list[tuple[bytes, bytes]]  # field names in lower case, and values, in the order received
 
-PARSER_HEAD_SLACK_BYTES = 65536  # the parser holds a header back until it is whole
+# How many bytes beyond the head's limit may be fed, since the parser buffers a header until it is complete.
+PARSER_HEAD_SLACK_BYTES = 65536
 MAX_REASON_CHARACTERS = 120
 UNREADABLE_REQUEST = "a request that cannot be read"
 
 
 class State(Enum):
-    """Where in the byte stream a reader stands."""
+    """The position of a reader in the byte stream."""
 
     IDLE = "between requests"
     HEAD = "in a head"
     BODY = "in a body"
-    OVER = "over"
+    OVER = "over"  # a request was rejected; nothing more is read
 
 
 @dataclass(slots=True, eq=False)
 class HttpRequest:
-    """A whole request."""
+    """A complete request."""
 
     method: str
     target: bytes
     headers: Headers
     body: bytes
     keep: bool  # whether the connection may carry another request
-    first: dict[bytes, bytes] = field(init=False)  # the first value of each header, by its name in lower case
+    first_values: dict[bytes, bytes] = field(init=False)  # first value of each header, by its name in lower case
 
     def __post_init__(self) -> None:
-        self.first = dict(reversed(self.headers))
+        self.first_values = dict(reversed(self.headers))
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of the header called `name` (lower case), or None."""
-        return self.first.get(name)
+        """Returns the first value of the header `name` (in lower case), or None."""
+        return self.first_values.get(name)
 
 
 @dataclass(slots=True, frozen=True)
 class ContinueExpected:
-    """A client waits for 100 Continue before it sends its body."""
+    """The client waits for a 100 Continue response before it sends its body."""
 
 
 @dataclass(slots=True, frozen=True)
 class RejectedRequest:
-    """What came is not a request that may be served: answer with this status and reason, then close."""
+    """A request that must not be served: respond with this status and reason, then close the connection."""
 
     status: int
     reason: str
@@ -69,12 +71,12 @@
 
 
 class _StopParsingError(Exception):
-    """Raised within the parser's callbacks to end parsing; the reader has noted why."""
+    """Raised in the parser's callbacks to end parsing; the reason is in the reader's `_rejection`."""
 
 
 @dataclass(slots=True)
 class _FramingHeaders:
-    """What a head says of its host, its body's framing and its expectation."""
+    """The headers of a request that describe its host, the framing of its body and its expectation."""
 
     hosts: int = 0
     chunked: bool = False
@@ -83,9 +85,9 @@
 
 
 class RequestReader:
-    """Reads one connection's requests.
+    """Parses the requests of one connection.
 
-    `head_bytes` and `body_bytes` bound a request's head and body.
+    `head_bytes` and `body_bytes` are the maximum sizes of a request's head and body.
     """
 
     def __init__(self, head_bytes: int, body_bytes: int) -> None:
@@ -99,12 +101,12 @@
         self.state = State.IDLE
 
     def feed(self, data: bytes | bytearray | memoryview) -> list[Event]:
-        """Reads on with the bytes received, and returns what they complete. Never raises, whatever the bytes."""
+        """Parses received bytes and returns the events that they complete. Does not raise, whatever the bytes are."""
         if self.state is State.OVER or not len(data):
             return []
         self._parse(data)
         if self.state is State.HEAD and self._rejection is None:
-            # An endless header shows only in what was fed, since the parser holds it back until it is whole.
+            # The parser reports a header only when it is complete; counting the fed bytes finds one that never ends.
             self._fed_bytes += len(data)
             if self._fed_bytes > self._max_head_bytes + PARSER_HEAD_SLACK_BYTES:
                 self._rejection = self._head_too_long()
@@ -116,7 +118,7 @@
         return events
 
     def _parse(self, data: bytes | bytearray | memoryview) -> None:
-        """Feeds the parser; its errors become the connection's rejection."""
+        """Feeds the parser, and turns its errors into the connection's rejection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -140,10 +142,10 @@
             self._rejection = self._head_too_long()
             raise _StopParsingError
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A request's first byte has come."""
+        """Resets the state at the first byte of a request."""
         self.state = State.HEAD
         self._target = b""
         self._headers: Headers = []
@@ -152,19 +154,19 @@
         self._fed_bytes = 0
 
     def on_url(self, part: bytes) -> None:
-        """A part of the request target."""
+        """Adds a part of the request target."""
         self._target += part
         self._head_bytes += len(part)
         self._check_head_bound()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header."""
+        """Adds a complete header."""
         self._headers.append((name.lower(), value))
         self._head_bytes += len(name) + len(value) + 4
         self._check_head_bound()
 
     def on_headers_complete(self) -> None:
-        """The head is whole: the rules of the module's comment are checked."""
+        """Applies the checks of the module's doc comment to the complete head."""
         framing = self._framing_headers()
         version = self._parser.get_http_version()
         if version not in ("1.0", "1.1"):
@@ -204,19 +206,19 @@
             self._events.append(ContinueExpected())
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Adds a part of the body."""
         if len(self._body) + len(part) > self._max_body_bytes:
             self._reject(413, f"a body of over {self._max_body_bytes} bytes")
         self._body += part
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Adds the complete request to the events."""
         if self._rejection is not None:
             return
         method = self._parser.get_method().decode("latin-1")
         keep_alive = bool(self._parser.should_keep_alive())
         if self._events and isinstance(self._events[-1], ContinueExpected):
-            self._events.pop()  # the body came along: nobody waits any more
+            self._events.pop()  # the client sent its body without waiting for 100 Continue
         self._events.append(HttpRequest(method, self._target, self._headers, bytes(self._body), keep_alive))
         self._body = bytearray()
         self.state = State.IDLE
--- a/lanelead/http/responses.py
+++ b/lanelead/http/responses.py
@@ -1,4 +1,4 @@
-"""The client's side of a connection: reads responses, one for each request sent (RFC 9112, section 6.3)."""
+"""The client side of a connection: parses responses, one for each request sent (RFC 9112, section 6.3)."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 BODILESS_STATUSES = (204, 304)
 DEFAULT_HEAD_BYTES = 65536
-SURPLUS_BYTES = "bytes beyond the response"  # a reader's reason
+SURPLUS_BYTES = "bytes beyond the response"  # value of `ResponseReader.reason`
 
 
 class Progress(Enum):
-    """How far a response has come."""
+    """The state of the response that a reader parses."""
 
-    WAITING = "no whole response yet"
-    WHOLE = "a response is whole"
-    BROKEN = "what came is no response"
+    WAITING = "incomplete"
+    WHOLE = "complete"
+    BROKEN = "invalid"
 
 
 @dataclass(slots=True, eq=False)
 class HttpResponse:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -32,7 +32,7 @@
     keep: bool  # whether the connection may carry another request
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of the header called `name` (lower case), or None."""
+        """Returns the first value of the header `name` (in lower case), or None."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -40,13 +40,15 @@
 
 
 class _StopParsingError(Exception):
-    """Raised within the parser's callbacks to end parsing; the reader has noted why."""
+    """Raised in the parser's callbacks to end parsing; the reader's attributes have the response or the reason."""
 
 
 class ResponseReader:
-    """Reads one connection's responses: call `expect` before each request, then `feed` until it isn't WAITING.
+    """Parses the responses of one connection.
 
-    `body_bytes` and `head_bytes` bound a response's body and head.
+    Call `expect` before each request, then `feed` until it returns something other than WAITING. `body_bytes` and
+    `head_bytes` are the maximum sizes of a response's body and head. `response` is the complete response, `reason` says
+    why it is invalid.
     """
 
     def __init__(self, body_bytes: int, head_bytes: int = DEFAULT_HEAD_BYTES) -> None:
@@ -58,7 +60,10 @@
         self.expect(False)
 
     def expect(self, head: bool) -> None:
-        """A request goes out. `head`: by the method HEAD, whose response has no body, whatever its length says."""
+        """Prepares for the response to the next request.
+
+        head: whether the request's method is HEAD; its response has no body, whatever its Content-Length is.
+        """
         self._to_head = head
         self._begun = False
         self._head_complete = False
@@ -71,22 +76,22 @@
         self.reason = ""
 
     def feed(self, data: bytes | bytearray | memoryview) -> Progress:
-        """Reads on with the bytes received; `response` or `reason` say what came of them."""
+        """Parses received bytes; sets `response` once it is complete, or `reason` if it is invalid."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return self._broken("a switch of protocols")
+            return self._broken("unexpected protocol upgrade")
         except (httptools.HttpParserError, ValueError, _StopParsingError) as error:
             if self.response is None or not self._to_head:
                 return self._broken(self.reason or str(error)[:MAX_REASON_CHARACTERS])
         if self._has_surplus:
-            # Guards against a server that answers twice: which of the two responses was meant is not known.
+            # Guards against a server that responds twice: it is not known which response belongs to the request.
             return self._broken(SURPLUS_BYTES)
         if self.response is not None:
             return Progress.WHOLE
         self._fed_bytes += len(data)
         if not self._head_complete and self._fed_bytes > self._max_head_bytes:
-            self.reason = "an endless head"
+            self.reason = "response head too long"
             return Progress.BROKEN
         return Progress.WAITING
 
@@ -96,20 +101,23 @@
         return Progress.BROKEN
 
     def eof(self) -> Progress:
-        """The other end has closed: a response without a stated length ends here, any other is cut short."""
+        """Handles the close of the connection.
+
+        A response without a stated length is then complete; any other incomplete response is truncated, hence BROKEN.
+        """
         if self.response is None and self._head_complete and not self._framed:
             self._finish(False)
         return Progress.WHOLE if self.response is not None else Progress.BROKEN
 
     @property
     def begun(self) -> bool:
-        """Whether any part of the response has come."""
+        """Whether any part of the response has been received."""
         return self._begun
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A response's first byte has come."""
+        """Resets the state at the first byte of a response; a second response to one request ends parsing."""
         if self.response is not None:
             self._has_surplus = True
             raise _StopParsingError
@@ -119,29 +127,29 @@
         self._body_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header."""
+        """Adds a complete header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """The head is whole; interim responses (1xx) are passed over."""
+        """Determines how the body is framed; the response to a HEAD request is complete here."""
         status = self._parser.get_status_code()
         self._framed = any(name in (b"content-length", b"transfer-encoding") for name, _ in self._headers)
         self._framed = self._framed or status in BODILESS_STATUSES or status < 200
         self._head_complete = status >= 200
         if self._to_head and status >= 200:
             self._finish(False)
-            raise _StopParsingError  # the parser would wait for a body that never comes
+            raise _StopParsingError  # the parser would wait for the body, which is never sent
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Adds a part of the body."""
         self._body_bytes += len(part)
         if self._body_bytes > self._max_body_bytes:
-            self.reason = f"a body of over {self._max_body_bytes} bytes"
+            self.reason = f"response body longer than {self._max_body_bytes} bytes"
             raise _StopParsingError
         self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """The response, or an interim one, is whole."""
+        """Completes the response; an interim response (1xx) is discarded."""
         if self._parser.get_status_code() < 200:
             self._begun = False
             self._head_complete = False
--- a/lanelead/http/serialization.py
+++ b/lanelead/http/serialization.py
@@ -1,4 +1,4 @@
-"""Requests and responses as bytes. Headers of a single hop are left out (RFC 9110, section 7.6.1)."""
+"""Encodes requests and responses, and removes hop-by-hop headers (RFC 9110, section 7.6.1) from forwarded ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def forwarded_headers(headers: Headers, dropped: frozenset[bytes] = HOP_BY_HOP_HEADERS) -> Headers:
-    """The headers that go on to the next hop: all but `dropped` and those that Connection names."""
+    """Returns the headers to forward to the next hop: all but `dropped` and those that Connection names."""
     connection_values = [value for name, value in headers if name == b"connection"]
     if connection_values:
         named = (token.strip().lower() for value in connection_values for token in value.split(b","))
@@ -38,12 +38,12 @@
 
 
 def with_hop_by_hop(*names: bytes) -> frozenset[bytes]:
-    """Headers that only this program sets, with those of a single hop: to be dropped when others send them."""
+    """Returns the hop-by-hop headers and `names`, for use as the `dropped` of `forwarded_headers`."""
     return HOP_BY_HOP_HEADERS.union(names)
 
 
 def request(method: str, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A request with the length of its body stated, where it has one or its method usually has."""
+    """Encodes a request. It has a Content-Length if it has a body or its method usually has one."""
     lines = [b"%s %s HTTP/1.1\r\n" % (method.encode("latin-1"), target)]
     lines += [b"%s: %s\r\n" % pair for pair in headers]
     if body or method in METHODS_WITH_BODY:
@@ -61,10 +61,11 @@
     head: bool = False,
     length: bytes | None = None,
 ) -> bytes:
-    """A response with its length stated.
+    """Encodes a response with a Content-Length.
 
-    `keep`: whether the connection stays open behind it. `head`: it answers a HEAD request and has no body; `length`
-    is then the length that the body would have.
+    keep: whether the connection stays open after the response.
+    head: whether it responds to a HEAD request, so that it has no body.
+    length: with `head`, the Content-Length that the response to a GET request would have.
     """
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     lines += [b"%s: %s\r\n" % pair for pair in headers]
--- a/lanelead/http/server.py
+++ b/lanelead/http/server.py
@@ -1,4 +1,7 @@
-"""A small HTTP/1.1 server connection on asyncio's protocols and the request reader, for stores and emulators."""
+"""A small HTTP/1.1 server connection for configuration replicas, migration stores and emulators.
+
+It is an `asyncio.Protocol` that parses with `RequestReader`.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,17 @@
 MAX_HEAD_BYTES = 65536
 MAX_BODY_BYTES = 64 << 20
 
-# The head of an endless response: JSON lines, in chunks.
+# Head of a response that streams JSON lines in chunks.
 STREAM = b"HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\ntransfer-encoding: chunked\r\n\r\n"
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client's connection. Requests come one at a time.
+    """The connection of one client, which sends one request at a time.
 
-    `on_request` is called with each request, `on_connect` once when the connection is made. `linger`: seconds for
-    which a connection whose request was rejected is still read from, and nothing of it used: closed at once, it would
-    be reset, and the response lost where the other end still writes.
+    on_request: called with each request.
+    on_connect: called when the connection is made.
+    linger: seconds until the connection is closed after a rejected request. Until then received data is discarded: if
+        the connection was closed while the client still sends, it would be reset and the response could be lost.
     """
 
     def __init__(
@@ -37,18 +41,18 @@
         self._reader = RequestReader(MAX_HEAD_BYTES, body_bytes)
         self.transport: asyncio.Transport | None = None
         self.close_callbacks: list[Callable[[], None]] = []
-        self.last_request_at = 0.0  # seconds, on the clock of whoever sets it; 0: no request yet
-        self.unresponsive = False  # whoever sets this answers nothing more on the connection
+        self.last_request_at = 0.0  # seconds; set by the emulated endpoint, on its clock; 0: no request yet
+        self.unresponsive = False  # set by the emulated endpoint, which then sends no more responses on the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop."""
+        """Stores the transport; called by the event loop."""
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self.transport = transport  # type: ignore[assignment]
         if self._on_connect is not None:
             self._on_connect(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop."""
+        """Parses received data and handles the requests in it; called by the event loop."""
         if self._rejected:
             return
         for event in self._reader.feed(data):
@@ -69,27 +73,27 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop."""
+        """Calls the close callbacks; called by the event loop."""
         self.transport = None
         for callback in self.close_callbacks:
             callback()
 
     def write(self, data: bytes) -> None:
-        """Sends bytes; drops them where the connection has ended."""
+        """Sends data, or discards it if the connection has ended."""
         if self.transport is not None:
             self.transport.write(data)
 
     def close(self) -> None:
-        """Ends the connection behind what was written."""
+        """Closes the connection after all written data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """Ends the connection at once; what was written may be lost."""
+        """Closes the connection at once; written data may be lost."""
         if self.transport is not None:
             self.transport.abort()
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body (RFC 9112, section 7.1)."""
+    """Encodes one chunk of a chunked body (RFC 9112, section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/lanelead/protocols/__init__.py
+++ b/lanelead/protocols/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between relays, discovery, rollout platform, stores, replicas, endpoints and clients.
+"""The messages that relays, discovery, rollout platform, stores, replicas, endpoints and clients exchange, as types.
 
-docs/protocols.md has them in words.
+docs/protocols.md describes the protocols.
 """
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -1,7 +1,8 @@
-"""The messages of configuration by version and change, between replicas, relays and operators.
+"""The messages that configuration replicas exchange with relays, operators and each other: JSON over HTTP/1.1.
 
-JSON over HTTP/1.1. The document is a table of entries, each a key (`kind/name`) with a value; a change sets
-or removes some of them and makes the next version, the last one plus one. docs/configuration.md has calls.
+The configuration is a document: a table of entries, each a key (`kind/name`) with a value. A change sets or removes
+entries and makes the next version of the document; versions are consecutive numbers. docs/configuration.md lists the
+calls.
 """
 
 from __future__ import annotations
@@ -13,17 +14,18 @@
 
 from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
-FORMAT_VERSION = 1  # of these records; a field that an earlier form lacks has a default here
-MAX_CHANGE_ENTRIES = 1000  # of one change, at most
-MAX_VALUE_BYTES = 16384  # bytes of one value, as JSON
-MAX_CHANGE_BYTES = 262144  # bytes of one change's keys and values
-BUCKET_COUNT = 4096  # of a document: entries go by a hash of their key, and each bucket has a digest
+FORMAT_VERSION = 1  # format of these messages; a field that an earlier format lacks has a default here
+MAX_CHANGE_ENTRIES = 1000  # maximum number of entries in one change
+MAX_VALUE_BYTES = 16384  # maximum size of one value, encoded as JSON
+MAX_CHANGE_BYTES = 262144  # maximum total size of the keys and values of one change
+BUCKET_COUNT = 4096  # buckets of a document: a hash of its key assigns an entry to one; each bucket has a digest
 Key = Annotated[str, Meta(min_length=3, max_length=200, pattern=r"^[a-z][a-z0-9_-]{0,31}/.+$")]
 Ident = Annotated[str, Meta(min_length=8, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
-History = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*$")]  # empty: nothing is decided yet
+History = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*$")]  # empty: no change is decided yet
 Digest = Annotated[str, Meta(pattern=r"^[0-9a-f]{32}$")]
 
-WIRE_NAMES = {  # field names of this module and configuration_replicas, and their JSON keys where those differ
+# JSON keys of the fields, in this module and configuration_replicas, whose names differ from their keys.
+WIRE_NAMES = {
     "bucket_digests": "buckets",
     "committed_version": "head",
     "completed": "made",
@@ -48,33 +50,37 @@
 
 
 class Entry(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`value`: any JSON; absent or null: the key is removed."""
+    """A key and its value, any JSON. An absent or null value removes the key."""
 
     key: Key
     value: msgspec.Raw = msgspec.Raw(b"null")
 
 
 class Change(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`ident` is the publisher's own: the same change proposed twice is made once. `digest`: of the whole
-    document once this change is in it."""
+    """One version's change of the document.
+
+    ident: chosen by the publisher; a change that is proposed twice with the same ident is made once.
+    digest: digest of the whole document after this change.
+    """
 
     version: NonNegativeInt
     ident: Ident
     digest: Digest
     entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
-    requested_at_ms: NonNegativeFloat = 0.0  # when it was asked for, Unix time
+    requested_at_ms: NonNegativeFloat = 0.0  # Unix time at which the change was requested
 
 
-# Between a relay (a follower) and a replica (a source)
+# Messages between a relay (the follower) and a replica (its source)
 
 
 class WatchLine(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """One line of a watch: a heartbeat, changes in order, or that the follower has to repair.
+    """One line of a watch: a heartbeat, consecutive changes, or the notice that the follower has to repair.
 
-    `history`: which succession of versions this is (the ident of the first change); another one is not
-    followed. `committed_version`: the newest version that the source knows. `staleness_ms`: how long ago it last
-    heard from a majority of the replicas. `resume_version`: in the first line, the version whose digest the
-    follower has named."""
+    history: identifies the sequence of versions by the ident of its first change; a follower ignores other histories.
+    committed_version: the newest version that the source knows.
+    staleness_ms: time since a majority of the replicas last confirmed to the source that no newer version exists.
+    resume_version: only in the first line, the version whose digest the follower gave in its request.
+    """
 
     history: History
     committed_version: NonNegativeInt
@@ -86,7 +92,7 @@
 
 
 class DigestTree(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """The digests of a snapshot's buckets, hexadecimal, 16 digits each, one after another."""
+    """The digests of a snapshot's buckets, concatenated: 16 hexadecimal digits for each bucket."""
 
     history: History
     version: NonNegativeInt
@@ -96,7 +102,7 @@
 
 
 class Buckets(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """Some buckets of the snapshot of that version, whole: number and entries."""
+    """All entries of some buckets of a snapshot, by bucket number."""
 
     version: NonNegativeInt
     buckets: dict[int, list[Entry]]
@@ -104,21 +110,24 @@
 
 
 class AppliedVersion(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """What a relay has in force, and which keys it could not take: reported after changes, and periodically."""
+    """The version that a relay has applied and the keys it rejected; sent after changes and periodically."""
 
     relay: NonNegativeInt
     version: NonNegativeInt
     rejected_keys: Annotated[list[str], Meta(max_length=20)] = []
-    rejections: NonNegativeInt = 0  # since its start
+    rejections: NonNegativeInt = 0  # number of rejected values since the relay's start
     zone: Annotated[str, Meta(max_length=64)] = ""
     format_version: int = FORMAT_VERSION
 
 
-# Between an operator and a replica
+# Messages between an operator and a replica
 
 
 class Proposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`expect`: keys that may only be changed if no version after the one named has changed them."""
+    """A change that an operator asks for.
+
+    expected_versions: for some keys, a version; the proposal is rejected if a later version has changed the key.
+    """
 
     ident: Ident
     entries: Annotated[list[Entry], Meta(min_length=1, max_length=MAX_CHANGE_ENTRIES)]
@@ -132,33 +141,47 @@
 
 
 class RejectedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`unknown`: it may or may not be made; ask again with the same ident. Else nothing was changed."""
+    """Why a proposal, or another call, was not carried out.
+
+    With the reason `unknown` the change may or may not be made: propose it again with the same ident. With every other
+    reason nothing was changed.
+    """
 
     reason: Literal["malformed", "stale", "unknown", "overloaded", "abstains"]
     text: str
 
 
-# Between replicas: one decision a version, as in Lamport, "Paxos Made Simple" (2001)
+# Messages between replicas, which decide each version by Paxos: Lamport, "Paxos Made Simple" (2001)
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, rename=WIRE_NAMES):
-    """A Paxos ballot: its number, and the proposing replica where numbers are equal."""
+    """A Paxos ballot, ordered by its number and then by the proposing replica."""
 
     number: NonNegativeInt = 0
     replica: NonNegativeInt = 0
 
 
 class Prepare(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`epoch`: of the history and the set of voters that the sender uses; another one is not voted for."""
+    """Phase 1 of Paxos: asks a voter to promise a ballot.
 
-    version: NonNegativeInt  # the one that is to be decided: the last known one plus one
+    epoch: a hash of the sender's history and set of voters; a voter whose epoch differs abstains.
+    """
+
+    version: NonNegativeInt  # the version to decide: the sender's committed version plus one
     ballot: Ballot
     epoch: str = ""
 
 
 class Promise(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """`outcome`: promised, refused (a higher ballot was promised: `ballot`), behind (this replica lacks earlier
-    versions), ahead (this version is decided; `committed_version` says how far), abstains (it lost its disk)."""
+    """A voter's reply to Prepare.
+
+    outcome:
+        promised: the voter accepts no lower ballot from now on; `accepted` and `change` are what it has accepted so far
+        refused: it has promised at least this ballot already, namely `ballot`
+        behind: it lacks versions before the one to decide
+        ahead: the version is decided already; `committed_version` is the newest that the voter knows
+        abstains: it may not vote, because it lost its disk, is no voter or has another epoch
+    """
 
     outcome: Literal["promised", "refused", "behind", "ahead", "abstains"]
     committed_version: NonNegativeInt
@@ -184,20 +207,22 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """A replica's heartbeat to another, and the response to it."""
+    """A replica's heartbeat to another one, and the reply to it."""
 
     replica: NonNegativeInt
-    history: str  # empty: none yet
+    history: str  # empty: no change is decided yet
     committed_version: NonNegativeInt
-    empty: bool = False  # it started with nothing on its disk, and abstains still
-    ready: bool = False  # it has seen all voters empty, and none that votes
-    voters: Annotated[list[NonNegativeInt], Meta(max_length=64)] = []  # as its settings have them
+    empty: bool = False  # a voter that started without stored data and still abstains
+    ready: bool = False  # an empty voter that has seen all other voters empty, as in the first start of the replicas
+    voters: Annotated[list[NonNegativeInt], Meta(max_length=64)] = []  # from the replica's settings
     format_version: int = FORMAT_VERSION
 
 
 class LogPage(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """Decided changes in order, from the version asked for; fewer than there are where they are many.
-    `truncated`: the earliest are not kept any more, and a snapshot has to be taken."""
+    """Consecutive decided changes from the requested version on, up to a limit.
+
+    truncated: the requested changes are no longer stored; the replica has to fetch a snapshot instead.
+    """
 
     history: str
     committed_version: NonNegativeInt
--- a/lanelead/protocols/configuration_replicas.py
+++ b/lanelead/protocols/configuration_replicas.py
@@ -1,4 +1,4 @@
-"""What configuration replicas store and send to each other, and their status for operators."""
+"""Records that configuration replicas store and send to each other, and the status that they report to operators."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 from lanelead.protocols.configuration import FORMAT_VERSION, WIRE_NAMES, AppliedVersion, Change, Digest, Entry, Ident
 from lanelead.protocols.feeds import NonNegativeFloat, NonNegativeInt
 
-SNAPSHOT_PAGES = 16  # of a snapshot, each with as many buckets
+SNAPSHOT_PAGES = 16  # pages of a snapshot, each with the same number of buckets
 
 
 class DecidedChange(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """A change that a majority has accepted. `epoch` as in Prepare."""
+    """A change that a majority of the voters has accepted, sent to the other replicas. `epoch` as in Prepare."""
 
     change: Change
     epoch: str = ""
 
 
 class CompletedProposal(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """A change that was made: `entries_hash` is a hash of its entries."""
+    """A proposal that was committed as `version`.
+
+    entries_hash: hash of its entries; shows whether a later proposal with the same ident is the same one.
+    """
 
     ident: Ident
     version: NonNegativeInt
@@ -29,8 +32,11 @@
 
 
 class SnapshotPage(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """One page of the document at one version. The first has the changes made of late, oldest first.
-    `changed`: the version of each key's last change, keys that are gone too."""
+    """One page of the document at one version.
+
+    changed: for each key of the page, the version of its last change; the first page also has the removed keys.
+    completed: in the first page, the proposals that were committed most recently, oldest first.
+    """
 
     history: str
     version: NonNegativeInt
@@ -38,13 +44,13 @@
     page: Annotated[int, Meta(ge=0, lt=SNAPSHOT_PAGES)]
     entries: list[Entry]
     changed: dict[str, NonNegativeInt] = {}
-    pruned_version: NonNegativeInt = 0  # keys that `changed` lacks may have changed up to this version
+    pruned_version: NonNegativeInt = 0  # a key that `changed` lacks may have been removed up to this version
     completed: list[CompletedProposal] = []
     format_version: int = FORMAT_VERSION
 
 
 class PeerStatus(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """Another replica, as this one last heard from it; `heartbeat_age_ms` is absent where it never did."""
+    """What a replica knows of another one. `heartbeat_age_ms` is None if it never had a heartbeat from it."""
 
     replica: NonNegativeInt
     address: str
@@ -57,7 +63,7 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """What a replica reports of itself, its peers and the relays that follow it."""
+    """The status of a replica, its peers and the relays that follow it."""
 
     replica: NonNegativeInt
     zone: str
@@ -69,8 +75,8 @@
     staleness_ms: NonNegativeFloat
     entries: NonNegativeInt
     non_voting: bool
-    fault: str  # of its store; empty: none
-    proposals: NonNegativeInt  # waiting
+    fault: str  # what is wrong with its store; empty: nothing
+    proposals: NonNegativeInt  # number of proposals in its queue
     peers: list[PeerStatus]
-    relays: list[AppliedVersion] = []  # that follow this replica, as they last reported
+    relays: list[AppliedVersion] = []  # last report of each relay that follows this replica
     format_version: int = FORMAT_VERSION
--- a/lanelead/protocols/datagrams.py
+++ b/lanelead/protocols/datagrams.py
@@ -1,11 +1,13 @@
 """Messages between relays as UDP datagrams.
 
-- A datagram: a header with the sender's number, the payload of at most 256 bytes, a CRC-32 of both.
-- A plain datagram, for networks that know the sender by its address: the payload and half of its CRC-32, at most 256
-  bytes together.
+Two formats:
 
-One that is too short or too long, of another version, or with a wrong checksum is dropped; `DatagramFault` says why,
-for counting.
+- A datagram has a header with the sender's number, a payload of at most 256 bytes, and a CRC-32 of both.
+- A plain datagram has a payload and the lower half of its CRC-32, together at most 256 bytes. It is for networks in
+  which a sender is identified by its address.
+
+A datagram of a wrong length, another version or a wrong checksum is dropped; `DatagramFault` is the reason, by which
+dropped datagrams are counted.
 """
 
 from __future__ import annotations
@@ -17,15 +19,15 @@
 
 GOSSIP_MAGIC = b"LLP1"
 MEMBERSHIP_MAGIC = b"LLM1"
-HEADER = Struct(">4sHHI")  # magic with version, sender, length of the payload, sequence number
+HEADER = Struct(">4sHHI")  # magic number with the version, sender, payload length, sequence number
 CHECKSUM = Struct(">I")
 SHORT_CHECKSUM = Struct(">H")
-MAX_MESSAGE_BYTES = 256  # of one message between relays, with its checksum
+MAX_MESSAGE_BYTES = 256  # maximum size of a datagram's payload, and of a plain datagram with its checksum
 MAX_DATAGRAM_BYTES = HEADER.size + MAX_MESSAGE_BYTES + CHECKSUM.size
 
 
 class DatagramFault(StrEnum):
-    """Why a datagram is dropped."""
+    """The reason why a datagram is dropped."""
 
     LENGTH = "length"
     VERSION = "version"
@@ -35,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
-    """A datagram as it was sent. `membership`: its payload is a membership message, else gossip."""
+    """A decoded datagram. `membership`: whether its payload is a membership message; if not, it is gossip."""
 
     sender: int
     sequence_number: int
@@ -44,15 +46,18 @@
 
 
 def encode_datagram(sender: int, sequence_number: int, payload: bytes, magic: bytes = GOSSIP_MAGIC) -> bytes:
-    """Returns a datagram's bytes. Raises ValueError if the payload is too long."""
+    """Encodes a datagram. Raises ValueError if the payload is longer than MAX_MESSAGE_BYTES."""
     if len(payload) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"{len(payload)} bytes, of {MAX_MESSAGE_BYTES} at most")
+        raise ValueError(f"payload of {len(payload)} bytes; expected {MAX_MESSAGE_BYTES} or less")
     body = HEADER.pack(magic, sender, len(payload), sequence_number & 0xFFFFFFFF) + payload
     return body + CHECKSUM.pack(zlib.crc32(body))
 
 
 def decode_datagram(data: bytes, relays: int) -> Datagram | DatagramFault:
-    """Returns the datagram, or why it is dropped. Gossip is taken from senders numbered below `relays` only."""
+    """Decodes a datagram; returns a DatagramFault if it has to be dropped.
+
+    Gossip is accepted only from senders whose number is below `relays`.
+    """
     if not HEADER.size + CHECKSUM.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return DatagramFault.LENGTH
     magic, sender, size, sequence_number = HEADER.unpack_from(data)
@@ -68,15 +73,15 @@
 
 
 def encode_plain(payload: bytes) -> bytes:
-    """Returns a plain datagram's bytes. Raises ValueError if it gets too long."""
+    """Encodes a plain datagram. Raises ValueError if it is longer than MAX_MESSAGE_BYTES."""
     data = payload + SHORT_CHECKSUM.pack(zlib.crc32(payload) & 0xFFFF)
     if len(data) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"{len(data)} bytes, of {MAX_MESSAGE_BYTES} at most")
+        raise ValueError(f"datagram of {len(data)} bytes; expected {MAX_MESSAGE_BYTES} or less")
     return data
 
 
 def decode_plain(data: bytes) -> bytes | None:
-    """Returns the payload, or None if the plain datagram is not whole."""
+    """Returns the payload of a plain datagram, or None if its length or checksum is wrong."""
     if not SHORT_CHECKSUM.size <= len(data) <= MAX_MESSAGE_BYTES:
         return None
     payload = data[: -SHORT_CHECKSUM.size]
--- a/lanelead/protocols/feeds.py
+++ b/lanelead/protocols/feeds.py
@@ -1,6 +1,7 @@
-"""The messages of the feeds over HTTP, as msgspec types: JSON objects, one a line where they come as a stream.
+"""The messages that HTTP relays exchange with discovery, the rollout platform, endpoints and clients: JSON objects.
 
-Field names and enumerations are the feeds' words; `lanelead/protocols/vocabulary.py` maps them to the code's terms.
+A stream carries one object per line. Field names and enumeration values are those of the wire;
+`lanelead/protocols/vocabulary.py` maps them to the terms of the code.
 """
 
 from __future__ import annotations
@@ -20,11 +21,16 @@
 
 
 class MessageError(Exception):
-    """What came is not such a message; the text says which field and why."""
+    """The received data is not a valid message; the text names the field and the reason."""
 
 
 class EndpointMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One endpoint, as discovery knows it. `started_ms` is on discovery's clock; null: long ago."""
+    """One endpoint of an endpoint list.
+
+    condition: the endpoint's status.
+    started_ms: start of the endpoint's process on discovery's clock; None: unknown, taken as long ago.
+    size: relative capacity.
+    """
 
     unit: Name
     host: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -39,7 +45,7 @@
 
 
 class EndpointListMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole endpoint list, or changes of it; `clock_ms` is discovery's present time."""
+    """The full endpoint list or changes to it. `clock_ms` is the current time of discovery's clock."""
 
     coverage: Literal["full", "changes"]
     version: NonNegativeInt
@@ -48,7 +54,7 @@
 
 
 class RolloutMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the newest build stands, and since when."""
+    """The rollout of the newest build: its stage and phase, its exposure limit (`cap`) and the stage's age."""
 
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
@@ -67,14 +73,19 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What came of a vote, and where the newest build stands now."""
+    """The outcome of a vote (`word`) and the current state of the rollout (`news`)."""
 
     word: Literal["done", "moot", "overloaded", "failed"]
     news: RolloutMessage
 
 
 class Complaint(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A client found a response wrong that an endpoint gave so long ago."""
+    """A client's report that a response was wrong.
+
+    unit: the endpoint that gave the response.
+    lane: the request class.
+    age_ms: time since the response.
+    """
 
     unit: Name
     lane: Name
@@ -82,7 +93,13 @@
 
 
 class LoadMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """An endpoint's load report, in a response's Lanelead-Load header or to a health check."""
+    """An endpoint's load report, sent in a response's Lanelead-Load header or in the response to a health check.
+
+    waiting, active: numbers of queued and executing requests.
+    cpu: CPU load.
+    avg_ms: average latency.
+    rps, err_rps: requests and errors per second.
+    """
 
     waiting: NonNegativeFloat | None = None
     active: NonNegativeFloat | None = None
@@ -93,7 +110,7 @@
 
 
 def decode(data: bytes, message_type: type[T], max_bytes: int = MAX_LINE_BYTES) -> T:
-    """A message of this type. Raises MessageError, with the field and what was expected of it."""
+    """Decodes a message of a given type. Raises MessageError, which names the field and what was expected."""
     if len(data) > max_bytes:
         raise MessageError(f"{len(data)} bytes, of {max_bytes} at most")
     try:
@@ -106,14 +123,17 @@
 
 
 class LineSplitter:
-    """Cuts a stream into lines of at most `max_bytes`."""
+    """Splits a byte stream into lines of at most `max_bytes`."""
 
     def __init__(self, max_bytes: int = MAX_LINE_BYTES) -> None:
         self._rest = b""
         self._max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that these bytes complete, without empty ones. Raises MessageError at one that is too long."""
+        """Returns the non-empty lines that `data` completes.
+
+        Raises MessageError if the incomplete line after them is longer than `max_bytes`.
+        """
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > self._max_bytes:
             raise MessageError(f"a line of over {self._max_bytes} bytes")
--- a/lanelead/protocols/migrations.py
+++ b/lanelead/protocols/migrations.py
@@ -1,7 +1,7 @@
-"""The messages between migration runners, relays and the migration store, in JSON.
+"""The JSON messages that migration runners and relays exchange with the migration store.
 
-docs/protocols.md lists the calls that carry them. A field whose name here differs from the name on the wire is mapped
-by `rename` at its class.
+docs/protocols.md lists the calls that carry them. Where a field's name differs from its JSON key, the `rename`
+argument of the class has the key.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 Direction = Literal["apply", "undo"]
 EntryKind = Literal["plan", "closing", "intent", "done", "failed", "resumed", "dropped"]
 RejectionReason = Literal["held", "fenced", "behind", "unseen", "failed", "no intent", "malformed"]
-BARRIER: Final = "closing"  # the entry after which relays withhold the builds that the step ends, and acknowledge
+# The kind of a barrier entry: relays stop sending to the builds that the step excludes, and then acknowledge the entry.
+BARRIER: Final = "closing"
 UNACKNOWLEDGED: Final = "unseen"
 Ident = Annotated[str, Meta(pattern=r"^[A-Za-z_][A-Za-z0-9_]{0,63}$")]
 Statement = Annotated[str, Meta(max_length=65536)]
@@ -31,9 +32,10 @@
 ):
     """One entry of the migration log.
 
-    barrier_seq: of an intent, the barrier entry that it waited for; 0 where it needs none.
-    parts_applied: of a failure, the number of parts whose effect is in the database.
-    text: of a failure, the reason; of a plan, the whole plan as JSON.
+    direction: whether the step is applied or undone.
+    barrier_seq: in an intent, the sequence number of the barrier entry that it waited for; 0 if it needs none.
+    parts_applied: in a failure, the number of parts whose effect is in the database.
+    text: in a failure, the reason; in a plan, the whole plan as JSON.
     """
 
     kind: EntryKind
@@ -45,7 +47,12 @@
 
 
 class LoggedEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An entry with its sequence number, the token it was written under, and the store's time (for display only)."""
+    """A stored entry of the log.
+
+    seq: its sequence number.
+    token: the fencing token under which it was written.
+    at_ms: the store's time, for display only.
+    """
 
     seq: NonNegativeInt
     token: NonNegativeInt
@@ -55,20 +62,20 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Asks for the lease, for `ttl_ms` milliseconds from the last renewal."""
+    """Requests the lease, which expires `ttl_ms` milliseconds after its last renewal."""
 
     runner: Annotated[str, Meta(min_length=1, max_length=64)]
     ttl_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
 
 
 class Lease(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The fencing token of a lease. It grows with every lease: calls under an earlier one change nothing."""
+    """A granted lease. Its fencing token is higher than all earlier ones; calls with an earlier token are rejected."""
 
     token: NonNegativeInt
 
 
 class AppendRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"after_seq": "after"}):
-    """Appends an entry right after `after_seq`, the last entry that the writer knows."""
+    """Appends an entry if the last one in the log is `after_seq`, the last that the writer knows."""
 
     token: NonNegativeInt
     after_seq: NonNegativeInt
@@ -84,7 +91,11 @@
 class BatchRange(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"max_rows": "rows", "after_key": "low"}
 ):
-    """One batch of a backfill: at most `max_rows` rows of a table whose key is above `after_key` (None: all)."""
+    """One batch of a backfill: the next rows of a table in the order of a key column.
+
+    max_rows: maximum number of rows.
+    after_key: only rows with a higher key belong to the batch; None: the batch starts with the first row.
+    """
 
     table: Ident
     key: Ident
@@ -95,7 +106,7 @@
 class ApplyRequest(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"intent_seq": "intent", "batch_range": "span"}
 ):
-    """Applies one part of a step, once: its effect is recorded as (intent, part) in the same transaction."""
+    """Applies one part of a step exactly once: the store records (intent, part) in the same transaction."""
 
     token: NonNegativeInt
     intent_seq: NonNegativeInt
@@ -105,7 +116,13 @@
 
 
 class EffectProgress(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an intent has changed so far: parts, the last key of a backfill, whether it is complete, rows."""
+    """How far an intent has been applied.
+
+    parts: number of parts applied.
+    cursor: last key of a backfill.
+    finished: whether all parts are applied.
+    rows: number of rows changed.
+    """
 
     parts: NonNegativeInt
     cursor: int | None = None
@@ -114,14 +131,17 @@
 
 
 class AcknowledgeRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A relay's promise that it sends nothing, and has nothing in flight, that an entry up to `seq` forbids."""
+    """A relay's acknowledgement of the barrier entry `seq`.
+
+    The relay has no attempt in flight to a build that entries up to `seq` exclude, and sends no more of them.
+    """
 
     relay: NonNegativeInt
     seq: NonNegativeInt
 
 
 class ForgetRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operator's statement that a relay is gone for good: barriers no longer wait for it."""
+    """Removes a relay that an operator knows to be gone for good, so that barriers no longer wait for it."""
 
     token: NonNegativeInt
     relay: NonNegativeInt
@@ -134,7 +154,7 @@
 
 
 class MigrationLogPage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"last_seq": "last"}):
-    """Some consecutive entries of the log, and the sequence number of the log's last entry."""
+    """Consecutive entries of the log and the sequence number of the last entry of the whole log."""
 
     entries: list[LoggedEntry]
     last_seq: NonNegativeInt
@@ -143,15 +163,15 @@
 class RejectedCall(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"reason": "why", "message": "text"}
 ):
-    """Why a call changed nothing.
+    """Why a call was rejected without any effect.
 
     held: another runner has the lease
-    fenced: a later lease was granted
-    behind: the log has grown
-    unseen: relays have not acknowledged the barrier
-    failed: the store could not do it
-    no intent: no such intent is in the log
-    malformed: the call could not be read
+    fenced: a later lease was granted since
+    behind: the log has entries after the last one that the caller knows
+    unseen: some relays have not acknowledged the barrier
+    failed: the database returned an error
+    no intent: the log has no such intent
+    malformed: the call could not be decoded
     """
 
     reason: RejectionReason
@@ -159,7 +179,7 @@
 
 
 class SchemaCheck(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Asks whether a build's write fits the current schema. Only emulated endpoints send it."""
+    """Checks whether a build's write statement fits the current schema. Only emulated endpoints send it."""
 
     build: NonNegativeInt
     op: str
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -1,7 +1,7 @@
-"""The platform's messages: JSON-RPC 2.0, one object a line, and discovery's endpoint lists.
+"""The messages of the platform that runs PostgreSQL relays: JSON-RPC 2.0, one object per line, and endpoint lists.
 
-Unknown fields are skipped; the fields of a record must be present and valid. Field names are those of the wire, but
-where `name=` maps them. Of a list, an entry that cannot be read is rejected alone: the others count.
+Unknown fields are ignored; the fields of a message must be present and valid. Field names are those of the wire,
+except where `name=` maps them. An invalid entry of an endpoint list is rejected by itself; the others are used.
 """
 
 from __future__ import annotations
@@ -32,17 +32,18 @@
     Verdict.HOLD: "pause",
     Verdict.ROLL_BACK: "abort",
 }
-# An invalid host name would raise other errors than OSError when it is connected to.
+# Connecting to an invalid host name raises errors other than OSError, so host names are checked when they are read.
 HOST_LABEL_PATTERN = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
 ADDRESS_PATTERN = rf"^{HOST_LABEL_PATTERN}(\.{HOST_LABEL_PATTERN})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
+# Outcome of a vote by error message. Any other message means AttemptOutcome.ERROR: the vote did not count.
 ERROR_OUTCOMES = {
     "too_many_calls": AttemptOutcome.REJECTED,
     "out_of_date": AttemptOutcome.NOT_SENT,
-}  # by error message; any other is AttemptOutcome.ERROR: the vote did not count
+}
 
 
 class StageMessage(msgspec.Struct, frozen=True):
-    """The rollout of the newest build: its stage and phase, its exposure limit, and the stage's age."""
+    """The rollout of the newest build: its stage and phase, its exposure limit and the stage's age."""
 
     build: BuildNumber
     stage: Annotated[int, Meta(ge=0, le=1000)]
@@ -51,7 +52,7 @@
     age_ms: NonNegativeFloat
 
     def to_rollout_message(self) -> RolloutMessage:
-        """The same as the driver takes it."""
+        """Converts it to the message that the driver takes."""
         return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.exposure_limit, self.age_ms)  # type: ignore[arg-type]
 
 
@@ -73,7 +74,7 @@
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """An entry of discovery's list. `started_ms` is Unix time, 0 where it is not known."""
+    """An entry of discovery's endpoint list. `started_ms` is Unix time; 0: unknown."""
 
     id: Annotated[str, Meta(min_length=1, max_length=64)]
     address: Annotated[str, Meta(max_length=270, pattern=ADDRESS_PATTERN)] = msgspec.field(name="addr")
@@ -87,7 +88,7 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True):
-    """A snapshot (`full`) or changes; each entry is a ListedEndpoint, if it can be read."""
+    """A full endpoint list (`full`) or changes to one. Each entry is a ListedEndpoint, decoded on its own."""
 
     version: NonNegativeInt
     full: bool
@@ -95,31 +96,31 @@
 
 
 class EndpointLabel(msgspec.Struct, frozen=True):
-    """What may still be read of an entry that is not a valid ListedEndpoint."""
+    """The fields of an invalid ListedEndpoint that are used if they can be decoded."""
 
     id: Any = None
     state: Any = None
 
 
 class RejectedEntry(NamedTuple):
-    """An entry that was rejected: its endpoint's id, empty if it cannot be read, and why."""
+    """A rejected entry: its endpoint's id, empty if that cannot be decoded, and the reason."""
 
     id: str
     reason: str
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`, where an IPv6 host is in brackets; raises MessageError."""
+    """Splits `host:port` into host and port; an IPv6 host is in brackets. Raises MessageError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise MessageError(f"not an address: {text[:80]!r}")
+        raise MessageError(f"invalid address {text[:80]!r}; expected host:port with a port from 1 to 65535")
     return host.strip("[]"), int(port)
 
 
 def _decode_entry(raw: msgspec.Raw) -> EndpointMessage:
-    """Raises MessageError."""
+    """Decodes and converts an entry. Raises MessageError."""
     text = bytes(raw)
-    entry = decode(text, ListedEndpoint, len(text))  # the list's length is bounded already
+    entry = decode(text, ListedEndpoint, len(text))  # the size of the whole list was checked before
     host, port = parse_address(entry.address)
     return EndpointMessage(
         entry.id,
@@ -136,7 +137,7 @@
 
 
 def _decode_label(raw: msgspec.Raw) -> tuple[str, bool]:
-    """The id in an invalid entry, empty if it cannot be read, and whether the endpoint leaves."""
+    """Returns the id in an invalid entry, empty if it cannot be decoded, and whether the endpoint is leaving."""
     try:
         text = bytes(raw)
         label = decode(text, EndpointLabel, len(text))
@@ -145,27 +146,27 @@
     return label.id if isinstance(label.id, str) else "", label.state in ("leaving", "left")
 
 
-def _nothing_known(name: str) -> EndpointMessage | None:
+def _no_last_known(name: str) -> EndpointMessage | None:
     return None
 
 
 class _Rejection(NamedTuple):
     reason: str
-    leaves: bool  # any of the endpoint's entries says that it leaves
+    leaving: bool  # whether any of the endpoint's entries has the state leaving or left
 
 
-class _ListReader:
-    """One list while it is read: the valid entries by endpoint, and the rejected ones."""
+class _EndpointListReader:
+    """Reads one endpoint list: collects its valid entries by endpoint and its rejected entries."""
 
     def __init__(self, full: bool, last_known: Callable[[str], EndpointMessage | None]) -> None:
         self._full = full
         self._last_known = last_known
         self.entries: dict[str, EndpointMessage] = {}
-        self.unnamed: list[RejectedEntry] = []
+        self.rejected_without_id: list[RejectedEntry] = []
         self.rejections: dict[str, _Rejection] = {}
 
-    def take(self, raws: list[msgspec.Raw]) -> None:
-        """Takes all entries."""
+    def read(self, raws: list[msgspec.Raw]) -> None:
+        """Reads all entries."""
         entries = self.entries
         for raw in raws:
             try:
@@ -176,58 +177,58 @@
             earlier = entries.get(entry.unit)
             entries[entry.unit] = entry
             if self._full and earlier is not None and earlier != entry:
-                leaves = {entry.condition, earlier.condition} != {"ready"}
-                self._reject(entry.unit, "told twice, and differently", leaves)
+                leaving = {entry.condition, earlier.condition} != {"ready"}
+                self._reject(entry.unit, "listed twice with different values", leaving)
 
     def _reject_invalid(self, raw: msgspec.Raw, reason: str) -> None:
-        name, leaves = _decode_label(raw)
+        name, leaving = _decode_label(raw)
         if name:
-            self._reject(name, reason, leaves)
+            self._reject(name, reason, leaving)
         else:
-            self.unnamed.append(RejectedEntry("", reason))
+            self.rejected_without_id.append(RejectedEntry("", reason))
 
-    def _reject(self, name: str, reason: str, leaves: bool) -> None:
+    def _reject(self, name: str, reason: str, leaving: bool) -> None:
         earlier = self.rejections.get(name)
-        self.rejections[name] = _Rejection(reason, leaves or (earlier is not None and earlier.leaves))
-        if not self._full and leaves:
+        self.rejections[name] = _Rejection(reason, leaving or (earlier is not None and earlier.leaving))
+        if not self._full and leaving:
             known = self.entries.get(name) or self._last_known(name)
             if known:
                 self.entries[name] = msgspec.structs.replace(known, condition="draining")
 
     def apply_last_known(self) -> None:
-        """In a snapshot, puts the last known entry in place of each rejected one."""
+        """Replaces each rejected entry of a full list by the endpoint's last known entry."""
         for name, rejection in self.rejections.items():
             self.entries.pop(name, None)
             known = self._last_known(name)
             if known:
-                leaves = rejection.leaves
-                self.entries[name] = msgspec.structs.replace(known, condition="draining") if leaves else known
+                leaving = rejection.leaving
+                self.entries[name] = msgspec.structs.replace(known, condition="draining") if leaving else known
 
 
 def read_endpoint_list(
     received: EndpointList,
-    last_known: Callable[[str], EndpointMessage | None] = _nothing_known,
+    last_known: Callable[[str], EndpointMessage | None] = _no_last_known,
     rejected: list[RejectedEntry] | None = None,
 ) -> EndpointListMessage:
-    """Discovery's list as the driver takes it; rejected entries are added to `rejected`.
+    """Converts discovery's list to the message that the driver takes; appends rejected entries to `rejected`.
 
-    For a rejected entry the endpoint's `last_known` one goes on to count; but an endpoint that leaves gets nothing
-    new, whatever else of its entry is wrong. A snapshot with two different entries of an endpoint is rejected for
-    that endpoint; among changes the last entry counts.
+    Instead of a rejected entry, the endpoint's `last_known` entry stays in use. But an endpoint whose entry says that
+    it is leaving becomes draining and gets no new attempts, whatever else is wrong with the entry. If a full list has
+    two different entries for an endpoint, both are rejected; in a list of changes the last one counts.
     """
-    reader = _ListReader(received.full, last_known)
-    reader.take(received.entries)
+    reader = _EndpointListReader(received.full, last_known)
+    reader.read(received.entries)
     if received.full:
         reader.apply_last_known()
     if rejected is not None:
-        rejected += reader.unnamed
+        rejected += reader.rejected_without_id
         rejected += [RejectedEntry(name, rejection.reason) for name, rejection in reader.rejections.items()]
     entries = list(reader.entries.values())
     return EndpointListMessage("full" if received.full else "changes", received.version, 0.0, entries)
 
 
 def encode_call(call_id: int, method: str, params: dict[str, Any] | None = None) -> bytes:
-    """A JSON-RPC request as one line."""
+    """Encodes a JSON-RPC request as one line."""
     call: dict[str, Any] = {"jsonrpc": "2.0", "id": call_id, "method": method}
     if params is not None:
         call["params"] = params
@@ -235,5 +236,5 @@
 
 
 def decode_stage(raw: msgspec.Raw) -> StageMessage:
-    """Raises MessageError."""
+    """Decodes the state of the rollout. Raises MessageError."""
     return decode(bytes(raw), StageMessage)
--- a/lanelead/protocols/vocabulary.py
+++ b/lanelead/protocols/vocabulary.py
@@ -1,7 +1,6 @@
-"""The words of the feeds, settings and headers, mapped to the terms of the code: the only place that has both.
+"""Maps the words of the protocols, settings and stored data to the terms of the code.
 
-docs/ARCHITECTURE.md lists the terms. The words on the left are part of the protocols and of stored data, so they
-stay as they are.
+The strings are part of protocols, settings and stored data and must not change. docs/ARCHITECTURE.md lists the terms.
 """
 
 from __future__ import annotations
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Requests and responses as bytes and events: framing, bounds, what is refused, and every way of cutting them."""
+"""Tests of the HTTP readers and of serialization: framing, limits, rejected input, and input split at any byte."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 HOST = b"Host: a\r\n"
 
 
-def read_requests(data: bytes, cut: int = 0, head: int = 2000, body: int = 1000) -> list[Event]:
+def read_requests(data: bytes, split: int = 0, head: int = 2000, body: int = 1000) -> list[Event]:
+    """The events of `data`, fed in two parts split at an offset, or in one part if that is 0."""
     reader = RequestReader(head, body)
-    return [event for part in ((data[:cut], data[cut:]) if cut else (data,)) for event in reader.feed(part)]
+    return [event for part in ((data[:split], data[split:]) if split else (data,)) for event in reader.feed(part)]
 
 
 class RequestReading(unittest.TestCase):
-    def test_bodies_by_length_and_by_chunk_and_pipelined_requests(self) -> None:
+    def test_content_length_bodies_chunked_bodies_and_pipelined_requests(self) -> None:
         text = b"POST /a HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc"
         text += b"PUT /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1\r\nf\r\n0\r\n\r\n"
         text += b"HEAD /c HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n"
-        for cut in range(len(text)):
-            found = read_requests(text, cut)
+        for split in range(len(text)):
+            found = read_requests(text, split)
             rows = [(e.method, e.target, e.body, e.keep) for e in found if isinstance(e, HttpRequest)]
             expected = [
                 ("POST", b"/a", b"abc", True),
                 ("PUT", b"/b", b"def", True),
                 ("HEAD", b"/c", b"", False),
             ]
-            self.assertEqual(rows, expected, cut)
+            self.assertEqual(rows, expected, split)
 
-    def test_what_two_readers_could_read_differently_is_refused_and_nothing_behind_it_is_read(self) -> None:
+    def test_ambiguous_framing_is_rejected_and_nothing_after_it_is_read(self) -> None:
         hidden = b"GET /hidden HTTP/1.1\r\n" + HOST + b"\r\n"
         cases = {
             "both lengths": HOST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -42,15 +43,15 @@
             "lengths in a list": HOST + b"Content-Length: 3, 3\r\n\r\nabc",
             "a signed length": HOST + b"Content-Length: +3\r\n\r\nabc",
             "a bad chunk size": HOST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n",
-            "a hexadecimal mark": HOST + b"Transfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n0\r\n\r\n",
-            "chunks ended by a bare LF": HOST + b"Transfer-Encoding: chunked\r\n\r\n1\na\n0\n\n",
+            "a hexadecimal prefix": HOST + b"Transfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n0\r\n\r\n",
+            "chunks terminated by a bare LF": HOST + b"Transfer-Encoding: chunked\r\n\r\n1\na\n0\n\n",
             "another coding": HOST + b"Transfer-Encoding: xchunked\r\n\r\n",
             "chunked not last": HOST + b"Transfer-Encoding: chunked, identity\r\n\r\n",
             "obs-fold": HOST + b"X: a\r\n b\r\n\r\n",
             "a bare LF": HOST[:-2] + b"\nX: b\r\n\r\n",
             "a bare CR": HOST[:-2] + b"\rX: b\r\n\r\n",
             "space before the colon": b"Host : a\r\n\r\n",
-            "a null": b"Host: a\0b\r\n\r\n",
+            "a NUL byte": b"Host: a\0b\r\n\r\n",
             "no host": b"X: a\r\n\r\n",
             "two hosts": HOST + HOST + b"\r\n",
         }
@@ -59,7 +60,7 @@
             self.assertEqual([type(event) for event in found], [RejectedRequest], name)
             self.assertEqual(getattr(found[0], "status", 0), 400, name)
 
-    def test_versions_bounds_and_expectations(self) -> None:
+    def test_versions_limits_and_expectations(self) -> None:
         cases = [
             (b"GET / HTTP/2.0\r\n" + HOST + b"\r\n", 505),
             (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -78,7 +79,7 @@
         found = read_requests(chunks + b"1ff\r\n" + b"x" * 511 + b"\r\n")
         self.assertEqual([getattr(event, "status", 0) for event in found], [413])
 
-    def test_an_endless_field_is_cut_off(self) -> None:
+    def test_endless_header_is_rejected(self) -> None:
         reader, found = RequestReader(1000, 1000), list[Event]()
         reader.feed(b"GET / HTTP/1.1\r\nX: ")
         for _ in range(200):
@@ -86,7 +87,7 @@
         self.assertEqual([getattr(event, "status", 0) for event in found], [431])
         self.assertIs(reader.state, State.OVER)
 
-    def test_a_client_that_waits_for_100_continue_is_told_of_unless_its_body_came_along(self) -> None:
+    def test_100_continue_is_reported_unless_the_body_was_received_with_the_head(self) -> None:
         head = b"POST / HTTP/1.1\r\n" + HOST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
         self.assertEqual([type(event) for event in read_requests(head + b"ab")], [HttpRequest])
         self.assertEqual(
@@ -116,23 +117,23 @@
         ).map(b"".join),
         st.integers(0, 50),
     )
-    def test_no_bytes_bring_it_down_and_how_they_are_cut_changes_nothing(self, data: bytes, cut: int) -> None:
-        def shown(found: list[Event]) -> list[object]:
+    def test_arbitrary_bytes_give_the_same_events_however_they_are_split(self, data: bytes, split: int) -> None:
+        def summarized(found: list[Event]) -> list[object]:
             rows = [event for event in found if not isinstance(event, ContinueExpected)]
             return [(e.method, e.target, e.headers, e.body) if isinstance(e, HttpRequest) else type(e) for e in rows]
 
-        self.assertEqual(shown(read_requests(data)), shown(read_requests(data, cut)))
+        self.assertEqual(summarized(read_requests(data)), summarized(read_requests(data, split)))
 
 
 class ResponseReading(unittest.TestCase):
-    def read(self, data: bytes, head: bool = False, cut: int = 0) -> tuple[Progress, ResponseReader]:
+    def read(self, data: bytes, head: bool = False, split: int = 0) -> tuple[Progress, ResponseReader]:
         reader, progress = ResponseReader(1000), Progress.WAITING
         reader.expect(head)
-        for part in (data[:cut], data[cut:]) if cut else (data,):
+        for part in (data[:split], data[split:]) if split else (data,):
             progress = reader.feed(part) if part and progress is Progress.WAITING else progress
         return progress, reader
 
-    def test_by_length_by_chunk_by_close_and_to_head(self) -> None:
+    def test_content_length_chunked_close_delimited_and_head_responses(self) -> None:
         cases = [
             (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", False, b"ab", True),
             (
@@ -152,8 +153,8 @@
             (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nab", False, b"ab", False),
         ]
         for text, head, body, keep in cases:
-            for cut in range(len(text)):
-                progress, reader = self.read(text, head, cut)
+            for split in range(len(text)):
+                progress, reader = self.read(text, head, split)
                 self.assertIs(progress, Progress.WHOLE, text)
                 assert reader.response is not None
                 self.assertEqual((reader.response.body, reader.response.keep), (body, keep))
@@ -163,7 +164,7 @@
             (Progress.WAITING, Progress.WHOLE, b"ab"),
         )
 
-    def test_an_answer_cut_short_is_none(self) -> None:
+    def test_truncated_response_is_invalid(self) -> None:
         for text in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
             b"HTTP/1.1 200 OK\r\nConten",
@@ -173,7 +174,7 @@
             _, reader = self.read(text) if text else (None, ResponseReader(10))
             self.assertEqual((reader.eof(), reader.response), (Progress.BROKEN, None))
 
-    def test_garbage_too_much_and_two_answers_to_one_request_are_broken(self) -> None:
+    def test_garbage_a_body_over_the_limit_a_second_response_and_an_upgrade_are_invalid(self) -> None:
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
         for text in (
             b"HTP/1.1 200\r\n\r\n",
@@ -183,7 +184,7 @@
         ):
             self.assertIs(self.read(text)[0], Progress.BROKEN, text[:30])
 
-    def test_one_reader_serves_many_answers_of_a_kept_connection(self) -> None:
+    def test_one_reader_parses_many_responses_of_a_keep_alive_connection(self) -> None:
         reader = ResponseReader(1000)
         for number in range(3):
             reader.expect(False)
@@ -193,7 +194,7 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=200) | st.binary(max_size=30).map(lambda tail: b"HTTP/1.1 200 OK\r\n" + tail))
-    def test_no_bytes_bring_it_down(self, data: bytes) -> None:
+    def test_arbitrary_bytes_raise_no_error(self, data: bytes) -> None:
         _, reader = self.read(data)
         reader.eof()
 
@@ -201,18 +202,20 @@
 class Serialization(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.sampled_from(["GET", "POST", "PUT", "DELETE"]), st.binary(max_size=200), st.integers(200, 599))
-    def test_what_is_written_is_read_back(self, method: str, body: bytes, status: int) -> None:
+    def test_serialized_messages_are_parsed_again(self, method: str, body: bytes, status: int) -> None:
         sent = body if method in ("POST", "PUT") else b""
-        fields = [(b"host", b"a"), (b"x-y", b"z")]
-        (ask,) = read_requests(serialization.request(method, b"/p?q", fields, sent))
-        assert isinstance(ask, HttpRequest)
-        self.assertEqual((ask.method, ask.target, ask.body, ask.header(b"x-y")), (method, b"/p?q", sent, b"z"))
+        headers = [(b"host", b"a"), (b"x-y", b"z")]
+        (request,) = read_requests(serialization.request(method, b"/p?q", headers, sent))
+        assert isinstance(request, HttpRequest)
+        self.assertEqual(
+            (request.method, request.target, request.body, request.header(b"x-y")), (method, b"/p?q", sent, b"z")
+        )
         reader = ResponseReader(1000)
         self.assertIs(reader.feed(serialization.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
         self.assertEqual(reader.response and reader.response.body, b"" if status in (204, 304) else body)
 
-    def test_fields_of_one_hop_and_those_that_connection_names_stay_behind(self) -> None:
-        fields = [
+    def test_hop_by_hop_headers_and_those_that_connection_names_are_not_forwarded(self) -> None:
+        headers = [
             (b"connection", b"close, X-Mine"),
             (b"x-mine", b"1"),
             (b"te", b"trailers"),
@@ -220,7 +223,7 @@
             (b"ours", b"3"),
         ]
         self.assertEqual(
-            serialization.forwarded_headers(fields, serialization.with_hop_by_hop(b"ours")), [(b"kept", b"2")]
+            serialization.forwarded_headers(headers, serialization.with_hop_by_hop(b"ours")), [(b"kept", b"2")]
         )
 
 
