--- a/lanelead/http_relay/__init__.py
+++ b/lanelead/http_relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay over HTTP/1.1: it passes events on sockets to the decisions, and carries out their actions."""
+"""The HTTP/1.1 relay: passes events from its sockets to the decisions and carries out their actions."""
--- a/lanelead/http_relay/client_connection.py
+++ b/lanelead/http_relay/client_connection.py
@@ -1,8 +1,8 @@
-"""One client's connection: requests in, each with one final response, in the order in which they came.
+"""The connection of one client: each request gets one final response, in the order of the requests.
 
-RFC 9112, section 9.3.2. A pipelined request is taken at once only where its deadline lies no earlier than those of
-the requests ahead of it, since its response can't pass theirs; else it is taken when they are answered, with the time
-that is then left.
+That order is required by RFC 9112, section 9.3.2, so the response to a pipelined request cannot overtake those to the
+requests ahead of it. If one of those has a later deadline, the pipelined request is passed to the driver only when that
+one has its response, with the time that is then left; else it is passed on at once.
 """
 
 from __future__ import annotations
@@ -27,31 +27,31 @@
 if TYPE_CHECKING:
     from lanelead.http_relay.client_listener import ClientListener
 
-OWN_PATHS = b"/.lanelead/"
+RELAY_PATH_PREFIX = b"/.lanelead/"
 COMPLAINT_PATH = b"/.lanelead/complaint"
 STATE_PATH = b"/.lanelead/state"
-LINGER_SECONDS = 0.5  # for a client to read the last that it was sent
+LINGER_SECONDS = 0.5  # time for a client to read the last response before the connection is closed
 
 
 class ResponseSlot:
-    """A request's place in the order of responses."""
+    """A request's position in the order of responses."""
 
-    __slots__ = ("close", "deadline", "deferred", "pending", "request", "text")
+    __slots__ = ("close", "data", "deadline", "deferred", "pending", "request")
 
     def __init__(self, request: HttpRequest | None) -> None:
         self.request = request
-        self.text: bytes | None = None  # the response, once there is one
+        self.data: bytes | None = None  # the encoded response, once there is one
         self.pending: PendingRequest | None = None
         self.deadline: Ticks = 0
-        self.deferred: Callable[[], None] | None = None  # takes the request, when those ahead are answered
-        self.close = False  # the connection ends behind this response
+        self.deferred: Callable[[], None] | None = None  # passes a deferred request to the driver
+        self.close = False  # whether the connection is closed after this response
 
 
 class ClientConnection:
-    """One client. A task reads; responses are written by whoever made them ready, one write at a time.
+    """The connection of one client. One task reads requests; `flush` writes the responses, one write at a time.
 
-    It ends when nothing is read any more and no response is due: the client has closed its side, or has been sent its
-    last response and given a moment to read it.
+    The connection is closed when reading has ended and no response is due. Reading ends when the client closes its
+    side, or LINGER_SECONDS after the last response was sent.
     """
 
     def __init__(self, listener: ClientListener, sock: socket.socket, address: str) -> None:
@@ -62,21 +62,21 @@
         self._tenant_by_address = listener.router.tenant_at(address)
         self.slots: deque[ResponseSlot] = deque()
         self._slot_freed = asyncio.Event()
-        self._reading = True  # the task that reads still runs
-        self._closing = False  # nothing more is taken from it
+        self._reading = True  # whether the reading task still runs
+        self._closing = False  # whether further requests are ignored
         self._linger: asyncio.TimerHandle | None = None
-        self.last_moved_at = listener.loop.time()  # when bytes last went either way
+        self.last_activity_at = listener.loop.time()  # when bytes were last received or sent
         self._writing = False
         listener.start_task(self._read())
 
     @property
     def is_idle(self) -> bool:
-        """No response is due or being written."""
+        """Whether no response is due or being written."""
         return not self.slots and not self._writing
 
     @property
-    def stuck(self) -> bool:
-        """Waits for the client, in the middle of a request or of a response."""
+    def waits_for_client(self) -> bool:
+        """Whether the relay waits for the client to send the rest of a request or to read a response."""
         return self._writing or (not self.slots and self._reader.state in (State.HEAD, State.BODY))
 
     # Reading
@@ -92,11 +92,11 @@
                     self._slot_freed.clear()
                     await self._slot_freed.wait()
                 size = await self._loop.sock_recv_into(self._sock, buffer)
-                if size == 0:  # half closed: what was requested is still answered
+                if size == 0:  # half closed: pending requests still get their responses
                     break
-                if self._closing:  # nothing more is answered here, so nothing more is taken
+                if self._closing:  # discards what comes after the last request that gets a response
                     continue
-                self.last_moved_at = self._loop.time()
+                self.last_activity_at = self._loop.time()
                 for event in self._reader.feed(view[:size]):
                     if isinstance(event, HttpRequest):
                         self._request_received(event)
@@ -105,14 +105,14 @@
                         self._respond(self._add_slot(None), event.status, event.reason, close=True)
                     elif self.is_idle and not self._closing:
                         await self._loop.sock_sendall(self._sock, serialization.CONTINUE)
-                listener.after()
-        except OSError:  # reset: the client has gone, and no response is due
-            self._client_gone()
+                listener.after_event()
+        except OSError:  # the client reset the connection, so no response is due
+            self._client_disconnected()
         finally:
             view.release()
             listener.return_buffer(buffer)
             self._reading = False
-            self._settle()
+            self._close_if_finished()
 
     def _add_slot(self, request: HttpRequest | None) -> ResponseSlot:
         slot = ResponseSlot(request)
@@ -126,22 +126,22 @@
         if not request.keep or self._listener.draining:
             slot.close = True
             self._closing = True
-        if request.target.startswith(OWN_PATHS):
-            self._own_path(slot, request)
+        if request.target.startswith(RELAY_PATH_PREFIX):
+            self._handle_relay_path(slot, request)
             return
         try:
-            self._take(slot, request)
+            self._pass_to_driver(slot, request)
         except RequestRoutingError as error:
             self._respond(slot, error.status, error.text)
 
-    def _take(self, slot: ResponseSlot, request: HttpRequest) -> None:
-        """Hands a request to the driver, now or when those ahead are answered. Raises RequestRoutingError."""
+    def _pass_to_driver(self, slot: ResponseSlot, request: HttpRequest) -> None:
+        """Passes a request to the driver, or defers that. Raises RequestRoutingError."""
         listener = self._listener
         router = listener.router
         request_class = router.request_class(request)
         time_left = router.time_left(request, request_class)
         router.check_idempotency_key(request, request_class)
-        pending = PendingRequest(router.request_id(request), request, self._replied)
+        pending = PendingRequest(router.request_id(request), request, self._on_reply)
         slot.pending = pending
         tenant = router.tenant(request, self._tenant_by_address)
         key = router.key(request)
@@ -152,23 +152,23 @@
             slot.deferred = None
             listener.driver.receive(pending, request_class, tenant, key, deadline - listener.clock())
 
-        ahead = [other.deadline for other in self.slots if other is not slot and other.text is None]
+        ahead = [other.deadline for other in self.slots if other is not slot and other.data is None]
         if ahead and max(ahead) > deadline:
             slot.deferred = receive
         else:
             receive()
 
-    def _own_path(self, slot: ResponseSlot, request: HttpRequest) -> None:
-        """The relay's own paths: complaints of wrong responses, and the state document."""
+    def _handle_relay_path(self, slot: ResponseSlot, request: HttpRequest) -> None:
+        """Serves the relay's own paths: complaints about wrong responses, and the state document."""
         if request.target == COMPLAINT_PATH and request.method == "POST":
-            self._complaint(slot, request)
+            self._handle_complaint(slot, request)
         elif request.target == STATE_PATH and request.method in ("GET", "HEAD"):
             body = encode(self._listener.state())
-            self._fill(slot, response_texts.own_json(request, body, not slot.close))
+            self._set_response(slot, response_texts.json_response(request, body, not slot.close))
         else:
             self._respond(slot, 404, "nothing here")
 
-    def _complaint(self, slot: ResponseSlot, request: HttpRequest) -> None:
+    def _handle_complaint(self, slot: ResponseSlot, request: HttpRequest) -> None:
         driver = self._listener.driver
         try:
             complaint = decode(request.body, Complaint)
@@ -180,18 +180,18 @@
         except MessageError as error:
             self._respond(slot, 400, str(error))
             return
-        self._fill(slot, serialization.response(204, (), b"", not slot.close))
+        self._set_response(slot, serialization.response(204, (), b"", not slot.close))
 
     # Responses
 
     def _respond(self, slot: ResponseSlot, status: int, text: str, close: bool = False) -> None:
-        """A response of the relay's own, to what is no request of a class."""
+        """Responds from the relay itself to something that belongs to no request class."""
         if close:
             slot.close = True
             self._closing = True
-        self._fill(slot, response_texts.own_text(slot.request, status, text, not slot.close))
+        self._set_response(slot, response_texts.text_response(slot.request, status, text, not slot.close))
 
-    def _replied(
+    def _on_reply(
         self,
         pending: PendingRequest,
         outcome: RequestOutcome,
@@ -206,68 +206,68 @@
         keep = not slot.close
         if outcome is RequestOutcome.SUCCEEDED and response is not None and attempt is not None:
             name = self._listener.driver.registry.names[attempt.endpoint]
-            text = response_texts.succeeded(pending, attempt, response, name, keep)
+            data = response_texts.succeeded(pending, attempt, response, name, keep)
         elif outcome is RequestOutcome.REJECTED:
-            text = response_texts.rejected(pending, retry_after, keep)
+            data = response_texts.rejected(pending, retry_after, keep)
         else:
-            text = response_texts.failed(pending, keep)
-        self._fill(slot, text)
+            data = response_texts.failed(pending, keep)
+        self._set_response(slot, data)
 
-    def _fill(self, slot: ResponseSlot, text: bytes) -> None:
-        if slot.text is not None:
+    def _set_response(self, slot: ResponseSlot, data: bytes) -> None:
+        if slot.data is not None:
             return
-        slot.text = text
+        slot.data = data
         if not self._writing and self.slots and self.slots[0] is slot:
-            self._listener.ready[self] = None
+            self._listener.writable[self] = None
 
     async def flush(self) -> None:
-        """Writes responses in order, as many at once as are ready."""
+        """Writes the responses that are ready, in order, with as few writes as possible."""
         if self._writing:
             return
         self._writing = True
         slots = self.slots
         try:
-            while slots and slots[0].text is not None:
-                parts, last = self._take_ready()
+            while slots and slots[0].data is not None:
+                parts, last = self._pop_ready_responses()
                 await self._loop.sock_sendall(self._sock, parts[0] if len(parts) == 1 else b"".join(parts))
-                self.last_moved_at = self._loop.time()
+                self.last_activity_at = self._loop.time()
                 if last:
                     self._closing = True
                     break
                 if slots:
-                    self._take_deferred()
+                    self._pass_deferred_to_driver()
                 self._slot_freed.set()
         except OSError:
-            self._client_gone()
+            self._client_disconnected()
         finally:
             self._writing = False
-            self._settle()
+            self._close_if_finished()
 
-    def _take_ready(self) -> tuple[list[bytes], bool]:
-        """The responses at the front that are ready, and whether the connection ends behind the last of them."""
+    def _pop_ready_responses(self) -> tuple[list[bytes], bool]:
+        """Removes the ready responses at the front; returns them and whether to close the connection after them."""
         parts: list[bytes] = []
         while self.slots:
-            text = self.slots[0].text
-            if text is None:
+            data = self.slots[0].data
+            if data is None:
                 break
-            parts.append(text)
+            parts.append(data)
             if self.slots.popleft().close:
                 return parts, True
         return parts, False
 
-    def _take_deferred(self) -> None:
-        """Takes the requests that waited for those ahead of them."""
+    def _pass_deferred_to_driver(self) -> None:
+        """Passes deferred requests to the driver if no pending request ahead of them has a later deadline."""
         for slot in list(self.slots):
             if slot.deferred is None:
                 continue
             ahead = itertools.takewhile(lambda other, slot=slot: other is not slot, self.slots)  # type: ignore[misc]
-            if max((other.deadline for other in ahead if other.text is None), default=0) > slot.deadline:
+            if max((other.deadline for other in ahead if other.data is None), default=0) > slot.deadline:
                 return
             slot.deferred()
 
-    # The end
+    # Closing
 
-    def _client_gone(self) -> None:
+    def _client_disconnected(self) -> None:
         self._closing = True
         slots = list(self.slots)
         self.slots = deque()
@@ -275,10 +275,10 @@
             if slot.pending is not None:
                 self._listener.driver.client_left(slot.pending)
         self._slot_freed.set()
-        self._listener.after()
+        self._listener.after_event()
 
-    def _settle(self) -> None:
-        """Closes the socket once nothing is read from it and no response is due."""
+    def _close_if_finished(self) -> None:
+        """Closes the socket once reading has ended and no response is due; begins to linger after the last response."""
         if self.slots or self._writing:
             return
         if not self._reading:
@@ -287,15 +287,15 @@
             self._sock.close()
             self._listener.connection_closed(self)
         elif self._closing and self._linger is None:
-            # What the client still sends is read and dropped for a moment: closing on it would reset the connection,
-            # and the response that was just written could be lost (RFC 9112, section 9.6).
+            # For a short time, received bytes are read and discarded: closing the socket while the client still sends
+            # would reset the connection, and the response just written could be lost (RFC 9112, section 9.6).
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_WR)
             self._linger = self._loop.call_later(LINGER_SECONDS, self.abort)
 
     def abort(self) -> None:
-        """Ends the connection at once, whatever is on it: its reads and writes fail, and it settles."""
-        self._client_gone()
+        """Closes the connection at once; pending reads and writes fail."""
+        self._client_disconnected()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
-        self._settle()
+        self._close_if_finished()
--- a/lanelead/http_relay/connection_pool.py
+++ b/lanelead/http_relay/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: one pool for each endpoint's present address, and the task that reads each connection."""
+"""Connections to endpoints: a pool for each endpoint's current address, and a reading task for each connection."""
 
 from __future__ import annotations
 
@@ -13,22 +13,28 @@
 from lanelead.http.responses import HttpResponse, Progress, ResponseReader
 from lanelead.runtime.destination import Destination
 
-BUFFER_BYTES = 16384  # read at once
+BUFFER_BYTES = 16384  # maximum size of one read
 MAX_SPARE_BUFFERS = 256
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolLimits:
-    """`connect_seconds`: until a connection stands, waiting for a free place included."""
+    """Limits of the pools.
+
+    connect_seconds: maximum time to get a connection, including the wait until one of the pool's is returned.
+    idle_seconds: maximum time for which a connection stays idle.
+    connections: maximum number of connections to one endpoint.
+    response_bytes: maximum size of a response body.
+    """
 
     connect_seconds: float
     idle_seconds: float
-    connections: int  # to one endpoint
+    connections: int
     response_bytes: int
 
 
 class UpstreamConnection:
-    """One connection to an endpoint. It carries one request at a time; a task of its own reads all that comes."""
+    """A connection to an endpoint. It carries one request at a time; its own task reads everything received on it."""
 
     __slots__ = ("attempt", "buffer", "closed", "health_check", "idle_since", "pool", "reader", "sock", "writing")
 
@@ -37,34 +43,34 @@
         self.pool = pool
         self.buffer = buffer
         self.reader = ResponseReader(response_bytes)
-        self.attempt: Attempt | None = None  # whose response is awaited
-        self.health_check: asyncio.Future[HttpResponse | None] | None = None  # the same, of a health check
+        self.attempt: Attempt | None = None  # the attempt that waits for a response
+        self.health_check: asyncio.Future[HttpResponse | None] | None = None  # the health check that waits for one
         self.writing = False
         self.closed = False
         self.idle_since = 0.0
 
 
 class EndpointPool:
-    """The connections to one endpoint's present address."""
+    """The connections to one endpoint's current address."""
 
     def __init__(self, destination: Destination) -> None:
         self.destination = destination
-        self.idle: list[UpstreamConnection] = []  # the one used last at the end
-        self.in_use = 0  # or being opened, or being closed
-        self.replaced = False  # the endpoint has another address or incarnation by now
-        self.freed: asyncio.Event | None = None  # set when a connection is given back, where some wait
+        self.idle: list[UpstreamConnection] = []  # the most recently used one last
+        self.in_use = 0  # number of connections in use, being opened or being closed
+        self.replaced = False  # whether the endpoint has moved to another address or incarnation
+        self.freed: asyncio.Event | None = None  # set when a connection is returned or closed; None: nobody has waited
 
     def notify_freed(self) -> None:
-        """Wakes those that wait for a connection."""
+        """Wakes the tasks that wait for a connection."""
         if self.freed is not None:
             self.freed.set()
 
 
 class ConnectionPools:
-    """All pools of a relay.
+    """All connection pools of a relay.
 
-    `response_received` is called with a connection, the response (None: the connection failed, or what came was no
-    response) and whether the connection is still open.
+    `response_received` is called with a connection, the response (None: the connection failed or the response was
+    invalid) and whether the connection is still open.
     """
 
     def __init__(
@@ -80,12 +86,12 @@
         self._log = log
         self._pools: dict[Endpoint, EndpointPool] = {}
         self._spare_buffers: list[bytearray] = []
-        self._readers: set[asyncio.Task[None]] = set()
+        self._reader_tasks: set[asyncio.Task[None]] = set()
         self.opened = 0
         self.reused = 0
 
     def pool_of(self, endpoint: Endpoint, destination: Destination) -> EndpointPool:
-        """The pool of an endpoint's address; the connections to an earlier address are closed."""
+        """Returns the pool of an endpoint's current address; closes idle connections to an earlier address."""
         pool = self._pools.get(endpoint)
         if pool is None or pool.destination != destination:
             if pool is not None:
@@ -96,7 +102,7 @@
         return pool
 
     def take_idle(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """The idle connection that was used last, or None."""
+        """Takes the most recently used idle connection out of a pool, or returns None."""
         if not pool.idle:
             return None
         pool.in_use += 1
@@ -104,7 +110,7 @@
         return pool.idle.pop()
 
     async def open(self, pool: EndpointPool) -> UpstreamConnection | None:
-        """Another connection, or one that is given back meanwhile; None where there was none in time."""
+        """Opens a connection, or takes one that is returned while the pool is full; None if neither works in time."""
         end = self._loop.time() + self._limits.connect_seconds
         while pool.in_use >= self._limits.connections:
             if not await self._wait_until_freed(pool, end):
@@ -119,8 +125,8 @@
         self.opened += 1
         connection = UpstreamConnection(sock, pool, self._take_buffer(), self._limits.response_bytes)
         task = self._loop.create_task(self._read(connection))
-        self._readers.add(task)
-        task.add_done_callback(self._readers.discard)
+        self._reader_tasks.add(task)
+        task.add_done_callback(self._reader_tasks.discard)
         return connection
 
     async def _wait_until_freed(self, pool: EndpointPool, end: float) -> bool:
@@ -156,13 +162,13 @@
         return self._spare_buffers.pop() if self._spare_buffers else bytearray(BUFFER_BYTES)
 
     async def _read(self, connection: UpstreamConnection) -> None:
-        """Reads all that comes on a connection, responses and what nobody requested, until it ends."""
+        """Reads responses from a connection until it is closed, also by the endpoint, or receives unrequested bytes."""
         view = memoryview(connection.buffer)
         try:
             while True:
                 size = await self._loop.sock_recv_into(connection.sock, connection.buffer)
                 if connection.closed or (connection.attempt is None and connection.health_check is None):
-                    break  # cancelled, or closed while it was idle, or unrequested bytes: of no more use
+                    break  # cancelled, closed while idle, or unrequested bytes: the connection is unusable
                 progress = connection.reader.feed(view[:size]) if size else connection.reader.eof()
                 if progress is Progress.WAITING:
                     continue
@@ -172,14 +178,14 @@
                     break
         except OSError:
             pass
-        except Exception:  # noqa: BLE001 - the task's outermost edge: logged, and its request gets an outcome
-            self._log.exception("a connection to an endpoint failed")
+        except Exception:  # noqa: BLE001 - top level of the task: logged, and the request gets an outcome
+            self._log.exception("endpoint connection task failed")
         finally:
             view.release()
             self._reader_ended(connection)
 
     def _reader_ended(self, connection: UpstreamConnection) -> None:
-        self.failed(connection)
+        self.connection_failed(connection)
         connection.closed = True
         pool = connection.pool
         if connection in pool.idle:
@@ -191,13 +197,13 @@
             self._spare_buffers.append(connection.buffer)
         pool.notify_freed()
 
-    def failed(self, connection: UpstreamConnection) -> None:
-        """The connection failed: what was in flight on it may have run."""
+    def connection_failed(self, connection: UpstreamConnection) -> None:
+        """Ends the attempt or health check in flight on a failed connection; it may have run."""
         if connection.attempt is not None or connection.health_check is not None:
             self._response_received(connection, None, False)
 
-    def give_back(self, connection: UpstreamConnection) -> None:
-        """The connection is idle from now on."""
+    def return_connection(self, connection: UpstreamConnection) -> None:
+        """Returns a connection to the idle ones of its pool."""
         pool = connection.pool
         pool.in_use -= 1
         connection.idle_since = self._loop.time()
@@ -205,7 +211,7 @@
         pool.notify_freed()
 
     def close(self, connection: UpstreamConnection) -> None:
-        """Ends a connection: its reads fail, and the task that reads it clears up."""
+        """Shuts a connection down; its reading task then fails to read and cleans up."""
         connection.closed = True
         with contextlib.suppress(OSError):
             connection.sock.shutdown(socket.SHUT_RDWR)
@@ -213,7 +219,7 @@
     def _close_all_idle(self, pool: EndpointPool) -> None:
         idle = pool.idle
         pool.idle = []
-        pool.in_use += len(idle)  # until the tasks that read them have cleared up
+        pool.in_use += len(idle)  # they count as in use until their reading tasks have ended
         for connection in idle:
             self.close(connection)
 
@@ -224,7 +230,7 @@
             self._close_all_idle(pool)
 
     def sweep(self) -> None:
-        """Closes what has been idle for longer than the limit; called now and then."""
+        """Closes connections that have been idle for longer than the limit; called periodically."""
         oldest = self._loop.time() - self._limits.idle_seconds
         for pool in self._pools.values():
             while pool.idle and pool.idle[0].idle_since < oldest:
@@ -232,7 +238,7 @@
                 self.close(pool.idle.pop(0))
 
     async def shut_down(self) -> None:
-        """Closes all idle connections and waits until all readers have ended; for the end of the process."""
+        """Closes all idle connections and waits until all reading tasks have ended, when the process ends."""
         for pool in self._pools.values():
             self._close_all_idle(pool)
-        await asyncio.gather(*self._readers, return_exceptions=True)
+        await asyncio.gather(*self._reader_tasks, return_exceptions=True)
--- a/lanelead/http_relay/feed_clients.py
+++ b/lanelead/http_relay/feed_clients.py
@@ -1,7 +1,7 @@
-"""The feeds that a relay follows: discovery, the rollout platform and the migration store.
+"""Clients of the feeds that a relay follows: discovery, the rollout platform and the migration store.
 
-Each is a stream of JSON lines, followed for ever: after an end the client comes back with exponential backoff and
-jitter. While a feed is down the relay goes on with what it knows.
+Each feed is a stream of JSON lines. When a stream ends, the client opens it again with exponential backoff and jitter.
+While a feed is down, the relay keeps using the last known state.
 """
 
 from __future__ import annotations
@@ -34,11 +34,13 @@
 
 
 class FeedClients:
-    """Follows the feeds and hands what comes to the driver.
+    """Follows the feeds and passes their messages to the driver.
 
-    `after` is called when the driver has been notified of something; `start_task` runs a task until it ends. `driver`
-    is set by the service, before anything comes. `up` says of each feed whether it is followed at present;
-    `endpoints_known` is set once a list has come.
+    after_event: called after the driver has been notified of events.
+    start_task: runs a task in the background.
+    driver: set by the service before `start` is called.
+    up: for each feed, whether its stream is open and has delivered a message.
+    endpoints_known: set once an endpoint list has been received.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         settings: RelaySettings,
         *,
         clock: Callable[[], Ticks],
-        after: Callable[[], None],
+        after_event: Callable[[], None],
         start_task: Callable[[Coroutine[Any, Any, None]], asyncio.Task[Any]],
         log: Any,
     ) -> None:
@@ -55,17 +57,17 @@
         self._settings = settings
         self.driver: DecisionDriver | None = None
         self._clock = clock
-        self._after = after
+        self._after_event = after_event
         self._start_task = start_task
         self._log = log
         self._rng = Random(f"feeds {settings.seed} {settings.number}")
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._clock_offset: Ticks | None = None  # what discovery's clock lacks of ours, on the present stream
+        self._clock_offset: Ticks | None = None  # our clock minus discovery's, on the current stream
         self.up: dict[str, bool] = {DISCOVERY: False, ROLLOUT: False}
         self.endpoints_known = asyncio.Event()
 
     def start(self) -> None:
-        """Begins to follow all feeds; discovery only where the decisions don't ask for it themselves."""
+        """Starts to follow all feeds; discovery only if the decisions do not request it themselves."""
         if self._settings.discovery == "automatic":
             self.watch_endpoints(True)
         self._replace(ROLLOUT, self._follow_rollout())
@@ -79,7 +81,7 @@
         return self.driver
 
     async def stop(self) -> None:
-        """Ends all feeds."""
+        """Stops following all feeds."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -93,11 +95,11 @@
     async def _follow(
         self, name: str, path: Callable[[], bytes], feed: FeedSettings, on_line: Callable[[bytes], None]
     ) -> None:
-        """Reads a stream for ever, and comes back to it after a growing wait with a random part."""
+        """Reads a stream and opens it again when it ends, with exponential backoff and jitter."""
         wait = feed.least_wait_ms / 1000
         while True:
             if name == DISCOVERY:
-                self._clock_offset = None  # discovery's clock is read again on each stream
+                self._clock_offset = None  # the offset of discovery's clock is determined anew for each stream
             try:
                 async for line in stream(self._loop, feed.address, path(), feed.silence_ms / 1000):
                     on_line(line)
@@ -105,22 +107,22 @@
                     if not self.up[name]:
                         self.up[name] = True
                         self._log.info("feed up", feed=name)
-                    self._after()
+                    self._after_event()
             except (CallFailedError, MessageError) as error:
                 if self.up[name]:
-                    self._log.warning("feed down: going on with what is known", feed=name, reason=str(error))
+                    self._log.warning("feed down, using the last known state", feed=name, reason=str(error))
                 self.up[name] = False
             await asyncio.sleep(wait * self._rng.uniform(0.5, 1.5))
             wait = min(2 * wait, feed.most_wait_ms / 1000)
             if name == DISCOVERY and self._settings.discovery == "subscribe":
-                # The decisions ask again; the wait above bounds how often.
+                # The decisions request the watch again; the wait above limits how often.
                 self._loop.call_soon(self._endpoint_poll_failed)
                 return
 
     # Discovery
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Begins or ends the watch of discovery."""
+        """Starts or stops the watch of the endpoint list."""
         if enabled:
             self._replace(DISCOVERY, self._follow_discovery())
             return
@@ -141,22 +143,22 @@
 
     def _endpoint_poll_failed(self) -> None:
         self._driver().endpoint_poll_failed()
-        self._after()
+        self._after_event()
 
     async def poll_endpoints(self) -> None:
-        """Fetches the whole list once."""
+        """Fetches the full endpoint list once."""
         feed = self._settings.roster
         try:
             response = await call(self._loop, feed.address, "GET", b"/roster", b"", feed.silence_ms / 1000)
             message = decode(response.body, EndpointListMessage)
         except (CallFailedError, TimeoutError, MessageError) as error:
-            self._log.warning("endpoints not polled", reason=str(error))
+            self._log.warning("endpoint list poll failed", reason=str(error))
             await asyncio.sleep(feed.least_wait_ms / 1000)
             self._endpoint_poll_failed()
             return
         self._driver().endpoints_listed(message, self._clock() - int(message.clock_ms * 10))
         self.endpoints_known.set()
-        self._after()
+        self._after_event()
 
     # The rollout platform
 
@@ -168,7 +170,7 @@
         self._driver().rollout_read(decode(line, RolloutMessage), False, AttemptOutcome.SUCCEEDED)
 
     async def cast_vote(self, vote: CastVote) -> None:
-        """Casts a vote, and notifies the driver of its outcome."""
+        """Casts a vote and notifies the driver of its outcome."""
         verdict = VERDICT_WORDS[vote.verdict]
         message = VoteRequest(self._settings.number, vote.build, vote.stage, verdict)  # type: ignore[arg-type]
         rollout: RolloutMessage | None = None
@@ -183,13 +185,13 @@
             self._log.warning("vote not cast", reason=str(error))
         self._log.info("vote", build=vote.build, stage=vote.stage, verdict=verdict, outcome=outcome.value)
         self._driver().rollout_read(rollout, True, outcome)
-        self._after()
+        self._after_event()
 
     async def _call_rollout_platform(self, body: bytes) -> VoteResponse:
         limit = self._settings.service.poll.answer_limit_ms / 1000
         response = await call(self._loop, self._settings.desk.address, "POST", b"/votes", body, limit)
         if response.status != 200:
-            raise CallFailedError(f"status {response.status}")
+            raise CallFailedError(f"status {response.status}; expected 200")
         return decode(response.body, VoteResponse)
 
     # The migration store
@@ -200,7 +202,7 @@
         return readiness
 
     async def _follow_migrations(self, feed: FeedSettings) -> None:
-        """The migration log, from where it was last read."""
+        """Follows the migration log, from the last entry that was read."""
         readiness = self._readiness()
 
         def path() -> bytes:
@@ -212,7 +214,7 @@
         self._driver().migrations_read(decode(line, MigrationLogPage))
 
     async def _acknowledge_migrations(self, feed: FeedSettings) -> None:
-        """Acknowledges a barrier entry to the store, once nothing is in flight that it forbids."""
+        """Acknowledges barrier entries to the store once no attempt is in flight to the builds that they exclude."""
         readiness = self._readiness()
         limit = feed.silence_ms / 1000
         while True:
@@ -224,8 +226,8 @@
             try:
                 response = await call(self._loop, feed.address, "POST", b"/seen", body, limit)
             except (CallFailedError, TimeoutError) as error:
-                self._log.warning("migration not acknowledged", reason=str(error))
+                self._log.warning("barrier acknowledgement failed", reason=str(error))
                 continue
             if response.status == 200:
                 readiness.acknowledged_seq = max(readiness.acknowledged_seq, due)
-                self._log.info("migration acknowledged: its traffic has ended", entry=due)
+                self._log.info("barrier acknowledged", entry=due)
--- a/lanelead/http_relay/gossip_transport.py
+++ b/lanelead/http_relay/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between relays: gossip for the decisions, and membership messages, over one UDP socket."""
+"""Datagrams between relays over one UDP socket: gossip for the decisions, and membership messages."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.settings.relay_settings import PeerSettings, RelaySettings
 
-MAX_DATAGRAMS_A_TURN = 64  # so that a flood leaves time for requests
+MAX_DATAGRAMS_PER_READ = 64  # so that a flood of datagrams does not starve requests
 
 
 class GossipTransport:
-    """Sends gossip to the peers that the settings name, and hands on what comes from them.
+    """Sends gossip to the peers in the settings and passes on the datagrams that are received.
 
-    `dropped` counts datagrams by why they were dropped. `membership` is set by the service where the settings ask for
-    it. Raises OSError where the socket's address cannot be had.
+    `dropped` counts dropped datagrams by reason. The service sets `membership` if the settings enable it. The
+    constructor raises OSError if the socket's address cannot be bound.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         settings: RelaySettings,
         peers: PeerSettings,
         driver: DecisionDriver,
-        after: Callable[[], None],
+        after_event: Callable[[], None],
     ) -> None:
         self._loop = loop
         self._number = settings.number
@@ -36,7 +36,7 @@
         self._peers = peers.others
         self._peer_numbers = {peer.number for peer in peers.others}
         self._driver = driver
-        self._after = after
+        self._after_event = after_event
         self._sent_datagrams = 0
         self.dropped: Counter[str] = Counter()
         self.membership: MembershipTransport | None = None
@@ -51,7 +51,7 @@
         loop.add_reader(self.sock, self._read)
 
     def send(self, peer: int | None, payloads: Sequence[bytes]) -> None:
-        """To one peer, or to all; datagrams may be lost."""
+        """Sends payloads to one peer, or to all peers if `peer` is None. Datagrams may be lost."""
         for other in self._peers:
             if peer is not None and other.number != peer:
                 continue
@@ -60,11 +60,11 @@
                 datagram = datagrams.encode_datagram(self._number, self._sent_datagrams, payload)
                 try:
                     self.sock.sendto(datagram, (other.host, other.port))
-                except OSError:  # a full buffer, or nobody there
+                except OSError:  # the buffer is full, or the peer cannot be reached
                     self.dropped["not sent"] += 1
 
     def _read(self) -> None:
-        for _ in range(MAX_DATAGRAMS_A_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, source = self.sock.recvfrom(datagrams.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
@@ -72,7 +72,7 @@
             except OSError:
                 continue
             self._received(data, source[:2])
-        self._after()
+        self._after_event()
 
     def _received(self, data: bytes, source: tuple[str, int]) -> None:
         datagram = datagrams.decode_datagram(data, self._relay_count)
@@ -89,7 +89,7 @@
             self._driver.gossip_received(datagram.sender, datagram.payload)
 
     def close(self) -> None:
-        """Ends membership and closes the socket."""
+        """Stops membership and closes the socket."""
         if self.membership is not None:
             self.membership.close()
         self._loop.remove_reader(self.sock)
--- a/lanelead/http_relay/headers.py
+++ b/lanelead/http_relay/headers.py
@@ -1,21 +1,21 @@
-"""The headers between relays, endpoints and clients that only this program sets."""
+"""Names of the headers that only this program sets, between relays, endpoints and clients."""
 
 from __future__ import annotations
 
 from lanelead.http import serialization
 
-OUTCOME = b"lanelead-outcome"
-REJECTED = b"lanelead-turned-away"  # an endpoint's: it did no work on the request
-LOAD_REPORT = b"lanelead-load"
+OUTCOME_HEADER = b"lanelead-outcome"
+REJECTED_HEADER = b"lanelead-turned-away"  # set by an endpoint that rejected the request before any work on it
+LOAD_REPORT_HEADER = b"lanelead-load"
 RELAY_HEADERS = serialization.with_hop_by_hop(
     b"lanelead-relay",
     b"lanelead-trip",
     b"lanelead-lane",
     b"lanelead-left",
-    REJECTED,
-    LOAD_REPORT,
+    REJECTED_HEADER,
+    LOAD_REPORT_HEADER,
     b"lanelead-unit",
     b"lanelead-build",
-    OUTCOME,
+    OUTCOME_HEADER,
     b"lanelead-answered-by",
 )
--- a/lanelead/http_relay/load_reports.py
+++ b/lanelead/http_relay/load_reports.py
@@ -1,16 +1,16 @@
-"""Load reports of endpoints, from a response's header or a health check's body."""
+"""Decodes endpoints' load reports, from a response's header or the body of a health check's response."""
 
 from __future__ import annotations
 
 from lanelead.decisions.interface import LoadReport
 from lanelead.http.responses import HttpResponse
-from lanelead.http_relay.headers import LOAD_REPORT
+from lanelead.http_relay.headers import LOAD_REPORT_HEADER
 from lanelead.protocols.feeds import LoadMessage, MessageError, decode
 
 
 def report_from_header(response: HttpResponse, names: frozenset[str]) -> LoadReport | None:
-    """The load report in a response's header, as `load_report`; None where there is none that can be read."""
-    raw = response.header(LOAD_REPORT)
+    """Returns the load report in a response's header, or None if there is no valid one. `names` as in `load_report`."""
+    raw = response.header(LOAD_REPORT_HEADER)
     if raw is None:
         return None
     try:
@@ -20,7 +20,7 @@
 
 
 def load_report(message: LoadMessage, names: frozenset[str]) -> LoadReport:
-    """The values of a message that the settings name in `names`, as far as it has them."""
+    """Returns those values of a message that are present and whose name is in `names`, which the settings list."""
     report: LoadReport = {}
     for name in message.__struct_fields__:
         value = getattr(message, name)
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -1,4 +1,4 @@
-"""A relay's membership: messages between members over the relay's UDP socket, and one timer."""
+"""Runs a relay's membership protocol over the relay's UDP socket, with one timer."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 TICKS_PER_SECOND = 10_000
 NANOSECONDS_PER_MS = 1_000_000
-TIMER_SLACK_SECONDS = 5e-4  # the loop rounds to milliseconds
+TIMER_SLACK_SECONDS = 5e-4  # added to timers since the event loop rounds to milliseconds
 
 
 class MembershipTransport:
-    """Carries messages, time and log lines; what they mean is decided in lanelead/membership/member.py.
+    """Connects the membership protocol of lanelead/membership/member.py to the socket, the clock and the log.
 
-    `clock` reads ticks. The settings have `circle` and `peers`.
+    `clock` returns ticks. The settings must have `circle` (the settings of membership) and `peers`.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
             host=host,
             port=port,
         )
-        # Addresses of listed peers hold over those that members report.
+        # The addresses of peers in the settings take precedence over those that members report.
         listed = {other.number: (other.host, other.port) for other in peers.others}
         seeds = [(seed.host, seed.port) for seed in membership.seeds] or list(listed.values())
         self.members = Membership(
@@ -82,12 +82,12 @@
         self._arm()
 
     def receive(self, payload: bytes, source: Address) -> None:
-        """Takes a membership message from a datagram."""
+        """Passes a received membership message to the protocol."""
         self.members.receive(payload, source, self._clock())
         self._flush()
 
     def _flush(self) -> None:
-        """Sends what the member wants sent, and logs what became of others."""
+        """Sends the protocol's outgoing messages and logs changes of members."""
         outbox = self.members.outbox
         self.members.outbox = []
         for address, payload in outbox:
@@ -104,14 +104,14 @@
         )
         try:
             self._udp.sendto(datagram, address)
-        except OSError:  # a full buffer, or nobody there: messages may be lost
+        except OSError:  # the buffer is full, or the member cannot be reached; messages may be lost
             self.unsent += 1
 
     def _log_change(self, change: MemberChange) -> None:
         record = change.after
         if record.number != self.members.own.number:
             self._log.info(
-                "member",
+                "member state changed",
                 member=record.number,
                 started_at_ms=record.started_at_ms,
                 state=STATE_NAMES[record.state],
@@ -119,17 +119,17 @@
             )
         elif self.members.replaced_by is not None:
             self._log.error(
-                "replaced: a later process with this relay's number is there", started_at_ms=record.started_at_ms
+                "replaced by a later process with the same relay number", started_at_ms=record.started_at_ms
             )
 
     def leave(self) -> None:
-        """Notifies other members that this relay leaves."""
+        """Notifies some other members that this relay leaves."""
         if self.members.replaced_by is None:
             self.members.leave(self._clock())
             self._flush()
 
     def close(self) -> None:
-        """Ends the timer."""
+        """Cancels the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/lanelead/http_relay/request_routing.py
+++ b/lanelead/http_relay/request_routing.py
@@ -1,4 +1,4 @@
-"""What a client's HTTP request means to the decisions: its class, tenant, idempotency key, deadline and id."""
+"""Derives what the decisions need from a client's HTTP request: its class, tenant, key, deadline and id."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestRoutingError(Exception):
-    """No attempt is made for this request: it is answered with `status` and `text`."""
+    """The request cannot be routed; the client gets a response with `status` and `text`."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -28,7 +28,7 @@
 
 
 class RequestRouter:
-    """Reads what the settings name in a request's target and headers. Made once from the settings."""
+    """Reads a request's target and headers according to the settings. One instance serves all requests."""
 
     def __init__(self, service: ServiceSettings, driver: DecisionDriver, tenants: Sequence[Tenant]) -> None:
         names = service.headers
@@ -39,17 +39,17 @@
         rows = [
             (row.prefix.encode(), frozenset(row.methods), driver.request_classes[row.name]) for row in service.lanes
         ]
-        rows.sort(key=lambda row: -len(row[0]))  # the longest prefix that fits holds
+        rows.sort(key=lambda row: -len(row[0]))  # the longest matching prefix takes precedence
         self._classes = rows
-        self._early_ticks = ticks(service.duties.early_ms)
-        self._tenants = {tenant.name: tenant for tenant in tenants}  # the decisions know these very objects
+        self._deadline_margin = ticks(service.duties.early_ms)
+        self._tenants = {tenant.name: tenant for tenant in tenants}  # the same objects as in the decisions
         networks = [(netaddr.IPNetwork(text), row.name) for row in service.members for text in row.networks]
         networks.sort(key=lambda pair: -pair[0].prefixlen)
         self._networks = networks
         self._sequence = itertools.count(1)
 
     def request_class(self, request: HttpRequest) -> RequestClass:
-        """The class of the longest prefix that the target has. Raises RequestRoutingError where there is none."""
+        """Returns the class with the request's method and the longest matching prefix. Raises RequestRoutingError."""
         path = request.target.partition(b"?")[0]
         path_known = False
         for prefix, methods, request_class in self._classes:
@@ -64,31 +64,32 @@
         raise RequestRoutingError(404, "no such class")
 
     def check_idempotency_key(self, request: HttpRequest, request_class: RequestClass) -> None:
-        """Raises RequestRoutingError where a class of keyed requests gets one without a key."""
+        """Raises RequestRoutingError if a request of a keyed class has no idempotency key."""
         if request_class.idempotency is Idempotency.KEYED and request.header(IDEMPOTENCY_KEY_HEADER) is None:
             raise RequestRoutingError(400, "this class takes an Idempotency-Key")
 
     def tenant_at(self, address: str) -> Tenant | None:
-        """The tenant of a client's IP address, by the narrowest network that holds it."""
+        """Returns the tenant of the narrowest network that contains a client's IP address, or None."""
         if not self._networks:
             return None
         ip = netaddr.IPAddress(address)
         return next((self._tenants[name] for network, name in self._networks if ip in network), None)
 
     def tenant(self, request: HttpRequest, by_address: Tenant | None) -> Tenant | None:
-        """The tenant that the request names, or else that of its client's address."""
+        """Returns the tenant that the request's header names; `by_address` if it names none or an unknown one."""
         raw = request.header(self._tenant_header)
         return by_address if raw is None else self._tenants.get(raw.decode("latin-1"), by_address)
 
     def key(self, request: HttpRequest) -> str | None:
-        """The idempotency or routing key that the request names."""
+        """Returns the key in the request's key header, by which the decisions choose an endpoint, or None."""
         raw = request.header(self._key_header)
         return None if raw is None else raw.decode("latin-1")
 
     def time_left(self, request: HttpRequest, request_class: RequestClass) -> Ticks:
-        """The ticks to the final answer: the client's, less what the way back may take.
+        """Returns the ticks until the final response is due.
 
-        Raises RequestRoutingError where the header is no number of milliseconds.
+        That is the class's timeout, or the time in the client's header if it is shorter, less a margin for the
+        response's way back to the client. Raises RequestRoutingError if the header is not a number of milliseconds.
         """
         longest = request_class.timeout
         raw = request.header(self._time_left_header)
@@ -96,10 +97,10 @@
             if not MILLISECONDS.match(raw):
                 raise RequestRoutingError(400, f"{self._time_left_header.decode()} takes milliseconds, as digits")
             longest = min(longest, int(float(raw) * 10))
-        return longest - self._early_ticks
+        return longest - self._deadline_margin
 
     def request_id(self, request: HttpRequest) -> str:
-        """The id that the client gave, or one of this relay's own."""
+        """Returns the id in the request's header if it is valid, or else a generated one."""
         raw = request.header(self._id_header)
         if raw is None or not REQUEST_ID.match(raw):
             return f"relay-{next(self._sequence)}"
--- a/lanelead/http_relay/response_texts.py
+++ b/lanelead/http_relay/response_texts.py
@@ -1,4 +1,4 @@
-"""The responses that a relay writes to its clients, as bytes."""
+"""Encodes the responses that a relay sends to its clients."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from lanelead.http import serialization
 from lanelead.http.requests import Headers, HttpRequest
 from lanelead.http.responses import HttpResponse
-from lanelead.http_relay.headers import OUTCOME, RELAY_HEADERS
+from lanelead.http_relay.headers import OUTCOME_HEADER, RELAY_HEADERS
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 PLAIN_TEXT = ((b"content-type", b"text/plain; charset=utf-8"),)
 JSON = ((b"content-type", b"application/json"),)
-REPLACED_HEADERS = RELAY_HEADERS | {b"x-request-id"}  # an endpoint's response is cleared of these
+REPLACED_HEADERS = RELAY_HEADERS | {b"x-request-id"}  # removed from an endpoint's response; the relay sets its own
 REJECTED_BODY = b"shed: nothing was done; it may be asked again\n"
 FAILED_BODY = b"broken off: it may have been done\n"
 TOO_MANY_CONNECTIONS = serialization.response(
     503,
-    (*PLAIN_TEXT, (OUTCOME, b"shed"), (b"retry-after", b"1")),
+    (*PLAIN_TEXT, (OUTCOME_HEADER, b"shed"), (b"retry-after", b"1")),
     b"shed: too many connections\n",
     keep=False,
 )
@@ -26,24 +26,24 @@
     return request is not None and request.method == "HEAD"
 
 
-def own_text(request: HttpRequest | None, status: int, text: str, keep: bool) -> bytes:
-    """The relay's own answer to what is no request of a class, or can't be read."""
+def text_response(request: HttpRequest | None, status: int, text: str, keep: bool) -> bytes:
+    """Encodes a text response of the relay itself, to a malformed request or one of no request class."""
     body = (text + "\n").encode()
-    headers = (*PLAIN_TEXT, (OUTCOME, b"not-a-lookup"))
+    headers = (*PLAIN_TEXT, (OUTCOME_HEADER, b"not-a-lookup"))
     return serialization.response(status, headers, body, keep, _is_head(request), b"%d" % len(body))
 
 
-def own_json(request: HttpRequest, body: bytes, keep: bool) -> bytes:
-    """A document of the relay's own."""
+def json_response(request: HttpRequest, body: bytes, keep: bool) -> bytes:
+    """Encodes a JSON response of the relay itself."""
     return serialization.response(200, JSON, body, keep, _is_head(request), b"%d" % len(body))
 
 
 def succeeded(
     pending: PendingRequest, attempt: Attempt, response: HttpResponse, endpoint_name: str, keep: bool
 ) -> bytes:
-    """An endpoint's response, with the headers that say who gave it."""
+    """Encodes an endpoint's response, with headers that name the endpoint and its build."""
     headers = serialization.forwarded_headers(response.headers, REPLACED_HEADERS)
-    headers += _identity(pending, RequestOutcome.SUCCEEDED)
+    headers += _outcome_headers(pending, RequestOutcome.SUCCEEDED)
     headers.append((b"lanelead-unit", endpoint_name.encode()))
     headers.append((b"lanelead-build", b"%d" % attempt.endpoint.build))
     length = response.header(b"content-length")
@@ -51,9 +51,9 @@
 
 
 def rejected(pending: PendingRequest, retry_after: Ticks, keep: bool) -> bytes:
-    """503: nothing was done, and the client may retry after this time."""
+    """Encodes status 503: the request was not executed, and the client may retry after `retry_after`."""
     seconds = max(1, -(-retry_after // SECOND))
-    headers = [*PLAIN_TEXT, *_identity(pending, RequestOutcome.REJECTED)]
+    headers = [*PLAIN_TEXT, *_outcome_headers(pending, RequestOutcome.REJECTED)]
     headers.append((b"retry-after", b"%d" % seconds))
     headers.append((b"lanelead-come-back", b"%d" % (retry_after // 10)))
     length = b"%d" % len(REJECTED_BODY)
@@ -61,12 +61,12 @@
 
 
 def failed(pending: PendingRequest, keep: bool) -> bytes:
-    """502, or 504 where the last attempt timed out: it may have been done."""
+    """Encodes status 502, or 504 if the last attempt timed out: the request may have been executed."""
     status = 504 if pending.timed_out else 502
-    headers = [*PLAIN_TEXT, *_identity(pending, RequestOutcome.FAILED)]
+    headers = [*PLAIN_TEXT, *_outcome_headers(pending, RequestOutcome.FAILED)]
     length = b"%d" % len(FAILED_BODY)
     return serialization.response(status, headers, FAILED_BODY, keep, _is_head(pending.message), length)
 
 
-def _identity(pending: PendingRequest, outcome: RequestOutcome) -> Headers:
-    return [(b"x-request-id", pending.id.encode("latin-1")), (OUTCOME, outcome.value.encode())]
+def _outcome_headers(pending: PendingRequest, outcome: RequestOutcome) -> Headers:
+    return [(b"x-request-id", pending.id.encode("latin-1")), (OUTCOME_HEADER, outcome.value.encode())]
--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -1,4 +1,4 @@
-"""A relay's process over HTTP: assembly, start, drain and the state document, around one driver."""
+"""The process of an HTTP relay: assembles its parts around one driver, starts and drains them, reports their state."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from lanelead.settings.relay_settings import NO_PRICES, RelaySettings, position_of
 from lanelead.settings.service_settings import ticks
 
-DecisionWrapper = Callable[[Decisions], Decisions]  # for tests only: stands between the driver and the decisions
+DecisionWrapper = Callable[[Decisions], Decisions]  # for tests only: wraps the decisions that the driver calls
 
 SWEEP_INTERVAL_SECONDS = 1.0
 DRAIN_SLACK_SECONDS = 1.0  # beyond the longest deadline of a request
-RESPONSE_HEAD_BYTES = 65536  # of an endpoint's response, beside its body
-RESPONSE_BODY_FACTOR = 4  # an endpoint's response may be as many times as large as a request's body
+RESPONSE_HEAD_BYTES = 65536  # allowance for the head of an endpoint's response
+RESPONSE_BODY_FACTOR = 4  # maximum size of an endpoint's response body, relative to that of a request body
 
 
 class Service(HostOperationsBase):
-    """One relay. `wrapper` is for tests only: it takes a guard out, from outside the decisions."""
+    """One relay. `wrapper` is for tests only: it disables one guard of the decisions by wrapping them."""
 
     def __init__(self, settings: RelaySettings, log: Any, wrapper: DecisionWrapper | None = None) -> None:
         super().__init__(asyncio.get_running_loop(), log.bind(relay=settings.number))
@@ -48,14 +48,14 @@
             self._loop,
             settings,
             clock=self.clock,
-            after=self._after,
+            after_event=self._after_event,
             start_task=self._background_tasks.start,
             log=self._log,
         )
-        self.driver = self._make_driver(wrapper)  # the decisions may ask at once for a watch of discovery
+        self.driver = self._make_driver(wrapper)  # may already call `watch_endpoints` on self._feeds
         self._feeds.driver = self.driver
         self.upstream.driver = self.driver
-        self.upstream.after = self._after
+        self.upstream.after_event = self._after_event
         self.listener = ClientListener(
             self._loop,
             settings.service,
@@ -65,7 +65,7 @@
             log=self._log,
             tenants=self._tenants,
         )
-        self.listener.after = self._after
+        self.listener.after_event = self._after_event
 
     # Assembly
 
@@ -81,7 +81,7 @@
             self._loop,
             relay_number=self._settings.number,
             limits=limits,
-            reports=frozenset(self._settings.reports),
+            report_names=frozenset(self._settings.reports),
             log=self._log,
         )
 
@@ -121,7 +121,7 @@
     def _make_readiness(self, request_classes: Sequence[RequestClass], limits: ServiceLimits) -> Readiness | None:
         if self._settings.steps is None:
             return None
-        # What an endpoint has begun by an attempt's timeout it ends within some latency objectives.
+        # An endpoint may still execute an attempt after its timeout; it is taken to end within two latency objectives.
         longest_objective = max(request_class.latency_objective for request_class in request_classes)
         grace = limits.response_slack + 2 * longest_objective
         longest_timeout = max(request_class.timeout for request_class in request_classes)
@@ -130,18 +130,18 @@
     # Running
 
     async def run(self, ready: Callable[[str, int], None] = lambda host, port: None) -> None:
-        """Serves until told to stop: SIGTERM or SIGINT drains, a second one ends at once.
+        """Serves until `stop` or a signal: SIGTERM or SIGINT drains, a second signal exits at once with status 1.
 
-        `ready` is called with the address once it listens.
+        `ready` is called with the bound address once the relay listens.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._signalled)
+            self._loop.add_signal_handler(number, self._on_signal)
         self._feeds.start()
         self._open_gossip()
         await self._wait_for_endpoints()
         host, port = self._listen()
         ready(host, port)
-        self._after()
+        self._after_event()
         sweeper = self._background_tasks.start(self._sweep())
         await self._stop.wait()
         await self._drain()
@@ -156,7 +156,7 @@
     def _open_gossip(self) -> None:
         if self._settings.peers is None:
             return
-        self._gossip = GossipTransport(self._loop, self._settings, self._settings.peers, self.driver, self._after)
+        self._gossip = GossipTransport(self._loop, self._settings, self._settings.peers, self.driver, self._after_event)
         if self._settings.circle is not None:
             self.membership = MembershipTransport(
                 settings=self._settings, loop=self._loop, udp=self._gossip.sock, clock=self.clock, log=self._log
@@ -164,12 +164,12 @@
             self._gossip.membership = self.membership
 
     async def _wait_for_endpoints(self) -> None:
-        """A relay without a list would reject all requests: it waits for one, but not for ever."""
+        """Waits a limited time for the first endpoint list, since a relay without one rejects all requests."""
         try:
             async with asyncio.timeout(self._settings.roster.most_wait_ms / 1000):
                 await self._feeds.endpoints_known.wait()
         except TimeoutError:
-            self._log.warning("no endpoint list yet: requests are rejected until there is one")
+            self._log.warning("no endpoint list received yet, rejecting requests until there is one")
 
     def _listen(self) -> tuple[str, int]:
         listen = self._settings.listen
@@ -189,10 +189,10 @@
         await self.listener.drain(longest_seconds + DRAIN_SLACK_SECONDS)
 
     def stop(self) -> None:
-        """Begins to drain; `run` returns when that is done."""
+        """Starts to drain; `run` returns when the drain is complete."""
         self._stop.set()
 
-    def _signalled(self) -> None:
+    def _on_signal(self) -> None:
         if self._stop.is_set():
             raise SystemExit(1)
         self.stop()
@@ -210,29 +210,29 @@
 
     def _tick(self) -> None:
         self.driver.tick()
-        self._after()
+        self._after_event()
 
-    def _after(self) -> None:
-        """To be called when the driver has been notified of something: starts attempts and writes responses.
+    def _after_event(self) -> None:
+        """Starts queued attempts and writes ready responses; called after the driver has been notified of events.
 
-        Each has a task of its own. Guards against one that stalls, a client that reads nothing or an endpoint that
-        takes a large body slowly, holding up whoever made it ready: a connection that others already use again.
+        Each runs in its own task. If one stalls, because a client does not read or an endpoint reads a large body
+        slowly, it must not block the caller: that is often the reading task of a connection that is in use again.
         """
         self._clock.arm()
-        attempts = self.upstream.waiting
+        attempts = self.upstream.queued_attempts
         if attempts:
-            self.upstream.waiting = []
+            self.upstream.queued_attempts = []
             for attempt in attempts:
                 self._background_tasks.start(self.upstream.start(attempt))
-        ready = self.listener.ready
-        if ready:
-            connections = list(ready)
-            ready.clear()
+        writable = self.listener.writable
+        if writable:
+            connections = list(writable)
+            writable.clear()
             for connection in connections:
                 self._background_tasks.start(connection.flush())
 
     def state(self) -> dict[str, Any]:
-        """The state document: what happened since the start, and what is there now."""
+        """Returns the state document: counters since the start, and current values."""
         counters = self.driver.counters
         return {
             "received": counters.received,
@@ -255,7 +255,7 @@
             "membership": None if self.membership is None else self.membership.state(),
         }
 
-    # The rest of HostOperations; see there
+    # HostOperations, apart from those in HostOperationsBase
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         """See `HostOperations`."""
