--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -1,4 +1,4 @@
-"""Live stories: a relay on loopback between clients and units that follow a script, one a hard case."""
+"""Tests of the HTTP relay on loopback, between clients and scripted endpoints that misbehave in one way each."""
 
 from __future__ import annotations
 
@@ -8,209 +8,221 @@
 
 from lanelead.decisions.interface import EndpointStatus
 from lanelead.http import serialization
-from tests.town import Client, Handler, ScriptedUnit, live, resets, says, state_of, town
+from tests.town import Client, Handler, ScriptedUnit, live, reset_connections, says, state_of, town
 
 
 class MayHaveRun(unittest.TestCase):
-    """The table of docs/relay.md: when a trip never ran, and when it may have."""
+    """The table of docs/http-relay.md: after which failures an attempt has not run, and after which it may have run.
 
-    async def meet(self, bad: Handler, method: str, shut: bool = False, **fields: str) -> tuple[int, str, int]:
-        """The first lookup of a relay that happens to choose the bad unit of two: its status and outcome, and
-        how many trips reached the good unit."""
+    A non-idempotent request (POST) is retried only in the first case, an idempotent one (GET) in both.
+    """
+
+    async def first_outcome(
+        self, bad: Handler, method: str, closed: bool = False, **fields: str
+    ) -> tuple[int, str, int]:
+        """Sends a request to a relay that has a good and a bad endpoint and chooses the bad one first.
+
+        Tries seeds until the relay does so. `closed`: the bad endpoint refuses connections. Returns the status, the
+        outcome and the number of attempts that reached the good endpoint.
+        """
         for seed in range(20):
-            unit, good = ScriptedUnit("bad", bad), ScriptedUnit("good", says())
-            async with town(unit, good, seed=seed) as place:
-                if shut:
-                    unit.shut()
-                client = await Client.to(place)
-                status, told, _ = await client.ask(method, "/x", b"b" if method != "GET" else b"", **fields)
-                if unit.requests or "connect failed" in state_of(place)["outcomes"]:
-                    return status, told["lanelead-outcome"], len(good.requests)
-        raise AssertionError("the bad unit was never chosen")
-
-    RAN, NEVER = (502, "broken-off", 0), (200, "done", 1)
-    AGAIN = NEVER  # it may have run, and may run again
+            endpoint, good = ScriptedUnit("bad", bad), ScriptedUnit("good", says())
+            async with town(endpoint, good, seed=seed) as env:
+                if closed:
+                    endpoint.close()
+                client = await Client.to(env)
+                status, headers, _ = await client.ask(method, "/x", b"b" if method != "GET" else b"", **fields)
+                if endpoint.requests or "connect failed" in state_of(env)["outcomes"]:
+                    return status, headers["lanelead-outcome"], len(good.requests)
+        raise AssertionError("the bad endpoint was never chosen")
+
+    NOT_RETRIED, RETRIED = (502, "broken-off", 0), (200, "done", 1)
+    RETRIED_AS_IDEMPOTENT = RETRIED  # the attempt may have run, but may run again
 
     @live
-    async def test_reset_after_the_body_may_have_run(self) -> None:
-        self.assertEqual(await self.meet(resets, "POST"), self.RAN)
-        self.assertEqual(await self.meet(resets, "GET"), self.AGAIN)
+    async def test_attempt_reset_after_the_body_may_have_run(self) -> None:
+        self.assertEqual(await self.first_outcome(reset_connections, "POST"), self.NOT_RETRIED)
+        self.assertEqual(await self.first_outcome(reset_connections, "GET"), self.RETRIED_AS_IDEMPOTENT)
 
     @live
-    async def test_refused_never_ran(self) -> None:
-        self.assertEqual(await self.meet(resets, "POST", shut=True), self.NEVER)
+    async def test_attempt_with_refused_connection_has_not_run(self) -> None:
+        self.assertEqual(await self.first_outcome(reset_connections, "POST", closed=True), self.RETRIED)
 
     @live
-    async def test_turned_away_by_its_field_never_ran_and_a_bare_503_may_have(self) -> None:
-        away = says(b"", 503, 0.0, (b"lanelead-turned-away", b"1"))
-        self.assertEqual(await self.meet(away, "POST"), self.NEVER)
-        self.assertEqual(await self.meet(says(b"", 503), "POST"), self.RAN)
+    async def test_attempt_rejected_by_header_has_not_run_and_one_with_a_plain_503_may_have(self) -> None:
+        rejects = says(b"", 503, 0.0, (b"lanelead-turned-away", b"1"))
+        self.assertEqual(await self.first_outcome(rejects, "POST"), self.RETRIED)
+        self.assertEqual(await self.first_outcome(says(b"", 503), "POST"), self.NOT_RETRIED)
 
     @live
-    async def test_an_error_may_have_run(self) -> None:
-        self.assertEqual(await self.meet(says(b"", 500), "POST"), self.RAN)
+    async def test_attempt_with_an_error_may_have_run(self) -> None:
+        self.assertEqual(await self.first_outcome(says(b"", 500), "POST"), self.NOT_RETRIED)
 
     @live
-    async def test_an_answer_cut_short_or_garbled_may_have_run(self) -> None:
+    async def test_attempt_with_a_truncated_or_malformed_response_may_have_run(self) -> None:
         for text in (serialization.response(200, (), b"0123456789")[:-4], b"HTP/9 hello\r\n\r\n", b""):
 
-            async def cuts(
-                unit: ScriptedUnit,
+            async def truncates(
+                endpoint: ScriptedUnit,
                 reader: asyncio.StreamReader,
                 writer: asyncio.StreamWriter,
                 text: bytes = text,
             ) -> None:
-                await unit.request(reader)
+                await endpoint.request(reader)
                 writer.write(text)
 
-            self.assertEqual(await self.meet(cuts, "POST"), self.RAN, text)
-            self.assertEqual(await self.meet(cuts, "GET"), self.AGAIN, text)
+            self.assertEqual(await self.first_outcome(truncates, "POST"), self.NOT_RETRIED, text)
+            self.assertEqual(await self.first_outcome(truncates, "GET"), self.RETRIED_AS_IDEMPOTENT, text)
 
     @live
-    async def test_a_receipted_lookup_is_repeated_only_in_its_zone(self) -> None:
-        # The good unit stands in another zone, so a trip that may have run has nowhere else to go.
-        self.assertEqual(await self.meet(resets, "PUT", idempotency_key="r1"), self.RAN)
+    async def test_keyed_request_is_retried_only_in_its_zone(self) -> None:
+        # The good endpoint is in another zone, so an attempt that may have run cannot be retried there.
+        self.assertEqual(await self.first_outcome(reset_connections, "PUT", idempotency_key="r1"), self.NOT_RETRIED)
 
     @live
-    async def test_a_silent_unit_times_out_and_an_effect_is_broken_off_in_time(self) -> None:
+    async def test_non_idempotent_request_to_a_silent_endpoint_fails_by_its_deadline(self) -> None:
         bad = ScriptedUnit("bad", says(wait=30))
-        async with town(bad) as place:
-            client, loop = await Client.to(place), asyncio.get_running_loop()
+        async with town(bad) as env:
+            client, loop = await Client.to(env), asyncio.get_running_loop()
             began = loop.time()
-            status, told, _ = await client.ask("POST", "/x", b"b", lanelead_left="500")
-            self.assertEqual((status, told["lanelead-outcome"]), (504, "broken-off"))
-            self.assertNotIn("retry-after", told)
+            status, headers, _ = await client.ask("POST", "/x", b"b", lanelead_left="500")
+            self.assertEqual((status, headers["lanelead-outcome"]), (504, "broken-off"))
+            self.assertNotIn("retry-after", headers)
             self.assertGreater(loop.time() - began, 0.3)
             self.assertEqual(len(bad.requests), 1)
 
     @live
-    async def test_a_kept_connection_that_the_unit_closed_is_found_out_before_it_is_used(self) -> None:
-        async def once(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await unit.request(reader)
+    async def test_idle_connection_that_the_endpoint_closed_is_not_reused(self) -> None:
+        async def once(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await endpoint.request(reader)
             writer.write(serialization.response(200, (), b"ok"))
 
-        unit = ScriptedUnit("u", once)
-        async with town(unit) as place:
-            client = await Client.to(place)
+        endpoint = ScriptedUnit("u", once)
+        async with town(endpoint) as env:
+            client = await Client.to(env)
             for _ in range(3):
                 self.assertEqual((await client.ask("POST", "/x", b"b"))[0], 200)
                 await asyncio.sleep(0.05)
-        self.assertEqual((unit.connections, len(unit.requests)), (3, 3))
+        self.assertEqual((endpoint.connections, len(endpoint.requests)), (3, 3))
 
 
 class Connections(unittest.TestCase):
     @live
-    async def test_answers_come_in_the_order_asked_though_the_second_ends_first(self) -> None:
-        async def by_path(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_responses_come_in_the_order_of_the_requests_though_the_second_is_ready_first(self) -> None:
+        async def by_path(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                path = (await unit.request(reader)).split()[1]
+                path = (await endpoint.request(reader)).split()[1]
                 await asyncio.sleep(0.3 if path == b"/slow" else 0)
                 writer.write(serialization.response(200, (), path))
 
-        async with town(*(ScriptedUnit(f"u{n}", by_path) for n in range(3))) as place:
-            client = await Client.to(place)
-            for _ in range(6):  # units' pace is learnt, or all would wait for the one trip open
+        async with town(*(ScriptedUnit(f"u{n}", by_path) for n in range(3))) as env:
+            client = await Client.to(env)
+            for _ in range(6):  # the relay learns the endpoints' latency; else all requests would wait for one attempt
                 await client.ask("GET", "/warm")
             for path in ("/slow", "/quick", "/quick2"):
                 client.send("GET", path)
-            self.assertEqual([(await client.answer())[2] for _ in range(3)], [b"/slow", b"/quick", b"/quick2"])
+            self.assertEqual([(await client.read_response())[2] for _ in range(3)], [b"/slow", b"/quick", b"/quick2"])
 
     @live
-    async def test_a_pipelined_lookup_whose_time_ends_before_the_one_ahead_waits_to_be_taken(self) -> None:
-        async with town(ScriptedUnit("u", says(wait=0.4)), ScriptedUnit("v", says(wait=0.4))) as place:
-            client = await Client.to(place)
+    async def test_pipelined_request_with_an_earlier_deadline_than_the_one_ahead_is_deferred(self) -> None:
+        async with town(ScriptedUnit("u", says(wait=0.4)), ScriptedUnit("v", says(wait=0.4))) as env:
+            client = await Client.to(env)
             client.send("GET", "/first")
             client.send("POST", "/second", b"b", lanelead_left="200")
-            first, second = await client.answer(), await client.answer()
+            first, second = await client.read_response(), await client.read_response()
             self.assertEqual((first[0], second[0], second[1]["lanelead-outcome"]), (200, 503, "shed"))
-            self.assertFalse([text for unit in place.units for text in unit.requests if b"POST" in text])
+            self.assertFalse([text for endpoint in env.endpoints for text in endpoint.requests if b"POST" in text])
 
     @live
-    async def test_a_client_that_leaves_has_its_trip_called_off(self) -> None:
-        unit = ScriptedUnit("u", says(wait=5))
-        async with town(unit) as place:
-            client = await Client.to(place)
+    async def test_attempt_of_a_client_that_disconnects_is_cancelled(self) -> None:
+        endpoint = ScriptedUnit("u", says(wait=5))
+        async with town(endpoint) as env:
+            client = await Client.to(env)
             client.send("GET", "/x")
-            while not unit.requests:
+            while not endpoint.requests:
                 await asyncio.sleep(0.01)
             client.reset()
-            while not state_of(place)["abandoned"]:
+            while not state_of(env)["abandoned"]:
                 await asyncio.sleep(0.01)
-            self.assertEqual(state_of(place)["outcomes"], {"cancelled": 1})
+            self.assertEqual(state_of(env)["outcomes"], {"cancelled": 1})
 
     @live
-    async def test_a_half_closed_client_still_gets_its_answer(self) -> None:
-        async with town(ScriptedUnit("u", says(b"late\n", wait=0.2))) as place:
-            client = await Client.to(place)
+    async def test_half_closed_client_still_gets_its_response(self) -> None:
+        async with town(ScriptedUnit("u", says(b"late\n", wait=0.2))) as env:
+            client = await Client.to(env)
             client.send("GET", "/x")
             client.writer.write_eof()
-            self.assertEqual((await client.answer())[2], b"late\n")
-            self.assertEqual(await client.ended(), b"")
+            self.assertEqual((await client.read_response())[2], b"late\n")
+            self.assertEqual(await client.read_to_end(), b"")
 
     @live
-    async def test_a_unit_may_answer_before_it_has_read_the_whole_body(self) -> None:
-        async def early(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            unit.requests.append(await reader.readuntil(b"\r\n\r\n"))
+    async def test_endpoint_may_respond_before_it_has_read_the_whole_body(self) -> None:
+        async def early(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            endpoint.requests.append(await reader.readuntil(b"\r\n\r\n"))
             writer.write(serialization.response(413, (), b"too much\n"))
             await writer.drain()
             await asyncio.sleep(1)
 
-        unit = ScriptedUnit("u", early)
-        async with town(unit, more="body_bytes: 8M") as place:
-            client = await Client.to(place)
+        endpoint = ScriptedUnit("u", early)
+        async with town(endpoint, allowance="body_bytes: 8M") as env:
+            client = await Client.to(env)
             found = await client.ask("POST", "/x", b"b" * (6 << 20))
             self.assertEqual((found[0], found[2], found[1]["lanelead-outcome"]), (413, b"too much\n", "done"))
             client.send("POST", "/x", b"b")
-            self.assertEqual((await client.answer())[0], 413)
-        self.assertEqual(unit.connections, 2)  # what was left of the first body makes its connection useless
+            self.assertEqual((await client.read_response())[0], 413)
+        self.assertEqual(
+            endpoint.connections, 2
+        )  # the first connection cannot be reused: the rest of the body is still being sent on it
 
     @live
-    async def test_a_late_answer_is_never_given_to_the_next_trip(self) -> None:
-        async def first_late(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_late_response_is_never_matched_to_the_next_attempt(self) -> None:
+        async def first_late(
+            endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             while True:
-                path = (await unit.request(reader)).split()[1]
+                path = (await endpoint.request(reader)).split()[1]
                 await asyncio.sleep(0.5 if path == b"/late" else 0)
                 writer.write(serialization.response(200, (), path))
 
-        async with town(ScriptedUnit("u", first_late)) as place:
-            client = await Client.to(place)
+        async with town(ScriptedUnit("u", first_late)) as env:
+            client = await Client.to(env)
             self.assertEqual((await client.ask("POST", "/late", b"b", lanelead_left="300"))[0], 504)
             await asyncio.sleep(0.4)
             self.assertEqual((await client.ask("POST", "/next", b"b"))[2], b"/next")
 
     @live
-    async def test_100_continue_head_and_a_chunked_body(self) -> None:
-        unit = ScriptedUnit("u", says(b"body\n"))
-        async with town(unit) as place:
-            client = await Client.to(place)
+    async def test_100_continue_head_requests_and_chunked_bodies(self) -> None:
+        endpoint = ScriptedUnit("u", says(b"body\n"))
+        async with town(endpoint) as env:
+            client = await Client.to(env)
             client.writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             self.assertEqual(await client.reader.readuntil(b"\r\n\r\n"), serialization.CONTINUE)
             client.writer.write(b"ab")
-            self.assertEqual((await client.answer())[0], 200)
+            self.assertEqual((await client.read_response())[0], 200)
             client.writer.write(
                 b"PUT / HTTP/1.1\r\nHost: a\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n"
             )
             client.writer.write(b"3\r\nabc\r\n0\r\n\r\n")
-            self.assertEqual((await client.answer())[0], 200)
-            status, told, body = await client.ask("HEAD", "/")
-            self.assertEqual((status, told["content-length"], body), (200, "5", b""))
+            self.assertEqual((await client.read_response())[0], 200)
+            status, headers, body = await client.ask("HEAD", "/")
+            self.assertEqual((status, headers["content-length"], body), (200, "5", b""))
             self.assertEqual((await client.ask("GET", "/"))[2], b"body\n")
-        self.assertTrue(unit.requests[0].endswith(b"\r\n\r\nab") and unit.requests[1].endswith(b"\r\n\r\nabc"))
-        self.assertNotIn(b"expect", unit.requests[0].lower())
+        self.assertTrue(endpoint.requests[0].endswith(b"\r\n\r\nab") and endpoint.requests[1].endswith(b"\r\n\r\nabc"))
+        self.assertNotIn(b"expect", endpoint.requests[0].lower())
 
     @live
-    async def test_what_may_not_be_read_is_refused_and_the_connection_closed(self) -> None:
-        unit = ScriptedUnit("u", says())
-        async with town(unit) as place:
-            client = await Client.to(place)
+    async def test_malformed_and_unroutable_requests_are_rejected_and_malformed_ones_close_the_connection(self) -> None:
+        endpoint = ScriptedUnit("u", says())
+        async with town(endpoint) as env:
+            client = await Client.to(env)
             client.writer.write(
                 b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                 b"GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
             )
-            self.assertEqual((await client.answer())[0], 400)
-            self.assertEqual(await client.ended(), b"")
-            client = await Client.to(place)
+            self.assertEqual((await client.read_response())[0], 400)
+            self.assertEqual(await client.read_to_end(), b"")
+            client = await Client.to(env)
             for method, path, status in (
                 ("PATCH", "/", 405),
                 ("PUT", "/", 400),
@@ -218,89 +230,91 @@
             ):
                 self.assertEqual((await client.ask(method, path))[0], status)
             self.assertEqual((await client.ask("GET", "/", lanelead_left="soon"))[0], 400)
-        self.assertEqual(unit.requests, [])
+        self.assertEqual(endpoint.requests, [])
 
     @live
-    async def test_a_sender_that_stalls_in_mid_request_is_let_go_and_an_idle_one_kept(self) -> None:
-        async with town(ScriptedUnit("u", says()), more="head_bytes: 1000") as place:
-            stalled, idle = await Client.to(place), await Client.to(place)
+    async def test_client_that_stalls_within_a_request_is_disconnected_and_an_idle_one_is_not(self) -> None:
+        async with town(ScriptedUnit("u", says()), allowance="head_bytes: 1000") as env:
+            stalled, idle = await Client.to(env), await Client.to(env)
             self.assertEqual((await idle.ask("GET", "/"))[0], 200)
             stalled.writer.write(b"GET / HTTP/1.1\r\nHo")
-            self.assertEqual(await stalled.ended(), b"")
+            self.assertEqual(await stalled.read_to_end(), b"")
             self.assertEqual((await idle.ask("GET", "/"))[0], 200)
 
     @live
-    async def test_many_idle_clients_cost_others_nothing_and_too_many_are_shed(self) -> None:
-        async with town(ScriptedUnit("u", says()), more="open_connections: 300") as place:
-            idle = [await Client.to(place) for _ in range(299)]
-            client = await Client.to(place)
+    async def test_many_idle_clients_do_not_affect_others_and_excess_clients_are_rejected(self) -> None:
+        async with town(ScriptedUnit("u", says()), allowance="open_connections: 300") as env:
+            idle = [await Client.to(env) for _ in range(299)]
+            client = await Client.to(env)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
-            beyond = await Client.to(place)
-            status, told, _ = await beyond.answer()
-            self.assertEqual((status, told["lanelead-outcome"]), (503, "shed"))
+            excess = await Client.to(env)
+            status, headers, _ = await excess.read_response()
+            self.assertEqual((status, headers["lanelead-outcome"]), (503, "shed"))
             self.assertEqual((await idle[0].ask("GET", "/"))[0], 200)
 
 
 class Stalls(unittest.TestCase):
     @live
-    async def test_a_client_that_reads_nothing_holds_up_no_connection_that_others_use(self) -> None:
-        async def by_path(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_client_that_does_not_read_blocks_no_connection_that_others_use(self) -> None:
+        async def by_path(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                big = b"/big" in await unit.request(reader)
+                big = b"/big" in await endpoint.request(reader)
                 writer.write(serialization.response(200, (), b"x" * (24 << 20) if big else b"small"))
 
-        unit = ScriptedUnit("u", by_path)
-        async with town(unit, more="body_bytes: 8M") as place:
-            greedy, other = await Client.to(place), await Client.to(place)
-            greedy.send("GET", "/big")
-            while not state_of(place)["succeeded"]:
+        endpoint = ScriptedUnit("u", by_path)
+        async with town(endpoint, allowance="body_bytes: 8M") as env:
+            stalled, other = await Client.to(env), await Client.to(env)
+            stalled.send("GET", "/big")
+            while not state_of(env)["succeeded"]:
                 await asyncio.sleep(0.01)
             for _ in range(3):
                 self.assertEqual((await other.ask("POST", "/small", b"b"))[2], b"small")
-            self.assertEqual(unit.connections, 1)
+            self.assertEqual(endpoint.connections, 1)
 
 
 class Feeds(unittest.TestCase):
     @live
-    async def test_a_drained_unit_gets_nothing_and_a_relay_without_units_sheds(self) -> None:
-        unit = ScriptedUnit("u", says())
-        async with town(unit) as place:
-            client = await Client.to(place)
+    async def test_draining_endpoint_gets_no_attempt_and_a_relay_without_endpoints_rejects(self) -> None:
+        endpoint = ScriptedUnit("u", says())
+        async with town(endpoint) as env:
+            client = await Client.to(env)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
-            place.list_(unit, "draining")
-            while place.relay.driver.registry.get_or_add("u").status is EndpointStatus.READY:
+            env.list_(endpoint, "draining")
+            while env.relay.driver.registry.get_or_add("u").status is EndpointStatus.READY:
                 await asyncio.sleep(0.01)
-            status, told, _ = await client.ask("GET", "/")
-            self.assertEqual((status, told["lanelead-outcome"]), (503, "shed"))
-            self.assertIn("retry-after", told)
-        self.assertEqual(len(unit.requests), 1)
+            status, headers, _ = await client.ask("GET", "/")
+            self.assertEqual((status, headers["lanelead-outcome"]), (503, "shed"))
+            self.assertIn("retry-after", headers)
+        self.assertEqual(len(endpoint.requests), 1)
 
     @live
-    async def test_while_roster_and_desk_are_away_it_goes_on_and_comes_back_to_them(self) -> None:
+    async def test_relay_serves_while_discovery_and_rollout_platform_are_down_and_reconnects(self) -> None:
         old, new = ScriptedUnit("old", says()), ScriptedUnit("new", says())
-        async with town(old) as place:
-            client = await Client.to(place)
-            while (await client.ask("GET", "/"))[0] != 200:  # or they would be away before both have told
+        async with town(old) as env:
+            client = await Client.to(env)
+            while (await client.ask("GET", "/"))[
+                0
+            ] != 200:  # both feeds must have delivered a message before they go down
                 await asyncio.sleep(0.01)
-            place.roster.shut()
-            place.desk.shut()
-            while state_of(place)["feeds"] != {"discovery": False, "rollout": False}:
+            env.roster.shut()
+            env.desk.shut()
+            while state_of(env)["feeds"] != {"discovery": False, "rollout": False}:
                 await asyncio.sleep(0.01)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
             await new.open()
-            place.list_(old, "gone")
-            place.list_(new, "ready")
-            await place.roster.open()
-            await place.desk.open()
-            while state_of(place)["feeds"] != {"discovery": True, "rollout": True}:
+            env.list_(old, "gone")
+            env.list_(new, "ready")
+            await env.roster.open()
+            await env.desk.open()
+            while state_of(env)["feeds"] != {"discovery": True, "rollout": True}:
                 await asyncio.sleep(0.05)
             self.assertEqual((await client.ask("GET", "/"))[1]["lanelead-unit"], "new")
-            new.shut()
+            new.close()
 
     @live
-    async def test_a_complaint_is_taken_and_a_wrong_one_answered_with_why(self) -> None:
-        async with town(ScriptedUnit("u", says())) as place:
-            client = await Client.to(place)
+    async def test_complaint_is_accepted_and_an_invalid_one_is_answered_with_the_reason(self) -> None:
+        async with town(ScriptedUnit("u", says())) as env:
+            client = await Client.to(env)
             path = "/.lanelead/complaint"
             good = b'{"unit":"u","lane":"read","age_ms":5}'
             self.assertEqual((await client.ask("POST", path, good))[0], 204)
@@ -314,27 +328,27 @@
                 self.assertIn(word, body)
 
     @live
-    async def test_garbage_from_roster_or_peers_changes_nothing(self) -> None:
-        async with town(ScriptedUnit("u", says())) as place:
-            client = await Client.to(place)
-            for caller in list(place.roster.callers):
+    async def test_malformed_endpoint_list_changes_nothing(self) -> None:
+        async with town(ScriptedUnit("u", says())) as env:
+            client = await Client.to(env)
+            for caller in list(env.roster.callers):
                 caller.write(b"5\r\n{bad\n\r\n")
             await asyncio.sleep(0.3)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
 
     @live
-    async def test_told_to_stop_it_answers_what_it_took_and_takes_no_more(self) -> None:
-        async with town(ScriptedUnit("u", says(b"last\n", wait=0.3))) as place:
-            client, idle = await Client.to(place), await Client.to(place)
+    async def test_drain_answers_pending_requests_and_accepts_no_more(self) -> None:
+        async with town(ScriptedUnit("u", says(b"last\n", wait=0.3))) as env:
+            client, idle = await Client.to(env), await Client.to(env)
             client.send("POST", "/", b"b")
-            while not place.units[0].requests:
+            while not env.endpoints[0].requests:
                 await asyncio.sleep(0.01)
-            place.relay.stop()
-            self.assertEqual((await client.answer())[2], b"last\n")
-            self.assertEqual(await idle.ended(), b"")
+            env.relay.stop()
+            self.assertEqual((await client.read_response())[2], b"last\n")
+            self.assertEqual(await idle.read_to_end(), b"")
             with contextlib.suppress(ConnectionError):
-                await Client.to(place)
-                self.fail("it still accepts")
+                await Client.to(env)
+                self.fail("the relay still accepts connections")
 
 
 if __name__ == "__main__":
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -1,8 +1,8 @@
-"""Messages that leave a process keep their bytes: recorded by commit c655458, read and written again here.
+"""Tests that messages between processes keep the encoding that commit c655458 wrote.
 
-`tests/pinned/messages.json` holds, for each message type, bytes that commit c655458 wrote with every field
-set and bytes with only the required ones. The names on the left are the recording's own and never change;
-the types on the right may be renamed as long as the bytes stay.
+`tests/pinned/messages.json` has, for each message type, a message with every field set and one with only the required
+fields, as bytes. The keys of the dictionaries below are the names in that file and never change; the types may be
+renamed as long as the encoding stays the same.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
 
 
 def bounds_of(message_type: Any) -> Any:
-    """The keys of a message, which of them it must have, and the bounds and enumerations of their values."""
+    """Returns a message type's keys, which of them are required, and the bounds and enumerations of their values."""
     return _described(msgspec.inspect.type_info(message_type))
 
 
@@ -114,7 +114,7 @@
 
 
 def recorded() -> dict[str, dict[str, str]]:
-    """By message name, the recorded bytes: JSON as text, MessagePack as hexadecimal digits."""
+    """Returns the recorded bytes by message name: JSON as text, MessagePack as hexadecimal digits."""
     found: dict[str, dict[str, str]] = json.loads(RECORDED.read_text())
     return found
 
@@ -123,15 +123,15 @@
     def test_every_recorded_message_has_a_type_and_every_type_is_recorded(self) -> None:
         self.assertEqual(sorted(recorded()), sorted([*JSON_TYPES, *MESSAGEPACK_TYPES]))
 
-    def test_json_messages_are_read_and_written_again_byte_for_byte(self) -> None:
+    def test_json_messages_are_decoded_and_encoded_again_byte_for_byte(self) -> None:
         for name, message_type in JSON_TYPES.items():
             text = recorded()[name]["full"]
             with self.subTest(message=name):
                 message = msgspec.json.decode(text.encode(), type=message_type)
                 self.assertEqual(msgspec.json.encode(message).decode(), text)
 
-    def test_every_json_message_has_the_defaults_of_the_recording(self) -> None:
-        """What the sender leaves out is filled in as it was: decoded with only the required fields."""
+    def test_defaults_of_json_messages_are_those_of_the_recording(self) -> None:
+        """Decodes each message with only the required fields, so that the others get their defaults."""
         for name, message_type in JSON_TYPES.items():
             with self.subTest(message=name):
                 texts = recorded()[name]
@@ -144,14 +144,14 @@
                 bounds = json.dumps(bounds_of(message_type))
                 self.assertEqual(hashlib.sha256(bounds.encode()).hexdigest(), recorded()[name]["bounds"])
 
-    def test_membership_messages_are_read_and_written_again_byte_for_byte(self) -> None:
+    def test_membership_messages_are_decoded_and_encoded_again_byte_for_byte(self) -> None:
         for name, message_type in MESSAGEPACK_TYPES.items():
             data = bytes.fromhex(recorded()[name]["full"])
             with self.subTest(message=name):
                 message = msgspec.msgpack.decode(data, type=message_type)
                 self.assertEqual(msgspec.msgpack.encode(message), data)
 
-    def test_membership_messages_are_read_by_the_protocol_as_their_kind(self) -> None:
+    def test_membership_messages_are_decoded_as_their_type(self) -> None:
         for name, message_type in MESSAGEPACK_TYPES.items():
             if name in ("membership.row", "membership.claim"):
                 continue
--- a/tests/test_pinned_settings.py
+++ b/tests/test_pinned_settings.py
@@ -1,6 +1,7 @@
-"""Settings files are read into the values of commit c655458, whose digests `pinned/settings.json` has.
+"""Tests that settings files are read into the same values as by commit c655458.
 
-The files are those that the package brings and those in `pinned/settings`: one of each definition.
+`pinned/settings.json` has digests of those values. The files are those in the package and those in `pinned/settings`,
+one for each definition.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 
 
 def files() -> dict[str, Path]:
-    """Settings files by name: those below the package and those of our own."""
+    """Returns the settings files by name: those of the package and those of `pinned/settings`."""
     package = Path(lanelead.__file__).parent
     paths = [path for path in sorted(package.rglob("*.cue")) if path.name != "definitions.cue"]
     shipped = {f"{path.parent.name}/{path.name}": path for path in paths}
-    ours = {f"settings/{path.name}": path for path in sorted((PINNED / "settings").glob("*.cue"))}
-    return shipped | ours
+    pinned = {f"settings/{path.name}": path for path in sorted((PINNED / "settings").glob("*.cue"))}
+    return shipped | pinned
 
 
 def digest(path: Path) -> str:
-    """Of the values in the settings' own words, in the order of their declaration."""
+    """Returns the SHA-256 of a file's values, encoded under the keys of the settings in the order of declaration."""
     return hashlib.sha256(msgspec.json.encode(read(path))).hexdigest()
 
 
 def faults(path: Path) -> list[str]:
-    """Where a file is wrong: its name, line, column and key, without the words that say what is expected."""
+    """Returns the position of each fault of a file: name, line, column and key, without the message."""
     try:
         read(path)
     except SettingsError as error:
--- a/tests/test_pinned_storage.py
+++ b/tests/test_pinned_storage.py
@@ -1,4 +1,7 @@
-"""Files that commit c655458 wrote are opened, read on and written on: `pinned/*.sqlite`, copied first."""
+"""Tests that databases written by commit c655458 (`pinned/*.sqlite`) can still be read and written.
+
+The tests work on copies.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,12 @@
 
 
 def proposal(ident: str, key: str, quota: float) -> Proposal:
+    """A proposal that sets a tenant's quota."""
     return Proposal(ident, [Entry(key, msgspec.Raw(msgspec.json.encode({"quota_per_s": quota})))])
 
 
 def rows(file: Path) -> dict[str, list[tuple[object, ...]]]:
-    """Every table of a database, with its columns."""
+    """Returns the columns and rows of every table of a database."""
     db = sqlite3.connect(file)
     try:
         names = [name for (name,) in db.execute("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY 1")]
@@ -41,36 +45,36 @@
 
 
 def write_configuration(file: Path) -> None:
-    """A machine's file: three changes decided, a key gone, a vote on the next change."""
+    """Writes a replica's database: three decided changes, one removed key, and a vote on the next change."""
     store = Store(file, lambda: CLOCK)
-    holding = ReplicaState(store, (0, 1, 2), Document, lambda: CLOCK)
-    holding.set_voting(True, 1)
+    state = ReplicaState(store, (0, 1, 2), Document, lambda: CLOCK)
+    state.set_voting(True, 1)
     gone = Proposal("change-3", [Entry("tenant/a")])
     for wanted in (proposal("change-1", "tenant/a", 1.0), proposal("change-2", "tenant/b", 2.0), gone):
-        change = holding.build_change(wanted)
+        change = state.build_change(wanted)
         assert isinstance(change, Change), change
-        assert holding.commit(change)
-    change = holding.build_change(proposal("change-4", "tenant/c", 4.0))
+        assert state.commit(change)
+    change = state.build_change(proposal("change-4", "tenant/c", 4.0))
     assert isinstance(change, Change)
-    holding.acceptor.prepare(Prepare(4, Ballot(4, 2)))
-    holding.acceptor.accept(Accept(Ballot(4, 2), change))
-    holding.acceptor.prepare(Prepare(4, Ballot(5, 1)))
+    state.acceptor.prepare(Prepare(4, Ballot(4, 2)))
+    state.acceptor.accept(Accept(Ballot(4, 2), change))
+    state.acceptor.prepare(Prepare(4, Ballot(5, 1)))
     store.close()
 
 
 def write_migrations(file: Path) -> None:
-    """A store's file: a runner's lease, a plan, an intent with part of its effect, a watching relay."""
-    ledger = MigrationStore(file, lambda: CLOCK)
-    ledger.connection.execute("CREATE TABLE offers (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
-    ledger.connection.execute("INSERT INTO offers (id) VALUES (1), (2), (3)")
-    token = ledger.acquire_lease(LeaseRequest("runner-1", 5000))
-    ledger.append(AppendRequest(token, 0, Step("plan", text="a plan")))
-    ledger.register_relay(3)
-    ledger.append(AppendRequest(token, 1, Step("intent", "widen")))
+    """Writes a migration store's database: a lease, a plan, a partly applied intent, and a registered relay."""
+    migration_store = MigrationStore(file, lambda: CLOCK)
+    migration_store.connection.execute("CREATE TABLE offers (id INTEGER PRIMARY KEY, n INTEGER DEFAULT 0)")
+    migration_store.connection.execute("INSERT INTO offers (id) VALUES (1), (2), (3)")
+    token = migration_store.acquire_lease(LeaseRequest("runner-1", 5000))
+    migration_store.append(AppendRequest(token, 0, Step("plan", text="a plan")))
+    migration_store.register_relay(3)
+    migration_store.append(AppendRequest(token, 1, Step("intent", "widen")))
     statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-    ledger.apply_part(ApplyRequest(token, 2, 0, (statement,), BatchRange("offers", "id", 2)))
-    ledger.acknowledge(3, 1)
-    ledger.close()
+    migration_store.apply_part(ApplyRequest(token, 2, 0, (statement,), BatchRange("offers", "id", 2)))
+    migration_store.acknowledge(3, 1)
+    migration_store.close()
 
 
 class PinnedFiles(unittest.TestCase):
@@ -80,52 +84,55 @@
         self.folder = Path(folder.name)
 
     def copied(self, name: str) -> Path:
+        """Copies a pinned file into the test's folder."""
         return Path(shutil.copy(PINNED / name, self.folder / name))
 
 
 class ConfigurationFile(PinnedFiles):
     def open(self) -> ReplicaState:
+        """Opens a copy of the replica's database."""
         store = Store(self.copied("configuration.sqlite"), lambda: CLOCK)
         self.addCleanup(store.close)
         return ReplicaState(store, (0, 1, 2), Document, lambda: CLOCK)
 
     def test_document_history_idents_and_votes_are_read(self) -> None:
-        holding = self.open()
-        self.assertEqual((holding.committed_version, holding.history), (3, "change-1"))
+        state = self.open()
+        self.assertEqual((state.committed_version, state.history), (3, "change-1"))
         self.assertEqual(
-            {key: bytes(value) for key, value in holding.document.entries.items()},
+            {key: bytes(value) for key, value in state.document.entries.items()},
             {
                 "tenant/b": b'{"quota_per_s":2.0}',
             },
         )
-        self.assertEqual(holding.document.changed, {"tenant/a": 3, "tenant/b": 2})
-        self.assertEqual(holding.completed(proposal("change-2", "tenant/b", 2.0)), AcceptedProposal(2))
-        self.assertEqual((holding.acceptor.promised, holding.acceptor.accepted), (Ballot(5, 1), Ballot(4, 2)))
-        assert holding.acceptor.change is not None
-        self.assertEqual(holding.acceptor.change.ident, "change-4")
-        self.assertEqual([change.ident for change in holding.log(1)[0]], ["change-1", "change-2", "change-3"])
-
-    def test_the_file_is_written_on(self) -> None:
-        holding = self.open()
-        change = holding.build_change(proposal("change-5", "tenant/d", 5.0))
+        self.assertEqual(state.document.changed, {"tenant/a": 3, "tenant/b": 2})
+        self.assertEqual(state.completed(proposal("change-2", "tenant/b", 2.0)), AcceptedProposal(2))
+        self.assertEqual((state.acceptor.promised, state.acceptor.accepted), (Ballot(5, 1), Ballot(4, 2)))
+        assert state.acceptor.change is not None
+        self.assertEqual(state.acceptor.change.ident, "change-4")
+        self.assertEqual([change.ident for change in state.log(1)[0]], ["change-1", "change-2", "change-3"])
+
+    def test_writing_continues_in_the_file(self) -> None:
+        state = self.open()
+        change = state.build_change(proposal("change-5", "tenant/d", 5.0))
         assert isinstance(change, Change)
-        self.assertTrue(holding.commit(change))
-        self.assertEqual((holding.committed_version, sorted(holding.document.entries)), (4, ["tenant/b", "tenant/d"]))
+        self.assertTrue(state.commit(change))
+        self.assertEqual((state.committed_version, sorted(state.document.entries)), (4, ["tenant/b", "tenant/d"]))
 
-    def test_what_is_written_today_is_what_was_written_then(self) -> None:
+    def test_written_rows_are_those_of_the_recording(self) -> None:
         write_configuration(self.folder / "today.sqlite")
         self.assertEqual(rows(self.folder / "today.sqlite"), rows(self.copied("configuration.sqlite")))
 
 
 class MigrationsFile(PinnedFiles):
     def open(self) -> MigrationStore:
-        ledger = MigrationStore(self.copied("migrations.sqlite"), lambda: CLOCK)
-        self.addCleanup(ledger.close)
-        return ledger
-
-    def test_record_lease_marks_and_relays_are_read(self) -> None:
-        ledger = self.open()
-        entries = ledger.read_page(0).entries
+        """Opens a copy of the migration store's database."""
+        migration_store = MigrationStore(self.copied("migrations.sqlite"), lambda: CLOCK)
+        self.addCleanup(migration_store.close)
+        return migration_store
+
+    def test_log_lease_progress_and_relays_are_read(self) -> None:
+        migration_store = self.open()
+        entries = migration_store.read_page(0).entries
         self.assertEqual(
             [(e.seq, e.token, e.runner, e.entry.kind, e.entry.step) for e in entries],
             [
@@ -133,24 +140,26 @@
                 (2, 1, "runner-1", "intent", "widen"),
             ],
         )
-        marks = ledger.progress(2)
-        self.assertEqual((marks.parts, marks.cursor, marks.finished, marks.rows), (1, 2, False, 2))
-        self.assertEqual(ledger.unacknowledged_relays(2), [3])
-        self.assertEqual(ledger.unacknowledged_relays(1), [])
-
-    def test_the_file_is_written_on(self) -> None:
-        ledger = self.open()
-        token = ledger.acquire_lease(LeaseRequest("runner-1", 5000))
+        progress = migration_store.progress(2)
+        self.assertEqual((progress.parts, progress.cursor, progress.finished, progress.rows), (1, 2, False, 2))
+        self.assertEqual(migration_store.unacknowledged_relays(2), [3])
+        self.assertEqual(migration_store.unacknowledged_relays(1), [])
+
+    def test_writing_continues_in_the_file(self) -> None:
+        migration_store = self.open()
+        token = migration_store.acquire_lease(LeaseRequest("runner-1", 5000))
         self.assertEqual(token, 2)
         statement = "UPDATE offers SET n = n + 1 WHERE id > :low AND id <= :high"
-        marks = ledger.apply_part(ApplyRequest(token, 2, 1, (statement,), BatchRange("offers", "id", 2, 2)))
-        self.assertEqual((marks.parts, marks.finished, marks.rows), (2, True, 3))
-        self.assertEqual(ledger.append(AppendRequest(token, 2, Step("done", "widen"))).seq, 3)
-        self.assertEqual([n for (n,) in ledger.connection.execute("SELECT n FROM offers ORDER BY id")], [1, 1, 1])
+        progress = migration_store.apply_part(ApplyRequest(token, 2, 1, (statement,), BatchRange("offers", "id", 2, 2)))
+        self.assertEqual((progress.parts, progress.finished, progress.rows), (2, True, 3))
+        self.assertEqual(migration_store.append(AppendRequest(token, 2, Step("done", "widen"))).seq, 3)
+        self.assertEqual(
+            [n for (n,) in migration_store.connection.execute("SELECT n FROM offers ORDER BY id")], [1, 1, 1]
+        )
 
-    def test_what_is_written_today_is_what_was_written_then(self) -> None:
+    def test_written_rows_are_those_of_the_recording(self) -> None:
         write_migrations(self.folder / "today.sqlite")
         today, then = rows(self.folder / "today.sqlite"), rows(self.copied("migrations.sqlite"))
-        for found in (today, then):  # the time of writing is for people only
+        for found in (today, then):  # without the time of writing, which is for display only
             found["ll_record"] = [(*row[:3], *row[4:]) for row in found["ll_record"]]
         self.assertEqual(today, then)
--- a/tests/test_pinned_verdicts.py
+++ b/tests/test_pinned_verdicts.py
@@ -1,7 +1,7 @@
-"""Simulated days come out as by commit c655458, to the last digit: `pinned/verdicts.json` has the digests.
+"""Tests that simulations of ten scenarios give exactly the same results as by commit c655458.
 
-A difference means that an order of calls, of random draws or of iteration changed: find the step that did it.
-Each day's digest is of the verdict as written and of every file of the capture.
+`pinned/verdicts.json` has digests of each scenario's verdict and of every file of its capture. A difference means that
+an order of calls, of random draws or of iteration has changed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 RECORDED = Path(__file__).parent / "pinned" / "verdicts.json"
 SEED = "7"
-DAYS = (
+SCENARIOS = (
     "bad-build-errors",
     "bad-build-slow",
     "crash",
@@ -32,14 +32,14 @@
 )
 
 
-def digests(day: str) -> dict[str, str]:
-    """By file, the SHA-256 of what the day leaves: verdict and capture."""
+def digests(scenario: str) -> dict[str, str]:
+    """Simulates a scenario; returns the SHA-256 of its verdict and of each file of its capture, and the exit code."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         args = [
             "model",
             "run",
-            day,
+            scenario,
             "--seed",
             SEED,
             "--capture",
@@ -49,7 +49,7 @@
         ]
         result = CliRunner().invoke(main, args)
         if result.exit_code not in (0, 3):
-            raise AssertionError(f"{day}: exit code {result.exit_code}\n{result.output}")
+            raise AssertionError(f"{scenario}: exit code {result.exit_code}\n{result.output}")
         files = sorted(path for path in folder.rglob("*") if path.is_file())
         found = {str(path.relative_to(folder)): hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
         return found | {"exit code": str(result.exit_code)}
@@ -58,9 +58,9 @@
 class PinnedVerdicts(unittest.TestCase):
     maxDiff = None
 
-    def test_ten_days_come_out_as_they_were_recorded(self) -> None:
+    def test_ten_scenarios_give_the_recorded_results(self) -> None:
         recorded = json.loads(RECORDED.read_text())
-        self.assertEqual(sorted(recorded), sorted(DAYS))
-        for day in DAYS:
-            with self.subTest(day=day):
-                self.assertEqual(digests(day), recorded[day])
+        self.assertEqual(sorted(recorded), sorted(SCENARIOS))
+        for scenario in SCENARIOS:
+            with self.subTest(scenario=scenario):
+                self.assertEqual(digests(scenario), recorded[scenario])
--- a/tests/town.py
+++ b/tests/town.py
@@ -1,4 +1,7 @@
-"""A small town for live tests: roster, desk, units that follow a script, and a relay, in one loop."""
+"""An environment for tests of a running HTTP relay: discovery, rollout platform, scripted endpoints and the relay.
+
+All run in one event loop, on loopback.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
 
 @contextlib.asynccontextmanager
 async def outside(folder: Path) -> AsyncIterator[tuple[Roster, Desk]]:
-    """The roster and the desk that a relay's process needs, with nothing listed yet."""
+    """The discovery and rollout platform emulators that a relay process needs; no endpoint is listed yet."""
     record = read_text(SETTINGS.replace(", MORE", "") % (1, 1), "town")
     assert isinstance(record, RelaySettings)
     roster = Roster(folder, 0, 0.0)
@@ -66,7 +69,7 @@
 
 
 def live(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Runs a test on uvloop, for 30 s at most."""
+    """Runs an asynchronous test on uvloop, with a timeout of 30 s."""
 
     @wraps(test)
     def run(*args: Any) -> None:
@@ -80,21 +83,22 @@
 
 
 class ScriptedUnit:
-    """A unit that does what its handler says with each connection; it counts the requests that reached it."""
+    """An endpoint whose handler serves each connection; it records the requests that it received."""
 
     def __init__(self, name: str, handler: Handler) -> None:
         self.name, self._handler = name, handler
         self.requests: list[bytes] = []
         self.connections = 0
-        self.closed = 0  # connections that the relay has closed
+        self.closed = 0  # number of connections that the relay has closed
         self.port = 0
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        self._server = await asyncio.start_server(self._met, "127.0.0.1", self.port)
+        """Listens on `port`, or on a free port if that is 0."""
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await self._handler(self, reader, writer)
@@ -102,7 +106,7 @@
         writer.close()
 
     async def request(self, reader: asyncio.StreamReader) -> bytes:
-        """One whole request; raises IncompleteReadError where the relay closes instead."""
+        """Reads and records one request. Raises IncompleteReadError if the relay closes the connection first."""
         head = await reader.readuntil(b"\r\n\r\n")
         size = 0
         for line in head.lower().split(b"\r\n"):
@@ -111,41 +115,51 @@
         self.requests.append(head + await reader.readexactly(size))
         return self.requests[-1]
 
-    def shut(self) -> None:
+    def close(self) -> None:
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
 
 
 def says(body: bytes = b"ok\n", status: int = 200, wait: float = 0.0, *fields: tuple[bytes, bytes]) -> Handler:
-    """A unit that answers all alike, after a wait."""
+    """Returns a handler that sends the same response to each request, after `wait` seconds."""
 
-    async def handler(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await unit.request(reader)
+            await endpoint.request(reader)
             await asyncio.sleep(wait)
             writer.write(serialization.response(status, fields, body))
 
     return handler
 
 
-async def resets(unit: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    await unit.request(reader)
+async def reset_connections(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A handler that resets the connection after it has read a request."""
+    await endpoint.request(reader)
     writer.transport.abort()
 
 
-class Town:
-    def __init__(self, folder: Path, units: list[ScriptedUnit], more: str, seed: int, top: str) -> None:
-        self.units, self._folder, self._more, self._seed, self._top = units, folder, more, seed, top
+class RelayEnvironment:
+    """A relay with discovery, rollout platform and scripted endpoints.
+
+    allowance: additional settings of the service's `allowance`.
+    seed: seed of the relay's random choices.
+    top: additional settings of the relay.
+    """
+
+    def __init__(self, folder: Path, endpoints: list[ScriptedUnit], allowance: str, seed: int, top: str) -> None:
+        self.endpoints, self._folder, self._allowance, self._seed, self._top = endpoints, folder, allowance, seed, top
         self.clients: list[Client] = []
         self.log = structlog.testing.CapturingLogger()
 
     async def open(self) -> None:
+        """Starts everything; returns once the relay listens."""
         self.roster = Roster(self._folder, 0, 0.0)
         await self.roster.open()
-        for place, unit in enumerate(self.units):
-            await unit.open()
-            self.list_(unit, "ready", "north" if place % 2 == 0 else "south")
-        text = SETTINGS.replace(", MORE", ", " + self._more if self._more else "")
+        for index, endpoint in enumerate(self.endpoints):
+            await endpoint.open()
+            self.list_(endpoint, "ready", "north" if index % 2 == 0 else "south")
+        text = SETTINGS.replace(", MORE", ", " + self._allowance if self._allowance else "")
         text = text.replace("//TOP", self._top).replace("number: 0", f"seed: {self._seed}, number: 0")
         record = read_text(text % (1, 1), "town")
         assert isinstance(record, RelaySettings)
@@ -169,55 +183,65 @@
         self._task = asyncio.create_task(self.relay.run(lambda host, port: ready.set_result(port)))
         self.port = await ready
 
-    def list_(self, unit: ScriptedUnit, condition: str, zone: str = "north", build: int = 1) -> None:
-        row = EndpointMessage(unit.name, "127.0.0.1", unit.port, zone, build, condition)  # type: ignore[arg-type]
+    def list_(self, endpoint: ScriptedUnit, condition: str, zone: str = "north", build: int = 1) -> None:
+        """Lists an endpoint with discovery, in the given condition."""
+        row = EndpointMessage(endpoint.name, "127.0.0.1", endpoint.port, zone, build, condition)  # type: ignore[arg-type]
         self.roster.list_now(row)
 
     async def close(self) -> None:
+        """Drains the relay and stops everything else."""
         self.relay.stop()
         await self._task
         for client in self.clients:
             client.writer.close()
         self.roster.close()
         self.desk.close()
-        for unit in self.units:
-            unit.shut()
+        for endpoint in self.endpoints:
+            endpoint.close()
 
 
 @contextlib.asynccontextmanager
-async def town(*units: ScriptedUnit, more: str = "", seed: int = 0, top: str = "") -> AsyncIterator[Town]:
+async def town(
+    *endpoints: ScriptedUnit, allowance: str = "", seed: int = 0, top: str = ""
+) -> AsyncIterator[RelayEnvironment]:
+    """Runs a `RelayEnvironment`, with its parameters, on a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
-        place = Town(Path(folder), list(units), more, seed, top)
-        await place.open()
+        env = RelayEnvironment(Path(folder), list(endpoints), allowance, seed, top)
+        await env.open()
         try:
-            yield place
+            yield env
         finally:
-            await place.close()
+            await env.close()
+
 
+class RelayUnderTest(Protocol):
+    """What a `Client` needs of a relay: its port, and a list of clients to close at the end."""
 
-class Reachable(Protocol):
     port: int
     clients: list[Client]
 
 
 class Client:
-    """A client's connection, by hand."""
+    """A client's connection on which a test sends requests and reads responses."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def to(cls, place: Reachable) -> Client:
-        client = cls(*await asyncio.open_connection("127.0.0.1", place.port))
-        place.clients.append(client)
+    async def to(cls, env: RelayUnderTest) -> Client:
+        """Connects to a relay."""
+        client = cls(*await asyncio.open_connection("127.0.0.1", env.port))
+        env.clients.append(client)
         return client
 
     def send(self, method: str, path: str, body: bytes = b"", **fields: str) -> None:
+        """Sends a request; `fields` are further headers, with underscores for hyphens."""
         rows = [(b"host", b"relay")]
         rows += [(name.replace("_", "-").encode(), value.encode()) for name, value in fields.items()]
         self.writer.write(serialization.request(method, path.encode(), rows, body))
 
-    async def answer(self, head: bool = False) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self, head: bool = False) -> tuple[int, dict[str, str], bytes]:
+        """Reads a response: its status, headers and body. `head`: it responds to a HEAD request."""
         text = await self.reader.readuntil(b"\r\n\r\n")
         first, *lines = text.decode().strip().split("\r\n")
         fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
@@ -225,19 +249,21 @@
         return int(first.split()[1]), fields, await self.reader.readexactly(size)
 
     async def ask(self, method: str, path: str, body: bytes = b"", **fields: str) -> tuple[int, dict[str, str], bytes]:
+        """Sends a request and reads its response."""
         self.send(method, path, body, **fields)
-        return await self.answer(method == "HEAD")
+        return await self.read_response(method == "HEAD")
 
     def reset(self) -> None:
-        """Leaves with a reset, as a process that dies with unread bytes does."""
+        """Resets the connection, as the end of a process with unread bytes does."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    async def ended(self) -> bytes:
-        """What still comes until the relay closes."""
+    async def read_to_end(self) -> bytes:
+        """Returns all bytes up to the relay's close of the connection."""
         return await self.reader.read()
 
 
-def state_of(place: Town) -> dict[str, Any]:
-    return msgspec.to_builtins(place.relay.state())  # type: ignore[no-any-return]
+def state_of(env: RelayEnvironment) -> dict[str, Any]:
+    """Returns the relay's state document."""
+    return msgspec.to_builtins(env.relay.state())  # type: ignore[no-any-return]
