--- a/lanelead/http_relay/headers.py
+++ b/lanelead/http_relay/headers.py
@@ -7,6 +7,7 @@
 OUTCOME_HEADER = b"lanelead-outcome"
 REJECTED_HEADER = b"lanelead-turned-away"  # set by an endpoint that rejected the request before any work on it
 LOAD_REPORT_HEADER = b"lanelead-load"
+# Headers that are not forwarded: hop-by-hop ones and those that only this program sets.
 RELAY_HEADERS = serialization.with_hop_by_hop(
     b"lanelead-relay",
     b"lanelead-trip",
--- a/lanelead/http_relay/membership_transport.py
+++ b/lanelead/http_relay/membership_transport.py
@@ -82,7 +82,7 @@
         self._arm()
 
     def receive(self, payload: bytes, source: Address) -> None:
-        """Passes a received membership message to the protocol."""
+        """Passes a received membership message to the protocol, and sends its replies."""
         self.members.receive(payload, source, self._clock())
         self._flush()
 
--- a/lanelead/http_relay/request_routing.py
+++ b/lanelead/http_relay/request_routing.py
@@ -81,7 +81,7 @@
         return by_address if raw is None else self._tenants.get(raw.decode("latin-1"), by_address)
 
     def key(self, request: HttpRequest) -> str | None:
-        """Returns the key in the request's key header, by which the decisions choose an endpoint, or None."""
+        """Returns the value of the request's key header, or None. During a canary, a key can be bound to one build."""
         raw = request.header(self._key_header)
         return None if raw is None else raw.decode("latin-1")
 
--- a/lanelead/protocols/configuration.py
+++ b/lanelead/protocols/configuration.py
@@ -199,7 +199,7 @@
 
 
 class AcceptReply(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """A voter's reply to Accept; the outcomes are those of Promise."""
+    """A voter's reply to Accept: `accepted`, or one of the other outcomes of Promise."""
 
     outcome: Literal["accepted", "refused", "behind", "ahead", "abstains"]
     committed_version: NonNegativeInt
