--- a/lanelead/http_relay/client_connection.py
+++ b/lanelead/http_relay/client_connection.py
@@ -1,8 +1,9 @@
-"""The connection of one client: each request gets one final response, in the order of the requests.
+"""The connection of one client: responses are sent in the order of the requests (RFC 9112, section 9.3.2).
 
-That order is required by RFC 9112, section 9.3.2, so the response to a pipelined request cannot overtake those to the
-requests ahead of it. If one of those has a later deadline, the pipelined request is passed to the driver only when that
-one has its response, with the time that is then left; else it is passed on at once.
+The response to a pipelined request therefore cannot overtake those to the requests ahead of it. If one of those has a
+later deadline, the pipelined request might be executed and its response still be sent too late. So it is deferred: the
+driver gets it after the requests ahead with a later deadline have their responses, with the time that is then left. Any
+other request is passed on at once.
 """
 
 from __future__ import annotations
@@ -50,8 +51,9 @@
 class ClientConnection:
     """The connection of one client. One task reads requests; `flush` writes the responses, one write at a time.
 
-    The connection is closed when reading has ended and no response is due. Reading ends when the client closes its
-    side, or LINGER_SECONDS after the last response was sent.
+    The connection is closed when reading has ended and no response is due. Reading ends when the client closes or
+    resets the connection, on `abort`, or LINGER_SECONDS after a response that closes the connection
+    (`ResponseSlot.close`). A keep-alive connection without requests stays open.
     """
 
     def __init__(self, listener: ClientListener, sock: socket.socket, address: str) -> None:
@@ -76,7 +78,7 @@
 
     @property
     def waits_for_client(self) -> bool:
-        """Whether the relay waits for the client to send the rest of a request or to read a response."""
+        """Whether the client has to read a response or, if none is due, to send the rest of a request."""
         return self._writing or (not self.slots and self._reader.state in (State.HEAD, State.BODY))
 
     # Reading
@@ -85,7 +87,7 @@
         listener = self._listener
         buffer = listener.take_buffer()
         view = memoryview(buffer)
-        max_pipelined = listener.quota.pipelined
+        max_pipelined = listener.quota.pipelined  # checked before each read, so the requests of one read may exceed it
         try:
             while True:
                 while not self._closing and len(self.slots) >= max_pipelined:
@@ -103,7 +105,7 @@
                     elif isinstance(event, RejectedRequest):
                         listener.request_rejected(event.status, event.reason)
                         self._respond(self._add_slot(None), event.status, event.reason, close=True)
-                    elif self.is_idle and not self._closing:
+                    elif self.is_idle and not self._closing:  # ContinueExpected; not sent ahead of a due response
                         await self._loop.sock_sendall(self._sock, serialization.CONTINUE)
                 listener.after_event()
         except OSError:  # the client reset the connection, so no response is due
@@ -135,7 +137,7 @@
             self._respond(slot, error.status, error.text)
 
     def _pass_to_driver(self, slot: ResponseSlot, request: HttpRequest) -> None:
-        """Passes a request to the driver, or defers that. Raises RequestRoutingError."""
+        """Passes a request to the driver; defers it if one ahead has a later deadline. Raises RequestRoutingError."""
         listener = self._listener
         router = listener.router
         request_class = router.request_class(request)
@@ -185,7 +187,7 @@
     # Responses
 
     def _respond(self, slot: ResponseSlot, status: int, text: str, close: bool = False) -> None:
-        """Responds from the relay itself to something that belongs to no request class."""
+        """Sets a text response of the relay itself, to a request that is not passed to the driver."""
         if close:
             slot.close = True
             self._closing = True
@@ -244,7 +246,10 @@
             self._close_if_finished()
 
     def _pop_ready_responses(self) -> tuple[list[bytes], bool]:
-        """Removes the ready responses at the front; returns them and whether to close the connection after them."""
+        """Removes the ready responses at the front, up to the first one that closes the connection.
+
+        Returns them, and whether the last one closes the connection.
+        """
         parts: list[bytes] = []
         while self.slots:
             data = self.slots[0].data
@@ -256,7 +261,10 @@
         return parts, False
 
     def _pass_deferred_to_driver(self) -> None:
-        """Passes deferred requests to the driver if no pending request ahead of them has a later deadline."""
+        """Passes deferred requests to the driver, in order, up to the first that has a later deadline ahead of it.
+
+        Called after responses have been written.
+        """
         for slot in list(self.slots):
             if slot.deferred is None:
                 continue
@@ -294,7 +302,7 @@
             self._linger = self._loop.call_later(LINGER_SECONDS, self.abort)
 
     def abort(self) -> None:
-        """Closes the connection at once; pending reads and writes fail."""
+        """Drops all due responses and shuts the socket down, so that the pending read or write ends and closes it."""
         self._client_disconnected()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
--- a/lanelead/protocols/platform.py
+++ b/lanelead/protocols/platform.py
@@ -1,7 +1,10 @@
-"""The messages of the platform that runs PostgreSQL relays: JSON-RPC 2.0, one object per line, and endpoint lists.
+"""The messages that PostgreSQL relays exchange with the rollout platform and with discovery.
 
-Unknown fields are ignored; the fields of a message must be present and valid. Field names are those of the wire,
-except where `name=` maps them. An invalid entry of an endpoint list is rejected by itself; the others are used.
+The rollout platform speaks JSON-RPC 2.0, one object per line; discovery sends endpoint lists. Both are converted to the
+messages of lanelead/protocols/feeds.py, which the driver takes.
+
+Unknown fields are ignored; fields without a default must be present, and all must be valid. Field names are those of
+the wire, except where `name=` maps them. An invalid entry of an endpoint list does not invalidate the other entries.
 """
 
 from __future__ import annotations
@@ -24,18 +27,21 @@
     decode,
 )
 
+# From the words of these messages to those of lanelead/protocols/feeds.py.
 ROLLOUT_PHASES = {"testing": "trial", "recalling": "reverting", "live": "released", "recalled": "withdrawn"}
 ENDPOINT_STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+# The words for verdicts in a vote.
 VERDICT_NAMES = {
     Verdict.ABSTAIN: "abstain",
     Verdict.PROMOTE: "promote",
     Verdict.HOLD: "pause",
     Verdict.ROLL_BACK: "abort",
 }
-# Connecting to an invalid host name raises errors other than OSError, so host names are checked when they are read.
+# Connecting to an invalid host name raises errors other than OSError, so listed addresses must match this pattern.
 HOST_LABEL_PATTERN = r"[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
 ADDRESS_PATTERN = rf"^{HOST_LABEL_PATTERN}(\.{HOST_LABEL_PATTERN})*:[0-9]{{1,5}}$|^\[[0-9A-Fa-f:]+\]:[0-9]{{1,5}}$"
-# Outcome of a vote by error message. Any other message means AttemptOutcome.ERROR: the vote did not count.
+# Outcome of a vote by error message. A vote for a stage that has ended ("out_of_date") is treated like one that was not
+# sent. Any other message means AttemptOutcome.ERROR: the vote did not count.
 ERROR_OUTCOMES = {
     "too_many_calls": AttemptOutcome.REJECTED,
     "out_of_date": AttemptOutcome.NOT_SENT,
@@ -52,7 +58,7 @@
     age_ms: NonNegativeFloat
 
     def to_rollout_message(self) -> RolloutMessage:
-        """Converts it to the message that the driver takes."""
+        """Returns the message that the driver takes."""
         return RolloutMessage(self.build, self.stage, ROLLOUT_PHASES[self.phase], self.exposure_limit, self.age_ms)  # type: ignore[arg-type]
 
 
@@ -95,22 +101,26 @@
     entries: Annotated[list[msgspec.Raw], Meta(max_length=20000)] = msgspec.field(name="servers")
 
 
-class EndpointLabel(msgspec.Struct, frozen=True):
-    """The fields of an invalid ListedEndpoint that are used if they can be decoded."""
+class EndpointIdAndState(msgspec.Struct, frozen=True):
+    """The id and state of an invalid ListedEndpoint. They are of use even where its other fields are invalid."""
 
     id: Any = None
     state: Any = None
 
 
 class RejectedEntry(NamedTuple):
-    """A rejected entry: its endpoint's id, empty if that cannot be decoded, and the reason."""
+    """The rejection of an endpoint's entry: the endpoint's id, empty if that cannot be decoded, and the reason."""
 
     id: str
     reason: str
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Splits `host:port` into host and port; an IPv6 host is in brackets. Raises MessageError."""
+    """Splits `host:port` into host and port, and removes the brackets around an IPv6 host.
+
+    Raises MessageError if the host is empty or the port is not from 1 to 65535, and ValueError if the port has digits
+    that `int` does not accept, such as superscripts. The host is not checked.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise MessageError(f"invalid address {text[:80]!r}; expected host:port with a port from 1 to 65535")
@@ -136,27 +146,33 @@
     )
 
 
-def _decode_label(raw: msgspec.Raw) -> tuple[str, bool]:
-    """Returns the id in an invalid entry, empty if it cannot be decoded, and whether the endpoint is leaving."""
+def _decode_id_and_state(raw: msgspec.Raw) -> tuple[str, bool]:
+    """Returns the id in an invalid entry, empty if it cannot be decoded, and whether its state is leaving or left."""
     try:
         text = bytes(raw)
-        label = decode(text, EndpointLabel, len(text))
+        decoded = decode(text, EndpointIdAndState, len(text))
     except MessageError:
         return "", False
-    return label.id if isinstance(label.id, str) else "", label.state in ("leaving", "left")
+    return decoded.id if isinstance(decoded.id, str) else "", decoded.state in ("leaving", "left")
 
 
 def _no_last_known(name: str) -> EndpointMessage | None:
+    """The default `last_known`: no endpoint is known."""
     return None
 
 
 class _Rejection(NamedTuple):
     reason: str
-    leaving: bool  # whether any of the endpoint's entries has the state leaving or left
+    leaving: bool  # whether a rejected entry of the endpoint has the state leaving or left
 
 
 class _EndpointListReader:
-    """Reads one endpoint list: collects its valid entries by endpoint and its rejected entries."""
+    """Reads one endpoint list.
+
+    entries: the entries to use, by endpoint: valid ones, and last known ones in place of rejected ones.
+    rejections: the last rejection of each endpoint that has rejected entries.
+    rejected_without_id: rejected entries whose id cannot be decoded.
+    """
 
     def __init__(self, full: bool, last_known: Callable[[str], EndpointMessage | None]) -> None:
         self._full = full
@@ -181,13 +197,14 @@
                 self._reject(entry.unit, "listed twice with different values", leaving)
 
     def _reject_invalid(self, raw: msgspec.Raw, reason: str) -> None:
-        name, leaving = _decode_label(raw)
+        name, leaving = _decode_id_and_state(raw)
         if name:
             self._reject(name, reason, leaving)
         else:
             self.rejected_without_id.append(RejectedEntry("", reason))
 
     def _reject(self, name: str, reason: str, leaving: bool) -> None:
+        """Records a rejection; in a list of changes, marks a known endpoint as draining if it is leaving."""
         earlier = self.rejections.get(name)
         self.rejections[name] = _Rejection(reason, leaving or (earlier is not None and earlier.leaving))
         if not self._full and leaving:
@@ -196,7 +213,11 @@
                 self.entries[name] = msgspec.structs.replace(known, condition="draining")
 
     def apply_last_known(self) -> None:
-        """Replaces each rejected entry of a full list by the endpoint's last known entry."""
+        """In a full list, replaces the entries of each endpoint with a rejected entry by its last known entry.
+
+        The last known entry is used as draining if a rejected entry says that the endpoint is leaving. An endpoint
+        without a last known entry is dropped.
+        """
         for name, rejection in self.rejections.items():
             self.entries.pop(name, None)
             known = self._last_known(name)
@@ -210,11 +231,17 @@
     last_known: Callable[[str], EndpointMessage | None] = _no_last_known,
     rejected: list[RejectedEntry] | None = None,
 ) -> EndpointListMessage:
-    """Converts discovery's list to the message that the driver takes; appends rejected entries to `rejected`.
+    """Converts discovery's list to the message that the driver takes.
+
+    In a full list, an endpoint with a rejected entry keeps its `last_known` entry, even if another entry of it is
+    valid, and is dropped if it has none. Two different valid entries of one endpoint are both rejected. In a list of
+    changes, a rejected entry is ignored, and of several valid entries the last one counts.
+
+    There is one exception in both: if a rejected entry says that the endpoint is leaving or has left, the known entry
+    is used as draining, so that the endpoint gets no new attempts. In a list of changes, a later valid entry overrides
+    that.
 
-    Instead of a rejected entry, the endpoint's `last_known` entry stays in use. But an endpoint whose entry says that
-    it is leaving becomes draining and gets no new attempts, whatever else is wrong with the entry. If a full list has
-    two different entries for an endpoint, both are rejected; in a list of changes the last one counts.
+    `rejected` gets one RejectedEntry for each endpoint with rejected entries, and one for each entry without an id.
     """
     reader = _EndpointListReader(received.full, last_known)
     reader.read(received.entries)
@@ -224,6 +251,7 @@
         rejected += reader.rejected_without_id
         rejected += [RejectedEntry(name, rejection.reason) for name, rejection in reader.rejections.items()]
     entries = list(reader.entries.values())
+    # Discovery does not send its clock (`clock_ms`): `started_ms` is Unix time.
     return EndpointListMessage("full" if received.full else "changes", received.version, 0.0, entries)
 
 
@@ -236,5 +264,5 @@
 
 
 def decode_stage(raw: msgspec.Raw) -> StageMessage:
-    """Decodes the state of the rollout. Raises MessageError."""
+    """Decodes a StageMessage. Raises MessageError."""
     return decode(bytes(raw), StageMessage)
--- a/tests/test_pinned_messages.py
+++ b/tests/test_pinned_messages.py
@@ -36,7 +36,7 @@
     "platform.line": platform.RpcMessage,
     "platform.endpoint": platform.ListedEndpoint,
     "platform.endpoints": platform.EndpointList,
-    "platform.label": platform.EndpointLabel,
+    "platform.label": platform.EndpointIdAndState,
     "platform.node-config": config.RelayConfig,
     "configuration.entry": configuration.Entry,
     "configuration.change": configuration.Change,
