--- a/lanelead/postgres_relay/__init__.py
+++ b/lanelead/postgres_relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on the operators' platform: client listener, upstream requests, feeds and signals around one driver."""
+"""The relay on the operators' platform, which speaks the PostgreSQL protocol to clients and endpoints."""
--- a/lanelead/postgres_relay/applied_configuration.py
+++ b/lanelead/postgres_relay/applied_configuration.py
@@ -1,5 +1,7 @@
-"""Puts the values of tenants and request classes in force at a running relay: those of its file at SIGHUP, or
-those of the configuration that it follows. Nothing is decided here.
+"""Applies the values of tenants and request classes to a running relay.
+
+They come from the relay's file at SIGHUP, or from the configuration that it follows. Whether a value is valid is
+decided in lanelead/configuration/value_types.py.
 """
 
 from __future__ import annotations
@@ -23,12 +25,13 @@
 # Names in a relay's file.
 TENANTS_SETTING = "accounts"
 CLASSES_SETTING = "requestClasses"
+# The field of a class in a configuration, by its name in the file: those that may change while the relay runs.
 CLASS_VALUE_FIELDS = {"aimMs": "aim_ms", "deadlineMs": "deadline_ms", "credit": "credit", "lateWorth": "late_worth"}
-MAX_DOCUMENT_BYTES = 1 << 40  # the file's size is bounded where it is read
+MAX_DOCUMENT_BYTES = 1 << 40  # no limit in effect: the file's size is limited when it is read
 
 
 def entries_of_settings(settings: Mapping[str, Any]) -> list[tuple[str, bytes]]:
-    """The tenants and classes of a file's settings, as keys and JSON values of a configuration."""
+    """Returns the tenants and classes in a file's settings as keys and JSON values of a configuration."""
     entries = list[tuple[str, bytes]]()
     for row in settings.get(TENANTS_SETTING) or ():
         value = {"quota_per_s": row.get("quotaPerS") or 0.0, "share": row.get("share") or 0.0}
@@ -40,7 +43,7 @@
 
 
 def classes_without_values(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
-    """The classes, without the fields that may change while the relay runs."""
+    """Returns the classes in a file's settings without the fields that may change while the relay runs."""
     rows = settings.get(CLASSES_SETTING) or ()
     return [{field: value for field, value in row.items() if field not in CLASS_VALUE_FIELDS} for row in rows]
 
@@ -48,8 +51,10 @@
 def changed_entries(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[list[str], Mapping[str, EntryValue], list[InvalidValueError]]:
-    """The keys whose values differ between two settings, all new values, and the errors of invalid entries,
-    whose keys are not among the first.
+    """Compares the tenants and classes of two settings.
+
+    Returns the keys whose values differ, without those of invalid new entries; all valid new values by key; and the
+    errors of the invalid entries.
     """
     before = dict(entries_of_settings(old))
     after = dict(entries_of_settings(new))
@@ -63,8 +68,9 @@
 
 
 class AppliedConfiguration:
-    """`tenants` and `request_classes` are the relay's own tables by name, which are changed in place;
-    `on_total_quota` is called with the sum of all quotas, in requests per second.
+    """Applies values to the relay's tables of tenants and request classes, which are changed in place.
+
+    Both tables are by name. `on_total_quota` is called with the sum of all tenants' quotas, in requests per second.
     """
 
     def __init__(
@@ -78,8 +84,9 @@
         self._on_total_quota = on_total_quota
 
     def apply(self, keys: Iterable[str], values: Mapping[str, EntryValue]) -> list[str]:
-        """Puts these keys' values in force; returns the keys of classes that the settings do not have. A request
-        in flight keeps the deadline that it was received with.
+        """Applies the values of `keys`, and returns the keys of classes that the settings do not have.
+
+        A tenant without a value is removed. A request in flight keeps the deadline that it was received with.
         """
         unknown = list[str]()
         for key in keys:
--- a/lanelead/postgres_relay/config.py
+++ b/lanelead/postgres_relay/config.py
@@ -1,6 +1,7 @@
-"""The relay's file, whose path is in NODE_CONFIG: JSON, whose settings are read by path.
+"""The relay's configuration file: JSON at the path that the environment variable NODE_CONFIG gives.
 
-Field names are those of the file, but where `name=` maps them.
+The structs have the file's field names, unless `name=` maps a field. The section `settings` is read by path with
+ParameterReader.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 import msgspec
 from msgspec import Meta
 
-from lanelead.postgres_relay.settings_checks import check
+from lanelead.postgres_relay.settings_checks import check_settings
 from lanelead.protocols.feeds import MessageError, decode
 from lanelead.protocols.platform import EndpointList, StageMessage, parse_address
 from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
 
-MAX_FILE_BYTES = 16 << 20  # the file holds the last endpoint list
+MAX_FILE_BYTES = 16 << 20  # large, since the file contains the last endpoint list
 
 
 class ProcessLimits(msgspec.Struct, frozen=True):
-    """What the process may use; `sockets` is the number of descriptors."""
+    """The resource limits of the process; `sockets` is the number of file descriptors."""
 
     sockets: Annotated[int, Meta(ge=16)] = 1024
     cores: float = 1.0
@@ -29,7 +30,7 @@
 
 
 class PlatformConfig(msgspec.Struct, frozen=True):
-    """The rollout platform's address, and the rollout's stage when the file was written."""
+    """The rollout platform's address, and the stage of the rollout when the file was written."""
 
     address: str
     rollout: StageMessage = msgspec.field(name="news")
@@ -44,7 +45,11 @@
 
 
 class ConfigurationSources(msgspec.Struct, frozen=True):
-    """The section `configuration` of a relay's file; without it nothing is followed."""
+    """The section `configuration` of a relay's file: which replicas to follow, and the limits.
+
+    `zone` and `region` are the relay's own. `most_entries` and `most_bytes` limit the size of the configuration, and
+    `catch_up_bytes_per_s` the rate of repairs. Without this section the relay does not follow a configuration.
+    """
 
     sources: Annotated[list[ConfigurationSource], Meta(min_length=1, max_length=64)]
     zone: Annotated[str, Meta(max_length=64)] = ""
@@ -55,7 +60,12 @@
 
 
 class RelayConfig(msgspec.Struct, frozen=True):
-    """The whole file. `seed` is a hexadecimal number; `known` the last endpoint list."""
+    """The whole file.
+
+    `seed` is a hexadecimal number, and `known` the last endpoint list when the file was written. `peer_listen` is the
+    address for gossip (none if empty), and `peers` are the gossip addresses of all relays by number. `peers_all` is not
+    used.
+    """
 
     name: str
     listen: str
@@ -72,13 +82,14 @@
 
     @property
     def parameters(self) -> ParameterReader:
-        """A reader of the settings; raises RecursionError where they are nested too deep."""
+        """Returns a reader of the settings. Raises RecursionError if they are nested too deeply."""
         return ParameterReader([*flatten_pairs(self.settings)])
 
 
 def load(path: str) -> RelayConfig:
-    """Reads and checks a file. Raises MessageError, which says what is wrong and what to do: no part of a bad
-    file is used.
+    """Reads and checks a configuration file.
+
+    Raises MessageError, which names the invalid field and what is expected; no part of an invalid file is used.
     """
     try:
         config = decode(Path(path).read_bytes(), RelayConfig, MAX_FILE_BYTES)
@@ -88,15 +99,17 @@
     try:
         int(config.seed, 16)
     except ValueError:
-        raise MessageError(f"seed: {config.seed[:40]!r}; must be a hexadecimal number") from None
+        raise MessageError(f"seed: {config.seed[:40]!r}; expected a hexadecimal number") from None
     try:
         parameters = config.parameters
     except RecursionError:
-        raise MessageError("settings: nested too deep") from None
-    check(parameters)
+        raise MessageError("settings: nested too deeply") from None
+    check_settings(parameters)
     stages = max(1, len(parameters.numbers("familyInfo.shares")))
     if config.platform.rollout.stage >= stages:
-        raise MessageError(f"platform.news.stage: {config.platform.rollout.stage}, of {stages} in the settings")
+        raise MessageError(
+            f"platform.news.stage: {config.platform.rollout.stage}; the settings have {stages} stages, numbered from 0"
+        )
     return config
 
 
@@ -116,12 +129,12 @@
     try:
         parse_address(text)
     except MessageError:
-        raise MessageError(f"{name}: {text[:80]!r}; must be an address and a port") from None
+        raise MessageError(f"{name}: {text[:80]!r}; expected host:port") from None
 
 
 def path_from_environment() -> str:
-    """The file's path; raises MessageError where NODE_CONFIG is not set."""
+    """Returns the path of the configuration file. Raises MessageError if NODE_CONFIG is not set."""
     path = os.environ.get("NODE_CONFIG", "")
     if not path:
-        raise MessageError("NODE_CONFIG is not set")
+        raise MessageError("NODE_CONFIG is not set; expected the path of the relay's configuration file")
     return path
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -1,6 +1,7 @@
-"""Follows the configuration over HTTP: one watch of a source, and calls for buckets of entries.
+"""Follows the configuration over HTTP: watches a source, and fetches digest trees and buckets for repairs.
 
-lanelead/configuration/follower.py decides what is followed, from which source, and what comes into force when.
+lanelead/configuration/follower.py decides which source to follow and which version to apply when; this module carries
+out its actions.
 """
 
 from __future__ import annotations
@@ -38,9 +39,11 @@
 
 
 class ConfigurationClient:
-    """Calls `on_change` with the keys whose values in force have changed, and all values that are in force.
+    """Calls `on_change` with the keys whose applied values have changed, and all applied values.
 
-    `number` is the relay's, `entries` those of its file. Raises MessageError where the entries exceed the limits.
+    `number` is the relay's number, `following` the section `configuration` of its file, and `entries` are the tenants
+    and classes in the file, which apply until the first version arrives. Raises MessageError if the entries exceed
+    the limits of the section.
     """
 
     def __init__(
@@ -70,18 +73,20 @@
         self.follower = Follower(
             number, own_location, source_locations, document, following.catch_up_bytes_per_s, rng, loop.time()
         )
-        self._tasks: dict[asyncio.Task[None], int | None] = {}  # with the source, of those that a Leave cancels
+        self._tasks: dict[
+            asyncio.Task[None], int | None
+        ] = {}  # the source by task; None if CloseWatch does not cancel it
         self._woken = asyncio.Event()
 
     async def run(self) -> None:
-        """Follows until it is cancelled."""
+        """Follows the configuration until cancelled."""
         try:
             while True:
                 self._woken.clear()
                 self._run_actions()
                 wait = max(MIN_WAIT_SECONDS, self.follower.due - self._loop.time())
                 with suppress(TimeoutError):
-                    # Not wait_for, which loses a cancellation that comes as the event does (Python 3.11).
+                    # In Python 3.11 wait_for loses a cancellation that arrives at the same time as the event.
                     async with asyncio.timeout(min(wait, MAX_WAIT_SECONDS)):
                         await self._woken.wait()
                 self.follower.tick(self._loop.time())
@@ -99,9 +104,9 @@
                     case CloseWatch(source):
                         self._cancel_source(source)
                     case FetchDigestTree(source):
-                        self._start_task(self._outline(source), source)
+                        self._start_task(self._fetch_digest_tree(source), source)
                     case FetchBuckets(source, version, numbers):
-                        self._start_task(self._buckets(source, version, numbers), source)
+                        self._start_task(self._fetch_buckets(source, version, numbers), source)
                     case ReportApplied(source, applied):
                         self._start_task(self._report_applied(source, encode(applied)), None)
                     case VersionApplied(version, keys):
@@ -116,7 +121,7 @@
                 "an entry of the configuration was refused",
                 version=version,
                 reason=str(error),
-                remedy="its last good value stays in force",
+                remedy="correct the entry; its last good value stays in force",
             )
         self.follower.rejected_keys = list(self.values.rejected)
         self.follower.rejections = self.values.rejections
@@ -136,8 +141,8 @@
         self._woken.set()
 
     def _cancel_source(self, source: int) -> None:
-        for task, of in list(self._tasks.items()):
-            if of == source:
+        for task, task_source in list(self._tasks.items()):
+            if task_source == source:
                 self._tasks[task] = None
                 task.cancel()
 
@@ -152,19 +157,21 @@
             reason = str(error)
         self.follower.watch_ended(source, reason, self._loop.time())
 
-    async def _outline(self, source: int) -> None:
+    async def _fetch_digest_tree(self, source: int) -> None:
         try:
             body = await self._request(source, b"/configuration/outline")
-            outline = decode(body, DigestTree, MAX_RESPONSE_BYTES)
+            digest_tree = decode(body, DigestTree, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
             self.follower.fetch_failed(source, self._loop.time())
         else:
-            self.follower.digest_tree_received(source, outline, self._loop.time())
+            self.follower.digest_tree_received(source, digest_tree, self._loop.time())
 
-    async def _buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
-        named = ",".join(str(number) for number in numbers).encode()
+    async def _fetch_buckets(self, source: int, version: int, numbers: Sequence[int]) -> None:
+        numbers_text = ",".join(str(number) for number in numbers).encode()
         try:
-            body = await self._request(source, b"/configuration/buckets?version=%d&numbers=%s" % (version, named))
+            body = await self._request(
+                source, b"/configuration/buckets?version=%d&numbers=%s" % (version, numbers_text)
+            )
             buckets = decode(body, Buckets, MAX_RESPONSE_BYTES)
         except (CallFailedError, MessageError, TimeoutError):
             self.follower.fetch_failed(source, self._loop.time())
@@ -178,7 +185,7 @@
         return bytes(response.body)
 
     async def _report_applied(self, source: int, body: bytes) -> None:
-        """A report that is lost is repeated within seconds."""
+        """Posts the applied version; errors are ignored, since the follower reports again within seconds."""
         with suppress(CallFailedError, TimeoutError):
             await call(
                 self._loop, self._sources[source], "POST", b"/configuration/applied", body, FETCH_TIMEOUT_SECONDS
--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: one watch after another, each call right after the last response."""
+"""Follows discovery's endpoint list by long polling over HTTP: each call is made right after the last response."""
 
 from __future__ import annotations
 
@@ -12,16 +12,20 @@
 from lanelead.protocols.platform import EndpointList, parse_address
 from lanelead.settings.service_settings import Address
 
-WATCH_HOLD_SECONDS = 2.0  # for which a watch may wait; far less than the time after which a relay counts as notified
-RESPONSE_GRACE_SECONDS = 0.5  # for the response after that
-RETRY_DELAY_SECONDS = 0.1  # after a failure, with a random part
-VERSION_RESET_SECONDS = 2.0  # of older versions only, after which discovery is taken to have restarted
+# How long discovery may hold a watch: far less than the time after which a change counts as known to all relays.
+WATCH_HOLD_SECONDS = 2.0
+RESPONSE_GRACE_SECONDS = 0.5  # time for the response once the hold time is over
+RETRY_DELAY_SECONDS = 0.1  # after a failure, with jitter
+VERSION_RESET_SECONDS = 2.0  # older versions for this long mean that discovery has restarted its version numbers
 MAX_LIST_BYTES = 16 << 20
 REJECTION_LOG_INTERVAL_SECONDS = 5.0
 
 
 class ListState:
-    """The version of the endpoint list in force, whoever sent it, and how many lists were rejected."""
+    """The version of the endpoint list in force, and the number of rejected lists.
+
+    All discovery clients of a relay share it, so that a new one goes on from the version of the one before.
+    """
 
     def __init__(self, version: int) -> None:
         self.version = version
@@ -29,13 +33,14 @@
 
 
 class OutdatedListError(MessageError):
-    """A list of an older version than the one in force."""
+    """The version of a received list is older than the one in force."""
 
 
 class DiscoveryClient:
-    """Calls `on_list` with each snapshot and each change; an error or a timeout leads to a snapshot next.
+    """Calls `on_list` with each snapshot and each change of the endpoint list.
 
-    `on_received` is called before that, and `connected` tells whether the last call succeeded.
+    After an error or a timeout the next call asks for a snapshot. `on_received` is called after each valid response,
+    before `on_list`. `connected` tells whether the last call succeeded.
     """
 
     def __init__(
@@ -57,16 +62,16 @@
         self._rng = rng
         self._log = log
         self._snapshot_needed = True
-        # Since when only older versions have come, without a break. Each client has its own: an earlier
-        # discovery that goes on until this one is accepted would end the doubt with each of its responses.
-        self._older_since: float | None = None
-        self._next_rejection_log_at = 0.0  # until then rejected lists are counted, but not logged
+        # When the current run of outdated lists began. It is not part of the shared state: after a move the earlier
+        # client runs until this one's list is accepted, and each of its responses would end the run.
+        self._outdated_since: float | None = None
+        self._next_rejection_log_at = 0.0  # rejected lists before this time are counted, but not logged
         self.on_received: Callable[[], None] = lambda: None
         self.connected = False
         self._stopped = False
 
     def stop(self) -> None:
-        """Ends the client: nothing more is passed on."""
+        """Ends the client; `on_list` is not called any more."""
         self._stopped = True
 
     async def run(self) -> None:
@@ -80,17 +85,18 @@
                     self._log.warning(
                         "feed down",
                         feed="discovery",
-                        reason=str(error) or "silent",
-                        remedy="look at discovery's agent; the last good list stays",
+                        reason=str(error) or "timed out",
+                        remedy="check discovery's agent; the last good list stays in force",
                     )
                 self._count_rejection(error)
-            except Exception:  # noqa: BLE001 - one list must not end the feed; logged
+            except Exception:  # noqa: BLE001 - logged; a fault on one list must not end the feed
                 self._log.exception("an endpoint list could not be applied")
             self.connected = False
             self._snapshot_needed = True
             await asyncio.sleep(RETRY_DELAY_SECONDS * self._rng.uniform(0.5, 1.5))
 
     async def _poll(self) -> None:
+        """Makes one call: for a snapshot where one is needed, otherwise for changes since the known version."""
         path = b"/v1/endpoints"
         timeout = RESPONSE_GRACE_SECONDS
         state = self._state
@@ -102,9 +108,9 @@
             raise CallFailedError(f"status {response.status}")
         received = decode(response.body, EndpointList, MAX_LIST_BYTES)
         if self._snapshot_needed and not received.full:
-            raise MessageError("changes, where the whole list was asked for")
+            raise MessageError("received changes, expected the full list")
         if received.version < state.version:
-            self._check_older(received)
+            self._check_outdated(received)
         if self._stopped:
             return
         message = self._decode_list(received)
@@ -114,16 +120,17 @@
         self.connected = True
         self._snapshot_needed = False
         state.version = received.version
-        self._older_since = None
+        self._outdated_since = None
         if received.full or received.entries:
             self._on_list(message)
 
     def _count_rejection(self, error: Exception) -> None:
-        """Counts a rejected list, and logs it: a discovery whose lists cannot be read from the start only looks
-        silent otherwise.
+        """Counts and logs a rejected list, and ends a run of outdated lists at any other error.
+
+        Without the log line, a discovery whose lists were invalid from the start would look like one that is down.
         """
         if not isinstance(error, OutdatedListError):
-            self._older_since = None
+            self._outdated_since = None
         if not isinstance(error, MessageError):
             return
         self._state.rejected_lists += 1
@@ -134,16 +141,20 @@
                 "endpoint list rejected",
                 reason=str(error),
                 rejected=self._state.rejected_lists,
-                remedy="put right what discovery's agent sends; the last good list stays",
+                remedy="correct what discovery's agent sends; the last good list stays in force",
             )
 
-    def _check_older(self, received: EndpointList) -> None:
-        """Raises OutdatedListError for an old copy of the list, by which draining endpoints would be ready again.
-        Discovery that sends snapshots of old versions for long has restarted its versions.
+    def _check_outdated(self, received: EndpointList) -> None:
+        """Raises OutdatedListError for a list that is older than the one in force.
+
+        An old copy of the list would make draining endpoints ready again. Snapshots of older versions for at least
+        `VERSION_RESET_SECONDS` are accepted: discovery has restarted its version numbers.
         """
         now = self._loop.time()
-        if self._older_since is None:
-            self._older_since = now
-        if not received.full or now < self._older_since + VERSION_RESET_SECONDS:
-            raise OutdatedListError(f"version {received.version}, where {self._state.version} is known")
+        if self._outdated_since is None:
+            self._outdated_since = now
+        if not received.full or now < self._outdated_since + VERSION_RESET_SECONDS:
+            raise OutdatedListError(
+                f"outdated list: version {received.version}, version {self._state.version} is known"
+            )
         self._log.warning("discovery restarted its versions", version=received.version, known=self._state.version)
--- a/lanelead/postgres_relay/endpoint_list_decoder.py
+++ b/lanelead/postgres_relay/endpoint_list_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes discovery's lists for this relay: an entry that cannot be read is rejected alone."""
+"""Decodes discovery's endpoint lists; an invalid entry is rejected without the rest of its list."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class EndpointListDecoder:
-    """`clock_offset`: the driver's clock minus Unix time, in ticks; `rejected_entries`: since the start."""
+    """Decodes lists, and counts and logs rejected entries.
+
+    `clock_offset` is the driver's clock minus Unix time, in ticks; `rejected_entries` counts since the start.
+    """
 
     def __init__(self, driver: DecisionDriver, clock_offset: Ticks, log: Any) -> None:
         self._driver = driver
@@ -22,7 +25,7 @@
         self.rejected_entries = 0
 
     def decode(self, received: EndpointList) -> EndpointListMessage:
-        """The list as the driver takes it; rejected entries are counted and logged."""
+        """Returns the list for the driver, where rejected entries are replaced by the last good ones."""
         rejected: list[RejectedEntry] = []
         message = read_endpoint_list(received, self._last_known, rejected)
         if rejected:
@@ -33,12 +36,12 @@
                 count=len(rejected),
                 first=[entry.id[:64] for entry in rejected[:MAX_LOGGED_ENTRIES]],
                 reason=rejected[0].reason,
-                remedy="put these entries right at discovery; the last good entries of these endpoints still count",
+                remedy="correct these entries at discovery; the last good entries of these endpoints stay in force",
             )
         return message
 
     def _last_known(self, name: str) -> EndpointMessage | None:
-        """The entry in force of an endpoint; None where it is not known, or removed."""
+        """Returns the entry of an endpoint that is in force, or None if the endpoint is unknown or was removed."""
         endpoint = self._driver.registry.by_name.get(name)
         destination = self._driver.destinations.get(endpoint) if endpoint is not None else None
         if endpoint is None or destination is None or endpoint.status is EndpointStatus.REMOVED:
--- a/lanelead/postgres_relay/feed_handover.py
+++ b/lanelead/postgres_relay/feed_handover.py
@@ -1,4 +1,4 @@
-"""Replaces one feed by another: the earlier one goes on until the new one has received something."""
+"""Replaces one feed by another: the earlier feed runs on until the new one has received a message."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Generic, Protocol, TypeVar
 
-MAX_RUNNING_FEEDS = 4  # of one kind: the one in force, and the newest
+MAX_RUNNING_FEEDS = 4  # per kind: the oldest, which may still receive messages, and the newest three
 
 
 class Feed(Protocol):
-    """A client that is replaced when its address changes."""
+    """A client that is replaced when the configuration file is reloaded."""
 
-    on_received: Callable[[], None]  # to be called before what was received is passed on
+    on_received: Callable[[], None]  # the feed calls this before it passes a message on
 
     async def run(self) -> None:
         """Receives until stopped or cancelled."""
         ...
 
     def stop(self) -> None:
-        """Nothing more is passed on from now on."""
+        """Ends the feed; no message is passed on any more."""
         ...
 
 
@@ -27,24 +27,24 @@
 
 
 class FeedHandover(Generic[FeedT]):
-    """The running feeds of one kind.
+    """Runs the feeds of one kind, and stops earlier ones once a newer one has received a message.
 
-    What was written to the relay counts as received, by an earlier feed too: stopped at once, its last message
-    would be lost, and until the new feed is connected nothing would be received at all. Once the new feed has
-    received something, an earlier one's messages may be outdated and are not wanted any more.
+    If an earlier feed were stopped at once, a message that was already sent to the relay would be lost, and nothing
+    would be received until the new feed is connected. Once the new feed has received a message, those of earlier
+    feeds may be outdated.
     """
 
     def __init__(self, start_task: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]) -> None:
         self._start_task = start_task
-        self._running: dict[FeedT, asyncio.Task[None]] = {}  # in the order of their start
+        self._running: dict[FeedT, asyncio.Task[None]] = {}  # in the order of start
         self.newest: FeedT
 
     def start(self, feed: FeedT) -> None:
-        """Runs `feed`, which replaces the others as soon as it has received something."""
+        """Runs `feed`, which replaces the feeds started before it once it has received a message."""
         self.newest = feed
         feed.on_received = lambda: self._on_received(feed)
         self._running[feed] = self._start_task(feed.run())
-        # Guards against feeds that pile up, with a connection and calls each, where no new one ever connects.
+        # Limits the number of feeds, each of which has connections of its own, when no new feed ever connects.
         for unresponsive in list(self._running)[1 : 1 - MAX_RUNNING_FEEDS]:
             self._stop(unresponsive)
 
--- a/lanelead/postgres_relay/main.py
+++ b/lanelead/postgres_relay/main.py
@@ -1,4 +1,4 @@
-"""Starts the platform's relay on uvloop."""
+"""Starts the relay on the platform, on uvloop."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 def run(log_format: str) -> None:
-    """Serves until SIGTERM; `log_format` is the log's. A configuration that cannot be read ends the process with one
-    line on standard error and exit code 2.
+    """Serves until SIGTERM; `log_format` is passed to `logger`.
+
+    An invalid configuration file ends the process with one line on standard error and exit code 2.
     """
-    # Before its handler is installed a signal would end the process: it waits for that.
+    # Until its handler is installed, a signal would end the process: it is blocked, and delivered after that.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         path = path_from_environment()
@@ -33,8 +34,8 @@
 
     async def serve() -> None:
         service = Service(config, path, log)
-        # Objects created up to here live as long as the process: the collector would traverse them again and
-        # again while requests wait.
+        # Objects created up to here live as long as the process; freezing them keeps the garbage collector from
+        # traversing them again and again while requests wait.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
--- a/lanelead/postgres_relay/reloading.py
+++ b/lanelead/postgres_relay/reloading.py
@@ -1,4 +1,4 @@
-"""What a reloaded configuration file changes, and which of its changes have to wait for a restart."""
+"""Finds the changes in a reloaded configuration file that need a restart."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def ignored_until_restart(old: RelayConfig, new: RelayConfig, applied: Collection[str]) -> list[str]:
-    """The paths of changes that are not in force; `applied`: the settings that are."""
+    """Returns the paths of changed fields that stay without effect until a restart.
+
+    `applied` names the settings whose changes the running relay has already applied.
+    """
     ignored = [name for name in RESTART_FIELDS if getattr(new, name) != getattr(old, name)]
     names = sorted(name for name in {*old.settings, *new.settings} if name not in applied)
     ignored += [f"settings.{name}" for name in names if old.settings.get(name) != new.settings.get(name)]
--- a/lanelead/postgres_relay/rollout_client.py
+++ b/lanelead/postgres_relay/rollout_client.py
@@ -1,4 +1,4 @@
-"""The client of the rollout platform: one connection that receives stages and carries this relay's votes."""
+"""The client of the rollout platform: one connection that receives stages and sends this relay's votes."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 )
 from lanelead.settings.service_settings import Address
 
-PING_INTERVAL_SECONDS = 1.0  # between the platform's heartbeats
+PING_INTERVAL_SECONDS = 1.0  # between the platform's pings; also the connect timeout
 SILENCE_TIMEOUT_SECONDS = 2.5 * PING_INTERVAL_SECONDS
-RECONNECT_DELAY_SECONDS = 0.2  # with a random part
+RECONNECT_DELAY_SECONDS = 0.2  # with jitter
 READ_BUFFER_BYTES = 16384
 MAX_LINE_BYTES = 65536
 RolloutCallback = Callable[[RolloutMessage | None, bool, AttemptOutcome], None]
 
 
 class RolloutClient:
-    """Calls `notify` with each stage (is_vote False), and with each vote's outcome (is_vote True).
+    """Calls `notify(message, is_vote_reply, outcome)` for each stage received and for each vote's outcome.
 
-    `vote_timeout` is in seconds. A vote that was sent completely and got no response may have counted. Before a
-    stage is passed on `on_received` is called.
+    `message` is None for a vote that got no result. `vote_timeout` is in seconds. A vote that was sent completely and
+    got no response may have counted; its outcome is TIMED_OUT. `on_received` is called before a stage notification
+    is passed on. `connected` tells whether the connection is up and data has arrived on it.
     """
 
     def __init__(
@@ -61,13 +62,13 @@
         self._stopped = False
 
     def cast_vote(self, vote: CastVote) -> None:
-        """Sends a vote. One that cannot be sent at once fails, and the connection ends."""
+        """Sends a vote. If it cannot be sent at once, it fails and the connection is shut down."""
         params = {"build": vote.build, "stage": vote.stage, "verdict": VERDICT_NAMES[vote.verdict]}
-        text = encode_call(self._last_call_id + 1, "Rollout.Judge", params)
+        message = encode_call(self._last_call_id + 1, "Rollout.Judge", params)
         try:
-            if self._sock is None or self._sock.send(text) != len(text):
-                raise OSError("not connected, or not taken whole")
-        except OSError as error:  # its last byte was not written: it never counted
+            if self._sock is None or self._sock.send(message) != len(message):
+                raise OSError("not connected, or the socket's send buffer is full")
+        except OSError as error:  # the last byte was not written, so that the vote cannot have counted
             self._log.info("vote not cast", reason=str(error))
             self._loop.call_soon(self._notify, None, True, AttemptOutcome.CONNECT_FAILED)
             self._disconnect()
@@ -75,7 +76,7 @@
         self._last_call_id += 1
         call_id = self._last_call_id
         self._pending_votes[call_id] = self._loop.call_later(self._vote_timeout, self._on_vote_timeout, call_id)
-        self._log.info("vote", **params)
+        self._log.info("vote sent", **params)
 
     def _on_vote_timeout(self, call_id: int) -> None:
         if self._pending_votes.pop(call_id, None) is not None:
@@ -83,18 +84,18 @@
             self._notify(None, True, AttemptOutcome.TIMED_OUT)
 
     def _disconnect(self) -> None:
-        """Shuts the connection down; the task that reads it notices."""
+        """Shuts the connection down, which makes the task that reads from it reconnect."""
         if self._sock is not None:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """Ends the client; pending votes time out."""
+        """Ends the client; pending votes are reported as timed out."""
         self._stopped = True
         self._expire_votes()
 
     def _expire_votes(self) -> None:
-        """Reports votes whose response never comes: they may have counted."""
+        """Reports all pending votes as timed out: their responses never come, but they may have counted."""
         votes = self._pending_votes
         self._pending_votes = {}
         for timer in votes.values():
@@ -102,8 +103,8 @@
         for _ in votes:
             try:
                 self._notify(None, True, AttemptOutcome.TIMED_OUT)
-            except Exception:  # noqa: BLE001 - the other votes must be reported; logged
-                self._log.exception("the end of a vote could not be applied")
+            except Exception:  # noqa: BLE001 - logged; the other votes must still be reported
+                self._log.exception("the outcome of a vote could not be applied")
 
     async def run(self) -> None:
         """Connects and reads until stopped."""
@@ -115,16 +116,17 @@
                     self._log.warning(
                         "feed down",
                         feed="rollout",
-                        reason=str(error) or "silent",
-                        remedy="look at the platform; votes wait until it is back",
+                        reason=str(error) or "timed out",
+                        remedy="check the rollout platform; votes wait until it is back",
                     )
-            except Exception:  # noqa: BLE001 - one line must not end the feed; logged
+            except Exception:  # noqa: BLE001 - logged; a fault on one message must not end the feed
                 self._log.exception("the rollout connection failed")
             self.connected = False
             self._expire_votes()
             await asyncio.sleep(RECONNECT_DELAY_SECONDS * self._rng.uniform(0.5, 1.5))
 
     async def _watch(self) -> None:
+        """Opens a connection, subscribes to stages and handles messages until the connection fails or `stop`."""
         lines = LineSplitter(MAX_LINE_BYTES)
         async with asyncio.timeout(PING_INTERVAL_SECONDS):
             sock = await connect(self._loop, self._address)
@@ -136,7 +138,7 @@
                 async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                     data = await self._loop.sock_recv(sock, READ_BUFFER_BYTES)
                 if not data:
-                    raise OSError("closed by the platform")
+                    raise OSError("connection closed by the platform")
                 for line in lines.feed(data):
                     if self._stopped:
                         return
@@ -153,12 +155,12 @@
             stage = decode_stage(message.params).to_rollout_message()
             self.on_received()
             self._notify(stage, False, AttemptOutcome.SUCCEEDED)
-        elif message.method is not None:  # ping, and what later platforms may send
+        elif message.method is not None:  # a ping, or a notification of a later version of the platform
             return
         elif message.id is not None and message.id in self._pending_votes:
             self._handle_vote_response(message.id, message)
         elif message.id is None or not 0 < message.id <= self._last_call_id:
-            raise MessageError("an answer to no call")
+            raise MessageError("response to an unknown call id")
 
     def _handle_vote_response(self, call_id: int, message: RpcMessage) -> None:
         stage = None
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -1,5 +1,7 @@
-"""The relay's process on the platform: client listener, upstream requests, feeds, gossip and signals around
-one driver.
+"""The service of the relay on the platform.
+
+It connects one decision driver to the client listener, the upstream requests, the feeds (discovery and the rollout
+platform), gossip, the configuration and signals.
 """
 
 from __future__ import annotations
@@ -44,9 +46,9 @@
 if TYPE_CHECKING:
     from lanelead.postgres_relay.configuration_client import ConfigurationClient
 
-DRAIN_LINGER_SECONDS = 0.55  # after SIGTERM, in which clients still connect
-DRAIN_RESPONSE_SECONDS = 2.7  # at most, for responses after that: SIGKILL may come 3.7 s after SIGTERM
-FIRST_LIST_TIMEOUT_SECONDS = 0.6  # for discovery's first response, where the file has no list
+DRAIN_LINGER_SECONDS = 0.55  # after SIGTERM the listener stays open for this long, since clients still connect
+DRAIN_RESPONSE_SECONDS = 2.7  # maximum time for responses after that: SIGKILL may come 3.7 s after SIGTERM
+FIRST_LIST_TIMEOUT_SECONDS = 0.6  # wait for discovery's first response if the configuration file has no endpoint list
 SWEEP_INTERVAL_SECONDS = 0.25
 SWEEPS_PER_STATE_LINE = 20
 MAX_LOGGED_ERRORS = 10
@@ -54,7 +56,10 @@
 
 
 class Service(HostOperationsBase):
-    """One relay. To be created on a running event loop; `run` serves until `stop` or a signal."""
+    """One relay, which must be created on a running event loop; `run` serves until `stop` or a signal.
+
+    `path` is the configuration file, which SIGHUP reads again; `config` is what it held at the start.
+    """
 
     def __init__(self, config: RelayConfig, path: str, log: Any) -> None:
         super().__init__(asyncio.get_running_loop(), log.bind(relay=config.name))
@@ -75,11 +80,11 @@
         logged = {name: config.settings.get(name) for name in LOGGED_SETTINGS}
         self._log.info("settings read", **logged, limits=str(config.limits))
 
-    # Assembly
+    # Construction
 
     def _create_decisions(self, parameters: ServiceParameters, seed: str) -> None:
         self._clock = LoopClock(self._loop, lambda: self.driver.next_timer(), self._on_timer)
-        decisions = parameters.balancer(seed, self._clock.now())
+        decisions = parameters.create_balancer(seed, self._clock.now())
         self.driver = DecisionDriver(
             decisions=decisions,
             host=self,
@@ -114,7 +119,7 @@
         self.upstream.after_event = self.after_event
 
     def _create_feeds(self, parameters: ServiceParameters, config: RelayConfig) -> None:
-        # All machines share Unix time, in which discovery gives the start times of endpoints.
+        # Discovery gives the start times of endpoints in Unix time; the offset converts them to the driver's clock.
         self._clock_offset = self._clock.now() - int(time.time() * 10_000)
         self._list_decoder = EndpointListDecoder(self.driver, self._clock_offset, self._log)
         if config.known.entries:
@@ -135,7 +140,7 @@
     # Feeds
 
     def _start_feeds(self, config: RelayConfig) -> None:
-        """Starts feeds from this configuration's addresses; earlier ones end once these have received something."""
+        """Starts feeds from the addresses in `config`; earlier feeds end once these have received a message."""
         self._discovery_handover.start(
             DiscoveryClient(
                 self._loop,
@@ -163,20 +168,21 @@
         self._endpoints_known.set()
         self.after_event()
 
-    def _on_rollout_message(self, message: RolloutMessage | None, is_vote: bool, outcome: AttemptOutcome) -> None:
+    def _on_rollout_message(self, message: RolloutMessage | None, is_vote_reply: bool, outcome: AttemptOutcome) -> None:
         if message is not None and message.stage >= self._stage_count:
             if message.phase == "trial":
                 raise MessageError(
-                    f"a rollout message of stage {message.stage}, of {self._stage_count} in the settings"
+                    f"rollout stage {message.stage} does not exist: the settings have {self._stage_count} stages"
                 )
-            # Guards against a released build that would pass for a canary: its endpoints, which may be all there
-            # are, would get the first stage's share. Outside a canary phase the stage has no further meaning.
+            # If the message were dropped, a released build would still be treated as a canary, and its endpoints,
+            # which may be all there are, would get only the first stage's share of requests. Outside the canary phase
+            # the stage number has no other meaning, so it is safe to replace it by the last known stage.
             message = replace(message, stage=self._stage_count - 1)
-        self.driver.rollout_read(message, is_vote, outcome)
+        self.driver.rollout_read(message, is_vote_reply, outcome)
         self.after_event()
 
     def _follow_configuration(self, config: RelayConfig, sources: ConfigurationSources) -> None:
-        """Starts to follow the configuration; only here is its code imported."""
+        """Starts the configuration client. Its code is imported here, so that other relays do not load it."""
         from lanelead.postgres_relay.configuration_client import ConfigurationClient
 
         self._configuration_client = ConfigurationClient(
@@ -196,7 +202,7 @@
             self._log.warning(
                 "values of classes that the settings do not have",
                 keys=unknown[:MAX_LOGGED_ERRORS],
-                remedy="name the class in the file and restart the relay, or remove the key",
+                remedy="add the class to the settings file and restart the relay, or remove the key",
             )
         self._log.info("configuration in force", keys=len(keys), first=list(keys[:3]))
         self.after_event()
@@ -204,13 +210,13 @@
     # Running
 
     def install_signal_handlers(self) -> None:
-        """SIGTERM and SIGINT stop the relay, SIGHUP reloads its file."""
+        """Makes SIGTERM and SIGINT stop the relay, and SIGHUP reload its configuration file."""
         self._loop.add_signal_handler(signal.SIGTERM, self.stop)
         self._loop.add_signal_handler(signal.SIGINT, self.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def run(self, config: RelayConfig) -> None:
-        """Serves until told to stop, and drains; raises SystemExit where the address cannot be listened at."""
+        """Serves until `stop` is called, then drains. Raises SystemExit if the relay cannot listen at its address."""
         self._event_loop_monitor.start()
         self._start_feeds(config)
         if config.peer_listen:
@@ -219,7 +225,7 @@
             self._follow_configuration(config, config.configuration)
         if not config.known.entries:
             await self._wait_for_first_list()
-        if not self._stop.is_set():  # stopped before it listened: no request was taken
+        if not self._stop.is_set():  # if stopped before listening, there is nothing to drain
             await self._serve(*parse_address(config.listen))
         self._ended = True
         self.upstream.close_all()
@@ -229,17 +235,17 @@
         self._log.info("stopped", **self.state())
 
     async def _wait_for_first_list(self) -> None:
-        """Waits for discovery's first response, which comes at once where discovery is up. Without one the relay
-        listens all the same: a rejection, which is safe to retry, is better than no response.
+        """Waits for discovery's first list, until `stop` or a timeout.
+
+        A discovery that is up responds at once. Without a list the relay listens all the same: a rejection, which is
+        safe to retry, is better for clients than no response.
         """
-        waits = [self._loop.create_task(event.wait()) for event in (self._endpoints_known, self._stop)]
-        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_SECONDS, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
+        tasks = [self._loop.create_task(event.wait()) for event in (self._endpoints_known, self._stop)]
+        await asyncio.wait(tasks, timeout=FIRST_LIST_TIMEOUT_SECONDS, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
         if not self._endpoints_known.is_set():
-            self._log.warning(
-                "no endpoint list yet", remedy="look at discovery; requests are rejected until it answers"
-            )
+            self._log.warning("no endpoint list yet", remedy="check discovery; requests are rejected until it responds")
 
     async def _serve(self, host: str, port: int) -> None:
         try:
@@ -252,16 +258,19 @@
         sweeper = self._background_tasks.start(self._sweep())
         await self._stop.wait()
         self._log.info("draining", pending=len(self.driver.pending))
-        longest = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
-        await self.listener.drain(DRAIN_LINGER_SECONDS, min(longest, DRAIN_RESPONSE_SECONDS))
+        longest_timeout = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
+        await self.listener.drain(DRAIN_LINGER_SECONDS, min(longest_timeout, DRAIN_RESPONSE_SECONDS))
         sweeper.cancel()
 
     def stop(self) -> None:
-        """Begins to drain; `run` returns when that is done."""
+        """Starts draining; `run` returns once it is done."""
         self._stop.set()
 
     def after_event(self) -> None:
-        """To be called once the driver was notified of something: starts attempts, and sets the timer."""
+        """Starts the attempts that the driver has enqueued, and sets the driver's timer.
+
+        Must be called after each event that the driver was notified of.
+        """
         self.upstream.start_waiting()
         self._clock.arm()
 
@@ -270,23 +279,24 @@
         self.after_event()
 
     async def _sweep(self) -> None:
-        count = 0
+        """Applies the connections' timeouts at an interval, measures the event loop's lag, and logs the state."""
+        sweeps = 0
         while True:
-            before = self._loop.time()
+            slept_at = self._loop.time()
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
-            self._event_loop_monitor.record_lag(self._loop.time() - before - SWEEP_INTERVAL_SECONDS)
+            self._event_loop_monitor.record_lag(self._loop.time() - slept_at - SWEEP_INTERVAL_SECONDS)
             try:
                 self.upstream.sweep()
                 self.listener.sweep()
-            except Exception:  # noqa: BLE001 - one failed sweep must not be the last; logged
+            except Exception:  # noqa: BLE001 - logged; later sweeps must still run
                 self._log.exception("a sweep failed")
-            count += 1
-            if count % SWEEPS_PER_STATE_LINE == 0:
+            sweeps += 1
+            if sweeps % SWEEPS_PER_STATE_LINE == 0:
                 self._log.info("state", **self.state())
                 self._event_loop_monitor.reset()
 
     def state(self) -> dict[str, Any]:
-        """The state document: connections and feeds now, and counts since the start."""
+        """Returns the state document: the current connections and feeds, and counts since the start."""
         client = self._configuration_client
         return {
             **request_counts(self.driver),
@@ -305,7 +315,10 @@
     # Reload
 
     def reload(self) -> None:
-        """SIGHUP: the feeds move once the new file can be read, and values that may change are put in force."""
+        """Reads the configuration file again: moves the feeds to its addresses and applies tenants and class values.
+
+        An invalid file changes nothing. Other changes in the file are logged as ignored until a restart.
+        """
         if self._ended:
             return
         try:
@@ -314,11 +327,11 @@
             self._log.error(
                 "configuration not reloaded: the old one stays in force",
                 reason=str(error),
-                remedy="put the file right and send SIGHUP again",
+                remedy="correct the file and send SIGHUP again",
             )
             return
         old = self._config
-        # A relay that follows the configuration takes tenants and classes from there.
+        # With a configuration client, tenants and class values come from the configuration instead of the file.
         applied = self._apply_file_values(config) if self._configuration_client is None else []
         self._log.info(
             "configuration reloaded",
@@ -329,13 +342,15 @@
         self._start_feeds(config)
 
     def _apply_file_values(self, config: RelayConfig) -> list[str]:
-        """Puts the file's tenants and values of classes in force; returns the settings that this covers."""
+        """Applies the file's tenants and class values; returns the names of the settings fully applied by this."""
         old = self._config.settings
         new = config.settings
         keys, values, errors = changed_entries(old, new)
         for error in errors[:MAX_LOGGED_ERRORS]:
             self._log.warning(
-                "a value of the file was rejected", reason=str(error), remedy="the last good value stays in force"
+                "invalid value in the file",
+                reason=str(error),
+                remedy="correct the file and send SIGHUP again; the last good value stays in force",
             )
         if keys:
             self._apply_configuration(keys, values)
@@ -345,7 +360,7 @@
             return [TENANTS_SETTING, CLASSES_SETTING]
         return [TENANTS_SETTING]
 
-    # The rest of HostOperations
+    # HostOperations, apart from the methods of HostOperationsBase
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         """See `HostOperations`."""
@@ -356,7 +371,7 @@
         self._rollout_handover.newest.cast_vote(vote)
 
     def watch_endpoints(self, on: bool) -> None:
-        """Discovery is always watched here."""
+        """Does nothing: this relay always watches discovery."""
 
     def poll_endpoints(self) -> None:
-        """Discovery is always watched here."""
+        """Does nothing: this relay always watches discovery."""
--- a/lanelead/postgres_relay/service_parameters.py
+++ b/lanelead/postgres_relay/service_parameters.py
@@ -1,4 +1,4 @@
-"""The settings of a relay's file as the records that its parts take, and how its descriptors are shared out."""
+"""The parameters of the relay's parts, read from the settings, and how its file descriptors are divided."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
 from lanelead.postgres_relay.config import RelayConfig
 from lanelead.postgres_relay.connection_pool import PoolLimits
 
-RESERVED_DESCRIPTORS = 24  # for listening, feeds, gossip, the log and the interpreter
-CLIENT_DESCRIPTOR_SHARE = 0.5  # of the other descriptors; the rest is for upstream connections
+RESERVED_DESCRIPTORS = 24  # for the listening socket, feeds, gossip, the log and the interpreter
+CLIENT_DESCRIPTOR_SHARE = 0.5  # share of the other descriptors for clients; the rest is for upstream connections
 MAX_VALUE_BYTES = 65536
 DEFAULT_UPSTREAM_IDLE_SECONDS = 10.0
 
 
 @dataclass(frozen=True)
 class ServiceParameters:
-    """Read once from the settings, since the decisions, the driver and the listener share the records."""
+    """All parameters of a relay.
+
+    They are read only once, since the decisions, the driver and the listener must share the same objects: changes of
+    tenants and classes are made in place.
+    """
 
     request_classes: list[RequestClass]
     service_limits: ServiceLimits
@@ -38,14 +42,14 @@
     position: RelayPosition
     canary_limits: CanaryLimits
     prices: Prices
-    report_names: frozenset[str]  # fields of endpoints' load reports
-    upstream_idle_seconds: float  # after which an endpoint closes an idle connection
+    report_names: frozenset[str]  # the fields in endpoints' load reports
+    upstream_idle_seconds: float  # an endpoint closes a connection that was idle for this long
     max_clients: int
     max_upstream_connections: int
 
     @classmethod
     def read(cls, config: RelayConfig) -> ServiceParameters:
-        """Reads settings that `settings_checks.check` has passed."""
+        """Reads the settings, which must have passed `check_settings`."""
         parameters = config.parameters
         descriptors = max(8, config.limits.sockets - RESERVED_DESCRIPTORS)
         max_clients = int(descriptors * CLIENT_DESCRIPTOR_SHARE)
@@ -64,8 +68,8 @@
             max_upstream_connections=descriptors - max_clients,
         )
 
-    def balancer(self, seed: str, now: Ticks) -> Balancer:
-        """The decisions of this relay; `seed` is a hexadecimal number."""
+    def create_balancer(self, seed: str, now: Ticks) -> Balancer:
+        """Creates the decision logic of this relay; `seed` is a hexadecimal number."""
         return Balancer(
             position=self.position,
             request_classes=self.request_classes,
@@ -80,7 +84,7 @@
         )
 
     def pool_limits(self) -> PoolLimits:
-        """The limits of upstream connections."""
+        """Returns the limits of upstream connections, with times in seconds."""
         return PoolLimits(
             connect_timeout=self.resource_quota.connect_timeout / 10_000,
             idle_timeout=self.upstream_idle_seconds,
--- a/lanelead/postgres_relay/settings_checks.py
+++ b/lanelead/postgres_relay/settings_checks.py
@@ -1,5 +1,6 @@
-"""What the settings must contain before a relay may start, field by field. A missing field has the default named
-here or is refused; nothing is guessed from another deployment's values.
+"""Checks the settings in a relay's file, field by field, before they are used.
+
+A missing field either has a default or is an error; no value is taken over from another deployment.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Minimum(NamedTuple):
-    """The least value of a field, and whether the field may have just that."""
+    """The lower bound of a field, and whether the bound itself is allowed."""
 
     value: float
     inclusive: bool
@@ -21,7 +22,7 @@
 AT_LEAST_1 = Minimum(1.0, True)
 OVER_0 = Minimum(0.0, False)
 
-# By field under `requestClasses.N.` for each class, under `accounts.N.` for each tenant, and by path.
+# By field of each class, under `requestClasses.N.`.
 CLASS_MINIMUMS = {
     "aimMs": OVER_0,
     "deadlineMs": OVER_0,
@@ -30,7 +31,9 @@
     "windowMs": AT_LEAST_0,
     "aimStretch": AT_LEAST_0,
 }
+# By field of each tenant, under `accounts.N.`.
 TENANT_MINIMUMS = {"quotaPerS": AT_LEAST_0, "share": AT_LEAST_0}
+# By path of the other fields.
 MINIMUMS = {
     "instances": AT_LEAST_1,
     "me": AT_LEAST_0,
@@ -49,7 +52,8 @@
     "familyInfo.countedOverMs": OVER_0,
     "familyInfo.voteTtlMs": OVER_0,
 }
-# Without these a relay could do nothing, or do harm; docs/crossings.md names the defaults of all others.
+# Fields without a safe default: without them a relay could not work, or would do damage. docs/crossings.md lists the
+# defaults of all other fields.
 REQUIRED_CLASS_FIELDS = ("aimMs", "deadlineMs", "repeat", "name")
 REQUIRED_FIELDS = (
     "instances",
@@ -61,8 +65,8 @@
 )
 
 
-def check(parameters: ParameterReader) -> None:
-    """Raises MessageError, which names the first wrong field and what to do."""
+def check_settings(parameters: ParameterReader) -> None:
+    """Checks all settings. Raises MessageError, which names the first invalid field and what is expected."""
     try:
         _check_counts_and_minimums(parameters)
         _check_relations(parameters)
@@ -73,7 +77,7 @@
 
 def _check_counts_and_minimums(parameters: ParameterReader) -> None:
     if not parameters.integer("requestClasses.count"):
-        raise MessageError("settings.requestClasses: none; name at least one class")
+        raise MessageError("settings.requestClasses: empty; expected at least one class")
     for path in REQUIRED_FIELDS:
         _check_present(parameters, path)
     for path, minimum in MINIMUMS.items():
@@ -87,28 +91,30 @@
 
 
 def _check_class(parameters: ParameterReader, prefix: str, names: set[str]) -> None:
-    """Checks one class; `names` are those of the classes before it."""
+    """Checks one class, and adds its name to `names`, which holds those of the classes before it."""
     for field in REQUIRED_CLASS_FIELDS:
         _check_present(parameters, prefix + field)
     for field, minimum in CLASS_MINIMUMS.items():
         _check_minimum(parameters, prefix + field, minimum)
     name = parameters.text(prefix + "name")
     if name in names:
-        raise MessageError(f"settings.{prefix}name: {name} is there twice; give each class a name of its own")
+        raise MessageError(f"settings.{prefix}name: {name} is the name of an earlier class; expected a unique name")
     names.add(name)
 
 
 def _check_relations(parameters: ParameterReader) -> None:
     if parameters.number("me") >= parameters.number("instances"):
-        raise MessageError("settings.me: must be under settings.instances; number the relays from 0")
+        raise MessageError("settings.me: expected less than settings.instances; relays are numbered from 0")
     shares = parameters.numbers("familyInfo.shares")
     limits = parameters.numbers("familyInfo.mostShares")
     if len(shares) != len(limits) or any(not 0 <= share <= 1 for share in (*shares, *limits)):
-        raise MessageError("settings.familyInfo.mostShares: as many as shares, each from 0 to 1")
+        raise MessageError(
+            "settings.familyInfo.mostShares: expected as many values as in shares, each from 0 to 1 in both"
+        )
 
 
 def _read_all(parameters: ParameterReader) -> None:
-    """Reads all records once, for the errors that this raises."""
+    """Reads each group of parameters once: invalid values raise ParameterError."""
     parameters.request_classes()
     parameters.tenants()
     parameters.service_limits()
@@ -119,14 +125,14 @@
 
 def _check_present(parameters: ParameterReader, path: str) -> None:
     if parameters.text(path) == "-":
-        raise MessageError(f"settings.{path}: missing; name it, there is no default that is safe")
+        raise MessageError(f"settings.{path}: missing; the field is required, since no default is safe")
 
 
 def _check_minimum(parameters: ParameterReader, path: str, minimum: Minimum) -> None:
-    least, inclusive = minimum
+    bound, inclusive = minimum
     try:
-        value = parameters.number(path, least if inclusive else 1.0)
+        value = parameters.number(path, bound if inclusive else 1.0)  # an absent field passes
     except ParameterError as error:
         raise MessageError(f"settings.{path}: {error}") from None
-    if value < least or (value == least and not inclusive):
-        raise MessageError(f"settings.{path}: {value:g}; must be {'at least' if inclusive else 'over'} {least:g}")
+    if value < bound or (value == bound and not inclusive):
+        raise MessageError(f"settings.{path}: {value:g}; expected {'at least' if inclusive else 'more than'} {bound:g}")
--- a/lanelead/postgres_relay/state_document.py
+++ b/lanelead/postgres_relay/state_document.py
@@ -1,4 +1,4 @@
-"""The relay's counters as the fields of its state document, which it writes to its log."""
+"""The relay's counters as fields of its state document, which it logs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def request_counts(driver: DecisionDriver) -> dict[str, Any]:
-    """Requests and attempts since the start."""
+    """Returns counts of requests and attempts since the start, and the requests pending now."""
     counters = driver.counters
     return {
         "received": counters.received,
@@ -26,7 +26,7 @@
 
 
 def client_counts(listener: ClientListener) -> dict[str, int]:
-    """Client connections now, and what was rejected or ended since the start."""
+    """Returns the client connections now, and counts of rejections and closed connections since the start."""
     return {
         "client_connections": len(listener.clients),
         "unreadable_statements": listener.unreadable_statements,
@@ -39,7 +39,7 @@
 
 
 def upstream_counts(driver: DecisionDriver, upstream: UpstreamRequests) -> dict[str, int]:
-    """Endpoints and upstream connections now, and what happened on connections since the start."""
+    """Returns the endpoints and upstream connections now, and counts of connection events since the start."""
     return {
         "endpoints": len(driver.destinations),
         "upstream_connections": len(upstream.connections),
