--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -24,7 +24,7 @@
 class ListState:
     """The version of the endpoint list in force, and the number of rejected lists.
 
-    All discovery clients of a relay share it, so that a new one goes on from the version of the one before.
+    All discovery clients of a relay share it, so that a new one also detects lists older than those of earlier ones.
     """
 
     def __init__(self, version: int) -> None:
--- a/tests/discovery_emulator.py
+++ b/tests/discovery_emulator.py
@@ -1,4 +1,4 @@
-"""Discovery's agent in a test's hand: each call is kept until the test answers it, in whole or in part."""
+"""An emulator of discovery's agent that holds each call until the test responds to it, fully or in part."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 SNAPSHOT_PATH = b"/v1/endpoints"
 
 
-def entry(unit: ScriptedEndpoint, **fields: Any) -> dict[str, Any]:
-    """A unit's entry; a field given as None is left out."""
-    found = {
-        "id": unit.name,
-        "addr": f"127.0.0.1:{unit.port}",
+def entry(endpoint: ScriptedEndpoint, **fields: Any) -> dict[str, Any]:
+    """Returns an endpoint's entry of a list; a field given as None is left out."""
+    defaults = {
+        "id": endpoint.name,
+        "addr": f"127.0.0.1:{endpoint.port}",
         "zone": "north",
         "kind": "k",
         "cell": 0,
@@ -30,61 +30,72 @@
         "started_ms": 0,
         "revision_no": 1,
     }
-    return {name: value for name, value in (found | fields).items() if value is not None}
+    return {name: value for name, value in (defaults | fields).items() if value is not None}
 
 
 def list_body(version: int, *entries: Any, full: bool = False) -> bytes:
+    """Returns the body of a response with a list."""
     return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
 class DiscoveryCall:
-    """One call to discovery. `over`: the relay has ended it, or it was answered."""
+    """One call to discovery. `ended` is set once its connection is closed, by the relay or after the response."""
 
-    def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        self._caller, self.target = caller, ask.target
+    def __init__(self, connection: ServerConnection, request: HttpRequest) -> None:
+        self._connection, self.target = connection, request.target
         self.ended = asyncio.Event()
-        caller.close_callbacks.append(self.ended.set)
+        connection.close_callbacks.append(self.ended.set)
 
     @property
     def is_snapshot(self) -> bool:
+        """Whether the call asks for the full list."""
         return self.target == SNAPSHOT_PATH
 
     def write(self, text: bytes) -> None:
-        self._caller.write(text)
+        """Sends raw bytes."""
+        self._connection.write(text)
 
     def end(self) -> None:
-        self._caller.close()
+        """Closes the connection."""
+        self._connection.close()
 
-    def write_response(self, text: bytes) -> None:
-        self.write(serialization.response(200, (), text, keep=False))
+    def write_response(self, body: bytes) -> None:
+        """Sends a response with this body, and ends the call."""
+        self.write(serialization.response(200, (), body, keep=False))
         self.end()
 
     def respond(self, version: int, *entries: Any, full: bool | None = None) -> None:
-        """The whole list where it was asked for, changes where those were, or as `full` says."""
+        """Responds with the full list or with changes, as the call asks or as `full` says."""
         self.write_response(list_body(version, *entries, full=self.is_snapshot if full is None else full))
 
 
 class DiscoveryEmulator:
+    """An HTTP server that queues the relay's calls for the test."""
+
     def __init__(self) -> None:
         self._calls: asyncio.Queue[DiscoveryCall] = asyncio.Queue()
-        self._callers: list[ServerConnection] = []
+        self._connections: list[ServerConnection] = []
 
     async def open(self, port: int = 0) -> None:
+        """Starts listening; sets `port`."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(self._on_request, self._callers.append), "127.0.0.1", port
+            lambda: ServerConnection(self._on_request, self._connections.append), "127.0.0.1", port
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def _on_request(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        self._calls.put_nowait(DiscoveryCall(caller, ask))
+    def _on_request(self, connection: ServerConnection, request: HttpRequest) -> None:
+        self._calls.put_nowait(DiscoveryCall(connection, request))
 
     async def next(self) -> DiscoveryCall:
+        """Waits for the next call."""
         return await self._calls.get()
 
     async def watch(self, version: int, *entries: Any) -> DiscoveryCall:
-        """Answers calls for the whole list until a watch follows, and gives that: on a machine that stands
-        still the relay may have given one up that was answered."""
+        """Responds to snapshot calls until a watch follows, and returns the watch.
+
+        There may be several: on a busy machine the relay may time out although a call was answered.
+        """
         call = await self.next()
         assert call.is_snapshot, call.target
         while call.is_snapshot:
@@ -94,24 +105,25 @@
         return call
 
     async def kill(self) -> None:
-        """From now on its address refuses, and what was open on it is reset."""
+        """Stops listening, so that the address refuses connections, and resets open connections."""
         self._server.close()
-        for caller in self._callers:
-            caller.reset()
+        for connection in self._connections:
+            connection.reset()
         await self._server.wait_closed()
 
 
 @contextlib.asynccontextmanager
 async def discovery() -> AsyncIterator[DiscoveryEmulator]:
-    found = DiscoveryEmulator()
-    await found.open()
+    """Runs a discovery emulator."""
+    emulator = DiscoveryEmulator()
+    await emulator.open()
     try:
-        yield found
+        yield emulator
     finally:
-        await found.kill()
+        await emulator.kill()
 
 
-def move_discovery(place: Platform, port: int) -> None:
-    """SIGHUP, with a configuration whose discovery is at this port; the desk stays."""
-    place.write([port, place.ports()[1]])
-    place.relay.reload()
+def move_discovery(env: Platform, port: int) -> None:
+    """Reloads a configuration with discovery at `port`; the rollout platform's address stays."""
+    env.write([port, env.ports()[1]])
+    env.relay.reload()
--- a/tests/relay_processes.py
+++ b/tests/relay_processes.py
@@ -1,4 +1,4 @@
-"""Relays on the platform as processes of their own, beside the platform of the test's own process."""
+"""Relays on the platform in processes of their own; discovery and the endpoints run in the test's process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RelayProcess:
-    """A relay's process beside a platform's; its log is read as it comes."""
+    """A relay's process and its log lines. `place` is the platform that it uses."""
 
     def __init__(self, place: Platform, process: asyncio.subprocess.Process, port: int) -> None:
         self.place, self.process, self.port = place, process, port
@@ -32,15 +32,20 @@
                 self.log.append(json.loads(line))
 
     def said(self, event: str) -> int:
+        """Returns how many log lines have this event."""
         return sum(line.get("event") == event for line in self.log)
 
     async def until(self, event: str, times: int = 1) -> None:
+        """Waits until the event was logged `times` times."""
         while self.said(event) < times:
             if self.process.returncode is not None and self._reading.done():
-                raise AssertionError(f"it ended with {self.process.returncode} before {event!r}: {self.log}")
+                raise AssertionError(
+                    f"the relay exited with {self.process.returncode} before {event!r} was logged: {self.log}"
+                )
             await asyncio.sleep(0.01)
 
     async def client(self) -> PostgresClient:
+        """Connects a client that is ready to send requests."""
         client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
         self.place.writers.append(client.writer)
         client.writer.write(messages.startup("app", "shop"))
@@ -48,18 +53,20 @@
         return client
 
     async def kill_and_wait(self) -> None:
+        """Sends SIGKILL, and waits for the end."""
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
         await self.ended()
 
     async def ended(self) -> int:
+        """Waits for the process's end, and returns its exit code."""
         code = await self.process.wait()
         await self._reading
         return code
 
 
 async def start_relay(place: Platform, file: Path, port: int) -> RelayProcess:
-    """Starts a relay with a configuration file, which has it listen at the port."""
+    """Starts a relay process with a configuration file; `port` is the one in the file where it listens."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -73,9 +80,12 @@
 
 
 @contextlib.asynccontextmanager
-async def relay(*units: ScriptedEndpoint, known: bool = True, silent: bool = False) -> AsyncIterator[RelayProcess]:
-    """A process that the same discovery, rollout platform and endpoints serve as the relay in this one."""
-    async with platform(*units) as place:
+async def relay(*endpoints: ScriptedEndpoint, known: bool = True, silent: bool = False) -> AsyncIterator[RelayProcess]:
+    """Runs a relay process that uses the same discovery, rollout platform and endpoints as the test's own relay.
+
+    `known` says whether its file has an endpoint list; `silent` keeps discovery from responding.
+    """
+    async with platform(*endpoints) as place:
         if silent:
             place.discovery_responds.clear()
         config = json.loads((place.folder / "config.json").read_text())
@@ -85,8 +95,8 @@
             config["known"] = {"version": 0, "full": True, "servers": []}
         file = place.folder / "other.json"
         file.write_text(json.dumps(config))
-        found = await start_relay(place, file, port)
+        relay_process = await start_relay(place, file, port)
         try:
-            yield found
+            yield relay_process
         finally:
-            await found.kill_and_wait()
+            await relay_process.kill_and_wait()
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -1,4 +1,7 @@
-"""Discovery that moves while units drain, and watches that fall silent: docs/crossings.md has the table."""
+"""Moves of discovery to another address while endpoints drain, and watches without a response.
+
+docs/crossings.md has the table of cases.
+"""
 
 from __future__ import annotations
 
@@ -15,55 +18,58 @@
 from tests.discovery_emulator import DiscoveryCall, DiscoveryEmulator, discovery, entry, list_body, move_discovery
 from tests.postgres_platform import Platform, PostgresClient, free_port, platform
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
-from tests.test_feed_races import condition
+from tests.test_feed_races import endpoint_status
 from tests.town import live
 
-FULL = messages.error("53300", "full") + READY
-SOON = 0.1  # seconds that a watch may wait; it is given up LATE after that
+REJECTION = messages.error("53300", "full") + READY
+SHORT_HOLD_SECONDS = 0.1  # hold time of a watch; the client gives up RESPONSE_GRACE_SECONDS after it
 
 
 class RejectingEndpoint(HeldEndpoint):
-    """A unit that turns a lookup away once the test lets it."""
+    """An endpoint that rejects one request each time the test allows a response."""
 
-    async def _wait_for_permit(self, unit: ScriptedEndpoint, text: bytes) -> bytes | None:
+    async def _wait_for_permit(self, endpoint: ScriptedEndpoint, text: bytes) -> bytes | None:
         await self.permits.acquire()
-        return FULL
+        return REJECTION
 
 
 @contextlib.asynccontextmanager
 async def relay_with_discovery(
-    *units: ScriptedEndpoint,
+    *endpoints: ScriptedEndpoint,
 ) -> AsyncIterator[tuple[Platform, DiscoveryEmulator, DiscoveryCall]]:
-    """A relay whose discovery is in the test's hand: version 10, all active, and its first watch."""
-    async with discovery() as old, platform(*units) as place:
-        move_discovery(place, old.port)
-        watch = await old.watch(10, *(entry(unit) for unit in units))
-        await place.until(lambda: len(place.relay._discovery_handover._running) == 1)
-        yield place, old, watch
+    """Runs a relay whose discovery the test controls; yields both and the first watch.
+
+    The list in force is version 10, with all endpoints active.
+    """
+    async with discovery() as old, platform(*endpoints) as env:
+        move_discovery(env, old.port)
+        watch = await old.watch(10, *(entry(endpoint) for endpoint in endpoints))
+        await env.until(lambda: len(env.relay._discovery_handover._running) == 1)
+        yield env, old, watch
 
 
 async def waiting_request(
-    place: Platform, ident: str, request_class: str = "file"
+    env: Platform, ident: str, request_class: str = "file"
 ) -> tuple[PostgresClient, ScriptedEndpoint, ScriptedEndpoint]:
-    """A client whose lookup waits at a unit; that unit, and the other one."""
-    client = await place.client()
+    """Returns a client whose request waits at an endpoint, that endpoint, and the other one."""
+    client = await env.client()
     client.send(ident, request_class)
-    first, other = place.endpoints
+    first, other_endpoint = env.endpoints
     text = b"id=%s," % ident.encode()
-    await place.until(lambda: any(text in query for unit in place.endpoints for query in unit.queries))
+    await env.until(lambda: any(text in query for endpoint in env.endpoints for query in endpoint.queries))
     if any(text in query for query in first.queries):
-        return client, first, other
-    return client, other, first
+        return client, first, other_endpoint
+    return client, other_endpoint, first
 
 
-def permit(unit: ScriptedEndpoint) -> None:
-    """It may answer one more."""
-    assert isinstance(unit, HeldEndpoint)
-    unit.permits.release()
+def allow_response(endpoint: ScriptedEndpoint) -> None:
+    """Lets the endpoint answer one more query."""
+    assert isinstance(endpoint, HeldEndpoint)
+    endpoint.permits.release()
 
 
-async def one_answer(case: unittest.TestCase, client: PostgresClient, ident: str) -> None:
-    """The lookup's value comes, and nothing behind it."""
+async def assert_single_response(case: unittest.TestCase, client: PostgresClient, ident: str) -> None:
+    """Asserts that the client receives the value of its request, and nothing after it."""
     case.assertTrue((await client.response())["D"].endswith(b"value of " + ident.encode()))
     with case.assertRaises(TimeoutError):
         async with asyncio.timeout(0.05):
@@ -71,265 +77,270 @@
 
 
 class Moves(unittest.TestCase):
-    """SIGHUP while a unit drains and a lookup waits there."""
+    """A reload moves discovery while an endpoint drains and a request waits there."""
 
-    async def _served(self, place: Platform, drains: ScriptedEndpoint, serves: ScriptedEndpoint) -> None:
-        """New lookups go to the other unit alone; no probe either comes to the one that drains."""
-        asked, opened = len(drains.queries), drains.connections
+    async def _assert_served_only_by(
+        self, env: Platform, draining: ScriptedEndpoint, serving: ScriptedEndpoint
+    ) -> None:
+        """Asserts that new requests go to `serving` only, and that `draining` gets no health check either."""
+        queries_before, connections_before = len(draining.queries), draining.connections
         for number in range(6):
-            permit(serves)
-            client = await place.client()
+            allow_response(serving)
+            client = await env.client()
             self.assertIn("T", await client.request(f"{number}b", "read"))
-        self.assertEqual((len(drains.queries), drains.connections), (asked, opened))
+        self.assertEqual((len(draining.queries), draining.connections), (queries_before, connections_before))
 
     @live
-    async def test_told_as_leaving_by_the_old_one_while_the_new_one_is_silent(self) -> None:
+    async def test_drain_reported_by_the_earlier_discovery_while_the_new_one_is_silent(self) -> None:
         async with (
-            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (place, _, watch),
+            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
             discovery() as new,
         ):
-            client, drains, serves = await waiting_request(place, "1a")
-            move_discovery(place, new.port)
+            client, draining, serving = await waiting_request(env, "1a")
+            move_discovery(env, new.port)
             first = await new.next()
-            watch.respond(11, entry(drains, state="leaving"))
-            await place.until(lambda: condition(place, drains.name) == "draining")
-            await self._served(place, drains, serves)
-            first.respond(11, entry(drains, state="leaving"), entry(serves))
+            watch.respond(11, entry(draining, state="leaving"))
+            await env.until(lambda: endpoint_status(env, draining.name) == "draining")
+            await self._assert_served_only_by(env, draining, serving)
+            first.respond(11, entry(draining, state="leaving"), entry(serving))
             await new.next()
-            await self._served(place, drains, serves)
-            permit(drains)
-            await one_answer(self, client, "1a")
+            await self._assert_served_only_by(env, draining, serving)
+            allow_response(draining)
+            await assert_single_response(self, client, "1a")
 
     @live
-    async def test_told_as_leaving_by_the_new_one_alone(self) -> None:
+    async def test_drain_reported_by_the_new_discovery_only(self) -> None:
         async with (
-            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (place, _, watch),
+            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
             discovery() as new,
         ):
-            client, drains, serves = await waiting_request(place, "1a")
-            move_discovery(place, new.port)
-            await new.watch(12, entry(drains, state="leaving"), entry(serves))
-            self.assertEqual(condition(place, drains.name), "draining")
-            watch.respond(13, entry(drains))  # the earlier one is not heeded any more
+            client, draining, serving = await waiting_request(env, "1a")
+            move_discovery(env, new.port)
+            await new.watch(12, entry(draining, state="leaving"), entry(serving))
+            self.assertEqual(endpoint_status(env, draining.name), "draining")
+            watch.respond(13, entry(draining))  # the earlier discovery is ignored now
             await watch.ended.wait()
-            await self._served(place, drains, serves)
-            permit(drains)
-            await one_answer(self, client, "1a")
+            await self._assert_served_only_by(env, draining, serving)
+            allow_response(draining)
+            await assert_single_response(self, client, "1a")
 
     @live
-    async def test_told_as_leaving_by_both_and_then_gone_from_the_list(self) -> None:
+    async def test_drain_reported_by_both_and_then_removed_from_the_list(self) -> None:
         async with (
-            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (place, _, watch),
+            relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
             discovery() as new,
         ):
-            client, drains, serves = await waiting_request(place, "1a")
-            move_discovery(place, new.port)
+            client, draining, serving = await waiting_request(env, "1a")
+            move_discovery(env, new.port)
             first = await new.next()
-            watch.respond(11, entry(drains, state="leaving"))
-            await place.until(lambda: condition(place, drains.name) == "draining")
-            first.respond(12, entry(serves))
+            watch.respond(11, entry(draining, state="leaving"))
+            await env.until(lambda: endpoint_status(env, draining.name) == "draining")
+            first.respond(12, entry(serving))
             watch = await new.next()
-            await place.until(lambda: condition(place, drains.name) == "removed")
-            await self._served(place, drains, serves)
-            permit(drains)
-            await one_answer(self, client, "1a")
-            await place.until(lambda: drains.closed == drains.connections)
-            watch.respond(13, entry(drains), entry(serves, state="leaving"))
-            await place.until(lambda: condition(place, serves.name) == "draining")
-            await self._served(place, serves, drains)
+            await env.until(lambda: endpoint_status(env, draining.name) == "removed")
+            await self._assert_served_only_by(env, draining, serving)
+            allow_response(draining)
+            await assert_single_response(self, client, "1a")
+            await env.until(lambda: draining.closed == draining.connections)
+            watch.respond(13, entry(draining), entry(serving, state="leaving"))
+            await env.until(lambda: endpoint_status(env, serving.name) == "draining")
+            await self._assert_served_only_by(env, serving, draining)
 
     @live
-    async def test_a_new_one_that_counts_anew_is_believed_while_the_old_one_goes_on(self) -> None:
+    async def test_restarted_versions_are_accepted_while_the_earlier_discovery_responds(self) -> None:
         with mock.patch.object(discovery_client, "VERSION_RESET_SECONDS", 0.3):
             async with (
-                relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, old, watch),
+                relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, old, watch),
                 discovery() as new,
             ):
-                move_discovery(place, new.port)
+                move_discovery(env, new.port)
 
-                async def go_on(watch: DiscoveryCall) -> None:
-                    while True:  # nothing has changed: an answer and the next watch, again and again
+                async def respond_unchanged(watch: DiscoveryCall) -> None:
+                    while True:  # respond to each watch without a change
                         await asyncio.sleep(0.05)
                         watch.respond(10)
                         watch = await old.next()
 
-                async def tell_anew() -> None:
+                async def respond_with_reset_versions() -> None:
                     while True:
                         call = await new.next()
                         if call.is_snapshot:
-                            call.respond(2, entry(place.endpoints[0]), entry(place.endpoints[1], state="leaving"))
+                            call.respond(2, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
 
-                others = [asyncio.create_task(go_on(watch)), asyncio.create_task(tell_anew())]
+                tasks = [
+                    asyncio.create_task(respond_unchanged(watch)),
+                    asyncio.create_task(respond_with_reset_versions()),
+                ]
                 async with asyncio.timeout(3):
-                    await place.until(lambda: condition(place, "u1") == "draining")
-                for other in others:
-                    other.cancel()
-                self.assertEqual(place.logged("discovery restarted its versions"), 1)
-                self.assertEqual(len(place.relay._discovery_handover._running), 1)
+                    await env.until(lambda: endpoint_status(env, "u1") == "draining")
+                for task in tasks:
+                    task.cancel()
+                self.assertEqual(env.logged("discovery restarted its versions"), 1)
+                self.assertEqual(len(env.relay._discovery_handover._running), 1)
 
     @live
-    async def test_many_moves_to_addresses_that_say_nothing_leave_few_feeds(self) -> None:
+    async def test_many_moves_to_silent_addresses_leave_few_feeds(self) -> None:
         async with (
-            relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, _, watch),
+            relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, _, watch),
             discovery() as new,
         ):
-            place.sends_stage = False
+            env.sends_stage = False
             for _ in range(3 * feed_handover.MAX_RUNNING_FEEDS):
-                move_discovery(place, new.port)
-            relay = place.relay
+                move_discovery(env, new.port)
+            relay = env.relay
             self.assertEqual(
                 (len(relay._discovery_handover._running), len(relay._rollout_handover._running)),
                 (feed_handover.MAX_RUNNING_FEEDS, feed_handover.MAX_RUNNING_FEEDS),
             )
-            watch.respond(11, entry(place.endpoints[1], state="leaving"))  # the one that counts is still heard
-            await place.until(lambda: condition(place, "u1") == "draining")
+            watch.respond(11, entry(env.endpoints[1], state="leaving"))  # the oldest feed is still followed
+            await env.until(lambda: endpoint_status(env, "u1") == "draining")
             while len(relay._discovery_handover._running) > 1:
                 call = await new.next()
-                call.respond(11, entry(place.endpoints[0]), entry(place.endpoints[1], state="leaving"))
+                call.respond(11, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
                 await asyncio.sleep(0)
 
 
-class Silences(unittest.TestCase):
-    """A watch that falls silent: it is broken, and what it misses counts as told 6 s later."""
+class SilentWatches(unittest.TestCase):
+    """A watch without a response is given up, since each change must be known to the relay within 6 s."""
 
-    async def _given_up(
-        self, place: Platform, disc: DiscoveryEmulator, watch: DiscoveryCall, version: int = 11
+    async def _assert_resynchronized(
+        self, env: Platform, emulator: DiscoveryEmulator, watch: DiscoveryCall, version: int = 11
     ) -> None:
-        """The silent watch ends, the whole list is asked for, and the drain that was missed is known."""
+        """Asserts that the relay ends the silent watch and learns of the missed drain from a snapshot."""
         await watch.ended.wait()
-        self.assertEqual(condition(place, "u1"), "ready")
-        await disc.watch(version, entry(place.endpoints[0]), entry(place.endpoints[1], state="leaving"))
-        self.assertEqual(condition(place, "u1"), "draining")
+        self.assertEqual(endpoint_status(env, "u1"), "ready")
+        await emulator.watch(version, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
+        self.assertEqual(endpoint_status(env, "u1"), "draining")
 
     @live
-    async def test_after_many_good_answers(self) -> None:
+    async def test_after_many_valid_responses(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", 0.5):
-            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, watch):
+            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
                 for version in range(11, 211):
-                    watch.respond(version, entry(place.endpoints[0]))
-                    last, watch = watch, await disc.next()
+                    watch.respond(version, entry(env.endpoints[0]))
+                    last, watch = watch, await emulator.next()
                     self.assertIn(b"from=%d&" % version, watch.target)
                     await last.ended.wait()
-                await self._given_up(place, disc, watch, 211)
-                self.assertEqual(place.logged("feed down"), 1)
+                await self._assert_resynchronized(env, emulator, watch, 211)
+                self.assertEqual(env.logged("feed down"), 1)
 
     @live
-    async def test_right_after_a_move(self) -> None:
-        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
+    async def test_directly_after_a_move(self) -> None:
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
             async with (
-                relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, _, _),
+                relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, _, _),
                 discovery() as new,
             ):
-                move_discovery(place, new.port)
-                watch = await new.watch(10, *(entry(unit) for unit in place.endpoints))
-                await self._given_up(place, new, watch)
+                move_discovery(env, new.port)
+                watch = await new.watch(10, *(entry(endpoint) for endpoint in env.endpoints))
+                await self._assert_resynchronized(env, new, watch)
 
     @live
-    async def test_with_a_part_of_an_answer_sent(self) -> None:
-        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
-            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, watch):
+    async def test_with_a_partial_response(self) -> None:
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
+            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
                 version = 10
-                missed = [entry(place.endpoints[1], state="leaving"), entry(place.endpoints[0])]
+                missed = [entry(env.endpoints[1], state="leaving"), entry(env.endpoints[0])]
                 text = serialization.response(200, (), list_body(99, *missed), keep=False)
                 head = text.index(b"\r\n\r\n") + 4
                 for size in (1, head - 2, head, head + 1, len(text) - 1):
                     watch.write(text[:size])
                     await watch.ended.wait()
-                    self.assertEqual(condition(place, "u1"), "ready", size)
+                    self.assertEqual(endpoint_status(env, "u1"), "ready", size)
                     version += 1
-                    watch = await disc.watch(version, *map(entry, place.endpoints))
+                    watch = await emulator.watch(version, *map(entry, env.endpoints))
 
     @live
-    async def test_bytes_that_drip_are_silence_too(self) -> None:
-        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
-            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, watch):
+    async def test_a_response_sent_byte_by_byte_times_out(self) -> None:
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
+            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
                 text = serialization.response(
-                    200, (), list_body(11, *map(entry, place.endpoints)) + b" " * 10_000, keep=False
+                    200, (), list_body(11, *map(entry, env.endpoints)) + b" " * 10_000, keep=False
                 )
 
                 async def drip() -> None:
-                    for place_in in range(len(text)):
-                        watch.write(text[place_in : place_in + 1])
+                    for offset in range(len(text)):
+                        watch.write(text[offset : offset + 1])
                         await asyncio.sleep(0.02)
 
                 dripping = asyncio.create_task(drip())
-                await self._given_up(place, disc, watch)
+                await self._assert_resynchronized(env, emulator, watch)
                 dripping.cancel()
 
     @live
-    async def test_calls_for_the_whole_list_that_are_silent_as_well(self) -> None:
-        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SOON):
-            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, watch):
+    async def test_snapshot_calls_without_a_response_are_repeated(self) -> None:
+        with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
+            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
                 for _ in range(3):
                     await watch.ended.wait()
-                    watch = await disc.next()
+                    watch = await emulator.next()
                     self.assertTrue(watch.is_snapshot)
-                await self._given_up(place, disc, watch)
-                self.assertIn("T", await (await place.client()).request("1a"))
+                await self._assert_resynchronized(env, emulator, watch)
+                self.assertIn("T", await (await env.client()).request("1a"))
 
     @live
-    async def test_a_drain_that_begins_with_the_silence_is_known_in_time(self) -> None:
-        """With the constants as they are: 6 s after the silence began, or 2 s after the wait."""
-        async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, _):
-            began = asyncio.get_running_loop().time()
-            call = await disc.next()
-            call.respond(11, entry(place.endpoints[0]), entry(place.endpoints[1], state="leaving"))
-            await place.until(lambda: condition(place, "u1") == "draining")
-            took = asyncio.get_running_loop().time() - began
-            self.assertLess(took, discovery_client.WATCH_HOLD_SECONDS + 2)
-            self.assertGreaterEqual(took, discovery_client.WATCH_HOLD_SECONDS)
+    async def test_a_drain_that_begins_with_the_silence_is_noticed_in_time(self) -> None:
+        """With the real constants: at most 2 s after the hold time, which is well within 6 s."""
+        async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, _):
+            started_at = asyncio.get_running_loop().time()
+            call = await emulator.next()
+            call.respond(11, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
+            await env.until(lambda: endpoint_status(env, "u1") == "draining")
+            elapsed = asyncio.get_running_loop().time() - started_at
+            self.assertLess(elapsed, discovery_client.WATCH_HOLD_SECONDS + 2)
+            self.assertGreaterEqual(elapsed, discovery_client.WATCH_HOLD_SECONDS)
 
     @live
-    async def test_old_copies_with_silence_between_them_are_not_insisting(self) -> None:
-        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SOON, VERSION_RESET_SECONDS=0.5):
-            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, disc, watch):
-                watch.respond(11, entry(place.endpoints[1], state="leaving"))
-                silent = await disc.next()
+    async def test_outdated_lists_with_timeouts_between_them_are_not_accepted(self) -> None:
+        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SHORT_HOLD_SECONDS, VERSION_RESET_SECONDS=0.5):
+            async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
+                watch.respond(11, entry(env.endpoints[1], state="leaving"))
+                silent = await emulator.next()
                 for _ in range(3):
                     await silent.ended.wait()
-                    (await disc.next()).respond(10, *map(entry, place.endpoints))  # an old copy, between silences
-                    silent = await disc.next()
+                    (await emulator.next()).respond(10, *map(entry, env.endpoints))  # an outdated list between timeouts
+                    silent = await emulator.next()
                     self.assertTrue(silent.is_snapshot)
-                    self.assertEqual(condition(place, "u1"), "draining")
-                self.assertEqual(place.logged("discovery restarted its versions"), 0)
+                    self.assertEqual(endpoint_status(env, "u1"), "draining")
+                self.assertEqual(env.logged("discovery restarted its versions"), 0)
 
     @live
     async def test_while_the_relay_itself_drains(self) -> None:
-        """A lookup that waits after SIGTERM, and comes back, is not sent to a unit that leaves meanwhile."""
-        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SOON, RESPONSE_GRACE_SECONDS=0.2):
-            async with relay_with_discovery(RejectingEndpoint("u0"), RejectingEndpoint("u1")) as (place, disc, watch):
-                client, first, other = await waiting_request(place, "1a")
-                place.relay.stop()
-                await place.until(lambda: place.logged("draining") == 1)
+        """A request that is rejected while the relay drains is not retried at an endpoint that drains by then."""
+        with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SHORT_HOLD_SECONDS, RESPONSE_GRACE_SECONDS=0.2):
+            async with relay_with_discovery(RejectingEndpoint("u0"), RejectingEndpoint("u1")) as (env, emulator, watch):
+                client, first, other_endpoint = await waiting_request(env, "1a")
+                env.relay.stop()
+                await env.until(lambda: env.logged("draining") == 1)
                 await watch.ended.wait()
-                await disc.watch(11, entry(first), entry(other, state="leaving"))
-                self.assertEqual(condition(place, other.name), "draining")
-                for _ in range(5):  # it is tried there again, up to the cap of attempts
-                    permit(first)
-                    permit(other)
+                await emulator.watch(11, entry(first), entry(other_endpoint, state="leaving"))
+                self.assertEqual(endpoint_status(env, other_endpoint.name), "draining")
+                for _ in range(5):  # retries go to the first endpoint, up to the maximum number of attempts
+                    allow_response(first)
+                    allow_response(other_endpoint)
                 self.assertEqual((await client.response())["C"], b"53300")
-                self.assertEqual(other.queries, [])
+                self.assertEqual(other_endpoint.queries, [])
 
 
-class Crashes(unittest.TestCase):
-    """A move to an address that refuses, while the old one goes too."""
+class DiscoveryCrashes(unittest.TestCase):
+    """Discovery moves to an address that refuses connections, and the earlier one stops as well."""
 
     @live
-    async def test_the_last_list_serves_until_the_new_one_is_up(self) -> None:
-        async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (place, old, _):
+    async def test_the_last_list_is_used_until_the_new_discovery_is_up(self) -> None:
+        async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, old, _):
             port = free_port()
-            move_discovery(place, port)
-            client = await place.client()
+            move_discovery(env, port)
+            client = await env.client()
             self.assertIn("T", await client.request("1a"))
             await old.kill()
-            await place.until(lambda: place.logged("feed down") == 1)
+            await env.until(lambda: env.logged("feed down") == 1)
             for number in range(20):
                 self.assertIn("T", await client.request(f"{number}b"))
                 await asyncio.sleep(0.01)
             new = DiscoveryEmulator()
             await new.open(port)
-            await new.watch(12, entry(place.endpoints[0]), entry(place.endpoints[1], state="leaving"))
-            self.assertEqual(condition(place, "u1"), "draining")
-            self.assertEqual(len(place.relay._discovery_handover._running), 1)
+            await new.watch(12, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
+            self.assertEqual(endpoint_status(env, "u1"), "draining")
+            self.assertEqual(len(env.relay._discovery_handover._running), 1)
             self.assertIn("T", await client.request("9c"))
             await new.kill()
--- a/tests/test_feed_clients.py
+++ b/tests/test_feed_clients.py
@@ -15,25 +15,25 @@
 
 class Feeds(unittest.TestCase):
     @live
-    async def test_what_discovery_spoils_leads_to_a_whole_list(self) -> None:
-        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
-            await place.until(lambda: len(place.list_requests) == 2)
-            place.next_responses = [b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{"version', b"noise\r\n\r\n"]
-            place.change_state(place.endpoints[1], "leaving")  # told while nothing could be read
-            await place.until(lambda: not place.next_responses and len(place.list_requests) > 4)
-            self.assertEqual(place.list_requests[0], b"/v1/endpoints")
-            self.assertIn(b"/v1/endpoints", place.list_requests[2:])
-            client = await place.client()
+    async def test_invalid_responses_of_discovery_lead_to_a_snapshot(self) -> None:
+        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
+            await env.until(lambda: len(env.list_requests) == 2)
+            env.next_responses = [b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{"version', b"noise\r\n\r\n"]
+            env.change_state(env.endpoints[1], "leaving")  # reported while the responses are invalid
+            await env.until(lambda: not env.next_responses and len(env.list_requests) > 4)
+            self.assertEqual(env.list_requests[0], b"/v1/endpoints")
+            self.assertIn(b"/v1/endpoints", env.list_requests[2:])
+            client = await env.client()
             for number in range(6):
                 self.assertIn("D", await client.request(str(number)))
-            self.assertEqual(place.endpoints[1].queries, [])
+            self.assertEqual(env.endpoints[1].queries, [])
 
     @live
-    async def test_what_came_of_a_vote(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            await place.until(lambda: place.relay.state()["rollout_connected"])
-            heard: list[tuple[bool, AttemptOutcome]] = []
-            decisions = place.relay.driver.decisions
+    async def test_outcomes_of_votes(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as env:
+            await env.until(lambda: env.relay.state()["rollout_connected"])
+            outcomes: list[tuple[bool, AttemptOutcome]] = []
+            decisions = env.relay.driver.decisions
             for answer, outcome in (
                 (lambda call: vote_response(call["id"], STAGE), AttemptOutcome.SUCCEEDED),
                 (lambda call: vote_error(call["id"], "too_many_calls"), AttemptOutcome.REJECTED),
@@ -43,55 +43,53 @@
                 (lambda call: b'{"jsonrpc":"2.0","id":\xff noise\n', AttemptOutcome.TIMED_OUT),
             ):
                 with mock.patch.object(
-                    decisions, "rollout_updated", lambda news: heard.append((news.answers_vote, news.outcome))
+                    decisions, "rollout_updated", lambda state: outcomes.append((state.answers_vote, state.outcome))
                 ):
-                    place.answer_vote = answer
-                    await place.until(lambda: place.relay.state()["rollout_connected"])
-                    place.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
-                    await place.until(lambda: any(answer for answer, _ in heard))
-                self.assertIn((True, outcome), heard)
-                heard.clear()
-            await place.until(lambda: len(place.rollout_writers) == 2)  # the spoilt connection was left
-            self.assertEqual({call["params"]["verdict"] for call in place.rollout_calls if "params" in call}, {"abort"})
+                    env.answer_vote = answer
+                    await env.until(lambda: env.relay.state()["rollout_connected"])
+                    env.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
+                    await env.until(lambda: any(answer for answer, _ in outcomes))
+                self.assertIn((True, outcome), outcomes)
+                outcomes.clear()
+            await env.until(lambda: len(env.rollout_writers) == 2)  # the invalid line ended the first connection
+            self.assertEqual({call["params"]["verdict"] for call in env.rollout_calls if "params" in call}, {"abort"})
 
     @live
-    async def test_news_counts_as_soon_as_it_comes(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            await place.until(lambda: place.relay.state()["rollout_connected"])
-            news = {**STAGE, "build": 2, "stage": 0, "phase": "testing", "cap": 0.2}
-            place.rollout_writers[0].write(stage_notification(news))
-            exposure = place.relay.driver.decisions._exposure_budget  # type: ignore[attr-defined]
-            await place.until(lambda: exposure.rollout.build == 2)
-            place.rollout_writers[0].write(stage_notification({**news, "phase": "recalling", "cap": 0.0}))
-            await place.until(lambda: exposure.rollout.exposure_limit == 0.0)
+    async def test_stage_notifications_apply_at_once(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as env:
+            await env.until(lambda: env.relay.state()["rollout_connected"])
+            stage = {**STAGE, "build": 2, "stage": 0, "phase": "testing", "cap": 0.2}
+            env.rollout_writers[0].write(stage_notification(stage))
+            exposure = env.relay.driver.decisions._exposure_budget  # type: ignore[attr-defined]
+            await env.until(lambda: exposure.rollout.build == 2)
+            env.rollout_writers[0].write(stage_notification({**stage, "phase": "recalling", "cap": 0.0}))
+            await env.until(lambda: exposure.rollout.exposure_limit == 0.0)
 
     @live
-    async def test_a_fault_of_ours_on_one_line_or_list_ends_no_feed(self) -> None:
-        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
-            await place.until(lambda: place.relay.state()["rollout_connected"])
-            driver, faults = place.relay.driver, [ValueError("ours")] * 2
+    async def test_an_internal_error_on_one_message_ends_no_feed(self) -> None:
+        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
+            await env.until(lambda: env.relay.state()["rollout_connected"])
+            driver, faults = env.relay.driver, [ValueError("ours")] * 2
             with (
                 mock.patch.object(driver, "rollout_read", mock.Mock(side_effect=faults.pop())),
                 mock.patch.object(driver, "endpoints_listed", mock.Mock(side_effect=faults.pop())),
             ):
-                place.rollout_writers[0].write(stage_notification(STAGE))
-                place.change_state(place.endpoints[1], "leaving")
-                await place.until(lambda: place.logged("the rollout connection failed") > 0)
-                await place.until(lambda: place.logged("an endpoint list could not be applied") > 0)
-            await place.until(
-                lambda: place.relay.state()["rollout_connected"] and place.relay.state()["discovery_connected"]
-            )
-            await place.until(lambda: driver.registry.by_name["u1"].status.value == "draining")
+                env.rollout_writers[0].write(stage_notification(STAGE))
+                env.change_state(env.endpoints[1], "leaving")
+                await env.until(lambda: env.logged("the rollout connection failed") > 0)
+                await env.until(lambda: env.logged("an endpoint list could not be applied") > 0)
+            await env.until(lambda: env.relay.state()["rollout_connected"] and env.relay.state()["discovery_connected"])
+            await env.until(lambda: driver.registry.by_name["u1"].status.value == "draining")
 
     @live
-    async def test_letters_keep_their_length_and_strangers_are_dropped(self) -> None:
+    async def test_datagrams_keep_their_length_and_unknown_senders_are_dropped(self) -> None:
         for size in range(255):
             data = datagrams.encode_plain(bytes(size))
             self.assertEqual((datagrams.decode_plain(data), len(data) <= 256), (bytes(size), True))
             self.assertIsNone(datagrams.decode_plain(data[:-1] + bytes([data[-1] ^ 1])))
         with self.assertRaises(ValueError):
             datagrams.encode_plain(bytes(255))
-        async with platform(ScriptedEndpoint("u0")) as place:
+        async with platform(ScriptedEndpoint("u0")) as env:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.sendto(datagrams.encode_plain(b""), ("127.0.0.1", place.gossip_port))
-                await place.until(lambda: place.relay.state()["dropped_datagrams"] == 1)
+                stranger.sendto(datagrams.encode_plain(b""), ("127.0.0.1", env.gossip_port))
+                await env.until(lambda: env.relay.state()["dropped_datagrams"] == 1)
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -1,4 +1,4 @@
-"""Real processes and real signals: SIGTERM, SIGHUP and SIGKILL at each step from the start to the end."""
+"""Relay processes that get SIGTERM, SIGHUP and SIGKILL at each step from start to end, and their build script."""
 
 from __future__ import annotations
 
@@ -19,68 +19,70 @@
 
 class ProcessSignals(unittest.TestCase):
     @live
-    async def test_sigterm_while_it_waits_for_its_first_list(self) -> None:
-        async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as one:
-            await one.until("settings read")
-            one.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await one.ended(), 0)
-            self.assertEqual(one.said("stopped"), 1)
+    async def test_sigterm_while_waiting_for_the_first_list(self) -> None:
+        async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as relay_process:
+            await relay_process.until("settings read")
+            relay_process.process.send_signal(signal.SIGTERM)
+            self.assertEqual(await relay_process.ended(), 0)
+            self.assertEqual(relay_process.said("stopped"), 1)
 
     @live
-    async def test_sigterm_and_more_of_them_while_it_answers_what_it_took(self) -> None:
-        may = asyncio.Event()
+    async def test_repeated_sigterm_while_a_request_is_pending(self) -> None:
+        may_respond = asyncio.Event()
 
-        async def held(unit: ScriptedEndpoint, text: bytes) -> bytes:
-            await may.wait()
-            return await echo_id(unit, text)
+        async def held(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
+            await may_respond.wait()
+            return await echo_id(endpoint, text)
 
-        async with relay(ScriptedEndpoint("u0", held)) as one:
-            await one.until("listening")
-            client = await one.client()
+        async with relay(ScriptedEndpoint("u0", held)) as relay_process:
+            await relay_process.until("listening")
+            client = await relay_process.client()
             client.send("1a")
-            await one.place.until(lambda: len(one.place.endpoints[0].queries) == 1)
+            await relay_process.place.until(lambda: len(relay_process.place.endpoints[0].queries) == 1)
             for _ in range(3):
-                one.process.send_signal(signal.SIGTERM)
-            await one.until("draining")
-            one.process.send_signal(signal.SIGHUP)
-            await one.until("configuration reloaded")
-            one.process.send_signal(signal.SIGINT)
-            may.set()
+                relay_process.process.send_signal(signal.SIGTERM)
+            await relay_process.until("draining")
+            relay_process.process.send_signal(signal.SIGHUP)
+            await relay_process.until("configuration reloaded")
+            relay_process.process.send_signal(signal.SIGINT)
+            may_respond.set()
             self.assertTrue((await client.response())["D"].endswith(b"value of 1a"))
-            self.assertEqual(await one.ended(), 0)
-            self.assertEqual((one.said("draining"), one.said("stopped")), (1, 1))
+            self.assertEqual(await relay_process.ended(), 0)
+            self.assertEqual((relay_process.said("draining"), relay_process.said("stopped")), (1, 1))
 
     @live
-    async def test_sighup_many_at_once_disturbs_no_lookup(self) -> None:
-        async with relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as one:
-            await one.until("listening")
-            client = await one.client()
+    async def test_repeated_sighup_disturbs_no_request(self) -> None:
+        async with relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as relay_process:
+            await relay_process.until("listening")
+            client = await relay_process.client()
             for number in range(5):
                 client.send(f"{number}a")
-                one.process.send_signal(signal.SIGHUP)
-                one.process.send_signal(signal.SIGHUP)
+                relay_process.process.send_signal(signal.SIGHUP)
+                relay_process.process.send_signal(signal.SIGHUP)
                 self.assertIn("D", await client.response())
-            one.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await one.ended(), 0)
-            self.assertGreaterEqual(one.said("configuration reloaded"), 1)
+            relay_process.process.send_signal(signal.SIGTERM)
+            self.assertEqual(await relay_process.ended(), 0)
+            self.assertGreaterEqual(relay_process.said("configuration reloaded"), 1)
 
     @live
-    async def test_sigkill_frees_its_address_for_the_next(self) -> None:
-        async with relay(ScriptedEndpoint("u0")) as one:
-            await one.until("listening")
-            client = await one.client()
-            one.process.kill()
-            self.assertEqual(await one.ended(), -signal.SIGKILL)
+    async def test_the_address_can_be_used_again_after_sigkill(self) -> None:
+        async with relay(ScriptedEndpoint("u0")) as relay_process:
+            await relay_process.until("listening")
+            client = await relay_process.client()
+            relay_process.process.kill()
+            self.assertEqual(await relay_process.ended(), -signal.SIGKILL)
             self.assertEqual(await client.reader.read(), b"")
-            two = await start_relay(one.place, one.place.folder / "other.json", one.port)
-            await two.until("listening")
-            self.assertIn("D", await (await two.client()).request("1a"))
-            two.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await two.ended(), 0)
+            second_process = await start_relay(
+                relay_process.place, relay_process.place.folder / "other.json", relay_process.port
+            )
+            await second_process.until("listening")
+            self.assertIn("D", await (await second_process.client()).request("1a"))
+            second_process.process.send_signal(signal.SIGTERM)
+            self.assertEqual(await second_process.ended(), 0)
 
 
 class Starts(unittest.TestCase):
-    def test_a_hangup_before_its_handler_stands_waits_for_it(self) -> None:
+    def test_sighup_is_blocked_until_its_handler_is_installed(self) -> None:
         script = (
             "import signal\nfrom unittest import mock\nfrom lanelead.postgres_relay import main\n"
             "def load(path):\n"
@@ -88,7 +90,7 @@
             "    raise main.MessageError('seen enough')\n"
             "with mock.patch.object(main, 'load', load): main.run('json')\n"
         )
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", script],
             capture_output=True,
             text=True,
@@ -96,10 +98,10 @@
             timeout=30,
             env={**os.environ, "NODE_CONFIG": "any"},
         )
-        self.assertEqual((done.stdout, done.returncode), ("True\n", 2), done.stderr)
-        self.assertIn("seen enough", done.stderr)
+        self.assertEqual((result.stdout, result.returncode), ("True\n", 2), result.stderr)
+        self.assertIn("seen enough", result.stderr)
 
-    def test_a_file_that_can_not_be_used_ends_it_with_one_line_that_names_the_field(self) -> None:
+    def test_an_invalid_file_ends_it_with_one_line_that_names_the_field(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "c.json"
             path.write_text(
@@ -107,7 +109,7 @@
                 '"platform":{"address":"a:1","news":{"build":1,"stage":0,"phase":"live",'
                 '"cap":1,"age_ms":0}}}'
             )
-            done = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "lanelead", "node"],
                 capture_output=True,
                 text=True,
@@ -115,14 +117,14 @@
                 timeout=30,
                 env={**os.environ, "NODE_CONFIG": str(path)},
             )
-        self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
-        self.assertIn("listen", done.stderr)
+        self.assertEqual((result.returncode, result.stderr.count("\n")), (2, 1), result.stderr)
+        self.assertIn("listen", result.stderr)
 
 
-class Builds(unittest.TestCase):
-    """`build` of deploy/balancer.toml, in a folder of its own, with stand-ins for what it calls."""
+class BuildScript(unittest.TestCase):
+    """Runs `build` of deploy/balancer.toml in a temporary folder, with stubs for python3 and pip."""
 
-    def _play(self, folder: Path, install: str) -> subprocess.CompletedProcess[str]:
+    def _run_build(self, folder: Path, install: str) -> subprocess.CompletedProcess[str]:
         (folder / "requirements.txt").write_text("click\n")
         (folder / "lanelead").mkdir(exist_ok=True)
         tools = folder / "tools"
@@ -143,13 +145,15 @@
             env={**os.environ, "PATH": f"{tools}:{os.environ['PATH']}"},
         )
 
-    def test_one_cut_off_half_way_does_not_pass_for_done(self) -> None:
+    def test_an_interrupted_installation_is_repeated(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            self.assertNotEqual(self._play(folder, "kill -9 $PPID").returncode, 0)
+            self.assertNotEqual(self._run_build(folder, "kill -9 $PPID").returncode, 0)
             self.assertTrue((folder / ".venv").exists())
-            self.assertNotEqual(self._play(folder, "exit 1").returncode, 0)
-            self.assertEqual(self._play(folder, "exit 0").returncode, 0)
+            self.assertNotEqual(self._run_build(folder, "exit 1").returncode, 0)
+            self.assertEqual(self._run_build(folder, "exit 0").returncode, 0)
             self.assertEqual((folder / "log").read_text().split(), ["venv", "install"] * 3)
-            self.assertEqual(self._play(folder, "exit 0").returncode, 0)
-            self.assertEqual((folder / "log").read_text().split(), ["venv", "install"] * 3)  # it was done
+            self.assertEqual(self._run_build(folder, "exit 0").returncode, 0)
+            self.assertEqual(
+                (folder / "log").read_text().split(), ["venv", "install"] * 3
+            )  # the complete installation is not repeated
--- a/tests/test_postgres_relay_signals.py
+++ b/tests/test_postgres_relay_signals.py
@@ -1,4 +1,4 @@
-"""The relay on the platform: its signals, its configuration, and long days."""
+"""Signals of the relay on the platform, invalid configuration files, and the sizes of its tables over time."""
 
 from __future__ import annotations
 
@@ -23,34 +23,35 @@
 
 class Signals(unittest.TestCase):
     @live
-    async def test_sigterm_serves_who_still_comes_and_answers_all_it_took(self) -> None:
-        async def slow(unit: ScriptedEndpoint, text: bytes) -> bytes:
+    async def test_sigterm_serves_late_clients_and_completes_accepted_requests(self) -> None:
+        async def slow(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.7)
-            return await echo_id(unit, text)
+            return await echo_id(endpoint, text)
 
         async with platform(
             ScriptedEndpoint("u0", slow), ScriptedEndpoint("u1", slow), ScriptedEndpoint("u2", slow)
-        ) as place:
-            held, idle, new = await place.client(), await place.client(), await place.client()
+        ) as env:
+            held, idle, new = await env.client(), await env.client(), await env.client()
             idle.writer.write(messages.query(b""))
             self.assertIn("I", await idle.response())
             held.send("1a")
             os.kill(os.getpid(), signal.SIGTERM)
-            await place.until(lambda: place.logged("draining") == 1)
-            late = await place.client()
+            await env.until(lambda: env.logged("draining") == 1)
+            late = await env.client()
             late.send("2a")
             self.assertTrue((await held.response())["D"].endswith(b"value of 1a"))
             self.assertTrue((await late.response())["D"].endswith(b"value of 2a"))
-            # Between requests it may be closed without a word; one that never asked is told to go elsewhere.
+            # A client between requests may be disconnected without an error; one that has not sent a request yet gets
+            # an error, after which it connects to another relay.
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual((await new.response())["C"], b"57P03")
             self.assertEqual(await new.reader.read(), b"")
-            await place.run
+            await env.run
             with self.assertRaises(OSError):
-                await place.client()
+                await env.client()
 
     @live
-    async def test_sighup_moves_the_feeds_and_disturbs_nothing(self) -> None:
+    async def test_sighup_moves_the_feeds_without_disturbing_requests(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u1")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
             config = old.folder / "config.json"
@@ -62,24 +63,24 @@
             client = await old.client()
             client.send("1a")
             old.relay.reload()
-            old.relay.reload()  # twice in quick succession
+            old.relay.reload()  # immediately after the first
             self.assertIn("D", await client.response())
             await old.until(lambda: len(new.rollout_writers) >= 2 and old.relay.state()["rollout_connected"])
             await old.until(
                 lambda: any(
-                    unit.short_id and unit.status.value == "ready"
-                    for name, unit in old.relay.driver.registry.by_name.items()
+                    endpoint.short_id and endpoint.status.value == "ready"
+                    for name, endpoint in old.relay.driver.registry.by_name.items()
                     if name == "u1"
                 )
             )
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
             self.assertTrue(new.endpoints[0].queries)  # the new list names u1 alone
 
-    def test_a_configuration_that_cannot_be_read_ends_it_with_one_line(self) -> None:
+    def test_an_invalid_configuration_ends_it_with_one_line(self) -> None:
         for text in ("", "{}", '{"name": "n0"'):
             path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
             path.write_text(text)
-            done = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "lanelead", "node"],
                 capture_output=True,
                 text=True,
@@ -87,14 +88,14 @@
                 env={**os.environ, "NODE_CONFIG": str(path)},
                 cwd=Path(__file__).parent.parent,
             )
-            self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
+            self.assertEqual((result.returncode, result.stderr.count("\n")), (2, 1), result.stderr)
 
 
-class LongDays(unittest.TestCase):
+class TableSizes(unittest.TestCase):
     @live
-    async def test_tables_forget_units_ids_and_connections(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            relay = place.relay
+    async def test_tables_drop_endpoints_ids_and_connections(self) -> None:
+        async with platform(ScriptedEndpoint("u0")) as env:
+            relay = env.relay
             with mock.patch.object(relay.driver.endpoint_list, "_retention", 0):
                 for number in range(300):
                     for state in ("active", "left"):
@@ -104,12 +105,12 @@
                         found = {"version": 2, "full": False, "servers": rows}
                         relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(found).encode(), EndpointList)))
             for number in range(60):
-                client = await place.client()
+                client = await env.client()
                 await client.request(f"{number:x}")
                 client.writer.close()
-                await place.until_reusable()
+                await env.until_reusable()
             relay.upstream.sweep()
-            await place.until(lambda: not relay.listener.clients)
+            await env.until(lambda: not relay.listener.clients)
             driver = relay.driver
             sizes = [
                 len(table)
