--- a/tests/test_applied_configuration.py
+++ b/tests/test_applied_configuration.py
@@ -21,6 +21,7 @@
 
 
 def rewrite_settings(env: Platform, **settings: Any) -> None:
+    """Replaces settings in the relay's configuration file, without a reload."""
     file = env.folder / "config.json"
     config = json.loads(file.read_text())
     config["settings"] = {**config["settings"], **settings}
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -27,6 +27,7 @@
 
 
 def state_field(env: Platform, name: str) -> Any:
+    """Returns a field of the relay's state document."""
     return env.relay.state()[name]
 
 
--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -27,11 +27,12 @@
 
 
 def endpoint_status(env: Platform, name: str) -> str:
+    """Returns the status of an endpoint in the relay's registry."""
     return env.relay.driver.registry.by_name[name].status.value
 
 
 def rollout_state(env: Platform) -> tuple[int, float]:
-    """The rollout's build and exposure limit that the decisions use."""
+    """Returns the rollout's build and the exposure limit that the decisions use."""
     rollout = env.relay.driver.decisions._exposure_budget.rollout  # type: ignore[attr-defined]
     return rollout.build, rollout.exposure_limit
 
@@ -44,9 +45,8 @@
                 client = await env.client()
                 self.assertEqual((await client.request("1a", "file"))["C"], b"53300")
                 self.assertEqual(env.logged("no endpoint list yet"), 1)
-                self.assertLessEqual(
-                    len(env.list_requests), 2
-                )  # it started listening without waiting for calls to time out
+                # The relay listens without waiting until more calls to discovery have timed out.
+                self.assertLessEqual(len(env.list_requests), 2)
                 env.discovery_responds.set()
                 await env.until(lambda: env.relay.state()["endpoints"] == 1)
                 self.assertIn("D", await client.request("2a", "file"))
