--- a/lanelead/postgres_relay/discovery_client.py
+++ b/lanelead/postgres_relay/discovery_client.py
@@ -1,4 +1,9 @@
-"""Follows discovery's endpoint list by long polling over HTTP: each call is made right after the last response."""
+"""Follows discovery's endpoint list by long polling over HTTP.
+
+A call without a version is answered at once with a snapshot of the list. A watch is a call with the known version,
+which discovery holds without a response until the list changes or the hold time is over. After a success the next
+watch is made at once; after a failure a snapshot is fetched after a short delay.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +17,12 @@
 from lanelead.protocols.platform import EndpointList, parse_address
 from lanelead.settings.service_settings import Address
 
-# How long discovery may hold a watch: far less than the time after which a change counts as known to all relays.
+# How long discovery may hold a watch. It is far less than the 6 s after which the platform takes a change of the list
+# to be known to all relays, so that a watch which never gets a response is noticed in time.
 WATCH_HOLD_SECONDS = 2.0
 RESPONSE_GRACE_SECONDS = 0.5  # time for the response once the hold time is over
 RETRY_DELAY_SECONDS = 0.1  # after a failure, with jitter
-VERSION_RESET_SECONDS = 2.0  # older versions for this long mean that discovery has restarted its version numbers
+VERSION_RESET_SECONDS = 2.0  # after only outdated lists for this long, discovery has restarted its version numbers
 MAX_LIST_BYTES = 16 << 20
 REJECTION_LOG_INTERVAL_SECONDS = 5.0
 
@@ -40,7 +46,7 @@
     """Calls `on_list` with each snapshot and each change of the endpoint list.
 
     After an error or a timeout the next call asks for a snapshot. `on_received` is called after each valid response,
-    before `on_list`. `connected` tells whether the last call succeeded.
+    before `on_list`. `connected` tells whether the last call succeeded and its list was applied.
     """
 
     def __init__(
@@ -62,8 +68,9 @@
         self._rng = rng
         self._log = log
         self._snapshot_needed = True
-        # When the current run of outdated lists began. It is not part of the shared state: after a move the earlier
-        # client runs until this one's list is accepted, and each of its responses would end the run.
+        # When the first of an unbroken series of outdated lists came. This is not in the shared `ListState`: an earlier
+        # client, at the former address, goes on until this one's list is accepted, and each of that client's responses
+        # would reset the time.
         self._outdated_since: float | None = None
         self._next_rejection_log_at = 0.0  # rejected lists before this time are counted, but not logged
         self.on_received: Callable[[], None] = lambda: None
@@ -86,10 +93,11 @@
                         "feed down",
                         feed="discovery",
                         reason=str(error) or "timed out",
-                        remedy="check discovery's agent; the last good list stays in force",
+                        remedy="check discovery; the last good list stays in force",
                     )
-                self._count_rejection(error)
+                self._record_failure(error)
             except Exception:  # noqa: BLE001 - logged; a fault on one list must not end the feed
+                # Mostly a fault while a list is applied, but any unexpected error of the call is logged as this too.
                 self._log.exception("an endpoint list could not be applied")
             self.connected = False
             self._snapshot_needed = True
@@ -124,8 +132,8 @@
         if received.full or received.entries:
             self._on_list(message)
 
-    def _count_rejection(self, error: Exception) -> None:
-        """Counts and logs a rejected list, and ends a run of outdated lists at any other error.
+    def _record_failure(self, error: Exception) -> None:
+        """Counts and logs an error if it is a rejected list; any error but an outdated list resets `_outdated_since`.
 
         Without the log line, a discovery whose lists were invalid from the start would look like one that is down.
         """
@@ -141,14 +149,14 @@
                 "endpoint list rejected",
                 reason=str(error),
                 rejected=self._state.rejected_lists,
-                remedy="correct what discovery's agent sends; the last good list stays in force",
+                remedy="correct what discovery sends; the last good list stays in force",
             )
 
     def _check_outdated(self, received: EndpointList) -> None:
-        """Raises OutdatedListError for a list that is older than the one in force.
+        """Raises OutdatedListError for an older list, unless discovery seems to have restarted its version numbers.
 
-        An old copy of the list would make draining endpoints ready again. Snapshots of older versions for at least
-        `VERSION_RESET_SECONDS` are accepted: discovery has restarted its version numbers.
+        An old copy of the list would make draining endpoints ready again, so it is rejected. But if all responses for
+        `VERSION_RESET_SECONDS` were outdated lists, without another error in between, a snapshot is accepted.
         """
         now = self._loop.time()
         if self._outdated_since is None:
--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -49,16 +49,18 @@
 DRAIN_LINGER_SECONDS = 0.55  # after SIGTERM the listener stays open for this long, since clients still connect
 DRAIN_RESPONSE_SECONDS = 2.7  # maximum time for responses after that: SIGKILL may come 3.7 s after SIGTERM
 FIRST_LIST_TIMEOUT_SECONDS = 0.6  # wait for discovery's first response if the configuration file has no endpoint list
-SWEEP_INTERVAL_SECONDS = 0.25
-SWEEPS_PER_STATE_LINE = 20
+SWEEP_INTERVAL_SECONDS = 0.25  # between checks of the connections' timeouts
+SWEEPS_PER_STATE_LINE = 20  # after so many sweeps the state document is logged
 MAX_LOGGED_ERRORS = 10
+# Logged at the start: `familyInfo` has canary limits and voting rules, `contract` service limits, `allowed` the quota.
 LOGGED_SETTINGS = ("instances", "familyInfo", "contract", "allowed", "requestClasses")
 
 
 class Service(HostOperationsBase):
     """One relay, which must be created on a running event loop; `run` serves until `stop` or a signal.
 
-    `path` is the configuration file, which SIGHUP reads again; `config` is what it held at the start.
+    `path` is the relay's file, which SIGHUP reads again; `config`, what it held at the start, is also passed to `run`.
+    To follow a configuration means to take tenants' and classes' values from replicas over HTTP, instead of the file.
     """
 
     def __init__(self, config: RelayConfig, path: str, log: Any) -> None:
@@ -72,7 +74,7 @@
         self._event_loop_monitor = EventLoopMonitor()
         self._configuration_client: ConfigurationClient | None = None
         parameters = ServiceParameters.read(config)
-        self._vote_timeout = parameters.voting_rules.vote_timeout / 10_000
+        self._vote_timeout = parameters.voting_rules.vote_timeout / 10_000  # ticks to seconds
         self._stage_count = len(parameters.canary_limits.shares)
         self._create_decisions(parameters, config.seed)
         self._create_connections(parameters)
@@ -119,6 +121,7 @@
         self.upstream.after_event = self.after_event
 
     def _create_feeds(self, parameters: ServiceParameters, config: RelayConfig) -> None:
+        """Creates what the feeds need, and gives the driver the endpoint list and the rollout stage of the file."""
         # Discovery gives the start times of endpoints in Unix time; the offset converts them to the driver's clock.
         self._clock_offset = self._clock.now() - int(time.time() * 10_000)
         self._list_decoder = EndpointListDecoder(self.driver, self._clock_offset, self._log)
@@ -140,7 +143,7 @@
     # Feeds
 
     def _start_feeds(self, config: RelayConfig) -> None:
-        """Starts feeds from the addresses in `config`; earlier feeds end once these have received a message."""
+        """Starts new clients of discovery and the rollout platform, which replace those that run by FeedHandover."""
         self._discovery_handover.start(
             DiscoveryClient(
                 self._loop,
@@ -169,20 +172,24 @@
         self.after_event()
 
     def _on_rollout_message(self, message: RolloutMessage | None, is_vote_reply: bool, outcome: AttemptOutcome) -> None:
+        """Tells the driver of a stage or a vote's outcome; raises MessageError if a trial's stage is unknown."""
         if message is not None and message.stage >= self._stage_count:
             if message.phase == "trial":
                 raise MessageError(
                     f"rollout stage {message.stage} does not exist: the settings have {self._stage_count} stages"
                 )
-            # If the message were dropped, a released build would still be treated as a canary, and its endpoints,
-            # which may be all there are, would get only the first stage's share of requests. Outside the canary phase
-            # the stage number has no other meaning, so it is safe to replace it by the last known stage.
+            # In other phases the stage is reduced to the last one in the settings. If the message were rejected, a
+            # released build that the relay has not heard of would still be treated as a canary, and its endpoints,
+            # which may be all there are, would get only the first stage's share of requests.
             message = replace(message, stage=self._stage_count - 1)
         self.driver.rollout_read(message, is_vote_reply, outcome)
         self.after_event()
 
     def _follow_configuration(self, config: RelayConfig, sources: ConfigurationSources) -> None:
-        """Starts the configuration client. Its code is imported here, so that other relays do not load it."""
+        """Starts the configuration client; raises MessageError if the file's entries exceed the section's limits.
+
+        Its code is imported here, so that relays without a section `configuration` do not load it.
+        """
         from lanelead.postgres_relay.configuration_client import ConfigurationClient
 
         self._configuration_client = ConfigurationClient(
@@ -197,14 +204,15 @@
         self._background_tasks.start(self._configuration_client.run())
 
     def _apply_configuration(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
+        """Applies the changed keys of the followed configuration, or of the file at a reload."""
         unknown = self._applied_configuration.apply(keys, values)
         if unknown:
             self._log.warning(
                 "values of classes that the settings do not have",
                 keys=unknown[:MAX_LOGGED_ERRORS],
-                remedy="add the class to the settings file and restart the relay, or remove the key",
+                remedy="restart the relay with these classes in its file, or remove their values",
             )
-        self._log.info("configuration in force", keys=len(keys), first=list(keys[:3]))
+        self._log.info("tenant and class values changed", keys=len(keys), first=list(keys[:3]))
         self.after_event()
 
     # Running
@@ -216,7 +224,10 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def run(self, config: RelayConfig) -> None:
-        """Serves until `stop` is called, then drains. Raises SystemExit if the relay cannot listen at its address."""
+        """Serves until `stop` is called, then drains and closes all connections.
+
+        Raises SystemExit if the relay cannot listen at its address, and MessageError as `_follow_configuration` does.
+        """
         self._event_loop_monitor.start()
         self._start_feeds(config)
         if config.peer_listen:
@@ -263,11 +274,11 @@
         sweeper.cancel()
 
     def stop(self) -> None:
-        """Starts draining; `run` returns once it is done."""
+        """Starts draining, or ends a relay that does not listen yet; `run` returns once that is done."""
         self._stop.set()
 
     def after_event(self) -> None:
-        """Starts the attempts that the driver has enqueued, and sets the driver's timer.
+        """Starts the attempts and health checks that the driver has enqueued, and sets the driver's timer.
 
         Must be called after each event that the driver was notified of.
         """
@@ -279,7 +290,7 @@
         self.after_event()
 
     async def _sweep(self) -> None:
-        """Applies the connections' timeouts at an interval, measures the event loop's lag, and logs the state."""
+        """Applies connections' timeouts, measures the loop's lag, and logs the state, after which the lag is reset."""
         sweeps = 0
         while True:
             slept_at = self._loop.time()
@@ -296,7 +307,11 @@
                 self._event_loop_monitor.reset()
 
     def state(self) -> dict[str, Any]:
-        """Returns the state document: the current connections and feeds, and counts since the start."""
+        """Returns the state document.
+
+        It has the connections and newest feeds now, counts since the start, the longest lags since the last logged
+        state, and the process's CPU time and memory.
+        """
         client = self._configuration_client
         return {
             **request_counts(self.driver),
@@ -315,9 +330,11 @@
     # Reload
 
     def reload(self) -> None:
-        """Reads the configuration file again: moves the feeds to its addresses and applies tenants and class values.
+        """Reads the relay's file again, and starts feeds from its addresses.
 
-        An invalid file changes nothing. Other changes in the file are logged as ignored until a restart.
+        The file's tenants and class values are applied as well, unless the relay follows a configuration. A file that
+        `load` rejects changes nothing. Other changed settings and fields of `reloading.RESTART_FIELDS` are logged as
+        ignored until a restart; other parts of the file, such as `configuration`, are ignored without a log line.
         """
         if self._ended:
             return
@@ -331,7 +348,7 @@
             )
             return
         old = self._config
-        # With a configuration client, tenants and class values come from the configuration instead of the file.
+        # A relay that follows a configuration takes tenants and class values from there instead of its file.
         applied = self._apply_file_values(config) if self._configuration_client is None else []
         self._log.info(
             "configuration reloaded",
@@ -342,7 +359,10 @@
         self._start_feeds(config)
 
     def _apply_file_values(self, config: RelayConfig) -> list[str]:
-        """Applies the file's tenants and class values; returns the names of the settings fully applied by this."""
+        """Applies the file's changed tenants and class values; an invalid value is logged, and the last good one stays.
+
+        Returns the names of the settings whose changes need no restart.
+        """
         old = self._config.settings
         new = config.settings
         keys, values, errors = changed_entries(old, new)
--- a/tests/test_applied_configuration.py
+++ b/tests/test_applied_configuration.py
@@ -93,7 +93,7 @@
             client = await env.client()
             self.assertTrue((await client.request("1a"))["D"].endswith(b"value of 1a"))
             relay.reload()  # an unchanged file applies nothing
-            self.assertEqual(1, env.logged("configuration in force"))
+            self.assertEqual(1, env.logged("tenant and class values changed"))
 
     @live
     async def test_an_invalid_value_is_rejected_and_the_last_good_one_stays(self) -> None:
