--- a/lanelead/postgres_relay/service.py
+++ b/lanelead/postgres_relay/service.py
@@ -1,5 +1,7 @@
-"""The relay's process on the platform: client listener, upstream requests, feeds, gossip and signals around
-one driver.
+"""The service of the relay on the platform.
+
+It connects one decision driver to the client listener, the upstream requests, the feeds (discovery and the rollout
+platform), gossip, the configuration and signals.
 """
 
 from __future__ import annotations
@@ -44,17 +46,22 @@
 if TYPE_CHECKING:
     from lanelead.postgres_relay.configuration_client import ConfigurationClient
 
-DRAIN_LINGER_SECONDS = 0.55  # after SIGTERM, in which clients still connect
-DRAIN_RESPONSE_SECONDS = 2.7  # at most, for responses after that: SIGKILL may come 3.7 s after SIGTERM
-FIRST_LIST_TIMEOUT_SECONDS = 0.6  # for discovery's first response, where the file has no list
-SWEEP_INTERVAL_SECONDS = 0.25
-SWEEPS_PER_STATE_LINE = 20
+DRAIN_LINGER_SECONDS = 0.55  # after SIGTERM the listener stays open for this long, since clients still connect
+DRAIN_RESPONSE_SECONDS = 2.7  # maximum time for responses after that: SIGKILL may come 3.7 s after SIGTERM
+FIRST_LIST_TIMEOUT_SECONDS = 0.6  # wait for discovery's first response if the configuration file has no endpoint list
+SWEEP_INTERVAL_SECONDS = 0.25  # between checks of the connections' timeouts
+SWEEPS_PER_STATE_LINE = 20  # after so many sweeps the state document is logged
 MAX_LOGGED_ERRORS = 10
+# Logged at the start: `familyInfo` has canary limits and voting rules, `contract` service limits, `allowed` the quota.
 LOGGED_SETTINGS = ("instances", "familyInfo", "contract", "allowed", "requestClasses")
 
 
 class Service(HostOperationsBase):
-    """One relay. To be created on a running event loop; `run` serves until `stop` or a signal."""
+    """One relay, which must be created on a running event loop; `run` serves until `stop` or a signal.
+
+    `path` is the relay's file, which SIGHUP reads again; `config`, what it held at the start, is also passed to `run`.
+    To follow a configuration means to take tenants' and classes' values from replicas over HTTP, instead of the file.
+    """
 
     def __init__(self, config: RelayConfig, path: str, log: Any) -> None:
         super().__init__(asyncio.get_running_loop(), log.bind(relay=config.name))
@@ -67,7 +74,7 @@
         self._event_loop_monitor = EventLoopMonitor()
         self._configuration_client: ConfigurationClient | None = None
         parameters = ServiceParameters.read(config)
-        self._vote_timeout = parameters.voting_rules.vote_timeout / 10_000
+        self._vote_timeout = parameters.voting_rules.vote_timeout / 10_000  # ticks to seconds
         self._stage_count = len(parameters.canary_limits.shares)
         self._create_decisions(parameters, config.seed)
         self._create_connections(parameters)
@@ -75,11 +82,11 @@
         logged = {name: config.settings.get(name) for name in LOGGED_SETTINGS}
         self._log.info("settings read", **logged, limits=str(config.limits))
 
-    # Assembly
+    # Construction
 
     def _create_decisions(self, parameters: ServiceParameters, seed: str) -> None:
         self._clock = LoopClock(self._loop, lambda: self.driver.next_timer(), self._on_timer)
-        decisions = parameters.balancer(seed, self._clock.now())
+        decisions = parameters.create_balancer(seed, self._clock.now())
         self.driver = DecisionDriver(
             decisions=decisions,
             host=self,
@@ -114,7 +121,8 @@
         self.upstream.after_event = self.after_event
 
     def _create_feeds(self, parameters: ServiceParameters, config: RelayConfig) -> None:
-        # All machines share Unix time, in which discovery gives the start times of endpoints.
+        """Creates what the feeds need, and gives the driver the endpoint list and the rollout stage of the file."""
+        # Discovery gives the start times of endpoints in Unix time; the offset converts them to the driver's clock.
         self._clock_offset = self._clock.now() - int(time.time() * 10_000)
         self._list_decoder = EndpointListDecoder(self.driver, self._clock_offset, self._log)
         if config.known.entries:
@@ -135,7 +143,7 @@
     # Feeds
 
     def _start_feeds(self, config: RelayConfig) -> None:
-        """Starts feeds from this configuration's addresses; earlier ones end once these have received something."""
+        """Starts new clients of discovery and the rollout platform, which replace those that run by FeedHandover."""
         self._discovery_handover.start(
             DiscoveryClient(
                 self._loop,
@@ -163,20 +171,25 @@
         self._endpoints_known.set()
         self.after_event()
 
-    def _on_rollout_message(self, message: RolloutMessage | None, is_vote: bool, outcome: AttemptOutcome) -> None:
+    def _on_rollout_message(self, message: RolloutMessage | None, is_vote_reply: bool, outcome: AttemptOutcome) -> None:
+        """Tells the driver of a stage or a vote's outcome; raises MessageError if a trial's stage is unknown."""
         if message is not None and message.stage >= self._stage_count:
             if message.phase == "trial":
                 raise MessageError(
-                    f"a rollout message of stage {message.stage}, of {self._stage_count} in the settings"
+                    f"rollout stage {message.stage} does not exist: the settings have {self._stage_count} stages"
                 )
-            # Guards against a released build that would pass for a canary: its endpoints, which may be all there
-            # are, would get the first stage's share. Outside a canary phase the stage has no further meaning.
+            # In other phases the stage is reduced to the last one in the settings. If the message were rejected, a
+            # released build that the relay has not heard of would still be treated as a canary, and its endpoints,
+            # which may be all there are, would get only the first stage's share of requests.
             message = replace(message, stage=self._stage_count - 1)
-        self.driver.rollout_read(message, is_vote, outcome)
+        self.driver.rollout_read(message, is_vote_reply, outcome)
         self.after_event()
 
     def _follow_configuration(self, config: RelayConfig, sources: ConfigurationSources) -> None:
-        """Starts to follow the configuration; only here is its code imported."""
+        """Starts the configuration client; raises MessageError if the file's entries exceed the section's limits.
+
+        Its code is imported here, so that relays without a section `configuration` do not load it.
+        """
         from lanelead.postgres_relay.configuration_client import ConfigurationClient
 
         self._configuration_client = ConfigurationClient(
@@ -191,26 +204,30 @@
         self._background_tasks.start(self._configuration_client.run())
 
     def _apply_configuration(self, keys: Sequence[str], values: Mapping[str, EntryValue]) -> None:
+        """Applies the changed keys of the followed configuration, or of the file at a reload."""
         unknown = self._applied_configuration.apply(keys, values)
         if unknown:
             self._log.warning(
                 "values of classes that the settings do not have",
                 keys=unknown[:MAX_LOGGED_ERRORS],
-                remedy="name the class in the file and restart the relay, or remove the key",
+                remedy="restart the relay with these classes in its file, or remove their values",
             )
-        self._log.info("configuration in force", keys=len(keys), first=list(keys[:3]))
+        self._log.info("tenant and class values changed", keys=len(keys), first=list(keys[:3]))
         self.after_event()
 
     # Running
 
     def install_signal_handlers(self) -> None:
-        """SIGTERM and SIGINT stop the relay, SIGHUP reloads its file."""
+        """Makes SIGTERM and SIGINT stop the relay, and SIGHUP reload its configuration file."""
         self._loop.add_signal_handler(signal.SIGTERM, self.stop)
         self._loop.add_signal_handler(signal.SIGINT, self.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def run(self, config: RelayConfig) -> None:
-        """Serves until told to stop, and drains; raises SystemExit where the address cannot be listened at."""
+        """Serves until `stop` is called, then drains and closes all connections.
+
+        Raises SystemExit if the relay cannot listen at its address, and MessageError as `_follow_configuration` does.
+        """
         self._event_loop_monitor.start()
         self._start_feeds(config)
         if config.peer_listen:
@@ -219,7 +236,7 @@
             self._follow_configuration(config, config.configuration)
         if not config.known.entries:
             await self._wait_for_first_list()
-        if not self._stop.is_set():  # stopped before it listened: no request was taken
+        if not self._stop.is_set():  # if stopped before listening, there is nothing to drain
             await self._serve(*parse_address(config.listen))
         self._ended = True
         self.upstream.close_all()
@@ -229,17 +246,17 @@
         self._log.info("stopped", **self.state())
 
     async def _wait_for_first_list(self) -> None:
-        """Waits for discovery's first response, which comes at once where discovery is up. Without one the relay
-        listens all the same: a rejection, which is safe to retry, is better than no response.
+        """Waits for discovery's first list, until `stop` or a timeout.
+
+        A discovery that is up responds at once. Without a list the relay listens all the same: a rejection, which is
+        safe to retry, is better for clients than no response.
         """
-        waits = [self._loop.create_task(event.wait()) for event in (self._endpoints_known, self._stop)]
-        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_SECONDS, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
+        tasks = [self._loop.create_task(event.wait()) for event in (self._endpoints_known, self._stop)]
+        await asyncio.wait(tasks, timeout=FIRST_LIST_TIMEOUT_SECONDS, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
         if not self._endpoints_known.is_set():
-            self._log.warning(
-                "no endpoint list yet", remedy="look at discovery; requests are rejected until it answers"
-            )
+            self._log.warning("no endpoint list yet", remedy="check discovery; requests are rejected until it responds")
 
     async def _serve(self, host: str, port: int) -> None:
         try:
@@ -252,16 +269,19 @@
         sweeper = self._background_tasks.start(self._sweep())
         await self._stop.wait()
         self._log.info("draining", pending=len(self.driver.pending))
-        longest = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
-        await self.listener.drain(DRAIN_LINGER_SECONDS, min(longest, DRAIN_RESPONSE_SECONDS))
+        longest_timeout = max(request_class.timeout for request_class in self.driver.request_classes.values()) / 10_000
+        await self.listener.drain(DRAIN_LINGER_SECONDS, min(longest_timeout, DRAIN_RESPONSE_SECONDS))
         sweeper.cancel()
 
     def stop(self) -> None:
-        """Begins to drain; `run` returns when that is done."""
+        """Starts draining, or ends a relay that does not listen yet; `run` returns once that is done."""
         self._stop.set()
 
     def after_event(self) -> None:
-        """To be called once the driver was notified of something: starts attempts, and sets the timer."""
+        """Starts the attempts and health checks that the driver has enqueued, and sets the driver's timer.
+
+        Must be called after each event that the driver was notified of.
+        """
         self.upstream.start_waiting()
         self._clock.arm()
 
@@ -270,23 +290,28 @@
         self.after_event()
 
     async def _sweep(self) -> None:
-        count = 0
+        """Applies connections' timeouts, measures the loop's lag, and logs the state, after which the lag is reset."""
+        sweeps = 0
         while True:
-            before = self._loop.time()
+            slept_at = self._loop.time()
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
-            self._event_loop_monitor.record_lag(self._loop.time() - before - SWEEP_INTERVAL_SECONDS)
+            self._event_loop_monitor.record_lag(self._loop.time() - slept_at - SWEEP_INTERVAL_SECONDS)
             try:
                 self.upstream.sweep()
                 self.listener.sweep()
-            except Exception:  # noqa: BLE001 - one failed sweep must not be the last; logged
+            except Exception:  # noqa: BLE001 - logged; later sweeps must still run
                 self._log.exception("a sweep failed")
-            count += 1
-            if count % SWEEPS_PER_STATE_LINE == 0:
+            sweeps += 1
+            if sweeps % SWEEPS_PER_STATE_LINE == 0:
                 self._log.info("state", **self.state())
                 self._event_loop_monitor.reset()
 
     def state(self) -> dict[str, Any]:
-        """The state document: connections and feeds now, and counts since the start."""
+        """Returns the state document.
+
+        It has the connections and newest feeds now, counts since the start, the longest lags since the last logged
+        state, and the process's CPU time and memory.
+        """
         client = self._configuration_client
         return {
             **request_counts(self.driver),
@@ -305,7 +330,12 @@
     # Reload
 
     def reload(self) -> None:
-        """SIGHUP: the feeds move once the new file can be read, and values that may change are put in force."""
+        """Reads the relay's file again, and starts feeds from its addresses.
+
+        The file's tenants and class values are applied as well, unless the relay follows a configuration. A file that
+        `load` rejects changes nothing. Other changed settings and fields of `reloading.RESTART_FIELDS` are logged as
+        ignored until a restart; other parts of the file, such as `configuration`, are ignored without a log line.
+        """
         if self._ended:
             return
         try:
@@ -314,11 +344,11 @@
             self._log.error(
                 "configuration not reloaded: the old one stays in force",
                 reason=str(error),
-                remedy="put the file right and send SIGHUP again",
+                remedy="correct the file and send SIGHUP again",
             )
             return
         old = self._config
-        # A relay that follows the configuration takes tenants and classes from there.
+        # A relay that follows a configuration takes tenants and class values from there instead of its file.
         applied = self._apply_file_values(config) if self._configuration_client is None else []
         self._log.info(
             "configuration reloaded",
@@ -329,13 +359,18 @@
         self._start_feeds(config)
 
     def _apply_file_values(self, config: RelayConfig) -> list[str]:
-        """Puts the file's tenants and values of classes in force; returns the settings that this covers."""
+        """Applies the file's changed tenants and class values; an invalid value is logged, and the last good one stays.
+
+        Returns the names of the settings whose changes need no restart.
+        """
         old = self._config.settings
         new = config.settings
         keys, values, errors = changed_entries(old, new)
         for error in errors[:MAX_LOGGED_ERRORS]:
             self._log.warning(
-                "a value of the file was rejected", reason=str(error), remedy="the last good value stays in force"
+                "invalid value in the file",
+                reason=str(error),
+                remedy="correct the file and send SIGHUP again; the last good value stays in force",
             )
         if keys:
             self._apply_configuration(keys, values)
@@ -345,7 +380,7 @@
             return [TENANTS_SETTING, CLASSES_SETTING]
         return [TENANTS_SETTING]
 
-    # The rest of HostOperations
+    # HostOperations, apart from the methods of HostOperationsBase
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         """See `HostOperations`."""
@@ -356,7 +391,7 @@
         self._rollout_handover.newest.cast_vote(vote)
 
     def watch_endpoints(self, on: bool) -> None:
-        """Discovery is always watched here."""
+        """Does nothing: this relay always watches discovery."""
 
     def poll_endpoints(self) -> None:
-        """Discovery is always watched here."""
+        """Does nothing: this relay always watches discovery."""
