--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -340,7 +340,10 @@
             self.after_event()
 
     def _health_check_not_sent(self, endpoint: Endpoint) -> None:
-        """Reports a health check for which there is no destination or no connection could be opened."""
+        """Reports a health check for which there is no destination or no connection could be opened.
+
+        Called by the event loop: the decisions must not be called back from within a call of theirs.
+        """
         self.driver.health_checked(endpoint, AttemptOutcome.CONNECT_FAILED, 0, None)
         self.after_event()
 
