--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -112,7 +112,7 @@
             body = json.dumps(json.loads(env.list_of(env.endpoints)), indent=2).encode()
             env.states["u1"], env.version = "active", 1
             env.next_responses = [serialization.response(200, (), body, keep=False)]
-            with mock.patch("lanelead.http.client.BUFFER", 7):
+            with mock.patch("lanelead.http.client.BUFFER_BYTES", 7):
                 env.change_state(env.endpoints[0], "active")
                 await env.until(lambda: endpoint_status(env, "u1") == "draining")
 
