--- a/lanelead/settings/__init__.py
+++ b/lanelead/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: typed records written in a documented subset of CUE, with one reader and one checker."""
+"""Settings files: a documented subset of CUE, read into typed records and checked."""
--- a/lanelead/settings/cue_evaluation.py
+++ b/lanelead/settings/cue_evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluates a syntax tree of the settings language to a value, and a value to plain Python objects."""
+"""Evaluates the syntax tree of a settings file to a CUE value, and exports CUE values as plain Python objects."""
 
 from __future__ import annotations
 
@@ -21,41 +21,42 @@
     Struct,
     Value,
     close,
+    describe,
     field_path,
-    show,
     unify,
 )
 from lanelead.settings.errors import Position, SettingsFault
 
-QUOTED = '"'  # begins the key of a quoted label: those are plain fields, whatever their first letter
-ATOMS: dict[str, Any] = {"true": True, "false": False, "null": None}
+# Marks quoted labels: unlike unquoted ones, they are regular fields even if they start with # or _.
+QUOTED_LABEL_PREFIX = '"'
+KEYWORD_VALUES: dict[str, Any] = {"true": True, "false": False, "null": None}
 MULTIPLIERS = {"K": 1000, "M": 1000**2, "G": 1000**3, "T": 1000**4}
 MULTIPLIERS |= {f"{letter}i": 1024**power for power, letter in enumerate("KMGT", 1)}
 INFINITIES = (float("inf"), float("-inf"))
-FULL_DEPTH = 9
+COMPARISON_DEPTH = 9  # levels of two default values that are compared to tell whether they are the same
 
 
 @dataclass(slots=True)
 class Scope:
-    """The fields around an expression, for references; `evaluating` finds those that lead back to themselves."""
+    """The fields of a struct, in which references are resolved."""
 
-    fields: dict[str, list[Tree[Token]]]
-    outer: Scope | None
-    evaluating: set[str] = field(default_factory=set)
+    fields: dict[str, list[Tree[Token]]]  # all declarations of a field, by its label
+    outer: Scope | None  # the scope of the enclosing struct
+    evaluating: set[str] = field(default_factory=set)  # fields being evaluated, to detect reference cycles
 
 
 def label_of(tree: Tree[Token]) -> str:
-    """The label of a field's tree; a quoted one with QUOTED before it."""
+    """Returns the label of a field; a quoted one begins with `QUOTED_LABEL_PREFIX`."""
     label = tree.children[0]
     assert isinstance(label, Tree)
     text = str(label.children[0])
-    return QUOTED + str(json.loads(text)) if text.startswith('"') else text
+    return QUOTED_LABEL_PREFIX + str(json.loads(text)) if text.startswith('"') else text
 
 
 class Evaluator:
-    """Turns a file's syntax tree into a value; `faults` has what it found wrong.
+    """Evaluates the syntax tree of one file; the faults that it finds are added to `faults`.
 
-    Names are looked up from the inside out, then in `known`.
+    A reference is looked up in the enclosing structs, innermost first, and then in the definitions `known`.
     """
 
     def __init__(self, file: str, known: Mapping[str, Value]) -> None:
@@ -64,14 +65,16 @@
         self.faults: list[SettingsFault] = []
 
     def file_value(self, tree: Tree[Token]) -> Struct:
-        """The value of a whole file."""
+        """Returns the value of a whole file, without its definitions and hidden fields."""
         return self._struct(tree, None, "")
 
     def definitions(self, tree: Tree[Token]) -> dict[str, Value]:
-        """A file's definitions (`#Name`), by name."""
+        """Returns the values of a file's definitions (`#Name`), by name."""
         scope = self._scope(tree, None)
         return {
-            name: self._named(name, scope, trees, name) for name, trees in scope.fields.items() if name.startswith("#")
+            name: self._field_value(name, scope, trees, name)
+            for name, trees in scope.fields.items()
+            if name.startswith("#")
         }
 
     def _position(self, tree: Tree[Token] | Token) -> Position:
@@ -79,7 +82,7 @@
             return Position(self._file, tree.line or 1, tree.column or 1)
         return Position(self._file, getattr(tree.meta, "line", 1), getattr(tree.meta, "column", 1))
 
-    def _blame(self, tree: Tree[Token] | Token, path: str, found: str, expected: str) -> Value:
+    def _add_fault(self, tree: Tree[Token] | Token, path: str, found: str, expected: str) -> Value:
         self.faults.append(SettingsFault(self._position(tree), path, found, expected))
         return AnyValue(self._position(tree))
 
@@ -88,14 +91,14 @@
         for child in tree.children:
             if isinstance(child, Tree) and child.data == "field":
                 label = label_of(child)
-                name = label.removeprefix(QUOTED)
+                name = label.removeprefix(QUOTED_LABEL_PREFIX)
                 key = label if name.startswith(("#", "_")) else name
                 fields.setdefault(key, []).append(child)
         return Scope(fields, outer)
 
-    def _named(self, name: str, scope: Scope, trees: Sequence[Tree[Token]], path: str) -> Value:
+    def _field_value(self, name: str, scope: Scope, trees: Sequence[Tree[Token]], path: str) -> Value:
         if name in scope.evaluating:
-            return self._blame(trees[0], path, f"{name}, which leads back to itself", "a value")
+            return self._add_fault(trees[0], path, f"{name}, which refers to itself", "a value")
         scope.evaluating.add(name)
         try:
             values = [self._value(tree.children[-1], scope, path) for tree in trees]
@@ -104,7 +107,7 @@
         value = values[0]
         for other in values[1:]:
             value = unify(value, other, path, self.faults)
-        # A definition is closed, with all within it: it takes no field that it does not name.
+        # A definition and all structs in it are closed: they allow only the fields that they name.
         return close(value) if name[0] == "#" else value
 
     def _struct(self, tree: Tree[Token], outer: Scope | None, path: str) -> Struct:
@@ -112,27 +115,30 @@
         others = self._other_fields(tree, scope, path)
         fields: dict[str, Field] = {}
         for label, trees in scope.fields.items():
-            if label.startswith(("#", "_")):  # a definition, or hidden; never so where it is quoted
+            if label.startswith(("#", "_")):  # definitions and hidden fields are not exported
                 continue
-            name = label.removeprefix(QUOTED)
-            value = self._named(label, scope, trees, field_path(path, name))
+            name = label.removeprefix(QUOTED_LABEL_PREFIX)
+            value = self._field_value(label, scope, trees, field_path(path, name))
             optional = all(any(mark == "?" for mark in tree.children[1:-1]) for tree in trees)
             fields[name] = Field(value, optional, self._position(trees[0]))
         return Struct(self._position(tree), fields, others)
 
     def _other_fields(self, tree: Tree[Token], scope: Scope, path: str) -> Value | None:
-        """What any further field must be; fields that share a line without a comma are faults."""
+        """Returns the constraint on fields that the struct does not name, or None if it states none.
+
+        Adds a fault for each field that follows another on the same line without a comma between them.
+        """
         others: Value | None = None
-        last: Tree[Token] | Token | None = None
+        previous: Tree[Token] | Token | None = None
         for child in tree.children:
             if isinstance(child, Tree):
-                if isinstance(last, Tree) and last.meta.end_line == child.meta.line:
-                    self._blame(child, path, "two fields on one line", "a comma or a new line between")
+                if isinstance(previous, Tree) and previous.meta.end_line == child.meta.line:
+                    self._add_fault(child, path, "two fields on one line", "a comma or a new line between")
                 if child.data == "pattern":
                     others = self._value(child.children[1], scope, path)
                 elif child.data == "rest":
                     others = AnyValue(self._position(child))
-            last = child
+            previous = child
         return others
 
     def _value(self, tree: Any, scope: Scope, path: str) -> Value:
@@ -157,12 +163,12 @@
                 return self._bound(tree, scope, path)
             case "sequence":
                 return self._list(tree, scope, path)
-        return self._blame(tree, path, str(tree.data), "a value")
+        return self._add_fault(tree, path, str(tree.data), "a value")
 
     def _number_value(self, tree: Any, path: str) -> Value:
         number = _number(tree.children[0])
         if number in INFINITIES:
-            return self._blame(tree, path, str(tree.children[0]), "a finite number")
+            return self._add_fault(tree, path, str(tree.children[0]), "a finite number")
         return Atom(self._position(tree), number)
 
     def _conjunction(self, parts: Sequence[Any], scope: Scope, path: str) -> Value:
@@ -178,16 +184,16 @@
 
     def _bound(self, tree: Any, scope: Scope, path: str) -> Value:
         operator = str(tree.children[0])
-        edge = self._value(tree.children[1], scope, path)
-        if not isinstance(edge, Atom) or edge.value is None or isinstance(edge.value, bool):
-            return self._blame(tree, path, show(edge), "a number or a string after the bound")
+        operand = self._value(tree.children[1], scope, path)
+        if not isinstance(operand, Atom) or operand.value is None or isinstance(operand.value, bool):
+            return self._add_fault(tree, path, describe(operand), "a number or a string after the operator")
         if operator == "=~":
             try:
-                re.compile(str(edge.value))
+                re.compile(str(operand.value))
             except re.error as error:
-                return self._blame(tree, path, str(error), "a regular expression")
-        atom_type = "string" if isinstance(edge.value, str) else "number"
-        bounds = ((operator, edge.value),)
+                return self._add_fault(tree, path, str(error), "a regular expression")
+        atom_type = "string" if isinstance(operand.value, str) else "number"
+        bounds = ((operator, operand.value),)
         return Bounds(self._position(tree), None if operator == "!=" else atom_type, bounds)
 
     def _list(self, tree: Tree[Token], scope: Scope, path: str) -> Value:
@@ -197,7 +203,7 @@
             if isinstance(part, Token):
                 continue
             if rest is not None:
-                return self._blame(part, path, "an item after ...", "the end of the list")
+                return self._add_fault(part, path, "an item after the open end ...", "the end of the list")
             if part.data == "ellipsis":
                 inner = part.children[1:]
                 rest = self._value(inner[0], scope, path) if inner else AnyValue(self._position(part))
@@ -210,26 +216,28 @@
         name, *steps = [str(part.children[0]) if isinstance(part, Tree) else str(part) for part in tree.children]
         if not steps and name in ATOM_TYPES:
             return Bounds(position, name)
-        if not steps and name in ATOMS:
-            return Atom(position, ATOMS[name])
+        if not steps and name in KEYWORD_VALUES:
+            return Atom(position, KEYWORD_VALUES[name])
         if name == "_":
             return AnyValue(position)
         found = self._look_up(name, scope, path)
         if found is None:
-            return self._blame(tree, path, f"the name {name}", "a name that this file or lanelead defines")
+            return self._add_fault(
+                tree, path, f"the undefined name {name}", "a name that this file or lanelead defines"
+            )
         value = found
         for step in steps:
             if not isinstance(value, Struct) or step not in value.fields:
-                return self._blame(tree, path, f"no {step} in {name}", show(value))
+                return self._add_fault(tree, path, f"no field {step} in {name}", describe(value))
             value = value.fields[step].value
         return value if name.startswith("#") else replace(value, position=position)
 
     def _look_up(self, name: str, scope: Scope, path: str) -> Value | None:
-        around: Scope | None = scope
-        while around is not None and name not in around.fields:
-            around = around.outer
-        if around is not None:
-            return self._named(name, around, around.fields[name], path)
+        enclosing: Scope | None = scope
+        while enclosing is not None and name not in enclosing.fields:
+            enclosing = enclosing.outer
+        if enclosing is not None:
+            return self._field_value(name, enclosing, enclosing.fields[name], path)
         return self._known.get(name)
 
 
@@ -244,9 +252,10 @@
 
 
 def to_plain(value: Value, path: str, faults: list[SettingsFault], positions: dict[str, Position]) -> Any:
-    """The value as dictionaries, lists and atoms; what is still open is a fault.
+    """Returns the value as dictionaries, lists and atoms.
 
-    `positions` gets the place of each field, by its path.
+    A value that is not concrete, such as a type or a choice without a default, is added to `faults`. The position of
+    each field is added to `positions`, by its path.
     """
     positions[path] = value.position
     match value:
@@ -258,10 +267,10 @@
             return [to_plain(item, f"{path}[{index}]", faults, positions) for index, item in enumerate(items)]
         case Disjunction():
             options = _options(value)
-            texts = {show(option, FULL_DEPTH) for option in options}
+            texts = {describe(option, COMPARISON_DEPTH) for option in options}
             if len(texts) == 1 and _is_concrete(options[0]):
                 return to_plain(options[0], path, faults, positions)
-    faults.append(SettingsFault(value.position, path, "nothing definite", show(value)))
+    faults.append(SettingsFault(value.position, path, "no concrete value", describe(value)))
     return None
 
 
@@ -271,17 +280,17 @@
     result: dict[str, Any] = {}
     for name, member in value.fields.items():
         at = field_path(path, name)
-        if member.optional:  # named by our definitions only: the file left it out
+        if member.optional:  # declared in the definitions, but not set in the file
             continue
         if isinstance(member.value, Bounds | AnyValue):
-            faults.append(SettingsFault(value.position, at, "nothing", show(member.value)))
+            faults.append(SettingsFault(value.position, at, "nothing", describe(member.value)))
             continue
         result[name] = to_plain(member.value, at, faults, positions)
     return result
 
 
 def _options(value: Disjunction) -> list[Value]:
-    """The branches marked as default, or else all."""
+    """Returns the branches that are marked as default, or all if none is."""
     marked = [branch for branch, default in value.branches if default]
     return marked or [branch for branch, _ in value.branches]
 
--- a/lanelead/settings/cue_syntax.py
+++ b/lanelead/settings/cue_syntax.py
@@ -1,4 +1,4 @@
-"""The settings language's syntax tree, parsed by lark from the grammar in cue.lark."""
+"""Parses settings files into syntax trees, with lark and the grammar in `cue.lark`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from lanelead.settings.errors import Position, SettingsError, SettingsFault
 
-MAX_NESTING = 40  # guards against a file that exhausts the interpreter's stack
+MAX_NESTING = 40  # keeps a file from exhausting the interpreter's stack
 MAX_CHARACTERS = 4 << 20
 MAX_SHOWN_TERMINALS = 8
-TERMINALS = {
+TERMINAL_DESCRIPTIONS = {  # how error messages name the terminals of the grammar
     "LBRACE": "{",
     "RBRACE": "}",
     "LSQB": "[",
@@ -28,15 +28,16 @@
     "IDENT": "a name",
     "STRING": "a string",
     "NUMBER": "a number",
-    "$END": "the end",
+    "$END": "the end of the file",
     "COMMA": ",",
     "ELLIPSIS": "...",
-    "BOUND": "a bound",
+    "BOUND": "a comparison operator",
     "MARK": "?",
     "AMPERSAND": "&",
     "DOT": ".",
 }
-BRACKETS = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[\[{(\n*]|[\]})]')
+# Matches strings and comments too, so that brackets inside them are not counted.
+NESTING_TOKENS = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[\[{(\n*]|[\]})]')
 
 
 @cache
@@ -46,7 +47,10 @@
 
 
 def parse(text: str, file: str) -> Tree[Token]:
-    """The file's syntax tree. Raises SettingsError with the place of the first fault."""
+    """Returns the syntax tree of a file's text; `file` is its name in error messages.
+
+    Raises SettingsError with the position of the first fault.
+    """
     start = Position(file, 1, 1)
     if len(text) > MAX_CHARACTERS:
         raise SettingsError([SettingsFault(start, "", f"{len(text)} characters", f"{MAX_CHARACTERS} at most")])
@@ -56,17 +60,19 @@
     except UnexpectedInput as error:
         raise SettingsError([_syntax_fault(error, text, file)]) from None
     except (LarkError, RecursionError) as error:
-        raise SettingsError([SettingsFault(start, "", str(error)[:80], "a readable file")]) from None
+        raise SettingsError([SettingsFault(start, "", str(error)[:80], "a file that can be parsed")]) from None
 
 
 def _check_nesting(text: str, file: str) -> None:
     depth = 0
-    for token in BRACKETS.finditer(text):
+    for token in NESTING_TOKENS.finditer(text):
         depth += (token[0] in ("[", "{", "(")) - (token[0] in ("]", "}", ")"))
         if depth > MAX_NESTING:
             line = text.count("\n", 0, token.start()) + 1
             position = Position(file, line, token.start() - text.rfind("\n", 0, token.start()))
-            raise SettingsError([SettingsFault(position, "", "deeper nesting", f"{MAX_NESTING} levels at most")])
+            raise SettingsError(
+                [SettingsFault(position, "", "brackets nested too deeply", f"{MAX_NESTING} levels at most")]
+            )
 
 
 def _syntax_fault(error: UnexpectedInput, text: str, file: str) -> SettingsFault:
@@ -74,8 +80,8 @@
     column = max(1, error.column)
     lines = text.split("\n")
     rest = lines[line - 1][column - 1 :].strip() if line <= len(lines) else ""
-    wanted = getattr(error, "accepts", None) or getattr(error, "allowed", None) or ()
-    names = sorted(TERMINALS.get(name, name.lower()) for name in wanted)
-    expected = ", ".join(names[:MAX_SHOWN_TERMINALS]) or "another form"
+    accepted = getattr(error, "accepts", None) or getattr(error, "allowed", None) or ()
+    names = sorted(TERMINAL_DESCRIPTIONS.get(name, name.lower()) for name in accepted)
+    expected = ", ".join(names[:MAX_SHOWN_TERMINALS]) or "other syntax"
     found = json.dumps(rest[:30]) if rest else "the end of the line"
     return SettingsFault(Position(file, line, column), "", found, expected)
--- a/lanelead/settings/cue_values.py
+++ b/lanelead/settings/cue_values.py
@@ -1,7 +1,7 @@
-"""Values of the settings language, and what two of them allow together.
+"""Values of the settings language, and their unification: the value that satisfies two constraints at once.
 
-Source: the CUE language specification, sections Values, Unification, Default values, Structs and Closed structs.
-Faults are gathered, not raised one by one.
+Follows the CUE language specification, sections Values, Unification, Default values, Structs and Closed structs.
+Faults are added to a list rather than raised, so that all of them are reported together.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 
 from lanelead.settings.errors import Position, SettingsFault
 
-SHOWN_DEPTH = 2  # levels of a value that a message to people shows
+DESCRIBED_DEPTH = 2  # levels of nesting that error messages show of a value
 ATOM_TYPES: dict[str, tuple[type, ...]] = {"string": (str,), "int": (int,), "number": (int, float), "bool": (bool,)}
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """Any value, with where it stands."""
+    """Base class of all values, with the position in the file."""
 
     position: Position
 
 
 @dataclass(frozen=True, slots=True)
 class AnyValue(Value):
-    """Allows everything (`_`)."""
+    """The constraint that any value satisfies (`_`)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Atom(Value):
-    """One concrete string, number, boolean or null."""
+    """A concrete string, number, boolean or null."""
 
     value: str | int | float | bool | None
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds(Value):
-    """A type of atom, with bounds on it: each an operator and what it compares with."""
+    """A constraint on atoms: a type (None: any), and bounds, each an operator and its operand."""
 
     atom_type: str | None
     bounds: tuple[tuple[str, Any], ...] = ()
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """A field of a struct."""
+    """A field of a struct. `optional`: the field may be left out."""
 
     value: Value
     optional: bool
@@ -55,7 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Struct(Value):
-    """Fields by name. `others`: what any further field must be. `closed`: there may be no further field."""
+    """Fields by name.
+
+    `others` is the constraint on fields that are not named here; without it, `closed` rules such fields out.
+    """
 
     fields: dict[str, Field]
     others: Value | None = None
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListValue(Value):
-    """Items in order. `rest`: what any further item must be."""
+    """Items in order. `rest` is the constraint on further items; None: there may be none."""
 
     items: tuple[Value, ...]
     rest: Value | None = None
@@ -72,30 +75,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Disjunction(Value):
-    """One of several values, each with whether it is marked as the default."""
+    """Alternatives, each with a flag that marks it as a default."""
 
     branches: tuple[tuple[Value, bool], ...]
 
 
-def show(value: Value, depth: int = SHOWN_DEPTH) -> str:
-    """A value as a short text for people."""
+def describe(value: Value, depth: int = DESCRIBED_DEPTH) -> str:
+    """Returns a short text for error messages; `depth` is the number of levels that it shows."""
     match value:
         case Atom(_, atom):
             return json.dumps(atom)
         case Bounds(_, atom_type, bounds):
             parts = [atom_type] if atom_type else []
-            return " & ".join(parts + [f"{operator}{json.dumps(edge)}" for operator, edge in bounds])
+            return " & ".join(parts + [f"{operator}{json.dumps(operand)}" for operator, operand in bounds])
         case Disjunction(_, branches):
-            return " | ".join(dict.fromkeys(show(branch, depth - 1) for branch, _ in branches))
+            return " | ".join(dict.fromkeys(describe(branch, depth - 1) for branch, _ in branches))
         case Struct(_, fields):
             return "a struct" + (f" of {', '.join(fields)}" if fields and depth > 1 else "")
         case ListValue(_, _, rest):
-            return f"a list of {show(rest, depth - 1)}" if rest else "a list"
+            return f"a list of {describe(rest, depth - 1)}" if rest else "a list"
     return "anything"
 
 
 def close(value: Value) -> Value:
-    """The same, with each struct in it closed."""
+    """Returns the value with all structs in it closed."""
     match value:
         case Struct(position, fields, others):
             inner = {name: replace(field, value=close(field.value)) for name, field in fields.items()}
@@ -108,21 +111,25 @@
 
 
 def field_path(parent: str, name: str) -> str:
-    """The path of a field within a struct's."""
+    """Returns the path of a field of the struct at path `parent`."""
     return f"{parent}.{name}" if parent else name
 
 
 def unify(a: Value, b: Value, path: str, faults: list[SettingsFault]) -> Value:
-    """What both allow. `a` is the definition, `b` the side whose position is reported where they do not agree."""
-    unified = _unified(a, b, path, faults)
+    """Returns the unification of two values.
+
+    If they conflict, adds a fault to `faults` and returns `b`. The fault reports `b` as found, at its position, and `a`
+    as expected; so `a` is the definition and `b` the file's value.
+    """
+    unified = _unify_or_none(a, b, path, faults)
     if unified is not None:
         return unified
-    faults.append(SettingsFault(b.position, path, show(b), show(a)))
+    faults.append(SettingsFault(b.position, path, describe(b), describe(a)))
     return b
 
 
-def _unified(a: Value, b: Value, path: str, faults: list[SettingsFault]) -> Value | None:
-    """The same, and None where the two have nothing in common."""
+def _unify_or_none(a: Value, b: Value, path: str, faults: list[SettingsFault]) -> Value | None:
+    """Returns the unification, or None if no value satisfies both."""
     match a, b:
         case AnyValue(), _:
             return b
@@ -138,24 +145,24 @@
             return _unify_structs(a, b, path, faults)
         case ListValue(), ListValue():
             return _unify_lists(a, b, path, faults)
-    return _unified_atoms(a, b)
+    return _unify_atoms(a, b)
 
 
-def _unified_atoms(a: Value, b: Value) -> Value | None:
+def _unify_atoms(a: Value, b: Value) -> Value | None:
     match a, b:
         case Atom(), Atom() if a.value == b.value and isinstance(a.value, bool) is isinstance(b.value, bool):
             return b
         case Bounds(), Atom() if _allows(a, b.value):
             return b
         case Bounds(), Bounds():
-            return _merged_bounds(a, b)
+            return _unify_bounds(a, b)
     return None
 
 
 def _allows(bounds: Bounds, atom: Any) -> bool:
     if not _has_type(atom, bounds.atom_type):
         return False
-    return all(_is_within(atom, operator, edge) for operator, edge in bounds.bounds)
+    return all(_is_within(atom, operator, operand) for operator, operand in bounds.bounds)
 
 
 def _has_type(atom: Any, atom_type: str | None) -> bool:
@@ -164,18 +171,23 @@
     return isinstance(atom, ATOM_TYPES[atom_type]) and (atom_type == "bool" or not isinstance(atom, bool))
 
 
-def _is_within(atom: Any, operator: str, edge: Any) -> bool:
+def _is_within(atom: Any, operator: str, operand: Any) -> bool:
     if operator == "!=":
-        return bool(atom != edge)
-    if isinstance(atom, str) is not isinstance(edge, str) or isinstance(atom, bool) or atom is None:
+        return bool(atom != operand)
+    if isinstance(atom, str) is not isinstance(operand, str) or isinstance(atom, bool) or atom is None:
         return False
     if operator == "=~":
-        return bool(re.search(edge, atom))
-    tests: dict[str, bool] = {">=": atom >= edge, "<=": atom <= edge, ">": atom > edge, "<": atom < edge}
-    return tests[operator]
+        return bool(re.search(operand, atom))
+    comparisons: dict[str, bool] = {
+        ">=": atom >= operand,
+        "<=": atom <= operand,
+        ">": atom > operand,
+        "<": atom < operand,
+    }
+    return comparisons[operator]
 
 
-def _merged_bounds(a: Bounds, b: Bounds) -> Bounds | None:
+def _unify_bounds(a: Bounds, b: Bounds) -> Bounds | None:
     types = {a.atom_type, b.atom_type} - {None}
     if types == {"int", "number"}:
         types = {"int"}
@@ -185,23 +197,23 @@
 
 
 def _unify_branches(a: Disjunction, b: Value, path: str, faults: list[SettingsFault]) -> Value:
-    fitting: list[tuple[Value, bool]] = []
+    compatible: list[tuple[Value, bool]] = []
     closest: list[SettingsFault] = []
     other_branches = b.branches if isinstance(b, Disjunction) else ((b, False),)
     for branch, marked in a.branches:
         for other, other_marked in other_branches:
-            tried: list[SettingsFault] = []
-            value = unify(branch, other, path, tried)
-            if not tried:
-                fitting.append((value, marked or other_marked))
-            elif not closest or max(map(_depth, tried)) > max(map(_depth, closest)):
-                closest = tried
-    if not fitting:
-        # Where a branch went deeper than the disjunction itself, its fault is the one worth reading.
+            branch_faults: list[SettingsFault] = []
+            value = unify(branch, other, path, branch_faults)
+            if not branch_faults:
+                compatible.append((value, marked or other_marked))
+            elif not closest or max(map(_depth, branch_faults)) > max(map(_depth, closest)):
+                closest = branch_faults
+    if not compatible:
+        # The faults of the branch that matched furthest say more than that no branch matched.
         deeper = [fault for fault in closest if _depth(fault) > path.count(".") + path.count("[")]
-        faults.extend(deeper or [SettingsFault(b.position, path, show(b), show(a))])
+        faults.extend(deeper or [SettingsFault(b.position, path, describe(b), describe(a))])
         return b
-    return fitting[0][0] if len(fitting) == 1 else Disjunction(b.position, tuple(fitting))
+    return compatible[0][0] if len(compatible) == 1 else Disjunction(b.position, tuple(compatible))
 
 
 def _depth(fault: SettingsFault) -> int:
@@ -212,21 +224,21 @@
     fields: dict[str, Field] = {}
     for name in dict.fromkeys([*a.fields, *b.fields]):
         at = field_path(path, name)
-        mine = a.fields.get(name)
-        theirs = b.fields.get(name)
-        if mine and theirs:
-            value = unify(mine.value, theirs.value, at, faults)
-            fields[name] = Field(value, mine.optional and theirs.optional, theirs.position)
+        field_a = a.fields.get(name)
+        field_b = b.fields.get(name)
+        if field_a and field_b:
+            value = unify(field_a.value, field_b.value, at, faults)
+            fields[name] = Field(value, field_a.optional and field_b.optional, field_b.position)
             continue
-        have, other = (mine, b) if mine else (theirs, a)
-        assert have is not None
+        present, other = (field_a, b) if field_a else (field_b, a)
+        assert present is not None
         if other.others is not None:
-            fields[name] = replace(have, value=unify(other.others, have.value, at, faults))
+            fields[name] = replace(present, value=unify(other.others, present.value, at, faults))
         elif other.closed:
-            known = ", ".join(other.fields) or "none at all"
-            faults.append(SettingsFault(have.position, at, "an unknown field", f"one of {known}"))
+            known = ", ".join(other.fields) or "no fields"
+            faults.append(SettingsFault(present.position, at, "an unknown field", f"one of {known}"))
         else:
-            fields[name] = have
+            fields[name] = present
     others = a.others if b.others is None else b.others
     return Struct(b.position, fields, others, a.closed or b.closed)
 
@@ -234,12 +246,12 @@
 def _unify_lists(a: ListValue, b: ListValue, path: str, faults: list[SettingsFault]) -> ListValue:
     items: list[Value] = []
     for index in range(max(len(a.items), len(b.items))):
-        mine = a.items[index] if index < len(a.items) else a.rest
-        theirs = b.items[index] if index < len(b.items) else b.rest
-        if mine is None or theirs is None:
+        field_a = a.items[index] if index < len(a.items) else a.rest
+        field_b = b.items[index] if index < len(b.items) else b.rest
+        if field_a is None or field_b is None:
             expected = f"{len(a.items)} items" + (" or more" if a.rest else "")
             faults.append(SettingsFault(b.position, path, f"{len(b.items)} items", expected))
             break
-        items.append(unify(mine, theirs, f"{path}[{index}]", faults))
+        items.append(unify(field_a, field_b, f"{path}[{index}]", faults))
     rest = None if a.rest is None or b.rest is None else unify(a.rest, b.rest, f"{path}[]", faults)
     return ListValue(b.position, tuple(items), rest)
--- a/lanelead/settings/errors.py
+++ b/lanelead/settings/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: where, what stands there, and what was expected."""
+"""Faults in settings files: the position, what was found there, and what was expected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands in a file: lines and columns count from 1."""
+    """A position in a file; lines and columns count from 1."""
 
     file: str
     line: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFault:
-    """One fault of a file. `path`: the field's, empty for the file itself."""
+    """One fault in a file. `path` is that of the field, such as `relay.listen.port`; empty: the file as a whole."""
 
     position: Position
     path: str
@@ -30,7 +30,7 @@
 
 
 class SettingsError(Exception):
-    """The settings do not hold; `faults` has all that was found, not only the first."""
+    """A settings file is not valid; `faults` has all faults that were found, not only the first."""
 
     def __init__(self, faults: Sequence[SettingsFault]) -> None:
         super().__init__("\n".join(map(str, faults)))
--- a/lanelead/settings/migration_settings.py
+++ b/lanelead/settings/migration_settings.py
@@ -1,4 +1,4 @@
-"""The settings of migration plans: ordered steps, and the builds that need them."""
+"""The settings of migration plans: ordered steps, and the schema states that each build works on."""
 
 from __future__ import annotations
 
@@ -6,50 +6,50 @@
 
 
 class BatchSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a backfill goes through a table: rows a batch, batches a second, seconds between."""
+    """How a backfill goes through a table in batches."""
 
     table: str
     key: str
-    rows: int
-    rate: float
-    hold_ms: float
+    rows: int  # the most rows of a batch
+    rate: float  # the most rows a second
+    hold_ms: float  # how long a batch should take at most; a longer one makes the next ones smaller
 
 
 class MigrationStep(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """One step: what applies it, what undoes it, and the steps it comes after."""
+    """One step: the statements that apply and undo it, and the steps that must be done before it."""
 
     name: str
     kind: str
     after: list[str]
     apply: list[str]
-    undo: list[str] | str  # "never": it can't be undone
+    undo: list[str] | str  # "never": the step can't be undone
     limit_ms: float
     batch: BatchSettings | None = None
 
     @property
     def undoing(self) -> list[str]:
-        """The statements that undo the step; none where it can't be undone."""
+        """The statements that undo the step; empty if it can't be undone."""
         return [] if isinstance(self.undo, str) else self.undo
 
 
 class StageNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A build needs a step done before this stage."""
+    """A step that must be done before a build enters a stage."""
 
     step: str
     stage: int
 
 
 class BuildRequirements(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The schema states that a build works on: its needs are done, and no step of `until` has begun."""
+    """The schema states that a build works on: all `needs` are done, and no step of `until` has begun."""
 
     build: int
     needs: list[StageNeed]
     until: list[str]
-    write: str
+    write: str  # the statement that an emulated endpoint of the build runs for a write; `:op` is the operation
 
 
 class MigrationPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One plan file."""
+    """The contents of one plan file."""
 
     name: str
     steps: list[MigrationStep]
--- a/lanelead/settings/read.py
+++ b/lanelead/settings/read.py
@@ -1,4 +1,4 @@
-"""Reads a settings file into typed records, and says all that is wrong with it at once."""
+"""Reads settings files into typed records, and reports all faults of a file at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lark import Tree
 
 from lanelead.settings.checks import check_relay, check_scenario, check_service
-from lanelead.settings.cue_evaluation import QUOTED, Evaluator, label_of, to_plain
+from lanelead.settings.cue_evaluation import QUOTED_LABEL_PREFIX, Evaluator, label_of, to_plain
 from lanelead.settings.cue_syntax import parse
 from lanelead.settings.cue_values import Value, unify
 from lanelead.settings.errors import Position, SettingsError, SettingsFault
@@ -23,7 +23,7 @@
 Record = RelaySettings | Scenario | MigrationPlan | ExperimentPlan
 DEFINITIONS_FILE = "definitions.cue"
 ANY_DEFINITION = "#File"
-RECORD_TYPES: dict[str, tuple[str, type[Record]]] = {  # by a file's one field: its definition and record
+RECORD_TYPES: dict[str, tuple[str, type[Record]]] = {  # by the only field of the file: its definition and its type
     "relay": ("#RelayFile", RelaySettings),
     "day": ("#DayFile", Scenario),
     "steps": ("#StepsFile", MigrationPlan),
@@ -42,9 +42,10 @@
 
 
 def evaluate(text: str, file: str, definition: str) -> tuple[Any, dict[str, Position]]:
-    """The file's plain value, unified with one of our definitions, and where each field stands.
+    """Unifies a file's text with a definition of `definitions.cue`.
 
-    Raises SettingsError with every fault found.
+    Returns the value as plain Python objects, and the position of each field by its path. Raises SettingsError with
+    every fault that was found.
     """
     evaluator = Evaluator(file, _definitions())
     value: Value = evaluator.file_value(parse(text, file))
@@ -59,12 +60,15 @@
 
 
 def read(path: str | Path) -> Record:
-    """The record that a file holds. Raises SettingsError with every fault found."""
+    """Returns the record that a file contains. Raises SettingsError with every fault that was found."""
     return read_with_positions(path)[0]
 
 
 def read_with_positions(path: str | Path) -> tuple[Record, dict[str, Position]]:
-    """The same, and where each of its fields stands, by the field's path."""
+    """Returns the record that a file contains, and the position of each field by its path.
+
+    Raises SettingsError with every fault that was found.
+    """
     file = str(path)
     try:
         text = Path(path).read_text("utf-8")
@@ -76,20 +80,23 @@
 
 
 def read_text(text: str, file: str) -> Record:
-    """The same as `read`, from a text; `file` is what faults name."""
+    """Returns the record in a file's text; `file` is its name in error messages.
+
+    Raises SettingsError with every fault that was found.
+    """
     return _read(text, file)[0]
 
 
 def _read(text: str, file: str) -> tuple[Record, dict[str, Position]]:
     labels = _top_labels(text, file)
-    # Unified with the one definition that is meant, faults are nearer the point than a disjunction's.
-    meant = next((name for name in RECORD_TYPES if name in labels), None)
-    result, positions = evaluate(text, file, ANY_DEFINITION if meant is None else RECORD_TYPES[meant][0])
-    name = meant or next(iter(result))
+    # A known top field selects its definition, whose faults are more specific than those of the disjunction #File.
+    label = next((name for name in RECORD_TYPES if name in labels), None)
+    result, positions = evaluate(text, file, ANY_DEFINITION if label is None else RECORD_TYPES[label][0])
+    name = label or next(iter(result))
     try:
         record = msgspec.convert(result[name], RECORD_TYPES[name][1])
-    except msgspec.ValidationError as error:  # the definitions and the records do not agree
-        fault = SettingsFault(positions[""], name, str(error), "a value that the record takes")
+    except msgspec.ValidationError as error:  # the record type is stricter than definitions.cue
+        fault = SettingsFault(positions[""], name, str(error), "a value of the type that the record declares")
         raise SettingsError([fault]) from None
     faults: list[SettingsFault] = []
     if isinstance(record, RelaySettings):
@@ -103,7 +110,7 @@
 
 def _top_labels(text: str, file: str) -> set[str]:
     return {
-        label_of(part).removeprefix(QUOTED)
+        label_of(part).removeprefix(QUOTED_LABEL_PREFIX)
         for part in parse(text, file).children
         if isinstance(part, Tree) and part.data == "field"
     }
--- a/lanelead/settings/relay_settings.py
+++ b/lanelead/settings/relay_settings.py
@@ -9,16 +9,16 @@
 
 
 class FeedSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A feed's address; the bounds of the backoff between connections, and the silence that ends one."""
+    """A feed that the relay subscribes to: its server's address, reconnect backoff and idle timeout."""
 
     address: Address
-    least_wait_ms: float
+    least_wait_ms: float  # the first wait before a reconnect; it doubles with each failure
     most_wait_ms: float
-    silence_ms: float
+    silence_ms: float  # a connection on which nothing arrives for this long is closed
 
 
 class PeerAddress(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Another relay, by its number."""
+    """The number of another relay, and the address of its gossip socket."""
 
     number: int
     host: str
@@ -26,7 +26,7 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where this relay listens for datagrams, and the other relays."""
+    """The address at which this relay receives gossip datagrams, and the other relays."""
 
     listen: Address
     others: list[PeerAddress]
@@ -40,20 +40,20 @@
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Membership among relays: regions, seeds, the failure detector's period, and how long the dead are kept."""
+    """The membership protocol among relays."""
 
     regions: list[RegionSettings]
-    seeds: list[Address]
-    period_ms: float
-    forget_ms: float
+    seeds: list[Address]  # relays to join at; if empty, the peers
+    period_ms: float  # of the failure detector
+    forget_ms: float  # how long the records of dead members are kept
 
     def region(self, zone: str) -> str:
-        """The region of a zone. Raises StopIteration where none has it."""
+        """Returns the name of a zone's region. Raises StopIteration if no region contains the zone."""
         return next(region.name for region in self.regions if zone in region.zones)
 
 
 class SpilloverSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Zones in the order of preference, tier after tier, and how traffic may spill over."""
+    """Tiers of zones in order of preference, and the limits of spillover from one tier to the next."""
 
     tiers: list[list[str]]
     most: float
@@ -61,7 +61,7 @@
     shrink: float
 
     def figures(self) -> interface.ZonePreference:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.ZonePreference(
             tiers=tuple(map(tuple, self.tiers)),
             max_foreign_load=self.most,
@@ -71,23 +71,23 @@
 
 
 class RelaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One relay's settings file."""
+    """The settings file of one relay."""
 
-    number: int
-    relays: int
+    number: int  # of this relay, from 0
+    relays: int  # how many there are
     zone: str
-    seed: int
+    seed: int  # of the random number generator
     listen: Address
     service: ServiceSettings
     discovery: str
-    reports: list[str]
-    roster: FeedSettings
-    desk: FeedSettings
+    reports: list[str]  # the values of load reports that the relay reads
+    roster: FeedSettings  # the endpoint list
+    desk: FeedSettings  # the state of the rollout
     log: str
     peers: PeerSettings | None = None
     circle: MembershipSettings | None = None
     spill: SpilloverSettings | None = None
-    steps: FeedSettings | None = None
+    steps: FeedSettings | None = None  # the migration store, whose log tells which builds are ready for traffic
 
 
 NO_PRICES = interface.Prices(
@@ -99,9 +99,9 @@
     handshake=0.0,
     connection=0.0,
     over_quota_value=1.0,
-)  # prices are the bench's: none here
+)  # settings files have no prices; only parameters read by `runtime.parameter_reader` do
 
 
 def position_of(relay: RelaySettings) -> interface.RelayPosition:
-    """The relay's position among the others."""
+    """Returns the relay's number, zone and the number of relays, as the decisions take them."""
     return interface.RelayPosition(number=relay.number, relay_count=relay.relays, zone=relay.zone)
--- a/lanelead/settings/service_settings.py
+++ b/lanelead/settings/service_settings.py
@@ -1,7 +1,8 @@
-"""The settings that all relays of a service and its clients agree on, and their way into the decisions' parameters.
+"""The settings that all relays and clients of a service share, and their conversion to parameters of the decisions.
 
-Times are milliseconds as written (`..._ms`); `ticks` makes them the whole tenths of a millisecond that decisions take.
-Field names are the settings' words; docs/ARCHITECTURE.md has the term of each.
+Settings are in milliseconds (`..._ms`); the decisions take ticks, which are whole tenths of a millisecond. The field
+names are the keys of settings files, which stay as they are; the `figures` methods map them to the usual terms, and
+docs/ARCHITECTURE.md lists the terms of all of them.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 
 
 def ticks(ms: float) -> Ticks:
-    """Milliseconds as whole tenths; part of a tenth is dropped, so that no limit is stretched."""
+    """Converts milliseconds to ticks; a fraction of a tick is dropped, so that no limit becomes longer."""
     return int(ms * 10 + 1e-6)
 
 
 class Address(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where something listens."""
+    """A host and port to listen on or to connect to."""
 
     host: str
     port: int
 
 
 class RequestClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests: which they are, what is promised to them, and whether they may be repeated."""
+    """A request class: which requests belong to it, its latency objective and timeout, and whether it is idempotent."""
 
     name: str
     methods: list[str]
@@ -40,7 +41,7 @@
     memory_ms: float
 
     def figures(self) -> interface.RequestClass:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.RequestClass(
             name=self.name,
             latency_objective=ticks(self.expected_time_ms),
@@ -56,7 +57,7 @@
 
 
 class TenantSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant: its quota (requests a second over all relays), its share, and its clients' networks."""
+    """A tenant: its quota in requests a second over all relays, its share, and the IP networks of its clients."""
 
     name: str
     quota: float
@@ -67,19 +68,19 @@
 class HeaderNames(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The names of the request headers that a relay reads."""
 
-    member: str
-    key: str
-    left: str
-    lookup: str
+    member: str  # holds the tenant's name
+    key: str  # holds the idempotency key or routing key
+    left: str  # holds the milliseconds until the client's deadline
+    lookup: str  # holds the request id
 
 
 class QuotaSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one relay may use, and which mechanisms it may use at all."""
+    """The resources that one relay may use, and the mechanisms that it may use at all."""
 
     trips: int
     open_lookups: int
-    open_connections: int
-    pipelined: int
+    open_connections: int  # from clients
+    pipelined: int  # requests on one client connection
     body_bytes: int
     head_bytes: int
     calling_off: bool
@@ -88,10 +89,10 @@
     longest_advice_ms: float
     connect_limit_ms: float
     idle_limit_ms: float
-    unit_connections: int
+    unit_connections: int  # to one endpoint
 
     def figures(self, peers: bool) -> interface.ResourceQuota:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.ResourceQuota(
             max_attempts=self.trips,
             max_in_flight=self.open_lookups,
@@ -108,9 +109,9 @@
 
 
 class LimitsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The limits that a relay keeps: time to answer, drains, slow start, overload."""
+    """The limits that a relay keeps: response time, drains, slow start and overload."""
 
-    early_ms: float
+    early_ms: float  # how long before the client's deadline the relay must answer, for the way back
     answer_slack_ms: float
     drain_grace_ms: float
     cold_share: float
@@ -120,7 +121,7 @@
     tick_ms: float
 
     def figures(self, subscribe: bool) -> interface.ServiceLimits:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.ServiceLimits(
             response_slack=ticks(self.answer_slack_ms),
             drain_grace=ticks(self.drain_grace_ms),
@@ -135,7 +136,7 @@
 
 
 class CanarySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How much of the traffic a build on trial may get, stage by stage."""
+    """How much of the traffic a canary build may get in each stage."""
 
     shares: list[float]
     caps: list[float]
@@ -147,7 +148,7 @@
     in_place: bool
 
     def figures(self) -> interface.CanaryLimits:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.CanaryLimits(
             shares=tuple(self.shares),
             exposure_limits=tuple(self.caps),
@@ -161,7 +162,7 @@
 
 
 class VotingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How votes decide on a stage, and what waiting and harm cost."""
+    """How votes decide on a stage, and the prices of a late promotion and of harm done by a bad build."""
 
     control: str
     on_votes: int
@@ -177,7 +178,7 @@
     complaint_share: float
 
     def figures(self) -> interface.VotingRules:
-        """The same as the decisions take it."""
+        """Returns these settings as the parameters that the decisions take."""
         return interface.VotingRules(
             control=PROMOTION_CONTROLS[self.control],
             promote_votes=self.on_votes,
@@ -195,7 +196,7 @@
 
 
 class ServiceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all relays of a service and its clients agree on."""
+    """The settings that all relays and clients of a service share."""
 
     lanes: list[RequestClassSettings]
     members: list[TenantSettings]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Stories of settings: what reads, what is refused, and that no text brings the reader down."""
+"""Tests of settings files: what is read and what is rejected; bad text raises SettingsError and nothing else."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     return result
 
 
-class Reading(unittest.TestCase):
+class ReadSettings(unittest.TestCase):
     def faults(self, text: str) -> list[str]:
         with self.assertRaises(SettingsError) as caught:
             read_text(text, "f")
@@ -58,7 +58,7 @@
         self.assertEqual((record.service.allowance.trips, record.listen.host), (3, "127.0.0.1"))
         self.assertEqual(record.service.lanes[0].figures().latency_objective, 1000)
 
-    def test_every_fault_is_told_at_once_with_line_column_field_and_what_was_expected(self) -> None:
+    def test_all_faults_are_reported_with_line_column_field_and_expected_value(self) -> None:
         text = GOOD.replace("relays: 3", 'relays: "x"').replace("number: 0", "number: -1")
         text = text.replace('repeat: "pure"', 'repeat: "puer"').replace("zone:", "zoen:")
         found = self.faults(text)
@@ -70,7 +70,7 @@
     def test_a_missing_field_is_named(self) -> None:
         self.assertIn("relay.zone: found nothing", self.faults(GOOD.replace(', zone: "north"', ""))[0])
 
-    def test_what_no_field_can_say_alone_is_checked_too(self) -> None:
+    def test_fields_that_contradict_each_other_are_rejected(self) -> None:
         self.assertIn("no more than outer_limit_ms", self.faults(GOOD.replace("ms: 100,", "ms: 2000,"))[0])
         self.assertIn("less than relay.relays", self.faults(GOOD.replace("number: 0", "number: 3"))[0])
         tenants = 'service: members: [{name: "m", quota: 1, share: 1, networks: ["10.0.0.0/40"]}]\n\tservice: lanes'
@@ -78,20 +78,20 @@
         trial = "service: trial: caps: [0.5, 0.1, 1, 1]\n\tservice: lanes"
         self.assertIn("never fall", self.faults(GOOD.replace("service: lanes", trial))[0])
 
-    def test_a_circle_that_nobody_could_join_or_that_knows_not_where_it_is_is_refused(self) -> None:
+    def test_membership_without_seeds_reachable_address_or_region_of_its_zone_is_rejected(self) -> None:
         peers = 'peers: {listen: {host: "0.0.0.0", port: 1}}'
         regions = '[{name: "r", zones: ["south", "east"]}, {name: "q", zones: ["east"]}]'
         text = GOOD.replace("roster:", f"{peers}\n\tcircle: regions: {regions}\n\troster:")
-        told = "\n".join(self.faults(text))
+        reported = "\n".join(self.faults(text))
         for fault in ("no seeds and no peers", "at which others reach it", "in one region only", "'north'"):
-            self.assertIn(fault, told)
+            self.assertIn(fault, reported)
 
-    def test_a_syntax_fault_names_its_place(self) -> None:
+    def test_a_syntax_error_is_reported_with_its_position(self) -> None:
         self.assertIn("f:2:9:", self.faults("relay: {\n\tnumber:: 3\n}")[0])
         self.assertIn("a comma or a new line", self.faults("relay: {number: 0 relays: 1}")[0])
         self.assertIn("levels at most", self.faults("relay: " + "{a: " * 60 + "1" + "}" * 60)[0])
 
-    def test_a_file_that_cannot_be_read_is_a_fault_not_a_crash(self) -> None:
+    def test_an_unreadable_file_raises_a_settings_error(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "f.cue")
             path.write_bytes(b"\xff\xfe")
@@ -99,20 +99,20 @@
                 with self.assertRaises(SettingsError):
                     read(name)
 
-    def test_all_days_of_ours_are_good(self) -> None:
+    def test_all_shipped_scenarios_are_valid(self) -> None:
         for path in scripts().values():
             self.assertIsInstance(read(path), Scenario)
 
 
-class Language(unittest.TestCase):
-    def test_values_unify_and_references_find_the_nearest_name(self) -> None:
+class SettingsLanguage(unittest.TestCase):
+    def test_values_unify_and_references_resolve_to_the_innermost_name(self) -> None:
         text = 'a: >=1 & <=5\na: 3\nb: {c: a, d: c}\n#D: {x: int, y: string | *"z"}\n'
         text += 'e: #D & {x: 0x10}\nf: "g": [1, 2K]'
         found = value(text)
         self.assertEqual(found["b"], {"c": 3, "d": 3})
         self.assertEqual((found["e"], found["f"]), ({"x": 16, "y": "z"}, {"g": [1, 2000]}))
 
-    def test_what_leads_back_to_itself_is_a_fault(self) -> None:
+    def test_reference_cycles_are_rejected(self) -> None:
         for text in ("a: b\nb: a", "a: {b: a}", "#A: {x: #A}\nv: #A"):
             with self.assertRaises(SettingsError):
                 value(text)
@@ -143,12 +143,12 @@
             max_leaves=12,
         )
     )
-    def test_json_is_read_as_it_stands(self, data: Any) -> None:
+    def test_json_is_read_unchanged(self, data: Any) -> None:
         self.assertEqual(value(json.dumps({"top": data}, ensure_ascii=False)), {"top": data})
 
     @settings(max_examples=400, deadline=None, derandomize=True)
     @given(st.text(alphabet='ab#_:{}[]"|&*<>=!~.,()?/\n\t 0123456789-+eK\\é', max_size=60))
-    def test_no_text_brings_the_reader_down(self, text: str) -> None:
+    def test_arbitrary_text_raises_nothing_but_settings_errors(self, text: str) -> None:
         for read_ in (lambda: value(text), lambda: read_text(GOOD + text, "f")):
             try:
                 read_()
