--- a/lanelead/settings/checks.py
+++ b/lanelead/settings/checks.py
@@ -21,7 +21,7 @@
 class FaultList:
     """Collects faults, with the position in the file of each field's path.
 
-    A fault at a path that the file does not contain, such as a default's, is reported at the position of `fallback`.
+    A fault at a path that has no position, such as that of a field left out, gets the position of the path `fallback`.
     """
 
     def __init__(self, positions: Mapping[str, Position], fallback: str) -> None:
@@ -60,7 +60,7 @@
     if row.expected_time_ms > row.outer_limit_ms:
         faults.add(f"{path}.expected_time_ms", str(row.expected_time_ms), "no more than outer_limit_ms")
     if row.repeat == "receipted" and not row.memory_ms:
-        faults.add(f"{path}.memory_ms", "0", "the time in ms, above 0, for which endpoints remember idempotency keys")
+        faults.add(f"{path}.memory_ms", "0", "a time above 0, for which endpoints remember idempotency keys")
 
 
 def _check_networks(faults: FaultList, path: str, members: list[TenantSettings]) -> None:
--- a/lanelead/settings/cue_values.py
+++ b/lanelead/settings/cue_values.py
@@ -235,7 +235,7 @@
         if other.others is not None:
             fields[name] = replace(present, value=unify(other.others, present.value, at, faults))
         elif other.closed:
-            known = ", ".join(other.fields) or "no fields"
+            known = ", ".join(other.fields) or "none: no field is allowed here"
             faults.append(SettingsFault(present.position, at, "an unknown field", f"one of {known}"))
         else:
             fields[name] = present
--- a/lanelead/simulator_adapter/__init__.py
+++ b/lanelead/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decision module: it translates, and decides nothing."""
+"""Connects the decisions to a simulator: translates events on its wire to calls and actions to lines, no more."""
--- a/lanelead/simulator_adapter/__main__.py
+++ b/lanelead/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run as `python -m lanelead.simulator_adapter`: batches come on standard input, replies go to standard output."""
+"""Entry point `python -m lanelead.simulator_adapter`: reads batches on standard input, answers on standard output."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def main() -> int:
+    """Serves the simulator until the input ends; returns the exit status, 2 for malformed input."""
     try:
         serve(sys.stdin, sys.stdout)
     except ParameterError as fault:
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -1,4 +1,7 @@
-"""Hosts the relays of one process: one decisions object an instance, ids to objects and back, timers."""
+"""Hosts the decisions of the simulator's relays: translates its events to calls, and the actions to lines.
+
+The simulator calls a relay an instance, and an endpoint a unit. One process hosts several instances.
+"""
 
 from __future__ import annotations
 
@@ -44,13 +47,16 @@
     parse_ticks,
 )
 from lanelead.simulator_adapter import wire
-from lanelead.simulator_adapter.wire import millis
+from lanelead.simulator_adapter.wire import format_milliseconds
 
-Words = list[str]
+Words = list[str]  # a line of the wire, split at its spaces: its name and values
 
 
 class Host:
-    """One instance: its decisions, and the tables between the wire's ids and the objects."""
+    """One instance: its decisions, and the tables from the wire's ids to the objects of the decisions and back.
+
+    The methods named after those of `Decisions` translate one event each; `EVENTS` has the events' names on the wire.
+    """
 
     def __init__(self, words: Words, now: Ticks) -> None:
         opening = ParameterReader(words[2:])
@@ -67,295 +73,321 @@
             rng=Random(parse_integer(words[1])),
             now=now,
         )
-        self.lanes = {request_class.name: request_class for request_class in request_classes}
-        self.members = {tenant.name: tenant for tenant in tenants}
-        self.gauges = opening.texts("loadReport.names")
+        self.request_classes = {request_class.name: request_class for request_class in request_classes}
+        self.tenants = {tenant.name: tenant for tenant in tenants}
+        self.report_names = opening.texts("loadReport.names")
         self.door = EndpointRegistry(self.relay.new_endpoint)
-        self.gone: dict[Endpoint, Ticks] = {}  # units that share a mark and are gone, and when it is freed
-        self.memory = 2 * max((request_class.timeout for request_class in request_classes), default=0)
-        self.lookups: dict[str, Request] = {}
-        self.lookup_ids: dict[Request, str] = {}
-        self.wakes: dict[int, Request | None] = {}
-        self.tag = 0
-        self.touched: list[Request] = []
-
-    def trip(self, msg: str, shot: str) -> Attempt | None:
-        """The trip that an event speaks of, or none when its lookup is long forgotten."""
-        request = self.lookups.get(wire.ident(msg))
+        self.gone: dict[Endpoint, Ticks] = {}  # removed endpoints that share their short id, and when it is released
+        self.short_id_hold = 2 * max((request_class.timeout for request_class in request_classes), default=0)
+        self.requests: dict[str, Request] = {}
+        self.request_ids: dict[Request, str] = {}
+        self.timers: dict[int, Request | None] = {}
+        self.last_timer_number = 0
+        self.possibly_finished: list[Request] = []
+
+    def find_attempt(self, request_id: str, attempt_number: str) -> Attempt | None:
+        """Returns the attempt that an event refers to, or None if its request has finished and is dropped.
+
+        Raises ParameterError if the request has no attempt of this number.
+        """
+        request = self.requests.get(wire.parse_request_id(request_id))
         if request is None:
             return None
-        place = parse_integer(shot)
-        if not 0 <= place < len(request.attempts):
-            raise ParameterError(f"no trip {shot} of lookup {msg}")
-        return request.attempts[place]
-
-    def forget(self) -> None:
-        """Drops the lookups just touched that are over and have no trip out any more."""
-        for request in self.touched:
+        index = parse_integer(attempt_number)
+        if not 0 <= index < len(request.attempts):
+            raise ParameterError(f"no attempt {attempt_number} of request {request_id}")
+        return request.attempts[index]
+
+    def drop_finished_requests(self) -> None:
+        """Drops the requests of the last events that are finished and have no attempt in flight."""
+        for request in self.possibly_finished:
             if request.finished and all(attempt.outcome for attempt in request.attempts):
-                msg = self.lookup_ids.pop(request, None)
-                if msg is not None:
-                    del self.lookups[msg]
-        self.touched.clear()
+                request_id = self.request_ids.pop(request, None)
+                if request_id is not None:
+                    del self.requests[request_id]
+        self.possibly_finished.clear()
 
     # Events
 
-    def roster(self, words: Words, entries: list[Words]) -> None:
-        update_scope = parse_enumeration(wire.COVERAGES, words[1])
+    def endpoints_updated(self, words: Words, entries: list[Words]) -> None:
+        """DIRECTORY_UPDATE: an update of the endpoint list, or the news that a poll or subscription failed."""
+        update_scope = parse_enumeration(wire.UPDATE_SCOPES, words[1])
         records = []
-        for _, zone, cell, since, kind, name, build, size, condition in entries:
+        for _, zone, cell, started_at, kind, name, build, capacity, status in entries:
             records.append(
                 EndpointRecord(
                     endpoint=self.door.get_or_add(name),
                     zone=zone,
                     cell=int(parse_number(cell)),
                     kind=kind,
-                    started_at=parse_ticks(since),
+                    started_at=parse_ticks(started_at),
                     build=int(parse_number(build)),
-                    capacity=parse_number(size, 1.0),
-                    status=parse_enumeration(wire.CONDITIONS, condition),
+                    capacity=parse_number(capacity, 1.0),
+                    status=parse_enumeration(wire.ENDPOINT_STATUSES, status),
                 )
             )
         self.relay.endpoints_updated(update_scope, records)
-        self.free_marks()
-
-    def free_marks(self) -> None:
-        """Guards against units long gone that keep others' marks from being understood."""
-        for unit in self.door.short_ids.sharing():
-            if unit.status is not EndpointStatus.REMOVED:
-                self.gone.pop(unit, None)
-            elif self.gone.setdefault(unit, self.relay.now + self.memory) <= self.relay.now:
-                del self.gone[unit]
-                self.door.retire(unit)
-
-    def ask(self, words: Words) -> None:
-        _, msg, request_class, tenant, key, left, hint, again, write = words
+        self.release_short_ids()
+
+    def release_short_ids(self) -> None:
+        """Releases the shared short ids of endpoints that were removed so long ago that no relay reports them.
+
+        Gossip cannot name an endpoint by its short id as long as another one holds the same short id.
+        """
+        for endpoint in self.door.short_ids.sharing():
+            if endpoint.status is not EndpointStatus.REMOVED:
+                self.gone.pop(endpoint, None)
+            elif self.gone.setdefault(endpoint, self.relay.now + self.short_id_hold) <= self.relay.now:
+                del self.gone[endpoint]
+                self.door.retire(endpoint)
+
+    def request_received(self, words: Words) -> None:
+        """ASK: a client's request."""
+        _, request_id, request_class, tenant, key, time_left, hint, is_retry, is_write = words
         request = Request(
-            request_class=parse_enumeration(self.lanes, request_class),
-            tenant=None if tenant in ("-", "0") else parse_enumeration(self.members, tenant),
+            request_class=parse_enumeration(self.request_classes, request_class),
+            tenant=None if tenant in ("-", "0") else parse_enumeration(self.tenants, tenant),
             key=None if key == "-" else key,
             received_at=self.relay.now,
-            deadline=self.relay.now + parse_ticks(left),
+            deadline=self.relay.now + parse_ticks(time_left),
             hint=None if hint == "-" else parse_ticks(hint),
-            is_retry=wire.flag(again),
-            is_write=wire.flag(write),
+            is_retry=wire.parse_flag(is_retry),
+            is_write=wire.parse_flag(is_write),
         )
-        self.lookups[wire.ident(msg)] = request
-        self.lookup_ids[request] = msg
+        self.requests[wire.parse_request_id(request_id)] = request
+        self.request_ids[request] = request_id
         self.relay.request_received(request)
 
-    def answer(self, words: Words) -> None:
-        _, msg, name, shot, finished, outcome, took, gauge = words
-        attempt = self.trip(msg, shot)
+    def attempt_ended(self, words: Words) -> None:
+        """ANSWER: the end of an attempt."""
+        _, request_id, name, number, finished, outcome, elapsed, load = words
+        attempt = self.find_attempt(request_id, number)
         if attempt is None:
             return
         if self.door.names[attempt.endpoint] != name:
-            raise ParameterError(f"trip {shot} of lookup {msg} went to {self.door.names[attempt.endpoint]}, not {name}")
-        fate = parse_enumeration(wire.FATES, outcome)
-        closed, load = wire.flag(finished), wire.report(gauge, self.gauges)
-        self.relay.attempt_ended(attempt, fate, closed, parse_ticks(took), load)
-        self.touched.append(attempt.request)
-
-    def accepted(self, words: Words) -> None:
-        attempt = self.trip(words[1], words[3])
+            raise ParameterError(
+                f"attempt {number} of {request_id} went to {self.door.names[attempt.endpoint]}, not {name}"
+            )
+        attempt_outcome = parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome)
+        closed, report = wire.parse_flag(finished), wire.parse_load_report(load, self.report_names)
+        self.relay.attempt_ended(attempt, attempt_outcome, closed, parse_ticks(elapsed), report)
+        self.possibly_finished.append(attempt.request)
+
+    def response_started(self, words: Words) -> None:
+        """ACCEPTED: the response to an attempt has begun to reach the client."""
+        attempt = self.find_attempt(words[1], words[3])
         if attempt is not None:
             self.relay.response_started(attempt)
 
     def client_left(self, words: Words) -> None:
-        request = self.lookups.get(wire.ident(words[1]))
+        """TIMED_OUT_CLIENT: the client of a request no longer waits."""
+        request = self.requests.get(wire.parse_request_id(words[1]))
         if request is not None:
             self.relay.client_left(request)
-            self.touched.append(request)
+            self.possibly_finished.append(request)
 
-    def heard(self, words: Words) -> None:
-        said = decode_gossip(wire.octets(words[2]), self.door.short_ids, [*self.lanes.values()])
-        self.relay.gossip_received(parse_integer(words[1]), said)
+    def gossip_received(self, words: Words) -> None:
+        """HEARD: a gossip message from a peer."""
+        entries = decode_gossip(wire.parse_hex(words[2]), self.door.short_ids, [*self.request_classes.values()])
+        self.relay.gossip_received(parse_integer(words[1]), entries)
 
-    def bad_answer(self, words: Words) -> None:
-        request_class = parse_enumeration(self.lanes, words[2])
+    def complaint_received(self, words: Words) -> None:
+        """BAD_ANSWER: a client's report that an endpoint gave a wrong answer."""
+        request_class = parse_enumeration(self.request_classes, words[2])
         self.relay.complaint_received(self.door.get_or_add(words[1]), request_class, parse_ticks(words[3]))
 
-    def rollout_state(self, words: Words) -> None:
-        _, image, tranche, course, code, outcome, exposure, age = words
-        phases = {str(phase.value): phase for phase in RolloutPhase}
+    def rollout_updated(self, words: Words) -> None:
+        """ROLLOUT_STATE: where the newest build stands, or the answer to a vote."""
+        _, build, stage, phase, answers_vote, outcome, exposure_limit, age = words
+        phases = {str(known_phase.value): known_phase for known_phase in RolloutPhase}
         self.relay.rollout_updated(
             RolloutState(
-                build=int(parse_number(image)),
-                stage=int(parse_number(tranche)),
-                phase=RolloutPhase.CANARY if course == "-" else parse_enumeration(phases, course),
-                exposure_limit=parse_number(exposure),
+                build=int(parse_number(build)),
+                stage=int(parse_number(stage)),
+                phase=RolloutPhase.CANARY if phase == "-" else parse_enumeration(phases, phase),
+                exposure_limit=parse_number(exposure_limit),
                 age=parse_ticks(age),
-                answers_vote=wire.flag(code),
-                outcome=parse_enumeration(wire.FATES, outcome),
+                answers_vote=wire.parse_flag(answers_vote),
+                outcome=parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome),
             )
         )
 
-    def period_sums(self, words: Words) -> None:
-        _, image, lost, request_class, age, samples, took = words
+    def tally_received(self, words: Words) -> None:
+        """PERIOD_SUMS: what the platform counted of a build and request class."""
+        _, build, failures, request_class, age, attempts, latency = words
         self.relay.tally_received(
             OutcomeTally(
-                build=parse_integer(image),
-                request_class=parse_enumeration(self.lanes, request_class),
-                attempts=parse_integer(samples),
-                failures=parse_integer(lost),
-                latency=parse_ticks(took),
+                build=parse_integer(build),
+                request_class=parse_enumeration(self.request_classes, request_class),
+                attempts=parse_integer(attempts),
+                failures=parse_integer(failures),
+                latency=parse_ticks(latency),
                 age=parse_ticks(age),
             )
         )
 
-    def probe_done(self, words: Words) -> None:
-        _, name, outcome, took, gauge = words
-        fate, load = parse_enumeration(wire.FATES, outcome), wire.report(gauge, self.gauges)
-        self.relay.health_checked(self.door.get_or_add(name), fate, parse_ticks(took), load)
-
-    def elapsed(self, words: Words) -> None:
-        tag = parse_integer(words[1])
-        if tag not in self.wakes:
-            raise ParameterError(f"no timer {tag}")
-        request = self.wakes.pop(tag)
+    def health_checked(self, words: Words) -> None:
+        """PROBE_DONE: the outcome of a health check."""
+        _, name, outcome, elapsed, load = words
+        result, report = (
+            parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome),
+            wire.parse_load_report(load, self.report_names),
+        )
+        self.relay.health_checked(self.door.get_or_add(name), result, parse_ticks(elapsed), report)
+
+    def timer_fired(self, words: Words) -> None:
+        """ELAPSED: the time of an AFTER line has come."""
+        timer_number = parse_integer(words[1])
+        if timer_number not in self.timers:
+            raise ParameterError(f"unknown timer {timer_number}")
+        request = self.timers.pop(timer_number)
         self.relay.timer_fired(request)
         if request is not None:
-            self.touched.append(request)
+            self.possibly_finished.append(request)
 
-    # Acts
+    # Actions
 
-    def drain(self, lines: list[str]) -> None:
-        """Writes down what the decisions want done, in order."""
+    def write_actions(self, lines: list[str]) -> None:
+        """Appends a line for each action of the decisions, in order, and empties their list of actions."""
         actions = self.relay.actions
-        told: Sequence[GossipEntry] = ()  # many peers are told the same
+        encoded: Sequence[GossipEntry] = ()  # the entries in `texts`: several peers are sent the same ones
         texts: list[str] = []
         for action in actions:
             match action:
                 case StartAttempt(attempt):
-                    ids = self.lookup_ids[attempt.request], self.door.names[attempt.endpoint]
-                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {millis(attempt.timeout)}")
+                    ids = self.request_ids[attempt.request], self.door.names[attempt.endpoint]
+                    lines.append(f"CALL_OUT {ids[0]} {ids[1]} {format_milliseconds(attempt.timeout)}")
                 case SetTimer(at, request):
-                    self.tag += 1
-                    self.wakes[self.tag] = request
-                    lines.append(f"AFTER {self.tag} {millis(at)}")
+                    self.last_timer_number += 1
+                    self.timers[self.last_timer_number] = request
+                    lines.append(f"AFTER {self.last_timer_number} {format_milliseconds(at)}")
                 case RejectRequest(request, retry_after):
-                    lines.append(f"DENY {self.lookup_ids[request]} {millis(retry_after)}")
-                    self.touched.append(request)
+                    lines.append(f"DENY {self.request_ids[request]} {format_milliseconds(retry_after)}")
+                    self.possibly_finished.append(request)
                 case FailRequest(request):
-                    lines.append(f"RESPOND_ERROR {self.lookup_ids[request]}")
-                    self.touched.append(request)
+                    lines.append(f"RESPOND_ERROR {self.request_ids[request]}")
+                    self.possibly_finished.append(request)
                 case CancelAttempt(attempt):
-                    lookup_id = self.lookup_ids.get(attempt.request)
-                    if lookup_id is not None:
-                        lines.append(f"RETRACT {lookup_id} {attempt.number}")
-                case CheckHealth(unit):
-                    lines.append(f"SAMPLE {self.door.names[unit]}")
-                case CloseIdleConnections(unit):
-                    lines.append(f"FREE_LINKS {self.door.names[unit]}")
-                case SendGossip(peer, words):
-                    if words is not told:
-                        texts = [text.hex() for text in encode_gossip(words, [*self.lanes.values()])]
-                        told = words
+                    request_id = self.request_ids.get(attempt.request)
+                    if request_id is not None:
+                        lines.append(f"RETRACT {request_id} {attempt.number}")
+                case CheckHealth(endpoint):
+                    lines.append(f"SAMPLE {self.door.names[endpoint]}")
+                case CloseIdleConnections(endpoint):
+                    lines.append(f"FREE_LINKS {self.door.names[endpoint]}")
+                case SendGossip(peer, entries):
+                    if entries is not encoded:
+                        texts = [text.hex() for text in encode_gossip(entries, [*self.request_classes.values()])]
+                        encoded = entries
                     lines += [f"WRITE_PEER {-1 if peer is None else peer} {text}" for text in texts]
                 case CastVote(build, stage, verdict):
                     lines.append(f"SAY_SO {build} {verdict.value} {stage}")
-                case WatchEndpoints(on):
-                    lines.append(f"STREAM_CHANGES {int(on)}")
+                case WatchEndpoints(enabled):
+                    lines.append(f"STREAM_CHANGES {int(enabled)}")
                 case PollEndpoints():
                     lines.append("READ_LIST")
                 case LogEvent(text):
                     lines.append(f"REMARK {text}")
         actions.clear()
-        self.forget()
+        self.drop_finished_requests()
 
 
 EVENTS: dict[str, Callable[[Host, Words], None]] = {
-    "ASK": Host.ask,
-    "ANSWER": Host.answer,
-    "ELAPSED": Host.elapsed,
-    "ACCEPTED": Host.accepted,
+    "ASK": Host.request_received,
+    "ANSWER": Host.attempt_ended,
+    "ELAPSED": Host.timer_fired,
+    "ACCEPTED": Host.response_started,
     "TIMED_OUT_CLIENT": Host.client_left,
-    "HEARD": Host.heard,
-    "BAD_ANSWER": Host.bad_answer,
-    "ROLLOUT_STATE": Host.rollout_state,
-    "PERIOD_SUMS": Host.period_sums,
-    "PROBE_DONE": Host.probe_done,
+    "HEARD": Host.gossip_received,
+    "BAD_ANSWER": Host.complaint_received,
+    "ROLLOUT_STATE": Host.rollout_updated,
+    "PERIOD_SUMS": Host.tally_received,
+    "PROBE_DONE": Host.health_checked,
 }
 
 
 class Floor:
-    """All instances of the process, and the numbered lists that their roster events refer to."""
+    """All instances of the process by name, and the endpoint lists that their DIRECTORY_UPDATE events refer to.
+
+    A MANIFEST line and its ENTRY lines give a list and its number; a later list with the same number replaces it.
+    """
 
     def __init__(self) -> None:
         self.hosts: dict[str, Host] = {}
         self.lists: dict[int, list[Words]] = {}
 
     def batch(self, lines: list[str]) -> list[str]:
-        """One batch of lines, from TICK up to but without OVER_TO_YOU, answered by the reply's lines."""
-        head = wire.split(lines[0])
+        """Handles the lines of a batch, from TICK up to but without OVER_TO_YOU, and returns those of the reply."""
+        head = wire.split_line(lines[0])
         if head[0] != "TICK":
-            raise ParameterError(f"a batch that begins with {head[0]}")
+            raise ParameterError(f"expected TICK at the start of a batch, found {head[0]}")
         now, number = parse_ticks(head[1]), parse_integer(head[2])
-        named: dict[str, list[str]] = {}
-        name, place = "", 1
-        while place < len(lines):
-            words = wire.split(lines[place])
-            place += 1
+        addressed: dict[str, list[str]] = {}
+        name, index = "", 1
+        while index < len(lines):
+            words = wire.split_line(lines[index])
+            index += 1
             if words[0] == "FOR":
                 name = words[1]
-                named.setdefault(name, [])
+                addressed.setdefault(name, [])
             elif words[0] == "MANIFEST":
-                many = parse_integer(words[2])
-                entries = [wire.split(line) for line in lines[place : place + many]]
-                if len(entries) != many or any(entry[0] != "ENTRY" for entry in entries):
-                    raise ParameterError("a list shorter than it says")
+                entry_count = parse_integer(words[2])
+                entries = [wire.split_line(line) for line in lines[index : index + entry_count]]
+                if len(entries) != entry_count or any(entry[0] != "ENTRY" for entry in entries):
+                    raise ParameterError("MANIFEST is followed by fewer ENTRY lines than it says")
                 self.lists[parse_integer(words[1])] = entries
-                place += many
+                index += entry_count
             elif not name:
-                raise ParameterError(f"{words[0]} for no instance")
+                raise ParameterError(f"{words[0]} before the first FOR of its batch")
             else:
                 try:
-                    self.event(name, words, now)
+                    self.handle_event(name, words, now)
                 except ParameterError as fault:
                     raise ParameterError(f"{fault}, in {' '.join(words)[:300]!r}") from None
         out = []
-        for name in named:
+        for name in addressed:
             host = self.hosts.get(name)
             reply: list[str] = []
             if host is not None:
-                host.drain(reply)
+                host.write_actions(reply)
             if reply:
                 out.append(f"AT {name}")
                 out.extend(reply)
         out.append(f"EOR {number}")
         return out
 
-    def event(self, name: str, words: Words, now: Ticks) -> None:
+    def handle_event(self, name: str, words: Words, now: Ticks) -> None:
+        """Hands one event to the instance `name`; BEGIN starts it, and STOP ends it."""
         if words[0] == "BEGIN":
             self.hosts[name] = Host(words, now)
             return
         host = self.hosts.get(name)
         if host is None:
-            raise ParameterError(f"{words[0]} for {name}, which has not begun")
+            raise ParameterError(f"{words[0]} for {name}, which has had no BEGIN")
         host.relay.now = now
         if words[0] == "STOP":
             del self.hosts[name]
         elif words[0] == "DIRECTORY_UPDATE":
-            failed = parse_enumeration(wire.COVERAGES, words[1]) is UpdateScope.FAILED
-            place = 0 if failed else parse_integer(words[3])
-            if not failed and place not in self.lists:
-                raise ParameterError(f"no list {place}")
-            host.roster(words, [] if failed else self.lists[place])
+            failed = parse_enumeration(wire.UPDATE_SCOPES, words[1]) is UpdateScope.FAILED
+            list_number = 0 if failed else parse_integer(words[3])
+            if not failed and list_number not in self.lists:
+                raise ParameterError(f"no MANIFEST with the number {list_number}")
+            host.endpoints_updated(words, [] if failed else self.lists[list_number])
         elif words[0] in EVENTS:
             EVENTS[words[0]](host, words)
         else:
-            raise ParameterError(f"{words[0]} out of place")
+            raise ParameterError(f"{words[0]} is not an event of an instance")
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answers batch after batch until the input ends."""
-    floor = Floor()
+    """Reads batches from `source` and writes the replies to `sink`. Raises ParameterError for malformed input."""
+    processor = Floor()
     lines: list[str] = []
     for line in source:
         if line.startswith("OVER_TO_YOU"):
             if not lines:
-                raise ParameterError("a batch without its TICK")
-            sink.write("\n".join(floor.batch(lines)) + "\n")
+                raise ParameterError("OVER_TO_YOU without a TICK before it")
+            sink.write("\n".join(processor.batch(lines)) + "\n")
             sink.flush()
             lines = []
         elif not lines and not line.strip():
@@ -363,4 +395,4 @@
         else:
             lines.append(line)
     if lines:
-        raise ParameterError("the input ends inside a batch")
+        raise ParameterError("the input ended before the OVER_TO_YOU of its last batch")
