--- a/lanelead/__main__.py
+++ b/lanelead/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: `python -m lanelead`."""
+"""Entry point `python -m lanelead`: runs the command line."""
 
 from lanelead.cli import main
 
--- a/lanelead/cli.py
+++ b/lanelead/cli.py
@@ -1,4 +1,7 @@
-"""The command line. Commands are imported when they are called: a relay starts on part of a core."""
+"""The command line.
+
+A command's modules are imported only when it is called, since a relay must start quickly on a fraction of a core.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +22,19 @@
     "simulation": "lanelead.testbed.experiments.commands",
     "store": "lanelead.migrations.commands",
 }
-EARLIER_NAMES = {"circle": "membership", "day": "scenario", "model": "simulation", "steps": "migrations"}
+DEPRECATED_NAMES = {"circle": "membership", "day": "scenario", "model": "simulation", "steps": "migrations"}
 
 
 class LazyGroup(click.Group):
     """Imports the module of a command only when that command is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All commands but earlier names, which go on working and are not shown."""
+        """Returns the names of all commands; deprecated names work too, but are not listed."""
         return sorted([*super().list_commands(ctx), *COMMAND_MODULES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of this name, or of the name that replaced it."""
-        name = EARLIER_NAMES.get(cmd_name, cmd_name)
+        """Returns the command of a name, or of the name that replaced a deprecated one."""
+        name = DEPRECATED_NAMES.get(cmd_name, cmd_name)
         if name not in COMMAND_MODULES:
             return super().get_command(ctx, name)
         command = getattr(importlib.import_module(COMMAND_MODULES[name]), name)
@@ -42,13 +45,13 @@
 @click.group(cls=LazyGroup)
 @click.version_option(VERSION, prog_name="lanelead")
 def main() -> None:
-    """A release controller with a router that moves traffic between builds."""
+    """Routes requests to endpoints, and promotes or rolls back their builds by votes of the relays."""
 
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Checks settings files; says all that is wrong, and exits with 2 where anything is."""
+    """Checks settings files. Prints every fault with its position, and exits with 2 if there is one."""
     from lanelead.settings.errors import SettingsError
     from lanelead.settings.experiment_settings import ExperimentPlan
     from lanelead.settings.migration_settings import MigrationPlan
@@ -56,31 +59,31 @@
     from lanelead.settings.relay_settings import RelaySettings
     from lanelead.settings.scenario_settings import Scenario
 
-    bad = False
+    found_faults = False
     for file in files:
         try:
             record = read(file)
         except SettingsError as error:
-            bad = True
+            found_faults = True
             for fault in error.faults:
                 click.echo(str(fault), err=True)
         else:
             kinds = {
-                RelaySettings: "relay",
-                Scenario: "day",
-                MigrationPlan: "plan of steps",
-                ExperimentPlan: "plan of an experiment",
+                RelaySettings: "relay settings",
+                Scenario: "scenario",
+                MigrationPlan: "migration plan",
+                ExperimentPlan: "experiment plan",
             }
             kind = kinds[type(record)]
-            click.echo(f"{file}: a {kind}, good")
-    sys.exit(2 if bad else 0)
+            click.echo(f"{file}: valid {kind} file")
+    sys.exit(2 if found_faults else 0)
 
 
 @main.command()
 @click.option("--settings", required=True, type=click.Path(), help="The relay's settings file.")
-@click.option("--console", is_flag=True, help="Logs for people rather than JSON lines.")
+@click.option("--console", is_flag=True, help="Log readable text instead of JSON lines.")
 def relay(settings: str, console: bool) -> None:
-    """Runs a relay until SIGTERM; it then drains and exits with 0."""
+    """Runs a relay until SIGTERM; it then drains and exits with 0. A second SIGTERM ends it at once."""
     from lanelead.http_relay.main import run
     from lanelead.settings.errors import SettingsError
     from lanelead.settings.read import read
@@ -92,15 +95,15 @@
         click.echo(str(error), err=True)
         sys.exit(2)
     if not isinstance(record, RelaySettings):
-        click.echo(f"{settings}: expected a relay", err=True)
+        click.echo(f"{settings}: expected the settings of a relay (top field `relay`)", err=True)
         sys.exit(2)
     run(record, "console" if console else record.log)
 
 
 @main.command()
-@click.option("--console", is_flag=True, help="Logs for people rather than JSON lines.")
+@click.option("--console", is_flag=True, help="Log readable text instead of JSON lines.")
 def node(console: bool) -> None:
-    """Runs the relay that the platform's NODE_CONFIG describes, until SIGTERM."""
+    """Runs the relay whose configuration file the environment variable NODE_CONFIG names, until SIGTERM."""
     from lanelead.postgres_relay.main import run
 
     run("console" if console else "json")
