--- a/lanelead/settings/migration_settings.py
+++ b/lanelead/settings/migration_settings.py
@@ -9,7 +9,7 @@
     """How a backfill goes through a table in batches."""
 
     table: str
-    key: str
+    key: str  # the column by whose values the table is divided into batches
     rows: int  # the most rows of a batch
     rate: float  # the most rows a second
     hold_ms: float  # how long a batch should take at most; a longer one makes the next ones smaller
@@ -20,7 +20,7 @@
 
     name: str
     kind: str
-    after: list[str]
+    after: list[str]  # steps that must be done before this one
     apply: list[str]
     undo: list[str] | str  # "never": the step can't be undone
     limit_ms: float
--- a/lanelead/settings/relay_settings.py
+++ b/lanelead/settings/relay_settings.py
@@ -13,7 +13,7 @@
 
     address: Address
     least_wait_ms: float  # the first wait before a reconnect; it doubles with each failure
-    most_wait_ms: float
+    most_wait_ms: float  # the longest wait before a reconnect
     silence_ms: float  # a connection on which nothing arrives for this long is closed
 
 
@@ -55,10 +55,10 @@
 class SpilloverSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Tiers of zones in order of preference, and the limits of spillover from one tier to the next."""
 
-    tiers: list[list[str]]
-    most: float
-    grow: float
-    shrink: float
+    tiers: list[list[str]]  # the first one contains the relay's own zone
+    most: float  # the largest part of a tier's capacity that diverted requests may use
+    grow: float  # longest latency objectives, in which the diverted share may grow from 0 to 1
+    shrink: float  # slow-start times, in which it may shrink from 1 to 0
 
     def figures(self) -> interface.ZonePreference:
         """Returns these settings as the parameters that the decisions take."""
@@ -77,9 +77,9 @@
     relays: int  # how many there are
     zone: str
     seed: int  # of the random number generator
-    listen: Address
+    listen: Address  # for clients
     service: ServiceSettings
-    discovery: str
+    discovery: str  # who asks for the watch of the endpoint list: "automatic": the host, "subscribe": the decisions
     reports: list[str]  # the values of load reports that the relay reads
     roster: FeedSettings  # the endpoint list
     desk: FeedSettings  # the state of the rollout
--- a/lanelead/settings/scenario_settings.py
+++ b/lanelead/settings/scenario_settings.py
@@ -11,7 +11,7 @@
 
 
 class SpilloverOverride(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The limits of spillover between zones; each relay prefers its own zone to all others."""
+    """The limits of spillover, as in `SpilloverSettings`; each relay prefers its own zone to all others."""
 
     most: float
     grow: float
@@ -25,11 +25,11 @@
     zones: list[str]
     cores: int
     waiting_room: int  # the length of the request queue
-    boot_ms: float
+    boot_ms: float  # the longest time of a start; the shortest is half of it
     cold_share: float  # the part of its capacity that an endpoint has right after its start
     cold_ms: float  # the time until it has all of it
-    speed_spread: float
-    connections: int
+    speed_spread: float  # the largest difference of an endpoint's relative speed from 1
+    connections: int  # that one endpoint accepts
     report_ms: float  # between load reports
     errors: float  # the share of requests that fail
 
@@ -52,9 +52,9 @@
     honour: float  # the probability that a client waits as long as a rejection asks
     backoff_ms: float
     try_share: float  # the least part of its class's timeout for which a client waits for a response
-    keys: int
+    keys: int  # the number of different keys that requests have; 0: none
     body_bytes: int
-    connections: int
+    connections: int  # that are open to one relay at once
 
 
 class BuildOffer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -62,7 +62,7 @@
 
     at: float
     strength: float  # of the fault
-    speed: float
+    speed: float  # relative to the first build
     bad: str | None = None  # the kind of fault; None: a good build
     lane: str | None = None  # the request class that a build with the fault "lane" fails
 
@@ -88,13 +88,13 @@
     at: float
     for_: float = msgspec.field(name="for")
     kind: str
-    count: int  # of endpoints
+    count: int  # of endpoints; at most a third of those that run are hit
     size: float  # its meaning depends on `kind`
     extra: float  # a second value for kinds that need one
     part: float  # the share of a zone's endpoints that a zone fault hits
     lane: str | None = None  # the request class
-    unit: int | None = None  # the number of the endpoint; None: endpoints chosen at random
-    relay: int | None = None  # the number of the relay; None: one chosen at random
+    unit: int | None = None  # the number of the one endpoint that is hit; None: endpoints chosen at random
+    relay: int | None = None  # the number of the one relay that is hit; None: chosen at random
     member: str | None = None  # the tenant
     zone: str | None = None
 
@@ -104,7 +104,7 @@
 
     at: float
     plan: str
-    what: str  # the subcommand of `lanelead migrations`
+    what: str  # the subcommand of `lanelead migrations`; "take" stands for `plan`
     to: str  # the value of its option --to
     past_back: bool  # whether its flag --past-back is given
     kill_after: float | None = None
