--- a/lanelead/settings/cue_evaluation.py
+++ b/lanelead/settings/cue_evaluation.py
@@ -33,14 +33,14 @@
 MULTIPLIERS = {"K": 1000, "M": 1000**2, "G": 1000**3, "T": 1000**4}
 MULTIPLIERS |= {f"{letter}i": 1024**power for power, letter in enumerate("KMGT", 1)}
 INFINITIES = (float("inf"), float("-inf"))
-COMPARISON_DEPTH = 9  # levels of two default values that are compared to tell whether they are the same
+COMPARISON_DEPTH = 9  # default branches whose `describe` texts of this depth are equal count as one
 
 
 @dataclass(slots=True)
 class Scope:
     """The fields of a struct, in which references are resolved."""
 
-    fields: dict[str, list[Tree[Token]]]  # all declarations of a field, by its label
+    fields: dict[str, list[Tree[Token]]]  # all declarations, by name; if it starts with # or _, by label
     outer: Scope | None  # the scope of the enclosing struct
     evaluating: set[str] = field(default_factory=set)  # fields being evaluated, to detect reference cycles
 
@@ -56,7 +56,8 @@
 class Evaluator:
     """Evaluates the syntax tree of one file; the faults that it finds are added to `faults`.
 
-    A reference is looked up in the enclosing structs, innermost first, and then in the definitions `known`.
+    A reference that is no keyword or type name is looked up in the enclosing structs, innermost first, and then in the
+    definitions `known`.
     """
 
     def __init__(self, file: str, known: Mapping[str, Value]) -> None:
@@ -65,7 +66,10 @@
         self.faults: list[SettingsFault] = []
 
     def file_value(self, tree: Tree[Token]) -> Struct:
-        """Returns the value of a whole file, without its definitions and hidden fields."""
+        """Returns the value of a whole file.
+
+        Definitions and hidden fields are left out, and evaluated only if they are referred to.
+        """
         return self._struct(tree, None, "")
 
     def definitions(self, tree: Tree[Token]) -> dict[str, Value]:
@@ -83,6 +87,7 @@
         return Position(self._file, getattr(tree.meta, "line", 1), getattr(tree.meta, "column", 1))
 
     def _add_fault(self, tree: Tree[Token] | Token, path: str, found: str, expected: str) -> Value:
+        """Adds a fault, and returns a value that allows anything, so that the evaluation continues."""
         self.faults.append(SettingsFault(self._position(tree), path, found, expected))
         return AnyValue(self._position(tree))
 
@@ -98,7 +103,7 @@
 
     def _field_value(self, name: str, scope: Scope, trees: Sequence[Tree[Token]], path: str) -> Value:
         if name in scope.evaluating:
-            return self._add_fault(trees[0], path, f"{name}, which refers to itself", "a value")
+            return self._add_fault(trees[0], path, f"{name}, which its own value refers to", "a value")
         scope.evaluating.add(name)
         try:
             values = [self._value(tree.children[-1], scope, path) for tree in trees]
@@ -119,6 +124,7 @@
                 continue
             name = label.removeprefix(QUOTED_LABEL_PREFIX)
             value = self._field_value(label, scope, trees, field_path(path, name))
+            # The children of a field are its label, marks (of which ! has no effect) and value.
             optional = all(any(mark == "?" for mark in tree.children[1:-1]) for tree in trees)
             fields[name] = Field(value, optional, self._position(trees[0]))
         return Struct(self._position(tree), fields, others)
@@ -126,6 +132,7 @@
     def _other_fields(self, tree: Tree[Token], scope: Scope, path: str) -> Value | None:
         """Returns the constraint on fields that the struct does not name, or None if it states none.
 
+        Only the last pattern or `...` counts, and a pattern applies to all unnamed fields: its label is not evaluated.
         Adds a fault for each field that follows another on the same line without a comma between them.
         """
         others: Value | None = None
@@ -157,7 +164,7 @@
                 return self._conjunction(parts, scope, path)
             case "either":
                 return Disjunction(position, tuple(self._branch(part, scope, path) for part in parts))
-            case "preferred":
+            case "preferred":  # a default mark outside a disjunction has no effect
                 return self._value(parts[0], scope, path)
             case "bound":
                 return self._bound(tree, scope, path)
@@ -203,7 +210,7 @@
             if isinstance(part, Token):
                 continue
             if rest is not None:
-                return self._add_fault(part, path, "an item after the open end ...", "the end of the list")
+                return self._add_fault(part, path, "an item after `...`", "the end of the list")
             if part.data == "ellipsis":
                 inner = part.children[1:]
                 rest = self._value(inner[0], scope, path) if inner else AnyValue(self._position(part))
@@ -228,7 +235,9 @@
         value = found
         for step in steps:
             if not isinstance(value, Struct) or step not in value.fields:
-                return self._add_fault(tree, path, f"no field {step} in {name}", describe(value))
+                return self._add_fault(
+                    tree, path, f"no field {step} on the path that begins with {name}", describe(value)
+                )
             value = value.fields[step].value
         return value if name.startswith("#") else replace(value, position=position)
 
@@ -242,6 +251,7 @@
 
 
 def _number(token: Token) -> int | float:
+    """Returns the value of a number, with the factor of its suffix, such as 2K or 1Mi."""
     text = token.replace("_", "")
     if "0x" in text:
         return int(text, 16)
@@ -254,8 +264,8 @@
 def to_plain(value: Value, path: str, faults: list[SettingsFault], positions: dict[str, Position]) -> Any:
     """Returns the value as dictionaries, lists and atoms.
 
-    A value that is not concrete, such as a type or a choice without a default, is added to `faults`. The position of
-    each field is added to `positions`, by its path.
+    A value that is not concrete, such as a type or a choice without a default, is added to `faults`. The positions
+    of the value and of all fields and list items in it are added to `positions`, by path.
     """
     positions[path] = value.position
     match value:
@@ -280,7 +290,7 @@
     result: dict[str, Any] = {}
     for name, member in value.fields.items():
         at = field_path(path, name)
-        if member.optional:  # declared in the definitions, but not set in the file
+        if member.optional:  # only declared with ?, and not set
             continue
         if isinstance(member.value, Bounds | AnyValue):
             faults.append(SettingsFault(value.position, at, "nothing", describe(member.value)))
@@ -296,6 +306,10 @@
 
 
 def _is_concrete(value: Value) -> bool:
+    """Returns whether a value has no open parts.
+
+    A disjunction has none if one of its defaults has none, or without defaults its first branch.
+    """
     match value:
         case Atom():
             return True
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -1,6 +1,6 @@
-"""Hosts the decisions of the simulator's relays: translates its events to calls, and the actions to lines.
+"""Runs the decisions of simulated relays: the simulator's events become calls of `Decisions`, its actions become lines.
 
-The simulator calls a relay an instance, and an endpoint a unit. One process hosts several instances.
+The simulator calls a relay an instance. One process runs several of them.
 """
 
 from __future__ import annotations
@@ -53,31 +53,35 @@
 
 
 class Host:
-    """One instance: its decisions, and the tables from the wire's ids to the objects of the decisions and back.
+    """One instance: its `Decisions`, and the tables from the wire's ids to their objects and back.
 
-    The methods named after those of `Decisions` translate one event each; `EVENTS` has the events' names on the wire.
+    Each method that is named after one of `Decisions` translates the event that its doc comment names to that call.
     """
 
     def __init__(self, words: Words, now: Ticks) -> None:
-        opening = ParameterReader(words[2:])
-        request_classes, tenants = opening.request_classes(), opening.tenants()
+        """Starts an instance by its BEGIN line, which has a seed and then parameters as `path=value` pairs."""
+        parameters = ParameterReader(words[2:])
+        request_classes, tenants = parameters.request_classes(), parameters.tenants()
         self.relay: Decisions = Balancer(
-            position=opening.position(),
+            position=parameters.position(),
             request_classes=request_classes,
             tenants=tenants,
-            quota=opening.resource_quota(),
-            limits=opening.service_limits(),
-            canary_limits=opening.canary_limits(),
-            voting_rules=opening.voting_rules(),
-            prices=opening.prices(),
+            quota=parameters.resource_quota(),
+            limits=parameters.service_limits(),
+            canary_limits=parameters.canary_limits(),
+            voting_rules=parameters.voting_rules(),
+            prices=parameters.prices(),
             rng=Random(parse_integer(words[1])),
             now=now,
         )
         self.request_classes = {request_class.name: request_class for request_class in request_classes}
         self.tenants = {tenant.name: tenant for tenant in tenants}
-        self.report_names = opening.texts("loadReport.names")
+        self.report_names = parameters.texts("loadReport.names")
         self.door = EndpointRegistry(self.relay.new_endpoint)
-        self.gone: dict[Endpoint, Ticks] = {}  # removed endpoints that share their short id, and when it is released
+        self.gone: dict[
+            Endpoint, Ticks
+        ] = {}  # removed endpoints that share their short id, and when they may release it
+        # Attempts may run at a removed endpoint, and relays report them, for as long as their requests' timeouts.
         self.short_id_hold = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.requests: dict[str, Request] = {}
         self.request_ids: dict[Request, str] = {}
@@ -86,10 +90,7 @@
         self.possibly_finished: list[Request] = []
 
     def find_attempt(self, request_id: str, attempt_number: str) -> Attempt | None:
-        """Returns the attempt that an event refers to, or None if its request has finished and is dropped.
-
-        Raises ParameterError if the request has no attempt of this number.
-        """
+        """Returns an event's attempt, or None if its request is dropped. Raises ParameterError if it has no such one."""
         request = self.requests.get(wire.parse_request_id(request_id))
         if request is None:
             return None
@@ -99,7 +100,7 @@
         return request.attempts[index]
 
     def drop_finished_requests(self) -> None:
-        """Drops the requests of the last events that are finished and have no attempt in flight."""
+        """Drops those of `possibly_finished` (some occur twice) that are finished and have no attempt in flight."""
         for request in self.possibly_finished:
             if request.finished and all(attempt.outcome for attempt in request.attempts):
                 request_id = self.request_ids.pop(request, None)
@@ -110,7 +111,7 @@
     # Events
 
     def endpoints_updated(self, words: Words, entries: list[Words]) -> None:
-        """DIRECTORY_UPDATE: an update of the endpoint list, or the news that a poll or subscription failed."""
+        """DIRECTORY_UPDATE: an update of the endpoint list, or a poll or subscription that failed."""
         update_scope = parse_enumeration(wire.UPDATE_SCOPES, words[1])
         records = []
         for _, zone, cell, started_at, kind, name, build, capacity, status in entries:
@@ -159,16 +160,16 @@
         self.relay.request_received(request)
 
     def attempt_ended(self, words: Words) -> None:
-        """ANSWER: the end of an attempt."""
+        """ANSWER: the end of an attempt. `finished`: its request has its final response by that."""
         _, request_id, name, number, finished, outcome, elapsed, load = words
         attempt = self.find_attempt(request_id, number)
         if attempt is None:
             return
         if self.door.names[attempt.endpoint] != name:
             raise ParameterError(
-                f"attempt {number} of {request_id} went to {self.door.names[attempt.endpoint]}, not {name}"
+                f"attempt {number} of request {request_id} went to {self.door.names[attempt.endpoint]}, not {name}"
             )
-        attempt_outcome = parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome)
+        attempt_outcome = parse_enumeration(wire.OUTCOMES, outcome)
         closed, report = wire.parse_flag(finished), wire.parse_load_report(load, self.report_names)
         self.relay.attempt_ended(attempt, attempt_outcome, closed, parse_ticks(elapsed), report)
         self.possibly_finished.append(attempt.request)
@@ -197,7 +198,7 @@
         self.relay.complaint_received(self.door.get_or_add(words[1]), request_class, parse_ticks(words[3]))
 
     def rollout_updated(self, words: Words) -> None:
-        """ROLLOUT_STATE: where the newest build stands, or the answer to a vote."""
+        """ROLLOUT_STATE: the stage and phase of the newest build, or the answer to a vote."""
         _, build, stage, phase, answers_vote, outcome, exposure_limit, age = words
         phases = {str(known_phase.value): known_phase for known_phase in RolloutPhase}
         self.relay.rollout_updated(
@@ -208,7 +209,7 @@
                 exposure_limit=parse_number(exposure_limit),
                 age=parse_ticks(age),
                 answers_vote=wire.parse_flag(answers_vote),
-                outcome=parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome),
+                outcome=parse_enumeration(wire.OUTCOMES, outcome),
             )
         )
 
@@ -229,14 +230,11 @@
     def health_checked(self, words: Words) -> None:
         """PROBE_DONE: the outcome of a health check."""
         _, name, outcome, elapsed, load = words
-        result, report = (
-            parse_enumeration(wire.ATTEMPT_OUTCOMES, outcome),
-            wire.parse_load_report(load, self.report_names),
-        )
+        result, report = parse_enumeration(wire.OUTCOMES, outcome), wire.parse_load_report(load, self.report_names)
         self.relay.health_checked(self.door.get_or_add(name), result, parse_ticks(elapsed), report)
 
     def timer_fired(self, words: Words) -> None:
-        """ELAPSED: the time of an AFTER line has come."""
+        """ELAPSED: the time that an AFTER line asked for has come."""
         timer_number = parse_integer(words[1])
         if timer_number not in self.timers:
             raise ParameterError(f"unknown timer {timer_number}")
@@ -260,7 +258,7 @@
                 case SetTimer(at, request):
                     self.last_timer_number += 1
                     self.timers[self.last_timer_number] = request
-                    lines.append(f"AFTER {self.last_timer_number} {format_milliseconds(at)}")
+                    lines.append(f"AFTER {self.last_timer_number} {format_milliseconds(at)}")  # a time, not a delay
                 case RejectRequest(request, retry_after):
                     lines.append(f"DENY {self.request_ids[request]} {format_milliseconds(retry_after)}")
                     self.possibly_finished.append(request)
@@ -292,7 +290,7 @@
         self.drop_finished_requests()
 
 
-EVENTS: dict[str, Callable[[Host, Words], None]] = {
+EVENTS: dict[str, Callable[[Host, Words], None]] = {  # DIRECTORY_UPDATE takes a list too, see `handle_event`
     "ASK": Host.request_received,
     "ANSWER": Host.attempt_ended,
     "ELAPSED": Host.timer_fired,
@@ -317,7 +315,10 @@
         self.lists: dict[int, list[Words]] = {}
 
     def batch(self, lines: list[str]) -> list[str]:
-        """Handles the lines of a batch, from TICK up to but without OVER_TO_YOU, and returns those of the reply."""
+        """Handles a batch, whose OVER_TO_YOU is left out, and returns the lines of the reply.
+
+        Actions are written after the last event; those of an instance that a STOP ended are lost.
+        """
         head = wire.split_line(lines[0])
         if head[0] != "TICK":
             raise ParameterError(f"expected TICK at the start of a batch, found {head[0]}")
@@ -357,7 +358,7 @@
         return out
 
     def handle_event(self, name: str, words: Words, now: Ticks) -> None:
-        """Hands one event to the instance `name`; BEGIN starts it, and STOP ends it."""
+        """Hands one event to the instance `name`; BEGIN starts it, or replaces it, and STOP ends it."""
         if words[0] == "BEGIN":
             self.hosts[name] = Host(words, now)
             return
@@ -381,13 +382,13 @@
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Reads batches from `source` and writes the replies to `sink`. Raises ParameterError for malformed input."""
-    processor = Floor()
+    instances = Floor()
     lines: list[str] = []
     for line in source:
         if line.startswith("OVER_TO_YOU"):
             if not lines:
                 raise ParameterError("OVER_TO_YOU without a TICK before it")
-            sink.write("\n".join(processor.batch(lines)) + "\n")
+            sink.write("\n".join(instances.batch(lines)) + "\n")
             sink.flush()
             lines = []
         elif not lines and not line.strip():
--- a/lanelead/simulator_adapter/wire.py
+++ b/lanelead/simulator_adapter/wire.py
@@ -11,7 +11,7 @@
 from lanelead.decisions.interface import AttemptOutcome, EndpointStatus, LoadReport, Ticks, UpdateScope
 from lanelead.runtime.parameter_reader import ParameterError, parse_number
 
-ATTEMPT_OUTCOMES = {
+OUTCOMES = {
     "success": AttemptOutcome.SUCCEEDED,
     "failure": AttemptOutcome.ERROR,
     "overloaded": AttemptOutcome.REJECTED,
