--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -90,7 +90,7 @@
         self.possibly_finished: list[Request] = []
 
     def find_attempt(self, request_id: str, attempt_number: str) -> Attempt | None:
-        """Returns an event's attempt, or None if its request is dropped. Raises ParameterError if it has no such one."""
+        """Returns an event's attempt, or None if its request is dropped. Raises ParameterError for unknown numbers."""
         request = self.requests.get(wire.parse_request_id(request_id))
         if request is None:
             return None
