--- a/lanelead/testbed/__init__.py
+++ b/lanelead/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""What only tries the product out: emulators, scenarios, simulation, experiments, load. Nothing above imports it."""
+"""Test bed: emulators, scenarios, simulation, experiments and load. Packages outside of it don't import it."""
--- a/lanelead/testbed/emulators/__init__.py
+++ b/lanelead/testbed/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a relay meets: units, roster, release desk and clients. They write the capture."""
+"""Emulators of what a relay talks to: endpoints, discovery, rollout platform, clients. They write the recording."""
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -1,8 +1,9 @@
-"""Clients: an open loop of lookups over kept connections, with retries, patience, members, keys and
-complaints.
+"""Emulated clients: an open loop of requests over persistent connections.
 
-Arrivals are drawn ahead and wait for nothing. One who waits longer than its time stays on for the slack, so
-that an answer that comes too late is seen as such. It is told what to do by lines on its standard input.
+Arrivals follow the workload (see `workload`) and never wait for earlier responses. Requests carry a timeout, a tenant
+and a key; some are retried, abandoned, or followed by a complaint about a wrong answer. After a request's timeout, its
+connection stays open for a while (see Crowd.slack), so that a late response is recorded as late. The process takes
+faults as JSON lines on its standard input.
 """
 
 from __future__ import annotations
@@ -30,7 +31,11 @@
 
 
 class Crowd(msgspec.Struct):
-    """All that the clients are told at their start."""
+    """Options of the clients' process, which gets them as JSON.
+
+    Times are in seconds. `slack` is the scenario's allowance for late responses: connections wait at least twice
+    as long after a request's timeout.
+    """
 
     folder: str
     seed: int
@@ -41,30 +46,32 @@
     relays: list[tuple[str, int]]
 
 
-class Wire(asyncio.Protocol):
-    """One connection to a relay; one lookup at a time."""
+class RelayConnection(asyncio.Protocol):
+    """A connection to a relay, with at most one request in flight."""
 
-    def __init__(self, crowd: Callers, relay: int) -> None:
-        self._crowd, self.relay = crowd, relay
+    def __init__(self, clients: Clients, relay: int) -> None:
+        self._clients, self.relay = clients, relay
         self._reader = ResponseReader(64 << 20)
         self.transport: asyncio.Transport | None = None
         self.ident = ""
         self.op: Op | None = None
-        self.last = ""
-        self.counted = False  # among the open connections
+        self.last_ident = ""
+        self.counted = False  # whether the clients count it as open
         self._timer: asyncio.TimerHandle | None = None
-        self._sent = self._due = 0.0
+        self._sent_at = self._deadline = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = transport  # type: ignore[assignment]
 
-    def ask(self, op: Op, ident: str, left: float, text: bytes, head: bool) -> None:
+    def send_request(self, op: Op, ident: str, timeout_seconds: float, request: bytes, head: bool) -> None:
+        """Sends a request, given as bytes; `head`: the response has no body."""
         assert self.transport is not None
         self.op, self.ident = op, ident
         self._reader.expect(head)
         now = clock()
-        self._sent, self._due = now, now + left
-        self._crowd.tap.note(
+        self._sent_at, self._deadline = now, now + timeout_seconds
+        self._clients.tap.note(
             "ask",
             id=ident,
             op=op.ident,
@@ -72,175 +79,184 @@
             member=op.member,
             key=op.key,
             relay=self.relay,
-            left=left,
+            left=timeout_seconds,
             nth=op.tries,
         )
-        self.transport.write(text)
-        self._timer = self._crowd.loop.call_later(left + 2 * self._crowd.crowd.slack + 0.5, self._silent)
+        self.transport.write(request)
+        self._timer = self._clients.loop.call_later(
+            timeout_seconds + 2 * self._clients.options.slack + 0.5, self._response_timed_out
+        )
 
     def data_received(self, data: bytes) -> None:
+        """Records a complete response and hands it on; closes the connection on bytes that are no response."""
         if self.op is None:
-            self._crowd.tap.note("extra", id=self.last, relay=self.relay, bytes=len(data))
-            self._drop()
+            self._clients.tap.note("extra", id=self.last_ident, relay=self.relay, bytes=len(data))
+            self._close()
             return
         progress = self._reader.feed(data)
         if progress is Progress.BROKEN:
             if self._reader.reason == SURPLUS_BYTES:
-                self._crowd.tap.note("extra", id=self.ident, relay=self.relay, bytes=len(data))
-            self._over("gone", why="garbage: " + self._reader.reason)
-            self._drop()
+                self._clients.tap.note("extra", id=self.ident, relay=self.relay, bytes=len(data))
+            self._record_end("gone", why="garbage: " + self._reader.reason)
+            self._close()
         elif progress is Progress.WHOLE:
-            answer = self._reader.response
-            assert answer is not None
+            response = self._reader.response
+            assert response is not None
 
             def field(name: bytes) -> str:
-                raw = answer.header(name)
+                raw = response.header(name)
                 return "" if raw is None else raw.decode("latin-1")
 
             outcome, unit = field(b"lanelead-outcome"), field(b"lanelead-unit")
-            facts: dict[str, Any] = {
-                "status": answer.status,
+            details: dict[str, Any] = {
+                "status": response.status,
                 "outcome": outcome,
                 "unit": unit,
                 "build": field(b"lanelead-build"),
             }
             if (echo := field(b"x-request-id")) != self.ident:
-                facts["echo"] = echo
+                details["echo"] = echo
             retry_after = float(field(b"lanelead-come-back") or "0") / 1000
             wrong, op = bool(field(b"day-wrong")), self.op
-            self._over("answer", **facts, wrong=wrong)
+            self._record_end("answer", **details, wrong=wrong)
             if wrong:
-                self._crowd.wrong(op, unit, self.relay)
-            if not answer.keep:
-                self._drop()
+                self._clients.wrong_answer_received(op, unit, self.relay)
+            if not response.keep:
+                self._close()
             else:
-                self._crowd.free(self)
-            self._crowd.answered(op, outcome, retry_after)
+                self._clients.connection_free(self)
+            self._clients.response_received(op, outcome, retry_after)
 
-    def _over(self, what: str, **facts: Any) -> None:
+    def _record_end(self, what: str, **details: Any) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._crowd.tap.note(
+        self._clients.tap.note(
             what,
             id=self.ident,
             op=self.op.ident if self.op else "",
             relay=self.relay,
-            took=clock() - self._sent,
-            late=clock() - self._due,
-            **facts,
+            took=clock() - self._sent_at,
+            late=clock() - self._deadline,
+            **details,
         )
-        self.op, self.last = None, self.ident
+        self.op, self.last_ident = None, self.ident
 
-    def leave(self, ident: str) -> None:
-        """The client goes in mid-lookup, if it is still that one."""
+    def abandon(self, ident: str) -> None:
+        """Resets the connection if the request `ident` is still in flight, as a client that gives up."""
         op = self.op
         if op is None or self.ident != ident or self.transport is None:
             return
-        self._over("gone", why="left")
+        self._record_end("gone", why="left")
         sock = self.transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.transport.abort()
         self.transport = None
-        self._crowd.closed(self)
+        self._clients.connection_closed(self)
 
-    def _silent(self) -> None:
+    def _response_timed_out(self) -> None:
         op = self.op
-        self._over("gone", why="silent")
-        self._drop()
+        self._record_end("gone", why="silent")
+        self._close()
         if op is not None:
-            self._crowd.lost(op, True)
+            self._clients.attempt_lost(op, True)
 
-    def _drop(self) -> None:
+    def _close(self) -> None:
         if self.transport is not None:
             self.transport.close()
             self.transport = None
-        self._crowd.closed(self)
+        self._clients.connection_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Records a request that was in flight as reset."""
         self.transport = None
         op = self.op
         if op is not None:
-            self._over("gone", why="reset")
-            self._crowd.lost(op, True)
-        self._crowd.closed(self)
+            self._record_end("gone", why="reset")
+            self._clients.attempt_lost(op, True)
+        self._clients.connection_closed(self)
+
 
+class Clients:
+    """All clients of one process: they share the connections to each relay."""
 
-class Callers:
-    def __init__(self, crowd: Crowd) -> None:
-        self.crowd, self.loop = crowd, asyncio.get_running_loop()
-        self.demand = Demand(crowd.service, crowd.clients, len(crowd.relays), Random(crowd.seed))
-        self.tap = Tap(Path(crowd.folder), "clients")
-        self._idle: list[list[Wire]] = [[] for _ in crowd.relays]
-        self._open = [0] * len(crowd.relays)
-        self._queue: list[deque[tuple[Op, float]]] = [deque() for _ in crowd.relays]
-        self._reads: set[asyncio.Task[None]] = set()
+    def __init__(self, options: Crowd) -> None:
+        self.options, self.loop = options, asyncio.get_running_loop()
+        self.demand = Demand(options.service, options.clients, len(options.relays), Random(options.seed))
+        self.tap = Tap(Path(options.folder), "clients")
+        self._idle: list[list[RelayConnection]] = [[] for _ in options.relays]
+        self._open = [0] * len(options.relays)
+        self._queue: list[deque[tuple[Op, float]]] = [deque() for _ in options.relays]
+        self._tasks: set[asyncio.Task[None]] = set()
 
     # Arrivals
 
     async def run(self) -> None:
-        crowd = self.crowd
-        self.tap.note("begin", rate=crowd.clients.rate)
-        end, at = clock() + crowd.seconds, clock()
+        """Sends requests for the options' duration, then waits until the last may have been answered."""
+        options = self.options
+        self.tap.note("begin", rate=options.clients.rate)
+        end, at = clock() + options.seconds, clock()
         while at < end:
             at += self.demand.gap()
             if (wait := at - clock()) > 0:
                 await asyncio.sleep(wait)
-            self._try(self.demand.draw(clock()))
+            self._start_attempt(self.demand.draw(clock()))
         await asyncio.sleep(
-            max(request_class.outer_limit_ms for request_class in crowd.service.lanes) / 1000 + 2 * crowd.slack + 0.6
+            max(request_class.outer_limit_ms for request_class in options.service.lanes) / 1000
+            + 2 * options.slack
+            + 0.6
         )
         self.tap.note("end")
 
-    # Tries
+    # Attempts
 
-    def _try(self, op: Op) -> None:
-        left = self.demand.patience(op, clock())
-        if left <= 0.05:
+    def _start_attempt(self, op: Op) -> None:
+        timeout_seconds = self.demand.patience(op, clock())
+        if timeout_seconds <= 0.05:
             return
         idle = self._idle[op.relay]
         while idle:
-            wire = idle.pop()
-            if wire.transport is not None and not wire.transport.is_closing():
-                self._ask(wire, op, left)
+            connection = idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                self._send_attempt(connection, op, timeout_seconds)
                 return
-        if self._open[op.relay] >= self.crowd.clients.connections:
-            self._queue[op.relay].append((op, clock() + left))
+        if self._open[op.relay] >= self.options.clients.connections:
+            self._queue[op.relay].append((op, clock() + timeout_seconds))
             return
         self._open[op.relay] += 1
-        task = self.loop.create_task(self._connect(op, left))
-        self._reads.add(task)
-        task.add_done_callback(self._reads.discard)
+        task = self.loop.create_task(self._connect(op, timeout_seconds))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, op: Op, left: float) -> None:
-        host, port = self.crowd.relays[op.relay]
-        begun = clock()
+    async def _connect(self, op: Op, timeout_seconds: float) -> None:
+        host, port = self.options.relays[op.relay]
+        began = clock()
         try:
-            async with asyncio.timeout(min(left, 1.0)):
-                _, wire = await self.loop.create_connection(lambda: Wire(self, op.relay), host, port)
-        except (OSError, TimeoutError) as fault:
+            async with asyncio.timeout(min(timeout_seconds, 1.0)):
+                _, connection = await self.loop.create_connection(lambda: RelayConnection(self, op.relay), host, port)
+        except (OSError, TimeoutError) as error:
             self._open[op.relay] -= 1
-            self.tap.note("refused", op=op.ident, relay=op.relay, why=type(fault).__name__)
-            self.lost(op, False)
+            self.tap.note("refused", op=op.ident, relay=op.relay, why=type(error).__name__)
+            self.attempt_lost(op, False)
             return
-        wire.counted = True
-        if wire.transport is None:
-            self.lost(op, False)
+        connection.counted = True
+        if connection.transport is None:
+            self.attempt_lost(op, False)
             return
-        self._ask(wire, op, left - (clock() - begun))
+        self._send_attempt(connection, op, timeout_seconds - (clock() - began))
 
-    def _ask(self, wire: Wire, op: Op, left: float) -> None:
-        if left <= 0.02:
-            self.free(wire)
+    def _send_attempt(self, connection: RelayConnection, op: Op, timeout_seconds: float) -> None:
+        if timeout_seconds <= 0.02:
+            self.connection_free(connection)
             return
-        request_class, headers = self.demand.lanes[op.lane], self.crowd.service.headers
+        request_class, headers = self.demand.lanes[op.lane], self.options.service.headers
         op.tries += 1
         ident = f"{op.ident}.{op.tries}"
         method = self.demand.method(op)
         fields = [
             (b"host", b"relay"),
             (headers.lookup.encode(), ident.encode()),
-            (headers.left.encode(), b"%d" % (left * 1000)),
+            (headers.left.encode(), b"%d" % (timeout_seconds * 1000)),
             (b"day-op", op.ident.encode()),
             (b"day-work", b"%.6f" % op.work),
         ]
@@ -252,51 +268,56 @@
             fields.append((b"idempotency-key", op.ident.encode()))
         if self.demand.bad():
             fields.append((b"day-bad", b"1"))
-        body = b"x" * self.crowd.clients.body_bytes if method in ("POST", "PUT", "PATCH") else b""
-        text = serialization.request(method, request_class.prefix.encode() + b"/" + op.ident.encode(), fields, body)
-        wire.ask(op, ident, left, text, method == "HEAD")
-        if (after := self.demand.leaves(left)) is not None:
-            self.loop.call_later(after, wire.leave, ident)
-
-    def free(self, wire: Wire) -> None:
-        queue = self._queue[wire.relay]
+        body = b"x" * self.options.clients.body_bytes if method in ("POST", "PUT", "PATCH") else b""
+        request = serialization.request(method, request_class.prefix.encode() + b"/" + op.ident.encode(), fields, body)
+        connection.send_request(op, ident, timeout_seconds, request, method == "HEAD")
+        if (after := self.demand.leaves(timeout_seconds)) is not None:
+            self.loop.call_later(after, connection.abandon, ident)
+
+    def connection_free(self, connection: RelayConnection) -> None:
+        """Sends the next queued request on a free connection, or keeps the connection as idle."""
+        queue = self._queue[connection.relay]
         while queue:
-            op, until = queue.popleft()
-            if until - clock() > 0.05:
-                self._ask(wire, op, until - clock())
+            op, deadline = queue.popleft()
+            if deadline - clock() > 0.05:
+                self._send_attempt(connection, op, deadline - clock())
                 return
-        self._idle[wire.relay].append(wire)
+        self._idle[connection.relay].append(connection)
 
-    def closed(self, wire: Wire) -> None:
-        if wire.counted:
-            wire.counted = False
-            self._open[wire.relay] -= 1
-        if wire in self._idle[wire.relay]:
-            self._idle[wire.relay].remove(wire)
+    def connection_closed(self, connection: RelayConnection) -> None:
+        """Forgets a closed connection."""
+        if connection.counted:
+            connection.counted = False
+            self._open[connection.relay] -= 1
+        if connection in self._idle[connection.relay]:
+            self._idle[connection.relay].remove(connection)
 
-    # What comes of them
+    # Outcomes
 
-    def answered(self, op: Op, outcome: str, retry_after: float) -> None:
-        self._again(op, self.demand.again(op, outcome, retry_after, clock()))
+    def response_received(self, op: Op, outcome: str, retry_after: float) -> None:
+        """Retries where the response's outcome allows it; `retry_after` in seconds."""
+        self._schedule_retry(op, self.demand.again(op, outcome, retry_after, clock()))
 
-    def lost(self, op: Op, asked: bool) -> None:
-        self._again(op, self.demand.lost(op, asked, clock()))
+    def attempt_lost(self, op: Op, asked: bool) -> None:
+        """Retries an attempt without a response where that is safe; `asked`: it had been sent."""
+        self._schedule_retry(op, self.demand.lost(op, asked, clock()))
 
-    def _again(self, op: Op, wait: float | None) -> None:
+    def _schedule_retry(self, op: Op, wait: float | None) -> None:
         if wait is not None:
-            self.loop.call_later(wait, self._try, op)
+            self.loop.call_later(wait, self._start_attempt, op)
 
-    def wrong(self, op: Op, unit: str, relay: int) -> None:
+    def wrong_answer_received(self, op: Op, unit: str, relay: int) -> None:
+        """Complains about a wrong answer a second later, for a share of them."""
         if self.demand.complains():
-            self.loop.call_later(1.0, lambda: self._complain(op, unit, relay))
+            self.loop.call_later(1.0, lambda: self._start_complaint(op, unit, relay))
 
-    def _complain(self, op: Op, unit: str, relay: int) -> None:
-        task = self.loop.create_task(self._post(op, unit, relay))
-        self._reads.add(task)
-        task.add_done_callback(self._reads.discard)
+    def _start_complaint(self, op: Op, unit: str, relay: int) -> None:
+        task = self.loop.create_task(self._send_complaint(op, unit, relay))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _post(self, op: Op, unit: str, relay: int) -> None:
-        host, port = self.crowd.relays[relay]
+    async def _send_complaint(self, op: Op, unit: str, relay: int) -> None:
+        host, port = self.options.relays[relay]
         body = json.dumps({"unit": unit, "lane": op.lane, "age_ms": 1000.0}).encode()
         fields = [(b"host", b"relay"), (b"connection", b"close")]
         try:
@@ -309,15 +330,16 @@
         except (OSError, TimeoutError):
             pass
 
-    # What the day does to them
+    # Faults
 
-    def obey(self, order: dict[str, Any]) -> None:
+    def apply_order(self, order: dict[str, Any]) -> None:
+        """Starts or ends a fault (see Demand.obey)."""
         self.tap.note("order", **{key: value for key, value in order.items() if key != "ev"})
         self.demand.obey(order)
 
 
-async def _run(crowd: Crowd) -> None:
-    callers, loop = Callers(crowd), asyncio.get_running_loop()
+async def _run(options: Crowd) -> None:
+    clients, loop = Clients(options), asyncio.get_running_loop()
     sys.stdout.write("ready\n")
     sys.stdout.flush()
     reader = asyncio.StreamReader()
@@ -325,14 +347,15 @@
 
     async def orders() -> None:
         while line := await reader.readline():
-            callers.obey(json.loads(line))
+            clients.apply_order(json.loads(line))
 
     task = loop.create_task(orders())
-    await callers.run()
+    await clients.run()
     task.cancel()
 
 
 def main() -> None:
+    """Runs the clients with the options in the first argument (JSON)."""
     uvloop.run(_run(msgspec.json.decode(sys.argv[1], type=Crowd)))
 
 
--- a/lanelead/testbed/emulators/crash_injection.py
+++ b/lanelead/testbed/emulators/crash_injection.py
@@ -1,8 +1,8 @@
-"""Interrupts a migration plan at one point, goes on, and checks what is left: log, schema and effects.
+"""Interrupts a run of a migration plan at one point, resumes it, and checks log, schema and effects afterwards.
 
-The points are those around each of a runner's calls, and those in and around each of the store's transactions. The
+The points lie before and after each of a runner's calls, and in and around each of the store's transactions. The
 store is FaultyMigrationStoreServer in a thread or in a process, over its socket either way (see running_stores); the
-runner is the real MigrationExecutor. The checker reads the store's file alone (see migration_checker).
+runner is the real MigrationExecutor. The checker reads nothing but the store's file (see migration_checker).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class RunnerKilledError(BaseException):
-    """Stands for SIGKILL: nothing below may catch it and clean up."""
+    """Simulates SIGKILL of a runner. A BaseException, so that no handler in the runner catches it and cleans up."""
 
 
 async def _execute(
@@ -50,7 +50,10 @@
 
 @dataclass
 class CrashTrial:
-    """One plan, one folder, one store after another."""
+    """Crash trials of one plan: each starts a new store, with its file in `folder`.
+
+    `launch` starts a store on a file, in a thread or in a process.
+    """
 
     plan: MigrationPlan
     folder: Path
@@ -59,14 +62,14 @@
 
     def start_store(self) -> RunningStore:
         """Starts a store with a fresh schema."""
-        first = self.folder / "first.db"
-        if not first.exists():
-            database = sqlite3.connect(first)
+        template = self.folder / "first.db"
+        if not template.exists():
+            database = sqlite3.connect(template)
             database.executescript(SCHEMA)
             database.close()
         self.stores_started += 1
         file = self.folder / f"{self.stores_started}.db"
-        shutil.copy(first, file)
+        shutil.copy(template, file)
         return self.launch(file)
 
     def run(
@@ -78,12 +81,15 @@
         name: str = "one",
         lease_ttl_seconds: float = LEASE_TTL_SECONDS,
     ) -> RunResult:
-        """A whole run in this thread. Raises RunnerKilledError where `on_point` does; see MigrationExecutor."""
+        """Runs a whole operation in this thread; `on_point` is called at each point of the run (see MigrationExecutor).
+
+        Raises RunnerKilledError if `on_point` does.
+        """
         goal = Goal(self.plan, operation, allow_ending_rollback=True)
         return asyncio.run(_execute(goal, store.port, name, lease_ttl_seconds, on_point))
 
     def points_of_run(self) -> list[str]:
-        """The points of a whole run, in order. Raises AssertionError where it goes wrong without a fault."""
+        """Returns the points of a whole run, in order. Raises AssertionError if a run without faults has violations."""
         store = self.start_store()
         points: list[str] = []
         try:
@@ -96,14 +102,14 @@
         return points
 
     def runner_killed(self, number: int) -> list[str]:
-        """Kills the runner at a point; what is wrong at once, and after another runner has resumed."""
+        """Kills the runner at point `number`, and resumes with another; returns the violations of both states."""
         store = self.start_store()
-        left = number
+        remaining = number
 
         def on_point(point: str) -> None:
-            nonlocal left
-            left -= 1
-            if left < 0:
+            nonlocal remaining
+            remaining -= 1
+            if remaining < 0:
                 raise RunnerKilledError
 
         try:
@@ -115,33 +121,38 @@
             store.close()
 
     def runner_paused(self, number: int) -> list[str]:
-        """Suspends the runner at a point past its lease; another does the rest; then the first wakes."""
+        """Suspends the runner at point `number` until another has finished the plan; then the first goes on.
+
+        The first runner's lease expires meanwhile. Returns the violations.
+        """
         store = self.start_store()
-        left = number
-        others: list[RunResult] = []
+        remaining = number
+        second_results: list[RunResult] = []
 
-        def run_other() -> None:
-            others.append(self.run(store, "resume", name="two"))
+        def run_second_runner() -> None:
+            second_results.append(self.run(store, "resume", name="two"))
 
         def on_point(point: str) -> None:
-            nonlocal left
-            left -= 1
-            if left == -1:
-                thread = threading.Thread(target=run_other)
+            nonlocal remaining
+            remaining -= 1
+            if remaining == -1:
+                thread = threading.Thread(target=run_second_runner)
                 thread.start()
                 thread.join()
 
         try:
             result = self.run(store, on_point=on_point)
-            violations = [] if others and others[0].succeeded else [f"the other: {others}"]
+            violations = (
+                [] if second_results and second_results[0].succeeded else [f"the second runner: {second_results}"]
+            )
             if "taken over" not in result.message and "all done" not in result.message:
-                violations.append(f"the late one: {result.message}")
+                violations.append(f"the suspended runner: {result.message}")
             return violations + find_violations(store.file, self.plan, whole=True)
         finally:
             store.close()
 
     def store_fault(self, kind: str, at: str, skip: int, **fields: Any) -> list[str]:
-        """Injects a fault into the store; the same runner goes on, or another resumes."""
+        """Injects a store fault during a run; if that fails, another runner resumes. Returns the violations."""
         store = self.start_store()
         try:
             store.inject(kind=kind, at=at, skip=skip, **fields)
@@ -154,21 +165,21 @@
             store.close()
 
     def _resumed(self, store: RunningStore) -> list[str]:
-        """Resumes as another runner; what is wrong after it."""
+        """Resumes as another runner; returns the violations after that."""
         result = self.run(store, "resume", name="two")
         failure = [] if result.succeeded else [result.message]
         return failure + find_violations(store.file, self.plan, whole=True)
 
 
 def main() -> None:
-    """A runner's process that sends itself a signal at a point: PLAN PORT NUMBER SIGNAL."""
+    """Runs a plan in a process that sends itself a signal at one point; the arguments are PLAN PORT NUMBER SIGNAL."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=MigrationPlan)
-    left = int(sys.argv[3])
+    remaining = int(sys.argv[3])
 
     def on_point(point: str) -> None:
-        nonlocal left
-        left -= 1
-        if left == -1:
+        nonlocal remaining
+        remaining -= 1
+        if remaining == -1:
             os.kill(os.getpid(), getattr(signal, sys.argv[4]))
 
     goal = Goal(plan, allow_ending_rollback=True)
--- a/lanelead/testbed/emulators/discovery.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -1,5 +1,7 @@
-"""The roster: it tells late, knows only which processes run, and can go away for a while
-(docs/protocols.md)."""
+"""Emulated discovery: serves the endpoint list over HTTP, with a delay (see docs/protocols.md).
+
+It lists the processes that run, whether or not they answer requests, and can be shut and opened again.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +18,15 @@
 from lanelead.testbed.emulators.event_recording import Tap, clock
 
 
-def relay_of(ask: HttpRequest) -> int:
-    query = parse_qs(urlsplit(ask.target.decode("latin-1")).query)
+def relay_number(request: HttpRequest) -> int:
+    """Returns the relay's number from a request's query; -1 if it has none."""
+    query = parse_qs(urlsplit(request.target.decode("latin-1")).query)
     text = query.get("relay", ["-1"])[0]
     return int(text) if text.lstrip("-").isdigit() else -1
 
 
-class Door:
-    """A listening socket that can be shut and opened again at the same port."""
+class RestartableServer:
+    """An HTTP server that can be shut and opened again at the same port. Port 0: any free port."""
 
     def __init__(self, port: int, tap: Tap) -> None:
         self.port, self.tap = port, tap
@@ -31,92 +34,108 @@
         self.callers: dict[ServerConnection, None] = {}
 
     async def open(self) -> None:
+        """Starts listening."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(self.heard, self._met), "127.0.0.1", self.port, reuse_address=True
+            lambda: ServerConnection(self.request_received, self._connection_made),
+            "127.0.0.1",
+            self.port,
+            reuse_address=True,
         )
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def shut(self) -> None:
+        """Stops listening, and resets all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for caller in list(self.callers):
-            caller.reset()
+        for connection in list(self.callers):
+            connection.reset()
 
     def close(self) -> None:
-        """Shuts it for good."""
+        """Shuts the server for good, and closes its recording."""
         self.shut()
         self.tap.close()
 
-    def _met(self, caller: ServerConnection) -> None:
-        self.callers[caller] = None
-        caller.close_callbacks.append(lambda: self.callers.pop(caller, None) and None)
+    def _connection_made(self, connection: ServerConnection) -> None:
+        self.callers[connection] = None
+        connection.close_callbacks.append(lambda: self.callers.pop(connection, None) and None)
 
-    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
+    def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Serves a request; for subclasses."""
         raise NotImplementedError
 
 
-class Roster(Door):
-    def __init__(self, folder: Path, port: int, late: float) -> None:
+class Roster(RestartableServer):
+    """The discovery server: endpoint lists, and streams of their changes to the relays that watch."""
+
+    def __init__(self, folder: Path, port: int, delay_seconds: float) -> None:
         super().__init__(port, Tap(folder, "roster"))
-        self._late = late
-        self._rows: dict[str, EndpointMessage] = {}
+        self._delay_seconds = delay_seconds
+        self._endpoints: dict[str, EndpointMessage] = {}
         self._version = 0
         self._watchers: dict[ServerConnection, int] = {}
-        self._beat: asyncio.Task[None] | None = None
+        self._keepalive_task: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
+        """Starts listening, and from the first time on sends an empty line a second to each watcher."""
         await super().open()
-        if self._beat is None:
-            self._beat = asyncio.get_running_loop().create_task(self._heart())
+        if self._keepalive_task is None:
+            self._keepalive_task = asyncio.get_running_loop().create_task(self._send_keepalives())
 
-    async def _heart(self) -> None:
+    async def _send_keepalives(self) -> None:
         while True:
             await asyncio.sleep(1)
-            for caller in list(self._watchers):
-                caller.write(chunk(b"\n"))
+            for connection in list(self._watchers):
+                connection.write(chunk(b"\n"))
 
     def clock_ms(self) -> float:
+        """Returns the machine's monotonic time in milliseconds."""
         return clock() * 1000
 
-    def see(self, row: EndpointMessage, late: float | None = None) -> None:
-        """A process has changed; it is told after the roster's delay."""
-        asyncio.get_running_loop().call_later(self._late if late is None else late, self.list_now, row)
+    def see(self, row: EndpointMessage, delay_seconds: float | None = None) -> None:
+        """Lists an endpoint's changed state after a delay in seconds; None: the server's usual one."""
+        asyncio.get_running_loop().call_later(
+            self._delay_seconds if delay_seconds is None else delay_seconds, self.list_now, row
+        )
 
     def list_now(self, row: EndpointMessage) -> None:
+        """Updates the list at once, and sends the change to all watchers."""
         if row.condition == "gone":
-            if self._rows.pop(row.unit, None) is None:
+            if self._endpoints.pop(row.unit, None) is None:
                 return
         else:
-            self._rows[row.unit] = row
+            self._endpoints[row.unit] = row
         self._version += 1
-        for caller, relay in list(self._watchers.items()):
-            self._tell(caller, relay, "changes", [row])
+        for connection, relay in list(self._watchers.items()):
+            self._send_update(connection, relay, "changes", [row])
 
-    def _listed(self, update_scope: str, rows: list[EndpointMessage]) -> EndpointListMessage:
+    def _list_message(self, update_scope: str, rows: list[EndpointMessage]) -> EndpointListMessage:
         return EndpointListMessage(update_scope, self._version, self.clock_ms(), rows)  # type: ignore[arg-type]
 
-    def _leave(self, caller: ServerConnection) -> None:
-        self._watchers.pop(caller, None)
+    def _remove_watcher(self, connection: ServerConnection) -> None:
+        self._watchers.pop(connection, None)
 
-    def _tell(self, caller: ServerConnection, relay: int, update_scope: str, rows: list[EndpointMessage]) -> None:
-        if caller.transport is None:
+    def _send_update(
+        self, connection: ServerConnection, relay: int, update_scope: str, rows: list[EndpointMessage]
+    ) -> None:
+        if connection.transport is None:
             return
         self.tap.note("told", relay=relay, coverage=update_scope, units=msgspec.to_builtins(rows))
-        caller.write(chunk(encode(self._listed(update_scope, rows)) + b"\n"))
+        connection.write(chunk(encode(self._list_message(update_scope, rows)) + b"\n"))
 
-    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        path = ask.target.partition(b"?")[0]
-        rows = list(self._rows.values())
+    def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Serves the endpoint list, or a stream that begins with it and goes on with its changes."""
+        path = request.target.partition(b"?")[0]
+        rows = list(self._endpoints.values())
         if path == b"/roster/watch":
-            relay = relay_of(ask)
-            caller.write(STREAM)
-            self._watchers[caller] = relay
-            caller.close_callbacks.append(lambda: self._leave(caller))
-            self._tell(caller, relay, "full", rows)
+            relay = relay_number(request)
+            connection.write(STREAM)
+            self._watchers[connection] = relay
+            connection.close_callbacks.append(lambda: self._remove_watcher(connection))
+            self._send_update(connection, relay, "full", rows)
         elif path == b"/roster":
-            body = encode(self._listed("full", rows))
-            caller.write(serialization.response(200, [(b"content-type", b"application/json")], body, ask.keep))
+            body = encode(self._list_message("full", rows))
+            connection.write(serialization.response(200, [(b"content-type", b"application/json")], body, request.keep))
         else:
-            caller.write(serialization.response(404, (), b"", ask.keep))
+            connection.write(serialization.response(404, (), b"", request.keep))
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -1,12 +1,11 @@
-"""A unit: cores, a waiting room, work by lane, a cold start, receipts, a log of effects, and faults on
-demand.
+"""An emulated endpoint: cores, a bounded queue, slow start, idempotency keys, recorded effects, and injected faults.
 
-It does no work: a lookup holds a core for as long as the work would take at the unit's present pace. It is
-told what to do by lines on its standard input, so that its sockets carry what a real unit's would.
+It does no real work: a request occupies a core for as long as its work would take at the endpoint's current speed. It
+takes orders as JSON lines on its standard input, so that its sockets carry what a real endpoint's would.
 
-Cold starts: pace rises evenly from the cold share to the full over the cold time. A cold unit that is sent
-more than the stated multiple of what it can do, for the stated time, falls over and stays down (WIRE, rule
-4).
+Slow start: the speed rises linearly from the cold share to the full over the cold time. An endpoint that is warming up
+and gets more than `fall_multiple` times the work it can do over `fall_time` becomes overloaded and answers nothing
+from then on, as the service's contract states.
 """
 
 from __future__ import annotations
@@ -37,15 +36,17 @@
 from lanelead.testbed.emulators.service_model import Engine, Life
 
 
-class Job:
-    __slots__ = ("ask", "caller", "due", "ident", "key", "lane", "op", "relay", "work")
+class PendingRequest:
+    """A request that the endpoint has received and not answered yet."""
 
-    def __init__(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        def text(name: bytes, absent: str = "") -> str:
-            raw = ask.header(name)
-            return absent if raw is None else raw.decode("latin-1")
+    __slots__ = ("connection", "due", "ident", "key", "lane", "op", "relay", "request", "work")
 
-        self.caller, self.ask = caller, ask
+    def __init__(self, connection: ServerConnection, request: HttpRequest) -> None:
+        def text(name: bytes, default: str = "") -> str:
+            raw = request.header(name)
+            return default if raw is None else raw.decode("latin-1")
+
+        self.connection, self.request = connection, request
         self.ident, self.op = text(b"x-request-id"), text(b"day-op")
         self.lane, self.relay = text(b"lanelead-lane"), int(text(b"lanelead-relay", "-1"))
         self.key = text(b"idempotency-key")
@@ -53,23 +54,30 @@
         self.due = clock() + float(text(b"lanelead-left", "60000")) / 1000
 
 
-class Unit(Engine):
+class EmulatedEndpoint(Engine):
+    """The service model behind an HTTP server."""
+
     def __init__(self, life: Life) -> None:
         super().__init__(life, clock)
         self._loop = asyncio.get_running_loop()
         self._tap = Tap(Path(life.folder), f"unit-{life.name}")
-        self._waiting = deque[Job]()
-        self._callers: dict[ServerConnection, None] = {}
-        self._load: tuple[float, bytes] = (-1.0, b"{}")
+        self._waiting = deque[PendingRequest]()
+        self._connections: dict[ServerConnection, None] = {}
+        self._last_report: tuple[float, bytes] = (-1.0, b"{}")
         self._server: asyncio.Server | None = None
         self.draining = False
-        self.over = asyncio.Event()
-        self._filing = set[asyncio.Task[None]]()
+        self.ended = asyncio.Event()
+        self._schema_checks = set[asyncio.Task[None]]()
 
     async def open(self) -> int:
+        """Starts listening; returns the port."""
         life = self.life
         self._server = await self._loop.create_server(
-            lambda: ServerConnection(self._heard, self._met), "127.0.0.1", life.port, backlog=512, reuse_address=True
+            lambda: ServerConnection(self._request_received, self._connection_made),
+            "127.0.0.1",
+            life.port,
+            backlog=512,
+            reuse_address=True,
         )
         port = int(self._server.sockets[0].getsockname()[1])
         self._tap.note(
@@ -88,29 +96,29 @@
 
     # Connections
 
-    def _met(self, caller: ServerConnection) -> None:
+    def _connection_made(self, connection: ServerConnection) -> None:
         limit = self._faults.get("few_connections", {}).get("size", self.life.connections)
-        if len(self._callers) >= max(1, int(limit)):
-            caller.reset()
+        if len(self._connections) >= max(1, int(limit)):
+            connection.reset()
             return
-        self._callers[caller] = None
-        caller.close_callbacks.append(lambda: self._callers.pop(caller, None))
+        self._connections[connection] = None
+        connection.close_callbacks.append(lambda: self._connections.pop(connection, None))
         if "deaf" in self._faults or self.fallen:
-            caller.transport.pause_reading()  # type: ignore[union-attr]
+            connection.transport.pause_reading()  # type: ignore[union-attr]
 
-    def _heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        if ask.target == b"/.lanelead/load":
-            self._probed(caller)
+    def _request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        if request.target == b"/.lanelead/load":
+            self._serve_load_report(connection)
             return
         if self.fallen:
-            return  # it reads, and never answers
-        reap = self._faults.get("idle_reap")
-        now, last = clock(), caller.last_request_at
-        caller.last_request_at = now
-        if caller.unresponsive or (reap is not None and last and now - last > reap["size"]):
-            caller.unresponsive = True  # dropped unseen while it was idle: whatever comes on it is lost
+            return  # a fallen endpoint reads requests and never answers
+        idle_limit = self._faults.get("idle_reap")
+        now, last = clock(), connection.last_request_at
+        connection.last_request_at = now
+        if connection.unresponsive or (idle_limit is not None and last and now - last > idle_limit["size"]):
+            connection.unresponsive = True  # as if dropped without notice while idle: requests on it are lost
             return
-        job = Job(caller, ask)
+        job = PendingRequest(connection, request)
         warmth = self._warmth()
         self._tap.note(
             "trip",
@@ -127,76 +135,80 @@
         if self.fallen or "mute" in self._faults:
             return
         if self.draining or len(self._waiting) >= self.life.waiting_room:
-            self._turn_away(job)
+            self._reject(job)
         elif self._hit("cut"):
-            # The body came, and then the connection goes: half of the time the work had been done.
+            # The connection is reset once the request has been received: half of the time its effect was applied.
             if self._rng.random() < 0.5:
-                self._effect(job)
-            caller.reset()
+                self._apply_effect(job)
+            connection.reset()
         elif self._busy < self.life.cores:
-            self._begin(job)
+            self._start_work(job)
         else:
             self._waiting.append(job)
 
     def fell(self, work: float, warmth: float) -> None:
+        """Records the overload that ended the service."""
         self._tap.note("fell", work=work, warmth=round(warmth, 4))
 
     # Work
 
-    def _turn_away(self, job: Job) -> None:
+    def _reject(self, job: PendingRequest) -> None:
         self._tap.note("turned_away", id=job.ident, op=job.op)
-        fields = [(b"lanelead-turned-away", b"1"), *self._gauge()]
-        job.caller.write(serialization.response(503, fields, b"turned away\n"))
+        fields = [(b"lanelead-turned-away", b"1"), *self._load_header()]
+        job.connection.write(serialization.response(503, fields, b"turned away\n"))
 
-    def _begin(self, job: Job) -> None:
-        if clock() > job.due:  # nobody waits any more: it is not begun
+    def _start_work(self, job: PendingRequest) -> None:
+        if clock() > job.due:  # the deadline has passed: no work is started
             self._tap.note("expired", id=job.ident, op=job.op)
-            job.caller.write(serialization.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
+            job.connection.write(serialization.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
             return
         self._busy += 1
-        self._loop.call_later(job.work / max(1e-3, self._pace(job)), self._end, job)
+        self._loop.call_later(job.work / max(1e-3, self._pace(job)), self._work_done, job)
 
-    def _end(self, job: Job) -> None:
-        if self.life.store and job.ask.method not in ("GET", "HEAD"):
-            task = self._loop.create_task(self._file(job))
-            self._filing.add(task)
-            task.add_done_callback(self._filing.discard)
+    def _work_done(self, job: PendingRequest) -> None:
+        if self.life.store and job.request.method not in ("GET", "HEAD"):
+            task = self._loop.create_task(self._check_schema(job))
+            self._schema_checks.add(task)
+            task.add_done_callback(self._schema_checks.discard)
         else:
-            self._ended(job, True)
+            self._request_done(job, True)
+
+    async def _check_schema(self, job: PendingRequest) -> None:
+        """Carries out the build's write on the migration store's schema.
 
-    async def _file(self, job: Job) -> None:
-        """Files a lookup where the schema is. What does not fit is an error: the client learns that, and the
-        capture that a relay sent it here."""
-        address, fits = Address("127.0.0.1", self.life.store), False
+        If the write fails, the endpoint answers with an error, and the recording shows that a relay sent the request
+        to a build that does not fit the schema.
+        """
+        address, succeeded = Address("127.0.0.1", self.life.store), False
         body = msgspec.json.encode(SchemaCheck(self.life.build.number, job.op, self.life.write))
         try:
-            answer = await call(self._loop, address, "POST", b"/file", body, 2.0)
-            fits = answer.status == 200
+            response = await call(self._loop, address, "POST", b"/file", body, 2.0)
+            succeeded = response.status == 200
         except (CallFailedError, TimeoutError):
             self._tap.note("unfiled", id=job.ident, op=job.op)
-        self._ended(job, fits)
+        self._request_done(job, succeeded)
 
-    def _ended(self, job: Job, fits: bool) -> None:
+    def _request_done(self, job: PendingRequest, succeeded: bool) -> None:
         self._busy -= 1
         if not self.fallen and "mute" not in self._faults:
-            if fits:
-                self._answer(job)
+            if succeeded:
+                self._respond(job)
             else:
                 self._tap.note("erred", id=job.ident, op=job.op)
-                job.caller.write(serialization.response(500, self._gauge(), b"not filed\n"))
+                job.connection.write(serialization.response(500, self._load_header(), b"not filed\n"))
         while self._waiting and self._busy < self.life.cores:
-            self._begin(self._waiting.popleft())
+            self._start_work(self._waiting.popleft())
 
-    def _effect(self, job: Job) -> bytes | None:
-        """Does what the lookup is for, once for a receipt; gives the answer to a repeat, where it is one."""
-        if job.key and job.lane in self.life.memory and not self._receipt(job):
+    def _apply_effect(self, job: PendingRequest) -> bytes | None:
+        """Records the request's effect, once per idempotency key; returns the body for a repeat, None otherwise."""
+        if job.key and job.lane in self.life.memory and not self._claim_key(job):
             self._tap.note("repeat", id=job.ident, op=job.op, key=job.key)
             return b"again\n"
         self._tap.note("effect", id=job.ident, op=job.op, lane=job.lane, key=job.key, cell=self.life.cell)
         return None
 
-    def _receipt(self, job: Job) -> bool:
-        """Takes the receipt; false where a unit of the group has it and still remembers."""
+    def _claim_key(self, job: PendingRequest) -> bool:
+        """Claims the idempotency key; false if an endpoint of the group has claimed it and still remembers it."""
         folder = self.life.receipts[job.lane]
         name = os.path.join(folder, hashlib.sha256(job.key.encode()).hexdigest()[:32])
         try:
@@ -207,109 +219,114 @@
             os.utime(name)
         return True
 
-    def _answer(self, job: Job) -> None:
-        caller, build = job.caller, self.life.build
-        fields: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain"), *self._gauge()]
+    def _respond(self, job: PendingRequest) -> None:
+        connection, build = job.connection, self.life.build
+        fields: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain"), *self._load_header()]
         fields.append((b"lanelead-answered-by", b"%s" % self.life.name.encode()))
-        if b"day-bad" in dict(job.ask.headers) or self._errs(job):
+        if b"day-bad" in dict(job.request.headers) or self._errs(job):
             if self._rng.random() < 0.5:
-                self._effect(job)
+                self._apply_effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
-            caller.write(serialization.response(500, fields, b"error\n"))
+            connection.write(serialization.response(500, fields, b"error\n"))
             return
-        earlier = self._effect(job)
+        repeat_body = self._apply_effect(job)
         if self._hit("cut_answer"):
-            caller.write(serialization.response(200, fields, b"x" * 400)[:-200])
-            caller.close()
+            connection.write(serialization.response(200, fields, b"x" * 400)[:-200])
+            connection.close()
             return
         if "garbage" in self._faults and self._hit("garbage"):
-            caller.write(b"HTP/1.1 200 what\r\n\x00\x01\r\n\r\n")
-            caller.close()
+            connection.write(b"HTP/1.1 200 what\r\n\x00\x01\r\n\r\n")
+            connection.close()
             return
-        body = earlier or b"answer to %s\n" % job.ident.encode("latin-1")
+        body = repeat_body or b"answer to %s\n" % job.ident.encode("latin-1")
         if build.bad == "wrong" and self._rng.random() < build.strength:
             fields.append((b"day-wrong", b"1"))
-        text = serialization.response(200, fields, body, head=job.ask.method == "HEAD", length=b"%d" % len(body))
+        text = serialization.response(200, fields, body, head=job.request.method == "HEAD", length=b"%d" % len(body))
         if self._hit("trickle"):
-            self._trickle(caller, text, 0)
+            self._trickle(connection, text, 0)
         else:
-            caller.write(text)
+            connection.write(text)
 
-    def _trickle(self, caller: ServerConnection, text: bytes, at: int) -> None:
-        if at < len(text) and caller.transport is not None:
-            caller.write(text[at : at + 8])
-            self._loop.call_later(0.02, self._trickle, caller, text, at + 8)
+    def _trickle(self, connection: ServerConnection, text: bytes, at: int) -> None:
+        if at < len(text) and connection.transport is not None:
+            connection.write(text[at : at + 8])
+            self._loop.call_later(0.02, self._trickle, connection, text, at + 8)
 
     # Reports
 
-    def _figures(self) -> bytes:
+    def _load_report(self) -> bytes:
         now = clock()
-        if now - self._load[0] >= self.life.report:  # refreshed now and then, as real ones are
+        # Refreshed once a report interval, as by real endpoints.
+        if now - self._last_report[0] >= self.life.report:
             waiting, busy = len(self._waiting), self._busy
             if "false_reports" in self._faults:
                 waiting, busy = 0, 0
-            self._load = now, msgspec.json.encode({"waiting": float(waiting), "cpu": busy / self.life.cores})
-        return self._load[1]
+            self._last_report = now, msgspec.json.encode({"waiting": float(waiting), "cpu": busy / self.life.cores})
+        return self._last_report[1]
 
-    def _gauge(self) -> list[tuple[bytes, bytes]]:
-        return [(b"lanelead-load", self._figures())]
+    def _load_header(self) -> list[tuple[bytes, bytes]]:
+        return [(b"lanelead-load", self._load_report())]
 
-    def _probed(self, caller: ServerConnection) -> None:
+    def _serve_load_report(self, connection: ServerConnection) -> None:
         if self.fallen or "mute" in self._faults:
             return
-        body = self._figures()
-        caller.write(serialization.response(200, [(b"content-type", b"application/json")], body))
+        body = self._load_report()
+        connection.write(serialization.response(200, [(b"content-type", b"application/json")], body))
 
-    # What the day does to it
+    # Faults
 
-    async def obey(self, order: dict[str, Any]) -> None:
-        what = order["do"]
+    async def apply_order(self, order: dict[str, Any]) -> None:
+        """Starts or ends a fault, drains, sets the slowdown by other builds, or ends the process."""
+        action = order["do"]
         self._tap.note("order", **{key: value for key, value in order.items() if key != "ev"})
-        if what == "fault":
+        if action == "fault":
             self._faults[order["kind"]] = order
             if order["kind"] == "deaf":
-                for caller in list(self._callers):
-                    if caller.transport is not None:
-                        caller.transport.pause_reading()
+                for connection in list(self._connections):
+                    if connection.transport is not None:
+                        connection.transport.pause_reading()
             elif order["kind"] == "drop_idle":
-                for caller in list(self._callers):
-                    _forget(caller)
+                for connection in list(self._connections):
+                    _reset_connection(connection)
             elif order["kind"] == "refuse" and self._server is not None:
                 self._server.close()
-                for caller in list(self._callers):
-                    caller.reset()
-        elif what == "mend":
+                for connection in list(self._connections):
+                    connection.reset()
+        elif action == "mend":
             self._faults.pop(order["kind"], None)
             if order["kind"] == "deaf":
-                for caller in list(self._callers):
-                    if caller.transport is not None:
-                        caller.transport.resume_reading()
+                for connection in list(self._connections):
+                    if connection.transport is not None:
+                        connection.transport.resume_reading()
             elif order["kind"] == "refuse":
                 self._server = await self._loop.create_server(
-                    lambda: ServerConnection(self._heard, self._met), "127.0.0.1", self.life.port, reuse_address=True
+                    lambda: ServerConnection(self._request_received, self._connection_made),
+                    "127.0.0.1",
+                    self.life.port,
+                    reuse_address=True,
                 )
-        elif what == "drain":
+        elif action == "drain":
             self.draining = order.get("on", True)
-        elif what == "shared":
+        elif action == "shared":
             self.shared = order["size"]
-        elif what == "end":
+        elif action == "end":
             self._tap.note("down")
-            self.over.set()
+            self.ended.set()
 
 
-def _forget(caller: ServerConnection) -> None:
-    """Drops a connection so that the other end sees a reset only when it next writes, or sooner."""
-    if caller.transport is not None:
-        sock = caller.transport.get_extra_info("socket")
+def _reset_connection(connection: ServerConnection) -> None:
+    """Resets a connection with RST, so that the peer sees a reset, at its next write at the latest."""
+    if connection.transport is not None:
+        sock = connection.transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):  # SO_LINGER of 0: a reset, not a close
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        caller.reset()
+        connection.reset()
 
 
 async def _run(life: Life) -> None:
-    unit, loop = Unit(life), asyncio.get_running_loop()
-    port = await unit.open()
+    endpoint, loop = EmulatedEndpoint(life), asyncio.get_running_loop()
+    port = await endpoint.open()
     sys.stdout.write(f"ready {port}\n")
     sys.stdout.flush()
     reader = asyncio.StreamReader()
@@ -317,15 +334,16 @@
 
     async def orders() -> None:
         while line := await reader.readline():
-            await unit.obey(json.loads(line))
-        unit.over.set()  # the day is over, or has died
+            await endpoint.apply_order(json.loads(line))
+        endpoint.ended.set()  # end of input: the scenario has ended or its process has died
 
     task = loop.create_task(orders())
-    await unit.over.wait()
+    await endpoint.ended.wait()
     task.cancel()
 
 
 def main() -> None:
+    """Runs an endpoint with the options in the first argument (JSON)."""
     life = msgspec.json.decode(sys.argv[1], type=Life)
     uvloop.run(_run(life))
 
--- a/lanelead/testbed/emulators/event_recording.py
+++ b/lanelead/testbed/emulators/event_recording.py
@@ -1,7 +1,7 @@
-"""The capture: what passed at the stand-ins' ends of the sockets, one file of JSON lines for each of them.
+"""The recording: the events that each emulator sees at its end of the sockets, a file of JSON lines for each emulator.
 
-Times are seconds of the machine's monotonic clock, which all its processes share. Every line is written at
-once, so that a killed process leaves all but its last line whole.
+Times are seconds of the machine's monotonic clock, which all its processes share. Each line is written by one
+unbuffered write, so that of a killed process at most the last line is incomplete.
 """
 
 from __future__ import annotations
@@ -17,39 +17,50 @@
 
 
 class Tap:
+    """Writes the events of one emulator to its file in the recording's folder."""
+
     def __init__(self, folder: Path, name: str) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self._file = (folder / f"{name}.ndjson").open("ab", buffering=0)
 
-    def note(self, what: str, **facts: Any) -> None:
-        facts["t"], facts["ev"] = clock(), what
-        self._file.write(msgspec.json.encode(facts) + b"\n")
+    def note(self, event: str, **fields: Any) -> None:
+        """Writes an event with its time."""
+        fields["t"], fields["ev"] = clock(), event
+        self._file.write(msgspec.json.encode(fields) + b"\n")
 
     def close(self) -> None:
+        """Closes the file."""
         self._file.close()
 
 
 class BadCapture(Exception):
-    pass
+    """A recording that does not exist or has a malformed line."""
 
 
 def read(folder: Path) -> Iterator[tuple[str, dict[str, Any]]]:
-    """All lines with the name of their file; a torn last line of a killed process is passed over."""
+    """Yields each event with the name of its file, without extension. An incomplete last line is skipped.
+
+    Raises BadCapture if the folder has no recording, or another line is malformed.
+    """
     files = sorted(folder.glob("*.ndjson"))
     if not files:
-        raise BadCapture(f"no capture in {folder}")
-    for file in files:
-        text = file.read_bytes()
+        raise BadCapture(f"no recording (*.ndjson) in {folder}")
+    for recording_file in files:
+        text = recording_file.read_bytes()
         lines = text.split(b"\n")
         for number, line in enumerate(lines):
             if not line:
                 continue
             try:
-                fact = msgspec.json.decode(line)
-                if not isinstance(fact, dict) or "ev" not in fact or not isinstance(fact.get("t"), float | int):
+                event_fields = msgspec.json.decode(line)
+                if (
+                    not isinstance(event_fields, dict)
+                    or "ev" not in event_fields
+                    or not isinstance(event_fields.get("t"), float | int)
+                ):
                     raise msgspec.DecodeError("no event")
             except msgspec.DecodeError as fault:
                 if number == len(lines) - 1:
                     continue
-                raise BadCapture(f"{file.name}:{number + 1}: {fault}") from None
-            yield file.stem, fact
+                raise BadCapture(f"{recording_file.name}:{number + 1}: {fault}") from None
+            yield recording_file.stem, event_fields
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -12,12 +12,12 @@
 from lanelead.http.server import STREAM, ServerConnection, chunk
 from lanelead.protocols.feeds import MessageError, VoteRequest, VoteResponse, decode, encode
 from lanelead.settings.service_settings import CanarySettings, VotingSettings
-from lanelead.testbed.emulators.discovery import Door, relay_of
+from lanelead.testbed.emulators.discovery import RestartableServer, relay_number
 from lanelead.testbed.emulators.event_recording import Tap, clock
 from lanelead.testbed.emulators.vote_counting import Polling
 
 
-class Desk(Door, Polling):
+class Desk(RestartableServer, Polling):
     def __init__(
         self,
         folder: Path,
@@ -29,7 +29,7 @@
         rng: Random,
         moved: Callable[[int, int, str], None],
     ) -> None:
-        Door.__init__(self, port, Tap(folder, "desk"))
+        RestartableServer.__init__(self, port, Tap(folder, "desk"))
         Polling.__init__(self, trial, poll, rng, clock, self.tap.note, moved)
         self._told, self._push = told, push
         self._watchers: dict[ServerConnection, int] = {}
@@ -72,10 +72,10 @@
 
     # Calls
 
-    def heard(self, caller: ServerConnection, ask: HttpRequest) -> None:
+    def request_received(self, caller: ServerConnection, ask: HttpRequest) -> None:
         path = ask.target.partition(b"?")[0]
         if path == b"/news":
-            relay = relay_of(ask)
+            relay = relay_number(ask)
             caller.write(STREAM)
             self._watchers[caller] = relay
             caller.close_callbacks.append(lambda: self._leave(caller))
