--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -33,8 +33,8 @@
 class Crowd(msgspec.Struct):
     """Options of the clients' process, which gets them as JSON.
 
-    Times are in seconds. `slack` is the scenario's allowance for late responses: connections wait at least twice
-    as long after a request's timeout.
+    Times are in seconds. `slack` is how long after its deadline a response may still come: the verifier counts later
+    ones as late.
     """
 
     folder: str
@@ -182,10 +182,10 @@
 
     def __init__(self, options: Crowd) -> None:
         self.options, self.loop = options, asyncio.get_running_loop()
-        self.demand = Demand(options.service, options.clients, len(options.relays), Random(options.seed))
+        self.workload = Demand(options.service, options.clients, len(options.relays), Random(options.seed))
         self.tap = Tap(Path(options.folder), "clients")
         self._idle: list[list[RelayConnection]] = [[] for _ in options.relays]
-        self._open = [0] * len(options.relays)
+        self._open_connections = [0] * len(options.relays)
         self._queue: list[deque[tuple[Op, float]]] = [deque() for _ in options.relays]
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -195,12 +195,12 @@
         """Sends requests for the options' duration, then waits until the last may have been answered."""
         options = self.options
         self.tap.note("begin", rate=options.clients.rate)
-        end, at = clock() + options.seconds, clock()
-        while at < end:
-            at += self.demand.gap()
-            if (wait := at - clock()) > 0:
+        end, next_arrival = clock() + options.seconds, clock()
+        while next_arrival < end:
+            next_arrival += self.workload.gap()
+            if (wait := next_arrival - clock()) > 0:
                 await asyncio.sleep(wait)
-            self._start_attempt(self.demand.draw(clock()))
+            self._start_attempt(self.workload.draw(clock()))
         await asyncio.sleep(
             max(request_class.outer_limit_ms for request_class in options.service.lanes) / 1000
             + 2 * options.slack
@@ -211,7 +211,7 @@
     # Attempts
 
     def _start_attempt(self, op: Op) -> None:
-        timeout_seconds = self.demand.patience(op, clock())
+        timeout_seconds = self.workload.patience(op, clock())
         if timeout_seconds <= 0.05:
             return
         idle = self._idle[op.relay]
@@ -220,10 +220,10 @@
             if connection.transport is not None and not connection.transport.is_closing():
                 self._send_attempt(connection, op, timeout_seconds)
                 return
-        if self._open[op.relay] >= self.options.clients.connections:
+        if self._open_connections[op.relay] >= self.options.clients.connections:
             self._queue[op.relay].append((op, clock() + timeout_seconds))
             return
-        self._open[op.relay] += 1
+        self._open_connections[op.relay] += 1
         task = self.loop.create_task(self._connect(op, timeout_seconds))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -235,7 +235,7 @@
             async with asyncio.timeout(min(timeout_seconds, 1.0)):
                 _, connection = await self.loop.create_connection(lambda: RelayConnection(self, op.relay), host, port)
         except (OSError, TimeoutError) as error:
-            self._open[op.relay] -= 1
+            self._open_connections[op.relay] -= 1
             self.tap.note("refused", op=op.ident, relay=op.relay, why=type(error).__name__)
             self.attempt_lost(op, False)
             return
@@ -249,10 +249,10 @@
         if timeout_seconds <= 0.02:
             self.connection_free(connection)
             return
-        request_class, headers = self.demand.lanes[op.lane], self.options.service.headers
+        request_class, headers = self.workload.lanes[op.lane], self.options.service.headers
         op.tries += 1
         ident = f"{op.ident}.{op.tries}"
-        method = self.demand.method(op)
+        method = self.workload.method(op)
         fields = [
             (b"host", b"relay"),
             (headers.lookup.encode(), ident.encode()),
@@ -266,12 +266,12 @@
             fields.append((headers.key.encode(), op.key.encode()))
         if request_class.repeat == "receipted":
             fields.append((b"idempotency-key", op.ident.encode()))
-        if self.demand.bad():
+        if self.workload.bad():
             fields.append((b"day-bad", b"1"))
         body = b"x" * self.options.clients.body_bytes if method in ("POST", "PUT", "PATCH") else b""
         request = serialization.request(method, request_class.prefix.encode() + b"/" + op.ident.encode(), fields, body)
         connection.send_request(op, ident, timeout_seconds, request, method == "HEAD")
-        if (after := self.demand.leaves(timeout_seconds)) is not None:
+        if (after := self.workload.leaves(timeout_seconds)) is not None:
             self.loop.call_later(after, connection.abandon, ident)
 
     def connection_free(self, connection: RelayConnection) -> None:
@@ -288,7 +288,7 @@
         """Forgets a closed connection."""
         if connection.counted:
             connection.counted = False
-            self._open[connection.relay] -= 1
+            self._open_connections[connection.relay] -= 1
         if connection in self._idle[connection.relay]:
             self._idle[connection.relay].remove(connection)
 
@@ -296,11 +296,11 @@
 
     def response_received(self, op: Op, outcome: str, retry_after: float) -> None:
         """Retries where the response's outcome allows it; `retry_after` in seconds."""
-        self._schedule_retry(op, self.demand.again(op, outcome, retry_after, clock()))
+        self._schedule_retry(op, self.workload.again(op, outcome, retry_after, clock()))
 
     def attempt_lost(self, op: Op, asked: bool) -> None:
         """Retries an attempt without a response where that is safe; `asked`: it had been sent."""
-        self._schedule_retry(op, self.demand.lost(op, asked, clock()))
+        self._schedule_retry(op, self.workload.lost(op, asked, clock()))
 
     def _schedule_retry(self, op: Op, wait: float | None) -> None:
         if wait is not None:
@@ -308,7 +308,7 @@
 
     def wrong_answer_received(self, op: Op, unit: str, relay: int) -> None:
         """Complains about a wrong answer a second later, for a share of them."""
-        if self.demand.complains():
+        if self.workload.complains():
             self.loop.call_later(1.0, lambda: self._start_complaint(op, unit, relay))
 
     def _start_complaint(self, op: Op, unit: str, relay: int) -> None:
@@ -335,7 +335,7 @@
     def apply_order(self, order: dict[str, Any]) -> None:
         """Starts or ends a fault (see Demand.obey)."""
         self.tap.note("order", **{key: value for key, value in order.items() if key != "ev"})
-        self.demand.obey(order)
+        self.workload.obey(order)
 
 
 async def _run(options: Crowd) -> None:
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -6,6 +6,19 @@
 Slow start: the speed rises linearly from the cold share to the full over the cold time. An endpoint that is warming up
 and gets more than `fall_multiple` times the work it can do over `fall_time` becomes overloaded and answers nothing
 from then on, as the service's contract states.
+
+An order {"do": "fault", "kind": ..., "size": ...} starts a fault, {"do": "mend", "kind": ...} ends it. Kinds, besides
+those of service_model:
+
+ refuse               stops listening and resets all connections
+ few_connections      resets new connections while there are `size` already
+ deaf                 stops reading from connections
+ mute                 reads requests and never answers, load probes included
+ drop_idle            resets all connections, once
+ idle_reap            ignores all requests on a connection that was idle for more than `size` seconds
+ cut, cut_answer      for a share `size` of the requests: resets the connection; closes it within the response
+ garbage, trickle     for a share `size` of the requests: responds with malformed HTTP; sends 8 bytes every 20 ms
+ false_reports        reports an idle endpoint as its load
 """
 
 from __future__ import annotations
@@ -224,7 +237,7 @@
         fields: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain"), *self._load_header()]
         fields.append((b"lanelead-answered-by", b"%s" % self.life.name.encode()))
         if b"day-bad" in dict(job.request.headers) or self._errs(job):
-            if self._rng.random() < 0.5:
+            if self._rng.random() < 0.5:  # half of the errors occur after the effect
                 self._apply_effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
             connection.write(serialization.response(500, fields, b"error\n"))
--- a/lanelead/testbed/emulators/fault_proxy.py
+++ b/lanelead/testbed/emulators/fault_proxy.py
@@ -1,9 +1,8 @@
-"""A network between processes, on loopback, for datagrams: each link from one to another can lose, delay,
-double and be cut, each direction by itself.
+"""A UDP proxy on loopback that loses, delays, duplicates and cuts the datagrams between processes, by direction.
 
-Every pair has a socket for each direction's end: what A sends to its address of B comes in at a port that
-stands for B towards A, and goes on to B from the port that stands for A towards B, so that answers find the
-way back over the same link. One seed draws all faults. `tap` is told of each fault and letter.
+Each ordered pair of ends (a, b) has a socket, which is b's address as far as a knows. A datagram from a to b arrives at
+the socket of (a, b) and is forwarded to b from the socket of (b, a), so that b's reply takes the link from b to a.
+One seed draws all faults.
 """
 
 from __future__ import annotations
@@ -16,12 +15,16 @@
 from dataclasses import dataclass
 from random import Random
 
-LARGEST = 65536
+MAX_DATAGRAM_BYTES = 65536
 
 
 @dataclass
 class Link:
-    """One direction. `delay` and `spread` in seconds: a letter takes the one and up to the other more."""
+    """The faults of one direction between two ends.
+
+    `loss` and `double` are the probabilities that a datagram is lost or duplicated. `delay` and `spread` are in
+    seconds: a datagram takes `delay`, and up to `spread` more.
+    """
 
     cut: bool = False
     loss: float = 0.0
@@ -31,89 +34,102 @@
 
 
 class Wires:
-    """Between `many` ends; `address(a, b)` is where a finds b, `join(b, address)` where b really is."""
+    """The proxy between `many` ends, numbered from 0.
+
+    `on_datagram` is called with "passed", "lost" or "cut", the sender and the receiver, for each datagram
+    that is forwarded, lost by chance or cut off.
+    """
 
-    def __init__(self, many: int, seed: int, tap: Callable[[str, int, int], None] | None = None) -> None:
+    def __init__(self, many: int, seed: int, on_datagram: Callable[[str, int, int], None] | None = None) -> None:
         self._loop = asyncio.get_running_loop()
         self._rng = Random(f"wires {seed}")
-        self._tap = tap
-        self._ends: dict[int, tuple[str, int]] = {}
+        self._on_datagram = on_datagram
+        self._addresses: dict[int, tuple[str, int]] = {}
         self._closed = False
         self.links = {(a, b): Link() for a in range(many) for b in range(many) if a != b}
         self.counts: Counter[str] = Counter()
-        self._socks: dict[tuple[int, int], socket.socket] = {}
-        for a, b in self.links:  # the socket that a sends to for b
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind(("127.0.0.1", 0))
-            sock.setblocking(False)
-            self._socks[a, b] = sock
-            self._loop.add_reader(sock, self._read, a, b)
+        self._sockets: dict[tuple[int, int], socket.socket] = {}
+        for a, b in self.links:  # a sends to this socket to reach b
+            socket_ = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            socket_.bind(("127.0.0.1", 0))
+            socket_.setblocking(False)
+            self._sockets[a, b] = socket_
+            self._loop.add_reader(socket_, self._read, a, b)
 
     def address(self, a: int, b: int) -> tuple[str, int]:
-        host, port = self._socks[a, b].getsockname()
+        """Returns the host and port at which a reaches b."""
+        host, port = self._sockets[a, b].getsockname()
         return host, port
 
     def join(self, end: int, address: tuple[str, int]) -> None:
-        self._ends[end] = address
+        """Sets the real address of an end; datagrams to it are dropped before that."""
+        self._addresses[end] = address
 
     def _read(self, a: int, b: int) -> None:
         for _ in range(64):
             try:
-                data = self._socks[a, b].recv(LARGEST)
+                data = self._sockets[a, b].recv(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            self._pass(data, a, b)
+            self._forward(data, a, b)
 
-    def _pass(self, data: bytes, a: int, b: int) -> None:
+    def _forward(self, data: bytes, a: int, b: int) -> None:
         link = self.links[a, b]
         if link.cut or self._rng.random() < link.loss:
             self._count("cut" if link.cut else "lost", a, b)
             return
         for _ in range(1 + (self._rng.random() < link.double)):
-            wait = link.delay + link.spread * self._rng.random()
-            if wait:
-                self._loop.call_later(wait, self._send, data, a, b)
+            delay = link.delay + link.spread * self._rng.random()
+            if delay:
+                self._loop.call_later(delay, self._send, data, a, b)
             else:
                 self._send(data, a, b)
 
     def _send(self, data: bytes, a: int, b: int) -> None:
-        if b in self._ends and not self._closed:
+        if b in self._addresses and not self._closed:
             self._count("passed", a, b)
             with contextlib.suppress(OSError):
-                self._socks[b, a].sendto(data, self._ends[b])
+                self._sockets[b, a].sendto(data, self._addresses[b])
 
-    def _count(self, what: str, a: int, b: int) -> None:
-        self.counts[what] += 1
-        if self._tap is not None:
-            self._tap(what, a, b)
+    def _count(self, event: str, a: int, b: int) -> None:
+        self.counts[event] += 1
+        if self._on_datagram is not None:
+            self._on_datagram(event, a, b)
 
-    # Faults by set
+    # Faults between sets of ends
 
     def each(self, senders: Iterable[int], receivers: Iterable[int]) -> list[Link]:
-        to = list(receivers)
-        return [self.links[a, b] for a in senders for b in to if a != b]
+        """Returns the links from each sender to each receiver."""
+        targets = list(receivers)
+        return [self.links[a, b] for a in senders for b in targets if a != b]
 
     def partition(self, *sides: Iterable[int], one_way: bool = False) -> None:
-        """Nothing passes between the sides; `one_way`: earlier sides don't reach later ones, but hear them.
-        An end that is in several sides sees all of them: a bridge."""
-        groups = [set(side) for side in sides]
-        for place, group in enumerate(groups):
-            for other in groups[place + 1 :]:
-                for a in group - other:
-                    for b in other - group:
+        """Cuts the links between the sides.
+
+        An end in several sides stays connected to all of them. `one_way`: only the links from earlier sides to later
+        ones are cut.
+        """
+        side_sets = [set(side) for side in sides]
+        for index, side_set in enumerate(side_sets):
+            for other in side_sets[index + 1 :]:
+                for a in side_set - other:
+                    for b in other - side_set:
                         self.links[a, b].cut = True
                         self.links[b, a].cut = self.links[b, a].cut or not one_way
 
     def heal(self) -> None:
+        """Restores all cut links."""
         for link in self.links.values():
             link.cut = False
 
     def set(self, loss: float = 0.0, double: float = 0.0, delay: float = 0.0, spread: float = 0.0) -> None:
+        """Sets the faults of all links (see Link); cut ones stay cut."""
         for link in self.links.values():
             link.loss, link.double, link.delay, link.spread = loss, double, delay, spread
 
     def close(self) -> None:
+        """Closes all sockets; delayed datagrams are dropped."""
         self._closed = True
-        for sock in self._socks.values():
-            self._loop.remove_reader(sock)
-            sock.close()
+        for socket_ in self._sockets.values():
+            self._loop.remove_reader(socket_)
+            socket_.close()
--- a/lanelead/testbed/emulators/migration_checker.py
+++ b/lanelead/testbed/emulators/migration_checker.py
@@ -1,4 +1,4 @@
-"""Checks a migration store's file alone: log, schema and effects agree, and each effect was applied once."""
+"""Checks from a migration store's file that log, schema and effects agree, and that each effect was applied once."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 from lanelead.protocols.migrations import LogEntry, LoggedEntry
 from lanelead.settings.migration_settings import MigrationPlan, MigrationStep
 
-ROWS = 300
+ROW_COUNT = 300
 UNBOUNDED_ROWS_PER_SECOND = 1e6
 SCHEMA = f"""
 CREATE TABLE offers (id INTEGER PRIMARY KEY, op TEXT, price TEXT, touched INTEGER NOT NULL DEFAULT 0);
 CREATE TABLE tally (step TEXT NOT NULL);
-WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < {ROWS})
+WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < {ROW_COUNT})
     INSERT INTO offers (op, price) SELECT 'op-' || i, '10.25' FROM n;
 """
 
 
 def with_tally(plan: MigrationPlan) -> MigrationPlan:
-    """The plan, with statements that show a repeated effect: none of them may be applied twice."""
+    """Returns the plan with statements that count how often each step, or each row's backfill, was applied.
+
+    Steps without a batch add a row to the table `tally`; backfills increment `touched` of each row that they fill.
+    """
     return msgspec.structs.replace(plan, steps=[_step_with_tally(step) for step in plan.steps])
 
 
@@ -38,10 +41,10 @@
 
 
 def find_violations(file: Path, plan: MigrationPlan, whole: bool = False) -> list[str]:
-    """What is wrong with a store's file, for a plan `with_tally`; empty: nothing.
+    """Returns the violations in a store's file, for a plan that `with_tally` returned.
 
-    That is: effects that the log doesn't have or that were applied twice, and a build that may have traffic while its
-    writes fail. `whole`: and steps that are not done. Raises InvalidEntryError where the log breaks its rules.
+    Violations are effects that are not in the log or were applied twice, and builds that may have traffic while their
+    writes fail; with `whole`, also steps that are not done. Raises InvalidEntryError if the log breaks its rules.
     """
     database = sqlite3.connect(file, isolation_level=None)
     try:
@@ -71,16 +74,16 @@
             continue
         if step.batch is None:
             query = "SELECT COUNT(*) FROM tally WHERE step = ?"
-            times = database.execute(query, (step.name,)).fetchone()[0]
-            expected = _expected_times(state, applied_intents)
-            if times != expected:
-                violations.append(f"{step.name}: applied {times} times, the log and its effects say {expected}")
+            count = database.execute(query, (step.name,)).fetchone()[0]
+            expected = _expected_count(state, applied_intents)
+            if count != expected:
+                violations.append(f"{step.name}: applied {count} times, log and applied intents require {expected}")
         if whole and state.status is not StepStatus.DONE:
             violations.append(f"{step.name}: {state.status.value} at the end")
     return violations
 
 
-def _expected_times(state: StepState, applied_intents: set[int]) -> int:
+def _expected_count(state: StepState, applied_intents: set[int]) -> int:
     if state.status is StepStatus.IN_PROGRESS:
         return 1 if state.intent_seq in applied_intents else 0
     return 1 if state.status is StepStatus.DONE else 0
@@ -88,9 +91,11 @@
 
 def _backfill_violations(database: sqlite3.Connection, plan: MigrationPlan, whole: bool) -> list[str]:
     backfills = sum(1 for step in plan.steps if step.batch is not None)
-    touched = [times for (times,) in database.execute("SELECT DISTINCT touched FROM offers WHERE id <= ?", (ROWS,))]
+    touched = [
+        count for (count,) in database.execute("SELECT DISTINCT touched FROM offers WHERE id <= ?", (ROW_COUNT,))
+    ]
     if max(touched) > backfills or (whole and touched != [backfills]):
-        return [f"rows were filled {touched} times, of {backfills}"]
+        return [f"rows were filled {touched} times, expected {backfills}"]
     return []
 
 
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -2,13 +2,17 @@
 
 Run as `python -m lanelead.testbed.emulators.migration_store FILE PORT [FOLDER]`; faults are requested by JSON lines on
 its standard input (see StoreFault), so that its socket carries what a real store's would. A fault acts once, after
-`skip` other occasions, unless it says "from now on":
-
- refuse, early   replies 503 before anything is done; never replies, and does nothing
- drop, hang      carries the call out, and closes the connection without a reply; carries it out, and never replies
- late            carries the call out only `size` seconds later, and never replies
- cut, kill       at a named point of a transaction: rolls back and resets the connection; kills its own process
- full, slow      from now on: no page more fits on the disk (`on`: false ends this); every effect takes `size` seconds
+`skip` occasions without a fault, unless it is marked "from now on":
+
+ refuse          replies 503 without carrying out the call
+ early           does not carry out the call, and never replies
+ drop            carries out the call, and resets the connection without a reply
+ hang            carries out the call, and never replies
+ late            carries out the call `size` seconds later, and never replies
+ cut             at a named point of a transaction: rolls it back, and resets the connection
+ kill            at a named point of a transaction: kills the store's process
+ full            from now on: the database cannot grow, as on a full disk (`on`: false ends this)
+ slow            from now on: every effect takes `size` seconds
 """
 
 from __future__ import annotations
@@ -43,11 +47,11 @@
 
 
 class ConnectionCutError(Exception):
-    """A seeded cut inside a transaction: it is rolled back, and the connection reset."""
+    """An injected cut inside a transaction: the transaction is rolled back, and the connection reset."""
 
 
 class StoreFault(msgspec.Struct):
-    """A requested fault. `at`: the path of the call, or the point of the transaction, that it acts on."""
+    """A fault to inject. `at`: the path of the call, or the point of the transaction, at which it acts."""
 
     kind: FaultKind
     at: str = ""
@@ -57,7 +61,7 @@
 
 
 class FaultyMigrationStoreServer(MigrationStoreServer):
-    """A store that injects faults and records what passes; `tap` takes the events."""
+    """A store that injects faults, and records calls and log entries with `tap`."""
 
     def __init__(self, store: MigrationStore, tap: Tap | None = None) -> None:
         super().__init__(store)
@@ -77,7 +81,7 @@
     # Faults
 
     def inject(self, order: dict[str, Any]) -> None:
-        """Takes a fault, as a StoreFault's fields. Raises msgspec.ValidationError."""
+        """Injects a fault, given as the fields of StoreFault. Raises msgspec.ValidationError if they are not valid."""
         fault = msgspec.convert(order, StoreFault)
         if fault.kind == "slow":
             self._apply_delay_seconds = fault.size
@@ -89,7 +93,7 @@
         self.record_event("order", **order)
 
     def _fault_due(self, kinds: tuple[str, ...], at: str) -> StoreFault | None:
-        """Takes the first fault that is due on this occasion; counts it for those that still skip some."""
+        """Removes and returns the first fault that is due here; faults before it skip one occasion less."""
         for fault in self._pending_faults:
             if fault.kind in kinds and fault.at == at:
                 fault.skip -= 1
@@ -111,7 +115,7 @@
     # Calls
 
     def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
-        """Serves a request, with the fault that is due."""
+        """Serves a request, with an injected fault if one is due."""
         path = request.target.partition(b"?")[0].decode("latin-1")
         if path == "/file":
             self._check_schema(connection, request)
@@ -123,17 +127,17 @@
             self._serve_with_fault(connection, request, fault)
 
     def _serve_with_fault(self, connection: ServerConnection, request: HttpRequest, fault: StoreFault) -> None:
-        nobody = ServerConnection(lambda *_: None)  # takes the reply that is not to be sent
+        discarding = ServerConnection(lambda *_: None)  # not connected: drops the reply
         match fault.kind:
             case "refuse":
                 connection.write(serialization.response(503, (), b"", False))
                 connection.close()
             case "late":
-                asyncio.get_running_loop().call_later(fault.size, self._serve, nobody, request)
+                asyncio.get_running_loop().call_later(fault.size, self._serve, discarding, request)
             case "hang":
-                self._serve(nobody, request)
+                self._serve(discarding, request)
             case "drop":
-                self._serve(nobody, request)
+                self._serve(discarding, request)
                 connection.reset()
 
     def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
@@ -146,7 +150,7 @@
     # Recording
 
     def handle(self, method: str, path: str, request: HttpRequest, query: dict[str, int]) -> tuple[int, bytes]:
-        """Records effects, acknowledgements and leases besides."""
+        """Serves a call, and records effects, acknowledgements and leases."""
         status, body = super().handle(method, path, request, query)
         if path == "/apply":
             sent = msgspec.json.decode(request.body) if status in (200, 409, 422) else {}
@@ -163,12 +167,12 @@
         return status, body
 
     def entry_written(self, logged: LoggedEntry) -> None:
-        """Records the entry before the watchers get it."""
+        """Records a written entry before the watchers get it."""
         self.record_new_entries()
         super().entry_written(logged)
 
     def record_new_entries(self) -> None:
-        """Records all entries on disk that are not yet: one may be there though its call was cut."""
+        """Records all entries on disk that are not recorded yet: an entry may be on disk although its call was cut."""
         for logged in self.store.read_page(self._log.last_seq).entries:
             self._log.append(logged)
             self.record_event("entry", **msgspec.to_builtins(logged))
@@ -178,7 +182,7 @@
         """Called with each recorded entry; for subclasses."""
 
     def _check_schema(self, connection: ServerConnection, request: HttpRequest) -> None:
-        """Carries out the write of an endpoint's effectful request, as its build does, on the current schema."""
+        """Carries out the write of an endpoint's request on the current schema, as the endpoint's build would."""
         try:
             check = decode(request.body, SchemaCheck)
         except MessageError as error:
@@ -209,7 +213,7 @@
             server.inject(msgspec.json.decode(line))
             sys.stdout.write("told\n")
             sys.stdout.flush()
-        os.kill(os.getpid(), signal.SIGTERM)  # the process that started this one has ended
+        os.kill(os.getpid(), signal.SIGTERM)  # end of input: the parent process has ended
 
     task = loop.create_task(take_faults())
     await serve(server, port)
@@ -217,7 +221,7 @@
 
 
 def main() -> None:
-    """Serves FILE at PORT until SIGTERM; with FOLDER, events are recorded there."""
+    """Serves FILE at PORT until SIGTERM. With FOLDER, events are recorded there."""
     uvloop.run(_run(sys.argv[1], int(sys.argv[2]), sys.argv[3] if len(sys.argv) > 3 else None))
 
 
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -1,4 +1,4 @@
-"""The release desk on sockets (docs/protocols.md): Polling, with news streams and a place to post votes."""
+"""Emulated rollout platform: serves rollout state as streams and takes votes, over HTTP (see docs/protocols.md)."""
 
 from __future__ import annotations
 
@@ -18,77 +18,88 @@
 
 
 class Desk(RestartableServer, Polling):
+    """The rollout state and vote counting of `Polling` behind an HTTP server.
+
+    Relays get a change of the state after 0.5 to 1 times `update_delay` seconds, and the state again every
+    `push_interval` seconds. `on_move` is called as in Polling.
+    """
+
     def __init__(
         self,
         folder: Path,
         port: int,
         trial: CanarySettings,
         poll: VotingSettings,
-        told: float,
-        push: float,
+        update_delay: float,
+        push_interval: float,
         rng: Random,
-        moved: Callable[[int, int, str], None],
+        on_move: Callable[[int, int, str], None],
     ) -> None:
         RestartableServer.__init__(self, port, Tap(folder, "desk"))
-        Polling.__init__(self, trial, poll, rng, clock, self.tap.note, moved)
-        self._told, self._push = told, push
+        Polling.__init__(self, trial, poll, rng, clock, self.tap.note, on_move)
+        self._update_delay, self._push_interval = update_delay, push_interval
         self._watchers: dict[ServerConnection, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
-        self.stale = 0.0  # seconds by which its news is later than usual
+        self.stale = 0.0  # seconds by which state updates are later than usual; regular pushes stop while it is not 0
 
     async def open(self) -> None:
+        """Starts listening, and from the first time on counts votes and pushes the state regularly."""
         await super().open()
         if not self._tasks:
             loop = asyncio.get_running_loop()
-            self._tasks = [loop.create_task(self._pushes()), loop.create_task(self._beats())]
+            self._tasks = [loop.create_task(self._push_regularly()), loop.create_task(self._count_votes_regularly())]
 
     def changed(self) -> None:
+        """Sends the new state to each watching relay after a delay."""
         loop = asyncio.get_running_loop()
-        for caller, relay in list(self._watchers.items()):
-            late = self.stale + self._told * self._rng.uniform(0.5, 1.0)
-            loop.call_later(late, self._tell, caller, relay)
+        for connection, relay in list(self._watchers.items()):
+            delay_seconds = self.stale + self._update_delay * self._rng.uniform(0.5, 1.0)
+            loop.call_later(delay_seconds, self._send_state, connection, relay)
 
-    async def _beats(self) -> None:
+    async def _count_votes_regularly(self) -> None:
         while True:
             await asyncio.sleep(0.05)
             self.beat(0.05)
 
-    async def _pushes(self) -> None:
+    async def _push_regularly(self) -> None:
         while True:
-            await asyncio.sleep(self._push)
+            await asyncio.sleep(self._push_interval)
             if not self.stale:
-                for caller, relay in list(self._watchers.items()):
-                    self._tell(caller, relay)
+                for connection, relay in list(self._watchers.items()):
+                    self._send_state(connection, relay)
 
-    def _leave(self, caller: ServerConnection) -> None:
-        self._watchers.pop(caller, None)
+    def _remove_watcher(self, connection: ServerConnection) -> None:
+        self._watchers.pop(connection, None)
 
-    def _tell(self, caller: ServerConnection, relay: int) -> None:
-        if caller.transport is None:
+    def _send_state(self, connection: ServerConnection, relay: int) -> None:
+        if connection.transport is None:
             return
         line = self.line()
         self.told(relay, line)
-        caller.write(chunk(encode(line) + b"\n"))
+        connection.write(chunk(encode(line) + b"\n"))
 
-    # Calls
+    # Requests
 
-    def request_received(self, caller: ServerConnection, ask: HttpRequest) -> None:
-        path = ask.target.partition(b"?")[0]
+    def request_received(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Serves the stream of rollout states, or takes a vote; a vote gets no reply while the platform is mute."""
+        path = request.target.partition(b"?")[0]
         if path == b"/news":
-            relay = relay_number(ask)
-            caller.write(STREAM)
-            self._watchers[caller] = relay
-            caller.close_callbacks.append(lambda: self._leave(caller))
-            self._tell(caller, relay)
-        elif path == b"/votes" and ask.method == "POST":
+            relay = relay_number(request)
+            connection.write(STREAM)
+            self._watchers[connection] = relay
+            connection.close_callbacks.append(lambda: self._remove_watcher(connection))
+            self._send_state(connection, relay)
+        elif path == b"/votes" and request.method == "POST":
             try:
-                vote = decode(ask.body, VoteRequest)
-            except MessageError as fault:
-                caller.write(serialization.response(400, (), str(fault).encode(), ask.keep))
+                vote = decode(request.body, VoteRequest)
+            except MessageError as error:
+                connection.write(serialization.response(400, (), str(error).encode(), request.keep))
                 return
-            word, line = self.vote(vote)
+            outcome, line = self.vote(vote)
             if line is not None:
-                body = encode(VoteResponse(word, line))  # type: ignore[arg-type]
-                caller.write(serialization.response(200, [(b"content-type", b"application/json")], body, ask.keep))
+                body = encode(VoteResponse(outcome, line))  # type: ignore[arg-type]
+                connection.write(
+                    serialization.response(200, [(b"content-type", b"application/json")], body, request.keep)
+                )
         else:
-            caller.write(serialization.response(404, (), b"", ask.keep))
+            connection.write(serialization.response(404, (), b"", request.keep))
--- a/lanelead/testbed/emulators/running_stores.py
+++ b/lanelead/testbed/emulators/running_stores.py
@@ -1,4 +1,4 @@
-"""Emulated migration stores that run beside a test, in a thread or in a process."""
+"""Runs emulated migration stores for a test, in a thread or in a process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RunningStore(Protocol):
-    """A running store: its file, and its port on loopback."""
+    """A running store; `file` is its database, `port` its port on loopback."""
 
     file: Path
     port: int
@@ -34,10 +34,10 @@
 
 
 class AcknowledgingStoreServer(FaultyMigrationStoreServer):
-    """A store with one relay, number 0, that acknowledges every barrier a moment later."""
+    """A store that acknowledges every barrier as relay 0, after ACKNOWLEDGEMENT_DELAY_SECONDS."""
 
     def entry_recorded(self, logged: LoggedEntry) -> None:
-        """Acknowledges a barrier entry a moment later."""
+        """Schedules the acknowledgement of a barrier entry."""
         if logged.entry.kind == BARRIER:
             loop = asyncio.get_running_loop()
             loop.call_later(ACKNOWLEDGEMENT_DELAY_SECONDS, self.store.acknowledge, 0, logged.seq)
@@ -59,7 +59,9 @@
         asyncio.set_event_loop(self._loop)
         self._server = AcknowledgingStoreServer(MigrationStore(self.file))
         self._server.store.register_relay(0)
-        self._server.store.connection.execute("PRAGMA synchronous=OFF")  # nothing here loses power
+        self._server.store.connection.execute(
+            "PRAGMA synchronous=OFF"
+        )  # durability against power loss is not tested here
         self.port = self._loop.run_until_complete(self._server.start(0))
         self._started.set()
         self._loop.run_forever()
@@ -68,7 +70,7 @@
         self._loop.close()
 
     def inject(self, **fault: Any) -> None:
-        """Injects a fault, and waits until it is in force."""
+        """Injects a fault, and waits until it is active."""
         done = threading.Event()
         self._loop.call_soon_threadsafe(self._server.inject, fault)
         self._loop.call_soon_threadsafe(done.set)
@@ -81,14 +83,14 @@
 
 
 class StoreProcess:
-    """A store in a process, started again at the same port whenever it has been killed."""
+    """A store in a child process, which is restarted at the same port whenever it has ended."""
 
     def __init__(self, file: Path, free_port: Callable[[], int]) -> None:
         self.file = file
         self.port = free_port()
         self._closing = False
         self._process = self._start()
-        while self._process.poll() is not None:  # another process was faster at this port
+        while self._process.poll() is not None:  # another process has taken this port
             self.port = free_port()
             self._process = self._start()
         self._restarter = threading.Thread(target=self._restart_when_killed, daemon=True)
@@ -113,7 +115,7 @@
                 self._process = self._start()
 
     def inject(self, **fault: Any) -> None:
-        """Injects a fault, and waits until it is in force."""
+        """Injects a fault, and waits until it is active."""
         stdin = self._process.stdin
         stdout = self._process.stdout
         assert stdin is not None
@@ -123,7 +125,7 @@
         stdout.readline()
 
     def close(self) -> None:
-        """Stops the process."""
+        """Stops the process; it is not restarted."""
         self._closing = True
         self._process.send_signal(signal.SIGTERM)
         self._restarter.join(TIMEOUT_SECONDS)
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -1,6 +1,7 @@
-"""A relay with one guard taken out, from outside the decisions: what the judge must be seen to catch.
+"""A relay with one deliberate fault, to test that the verifier reports each broken rule.
 
-Run as `python -m lanelead.testbed.emulators.seeded_faults SEAM SETTINGS`. Nothing else in the program imports it.
+Run as `python -m lanelead.testbed.emulators.seeded_faults SEAM SETTINGS`, where SEAM is a key of SEAMS. The faults wrap
+the decisions and don't change their code. No other module of the program imports this one.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 from lanelead.settings.relay_settings import RelaySettings
 
 
-class Seam:
-    """Stands between the driver and the decisions; by itself it changes nothing."""
+class DecisionsWrapper:
+    """Forwards all calls and attributes from the driver to the decisions; subclasses change some of them."""
 
     def __init__(self, decisions: Decisions) -> None:
         self.__dict__["_decisions"] = decisions
@@ -45,11 +46,12 @@
         setattr(self._decisions, name, value)
 
 
-class Answers(Seam):
-    """Loses the final answer of lookups that it gives up on."""
+class DroppedResponses(DecisionsWrapper):
+    """Drops the final response of requests that the decisions reject or fail."""
 
     @property
     def actions(self) -> list[Any]:
+        """The pending actions, without rejections and failures."""
         actions = self._decisions.actions
         kept = [action for action in actions if not isinstance(action, RejectRequest | FailRequest)]
         if len(kept) != len(actions):
@@ -60,33 +62,35 @@
         setattr(self._decisions, name, value)
 
 
-class Effects(Seam):
-    """Sends an effectful lookup again after an error, whether it ran or not."""
+class UnsafeRetries(DecisionsWrapper):
+    """Lets non-idempotent requests be retried after an error, although they may have run."""
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
-        told = (
+        """Reports an error of a non-idempotent request as a rejection."""
+        reported_outcome = (
             AttemptOutcome.REJECTED
             if outcome is AttemptOutcome.ERROR
             and attempt.request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
             else outcome
         )
-        self._decisions.attempt_ended(attempt, told, closed, took, report)
+        self._decisions.attempt_ended(attempt, reported_outcome, closed, took, report)
 
 
-class Drains(Seam):
-    """Never hears that a unit drains or is gone."""
+class IgnoredDrains(DecisionsWrapper):
+    """Ignores that endpoints drain or are removed."""
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        heard = [row for row in records if row.status is EndpointStatus.READY]
+        """Passes on ready endpoints only, and snapshots as deltas, which remove nothing."""
+        ready_rows = [row for row in records if row.status is EndpointStatus.READY]
         self._decisions.endpoints_updated(
-            UpdateScope.DELTA if update_scope is UpdateScope.SNAPSHOT else update_scope, heard
+            UpdateScope.DELTA if update_scope is UpdateScope.SNAPSHOT else update_scope, ready_rows
         )
 
 
-class Cold(Seam):
-    """Takes every unit for a warm one, and sends the newest one all it can."""
+class IgnoredSlowStart(DecisionsWrapper):
+    """Ignores slow start, and sends all first attempts to the newest endpoint."""
 
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
@@ -94,13 +98,15 @@
         self.__dict__["_meant"] = dict[Attempt, Endpoint]()
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        late = [row for row in records if row.started_at and row.status is EndpointStatus.READY]
-        if late and update_scope is UpdateScope.DELTA:
-            self.__dict__["_newest"] = late[-1].endpoint
+        """Notes the newest endpoint that a delta lists, and passes on all as long started."""
+        new_rows = [row for row in records if row.started_at and row.status is EndpointStatus.READY]
+        if new_rows and update_scope is UpdateScope.DELTA:
+            self.__dict__["_newest"] = new_rows[-1].endpoint
         self._decisions.endpoints_updated(update_scope, [replace(row, started_at=0) for row in records])
 
     @property
     def actions(self) -> list[Any]:
+        """The pending actions, with first attempts redirected to the newest endpoint while it is ready."""
         newest: Endpoint | None = self.__dict__["_newest"]
         actions = self._decisions.actions
         if newest is not None and newest.status is EndpointStatus.READY:
@@ -116,12 +122,13 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
+        """Restores the endpoint that the decisions chose."""
         attempt.endpoint = self._meant.pop(attempt, attempt.endpoint)
         self._decisions.attempt_ended(attempt, outcome, closed, took, report)
 
 
-class Strangers(Seam):
-    """Sends every lookup's first trip to another zone while there is one, whatever is granted there."""
+class ForeignZones(DecisionsWrapper):
+    """Sends each request's first attempt outside the first tier of zones, if possible, without regard to limits."""
 
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
@@ -130,21 +137,23 @@
         self.__dict__["_turn"] = 0
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        home = self._spillover.tiers and self._spillover._preference.tiers[0]
+        """Keeps the ready endpoints of other zones than those of the first tier."""
+        local_zones = self._spillover.tiers and self._spillover._preference.tiers[0]
         for row in records:
             self._far.pop(row.endpoint, None)
-            if home and row.status is EndpointStatus.READY and row.zone not in home:
+            if local_zones and row.status is EndpointStatus.READY and row.zone not in local_zones:
                 self._far[row.endpoint] = None
         self._decisions.endpoints_updated(update_scope, records)
 
     @property
     def actions(self) -> list[Any]:
+        """The pending actions, with first attempts redirected to the endpoints of other zones in turn."""
         actions = self._decisions.actions
         for action in actions:
-            first = (
+            is_first_attempt = (
                 isinstance(action, StartAttempt) and action.attempt.number == 0 and action.attempt not in self._meant
             )
-            if first and action.attempt.endpoint not in self._far and self._far:
+            if is_first_attempt and action.attempt.endpoint not in self._far and self._far:
                 self.__dict__["_turn"] += 1
                 self._meant[action.attempt] = action.attempt.endpoint
                 action.attempt.endpoint = list(self._far)[self._turn % len(self._far)]
@@ -153,32 +162,35 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: int, report: LoadReport | None
     ) -> None:
+        """Restores the endpoint that the decisions chose."""
         attempt.endpoint = self._meant.pop(attempt, attempt.endpoint)
         self._decisions.attempt_ended(attempt, outcome, closed, took, report)
 
 
-class Exposure(Seam):
-    """Takes every build for a released one."""
+class UnlimitedExposure(DecisionsWrapper):
+    """Takes every build for a promoted one, without an exposure limit."""
 
-    def rollout_updated(self, news: RolloutState) -> None:
-        self._decisions.rollout_updated(replace(news, phase=RolloutPhase.PROMOTED, exposure_limit=1.0))
+    def rollout_updated(self, state: RolloutState) -> None:
+        """Passes on the state as promoted."""
+        self._decisions.rollout_updated(replace(state, phase=RolloutPhase.PROMOTED, exposure_limit=1.0))
 
 
 SEAMS = {
-    "answers": Answers,
-    "effects": Effects,
-    "drains": Drains,
-    "cold": Cold,
-    "exposure": Exposure,
-    "strangers": Strangers,
-    "steps": Seam,
+    "answers": DroppedResponses,
+    "effects": UnsafeRetries,
+    "drains": IgnoredDrains,
+    "cold": IgnoredSlowStart,
+    "exposure": UnlimitedExposure,
+    "strangers": ForeignZones,
+    "steps": DecisionsWrapper,
 }
 
 
 def main() -> None:
+    """Runs a relay with the fault and the settings file in the arguments."""
     settings = read(sys.argv[2])
     assert isinstance(settings, RelaySettings)
-    if sys.argv[1] == "steps":  # every build that is listed may have traffic, whatever the record says
+    if sys.argv[1] == "steps":  # every listed build may have traffic, whatever the migration log says
         for name in ("accepts_traffic", "allows_promotion"):
             setattr(Readiness, name, lambda *_: True)
     run(settings, settings.log, SEAMS[sys.argv[1]])
--- a/lanelead/testbed/emulators/service_model.py
+++ b/lanelead/testbed/emulators/service_model.py
@@ -1,6 +1,8 @@
-"""What a unit can do: its pace as builds, faults and coldness have it, and how it falls over. No sockets.
+"""The service model of an endpoint: its speed under builds, faults and slow start, and its overload. No sockets.
 
-The stand-in on sockets and the model's unit are both this, each with its own clock.
+The emulated endpoint on sockets and the simulated one derive from it, each with its own clock. Faults of the model are
+`slow` (`size` times slower), `neighbour` (slower by a share `size`, in every second period of 2 s) and `errors` (a
+share `size` of the requests fails).
 """
 
 from __future__ import annotations
@@ -14,7 +16,13 @@
 
 
 class Build(msgspec.Struct):
-    """What a build does wrong, if anything: how, how much of it, and in which lane."""
+    """A build and its fault, if any.
+
+    `bad` is the kind of fault: "slow", "load" (slow while more than half of the cores are busy), "errors", "lane"
+    (errors in the request class `lane`), "late" (slow and with errors from 4 s after the start), "wrong" (wrong
+    answers) or "shared" (slows the endpoints of all builds; the scenario's runner sets by how much). `strength` (0 to
+    1) is the share of errors or wrong answers, or sets the slowdown.
+    """
 
     number: int
     speed: float = 1.0
@@ -24,7 +32,12 @@
 
 
 class Life(msgspec.Struct):
-    """All that a unit is told at its start."""
+    """Options of an endpoint's process, which gets them as JSON.
+
+    `waiting_room` limits the queue, `errors` is the share of requests that fail without a fault, `speed` is relative to
+    the usual speed, and `cold_share` is the share of it at the start. `fall_multiple` times the work that the endpoint
+    can do in `fall_time` overloads it while it is warming up.
+    """
 
     name: str
     folder: str
@@ -36,51 +49,53 @@
     waiting_room: int
     connections: int
     cold_share: float
-    cold: float  # seconds; 0: it starts warm
+    cold: float  # seconds of slow start; 0: it starts at full speed
     fall_multiple: float
     fall_time: float  # seconds
-    memory: dict[str, float]  # of receipts, by lane, in seconds
-    receipts: dict[str, str]  # by lane, the folder that the units of a group share for them
+    memory: dict[str, float]  # by request class: seconds for which idempotency keys are remembered
+    receipts: dict[str, str]  # by request class: the folder of claimed keys that a group of endpoints shares
     report: float  # seconds between load reports
     errors: float
     speed: float
     build: Build
-    store: int = 0  # the port of the store where effectful lookups are filed; 0: none
-    write: str = ""  # how the build files them
+    store: int = 0  # port of the migration store that checks the writes of requests; 0: none
+    write: str = ""  # the SQL statement by which the build writes a request
 
 
-class Piece(Protocol):
-    """A piece of work: seconds at the usual pace, and its lane."""
+class WorkItem(Protocol):
+    """A piece of work: its seconds at normal speed, and its request class."""
 
     work: float
     lane: str
 
 
 class Engine:
+    """Speed, errors and overload of one endpoint; subclasses queue the work and answer requests."""
+
     def __init__(self, life: Life, clock: Callable[[], float]) -> None:
         self.life, self._clock = life, clock
         self._rng = Random(life.seed)
-        self._start = clock()
+        self._started_at = clock()
         self._busy = 0
-        self._recent: deque[tuple[float, float]] = deque()
-        self._recent_sum = 0.0
+        self._recent_work: deque[tuple[float, float]] = deque()
+        self._recent_work_sum = 0.0
         self._faults: dict[str, dict[str, Any]] = {}
-        self.shared = 1.0  # how far a build elsewhere slows this unit
+        self.shared = 1.0  # the factor by which a build on other endpoints slows this one
         self.fallen = False
 
-    # Pace
+    # Speed
 
     def _warmth(self) -> float:
-        life, age = self.life, self._clock() - self._start
+        life, age = self.life, self._clock() - self._started_at
         if life.cold <= 0 or age >= life.cold:
             return 1.0
         return life.cold_share + (1 - life.cold_share) * age / life.cold
 
     def _capacity(self) -> float:
-        """Seconds of work a second, as things stand."""
+        """Returns the seconds of work that the endpoint can do in a second at present."""
         return self.life.cores * self.life.speed * self._warmth()
 
-    def _pace(self, job: Piece) -> float:
+    def _pace(self, item: WorkItem) -> float:
         build, pace = self.life.build, self.life.speed * self._warmth() * self.life.build.speed
         if "slow" in self._faults:
             pace /= max(1.0, self._faults["slow"]["size"])
@@ -88,7 +103,7 @@
             pace *= 1 - min(0.9, self._faults["neighbour"]["size"])
         if build.bad == "slow" or (build.bad == "load" and self._busy > self.life.cores // 2):
             pace /= 1 + 3 * build.strength
-        if build.bad == "late" and self._clock() - self._start > 4:
+        if build.bad == "late" and self._clock() - self._started_at > 4:
             pace /= 1 + 3 * build.strength
         return pace / self.shared
 
@@ -99,26 +114,26 @@
         fault = self._faults.get(name)
         return fault is not None and self._rng.random() < min(1.0, fault["size"])
 
-    def _weigh(self, job: Piece, warmth: float) -> None:
+    def _weigh(self, item: WorkItem, warmth: float) -> None:
         now, life = self._clock(), self.life
         if warmth >= 1.0:
             return
-        self._recent.append((now, job.work))
-        self._recent_sum += job.work
-        while self._recent and self._recent[0][0] < now - life.fall_time:
-            self._recent_sum -= self._recent.popleft()[1]
-        if self._recent_sum > life.fall_multiple * self._capacity() * life.fall_time + 8 * 0.1 and not self.fallen:
+        self._recent_work.append((now, item.work))
+        self._recent_work_sum += item.work
+        while self._recent_work and self._recent_work[0][0] < now - life.fall_time:
+            self._recent_work_sum -= self._recent_work.popleft()[1]
+        if self._recent_work_sum > life.fall_multiple * self._capacity() * life.fall_time + 8 * 0.1 and not self.fallen:
             self.fallen = True
-            self.fell(self._recent_sum, warmth)
+            self.fell(self._recent_work_sum, warmth)
 
     def fell(self, work: float, warmth: float) -> None:
-        """It has just fallen over."""
+        """Called once, when the endpoint becomes overloaded, with the recent work in seconds; for subclasses."""
 
-    def _errs(self, job: Piece) -> bool:
+    def _errs(self, item: WorkItem) -> bool:
         build = self.life.build
         share = self.life.errors
-        if build.bad == "errors" or (build.bad == "lane" and job.lane == build.lane):
+        if build.bad == "errors" or (build.bad == "lane" and item.lane == build.lane):
             share = max(share, build.strength)
-        if build.bad == "late" and self._clock() - self._start > 4:
+        if build.bad == "late" and self._clock() - self._started_at > 4:
             share = max(share, build.strength / 3)
         return self._rng.random() < share or self._hit("errors")
--- a/lanelead/testbed/emulators/write_traffic.py
+++ b/lanelead/testbed/emulators/write_traffic.py
@@ -1,4 +1,4 @@
-"""A relay and its endpoints in small: writes to a migration store's schema while its steps run."""
+"""A minimal relay with endpoints that write to a migration store's schema while its steps run."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 
 
 class WriteTraffic:
-    """Follows the log in a thread, writes by each build that may have traffic, and acknowledges barriers.
+    """Follows the migration log in a thread, writes by each build that may have traffic, and acknowledges barriers.
 
-    The relay's own readiness decides. `failures` has the writes that did not fit the schema, `writes` their number by
-    build. heed_readiness: false seeds a fault: all builds write at any time.
+    Which builds may have traffic, and which barriers are due, is decided by the relay's own `Readiness`. `failures`
+    describes the writes that did not fit the schema; `writes` counts all answered writes by build.
+    heed_readiness: False injects a fault: all builds write at any time.
     """
 
     def __init__(self, port: int, plan: MigrationPlan, heed_readiness: bool = True) -> None:
@@ -106,6 +107,6 @@
             if response.status != 200:
                 self.failures.append(f"build {build}: {response.body.decode()}")
         except (CallFailedError, TimeoutError):
-            pass  # the store was unavailable: the write may still be carried out
+            pass  # the store was unavailable, and may still carry out the write
         finally:
             self._readiness.attempt_ended(attempt, known)
--- a/lanelead/testbed/experiments/__init__.py
+++ b/lanelead/testbed/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments as data: simulated scenarios under factors and policies, over seeds, with a report."""
+"""Experiments: plans of simulated scenarios over factors, policies and seeds, and reports of their results."""
--- a/lanelead/testbed/experiments/plan.py
+++ b/lanelead/testbed/experiments/plan.py
@@ -1,4 +1,4 @@
-"""A plan's cells: a scenario for each choice of levels, checked before anything runs."""
+"""The cells of an experiment plan: one scenario for each combination of levels, checked before anything runs."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """One choice of levels; `name` is its levels, one after the other."""
+    """One combination of levels; `name` is the levels' names, joined by commas."""
 
     name: str
     levels: tuple[str, ...]
-    day: Scenario
+    scenario: Scenario
 
 
-def overlay(base: Any, more: Any) -> Any:
-    """A value with another laid over it: records field by field, all else replaced."""
-    if isinstance(base, dict) and isinstance(more, dict):
-        return {**base, **{key: overlay(base.get(key), value) for key, value in more.items()}}
-    return more
+def overlay(base: Any, override: Any) -> Any:
+    """Returns `base` with `override` merged into it: mappings field by field, other values replaced."""
+    if isinstance(base, dict) and isinstance(override, dict):
+        return {**base, **{key: overlay(base.get(key), value) for key, value in override.items()}}
+    return override
 
 
-def unknown_fields(base: Any, more: dict[str, Any], at: str) -> Iterator[str]:
-    """The paths of fields that an overlay has and its base has not."""
-    for key, value in more.items():
+def unknown_fields(base: Any, override: dict[str, Any], at: str) -> Iterator[str]:
+    """Yields the paths of fields that `override` has and `base` doesn't."""
+    for key, value in override.items():
         if isinstance(base, dict) and key not in base:
             yield f"{at}.{key}"
         elif isinstance(value, dict):
@@ -62,15 +62,17 @@
         self.faults: list[SettingsFault] = []
 
     def report_fault(self, path: str, found: str, expected: str) -> None:
+        """Adds a fault at a path of the plan, to be raised later."""
         position = self._positions.get(path, self._positions[""])
         self.faults.append(SettingsFault(position, path, found, expected))
 
     def raise_faults(self) -> None:
+        """Raises SettingsError with all faults so far, if any."""
         if self.faults:
             raise SettingsError(self.faults)
 
     def check_names(self) -> None:
-        """Policies, baseline, measure and seeds."""
+        """Checks policies, baseline, measure and seeds."""
         plan = self._plan
         for number, policy in enumerate(plan.policies):
             if policy not in POLICIES:
@@ -84,7 +86,7 @@
             self.report_fault("experiment.seeds.least", str(plan.seeds.least), expected)
 
     def base(self) -> Any:
-        """The scenario that all cells begin with, as plain values."""
+        """Returns the scenario that all cells are based on, as plain values. Raises SettingsError if there is none."""
         try:
             return msgspec.to_builtins(load(self._plan.day))
         except (SettingsError, click.BadParameter) as error:
@@ -92,6 +94,7 @@
             raise SettingsError(self.faults) from None
 
     def check_fields(self, base: Any) -> None:
+        """Checks that the plan and its levels set only fields that the scenario has."""
         changes = [("experiment.set", self._plan.set)]
         for n, factor in enumerate(self._plan.factors):
             for m, level in enumerate(factor.levels):
@@ -102,9 +105,10 @@
 
 
 def cells(plan: ExperimentPlan, positions: dict[str, Position]) -> list[Cell]:
-    """One cell for each choice of levels.
+    """Returns one cell for each combination of levels.
 
-    Raises SettingsError where the plan names a scenario, field, policy or measure that there is not.
+    Raises SettingsError if the plan names a scenario, field, policy or measure that does not exist, or if a cell's
+    values are no valid scenario.
     """
     checker = _PlanChecker(plan, positions)
     checker.check_names()
--- a/lanelead/testbed/experiments/report.py
+++ b/lanelead/testbed/experiments/report.py
@@ -1,4 +1,4 @@
-"""An experiment's results as one HTML file that opens without a network: tables with intervals, and plots."""
+"""Reports an experiment's results as one self-contained HTML file, with tables, intervals and plots, or as text."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 td,th{border:1px solid #999;padding:.2em .6em;text-align:right}td:first-child,th:first-child,td:nth-child(2)
 {text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>{{ plan.name }}</h1><p>{{ plan.says }}</p>
-<p>Day {{ plan.day }} in virtual time, {{ runs }} runs. Figures are means with 95% intervals (Student's t);
-differences to {{ plan.baseline }} are by pairs of the same seed, and one whose interval holds zero
+<p>Scenario {{ plan.day }} in virtual time, {{ runs }} runs. Figures are means with 95% intervals (Student's t).
+Differences to {{ plan.baseline }} are over pairs of runs with the same seed; a difference whose interval contains zero
 shows nothing.</p>
 {% for measure, rows in tables %}<h2>{{ measure }}</h2><table><tr><th>levels<th>policy<th>runs<th>mean
 <th>&plusmn;<th>more than {{ plan.baseline }}<th>&plusmn;</tr>
@@ -29,12 +29,12 @@
 
 
 def format_value(value: float) -> str:
-    """A number for people; empty where it is none."""
+    """Formats a number with four digits; an empty string for NaN and infinity."""
     return "" if value != value or value in (float("inf"), float("-inf")) else f"{value:.4g}"
 
 
 def table(plan: ExperimentPlan, rows: Rows, measure: str) -> list[dict[str, Any]]:
-    """A measure's rows, one for each cell and policy: texts to show, and the values that the plot takes."""
+    """Returns a measure's rows, one for each cell and policy: texts to show, and `value` and `width` for the plot."""
     found = []
     for (cell, policy), seeds in rows.items():
         values = [some[measure] for some in seeds.values() if measure in some]
@@ -57,14 +57,14 @@
 
 
 def plot(rows: list[dict[str, Any]], measure: str) -> str:
-    """An SVG of means and intervals."""
+    """Returns an SVG image of the means and intervals in `table` rows."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    pyplot.rcParams["svg.fonttype"] = "none"  # text stays text: a fifth of the size
-    pyplot.rcParams["svg.hashsalt"] = measure  # the same results, the same file
+    pyplot.rcParams["svg.fonttype"] = "none"  # text as text elements: a fifth of the size of text as paths
+    pyplot.rcParams["svg.hashsalt"] = measure  # the same results give the same file
     cells = list(dict.fromkeys(row["cell"] for row in rows))
     policies = list(dict.fromkeys(row["policy"] for row in rows))
     figure, axis = pyplot.subplots(figsize=(9, 3))
@@ -94,7 +94,7 @@
 
 
 def page(plan: ExperimentPlan, rows: Rows) -> str:
-    """The HTML file."""
+    """Returns the report as HTML text."""
     tables = [(measure, some) for measure in MEASURES if (some := table(plan, rows, measure))]
     plots = {measure: plot(some, measure) for measure, some in tables}
     runs = sum(len(seeds) for seeds in rows.values())
@@ -105,7 +105,7 @@
 
 
 def lines(plan: ExperimentPlan, rows: Rows) -> list[str]:
-    """The same for a terminal: the measure that the plan stops by."""
+    """Returns a summary for a terminal: the table of the measure that the plan's stopping rule uses."""
     found = [f"{plan.stop.measure}: levels | policy | runs | mean, half-width | more than {plan.baseline}"]
     for row in table(plan, rows, plan.stop.measure):
         more = f"{row['more']} +- {row['more_half']}" if row["more"] else "-"
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -1,7 +1,7 @@
-"""Runs an experiment over all cores into an SQLite file; what is there already is not run again.
+"""Runs an experiment on several cores, and stores the results in an SQLite file; stored runs are not repeated.
 
-Each cell and policy gets the same seeds, block after block, until the interval of the measure that the plan
-stops by is narrow enough in all of them, or the seeds are used up.
+All policies of a cell get the same seeds, in blocks, until the confidence interval of the plan's stopping measure is
+narrow enough for each of them, or the seeds are used up.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 Rows = dict[tuple[str, str], dict[int, dict[str, float]]]  # by cell and policy, then seed, then measure
 
 
-class OtherPlanError(Exception):
-    """The file holds another plan's runs."""
+class PlanMismatchError(Exception):
+    """The results file has runs of another plan."""
 
 
-def measures(day: Scenario, policy: str, seed: int, verified: bool) -> dict[str, float]:
-    """One run's values, by measure. Without the verifier, only those that the clients count."""
+def measures(scenario: Scenario, policy: str, seed: int, verified: bool) -> dict[str, float]:
+    """Simulates one run and returns its values by measure; if not `verified`, only those that the clients count."""
     began = time.perf_counter()
-    fleet = SimulatedFleet(day, seed, POLICIES[policy], silent=not verified).run()
+    fleet = SimulatedFleet(scenario, seed, POLICIES[policy], silent=not verified).run()
     counts = fleet.counts
     times = sorted(counts.times)
     requests = max(1, counts.asked)
@@ -60,13 +60,13 @@
     found["service"] = fleet.value_share()
     if verified:
         with tempfile.TemporaryDirectory() as folder:
-            fleet.book.write(Path(folder), day)
+            fleet.book.write(Path(folder), scenario)
             found |= _verified_measures(verify(Path(folder)))
     return found
 
 
 def _verified_measures(verdict: Verdict) -> dict[str, float]:
-    """What the verifier adds: the service it counts, broken rules, and how the first build ended."""
+    """Returns the verifier's measures: the service as it counts it, broken rules, and how the first build ended."""
     found = {
         "service": verdict.service,
         "rules_broken": float(sum(finding.broken for finding in verdict.rules.values())),
@@ -85,7 +85,7 @@
 
 
 def interval(values: list[float], level: float = 0.95) -> tuple[float, float]:
-    """The mean, and the half-width of Student's interval around it; endless for one value."""
+    """Returns the mean, and the half-width of its Student's t confidence interval; infinite for one value."""
     mean = sum(values) / len(values)
     if len(values) < 2:
         return mean, math.inf
@@ -94,7 +94,10 @@
 
 
 def paired(rows: Rows, cell: str, policy: str, baseline: str, measure: str) -> tuple[float, float, int] | None:
-    """How much more a policy has than the baseline, seed by seed: mean, half-width, pairs."""
+    """Compares a policy with the baseline over pairs of the same seed.
+
+    Returns the mean difference, its half-width and the number of pairs; None without pairs.
+    """
     policy_rows = rows.get((cell, policy), {})
     baseline_rows = rows.get((cell, baseline), {})
     pairs = [
@@ -106,7 +109,7 @@
 
 
 def read(file: str | Path) -> tuple[ExperimentPlan, Rows]:
-    """The plan and all runs that a file holds."""
+    """Returns the plan and all runs that a results file holds."""
     with closing(sqlite3.connect(file)) as db:
         body = db.execute("SELECT body FROM plan").fetchone()
         plan = msgspec.json.decode(body[0], type=ExperimentPlan)
@@ -116,39 +119,42 @@
         return plan, rows
 
 
-def _one(job: tuple[str, Scenario, str, int, bool]) -> tuple[str, str, int, dict[str, float]]:
-    cell, day, policy, seed, verified = job
-    return cell, policy, seed, measures(day, policy, seed, verified)
+def _run_job(job: tuple[str, Scenario, str, int, bool]) -> tuple[str, str, int, dict[str, float]]:
+    cell, scenario, policy, seed, verified = job
+    return cell, policy, seed, measures(scenario, policy, seed, verified)
 
 
 def run(plan: ExperimentPlan, cells: list[Cell], file: Path, procs: int, progress: Callable[[int, int], None]) -> None:
-    """Runs what is missing; `procs` processes, 0: one a core. `progress` gets runs done, and runs of this block.
+    """Runs what the file does not have yet, in `procs` processes (0: one for each core).
 
-    Raises OtherPlanError. May be killed at any moment and started again: whole runs are kept.
+    `progress` is called with the number of finished runs, and of runs in this block. The process may be killed at any
+    moment and started again: finished runs are kept. Raises PlanMismatchError if the file has runs of another plan.
     """
     with closing(sqlite3.connect(file)) as db:
         _open_results(db, plan, file)
-        have = {tuple(row) for row in db.execute("SELECT DISTINCT cell, policy, seed FROM runs")}
-        open_cells = [(cell, policy) for cell in cells for policy in plan.policies]
+        stored_runs = {tuple(row) for row in db.execute("SELECT DISTINCT cell, policy, seed FROM runs")}
+        unfinished = [(cell, policy) for cell in cells for policy in plan.policies]
         last_seed = 0
         done = 0
         with multiprocessing.get_context("spawn").Pool(procs or None) as pool:
-            while open_cells and last_seed < plan.seeds.most:
+            while unfinished and last_seed < plan.seeds.most:
                 last_seed = min(plan.seeds.most, last_seed + plan.seeds.least)
                 jobs = [
-                    (cell.name, cell.day, policy, seed, plan.judged)
-                    for cell, policy in open_cells
+                    (cell.name, cell.scenario, policy, seed, plan.judged)
+                    for cell, policy in unfinished
                     for seed in range(1, last_seed + 1)
-                    if (cell.name, policy, seed) not in have
+                    if (cell.name, policy, seed) not in stored_runs
                 ]
-                for name, policy, seed, found in pool.imap_unordered(_one, jobs):
-                    _keep(db, name, policy, seed, found)
-                    have.add((name, policy, seed))
+                for name, policy, seed, found in pool.imap_unordered(_run_job, jobs):
+                    _store_run(db, name, policy, seed, found)
+                    stored_runs.add((name, policy, seed))
                     done += 1
                     progress(done, len(jobs))
-                # A cell is done for all its policies or for none: the comparison is by pairs.
-                wide = {cell.name for cell, policy in open_cells if _wide(db, cell.name, policy, plan)}
-                open_cells = [(cell, policy) for cell, policy in open_cells if cell.name in wide]
+                # A cell is finished for all of its policies or for none: they are compared by pairs of the same seed.
+                cells_to_continue = {
+                    cell.name for cell, policy in unfinished if _is_interval_too_wide(db, cell.name, policy, plan)
+                }
+                unfinished = [(cell, policy) for cell, policy in unfinished if cell.name in cells_to_continue]
 
 
 def _open_results(db: sqlite3.Connection, plan: ExperimentPlan, file: Path) -> None:
@@ -156,18 +162,18 @@
     body = msgspec.json.encode(plan).decode()
     old = db.execute("SELECT body FROM plan").fetchone()
     if old is not None and old[0] != body:
-        raise OtherPlanError(f"{file} holds runs of another plan, or of this one before it was changed")
+        raise PlanMismatchError(f"{file} holds runs of another plan, or of this one before it was changed")
     db.execute("INSERT OR IGNORE INTO plan VALUES (1, ?)", (body,))
     db.commit()
 
 
-def _keep(db: sqlite3.Connection, cell: str, policy: str, seed: int, found: dict[str, float]) -> None:
+def _store_run(db: sqlite3.Connection, cell: str, policy: str, seed: int, found: dict[str, float]) -> None:
     rows = [(cell, policy, seed, measure, value) for measure, value in found.items()]
     db.executemany("INSERT OR REPLACE INTO runs VALUES (?, ?, ?, ?, ?)", rows)
     db.commit()
 
 
-def _wide(db: sqlite3.Connection, cell: str, policy: str, plan: ExperimentPlan) -> bool:
+def _is_interval_too_wide(db: sqlite3.Connection, cell: str, policy: str, plan: ExperimentPlan) -> bool:
     found: list[Any] = db.execute(
         "SELECT value FROM runs WHERE cell = ? AND policy = ? AND measure = ?",
         (cell, policy, plan.stop.measure),
--- a/lanelead/testbed/load/__init__.py
+++ b/lanelead/testbed/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open loop of requests against a relay on sockets, measured without coordinated omission."""
+"""Load generator: an open loop of requests to a relay on sockets, measured without coordinated omission."""
--- a/lanelead/testbed/load/commands.py
+++ b/lanelead/testbed/load/commands.py
@@ -17,15 +17,17 @@
 @click.option("--seconds", default=10.0, type=click.FloatRange(0.1, 3600))
 @click.option("--method", default="GET")
 @click.option("--path", default="/")
-@click.option("--member", multiple=True, help="One is drawn for each request.")
-@click.option("--keys", default=0, type=click.IntRange(0), help="How many different keys.")
-@click.option("--body", default=0, type=click.IntRange(0, 1 << 26), help="Bytes.")
-@click.option("--left", default=0, type=click.IntRange(0), help="How long a client waits, in ms.")
+@click.option("--member", multiple=True, help="Tenant; if given several times, one is drawn for each request.")
+@click.option("--keys", default=0, type=click.IntRange(0), help="Number of different keys to draw from; 0: none.")
+@click.option("--body", default=0, type=click.IntRange(0, 1 << 26), help="Bytes of each request's body.")
+@click.option("--left", default=0, type=click.IntRange(0), help="Timeout that requests state, in ms; 0: none.")
 @click.option("--connections", default=256, type=click.IntRange(1, 20000))
-@click.option("--even", is_flag=True, help="Evenly spaced, rather than by chance.")
-@click.option("--ramp", default=1.0, type=click.FloatRange(0.01, 100), help="Rate at the end over the start's.")
+@click.option("--even", is_flag=True, help="Send at even intervals instead of random ones.")
+@click.option(
+    "--ramp", default=1.0, type=click.FloatRange(0.01, 100), help="Rate at the end, divided by that at the start."
+)
 @click.option("--seed", default=1, type=click.IntRange(0))
-@click.option("-o", "--out", type=click.Path(dir_okay=False), help="Adds the figures to results as SQLite.")
+@click.option("-o", "--out", type=click.Path(dir_okay=False), help="SQLite file of experiment results to add to.")
 def load(
     relay: str,
     rate: float,
@@ -42,20 +44,20 @@
     seed: int,
     out: str | None,
 ) -> None:
-    """Sends requests to RELAY (HOST:PORT) at a steady rate, whether or not it answers.
+    """Send requests to RELAY (HOST:PORT) at a given rate, whether or not it answers.
 
-    Latencies count from when each request was due. Exits with 3 where the rate could not be held: such a run says
-    nothing of the relay.
+    Latencies count from when each request was due. Exits with 3 if the generator could not hold the rate: such a run
+    shows nothing about the relay.
     """
     host, _, port = relay.rpartition(":")
     if not port.isdecimal() or not 0 < int(port) < 65536:
         raise click.BadParameter(f"{relay!r}: expected HOST:PORT")
     shape = Shape(rate, seconds, method.upper(), path, member, keys, body, left, connections, not even, ramp)
 
-    async def whole() -> LoadResult:
+    async def run_load() -> LoadResult:
         return await LoadGenerator(shape, host or "127.0.0.1", int(port), seed).run()
 
-    result = uvloop.run(whole())
+    result = uvloop.run(run_load())
     click.echo("outcome | requests | p50 ms | p90 | p99 | p99.9 | most")
     for name in OUTCOMES:
         if result.count(name):
@@ -69,14 +71,14 @@
     )
     if out is not None:
         keep(out, relay, seed, result)
-    why = result.rate_missed(rate)
-    if why:
-        click.echo(f"the rate was not held: {why}", err=True)
+    reason = result.rate_missed(rate)
+    if reason:
+        click.echo(f"the rate was not held: {reason}", err=True)
         sys.exit(3)
 
 
 def keep(file: str, cell: str, seed: int, result: LoadResult) -> None:
-    """The figures, in the form of an experiment's results."""
+    """Adds the figures to an SQLite file, in the form of an experiment's results with the policy "sockets"."""
     from lanelead.testbed.experiments.run import TABLES
 
     total = max(1, result.total())
--- a/lanelead/testbed/load/generator.py
+++ b/lanelead/testbed/load/generator.py
@@ -1,8 +1,8 @@
-"""An open loop of requests: when each is due is drawn ahead, and its latency counts from then, sent or not.
+"""An open loop of requests: the times are drawn in advance, and a request's latency counts from when it was due.
 
-A generator that waits for responses before it sends again hides the very waits that it is to measure (coordinated
+A generator that waits for responses before it sends again hides the delays that it should measure (coordinated
 omission). Here a request that finds no free connection waits in a queue, and its wait is part of its latency. The
-generator's own lateness, from due to sent, is kept apart: where it is large, the run shows nothing about the relay.
+generator's own lateness is recorded separately: if it is large, the run shows nothing about the relay.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from lanelead.http.requests import Headers
 from lanelead.http.responses import Progress, ResponseReader
 
-LONGEST_MICROSECONDS = 60_000_000  # that a histogram holds
+MAX_LATENCY_MICROSECONDS = 60_000_000  # the histograms' upper limit; longer latencies count as this
 SIGNIFICANT_DIGITS = 3
 MAX_RESPONSE_BYTES = 64 << 20
 CONNECT_TIMEOUT_SECONDS = 2.0
 START_DELAY_SECONDS = 0.05
-RESPONSE_WAIT_SECONDS = 2.0  # after the last request, at the least
+RESPONSE_WAIT_SECONDS = 2.0  # minimum wait for responses after the last request
 PROGRESS_EVERY = 100  # requests
 OUTCOMES = ("done", "shed", "broken-off", "not-a-lookup", "lost")  # the words of the outcome header, and lost
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 @dataclass(frozen=True)
 class Shape:
-    """What is requested, and how the rate goes over the run."""
+    """The requests of a run, and its rate over time."""
 
     rate: float  # requests a second, mean
     seconds: float
@@ -44,55 +44,55 @@
     members: tuple[str, ...] = ()
     keys: int = 0
     body: int = 0
-    left_ms: int = 0  # how long a client waits; 0: not said
+    left_ms: int = 0  # the timeout that requests state; 0: none
     connections: int = 256
-    poisson: bool = True  # else evenly spaced
-    ramp: float = 1.0  # the rate at the end over that at the start
+    poisson: bool = True  # false: at even intervals
+    ramp: float = 1.0  # the rate at the end, divided by that at the start
 
 
 def due_times(shape: Shape, rng: Random) -> list[float]:
-    """When requests are due, in seconds from the start: the rate goes evenly from start to end."""
-    found: list[float] = []
+    """Returns when requests are due, in seconds from the start. The rate changes linearly over the run."""
+    times: list[float] = []
     at = 0.0
     first_rate = 2 * shape.rate / (1 + shape.ramp)
     while True:
         rate = first_rate * (1 + (shape.ramp - 1) * at / shape.seconds)
         at += rng.expovariate(rate) if shape.poisson else 1 / rate
         if at >= shape.seconds:
-            return found
-        found.append(at)
+            return times
+        times.append(at)
 
 
 @dataclass
 class LoadResult:
-    """What came of a run. Histograms are in microseconds."""
+    """The outcomes of a run. Histograms are in microseconds."""
 
-    latency: dict[str, HdrHistogram] = field(
-        default_factory=lambda: {name: _histogram() for name in OUTCOMES}
-    )  # by outcome, from when a request was due
-    lateness: HdrHistogram = field(default_factory=_histogram)  # from due to sent
+    # By outcome, from when a request was due.
+    latency: dict[str, HdrHistogram] = field(default_factory=lambda: {name: _histogram() for name in OUTCOMES})
+    # From when a request was due until the generator handled it.
+    lateness: HdrHistogram = field(default_factory=_histogram)
     due: int = 0
     span: float = 0.0  # seconds from the first due to the last sent
 
     def count(self, outcome: str) -> int:
-        """How many requests came out so."""
+        """Returns the number of requests with this outcome."""
         return int(self.latency[outcome].get_total_count())
 
     def total(self) -> int:
-        """How many requests came out at all."""
+        """Returns the number of requests with any outcome."""
         return sum(self.count(name) for name in OUTCOMES)
 
     def rate_missed(self, rate: float) -> str:
-        """Why the run shows nothing about the relay; empty where it held its rate."""
-        behind = self.lateness.get_value_at_percentile(99) / 1e6
-        if behind > max(0.01, 10 / rate):
-            return f"1 of 100 requests was sent {behind * 1000:.1f} ms late"
+        """Returns why the run did not hold its rate and shows nothing about the relay; an empty string if it did."""
+        lateness_seconds = self.lateness.get_value_at_percentile(99) / 1e6
+        if lateness_seconds > max(0.01, 10 / rate):
+            return f"1 of 100 requests was sent {lateness_seconds * 1000:.1f} ms late"
         total = self.total()
         return f"{self.due - total} requests were never sent" if total < self.due else ""
 
 
 class _Connection(asyncio.Protocol):
-    """A connection: one request at a time."""
+    """A connection to the relay, with at most one request in flight."""
 
     def __init__(self, generator: LoadGenerator) -> None:
         self._generator = generator
@@ -103,11 +103,11 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
 
-    def send(self, due: float, text: bytes, head: bool) -> None:
+    def send(self, due: float, request: bytes, head: bool) -> None:
         assert self.transport is not None
         self._due = due
         self._reader.expect(head)
-        self.transport.write(text)
+        self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
         progress = self._reader.feed(data)
@@ -149,14 +149,17 @@
         self._rng = Random(f"load {seed}")
         self._loop = asyncio.get_running_loop()
         self._idle: list[_Connection] = []
-        self._queue: deque[tuple[float, bytes]] = deque()  # requests that wait for a connection, with when due
+        self._queue: deque[tuple[float, bytes]] = deque()  # due time and bytes of requests that wait for a connection
         self._open_connections = 0
         self._sent = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self.result = LoadResult()
 
     async def run(self, progress: Callable[[int, int], None] = lambda sent, due: None) -> LoadResult:
-        """Sends all requests when due, and waits for the responses for a while."""
+        """Sends each request when it is due, then waits a limited time for the remaining responses.
+
+        `progress` is called now and then with the numbers of requests sent and due.
+        """
         times = due_times(self._shape, self._rng)
         self.result.due = len(times)
         begin = self._loop.time() + START_DELAY_SECONDS
@@ -194,13 +197,13 @@
 
     def _send(self, due: float) -> None:
         self.result.lateness.record_value(max(1, int((self._loop.time() - due) * 1e6)))
-        text = self._request_text()
+        request = self._request_text()
         while self._idle:
             connection = self._idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
-                connection.send(due, text, self._shape.method == "HEAD")
+                connection.send(due, request, self._shape.method == "HEAD")
                 return
-        self._queue.append((due, text))
+        self._queue.append((due, request))
         self._open_another()
 
     def _open_another(self) -> None:
@@ -223,21 +226,21 @@
         self.connection_free(connection)
 
     def connection_free(self, connection: _Connection) -> None:
-        """A connection can take the next request."""
+        """Sends the next queued request on a free connection, or keeps the connection as idle."""
         if self._queue and connection.transport is not None:
-            due, text = self._queue.popleft()
-            connection.send(due, text, self._shape.method == "HEAD")
+            due, request = self._queue.popleft()
+            connection.send(due, request, self._shape.method == "HEAD")
         else:
             self._idle.append(connection)
 
     def connection_closed(self) -> None:
-        """A connection has ended; another is opened where requests wait."""
+        """Opens another connection for a closed one if requests are queued."""
         self._open_connections -= 1
         if self._queue:
             self._open_another()
 
     def request_ended(self, due: float, outcome: str) -> None:
-        """Counts a request that was due at this time."""
+        """Records the outcome and latency of a request that was due at `due`."""
         name = outcome if outcome in OUTCOMES else "not-a-lookup"
         latency = int((self._loop.time() - due) * 1e6)
-        self.result.latency[name].record_value(min(LONGEST_MICROSECONDS, max(1, latency)))
+        self.result.latency[name].record_value(min(MAX_LATENCY_MICROSECONDS, max(1, latency)))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""`.ci/run_tests.py` passes over the tests that KNOWN-RED.txt lists, prints them, and passes over no others."""
+"""`.ci/run_tests.py` ignores failures of exactly the tests that KNOWN-RED.txt lists, and prints these tests."""
 
 from __future__ import annotations
 
@@ -23,6 +23,8 @@
 
 
 class KnownRed(unittest.TestCase):
+    """The runner on a scratch project with one passing and one failing test, under different lists."""
+
     def _run(self, known_red: str | None) -> subprocess.CompletedProcess[str]:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         (folder / ".ci").mkdir()
@@ -37,20 +39,20 @@
 
     def test_a_failure_that_is_not_listed_fails(self) -> None:
         for known_red in (None, "# none\n", "test: tests.test_two.Two.test_green\n"):
-            done = self._run(known_red)
-            self.assertEqual(done.returncode, 1, done.stderr)
-            self.assertIn("on purpose", done.stderr)
+            completed = self._run(known_red)
+            self.assertEqual(completed.returncode, 1, completed.stderr)
+            self.assertIn("on purpose", completed.stderr)
 
     def test_a_failure_that_is_listed_is_passed_over_and_printed(self) -> None:
-        done = self._run("# one\n\ntest: tests.test_two.Two.test_red\n  issue: 1\n")
-        self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertIn("Ran 1 test", done.stderr)
-        self.assertIn("passed over, as KNOWN-RED.txt says: tests.test_two.Two.test_red", done.stderr)
+        completed = self._run("# one\n\ntest: tests.test_two.Two.test_red\n  issue: 1\n")
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        self.assertIn("Ran 1 test", completed.stderr)
+        self.assertIn("passed over, as KNOWN-RED.txt says: tests.test_two.Two.test_red", completed.stderr)
 
     def test_an_entry_that_names_no_test_fails(self) -> None:
-        done = self._run("test: tests.test_two.Two.test_gone\n")
-        self.assertEqual(done.returncode, 2, done.stderr)
-        self.assertIn("test_gone", done.stderr)
+        completed = self._run("test: tests.test_two.Two.test_gone\n")
+        self.assertEqual(completed.returncode, 2, completed.stderr)
+        self.assertIn("test_gone", completed.stderr)
 
 
 if __name__ == "__main__":
