--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -168,7 +168,7 @@
         self._clients.connection_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Records a request that was in flight as reset."""
+        """Records a request in flight as ended by "reset", however the connection ended."""
         self.transport = None
         op = self.op
         if op is not None:
--- a/lanelead/testbed/emulators/discovery.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -45,7 +45,7 @@
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def shut(self) -> None:
-        """Stops listening, and resets all connections."""
+        """Stops listening, and closes all connections at once."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -3,22 +3,27 @@
 It does no real work: a request occupies a core for as long as its work would take at the endpoint's current speed. It
 takes orders as JSON lines on its standard input, so that its sockets carry what a real endpoint's would.
 
-Slow start: the speed rises linearly from the cold share to the full over the cold time. An endpoint that is warming up
-and gets more than `fall_multiple` times the work it can do over `fall_time` becomes overloaded and answers nothing
-from then on, as the service's contract states.
-
-An order {"do": "fault", "kind": ..., "size": ...} starts a fault, {"do": "mend", "kind": ...} ends it. Kinds, besides
-those of service_model:
-
- refuse               stops listening and resets all connections
- few_connections      resets new connections while there are `size` already
- deaf                 stops reading from connections
- mute                 reads requests and never answers, load probes included
- drop_idle            resets all connections, once
- idle_reap            ignores all requests on a connection that was idle for more than `size` seconds
- cut, cut_answer      for a share `size` of the requests: resets the connection; closes it within the response
- garbage, trickle     for a share `size` of the requests: responds with malformed HTTP; sends 8 bytes every 20 ms
- false_reports        reports an idle endpoint as its load
+Slow start: the speed rises linearly from the share `cold_share` of the full speed to all of it over `cold` seconds. An
+endpoint that is warming up and gets more than `fall_multiple` times the work it can do over `fall_time` seconds becomes
+overloaded ("fallen"); service_model has the exact limit. From then on it drops new requests, does not read from new
+connections and sends no results; it still rejects queued requests whose deadline has passed.
+
+Orders are JSON objects: {"do": "fault", "kind": ..., "size": ...} starts a fault, {"do": "mend", "kind": ...} ends it,
+"drain" sets whether new requests are rejected, "shared" sets the slowdown by other builds, and "end" ends the process.
+Kinds of faults, besides those of service_model; only drop_idle makes sure that the peer gets RST:
+
+ refuse           stops listening, and closes all connections at once
+ few_connections  closes new connections while there are `size` already (at least 1), instead of the usual limit
+ deaf             stops reading from all connections; its end resumes reading from all
+ mute             drops new requests and load probes, and sends no results
+ drop_idle        sends RST on all connections, busy ones included, once
+ idle_reap        ignores requests on a connection that was idle for more than `size` seconds, also after the fault;
+                  load probes neither count as activity nor are ignored
+ cut              closes the connection when a request arrives, for a share `size` of the requests
+ cut_answer       sends an incomplete response and closes the connection, for a share `size` of the requests
+ garbage          responds with malformed HTTP, for a share `size` of the requests
+ trickle          sends the response 8 bytes at a time, every 20 ms, for a share `size` of the requests
+ false_reports    reports the load of an idle endpoint, from the next report interval on
 """
 
 from __future__ import annotations
@@ -80,7 +85,7 @@
         self._server: asyncio.Server | None = None
         self.draining = False
         self.ended = asyncio.Event()
-        self._schema_checks = set[asyncio.Task[None]]()
+        self._store_writes = set[asyncio.Task[None]]()
 
     async def open(self) -> int:
         """Starts listening; returns the port."""
@@ -124,7 +129,7 @@
             self._serve_load_report(connection)
             return
         if self.fallen:
-            return  # a fallen endpoint reads requests and never answers
+            return  # overloaded: requests on connections from before the overload are read and dropped
         idle_limit = self._faults.get("idle_reap")
         now, last = clock(), connection.last_request_at
         connection.last_request_at = now
@@ -150,7 +155,7 @@
         if self.draining or len(self._waiting) >= self.life.waiting_room:
             self._reject(job)
         elif self._hit("cut"):
-            # The connection is reset once the request has been received: half of the time its effect was applied.
+            # Half of these requests have their effect before the connection is closed; none occupies a core.
             if self._rng.random() < 0.5:
                 self._apply_effect(job)
             connection.reset()
@@ -160,7 +165,7 @@
             self._waiting.append(job)
 
     def fell(self, work: float, warmth: float) -> None:
-        """Records the overload that ended the service."""
+        """Records that this endpoint has become overloaded."""
         self._tap.note("fell", work=work, warmth=round(warmth, 4))
 
     # Work
@@ -180,17 +185,17 @@
 
     def _work_done(self, job: PendingRequest) -> None:
         if self.life.store and job.request.method not in ("GET", "HEAD"):
-            task = self._loop.create_task(self._check_schema(job))
-            self._schema_checks.add(task)
-            task.add_done_callback(self._schema_checks.discard)
+            task = self._loop.create_task(self._write_to_store(job))
+            self._store_writes.add(task)
+            task.add_done_callback(self._store_writes.discard)
         else:
             self._request_done(job, True)
 
-    async def _check_schema(self, job: PendingRequest) -> None:
-        """Carries out the build's write on the migration store's schema.
+    async def _write_to_store(self, job: PendingRequest) -> None:
+        """Has the migration store carry out the build's write on the current schema.
 
-        If the write fails, the endpoint answers with an error, and the recording shows that a relay sent the request
-        to a build that does not fit the schema.
+        If the store rejects the write or can't be asked, the endpoint answers 500. The store records whether the write
+        fitted the schema, so that the verifier sees a request that a relay sent to a build that does not.
         """
         address, succeeded = Address("127.0.0.1", self.life.store), False
         body = msgspec.json.encode(SchemaCheck(self.life.build.number, job.op, self.life.write))
@@ -213,7 +218,10 @@
             self._start_work(self._waiting.popleft())
 
     def _apply_effect(self, job: PendingRequest) -> bytes | None:
-        """Records the request's effect, once per idempotency key; returns the body for a repeat, None otherwise."""
+        """Records the request's effect, unless it repeats one; returns the response body for a repeat, None otherwise.
+
+        A request repeats another if its class remembers idempotency keys, and its key is claimed and remembered.
+        """
         if job.key and job.lane in self.life.memory and not self._claim_key(job):
             self._tap.note("repeat", id=job.ident, op=job.op, key=job.key)
             return b"again\n"
@@ -221,7 +229,7 @@
         return None
 
     def _claim_key(self, job: PendingRequest) -> bool:
-        """Claims the idempotency key; false if an endpoint of the group has claimed it and still remembers it."""
+        """Claims the idempotency key; false if it is claimed and remembered, by any endpoint that shares the folder."""
         folder = self.life.receipts[job.lane]
         name = os.path.join(folder, hashlib.sha256(job.key.encode()).hexdigest()[:32])
         try:
@@ -289,7 +297,7 @@
     # Faults
 
     async def apply_order(self, order: dict[str, Any]) -> None:
-        """Starts or ends a fault, drains, sets the slowdown by other builds, or ends the process."""
+        """Carries out an order (see the module's head)."""
         action = order["do"]
         self._tap.note("order", **{key: value for key, value in order.items() if key != "ev"})
         if action == "fault":
@@ -300,7 +308,7 @@
                         connection.transport.pause_reading()
             elif order["kind"] == "drop_idle":
                 for connection in list(self._connections):
-                    _reset_connection(connection)
+                    _send_reset(connection)
             elif order["kind"] == "refuse" and self._server is not None:
                 self._server.close()
                 for connection in list(self._connections):
@@ -327,12 +335,12 @@
             self.ended.set()
 
 
-def _reset_connection(connection: ServerConnection) -> None:
-    """Resets a connection with RST, so that the peer sees a reset, at its next write at the latest."""
+def _send_reset(connection: ServerConnection) -> None:
+    """Ends a connection with RST. The peer sees a reset at once, or at its next write at the latest."""
     if connection.transport is not None:
         sock = connection.transport.get_extra_info("socket")
         if sock is not None:
-            with contextlib.suppress(OSError):  # SO_LINGER of 0: a reset, not a close
+            with contextlib.suppress(OSError):  # SO_LINGER of 0: RST instead of FIN
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.reset()
 
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -6,10 +6,10 @@
 
  refuse          replies 503 without carrying out the call
  early           does not carry out the call, and never replies
- drop            carries out the call, and resets the connection without a reply
+ drop            carries out the call, and closes the connection without a reply
  hang            carries out the call, and never replies
  late            carries out the call `size` seconds later, and never replies
- cut             at a named point of a transaction: rolls it back, and resets the connection
+ cut             at a named point of a transaction: rolls it back, and closes the connection without a reply
  kill            at a named point of a transaction: kills the store's process
  full            from now on: the database cannot grow, as on a full disk (`on`: false ends this)
  slow            from now on: every effect takes `size` seconds
@@ -47,7 +47,7 @@
 
 
 class ConnectionCutError(Exception):
-    """An injected cut inside a transaction: the transaction is rolled back, and the connection reset."""
+    """An injected cut inside a transaction: the transaction is rolled back, and the connection closed."""
 
 
 class StoreFault(msgspec.Struct):
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -1,7 +1,9 @@
 """A relay with one deliberate fault, to test that the verifier reports each broken rule.
 
-Run as `python -m lanelead.testbed.emulators.seeded_faults SEAM SETTINGS`, where SEAM is a key of SEAMS. The faults wrap
-the decisions and don't change their code. No other module of the program imports this one.
+Run as `python -m lanelead.testbed.emulators.seeded_faults SEAM SETTINGS`, where SEAM is the fault: a key of SEAMS. Each
+fault but "steps" is a wrapper around the decisions; "steps" replaces two methods of the migrations' readiness. The keys
+are the names of the verifier's rules that the faults break, except "strangers". No other module of the program imports
+this one.
 """
 
 from __future__ import annotations
@@ -34,7 +36,10 @@
 
 
 class DecisionsWrapper:
-    """Forwards all calls and attributes from the driver to the decisions; subclasses change some of them."""
+    """Forwards all calls and attributes from the DecisionDriver to the decisions; subclasses change some of them.
+
+    Its own attributes are set by `__dict__`, since `__setattr__` forwards assignments to the decisions.
+    """
 
     def __init__(self, decisions: Decisions) -> None:
         self.__dict__["_decisions"] = decisions
@@ -79,10 +84,10 @@
 
 
 class IgnoredDrains(DecisionsWrapper):
-    """Ignores that endpoints drain or are removed."""
+    """Ignores that endpoints drain, or that deltas or snapshots remove them."""
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        """Passes on ready endpoints only, and snapshots as deltas, which remove nothing."""
+        """Passes on the rows of ready endpoints only, and snapshots as deltas, so that nothing is removed."""
         ready_rows = [row for row in records if row.status is EndpointStatus.READY]
         self._decisions.endpoints_updated(
             UpdateScope.DELTA if update_scope is UpdateScope.SNAPSHOT else update_scope, ready_rows
@@ -90,7 +95,11 @@
 
 
 class IgnoredSlowStart(DecisionsWrapper):
-    """Ignores slow start, and sends all first attempts to the newest endpoint."""
+    """Ignores slow start, and sends first attempts to the endpoint that the endpoint list last showed as started.
+
+    That is the last ready row with a start time in the latest delta that has one; attempts go there while it is ready.
+    `_meant` keeps the endpoint that the decisions chose, by attempt.
+    """
 
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
@@ -98,7 +107,7 @@
         self.__dict__["_meant"] = dict[Attempt, Endpoint]()
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        """Notes the newest endpoint that a delta lists, and passes on all as long started."""
+        """Keeps the last started endpoint of a delta; passes on all rows without start times, as of warm endpoints."""
         new_rows = [row for row in records if row.started_at and row.status is EndpointStatus.READY]
         if new_rows and update_scope is UpdateScope.DELTA:
             self.__dict__["_newest"] = new_rows[-1].endpoint
@@ -106,7 +115,7 @@
 
     @property
     def actions(self) -> list[Any]:
-        """The pending actions, with first attempts redirected to the newest endpoint while it is ready."""
+        """The pending actions, with first attempts redirected to the kept endpoint while it is ready."""
         newest: Endpoint | None = self.__dict__["_newest"]
         actions = self._decisions.actions
         if newest is not None and newest.status is EndpointStatus.READY:
@@ -128,7 +137,11 @@
 
 
 class ForeignZones(DecisionsWrapper):
-    """Sends each request's first attempt outside the first tier of zones, if possible, without regard to limits."""
+    """Sends first attempts to ready endpoints outside the first tier of zones, if any, whatever spillover allows there.
+
+    Without tiers it changes nothing. `_far` has those endpoints, and `_meant` the endpoint that the decisions chose, by
+    attempt; `_turn` counts the redirected attempts.
+    """
 
     def __init__(self, decisions: Decisions) -> None:
         super().__init__(decisions)
@@ -137,7 +150,7 @@
         self.__dict__["_turn"] = 0
 
     def endpoints_updated(self, update_scope: UpdateScope, records: Sequence[EndpointRecord]) -> None:
-        """Keeps the ready endpoints of other zones than those of the first tier."""
+        """Updates `_far` from the listed rows, and passes all rows on unchanged."""
         local_zones = self._spillover.tiers and self._spillover._preference.tiers[0]
         for row in records:
             self._far.pop(row.endpoint, None)
@@ -190,7 +203,7 @@
     """Runs a relay with the fault and the settings file in the arguments."""
     settings = read(sys.argv[2])
     assert isinstance(settings, RelaySettings)
-    if sys.argv[1] == "steps":  # every listed build may have traffic, whatever the migration log says
+    if sys.argv[1] == "steps":  # whatever the migration log says, builds may have traffic and be promoted
         for name in ("accepts_traffic", "allows_promotion"):
             setattr(Readiness, name, lambda *_: True)
     run(settings, settings.log, SEAMS[sys.argv[1]])
--- a/lanelead/testbed/emulators/service_model.py
+++ b/lanelead/testbed/emulators/service_model.py
@@ -115,6 +115,11 @@
         return fault is not None and self._rng.random() < min(1.0, fault["size"])
 
     def _weigh(self, item: WorkItem, warmth: float) -> None:
+        """Adds a request's work to the recent work, and checks for overload; once warm, nothing can overload it.
+
+        The limit is `fall_multiple` times the work that the endpoint could do in `fall_time`, without the build's speed
+        and faults, plus 0.8 s of work.
+        """
         now, life = self._clock(), self.life
         if warmth >= 1.0:
             return
