--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -30,7 +30,7 @@
 from lanelead.protocols import datagrams
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage
 from lanelead.runtime.driver import DecisionDriver
-from lanelead.runtime.gossip_codec import HEADER_BYTES, IN_FLIGHT_ENTRY, MESSAGE_FORM, OUTCOME_ROW
+from lanelead.runtime.gossip_codec import HEADER_BYTES, IN_FLIGHT_ENTRY, MESSAGE_FORMAT, OUTCOME_ROW
 from lanelead.runtime.loop_clock import CLOCK_START_TICKS
 from lanelead.runtime.parameter_reader import ParameterReader, flatten_pairs
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
@@ -384,7 +384,7 @@
     """The same letter of other units."""
     payload = bytearray(data[:-2])
     count = payload[0] & 31
-    assert payload[0] >> 5 == MESSAGE_FORM
+    assert payload[0] >> 5 == MESSAGE_FORMAT
     end = HEADER_BYTES + count * OUTCOME_ROW.size
     for place in [*range(HEADER_BYTES, end, OUTCOME_ROW.size), *range(end, len(payload), IN_FLIGHT_ENTRY.size)]:
         mark = bytes(payload[place : place + 2])
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -20,7 +20,7 @@
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
-from lanelead.pgwire.messages import READY, WELCOME, message
+from lanelead.pgwire.messages import READY, STARTUP_RESPONSE, message
 
 HOLD = 2.0  # seconds that discovery holds a watch
 SPEAKS = 1.0  # and after which the desk says again where the build stands: silence would pass for a fault
@@ -57,7 +57,7 @@
             size = head + int.from_bytes(data[head : head + 4], "big") if len(data) >= head + 4 else 0
             if not size or len(data) < size:
                 break
-            out += ROW if self._started else WELCOME
+            out += ROW if self._started else STARTUP_RESPONSE
             self._started, data = True, data[size:]
         self._rest = data
         if out:
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -38,7 +38,7 @@
     + message(b"C", b"SELECT 1\0")
     + READY
 )
-WELCOME = 60.0  # seconds for a relay to welcome a client: longer only where the port is another's
+STARTUP_RESPONSE = 60.0  # seconds for a relay to welcome a client: longer only where the port is another's
 STARTING = 6  # processes that start at a time
 
 
@@ -81,7 +81,7 @@
             self._data = self._data[size:]
             if not self._met:
                 self._met = True
-                self._transport.write(messages.WELCOME)
+                self._transport.write(messages.STARTUP_RESPONSE)
             else:
                 self._site.loop.call_later(self._site.answer_time(), self._answer)
 
@@ -297,7 +297,7 @@
                 await self.start(number)
                 for _ in range(clients):
                     client = await self.connect(number, clients / rate if rate else 0.0)
-                    await asyncio.wait_for(asyncio.shield(client.first), WELCOME)
+                    await asyncio.wait_for(asyncio.shield(client.first), STARTUP_RESPONSE)
 
         await asyncio.gather(*(one(number) for number in range(self.size.relays)))
 
--- a/lanelead/pgwire/messages.py
+++ b/lanelead/pgwire/messages.py
@@ -39,7 +39,7 @@
 EMPTY = message(b"I") + READY
 NO_ENCRYPTION = b"N"
 # The response to a StartupMessage, up to ReadyForQuery.
-WELCOME = (
+STARTUP_RESPONSE = (
     message(b"R", (0).to_bytes(4, "big"))
     + status("server_version", "15.0")
     + status("server_encoding", "UTF8")
--- a/lanelead/pgwire/servers.py
+++ b/lanelead/pgwire/servers.py
@@ -105,7 +105,7 @@
         self.reason = ""
 
     @property
-    def response_begun(self) -> bool:
+    def has_partial_response(self) -> bool:
         """Whether part of a response was received."""
         return bool(self._buffer or self._raw)
 
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -139,9 +139,9 @@
                 self._handle_query(event.text)
         elif type(event) is Startup:
             if event.newer_version:
-                self._queue_response(messages.NEGOTIATE_PROTOCOL_VERSION + messages.WELCOME)
+                self._queue_response(messages.NEGOTIATE_PROTOCOL_VERSION + messages.STARTUP_RESPONSE)
             else:
-                self._queue_response(messages.WELCOME)
+                self._queue_response(messages.STARTUP_RESPONSE)
         elif type(event) is EncryptionRequest:
             self._queue_response(messages.NO_ENCRYPTION)
         elif type(event) is ProtocolViolation:
--- a/lanelead/postgres_relay/upstream_requests.py
+++ b/lanelead/postgres_relay/upstream_requests.py
@@ -303,7 +303,7 @@
         incomplete = [
             connection
             for connection in self.connections
-            if connection.connected and connection.attempt and connection.reader.response_begun
+            if connection.connected and connection.attempt and connection.reader.has_partial_response
         ]
         for connection in incomplete:
             # If bytes wait to be read, this relay is late and not the endpoint.
--- a/lanelead/runtime/gossip_codec.py
+++ b/lanelead/runtime/gossip_codec.py
@@ -51,8 +51,8 @@
 LONG_ID_IN_FLIGHT_ROW = Struct(">IBBIB")  # long id, IN_FLIGHT_MARKER, attempts, long id, attempts
 LONG_ID_OUTCOME_ROW = Struct(f">IHB{1 + FAULT_KINDS}B")  # as `OUTCOME_ROW`, but by long id
 
-MESSAGE_FORM = 2
-LONG_ID_MESSAGE_FORM = 3  # outcome observations by long id
+MESSAGE_FORMAT = 2
+LONG_ID_MESSAGE_FORMAT = 3  # outcome observations by long id
 ROW_COUNT_BITS = 5  # the low bits of the first byte; the format is in the high bits
 HEADER_BYTES = 3  # format and row count, latency, completions
 LONG_ID_HEADER_BYTES = 1  # format and row count
@@ -94,12 +94,13 @@
         else:
             row_groups.append(in_flight_rows)
     messages = [
-        _first_byte(MESSAGE_FORM, row_group) + latency_and_completions + b"".join(row_group) for row_group in row_groups
+        _first_byte(MESSAGE_FORMAT, row_group) + latency_and_completions + b"".join(row_group)
+        for row_group in row_groups
     ]
     if tail:
         messages[-1] += tail
     for row_group in _group_rows(long_id_rows, LONG_ID_PAYLOAD_BYTES // LONG_ID_OUTCOME_ROW.size):
-        messages.append(_first_byte(LONG_ID_MESSAGE_FORM, row_group) + b"".join(row_group))
+        messages.append(_first_byte(LONG_ID_MESSAGE_FORMAT, row_group) + b"".join(row_group))
     return messages
 
 
@@ -181,15 +182,15 @@
     is skipped if its format is unknown or its length is wrong. `short_ids.skipped` counts both by reason. One or two
     surplus bytes after the in-flight entries of format 2 are ignored.
     """
-    message_format, row_count = divmod(payload[0], 1 << ROW_COUNT_BITS) if payload else (MESSAGE_FORM, 0)
+    message_format, row_count = divmod(payload[0], 1 << ROW_COUNT_BITS) if payload else (MESSAGE_FORMAT, 0)
     long_id_length = LONG_ID_HEADER_BYTES + row_count * LONG_ID_OUTCOME_ROW.size
-    if message_format == LONG_ID_MESSAGE_FORM and len(payload) == long_id_length <= MAX_MESSAGE_BYTES:
+    if message_format == LONG_ID_MESSAGE_FORMAT and len(payload) == long_id_length <= MAX_MESSAGE_BYTES:
         long_id_rows = LONG_ID_OUTCOME_ROW.iter_unpack(payload[LONG_ID_HEADER_BYTES:])
         decoded = ((short_ids.by_long_id(long_id), *row) for long_id, *row in long_id_rows)
         return [*_decode_outcomes(decoded, short_ids, request_classes)]
     rows_end = HEADER_BYTES + row_count * OUTCOME_ROW.size
-    if message_format != MESSAGE_FORM or not rows_end <= len(payload) <= MAX_MESSAGE_BYTES:
-        short_ids.skipped["length" if message_format in (MESSAGE_FORM, LONG_ID_MESSAGE_FORM) else "form"] += 1
+    if message_format != MESSAGE_FORMAT or not rows_end <= len(payload) <= MAX_MESSAGE_BYTES:
+        short_ids.skipped["length" if message_format in (MESSAGE_FORMAT, LONG_ID_MESSAGE_FORMAT) else "form"] += 1
         return []
     latency = [FleetLatency(payload[1] * LATENCY_STEP_TICKS)] if payload[1] != NOT_REPORTED else []
     completions = [CompletionCount(payload[2])] if payload[2] != NOT_REPORTED else []
--- a/tests/scripted_endpoints.py
+++ b/tests/scripted_endpoints.py
@@ -49,7 +49,7 @@
             size = int.from_bytes(await reader.readexactly(4), "big")
             await reader.readexactly(size - 4)
             await self.accepts.wait()
-            writer.write(messages.WELCOME)
+            writer.write(messages.STARTUP_RESPONSE)
             while True:
                 head = await reader.readexactly(5)
                 text = (await reader.readexactly(int.from_bytes(head[1:], "big") - 4))[:-1]
--- a/tests/test_gossip_versions.py
+++ b/tests/test_gossip_versions.py
@@ -19,8 +19,8 @@
 from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.runtime.gossip_codec import (
     IN_FLIGHT_MARKER,
-    LONG_ID_MESSAGE_FORM,
-    MESSAGE_FORM,
+    LONG_ID_MESSAGE_FORMAT,
+    MESSAGE_FORMAT,
     decode_gossip,
     encode_gossip,
 )
@@ -209,7 +209,7 @@
             (in_flight + bytes(MAX_MESSAGE_BYTES), "length"),
             (bytes([5 << 5]) + in_flight[1:], "form"),
             (observed + bytes(13 * 20), "length"),
-            (bytes([LONG_ID_MESSAGE_FORM << 5 | 20]) + bytes(260), "length"),
+            (bytes([LONG_ID_MESSAGE_FORMAT << 5 | 20]) + bytes(260), "length"),
         ):
             receiver = registry_of(A, B, C)
             self.assertEqual([], decode_gossip(message, receiver.short_ids, [IDEMPOTENT_CLASS]))
@@ -219,13 +219,15 @@
     def test_in_flight_count_with_long_id_zero_reports_no_endpoint(self) -> None:
         row = Struct(">IBBIB").pack(0, IN_FLIGHT_MARKER, 0, 0, 0)
         receiver = registry_of(A, B, C)
-        entries = decode_gossip(bytes([MESSAGE_FORM << 5 | 1, 255, 255]) + row, receiver.short_ids, [IDEMPOTENT_CLASS])
+        entries = decode_gossip(
+            bytes([MESSAGE_FORMAT << 5 | 1, 255, 255]) + row, receiver.short_ids, [IDEMPOTENT_CLASS]
+        )
         self.assertEqual(([InFlightBound(0)], {}), (entries, receiver.short_ids.skipped))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
     def test_random_messages_raise_nothing_and_report_only_known_endpoints(self, data: st.DataObject) -> None:
-        form = data.draw(st.sampled_from([MESSAGE_FORM, LONG_ID_MESSAGE_FORM, 0, 7]))
+        form = data.draw(st.sampled_from([MESSAGE_FORMAT, LONG_ID_MESSAGE_FORMAT, 0, 7]))
         body = data.draw(st.binary(max_size=300))
         known_ids = [long_id_of(name).to_bytes(4, "big") for name in (A, B, C, *SAME_LONG_ID)]
         for position in data.draw(st.lists(st.integers(0, 60), max_size=5)):
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -22,7 +22,7 @@
 
 def server_reader() -> ServerReader:
     reader = ServerReader(4096, b"vitals")
-    assert reader.feed(messages.WELCOME) is Progress.READY
+    assert reader.feed(messages.STARTUP_RESPONSE) is Progress.READY
     reader.begin_response()
     return reader
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -94,7 +94,7 @@
         "PostgreSQL": [
             messages.startup("user", "database"),
             messages.query(b"SELECT 1"),
-            messages.WELCOME,
+            messages.STARTUP_RESPONSE,
             messages.EMPTY,
             messages.NEGOTIATE_PROTOCOL_VERSION,
             messages.NO_ENCRYPTION,
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -24,7 +24,7 @@
 from lanelead.runtime.gossip_codec import (
     IN_FLIGHT_ENTRY,
     IN_FLIGHT_MARKER,
-    MESSAGE_FORM,
+    MESSAGE_FORMAT,
     OUTCOME_ROW,
     decode_gossip,
     encode_gossip,
@@ -130,7 +130,7 @@
 
 def short_ids_in(message: bytes) -> list[int]:
     """Returns the short ids in a message, of observations and in-flight counts."""
-    if message[0] >> 5 != MESSAGE_FORM:
+    if message[0] >> 5 != MESSAGE_FORMAT:
         return []
     end = 3 + (message[0] & 31) * OUTCOME_ROW.size
     rest = message[end : len(message) - (len(message) - end) % IN_FLIGHT_ENTRY.size]
--- a/tests/test_short_ids.py
+++ b/tests/test_short_ids.py
@@ -18,7 +18,7 @@
 )
 from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
 from lanelead.runtime.gossip_codec import (
-    LONG_ID_MESSAGE_FORM,
+    LONG_ID_MESSAGE_FORMAT,
     decode_gossip,
     encode_gossip,
 )
@@ -128,7 +128,7 @@
         self.assertEqual(
             {sender.names[endpoint]: [3] for endpoint in shared}, decode_reports(registry_of(*names), messages)
         )
-        self.assertEqual([LONG_ID_MESSAGE_FORM] * 4, [message[0] >> 5 for message in messages])
+        self.assertEqual([LONG_ID_MESSAGE_FORMAT] * 4, [message[0] >> 5 for message in messages])
         self.assertLessEqual(max(map(len, messages)), MAX_MESSAGE_BYTES - 2)
 
 
--- a/tests/test_upstream_requests.py
+++ b/tests/test_upstream_requests.py
@@ -193,7 +193,9 @@
             upstream = place.relay.upstream
             await place.until(
                 lambda: any(
-                    connection.reader.response_begun for connection in upstream.connections if connection.connected
+                    connection.reader.has_partial_response
+                    for connection in upstream.connections
+                    if connection.connected
                 )
             )
             # The rest arrives, but the relay was suspended and looks for incomplete responses before it reads.
