--- a/lanelead/pgwire/messages.py
+++ b/lanelead/pgwire/messages.py
@@ -36,7 +36,7 @@
 
 READY = message(b"Z", b"I")
 # The response to an empty query.
-EMPTY = message(b"I") + READY
+EMPTY_QUERY_RESPONSE = message(b"I") + READY
 NO_ENCRYPTION = b"N"
 # The response to a StartupMessage, up to ReadyForQuery.
 STARTUP_RESPONSE = (
--- a/lanelead/postgres_relay/client_connection.py
+++ b/lanelead/postgres_relay/client_connection.py
@@ -155,7 +155,7 @@
     def _handle_query(self, text: bytes) -> None:
         if not text.strip():
             self._mark_requested()
-            self._queue_response(messages.EMPTY)
+            self._queue_response(messages.EMPTY_QUERY_RESPONSE)
             return
         listener = self.listener
         try:
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -95,7 +95,7 @@
             messages.startup("user", "database"),
             messages.query(b"SELECT 1"),
             messages.STARTUP_RESPONSE,
-            messages.EMPTY,
+            messages.EMPTY_QUERY_RESPONSE,
             messages.NEGOTIATE_PROTOCOL_VERSION,
             messages.NO_ENCRYPTION,
             messages.error("53300", "text", "detail"),
