--- a/lanelead/runtime/short_ids.py
+++ b/lanelead/runtime/short_ids.py
@@ -90,7 +90,7 @@
             for endpoint, long_id in zip(endpoints, long_ids, strict=True):
                 endpoint.long_id = long_id if long_id and long_ids.count(long_id) == 1 else NO_LONG_ID
 
-    def sharing(self) -> list[Endpoint]:
+    def endpoints_sharing_short_ids(self) -> list[Endpoint]:
         """Returns the endpoints that share their short id with another."""
         return [endpoint for endpoints in self._shared.values() for endpoint in endpoints]
 
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -135,7 +135,7 @@
 
         Gossip cannot name an endpoint by its short id as long as another one holds the same short id.
         """
-        for endpoint in self.door.short_ids.sharing():
+        for endpoint in self.door.short_ids.endpoints_sharing_short_ids():
             if endpoint.status is not EndpointStatus.REMOVED:
                 self.gone.pop(endpoint, None)
             elif self.gone.setdefault(endpoint, self.relay.now + self.short_id_hold) <= self.relay.now:
--- a/tests/test_short_ids.py
+++ b/tests/test_short_ids.py
@@ -121,7 +121,7 @@
     def test_observations_by_long_id_are_split_into_messages_of_the_allowed_size(self) -> None:
         names = [f"unit-{number:04}" for number in range(10_000)]
         sender = registry_of(*names)
-        shared = [endpoint for endpoint in sender.short_ids.sharing() if endpoint.long_id > 0][:60]
+        shared = [endpoint for endpoint in sender.short_ids.endpoints_sharing_short_ids() if endpoint.long_id > 0][:60]
         messages = encode_gossip(
             [OutcomeObservation(endpoint, IDEMPOTENT_CLASS, 7, 3, FAULTS) for endpoint in shared], [IDEMPOTENT_CLASS]
         )
