--- a/lanelead/decisions/endpoint_selection.py
+++ b/lanelead/decisions/endpoint_selection.py
@@ -85,7 +85,9 @@
         as well.
         """
         attempts = endpoint.recent_attempts.read(now)
-        load = (1 + len(endpoint.in_flight) + self._fleet_in_flight.others_at(endpoint, now)) / endpoint.capacity
+        load = (
+            1 + len(endpoint.in_flight) + self._fleet_in_flight.other_relays_attempts(endpoint, now)
+        ) / endpoint.capacity
         load *= (1 + endpoint.relative_latency_sum.read(now)) / (1 + attempts)
         oldest = next(iter(endpoint.in_flight), None)
         silence = (now - oldest.sent_at) / oldest.request.request_class.latency_objective if oldest else 0.0
--- a/lanelead/decisions/fleet_load.py
+++ b/lanelead/decisions/fleet_load.py
@@ -129,7 +129,7 @@
         total.update({count.endpoint: count.attempts for count in own})
         return [InFlightCount(endpoint, attempts) for endpoint, attempts in total.most_common()]
 
-    def others_at(self, endpoint: EndpointState, now: Ticks) -> int:
+    def other_relays_attempts(self, endpoint: EndpointState, now: Ticks) -> int:
         """Return an upper bound of the other relays' attempts in flight at an endpoint, 0 without a recent report."""
         attempts = self._others.get(endpoint, self._unlisted_bound - len(endpoint.in_flight))
         return max(0, attempts) if self._updated_at > now - self._span else 0
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -38,7 +38,7 @@
         host = FakeHost(endpoints=1)
         endpoints[0].in_flight[host.attempts(host.send_request(IDEMPOTENT_CLASS))[0]] = None
         fleet_in_flight.receive(None, [InFlightCount(endpoints[0], 3)], 0)
-        self.assertEqual((2, 0), tuple(fleet_in_flight.others_at(endpoint, 1) for endpoint in endpoints))
+        self.assertEqual((2, 0), tuple(fleet_in_flight.other_relays_attempts(endpoint, 1) for endpoint in endpoints))
 
     def test_endpoints_omitted_from_a_full_message_are_not_treated_as_idle(self) -> None:
         endpoints = [EndpointState(short_id, SECOND, SECOND, 0.0) for short_id in range(MAX_IN_FLIGHT_COUNTS + 1)]
@@ -48,7 +48,11 @@
                 None, [InFlightCount(endpoint, 3 + (endpoint is endpoints[0])) for endpoint in endpoints[:count]], 0
             )
             self.assertEqual(
-                (4, bound), (fleet_in_flight.others_at(endpoints[0], 1), fleet_in_flight.others_at(endpoints[-1], 1))
+                (4, bound),
+                (
+                    fleet_in_flight.other_relays_attempts(endpoints[0], 1),
+                    fleet_in_flight.other_relays_attempts(endpoints[-1], 1),
+                ),
             )
 
 
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -56,7 +56,7 @@
         def others_in_flight(receiver: str, now: Ticks) -> dict[str, int]:
             known_endpoints = registries[receiver].by_name.items()
             return {
-                name: fleet_in_flight[receiver].others_at(endpoint, now)
+                name: fleet_in_flight[receiver].other_relays_attempts(endpoint, now)
                 for name, endpoint in known_endpoints
                 if isinstance(endpoint, EndpointState)
             }
--- a/tests/test_short_ids.py
+++ b/tests/test_short_ids.py
@@ -186,7 +186,7 @@
             0,
         )
         others_in_flight = [
-            fleet_in_flight.others_at(endpoint, 1)
+            fleet_in_flight.other_relays_attempts(endpoint, 1)
             for endpoint in receiver.by_name.values()
             if isinstance(endpoint, EndpointState)
         ]
