--- a/lanelead/decisions/rollout.py
+++ b/lanelead/decisions/rollout.py
@@ -108,7 +108,7 @@
         if self._rules.hold_votes:
             recent_score = self._scoring.score(endpoints.ready, now, RECENT_SPAN).mean
         assessment = CanaryAssessment(
-            is_mature=self._is_observation_complete(rollout, endpoints.ready, canary, now),
+            is_observation_complete=self._is_observation_complete(rollout, endpoints.ready, canary, now),
             score_margin=self.margin,
             recent_score=recent_score,
             is_fleet_slowing=self.is_fleet_slowing(rollout, now),
--- a/lanelead/decisions/rollout_votes.py
+++ b/lanelead/decisions/rollout_votes.py
@@ -22,7 +22,7 @@
 class CanaryAssessment:
     """One relay's current assessment of a canary."""
 
-    is_mature: bool  # observed for long enough to promote, or to roll back for a slowing fleet
+    is_observation_complete: bool  # observed for long enough to promote, or to roll back for a slowing fleet
     score_margin: float  # its score above the earlier builds'
     recent_score: float  # the mean score of its endpoints over `RECENT_SPAN`; 0 if the rules have no hold votes
     is_fleet_slowing: bool
@@ -75,7 +75,7 @@
         """
         is_canary = rollout.phase is RolloutPhase.CANARY
         if is_canary or rollout.phase is RolloutPhase.PROMOTED:
-            fleet_slowed = assessment.is_fleet_slowing and assessment.is_mature
+            fleet_slowed = assessment.is_fleet_slowing and assessment.is_observation_complete
             if assessment.score_margin > ROLLBACK_MARGIN or fleet_slowed:
                 return Verdict.ROLL_BACK
         if not is_canary:
@@ -84,4 +84,4 @@
             if assessment.recent_score > ROLLBACK_MARGIN:
                 return Verdict.HOLD
             return Verdict.ABSTAIN if self._last_vote else None
-        return Verdict.PROMOTE if assessment.is_mature else None
+        return Verdict.PROMOTE if assessment.is_observation_complete else None
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -147,7 +147,7 @@
         self._relay = relay
 
     def choose_verdict(self, rollout: RolloutState, assessment: CanaryAssessment) -> Verdict | None:
-        return self._relay.judged(rollout, assessment.is_mature)
+        return self._relay.judged(rollout, assessment.is_observation_complete)
 
 
 class ByClock(_Voter):
