--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -38,7 +38,7 @@
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 
 SECOND: Ticks = 10_000
-LANES = [
+REQUEST_CLASSES = [
     RequestClass("read", SECOND, 2 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0),
     RequestClass("save", SECOND, 2 * SECOND, 2.0, 0.0, Idempotency.KEYED, DeduplicationScope.ZONE, SECOND, False, 0.0),
     RequestClass(
@@ -48,7 +48,7 @@
 LIMITS = ServiceLimits(200, 2 * SECOND, 0.4, 4 * SECOND, 3.0, SECOND, False, 0, 50)
 CANARY_LIMITS = CanaryLimits((0.25, 1.0), (0.3, 1.0), 2.0, 3 * SECOND, False, 1, False, False)
 HTTP_REQUEST = HttpRequest("GET", b"/", [], b"", True)
-ANSWER = HttpResponse(200, [], b"ok", True)
+RESPONSE = HttpResponse(200, [], b"ok", True)
 
 
 class RecordingHost:
@@ -81,16 +81,16 @@
     def log_event(self, text: str) -> None: ...
 
 
-class Stage:
+class DriverHarness:
     """A driver with the real decisions, a recording host, and a clock that the test advances."""
 
     def __init__(
         self, pending_limit: int = 1000, start: Ticks = 100 * SECOND, readiness: Readiness | None = None
     ) -> None:
-        self.hands = RecordingHost(start)
+        self.recording_host = RecordingHost(start)
         balancer = Balancer(
             position=RelayPosition(0, 3, "north"),
-            request_classes=LANES,
+            request_classes=REQUEST_CLASSES,
             tenants=[],
             limits=LIMITS,
             canary_limits=CANARY_LIMITS,
@@ -104,9 +104,9 @@
         )
         self.driver = DecisionDriver(
             decisions=balancer,
-            host=self.hands,
-            clock=lambda: self.hands.now,
-            request_classes=LANES,
+            host=self.recording_host,
+            clock=lambda: self.recording_host.now,
+            request_classes=REQUEST_CLASSES,
             limits=LIMITS,
             max_pending=pending_limit,
             max_retry_after=SECOND,
@@ -118,14 +118,14 @@
         self.driver.rollout_read(RolloutMessage(1, 1, "released", 1.0, 0.0), False, AttemptOutcome.SUCCEEDED)
 
     def row(self, number: int, build: int = 1, condition: str = "ready", age: Ticks | None = None) -> EndpointMessage:
-        started = None if age is None else float((self.hands.now - age) / 10)
+        started = None if age is None else float((self.recording_host.now - age) / 10)
         zone = "north" if number % 2 else "south"
         return EndpointMessage(f"u{number}", "127.0.0.1", 1000 + number, zone, build, condition, started_ms=started)  # type: ignore[arg-type]
 
     def listed(self, update_scope: str, *rows: EndpointMessage) -> None:
-        self.driver.endpoints_listed(EndpointListMessage(update_scope, 1, self.hands.now / 10, list(rows)), 0)  # type: ignore[arg-type]
+        self.driver.endpoints_listed(EndpointListMessage(update_scope, 1, self.recording_host.now / 10, list(rows)), 0)  # type: ignore[arg-type]
 
-    def ask(self, request_class: RequestClass = LANES[0], time_left: Ticks = 2 * SECOND) -> PendingRequest:
+    def ask(self, request_class: RequestClass = REQUEST_CLASSES[0], time_left: Ticks = 2 * SECOND) -> PendingRequest:
         def replied(
             pending: PendingRequest,
             outcome: RequestOutcome,
@@ -133,7 +133,7 @@
             answer: HttpResponse | None,
             retry_after: Ticks,
         ) -> None:
-            self.answers.append((self.hands.now, pending, outcome))
+            self.answers.append((self.recording_host.now, pending, outcome))
 
         pending = PendingRequest(f"t{len(self.pending_requests)}", HTTP_REQUEST, replied)
         self.pending_requests.append(pending)
@@ -141,19 +141,19 @@
         return pending
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        if self.hands.in_flight.pop(attempt, None) is not None:
-            self.driver.attempt_ended(attempt, outcome, ANSWER if outcome is AttemptOutcome.SUCCEEDED else None)
+        if self.recording_host.in_flight.pop(attempt, None) is not None:
+            self.driver.attempt_ended(attempt, outcome, RESPONSE if outcome is AttemptOutcome.SUCCEEDED else None)
 
     def run(self, duration: Ticks) -> None:
-        until = self.hands.now + duration
+        until = self.recording_host.now + duration
         while (due := self.driver.next_timer()) is not None and due <= until:
-            self.hands.now = max(self.hands.now, due)
+            self.recording_host.now = max(self.recording_host.now, due)
             self.driver.tick()
-        self.hands.now = until
+        self.recording_host.now = until
         self.driver.tick()
 
     def attempts_of(self, pending: PendingRequest) -> list[Attempt]:
-        return [attempt for _, attempt in self.hands.sent if attempt.request is pending.request]
+        return [attempt for _, attempt in self.recording_host.sent if attempt.request is pending.request]
 
 
 class DriverStateMachine(RuleBasedStateMachine):
@@ -161,7 +161,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.harness = Stage()
+        self.harness = DriverHarness()
         self.not_ready: dict[str, Ticks] = {}
         self.started_at: dict[str, Ticks] = {}
         self.build, self.guarded = 1, False
@@ -170,9 +170,9 @@
         self.succeeded_count = 0
         self.checked_count = 0
 
-    @rule(request_class=st.sampled_from(LANES), time_left=st.integers(1, 2 * SECOND))
+    @rule(request_class=st.sampled_from(REQUEST_CLASSES), time_left=st.integers(1, 2 * SECOND))
     def ask(self, request_class: RequestClass, time_left: Ticks) -> None:
-        self.received_times.append(self.harness.hands.now)
+        self.received_times.append(self.harness.recording_host.now)
         self.harness.ask(request_class, time_left)
 
     @rule(
@@ -180,7 +180,7 @@
         outcome=st.sampled_from([outcome for outcome in AttemptOutcome if outcome is not AttemptOutcome.CANCELLED]),
     )
     def end(self, index: int, outcome: AttemptOutcome) -> None:
-        in_flight = list(self.harness.hands.in_flight)
+        in_flight = list(self.harness.recording_host.in_flight)
         if in_flight:
             self.succeeded_count += outcome is AttemptOutcome.SUCCEEDED
             self.harness.end(in_flight[index % len(in_flight)], outcome)
@@ -192,7 +192,7 @@
     @rule(duration=st.integers(1, 2 * SECOND))
     def stall(self, duration: Ticks) -> None:
         """Simulates that the process was stopped: time has passed, and overdue timers fire in a burst."""
-        self.harness.hands.now += duration
+        self.harness.recording_host.now += duration
         self.harness.driver.tick()
 
     @rule(index=st.integers(0, 30))
@@ -205,7 +205,7 @@
 
     @rule(number=st.integers(0, 5), change=st.sampled_from(["draining", "gone", "ready", "cold", "new build"]))
     def update_endpoint(self, number: int, change: str) -> None:
-        name, now = f"u{number}", self.harness.hands.now
+        name, now = f"u{number}", self.harness.recording_host.now
         if change in ("draining", "gone"):
             self.not_ready.setdefault(name, now)
             self.harness.listed("changes", self.harness.row(number, condition=change))
@@ -241,7 +241,7 @@
             assert pending.id not in self.disconnected or not pending.request
         assert all(count == 1 for count in counts.values())
         for pending in self.harness.pending_requests:
-            if pending.request is not None and self.harness.hands.now > pending.request.deadline:
+            if pending.request is not None and self.harness.recording_host.now > pending.request.deadline:
                 assert pending.answered, "not answered by its deadline"
 
     @invariant()
@@ -265,7 +265,7 @@
 
     @invariant()
     def draining_exposure_and_slow_start_limits_hold(self) -> None:
-        sent = self.harness.hands.sent
+        sent = self.harness.recording_host.sent
         for at, attempt in sent[self.checked_count :]:
             name, now = self.harness.driver.registry.names[attempt.endpoint], at
             assert name not in self.not_ready, "sent to an endpoint that is draining or removed"
@@ -304,10 +304,10 @@
         class UnsafeRetryMachine(DriverStateMachine):
             @rule(index=st.integers(0, 30))
             def report_error_as_rejection(self, index: int) -> None:
-                for attempt in list(self.harness.hands.in_flight):
+                for attempt in list(self.harness.recording_host.in_flight):
                     request_class = attempt.request.request_class
                     if request_class.idempotency is Idempotency.NON_IDEMPOTENT and not attempt.request.finished:
-                        self.harness.hands.in_flight.pop(attempt)
+                        self.harness.recording_host.in_flight.pop(attempt)
                         attempt.outcome = None
                         self.harness.driver.decisions.attempt_ended(attempt, AttemptOutcome.REJECTED, False, 1, None)
                         attempt.outcome = AttemptOutcome.ERROR
@@ -328,41 +328,41 @@
             )
 
     def test_only_the_first_outcome_of_an_attempt_counts(self) -> None:
-        harness = Stage()
-        pending = harness.ask(LANES[2])
+        harness = DriverHarness()
+        pending = harness.ask(REQUEST_CLASSES[2])
         (attempt,) = harness.attempts_of(pending)
         harness.run(2 * SECOND)
         self.assertIs(attempt.outcome, AttemptOutcome.TIMED_OUT)
-        harness.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
+        harness.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, RESPONSE)
         self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.FAILED])
 
     def test_attempt_that_wrote_nothing_before_its_timeout_counts_as_not_connected(self) -> None:
-        harness = Stage()
-        pending = harness.ask(LANES[2])
-        harness.hands.in_flight[harness.attempts_of(pending)[0]] = False
+        harness = DriverHarness()
+        pending = harness.ask(REQUEST_CLASSES[2])
+        harness.recording_host.in_flight[harness.attempts_of(pending)[0]] = False
         harness.run(2 * SECOND)
         self.assertIs(harness.attempts_of(pending)[0].outcome, AttemptOutcome.CONNECT_FAILED)
         self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.REJECTED])
 
     def test_no_late_response_is_delivered_after_a_stall(self) -> None:
-        harness = Stage()
-        pending = harness.ask(LANES[0])
+        harness = DriverHarness()
+        pending = harness.ask(REQUEST_CLASSES[0])
         (attempt,) = harness.attempts_of(pending)
-        harness.hands.now += 5 * SECOND
+        harness.recording_host.now += 5 * SECOND
         harness.end(attempt, AttemptOutcome.SUCCEEDED)
         self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.FAILED])
 
     def test_requests_over_the_pending_limit_are_rejected(self) -> None:
-        harness = Stage(pending_limit=2)
+        harness = DriverHarness(pending_limit=2)
         for _ in range(3):
-            harness.ask(LANES[0])
+            harness.ask(REQUEST_CLASSES[0])
         self.assertEqual([outcome for _, _, outcome in harness.answers], [RequestOutcome.REJECTED])
         self.assertEqual((harness.driver.counters.over_limit, harness.driver.counters.received), (1, 2))
 
     def test_destination_changes_when_the_endpoint_drains_or_restarts(self) -> None:
         for change in ({"condition": "draining"}, {"build": 2}, {"age": 0}):
-            harness = Stage()
-            pending = harness.ask(LANES[0])
+            harness = DriverHarness()
+            pending = harness.ask(REQUEST_CLASSES[0])
             (attempt,) = harness.attempts_of(pending)
             destination = harness.driver.destination_of(attempt)
             self.assertIsNotNone(destination)
@@ -371,7 +371,7 @@
             self.assertNotEqual(harness.driver.destination_of(attempt), destination, change)
 
     def test_start_time_is_kept_across_streams_with_other_clock_offsets(self) -> None:
-        harness = Stage()
+        harness = DriverHarness()
         harness.listed("changes", harness.row(0, age=SECOND))
         first = harness.driver.destinations[harness.driver.registry.get_or_add("u0")].started_at
         harness.driver.endpoints_listed(EndpointListMessage("full", 1, 0.0, [harness.row(0, age=SECOND)]), 37)
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -15,7 +15,7 @@
 from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, StageNeed
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
-from tests.test_driver import ANSWER, LANES, SECOND, Stage
+from tests.test_driver import REQUEST_CLASSES, RESPONSE, SECOND, DriverHarness
 from tests.test_migration_runner import done_entries, plan, step
 from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
@@ -43,7 +43,7 @@
         return found
 
     def attempt(self, sent: int = 0) -> Attempt:
-        request = Request(LANES[0], None, None, sent, sent + 2 * SECOND)
+        request = Request(REQUEST_CLASSES[0], None, None, sent, sent + 2 * SECOND)
         return Attempt(request, None, 0, sent, 2 * SECOND)  # type: ignore[arg-type]
 
     def test_before_the_log_is_received_only_the_earliest_listed_build_has_traffic(self) -> None:
@@ -101,7 +101,7 @@
 
 class ReadinessInTheDriver(unittest.TestCase):
     def setUp(self) -> None:
-        self.stage = Stage(readiness=Readiness(SECOND, 0))
+        self.stage = DriverHarness(readiness=Readiness(SECOND, 0))
         self.driver = self.stage.driver
         self.driver.migrations_read(page(PLAN_ENTRY))
         self.stage.listed("full", *(self.stage.row(n, build=1 + n % 2) for n in range(4)))
@@ -109,15 +109,17 @@
 
     def builds(self, count: int = 40) -> set[int]:
         """Sends `count` requests, and returns the builds to which attempts went."""
-        before = len(self.stage.hands.sent)
+        before = len(self.stage.recording_host.sent)
         for _ in range(count):
-            self.stage.hands.now += SECOND // 10
+            self.stage.recording_host.now += SECOND // 10
             self.driver.tick()
             self.stage.ask()
-            for _, attempt in self.stage.hands.sent[before:]:
+            for _, attempt in self.stage.recording_host.sent[before:]:
                 if attempt.outcome is None:
-                    self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, ANSWER)
-        return {self.driver.destinations[attempt.endpoint].build for _, attempt in self.stage.hands.sent[before:]}
+                    self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED, RESPONSE)
+        return {
+            self.driver.destinations[attempt.endpoint].build for _, attempt in self.stage.recording_host.sent[before:]
+        }
 
     def test_a_build_receives_no_attempt_until_its_step_is_done(self) -> None:
         self.assertEqual(self.builds(), {1})
@@ -134,7 +136,7 @@
 
     def test_an_attempt_that_was_chosen_before_a_barrier_is_not_written_after_it(self) -> None:
         self.stage.ask()
-        attempt = self.stage.hands.sent[-1][1]
+        attempt = self.stage.recording_host.sent[-1][1]
         self.assertIsNotNone(self.driver.destination_of(attempt))
         self.driver.migrations_read(page(*done_entries("a", "b"), LogEntry("closing", "end"), since=1))
         self.assertIsNone(self.driver.destination_of(attempt))
@@ -143,12 +145,12 @@
         self.driver.migrations_read(page(*done_entries("a"), since=1))
         self.driver.decisions.actions += [CastVote(2, 0, Verdict.PROMOTE), CastVote(2, 0, Verdict.ROLL_BACK)]
         self.driver._run_actions()
-        self.assertEqual([vote.verdict for vote in self.stage.hands.votes], [Verdict.ROLL_BACK])
+        self.assertEqual([vote.verdict for vote in self.stage.recording_host.votes], [Verdict.ROLL_BACK])
         self.assertEqual(self.driver.counters.withheld_votes, 1)
         self.driver.migrations_read(page(*done_entries("b"), since=3))
         self.driver.decisions.actions.append(CastVote(2, 0, Verdict.PROMOTE))
         self.driver._run_actions()
-        self.assertEqual(self.stage.hands.votes[-1].verdict, Verdict.PROMOTE)
+        self.assertEqual(self.stage.recording_host.votes[-1].verdict, Verdict.PROMOTE)
 
     def test_a_draining_endpoint_stays_draining_when_its_build_becomes_ready(self) -> None:
         self.stage.listed("changes", *(self.stage.row(n, build=2, condition="draining") for n in (1, 3)))
