--- a/lanelead/migrations/calls.py
+++ b/lanelead/migrations/calls.py
@@ -74,7 +74,7 @@
     message: str
 
 
-PendingCall = AcquireLease | ReadLog | AppendEntry | QueryProgress | ApplyPart | QueryUnacknowledged | RunResult
+RunnerAction = AcquireLease | ReadLog | AppendEntry | QueryProgress | ApplyPart | QueryUnacknowledged | RunResult
 
 # Replies
 
@@ -107,10 +107,10 @@
 
 
 @dataclass(frozen=True)
-class WaitingForRelays:
+class BarrierStatus:
     """The relays that have not acknowledged the barrier; empty if all have."""
 
     relays: tuple[int, ...]
 
 
-Reply = LeaseGranted | CallCompleted | CallRejected | OutcomeUnknown | WaitingForRelays | EffectProgress
+Reply = LeaseGranted | CallCompleted | CallRejected | OutcomeUnknown | BarrierStatus | EffectProgress
--- a/lanelead/migrations/commands.py
+++ b/lanelead/migrations/commands.py
@@ -121,7 +121,7 @@
         ended = log.builds_ended_by(state, "apply")
         state.status = StepStatus.DONE
         ready_after = [build for build in log.builds() if log.is_ready(build)]
-        notes = [step.kind] if step.undoing else [step.kind, "can't be undone"]
+        notes = [step.kind] if step.undo_statements else [step.kind, "can't be undone"]
         notes += [f"afterwards build {build} may have traffic" for build in ready_after if build not in ready_before]
         notes += [f"once it begins, no rollback to build {build}" for build in ended]
         click.echo(f"{number:3}  {step.name:24} {', '.join(notes)}")
--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -15,17 +15,17 @@
     AcquireLease,
     AppendEntry,
     ApplyPart,
+    BarrierStatus,
     CallCompleted,
     CallRejected,
     LeaseGranted,
     OutcomeUnknown,
-    PendingCall,
     QueryProgress,
     QueryUnacknowledged,
     ReadLog,
     Reply,
+    RunnerAction,
     RunResult,
-    WaitingForRelays,
 )
 from lanelead.migrations.client import MigrationStoreClient
 from lanelead.migrations.errors import AcknowledgementTimeoutError, InvalidEntryError, StoreUnavailableError
@@ -136,7 +136,7 @@
             except StoreUnavailableError:
                 return  # the lease expires
 
-    async def _carry_out(self, call: PendingCall) -> Reply:
+    async def _carry_out(self, call: RunnerAction) -> Reply:
         match call:
             case AcquireLease():
                 return await self._acquire_lease()
@@ -195,7 +195,7 @@
                     self._log_event("relay forgotten", relay=relay)
                     await self._client.call("POST", "/forget", ForgetRequest, ForgetRequest(token, relay))
             if not reply.relays:
-                return WaitingForRelays(())
+                return BarrierStatus(())
             if time.monotonic() - began > self._options.wait_seconds:
                 raise AcknowledgementTimeoutError(reply.relays)
             if reply.relays != logged_relays:
--- a/lanelead/migrations/migration_log.py
+++ b/lanelead/migrations/migration_log.py
@@ -256,7 +256,7 @@
 
     def _undo_violation(self, state: StepState) -> InvalidEntryError | None:
         name = state.step.name
-        if not state.step.undoing:
+        if not state.step.undo_statements:
             return InvalidEntryError(f"{name!r} can't be undone", rule=4)
         if state.status not in (StepStatus.DONE, StepStatus.FAILED, StepStatus.AT_BARRIER):
             return InvalidEntryError(f"{name!r} can't be undone: its status is {state.status.value}", rule=6)
--- a/lanelead/migrations/runner.py
+++ b/lanelead/migrations/runner.py
@@ -20,17 +20,17 @@
     AcquireLease,
     AppendEntry,
     ApplyPart,
+    BarrierStatus,
     CallCompleted,
     CallRejected,
     LeaseGranted,
     OutcomeUnknown,
-    PendingCall,
     QueryProgress,
     QueryUnacknowledged,
     ReadLog,
     Reply,
+    RunnerAction,
     RunResult,
-    WaitingForRelays,
 )
 from lanelead.migrations.migration_log import MigrationLog, StepState, StepStatus
 from lanelead.protocols.migrations import (
@@ -97,7 +97,7 @@
     has_resumed: bool = False
     result: RunResult | None = None
 
-    def next_call(self, log: MigrationLog) -> PendingCall:
+    def next_call(self, log: MigrationLog) -> RunnerAction:
         """Returns the next call to the store, or the result of the run."""
         if self.result is not None:
             return self.result
@@ -118,7 +118,7 @@
             )
         return self._step_call(log)
 
-    def _step_call(self, log: MigrationLog) -> PendingCall:
+    def _step_call(self, log: MigrationLog) -> RunnerAction:
         """Returns the call for the active step, else for the failed step, else for the next step to begin.
 
         An active or failed step comes first even if it belongs to another plan. "run" first completes the undoing of a
@@ -137,7 +137,7 @@
     def _append(self, log: MigrationLog, entry: LogEntry) -> AppendEntry:
         return AppendEntry(self.token, log.last_seq, entry)
 
-    def _at_barrier(self, log: MigrationLog, state: StepState) -> PendingCall:
+    def _at_barrier(self, log: MigrationLog, state: StepState) -> RunnerAction:
         name = state.step.name
         if self.goal.operation == "undo" and state.direction == "apply":  # ends the barrier; nothing was changed
             return self._append(log, LogEntry("dropped", name, state.direction))
@@ -145,7 +145,7 @@
             return QueryUnacknowledged(state.barrier_seq)
         return self._append(log, LogEntry("intent", name, state.direction, state.barrier_seq))
 
-    def _in_progress(self, log: MigrationLog, state: StepState) -> PendingCall:
+    def _in_progress(self, log: MigrationLog, state: StepState) -> RunnerAction:
         """Returns the call for a step whose intent is logged; a finished step is logged as done in any case."""
         if self.progress is None:
             return QueryProgress(state.intent_seq)
@@ -176,7 +176,7 @@
 
     def _apply_part(self, state: StepState, progress: EffectProgress) -> ApplyPart:
         step = state.step
-        statements = tuple(step.apply if state.direction == "apply" else step.undoing)
+        statements = tuple(step.apply if state.direction == "apply" else step.undo_statements)
         # `:low` is the SQL parameter for the lower bound of a batch's keys. Statements without it, such as an undo that
         # needs no batches, are applied as one part. The executor replaces the batch size.
         batch_range = None
@@ -185,7 +185,7 @@
         request = ApplyRequest(self.token, state.intent_seq, progress.parts, statements, batch_range)
         return ApplyPart(request, step.limit_ms, batch_range is not None)
 
-    def _after_failure(self, log: MigrationLog, state: StepState) -> PendingCall:
+    def _after_failure(self, log: MigrationLog, state: StepState) -> RunnerAction:
         """Returns the call for a failed step.
 
         "undo" drops or undoes a step that failed to be applied. Otherwise "run" ends, and other operations resume the
@@ -201,7 +201,7 @@
             return RunResult(False, failure)
         return self._append(log, LogEntry("resumed", name, state.direction))
 
-    def _next_step(self, log: MigrationLog) -> PendingCall:
+    def _next_step(self, log: MigrationLog) -> RunnerAction:
         plan = self.goal.plan
         last_step = self.goal.last_step
         states = [state for state in log.steps.values() if state.plan_name == plan.name]
@@ -221,7 +221,7 @@
                 break
         return RunResult(True, "all done")
 
-    def _begin_step(self, log: MigrationLog, state: StepState, direction: Direction) -> PendingCall:
+    def _begin_step(self, log: MigrationLog, state: StepState, direction: Direction) -> RunnerAction:
         name = state.step.name
         ended = log.builds_ended_by(state, direction)
         if ended and direction == "apply" and not self.goal.allow_ending_rollback:
@@ -234,7 +234,7 @@
             return RunResult(False, str(violation))
         return self._append(log, entry)
 
-    def after_reply(self, call: PendingCall, reply: Reply) -> Runner:
+    def after_reply(self, call: RunnerAction, reply: Reply) -> Runner:
         """Returns the runner's state after a reply to its call; the caller updates the log."""
         match reply:
             case OutcomeUnknown():  # fence off calls in transit with a new lease, then read and query
@@ -244,7 +244,7 @@
                 return self._after_rejection(call, reply)
             case LeaseGranted(token):
                 return replace(self._with_unread_log(), token=token)
-            case WaitingForRelays(relays):
+            case BarrierStatus(relays):
                 return replace(self, acknowledged=not relays)
             case EffectProgress():
                 return replace(self, progress=reply, attempts=0 if isinstance(call, ApplyPart) else self.attempts)
@@ -254,7 +254,7 @@
     def _with_unread_log(self) -> Runner:
         return replace(self, log_read=False, progress=None, acknowledged=False)
 
-    def _after_rejection(self, call: PendingCall, rejected: CallRejected) -> Runner:
+    def _after_rejection(self, call: RunnerAction, rejected: CallRejected) -> Runner:
         if rejected.reason == "behind":
             return self._with_unread_log()
         if rejected.reason == "fenced":
--- a/lanelead/settings/migration_settings.py
+++ b/lanelead/settings/migration_settings.py
@@ -27,7 +27,7 @@
     batch: BatchSettings | None = None
 
     @property
-    def undoing(self) -> list[str]:
+    def undo_statements(self) -> list[str]:
         """The statements that undo the step; empty if it can't be undone."""
         return [] if isinstance(self.undo, str) else self.undo
 
--- a/lanelead/testbed/simulation/migrations.py
+++ b/lanelead/testbed/simulation/migrations.py
@@ -15,17 +15,17 @@
     AcquireLease,
     AppendEntry,
     ApplyPart,
+    BarrierStatus,
     CallCompleted,
     CallRejected,
     LeaseGranted,
     OutcomeUnknown,
-    PendingCall,
     QueryProgress,
     QueryUnacknowledged,
     ReadLog,
     Reply,
+    RunnerAction,
     RunResult,
-    WaitingForRelays,
 )
 from lanelead.migrations.errors import InvalidEntryError
 from lanelead.migrations.migration_log import MigrationLog, StepStatus
@@ -98,7 +98,7 @@
         kind = replayed(self.entries[:intent_seq]).steps[entry.step].step.kind
         return BACKFILL_PARTS if kind == "backfill" else 1
 
-    def carry_out(self, call: PendingCall, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
+    def carry_out(self, call: RunnerAction, checks: SafetyChecks) -> tuple[StoreModel, Reply]:
         """The store after a call, and its reply. Raises InvariantViolationError."""
         match call:
             case AcquireLease():
@@ -109,7 +109,7 @@
                 return self, self.progress(intent_seq) if checks.effect_marks else EffectProgress(0)
             case QueryUnacknowledged(barrier_seq):
                 passed = self.acknowledged_seq >= barrier_seq or not checks.barrier
-                return self, WaitingForRelays(() if passed else (0,))
+                return self, BarrierStatus(() if passed else (0,))
             case AppendEntry():
                 return self._append(call, checks)
             case ApplyPart(request, _, _):
@@ -172,7 +172,7 @@
 class EffectBeforeIntentRunner(Runner):
     """A seeded fault: it applies the effect first, and logs the intent after."""
 
-    def next_call(self, log: MigrationLog) -> PendingCall:
+    def next_call(self, log: MigrationLog) -> RunnerAction:
         """The call of a correct runner, but the effect where that logs an intent."""
         call = super().next_call(log)
         if isinstance(call, AppendEntry) and call.entry.kind == "intent" and self.progress is None:
@@ -188,11 +188,11 @@
     runner: Runner
     known_entries: int = 0
 
-    def next_call(self, store: StoreModel) -> PendingCall:
+    def next_call(self, store: StoreModel) -> RunnerAction:
         """The runner's next call, given the log as it has read it."""
         return self.runner.next_call(replayed(store.entries[: self.known_entries]))
 
-    def after_reply(self, call: PendingCall, reply: Reply, store: StoreModel) -> RunnerProcess:
+    def after_reply(self, call: RunnerAction, reply: Reply, store: StoreModel) -> RunnerProcess:
         """The process after a reply; `store` as it is after the call."""
         known_entries = self.known_entries
         if isinstance(reply, CallCompleted):
@@ -210,7 +210,7 @@
 
     store: StoreModel
     processes: tuple[RunnerProcess, ...]
-    late_calls: tuple[PendingCall, ...] = ()
+    late_calls: tuple[RunnerAction, ...] = ()
     faults_left: int = 0
 
     def successors(self, checks: SafetyChecks, fresh: tuple[Runner, ...]) -> Iterator[ModelState]:
@@ -233,7 +233,7 @@
         return (*self.processes[:index], process, *self.processes[index + 1 :])
 
     def process_steps(
-        self, index: int, call: PendingCall, checks: SafetyChecks, fresh: tuple[Runner, ...]
+        self, index: int, call: RunnerAction, checks: SafetyChecks, fresh: tuple[Runner, ...]
     ) -> Iterator[ModelState]:
         """Every state that may come after a process's call: first without, then with a fault."""
         process = self.processes[index]
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -54,7 +54,7 @@
     return MigrationPlan(name, list(steps), list(builds))
 
 
-ONE_AFTER_ANOTHER = plan(
+SEQUENTIAL_PLAN = plan(
     step("a"),
     step("b", "a", kind="backfill"),
     step("c", "b"),
@@ -63,7 +63,7 @@
 )
 
 
-def log_with(*entries: LogEntry, of: MigrationPlan = ONE_AFTER_ANOTHER) -> MigrationLog:
+def log_with(*entries: LogEntry, of: MigrationPlan = SEQUENTIAL_PLAN) -> MigrationLog:
     log = MigrationLog()
     body = msgspec.json.encode(of).decode()
     for seq, entry in enumerate((LogEntry("plan", text=body), *entries), 1):
@@ -96,7 +96,7 @@
             self.assertEqual(CliRunner().invoke(main, ["steps", "check", str(path)]).exit_code, 0)
         output = CliRunner().invoke(main, ["steps", "plan", str(PLANS / "offers.cue")]).output
         self.assertIn("no rollback to build 1", output)
-        self.assertEqual([s.name for s in execution_order(ONE_AFTER_ANOTHER)], ["a", "b", "c", "d"])
+        self.assertEqual([s.name for s in execution_order(SEQUENTIAL_PLAN)], ["a", "b", "c", "d"])
 
     def test_each_fault_of_a_plan_is_reported_with_line_and_reason(self) -> None:
         for original, replacement, message in (
@@ -156,7 +156,7 @@
         self.assertFalse(log.is_ready(1))
 
     def test_entries_that_break_a_rule_are_rejected_and_change_nothing(self) -> None:
-        body = msgspec.json.encode(ONE_AFTER_ANOTHER).decode()
+        body = msgspec.json.encode(SEQUENTIAL_PLAN).decode()
         for before, entry, number in (
             ([], LogEntry("plan", text=body), 1),
             ([], LogEntry("plan", text=body.replace('"p"', '"q"')), 1),
@@ -187,7 +187,7 @@
 
 class RunnerDecisions(unittest.TestCase):
     def test_a_run_logs_intent_before_effect_and_outcome_after(self) -> None:
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, allow_ending_rollback=True))
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, allow_ending_rollback=True))
         kinds = [(entry.kind, entry.step) for entry in store.entries]
         self.assertEqual(kinds[1:3], [("intent", "a"), ("done", "a")])
         self.assertEqual(kinds[-3:], [("closing", "d"), ("intent", "d"), ("done", "d")])
@@ -206,14 +206,14 @@
         raise AssertionError("the run does not end within 200 calls")
 
     def test_a_run_stops_before_a_rollback_becomes_impossible_and_reports_it(self) -> None:
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER))
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN))
         self.assertFalse(self.result.succeeded)
         self.assertIn("rollback to build 1 impossible", self.result.message)
         self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
     def test_a_failed_step_stays_failed_until_it_is_resumed(self) -> None:
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, last_step="a"))
-        process = RunnerProcess(Runner(Goal(ONE_AFTER_ANOTHER)))
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, last_step="a"))
+        process = RunnerProcess(Runner(Goal(SEQUENTIAL_PLAN)))
         parts = 0
         for _ in range(50):
             call = process.next_call(store)
@@ -228,28 +228,28 @@
         state = replayed(store.entries).failed_step()
         assert state is not None
         self.assertEqual((state.step.name, state.parts_applied, state.failure_reason), ("b", 1, "disk full"))
-        self.assertEqual(self.run_to_end(Goal(ONE_AFTER_ANOTHER), store).entries, store.entries)
+        self.assertEqual(self.run_to_end(Goal(SEQUENTIAL_PLAN), store).entries, store.entries)
         self.assertIn("after 1 parts: disk full", self.result.message)
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "resume", last_step="c"), store)
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, "resume", last_step="c"), store)
         self.assertEqual(store.applied_parts(), {"a": 1, "b": 2, "c": 1})
 
     def test_undo_undoes_a_partly_applied_step_and_drops_one_without_applied_parts(self) -> None:
-        body = LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)
+        body = LogEntry("plan", text=Goal(SEQUENTIAL_PLAN).plan_json)
         partly_applied = StoreModel(
             (body, *done_entries("a"), LogEntry("intent", "b"), LogEntry("failed", "b", parts_applied=1)),
             1,
             ((2, 0), (4, 0)),
         )
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo", last_step="b"), partly_applied)
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, "undo", last_step="b"), partly_applied)
         self.assertEqual(replayed(store.entries).steps["b"].status, StepStatus.PENDING)
         self.assertEqual(store.applied_parts()["b"], 0)
         nothing_applied = StoreModel((body, LogEntry("intent", "a"), LogEntry("failed", "a")), 1)
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo"), nothing_applied)
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, "undo"), nothing_applied)
         self.assertEqual((store.entries[-1].kind, store.effects), ("dropped", ()))
 
     def test_an_undo_ends_the_traffic_of_later_builds_first(self) -> None:
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, last_step="a"))
-        store = self.run_to_end(Goal(ONE_AFTER_ANOTHER, "undo"), store)
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, last_step="a"))
+        store = self.run_to_end(Goal(SEQUENTIAL_PLAN, "undo"), store)
         self.assertEqual([entry.kind for entry in store.entries[-3:]], ["closing", "intent", "done"])
         self.assertEqual(store.applied_parts(), {"a": 0})
 
--- a/tests/test_rules_verifier.py
+++ b/tests/test_rules_verifier.py
@@ -15,7 +15,7 @@
 from lanelead.testbed.scenarios.rules.findings import Finding
 from lanelead.testbed.scenarios.rules.verifier import verify
 from tests.recording_writer import RecordingWriter
-from tests.test_migration_runner import ONE_AFTER_ANOTHER
+from tests.test_migration_runner import SEQUENTIAL_PLAN
 
 
 class Case(unittest.TestCase):
@@ -236,7 +236,7 @@
         recording.day = msgspec.structs.replace(recording.day, steps=MigrationScenario(0, []))
         recording.up("d", 0.0, build=2)
         rows = [
-            (1.0, LogEntry("plan", text=Goal(ONE_AFTER_ANOTHER).plan_json)),
+            (1.0, LogEntry("plan", text=Goal(SEQUENTIAL_PLAN).plan_json)),
             (2.0, LogEntry("intent", "a")),
             (3.0, LogEntry("done", "a")),
             *rest,
