--- a/lanelead/configuration/document.py
+++ b/lanelead/configuration/document.py
@@ -76,15 +76,15 @@
 class Document:
     """The entries of one version, with digests.
 
-    It holds at most `most` entries, and `most_bytes` bytes of keys and values.
+    It holds at most `max_entries` entries, and `max_bytes` bytes of keys and values.
     """
 
-    def __init__(self, most: int = 200_000, most_bytes: int = 64 << 20) -> None:
+    def __init__(self, max_entries: int = 200_000, max_bytes: int = 64 << 20) -> None:
         self.version = 0
         self.entries: dict[str, bytes] = {}
         self.changed: dict[str, int] = {}  # the version that last changed a key, where known
         self.size = 0  # bytes of keys and values
-        self._max_entries, self._max_bytes = most, most_bytes
+        self._max_entries, self._max_bytes = max_entries, max_bytes
         self._bucket_digests = [0] * BUCKET_COUNT
         self._bucket_keys: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
 
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -94,7 +94,7 @@
         self.assertEqual((before, 0, {}), (document.digest, document.version, document.entries))
 
     def test_limits_of_a_value_a_change_and_the_document(self) -> None:
-        document = Document(most=3, most_bytes=1000)
+        document = Document(max_entries=3, max_bytes=1000)
         with self.assertRaises(DocumentTooLargeError):
             document.digest_after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
         with self.assertRaises(DocumentTooLargeError):
@@ -108,7 +108,7 @@
         self.assertEqual(3, len(document.entries))
 
     def test_a_full_document_still_takes_removals(self) -> None:
-        document = Document(most=2)
+        document = Document(max_entries=2)
         document.apply(change(document, entry("tenant/a", 1), entry("tenant/b", 1)))
         document._max_entries = 1
         document.apply(change(document, entry("tenant/a", None)))
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -239,7 +239,7 @@
         self.assertEqual(1, len(harness.take_actions(FetchDigestTree)))
 
     def test_a_document_over_the_limits_is_logged_and_fetched_again_only_after_a_wait(self) -> None:
-        harness, remote = FollowerHarness(document(3, 1, most=5)), document(60, 5)
+        harness, remote = FollowerHarness(document(3, 1, max_entries=5)), document(60, 5)
         harness.start_repair(0, remote)
         harness.answer_buckets(0, remote)
         self.assertEqual(["configuration exceeds this relay's limits"], harness.logged_events())
@@ -253,7 +253,7 @@
         self.assertEqual((6, 4), (harness.follower.document.version, len(harness.follower.document.entries)))
 
     def test_a_change_over_the_limits_leads_to_the_same_wait(self) -> None:
-        harness, remote = FollowerHarness(document(3, 1, most=3)), document(3, 1)
+        harness, remote = FollowerHarness(document(3, 1, max_entries=3)), document(3, 1)
         next_change = change(remote, entry("tenant/more", 1))
         remote.apply(next_change)
         harness.receive_line(0, 2, next_change)
--- a/tests/test_configuration_guards.py
+++ b/tests/test_configuration_guards.py
@@ -68,14 +68,14 @@
     def test_limits_hold_for_a_file_a_change_and_a_bucket(self) -> None:
         rows = [(f"tenant/{n}", b"1") for n in range(4)]
         with self.assertRaises(DocumentTooLargeError):
-            Document(most=3).load(rows)
+            Document(max_entries=3).load(rows)
         with self.assertRaises(DocumentTooLargeError):
-            Document(most_bytes=20).load(rows)
+            Document(max_bytes=20).load(rows)
         with self.assertRaises(DocumentTooLargeError):
             Document().load([("tenant/a", b'"%s"' % (b"x" * MAX_VALUE_BYTES))])
         with self.assertRaises(DocumentTooLargeError):
             Document().digest_after([entry("tenant/a", "x" * MAX_VALUE_BYTES)])
-        remote, local = Document(), Document(most=1)
+        remote, local = Document(), Document(max_entries=1)
         remote.load(rows)
         digest_tree, bucket_number = remote.digest_tree("h"), bucket_of("tenant/0")
         local.load([("tenant/other", b"1")])
