--- a/tests/replica_processes.py
+++ b/tests/replica_processes.py
@@ -87,7 +87,7 @@
         assert status == 200
         return decode(body, ReplicaStatus)
 
-    async def makes(self, ident: str, *numbers: int) -> int:
+    async def commit_proposal(self, ident: str, *numbers: int) -> int:
         """Proposes a change at these replicas, one after another until one accepts; returns its version."""
         answer = await submit_proposal(self.at(*numbers), proposal(ident, f"tenant/{ident}"), 25.0)
         assert isinstance(answer, AcceptedProposal), answer
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -45,7 +45,7 @@
             code, text = await publish(entries, "--patience", "0.3")
             self.assertEqual(2, code)  # replica 3 does not vote: it can propose once a version is committed
             self.assertIn("abstains", text)
-            await replicas.makes("the-first-change", 0)
+            await replicas.commit_proposal("the-first-change", 0)
             first = await publish(entries, "--ident", "first-one")
             self.assertEqual((0, "version 2, ident first-one\n"), first)
             code, text = await publish('[{"key": "tenant/a", "value": {"share": 7}}]')
@@ -87,7 +87,7 @@
             port = replicas.ports[1]
             status, _ = await call_replica(replicas.at(1)[0], "GET", b"/configuration/watch?from=0&digest=", b"", 5.0)
             self.assertEqual(503, status)  # no version is committed yet: another replica may have one
-            await replicas.makes("change-1", 1)
+            await replicas.commit_proposal("change-1", 1)
             while (await replicas.status(1)).staleness_ms > 1000:
                 await asyncio.sleep(0.05)
             digest = (await replicas.status(1)).digest
@@ -105,7 +105,7 @@
                         self.assertLess(line["behind_ms"], 1500)
 
             await until(1)
-            await replicas.makes("change-2", 0)
+            await replicas.commit_proposal("change-2", 0)
             await until(2)
             before = len(heads)
             while len(heads) < before + 2:  # heartbeats
@@ -117,7 +117,7 @@
     async def test_invalid_calls_are_rejected_and_the_replica_goes_on(self) -> None:
         async with replica_processes(1) as replicas:
             at = replicas.at(0)[0]
-            await replicas.makes("at-first", 0)
+            await replicas.commit_proposal("at-first", 0)
             bad = [
                 ("POST", b"/configuration", b"{", 400),
                 ("POST", b"/configuration", b'{"ident": "x"}', 400),
@@ -147,7 +147,7 @@
             for _, writer in open_connections:
                 writer.close()
             await asyncio.sleep(0.1)
-            await replicas.makes("still-here", 0)
+            await replicas.commit_proposal("still-here", 0)
 
 
 class Startup(unittest.TestCase):
