--- a/benchmarks/slopes/following.py
+++ b/benchmarks/slopes/following.py
@@ -30,22 +30,22 @@
 async def quiet(all_: Fleet) -> tuple[float, float]:
     """Share of a core in the mean, of a relay that follows and of a machine."""
     relays = [process.pid for process in all_.processes.values()]
-    machines = [process.pid for process in all_.machines.processes.values()]
-    before = [cpu_s(pid) for pid in relays + machines]
+    replicas = [process.pid for process in all_.replicas.processes.values()]
+    before = [cpu_s(pid) for pid in relays + replicas]
     await asyncio.sleep(QUIET)
-    spent = [cpu_s(pid) - was for pid, was in zip(relays + machines, before, strict=True)]
-    return sum(spent[:RELAYS]) / RELAYS / QUIET, sum(spent[RELAYS:]) / len(machines) / QUIET
+    spent = [cpu_s(pid) - was for pid, was in zip(relays + replicas, before, strict=True)]
+    return sum(spent[:RELAYS]) / RELAYS / QUIET, sum(spent[RELAYS:]) / len(replicas) / QUIET
 
 
 async def alone(all_: Fleet) -> float:
     """The same of relays whose file has no such section."""
     for number in range(RELAYS):
         await all_.kill(number)
-        file = all_.place.folder / f"relay-{number}.json"
+        file = all_.relay_platform.folder / f"relay-{number}.json"
         config = json.loads(file.read_text())
         del config["configuration"]
         file.write_text(json.dumps(config))
-        await all_.again(number, file)
+        await all_.start_with_file(number, file)
     await asyncio.sleep(2.0)
     return (await quiet(all_))[0]
 
@@ -71,8 +71,8 @@
             found.setdefault("change.in_force", []).append((total, time.monotonic() - began))
             pids = [process.pid for process in all_.processes.values()]
             found.setdefault("memory", []).append((total, max(resident_mb(pid) for pid in pids)))
-            machines = [process.pid for process in all_.machines.processes.values()]
-            found.setdefault("machine.memory", []).append((total, max(resident_mb(pid) for pid in machines)))
+            replicas = [process.pid for process in all_.replicas.processes.values()]
+            found.setdefault("machine.memory", []).append((total, max(resident_mb(pid) for pid in replicas)))
         found["quiet.alone"] = [(RELAYS, await alone(all_))]
     return found
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -33,15 +33,15 @@
 class Fleet:
     """Three replicas and six relays; relay n reaches replica m over `links.directions[REPLICAS + n, m]`."""
 
-    def __init__(self, machines: ReplicaProcesses, place: Platform) -> None:
-        self.machines, self.place = machines, place
+    def __init__(self, replicas: ReplicaProcesses, relay_platform: Platform) -> None:
+        self.replicas, self.relay_platform = replicas, relay_platform
         self.links = FaultyTcpLinks(REPLICAS + RELAYS)
         self.ports = free_ports(RELAYS)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
 
     async def start(self, number: int, quota: float = 100.0) -> None:
         """Starts a relay whose settings file has this quota for tenant m."""
-        config: dict[str, Any] = json.loads((self.place.folder / "config.json").read_text())
+        config: dict[str, Any] = json.loads((self.relay_platform.folder / "config.json").read_text())
         sources = [
             {"address": self.links.address(REPLICAS + number, m), "zone": f"zone-{m}", "region": "hellas"}
             for m in range(REPLICAS)
@@ -60,13 +60,13 @@
             "seed": f"{number + 1:x}",
             "configuration": {"sources": sources, "zone": f"zone-{number % REPLICAS}", "region": "hellas"},
         }
-        file = self.place.folder / f"relay-{number}.json"
+        file = self.relay_platform.folder / f"relay-{number}.json"
         file.write_text(json.dumps(config))
-        await self.again(number, file)
+        await self.start_with_file(number, file)
 
-    async def again(self, number: int, file: Path) -> None:
+    async def start_with_file(self, number: int, file: Path) -> None:
         """Starts a relay with an existing settings file."""
-        with (self.place.folder / f"relay-{number}.log").open("ab") as log:
+        with (self.relay_platform.folder / f"relay-{number}.log").open("ab") as log:
             self.processes[number] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -84,29 +84,29 @@
 
     def log(self, number: int) -> str:
         """The log of a relay."""
-        return (self.place.folder / f"relay-{number}.log").read_text()
+        return (self.relay_platform.folder / f"relay-{number}.log").read_text()
 
     async def publish(self, ident: str, entries: list[tuple[str, bytes]], *at: int) -> int:
         """Publishes entries through the first of these replicas (default: all) that accepts; returns the version."""
         rows = [decode(encode({"key": key, "value": json.loads(value)}), Entry) for key, value in entries]
-        answer = await submit_proposal(self.machines.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
+        answer = await submit_proposal(self.replicas.at(*(at or (0, 1, 2))), Proposal(ident, rows), 20.0)
         assert isinstance(answer, AcceptedProposal), answer
         return answer.version
 
-    async def versions(self, *machines: int) -> dict[int, int]:
+    async def versions(self, *replicas: int) -> dict[int, int]:
         """The newest version that each relay reported as applied, by these replicas, or by all."""
         versions: dict[int, int] = {}
-        for number in machines or range(REPLICAS):
+        for number in replicas or range(REPLICAS):
             with contextlib.suppress(Exception):
-                _, body = await call_replica(self.machines.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
+                _, body = await call_replica(self.replicas.at(number)[0], "GET", b"/configuration/status", b"", 1.0)
                 for row in decode(body, ReplicaStatus).relays:
                     versions[row.relay] = max(versions.get(row.relay, 0), row.version)
         return versions
 
-    async def in_force(self, version: int, *machines: int, relays: int = RELAYS) -> float:
+    async def in_force(self, version: int, *replicas: int, relays: int = RELAYS) -> float:
         """Waits until so many relays report this version or a newer one as applied; returns the seconds."""
         began = time.monotonic()
-        while sum(v >= version for v in (await self.versions(*machines)).values()) < relays:
+        while sum(v >= version for v in (await self.versions(*replicas)).values()) < relays:
             await asyncio.sleep(0.05)
         return time.monotonic() - began
 
@@ -115,11 +115,11 @@
 async def fleet() -> AsyncIterator[Fleet]:
     """Runs replicas and relays, and waits until all relays apply the first version."""
     async with (
-        replica_processes(REPLICAS) as machines,
-        platform(ScriptedEndpoint("u0"), listening=False) as place,
+        replica_processes(REPLICAS) as replicas,
+        platform(ScriptedEndpoint("u0"), listening=False) as relay_platform,
     ):
-        running_fleet = Fleet(machines, place)
-        await running_fleet.links.open([*machines.ports, *running_fleet.ports])
+        running_fleet = Fleet(replicas, relay_platform)
+        await running_fleet.links.open([*replicas.ports, *running_fleet.ports])
         first = [("tenant/m", b'{"quota_per_s":100.0,"share":1.0}')]
         await running_fleet.publish("first-of-all", first)
         try:
@@ -149,10 +149,10 @@
             self.assertLess(await running_fleet.in_force(version), 3.0)
             for number in range(RELAYS):
                 self.assertIn("tenant/new", running_fleet.log(number))
-            await running_fleet.machines.kill(0)
+            await running_fleet.replicas.kill(0)
             version = await running_fleet.publish("next-tenant", [("tenant/next", tenant(6))], 1, 2)
             self.assertLess(await running_fleet.in_force(version, 1, 2), 3.0)
-            await running_fleet.machines.start(
+            await running_fleet.replicas.start(
                 0, empty=True
             )  # an empty replica must not make a relay drop its document
             version = await running_fleet.publish("third-tenant", [("tenant/third", tenant(7))], 2)
@@ -162,10 +162,10 @@
     @live
     async def test_a_replica_is_stopped_and_continued(self) -> None:
         async with fleet() as running_fleet:
-            running_fleet.machines.signal(0, signal.SIGSTOP)
+            running_fleet.replicas.signal(0, signal.SIGSTOP)
             version = await running_fleet.publish("stopped-one", [("tenant/a", tenant(1))], 1, 2)
             self.assertLess(await running_fleet.in_force(version, 1, 2), 3.0)
-            running_fleet.machines.signal(0, signal.SIGCONT)
+            running_fleet.replicas.signal(0, signal.SIGCONT)
             version = await running_fleet.publish("woken-again", [("tenant/a", tenant(2))], 0)
             self.assertLess(await running_fleet.in_force(version), 3.0)
 
@@ -192,12 +192,12 @@
         async with fleet() as running_fleet:
             version = await running_fleet.publish("before-it-all", [("tenant/new", tenant(5))])
             await running_fleet.in_force(version)
-            await asyncio.gather(*(running_fleet.machines.kill(number) for number in range(REPLICAS)))
+            await asyncio.gather(*(running_fleet.replicas.kill(number) for number in range(REPLICAS)))
             await asyncio.sleep(2.0)
             _, writer = await asyncio.open_connection("127.0.0.1", running_fleet.ports[0])
             writer.close()
-            await asyncio.gather(*(running_fleet.machines.start(number) for number in range(REPLICAS)))
-            await running_fleet.machines.wait_until_voting(*range(REPLICAS))
+            await asyncio.gather(*(running_fleet.replicas.start(number) for number in range(REPLICAS)))
+            await running_fleet.replicas.wait_until_voting(*range(REPLICAS))
             version = await running_fleet.publish("after-it-all", [("tenant/new", tenant(6))])
             await running_fleet.in_force(version)
             self.assertTrue(all(process.returncode is None for process in running_fleet.processes.values()))
@@ -217,7 +217,7 @@
     async def test_an_invalid_value_is_rejected_and_unknown_kinds_are_kept(self) -> None:
         async with fleet() as running_fleet:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
-            answer = await submit_proposal(running_fleet.machines.at(0), bad, 5.0)
+            answer = await submit_proposal(running_fleet.replicas.at(0), bad, 5.0)
             assert isinstance(answer, RejectedProposal)
             self.assertEqual("malformed", answer.reason)
             self.assertIn("tenant/bad", answer.text)
