--- a/lanelead/http_relay/service.py
+++ b/lanelead/http_relay/service.py
@@ -89,21 +89,21 @@
         settings = self._settings
         service = settings.service
         quota = service.allowance
-        request_classes = [row.figures() for row in service.lanes]
-        limits = service.duties.figures(settings.discovery == "subscribe")
+        request_classes = [row.to_parameters() for row in service.lanes]
+        limits = service.duties.to_parameters(settings.discovery == "subscribe")
         self._tenants = [Tenant(row.name, row.quota, row.share) for row in service.members]
         decisions: Decisions = Balancer(
             position=position_of(settings),
             request_classes=request_classes,
             tenants=self._tenants,
-            quota=quota.figures(settings.peers is not None),
+            quota=quota.to_parameters(settings.peers is not None),
             limits=limits,
-            canary_limits=service.trial.figures(),
-            voting_rules=service.poll.figures(),
+            canary_limits=service.trial.to_parameters(),
+            voting_rules=service.poll.to_parameters(),
             prices=NO_PRICES,
             rng=Random(settings.seed * 65537 + settings.number),
             now=self.clock(),
-            preference=NO_ZONE_PREFERENCE if settings.spill is None else settings.spill.figures(),
+            preference=NO_ZONE_PREFERENCE if settings.spill is None else settings.spill.to_parameters(),
         )
         if wrapper is not None:
             decisions = wrapper(decisions)
--- a/lanelead/settings/relay_settings.py
+++ b/lanelead/settings/relay_settings.py
@@ -60,7 +60,7 @@
     grow: float  # longest latency objectives, in which the diverted share may grow from 0 to 1
     shrink: float  # slow-start times, in which it may shrink from 1 to 0
 
-    def figures(self) -> interface.ZonePreference:
+    def to_parameters(self) -> interface.ZonePreference:
         """Returns these settings as the parameters that the decisions take."""
         return interface.ZonePreference(
             tiers=tuple(map(tuple, self.tiers)),
--- a/lanelead/settings/service_settings.py
+++ b/lanelead/settings/service_settings.py
@@ -1,7 +1,7 @@
 """The settings that all relays and clients of a service share, and their conversion to parameters of the decisions.
 
 Settings are in milliseconds (`..._ms`); the decisions take ticks, which are whole tenths of a millisecond. The field
-names are the keys of settings files, which stay as they are; the `figures` methods map them to the usual terms, and
+names are the keys of settings files, which stay as they are; the `to_parameters` methods map them to the usual terms, and
 docs/ARCHITECTURE.md lists the terms of all of them.
 """
 
@@ -40,7 +40,7 @@
     scope: str
     memory_ms: float
 
-    def figures(self) -> interface.RequestClass:
+    def to_parameters(self) -> interface.RequestClass:
         """Returns these settings as the parameters that the decisions take."""
         return interface.RequestClass(
             name=self.name,
@@ -91,7 +91,7 @@
     idle_limit_ms: float
     unit_connections: int  # to one endpoint
 
-    def figures(self, peers: bool) -> interface.ResourceQuota:
+    def to_parameters(self, peers: bool) -> interface.ResourceQuota:
         """Returns these settings as the parameters that the decisions take."""
         return interface.ResourceQuota(
             max_attempts=self.trips,
@@ -120,7 +120,7 @@
     fall_ms: float
     tick_ms: float
 
-    def figures(self, subscribe: bool) -> interface.ServiceLimits:
+    def to_parameters(self, subscribe: bool) -> interface.ServiceLimits:
         """Returns these settings as the parameters that the decisions take."""
         return interface.ServiceLimits(
             response_slack=ticks(self.answer_slack_ms),
@@ -147,7 +147,7 @@
     keys_stay: bool
     in_place: bool
 
-    def figures(self) -> interface.CanaryLimits:
+    def to_parameters(self) -> interface.CanaryLimits:
         """Returns these settings as the parameters that the decisions take."""
         return interface.CanaryLimits(
             shares=tuple(self.shares),
@@ -177,7 +177,7 @@
     harm_price: float
     complaint_share: float
 
-    def figures(self) -> interface.VotingRules:
+    def to_parameters(self) -> interface.VotingRules:
         """Returns these settings as the parameters that the decisions take."""
         return interface.VotingRules(
             control=PROMOTION_CONTROLS[self.control],
--- a/lanelead/testbed/simulation/simulated_relay.py
+++ b/lanelead/testbed/simulation/simulated_relay.py
@@ -45,10 +45,10 @@
         self._armed: Ticks | None = None
         self.out: dict[Attempt, bool] = {}  # trips under way, and whether a byte was written
         self.asked: dict[ClientTry, None] = {}
-        self.lanes = [request_class.figures() for request_class in service.lanes]
+        self.lanes = [request_class.to_parameters() for request_class in service.lanes]
         self.by_lane = {request_class.name: request_class for request_class in self.lanes}
         self.members = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
-        limits = service.duties.figures(False)
+        limits = service.duties.to_parameters(False)
         preference = NO_ZONE_PREFERENCE
         if day.spill is not None:
             others = tuple(zone for zone in day.units.zones if zone != self.zone)
@@ -58,10 +58,10 @@
             position=RelayPosition(number, day.relays, self.zone),
             request_classes=self.lanes,
             tenants=list(self.members.values()),
-            quota=service.allowance.figures(True),
+            quota=service.allowance.to_parameters(True),
             limits=limits,
-            canary_limits=service.trial.figures(),
-            voting_rules=service.poll.figures(),
+            canary_limits=service.trial.to_parameters(),
+            voting_rules=service.poll.to_parameters(),
             prices=NO_PRICES,
             rng=stream(town.seed, f"relay {number} {town.clock.now}"),
             now=self.clock(),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -56,7 +56,7 @@
     def test_defaults_are_filled_in_and_the_record_is_typed(self) -> None:
         record = relay()
         self.assertEqual((record.service.allowance.trips, record.listen.host), (3, "127.0.0.1"))
-        self.assertEqual(record.service.lanes[0].figures().latency_objective, 1000)
+        self.assertEqual(record.service.lanes[0].to_parameters().latency_objective, 1000)
 
     def test_all_faults_are_reported_with_line_column_field_and_expected_value(self) -> None:
         text = GOOD.replace("relays: 3", 'relays: "x"').replace("number: 0", "number: -1")
