--- a/lanelead/configuration/service.py
+++ b/lanelead/configuration/service.py
@@ -38,7 +38,7 @@
 from lanelead.configuration.store import Store, StoreError
 from lanelead.http import client, serialization
 from lanelead.http.requests import HttpRequest
-from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.http.server import STREAM_HEAD, ServerConnection, chunk
 from lanelead.protocols.configuration import (
     Accept,
     AcceptedProposal,
@@ -366,7 +366,7 @@
 
     def _watch_route(self, connection: ServerConnection, query: dict[str, str]) -> None:
         position = self._publisher().resume_position(integer_parameter(query, "from"), query.get("digest", ""))
-        connection.write(STREAM)
+        connection.write(STREAM_HEAD)
         self._watchers[connection] = Watcher(position, -1e9)
         self._write_watches(self._now() - WATCH_HEARTBEAT_SECONDS + WATCH_CHECK_SECONDS)
 
--- a/lanelead/http/server.py
+++ b/lanelead/http/server.py
@@ -15,7 +15,7 @@
 MAX_BODY_BYTES = 64 << 20
 
 # Head of a response that streams JSON lines in chunks.
-STREAM = b"HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\ntransfer-encoding: chunked\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\ntransfer-encoding: chunked\r\n\r\n"
 
 
 class ServerConnection(asyncio.Protocol):
--- a/lanelead/store/service.py
+++ b/lanelead/store/service.py
@@ -21,7 +21,7 @@
 
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
-from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.http.server import STREAM_HEAD, ServerConnection, chunk
 from lanelead.protocols.feeds import MessageError, decode, encode
 from lanelead.protocols.migrations import (
     AcknowledgeRequest,
@@ -162,7 +162,7 @@
         if "relay" in query:
             self.store.register_relay(query["relay"])
         since_seq = query.get("since", 0)
-        connection.write(STREAM)
+        connection.write(STREAM_HEAD)
         self._watchers[connection] = since_seq
         connection.close_callbacks.append(lambda: self._stop_watching(connection))
         # A page without entries first, from which the watcher learns the sequence number of the last entry.
--- a/lanelead/testbed/emulators/discovery.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -13,7 +13,7 @@
 
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
-from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.http.server import STREAM_HEAD, ServerConnection, chunk
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, encode
 from lanelead.testbed.emulators.event_recording import Tap, clock
 
@@ -130,7 +130,7 @@
         rows = list(self._endpoints.values())
         if path == b"/roster/watch":
             relay = relay_number(request)
-            connection.write(STREAM)
+            connection.write(STREAM_HEAD)
             self._watchers[connection] = relay
             connection.close_callbacks.append(lambda: self._remove_watcher(connection))
             self._send_update(connection, relay, "full", rows)
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -9,7 +9,7 @@
 
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
-from lanelead.http.server import STREAM, ServerConnection, chunk
+from lanelead.http.server import STREAM_HEAD, ServerConnection, chunk
 from lanelead.protocols.feeds import MessageError, VoteRequest, VoteResponse, decode, encode
 from lanelead.settings.service_settings import CanarySettings, VotingSettings
 from lanelead.testbed.emulators.discovery import RestartableServer, relay_number
@@ -85,7 +85,7 @@
         path = request.target.partition(b"?")[0]
         if path == b"/news":
             relay = relay_number(request)
-            connection.write(STREAM)
+            connection.write(STREAM_HEAD)
             self._watchers[connection] = relay
             connection.close_callbacks.append(lambda: self._remove_watcher(connection))
             self._send_state(connection, relay)
--- a/tests/scripted_replica.py
+++ b/tests/scripted_replica.py
@@ -14,7 +14,7 @@
 from lanelead.configuration.publisher import ChangePublisher, SnapshotExpiredError
 from lanelead.configuration.value_types import EntryValue
 from lanelead.http import serialization
-from lanelead.http.server import STREAM, chunk
+from lanelead.http.server import STREAM_HEAD, chunk
 from lanelead.postgres_relay.config import ConfigurationSource, ConfigurationSources
 from lanelead.postgres_relay.configuration_client import ConfigurationClient
 from lanelead.protocols.configuration import Entry, WatchLine
@@ -90,7 +90,7 @@
     ) -> None:
         source, loop = self.source, asyncio.get_running_loop()
         if path == WATCH:
-            await self.write(writer, STREAM)
+            await self.write(writer, STREAM_HEAD)
             position = source.resume_position(int(query["from"]), query["digest"])
             first: dict[str, Any] = {"resume_version": position}
             while not reader.at_eof():
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_feed.py
@@ -11,7 +11,7 @@
 
 from lanelead.configuration.follower import Follower
 from lanelead.configuration.value_types import TenantValue
-from lanelead.http.server import STREAM, chunk
+from lanelead.http.server import STREAM_HEAD, chunk
 from lanelead.postgres_relay.configuration_client import MAX_RESPONSE_BYTES
 from lanelead.protocols.configuration import BUCKET_COUNT as ALL
 from lanelead.protocols.configuration import Buckets, Entry, WatchLine
@@ -40,7 +40,7 @@
     """A watch that sends these chunks and then stays silent, or ends."""
 
     async def answer(replica: ScriptedReplica, writer: Writer) -> None:
-        await replica.write(writer, STREAM)
+        await replica.write(writer, STREAM_HEAD)
         for text in texts:
             await replica.write(writer, chunk(text))
         if stay_open:
@@ -60,14 +60,14 @@
 
 async def endless(replica: ScriptedReplica, writer: Writer) -> None:
     """A body without an end and without a line break."""
-    await replica.write(writer, STREAM)
+    await replica.write(writer, STREAM_HEAD)
     while True:
         await replica.write(writer, chunk(b"[" * 65536))
 
 
 async def byte_by_byte(replica: ScriptedReplica, writer: Writer) -> None:
     """A valid response, one byte every 50 ms."""
-    for byte in STREAM + chunk(line(replica.source)):
+    for byte in STREAM_HEAD + chunk(line(replica.source)):
         await replica.write(writer, bytes([byte]))
         await asyncio.sleep(0.05)
 
