--- a/lanelead/settings/service_settings.py
+++ b/lanelead/settings/service_settings.py
@@ -1,8 +1,8 @@
 """The settings that all relays and clients of a service share, and their conversion to parameters of the decisions.
 
 Settings are in milliseconds (`..._ms`); the decisions take ticks, which are whole tenths of a millisecond. The field
-names are the keys of settings files, which stay as they are; the `to_parameters` methods map them to the usual terms, and
-docs/ARCHITECTURE.md lists the terms of all of them.
+names are the keys of settings files, which stay as they are; the `to_parameters` methods map them to the usual terms,
+and docs/ARCHITECTURE.md lists the terms of all of them.
 """
 
 from __future__ import annotations
