--- a/tests/postgres_platform.py
+++ b/tests/postgres_platform.py
@@ -331,11 +331,11 @@
 ) -> AsyncIterator[Platform]:
     """Runs a platform with its relay; with `silent`, discovery does not respond until the test lets it."""
     with tempfile.TemporaryDirectory() as folder:
-        place = Platform(Path(folder), list(endpoints), sockets, known)
+        env = Platform(Path(folder), list(endpoints), sockets, known)
         if silent:
-            place.discovery_responds.clear()
-        await place.open(listening)
+            env.discovery_responds.clear()
+        await env.open(listening)
         try:
-            yield place
+            yield env
         finally:
-            await place.close()
+            await env.close()
--- a/tests/relay_processes.py
+++ b/tests/relay_processes.py
@@ -18,10 +18,10 @@
 
 
 class RelayProcess:
-    """A relay's process and its log lines. `place` is the platform that it uses."""
+    """A relay's process and its log lines. `env` is the platform that it uses."""
 
-    def __init__(self, place: Platform, process: asyncio.subprocess.Process, port: int) -> None:
-        self.place, self.process, self.port = place, process, port
+    def __init__(self, env: Platform, process: asyncio.subprocess.Process, port: int) -> None:
+        self.env, self.process, self.port = env, process, port
         self.log: list[dict[str, object]] = []
         self._reading = asyncio.create_task(self._read())
 
@@ -47,7 +47,7 @@
     async def client(self) -> PostgresClient:
         """Connects a client that is ready to send requests."""
         client = PostgresClient(*await asyncio.open_connection("127.0.0.1", self.port))
-        self.place.writers.append(client.writer)
+        self.env.writers.append(client.writer)
         client.writer.write(messages.startup("app", "shop"))
         await client.response()
         return client
@@ -65,7 +65,7 @@
         return code
 
 
-async def start_relay(place: Platform, file: Path, port: int) -> RelayProcess:
+async def start_relay(env: Platform, file: Path, port: int) -> RelayProcess:
     """Starts a relay process with a configuration file; `port` is the one in the file where it listens."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -76,7 +76,7 @@
         stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "NODE_CONFIG": str(file)},
     )
-    return RelayProcess(place, process, port)
+    return RelayProcess(env, process, port)
 
 
 @contextlib.asynccontextmanager
@@ -85,17 +85,17 @@
 
     `known` says whether its file has an endpoint list; `silent` keeps discovery from responding.
     """
-    async with platform(*endpoints) as place:
+    async with platform(*endpoints) as env:
         if silent:
-            place.discovery_responds.clear()
-        config = json.loads((place.folder / "config.json").read_text())
+            env.discovery_responds.clear()
+        config = json.loads((env.folder / "config.json").read_text())
         port = free_port()
         config |= {"listen": f"127.0.0.1:{port}", "peer_listen": "", "peers": []}
         if not known:
             config["known"] = {"version": 0, "full": True, "servers": []}
-        file = place.folder / "other.json"
+        file = env.folder / "other.json"
         file.write_text(json.dumps(config))
-        relay_process = await start_relay(place, file, port)
+        relay_process = await start_relay(env, file, port)
         try:
             yield relay_process
         finally:
--- a/tests/test_client_violations.py
+++ b/tests/test_client_violations.py
@@ -24,7 +24,7 @@
         start = messages.startup("app", "shop")
         many = b"".join(messages.query(statement(str(n))) for n in range(300))
         with mock.patch.multiple(client_listener, SILENCE_TIMEOUT_SECONDS=0.3):
-            async with platform(ScriptedEndpoint("u0")) as place:
+            async with platform(ScriptedEndpoint("u0")) as env:
                 for text in (
                     b"GET / HTTP/1.1\r\n\r\n",
                     b"\xff" * 5000,
@@ -42,16 +42,16 @@
                     start[:9],
                     b"\0\0\0\x08\4\xd2\x16\x2e",
                 ):
-                    client = await place.client(start=False)
+                    client = await env.client(start=False)
                     client.writer.write(text)
                     received = b""
                     while b"SERROR\0" not in received and (more := await client.reader.read(65536)):
                         received += more
                     self.assertNotIn(b"C53300", received, text[:50])
                     self.assertNotIn(b"DataRow", received)
-                self.assertEqual(place.endpoints[0].queries, [])
-                self.assertIn("D", await (await place.client()).request("1a"))
-                await place.until(lambda: len(place.relay.listener.clients) <= 1 + 4)
+                self.assertEqual(env.endpoints[0].queries, [])
+                self.assertIn("D", await (await env.client()).request("1a"))
+                await env.until(lambda: len(env.relay.listener.clients) <= 1 + 4)
 
     @live
     async def test_request_before_a_violation_is_answered(self) -> None:
@@ -59,8 +59,8 @@
             await asyncio.sleep(0.1)
             return await echo_id(endpoint, text)
 
-        async with platform(ScriptedEndpoint("u0", slow)) as place:
-            client = await place.client()
+        async with platform(ScriptedEndpoint("u0", slow)) as env:
+            client = await env.client()
             client.send("1a")
             client.writer.write(b"\0noise")
             self.assertTrue((await client.response())["D"].endswith(b"value of 1a"))
@@ -70,22 +70,22 @@
     @live
     async def test_request_before_a_violation_fails_after_the_grace_period(self) -> None:
         with mock.patch.multiple(client_listener, VIOLATION_GRACE_SECONDS=0.2):
-            async with platform(ScriptedEndpoint("u0", no_response)) as place:
-                client = await place.client()
+            async with platform(ScriptedEndpoint("u0", no_response)) as env:
+                client = await env.client()
                 client.send("1a")
                 client.writer.write(b"\0noise")
                 self.assertEqual((await client.response())["C"], b"58000")
                 self.assertEqual((await client.response())["C"], b"08P01")
-                self.assertEqual((place.relay.driver.pending, place.relay.listener.open_request_ids), ({}, {}))
+                self.assertEqual((env.relay.driver.pending, env.relay.listener.open_request_ids), ({}, {}))
 
     @live
     async def test_silent_connections_leave_room_for_active_clients(self) -> None:
-        async with platform(ScriptedEndpoint("u0"), sockets=64) as place:
-            requester = await place.client()
+        async with platform(ScriptedEndpoint("u0"), sockets=64) as env:
+            requester = await env.client()
             await requester.request("1a")
             for _ in range(60):
-                await place.client(start=False)
+                await env.client(start=False)
             await asyncio.sleep(0.15)
             self.assertIn("D", await requester.request("2a"))
-            self.assertIn("D", await (await place.client()).request("3a"))
-            self.assertLessEqual(len(place.relay.listener.clients), 20)
+            self.assertIn("D", await (await env.client()).request("3a"))
+            self.assertLessEqual(len(env.relay.listener.clients), 20)
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -38,7 +38,7 @@
             await relay_process.until("listening")
             client = await relay_process.client()
             client.send("1a")
-            await relay_process.place.until(lambda: len(relay_process.place.endpoints[0].queries) == 1)
+            await relay_process.env.until(lambda: len(relay_process.env.endpoints[0].queries) == 1)
             for _ in range(3):
                 relay_process.process.send_signal(signal.SIGTERM)
             await relay_process.until("draining")
@@ -73,7 +73,7 @@
             self.assertEqual(await relay_process.ended(), -signal.SIGKILL)
             self.assertEqual(await client.reader.read(), b"")
             second_process = await start_relay(
-                relay_process.place, relay_process.place.folder / "other.json", relay_process.port
+                relay_process.env, relay_process.env.folder / "other.json", relay_process.port
             )
             await second_process.until("listening")
             self.assertIn("D", await (await second_process.client()).request("1a"))
--- a/tests/test_sigkill_races.py
+++ b/tests/test_sigkill_races.py
@@ -43,21 +43,21 @@
 
 async def wait_until_accepted(relay_process: RelayProcess, sock: socket.socket) -> None:
     """Waits until the relay has accepted the connection."""
-    await relay_process.place.until(lambda: bool(inode(sock)))
+    await relay_process.env.until(lambda: bool(inode(sock)))
 
 
 async def suspend(relay_process: RelayProcess) -> None:
     """Suspends the relay until it is killed or continued."""
     relay_process.process.send_signal(signal.SIGSTOP)
     path = Path(f"/proc/{relay_process.process.pid}/stat")
-    await relay_process.place.until(lambda: path.read_text().rsplit(")", 1)[1].split()[0] == "T")
+    await relay_process.env.until(lambda: path.read_text().rsplit(")", 1)[1].split()[0] == "T")
 
 
 def connect(relay_process: RelayProcess, data: bytes = b"") -> socket.socket:
     """Connects to the relay and sends `data`."""
     sock = socket.create_connection(("127.0.0.1", relay_process.port))
     sock.sendall(data)
-    relay_process.place.raw_sockets.append(sock)
+    relay_process.env.raw_sockets.append(sock)
     return sock
 
 
@@ -70,7 +70,7 @@
 
 async def start_successor(relay_process: RelayProcess, stack: contextlib.AsyncExitStack) -> RelayProcess:
     """Starts another relay on the same address at once, and waits until it listens."""
-    successor = await start_relay(relay_process.place, relay_process.place.folder / "other.json", relay_process.port)
+    successor = await start_relay(relay_process.env, relay_process.env.folder / "other.json", relay_process.port)
     stack.push_async_callback(successor.kill_and_wait)
     await successor.until("listening")
     return successor
@@ -79,7 +79,7 @@
 def request_ids(relay_process: RelayProcess) -> list[bytes]:
     """Returns the ids of the requests that reached an endpoint."""
     return [
-        text.split(b"id=")[1].split(b",")[0] for endpoint in relay_process.place.endpoints for text in endpoint.queries
+        text.split(b"id=")[1].split(b",")[0] for endpoint in relay_process.env.endpoints for text in endpoint.queries
     ]
 
 
@@ -97,7 +97,7 @@
             socks[1].sendall(REQUEST_BYTES[:60])
             await kill(relay_process)
             for sock in socks:
-                self.assertEqual(await relay_process.place.read_to_end(sock), b"")
+                self.assertEqual(await relay_process.env.read_to_end(sock), b"")
             successor = await start_successor(relay_process, stack)
             self.assertIn("D", await (await successor.client()).request("2a"))
             self.assertEqual(request_ids(successor), [b"2a"])
@@ -112,7 +112,7 @@
             await kill(relay_process)
             successor = await start_successor(relay_process, stack)
             for sock in socks:
-                self.assertEqual(await relay_process.place.read_to_end(sock), b"")
+                self.assertEqual(await relay_process.env.read_to_end(sock), b"")
             self.assertIn("D", await (await successor.client()).request("2a"))
             self.assertEqual(request_ids(successor), [b"2a"])
 
@@ -134,7 +134,7 @@
             successor.process.send_signal(signal.SIGCONT)
             successor.process.send_signal(signal.SIGTERM)  # so that each connection closes once it is answered
             for number, sock in enumerate(socks):
-                received = await relay_process.place.read_to_end(sock)
+                received = await relay_process.env.read_to_end(sock)
                 self.assertTrue(b"value of %x" % number in received or b"C53300" in received, received)
             self.assertEqual(await successor.ended(), 0)
 
@@ -148,14 +148,14 @@
             for number in range(3):
                 idle, requester = await current.client(), await current.client()
                 requester.send(f"{number}a")
-                await relay_process.place.until(lambda number=number: len(endpoint.queries) == number + 1)  # type: ignore
+                await relay_process.env.until(lambda number=number: len(endpoint.queries) == number + 1)  # type: ignore
                 await suspend(current)
                 queued = connect(current, REQUEST_BYTES)
                 await kill(current)
                 for client in (idle, requester):
                     with contextlib.suppress(ConnectionError):
                         self.assertEqual(await client.reader.read(), b"")
-                self.assertEqual(await relay_process.place.read_to_end(queued), b"")
+                self.assertEqual(await relay_process.env.read_to_end(queued), b"")
                 endpoint.permits.release()  # the response to a relay that is gone
                 current = await start_successor(current, stack)
             endpoint.permits.release()
@@ -185,15 +185,15 @@
     async def test_connections_without_request_are_known_without_a_scan(self) -> None:
         # In a scenario with 770 new connections a second, looking at all 500 open ones was half of the cost of each new
         # one. The listener therefore keeps those without a request separately.
-        async with platform(ScriptedEndpoint("u0")) as place:
-            listener = place.relay.listener
-            requester, leaving = await place.client(), place.raw_client()
-            place.raw_client()
-            await place.until(lambda: len(listener.clients) == 3)
+        async with platform(ScriptedEndpoint("u0")) as env:
+            listener = env.relay.listener
+            requester, leaving = await env.client(), env.raw_client()
+            env.raw_client()
+            await env.until(lambda: len(listener.clients) == 3)
             self.assertEqual(list(listener.clients), list(listener.without_request))
             await requester.request("1a")
             leaving.close()
-            await place.until(lambda: len(listener.clients) == 2)
+            await env.until(lambda: len(listener.clients) == 2)
             self.assertEqual(
                 [client for client in listener.clients if not client.has_requested], list(listener.without_request)
             )
--- a/tests/test_upstream_races.py
+++ b/tests/test_upstream_races.py
@@ -24,64 +24,64 @@
 from tests.town import live
 
 
-def manual_loop(place: Platform) -> ManualLoop:
+def manual_loop(env: Platform) -> ManualLoop:
     """Lets the test advance the clock and the timers of the relay's upstream connections; nothing else is affected."""
     clock = ManualLoop(asyncio.get_running_loop())
-    place.relay.upstream._loop = cast(asyncio.AbstractEventLoop, clock)
+    env.relay.upstream._loop = cast(asyncio.AbstractEventLoop, clock)
     return clock
 
 
-def registered_endpoint(place: Platform, name: str = "u0") -> Endpoint:
+def registered_endpoint(env: Platform, name: str = "u0") -> Endpoint:
     """Returns the relay's record of an endpoint."""
-    return place.relay.driver.registry.by_name[name]
+    return env.relay.driver.registry.by_name[name]
 
 
-def idle_connections(place: Platform, name: str = "u0") -> list[UpstreamConnection]:
+def idle_connections(env: Platform, name: str = "u0") -> list[UpstreamConnection]:
     """Returns the relay's idle connections to an endpoint."""
-    return place.relay.upstream._pools[registered_endpoint(place, name)].idle
+    return env.relay.upstream._pools[registered_endpoint(env, name)].idle
 
 
-def change_listed_endpoint(place: Platform, **fields: Any) -> None:
+def change_listed_endpoint(env: Platform, **fields: Any) -> None:
     """Hands the relay an endpoint list at once, in which the first endpoint has the given fields."""
-    listing = json.loads(place.list_of(place.endpoints[:1], full=False))
+    listing = json.loads(env.list_of(env.endpoints[:1], full=False))
     listing["servers"][0] |= fields
-    place.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(listing).encode(), EndpointList)))
+    env.relay._on_endpoint_list(read_endpoint_list(decode(json.dumps(listing).encode(), EndpointList)))
 
 
 class HealthChecks(unittest.TestCase):
     @live
     async def test_timer_of_an_earlier_health_check_does_not_end_a_later_one(self) -> None:
         endpoint = HeldEndpoint()
-        async with platform(endpoint) as place:
-            clock, upstream, health_checked = manual_loop(place), place.relay.upstream, mock.Mock()
-            with mock.patch.object(place.relay.driver, "health_checked", health_checked):
+        async with platform(endpoint) as env:
+            clock, upstream, health_checked = manual_loop(env), env.relay.upstream, mock.Mock()
+            with mock.patch.object(env.relay.driver, "health_checked", health_checked):
                 endpoint.permits.release()
-                place.relay.check_health(registered_endpoint(place))
-                place.relay.after_event()
-                await place.until(lambda: health_checked.call_count == 1)
+                env.relay.check_health(registered_endpoint(env))
+                env.relay.after_event()
+                await env.until(lambda: health_checked.call_count == 1)
                 clock.advance(0.2)  # the second starts 0.05 s before the first one's timeout
-                place.relay.check_health(registered_endpoint(place))
-                place.relay.after_event()
-                await place.until(lambda: len(endpoint.queries) == 2)
+                env.relay.check_health(registered_endpoint(env))
+                env.relay.after_event()
+                await env.until(lambda: len(endpoint.queries) == 2)
                 self.assertEqual((endpoint.connections, len(upstream.connections)), (1, 1))
                 clock.advance(0.1)
                 self.assertEqual((health_checked.call_count, len(upstream.connections)), (1, 1))
                 endpoint.permits.release()
-                await place.until(lambda: health_checked.call_count == 2)
+                await env.until(lambda: health_checked.call_count == 2)
                 self.assertEqual(
                     [call.args[1] for call in health_checked.call_args_list], [AttemptOutcome.SUCCEEDED] * 2
                 )
 
     @live
     async def test_immediate_health_check_failure_is_not_reported_within_the_call(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            await (await place.client()).request("1a")
-            await place.until_reusable()
-            idle_connections(place)[0].sock.shutdown(socket.SHUT_WR)  # it looks usable, but sending fails
-            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as health_checked:
-                place.relay.check_health(registered_endpoint(place))
+        async with platform(ScriptedEndpoint("u0")) as env:
+            await (await env.client()).request("1a")
+            await env.until_reusable()
+            idle_connections(env)[0].sock.shutdown(socket.SHUT_WR)  # it looks usable, but sending fails
+            with mock.patch.object(env.relay.driver, "health_checked", mock.Mock()) as health_checked:
+                env.relay.check_health(registered_endpoint(env))
                 self.assertEqual(health_checked.call_count, 0)
-                place.relay.after_event()
+                env.relay.after_event()
                 self.assertEqual(health_checked.call_args.args[1], AttemptOutcome.CONNECT_FAILED)
 
 
@@ -95,47 +95,47 @@
                     return b""
             return await echo_id(endpoint, text)
 
-        async with platform(ScriptedEndpoint("u0", repeat_first_response)) as place:
-            manual_loop(place)  # no time passes for the relay's pools
-            client = await place.client()
+        async with platform(ScriptedEndpoint("u0", repeat_first_response)) as env:
+            manual_loop(env)  # no time passes for the relay's pools
+            client = await env.client()
             self.assertTrue((await client.request("1a"))["D"].endswith(b"value of 1a"))
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
     @live
     async def test_connection_is_reused_after_the_delay(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            clock, client = manual_loop(place), await place.client()
+        async with platform(ScriptedEndpoint("u0")) as env:
+            clock, client = manual_loop(env), await env.client()
             for number in range(3):
                 await client.request(f"{number}a")
                 clock.advance(0.02)
-            self.assertEqual(place.endpoints[0].connections, 1)
+            self.assertEqual(env.endpoints[0].connections, 1)
 
     @live
     async def test_attempt_on_a_broken_idle_connection_never_ran(self) -> None:
-        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
-            client = await place.client()
+        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
+            client = await env.client()
             for number in range(8):
                 await client.request(f"{number}a")
-                await place.until_reusable()
-            upstream = place.relay.upstream
+                await env.until_reusable()
+            upstream = env.relay.upstream
             for connection in upstream.connections:
                 connection.sock.shutdown(socket.SHUT_WR)
             self.assertIn("D", await client.request("9a", "file"))  # not idempotent, yet retried
-            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
-            self.assertGreaterEqual(place.relay.driver.counters.outcomes[AttemptOutcome.CONNECT_FAILED], 1)
+            self.assertEqual(env.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
+            self.assertGreaterEqual(env.relay.driver.counters.outcomes[AttemptOutcome.CONNECT_FAILED], 1)
 
     @live
     async def test_attempt_reset_after_its_query_was_read_may_have_run(self) -> None:
         async def reset_second(endpoint: ScriptedEndpoint, text: bytes) -> bytes | None:
             return None if b"id=2a," in text else await echo_id(endpoint, text)
 
-        async with platform(ScriptedEndpoint("u0", reset_second)) as place:
-            client = await place.client()
+        async with platform(ScriptedEndpoint("u0", reset_second)) as env:
+            client = await env.client()
             await client.request("1a", "file")
-            await place.until_reusable()
+            await env.until_reusable()
             self.assertEqual((await client.request("2a", "file"))["C"], b"58000")
-            self.assertEqual(place.relay.driver.counters.outcomes[AttemptOutcome.RESET], 1)
-            self.assertEqual(len(place.endpoints[0].queries), 2)
+            self.assertEqual(env.relay.driver.counters.outcomes[AttemptOutcome.RESET], 1)
+            self.assertEqual(len(env.endpoints[0].queries), 2)
 
     @live
     async def test_response_without_ready_is_passed_on_and_its_connection_closes(self) -> None:
@@ -144,11 +144,11 @@
         async def omit_ready(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             return responses.pop(0)
 
-        async with platform(ScriptedEndpoint("u0", omit_ready)) as place:
-            client = await place.client()
+        async with platform(ScriptedEndpoint("u0", omit_ready)) as env:
+            client = await env.client()
             self.assertTrue((await client.request("1a"))["D"].endswith(b"first"))
             self.assertTrue((await client.request("2a"))["D"].endswith(b"second"))
-            self.assertEqual(place.endpoints[0].connections, 2)
+            self.assertEqual(env.endpoints[0].connections, 2)
 
     @live
     async def test_response_before_the_query_was_sent_completely_is_malformed(self) -> None:
@@ -169,10 +169,10 @@
         server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
         server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         endpoint = ScriptedEndpoint("u0")
-        async with platform(endpoint, ScriptedEndpoint("u1")) as place:
+        async with platform(endpoint, ScriptedEndpoint("u1")) as env:
             endpoint.server.close()
-            change_listed_endpoint(place, addr=f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
-            client, text = await place.client(), statement("1a", "file").decode()
+            change_listed_endpoint(env, addr=f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+            client, text = await env.client(), statement("1a", "file").decode()
             large_statement = text.replace(
                 "SELECT doc FROM items WHERE id = 'ab12'",
                 f"INSERT INTO items (id, doc) VALUES ('ab12', '\\x{'00' * 60_000}') RETURNING doc",
@@ -182,86 +182,86 @@
                     client.writer.write(query(large_statement.replace("id=1a", f"id={number}a").encode()))
                     response = await client.response()
                     self.assertTrue(response["D"].endswith(b"value of %da" % number), response)
-            self.assertGreaterEqual(place.relay.upstream.malformed_responses, 1)
-            self.assertEqual(place.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
+            self.assertGreaterEqual(env.relay.upstream.malformed_responses, 1)
+            self.assertEqual(env.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
         server.close()
 
 
 class ConnectingAttempts(unittest.TestCase):
-    async def _client_with_connecting_attempt(self, place: Platform, request_class: str = "file") -> PostgresClient:
+    async def _client_with_connecting_attempt(self, env: Platform, request_class: str = "file") -> PostgresClient:
         """Sends a request whose upstream connection is established, but gets no startup response yet."""
-        endpoint = place.endpoints[0]
+        endpoint = env.endpoints[0]
         endpoint.accepts.clear()
-        client = await place.client()
+        client = await env.client()
         client.send("1a", request_class)
-        await place.until(lambda: endpoint.connections == 1)
+        await env.until(lambda: endpoint.connections == 1)
         return client
 
     @live
     async def test_endpoint_listed_as_leaving_while_connecting_gets_no_query(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            manual_loop(place)
-            client = await self._client_with_connecting_attempt(place)
-            change_listed_endpoint(place, state="leaving")
-            place.endpoints[0].accepts.set()
+        async with platform(ScriptedEndpoint("u0")) as env:
+            manual_loop(env)
+            client = await self._client_with_connecting_attempt(env)
+            change_listed_endpoint(env, state="leaving")
+            env.endpoints[0].accepts.set()
             self.assertEqual((await client.response())["C"], b"53300")
-            self.assertEqual(place.endpoints[0].queries, [])
+            self.assertEqual(env.endpoints[0].queries, [])
 
     @live
     async def test_endpoint_with_a_new_address_or_incarnation_gets_a_new_connection(self) -> None:
         for fields in ({"revision_no": 2}, {"started_ms": 5e11}):
-            async with platform(ScriptedEndpoint("u0")) as place:
-                manual_loop(place)
-                client = await self._client_with_connecting_attempt(place)
-                change_listed_endpoint(place, **fields)
-                place.endpoints[0].accepts.set()
+            async with platform(ScriptedEndpoint("u0")) as env:
+                manual_loop(env)
+                client = await self._client_with_connecting_attempt(env)
+                change_listed_endpoint(env, **fields)
+                env.endpoints[0].accepts.set()
                 self.assertIn("D", await client.response())
-                self.assertEqual((place.endpoints[0].connections, len(place.endpoints[0].queries)), (2, 1))
-        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as place:
-            manual_loop(place)
-            other = place.endpoints[1]
-            change_listed_endpoint(place, id="u1", state="left")
-            client = await self._client_with_connecting_attempt(place)
-            change_listed_endpoint(place, addr=f"127.0.0.1:{other.port}")
-            place.endpoints[0].accepts.set()
+                self.assertEqual((env.endpoints[0].connections, len(env.endpoints[0].queries)), (2, 1))
+        async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
+            manual_loop(env)
+            other = env.endpoints[1]
+            change_listed_endpoint(env, id="u1", state="left")
+            client = await self._client_with_connecting_attempt(env)
+            change_listed_endpoint(env, addr=f"127.0.0.1:{other.port}")
+            env.endpoints[0].accepts.set()
             self.assertIn("D", await client.response())
-            self.assertEqual((place.endpoints[0].queries, len(other.queries)), ([], 1))
+            self.assertEqual((env.endpoints[0].queries, len(other.queries)), ([], 1))
 
     @live
     async def test_connection_of_a_cancelled_attempt_serves_the_next_one(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            manual_loop(place)
-            client = await self._client_with_connecting_attempt(place)
+        async with platform(ScriptedEndpoint("u0")) as env:
+            manual_loop(env)
+            client = await self._client_with_connecting_attempt(env)
             client.writer.close()
-            await place.until(lambda: not place.relay.driver.pending)
-            place.endpoints[0].accepts.set()
-            await place.until(lambda: len(idle_connections(place)) == 1)
-            self.assertIn("D", await (await place.client()).request("2a"))
-            self.assertEqual((place.endpoints[0].connections, len(place.relay.upstream.connections)), (1, 1))
+            await env.until(lambda: not env.relay.driver.pending)
+            env.endpoints[0].accepts.set()
+            await env.until(lambda: len(idle_connections(env)) == 1)
+            self.assertIn("D", await (await env.client()).request("2a"))
+            self.assertEqual((env.endpoints[0].connections, len(env.relay.upstream.connections)), (1, 1))
 
     @live
     async def test_attempt_without_a_startup_response_never_ran(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            clock = manual_loop(place)
-            client = await self._client_with_connecting_attempt(place)
-            place.change_state(place.endpoints[0], "leaving")
-            await place.until(lambda: registered_endpoint(place).status.value == "draining")
+        async with platform(ScriptedEndpoint("u0")) as env:
+            clock = manual_loop(env)
+            client = await self._client_with_connecting_attempt(env)
+            env.change_state(env.endpoints[0], "leaving")
+            await env.until(lambda: registered_endpoint(env).status.value == "draining")
             clock.advance(0.3)
             self.assertEqual((await client.response())["C"], b"53300")  # rejected, so it never ran
-            self.assertEqual(place.relay.upstream.connections, {})
+            self.assertEqual(env.relay.upstream.connections, {})
 
 
 class Retries(unittest.TestCase):
     @live
     async def test_response_after_the_attempt_timed_out_is_dropped(self) -> None:
         endpoint = HeldEndpoint()
-        async with platform(endpoint) as place:
-            client = await place.client()
+        async with platform(endpoint) as env:
+            client = await env.client()
             self.assertEqual((await client.request("1a", "file", left=200))["C"], b"58000")
             endpoint.permits.release()
             endpoint.permits.release()
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
-            self.assertEqual(place.relay.driver.counters.outcomes[AttemptOutcome.TIMED_OUT], 1)
+            self.assertEqual(env.relay.driver.counters.outcomes[AttemptOutcome.TIMED_OUT], 1)
             self.assertEqual(endpoint.connections, 2)
 
     @live
@@ -272,22 +272,22 @@
             async def fail_first(endpoint: ScriptedEndpoint, text: bytes, responses: list[bytes] = responses) -> bytes:
                 return responses.pop() if responses else await echo_id(endpoint, text)
 
-            async with platform(ScriptedEndpoint("u0", fail_first), ScriptedEndpoint("u1", fail_first)) as place:
-                response = await (await place.client()).request("1a", "file")
+            async with platform(ScriptedEndpoint("u0", fail_first), ScriptedEndpoint("u1", fail_first)) as env:
+                response = await (await env.client()).request("1a", "file")
                 self.assertEqual("D" in response, retried)
-                self.assertEqual(sum(len(endpoint.queries) for endpoint in place.endpoints), 1 + retried)
+                self.assertEqual(sum(len(endpoint.queries) for endpoint in env.endpoints), 1 + retried)
 
 
 class Timers(unittest.TestCase):
     @live
     async def test_closing_connections_cancels_their_timers(self) -> None:
-        async with platform(ScriptedEndpoint("u0")) as place:
-            clock, upstream = manual_loop(place), place.relay.upstream
-            place.endpoints[0].accepts.clear()
-            place.relay.check_health(registered_endpoint(place))
-            place.relay.after_event()
-            await place.until(lambda: place.endpoints[0].connections == 1)
+        async with platform(ScriptedEndpoint("u0")) as env:
+            clock, upstream = manual_loop(env), env.relay.upstream
+            env.endpoints[0].accepts.clear()
+            env.relay.check_health(registered_endpoint(env))
+            env.relay.after_event()
+            await env.until(lambda: env.endpoints[0].connections == 1)
             upstream.close_all()
-            with mock.patch.object(place.relay.driver, "health_checked", mock.Mock()) as health_checked:
+            with mock.patch.object(env.relay.driver, "health_checked", mock.Mock()) as health_checked:
                 clock.advance(1)
                 self.assertEqual(health_checked.call_count, 0)
