--- a/tests/relay_processes.py
+++ b/tests/relay_processes.py
@@ -31,13 +31,13 @@
             with contextlib.suppress(json.JSONDecodeError):
                 self.log.append(json.loads(line))
 
-    def said(self, event: str) -> int:
+    def count_logged(self, event: str) -> int:
         """Returns how many log lines have this event."""
         return sum(line.get("event") == event for line in self.log)
 
     async def until(self, event: str, times: int = 1) -> None:
         """Waits until the event was logged `times` times."""
-        while self.said(event) < times:
+        while self.count_logged(event) < times:
             if self.process.returncode is not None and self._reading.done():
                 raise AssertionError(
                     f"the relay exited with {self.process.returncode} before {event!r} was logged: {self.log}"
@@ -56,9 +56,9 @@
         """Sends SIGKILL, and waits for the end."""
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
-        await self.ended()
+        await self.wait_for_exit()
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Waits for the process's end, and returns its exit code."""
         code = await self.process.wait()
         await self._reading
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -23,8 +23,8 @@
         async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as relay_process:
             await relay_process.until("settings read")
             relay_process.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await relay_process.ended(), 0)
-            self.assertEqual(relay_process.said("stopped"), 1)
+            self.assertEqual(await relay_process.wait_for_exit(), 0)
+            self.assertEqual(relay_process.count_logged("stopped"), 1)
 
     @live
     async def test_repeated_sigterm_while_a_request_is_pending(self) -> None:
@@ -47,8 +47,8 @@
             relay_process.process.send_signal(signal.SIGINT)
             may_respond.set()
             self.assertTrue((await client.response())["D"].endswith(b"value of 1a"))
-            self.assertEqual(await relay_process.ended(), 0)
-            self.assertEqual((relay_process.said("draining"), relay_process.said("stopped")), (1, 1))
+            self.assertEqual(await relay_process.wait_for_exit(), 0)
+            self.assertEqual((relay_process.count_logged("draining"), relay_process.count_logged("stopped")), (1, 1))
 
     @live
     async def test_repeated_sighup_disturbs_no_request(self) -> None:
@@ -61,8 +61,8 @@
                 relay_process.process.send_signal(signal.SIGHUP)
                 self.assertIn("D", await client.response())
             relay_process.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await relay_process.ended(), 0)
-            self.assertGreaterEqual(relay_process.said("configuration reloaded"), 1)
+            self.assertEqual(await relay_process.wait_for_exit(), 0)
+            self.assertGreaterEqual(relay_process.count_logged("configuration reloaded"), 1)
 
     @live
     async def test_the_address_can_be_used_again_after_sigkill(self) -> None:
@@ -70,7 +70,7 @@
             await relay_process.until("listening")
             client = await relay_process.client()
             relay_process.process.kill()
-            self.assertEqual(await relay_process.ended(), -signal.SIGKILL)
+            self.assertEqual(await relay_process.wait_for_exit(), -signal.SIGKILL)
             self.assertEqual(await client.reader.read(), b"")
             second_process = await start_relay(
                 relay_process.env, relay_process.env.folder / "other.json", relay_process.port
@@ -78,7 +78,7 @@
             await second_process.until("listening")
             self.assertIn("D", await (await second_process.client()).request("1a"))
             second_process.process.send_signal(signal.SIGTERM)
-            self.assertEqual(await second_process.ended(), 0)
+            self.assertEqual(await second_process.wait_for_exit(), 0)
 
 
 class Starts(unittest.TestCase):
--- a/tests/test_sigkill_races.py
+++ b/tests/test_sigkill_races.py
@@ -64,7 +64,7 @@
 async def kill(relay_process: RelayProcess) -> None:
     """Kills the relay and waits for its end."""
     relay_process.process.kill()
-    code = await relay_process.ended()
+    code = await relay_process.wait_for_exit()
     assert code == -signal.SIGKILL, code
 
 
@@ -136,7 +136,7 @@
             for number, sock in enumerate(socks):
                 received = await relay_process.env.read_to_end(sock)
                 self.assertTrue(b"value of %x" % number in received or b"C53300" in received, received)
-            self.assertEqual(await successor.ended(), 0)
+            self.assertEqual(await successor.wait_for_exit(), 0)
 
     @live
     async def test_repeated_kills_at_one_address(self) -> None:
