--- a/tests/postgres_platform.py
+++ b/tests/postgres_platform.py
@@ -144,7 +144,7 @@
         self.list_requests: list[bytes] = []  # targets of the requests to discovery
         self.next_responses: list[bytes] = []  # discovery sends these before any others
         self.rollout_calls: list[dict[str, Any]] = []  # calls to the rollout platform
-        self.answer_vote: Callable[[dict[str, Any]], bytes | None] = lambda call: vote_response(call["id"], STAGE)
+        self.respond_to_vote: Callable[[dict[str, Any]], bytes | None] = lambda call: vote_response(call["id"], STAGE)
         self.rollout_writers: list[asyncio.StreamWriter] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.raw_sockets: list[socket.socket] = []
@@ -247,7 +247,7 @@
                     writer.write(json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": True}).encode() + b"\n")
                     if self.sends_stage:
                         writer.write(stage_notification(STAGE))
-                elif (response := self.answer_vote(call)) is not None:
+                elif (response := self.respond_to_vote(call)) is not None:
                     writer.write(response)
         writer.close()
 
--- a/tests/test_feed_clients.py
+++ b/tests/test_feed_clients.py
@@ -45,7 +45,7 @@
                 with mock.patch.object(
                     decisions, "rollout_updated", lambda state: outcomes.append((state.answers_vote, state.outcome))
                 ):
-                    env.answer_vote = answer
+                    env.respond_to_vote = answer
                     await env.until(lambda: env.relay.state()["rollout_connected"])
                     env.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                     await env.until(lambda: any(answer for answer, _ in outcomes))
--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -189,7 +189,7 @@
     async def test_a_vote_pending_at_a_move_times_out(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u0")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
-            old.answer_vote = lambda call: None
+            old.respond_to_vote = lambda call: None
             with mock.patch.object(
                 old.relay.driver, "rollout_read", wraps=old.relay.driver.rollout_read
             ) as rollout_read:
@@ -201,7 +201,7 @@
                     lambda: (None, True, AttemptOutcome.TIMED_OUT) in [c.args for c in rollout_read.call_args_list]
                 )
                 await old.until(lambda: old.relay.state()["rollout_connected"])
-                new.answer_vote = lambda call: vote_response(call["id"], STAGE)
+                new.respond_to_vote = lambda call: vote_response(call["id"], STAGE)
                 old.relay.cast_vote(CastVote(1, 1, Verdict.ROLL_BACK))
                 await old.until(
                     lambda: any(c.args[1:] == (True, AttemptOutcome.SUCCEEDED) for c in rollout_read.call_args_list)
