--- a/lanelead/migrations/executor.py
+++ b/lanelead/migrations/executor.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lanelead.migrations.backoff import BatchPacer
+from lanelead.migrations.batch_pacing import BatchPacer
 from lanelead.migrations.calls import (
     AcquireLease,
     AppendEntry,
--- a/tests/test_applied_configuration.py
+++ b/tests/test_applied_configuration.py
@@ -15,9 +15,9 @@
     classes_without_values,
     entries_of_settings,
 )
+from tests.http_relay_environment import live
 from tests.postgres_platform import SETTINGS, Platform, platform
 from tests.scripted_endpoints import ScriptedEndpoint
-from tests.town import live
 
 
 def rewrite_settings(env: Platform, **settings: Any) -> None:
--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -14,9 +14,9 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener
 from lanelead.postgres_relay.client_connection import ClientConnection
+from tests.http_relay_environment import live
 from tests.postgres_platform import Platform, PostgresClient, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
-from tests.town import live
 
 
 def relay_connection(env: Platform, sock: socket.socket) -> ClientConnection:
--- a/tests/test_client_violations.py
+++ b/tests/test_client_violations.py
@@ -8,9 +8,9 @@
 
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener
+from tests.http_relay_environment import live
 from tests.postgres_platform import platform, statement
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.town import live
 
 
 async def no_response(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
--- a/tests/test_configuration_feed.py
+++ b/tests/test_configuration_client.py
@@ -18,6 +18,7 @@
 from lanelead.protocols.feeds import MAX_LINE_BYTES as LINE
 from lanelead.protocols.feeds import MessageError, encode
 from tests.follower_harness import entry, row
+from tests.http_relay_environment import live
 from tests.scripted_replica import (
     APPLIED,
     BUCKETS,
@@ -30,7 +31,6 @@
     line,
     scripted_replicas,
 )
-from tests.town import live
 
 FILE_ENTRIES = [("tenant/m", b'{"quota_per_s":9}')]
 Writer = asyncio.StreamWriter
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -24,8 +24,8 @@
 from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
+from tests.http_relay_environment import live
 from tests.replica_processes import replica_processes
-from tests.town import live
 
 
 class Responses(unittest.TestCase):
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -22,10 +22,10 @@
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
 from tests.faulty_tcp_links import FaultyTcpLinks
+from tests.http_relay_environment import live
 from tests.postgres_platform import SETTINGS, Platform, platform
 from tests.replica_processes import ReplicaProcesses, replica_processes
 from tests.scripted_endpoints import ScriptedEndpoint
-from tests.town import live
 
 REPLICAS, RELAYS = 3, 6
 
--- a/tests/test_configuration_machines.py
+++ b/tests/test_configuration_replica_processes.py
@@ -11,9 +11,9 @@
 
 from lanelead.configuration.commands import submit_proposal
 from lanelead.protocols.configuration import RejectedProposal
+from tests.http_relay_environment import live
 from tests.replica_processes import replica_processes
 from tests.simulated_replicas import proposal
-from tests.town import live
 
 
 class Faults(unittest.TestCase):
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -6,7 +6,7 @@
 
 from lanelead.decisions.counters import low_discrepancy_value
 from lanelead.decisions.endpoint_state import EndpointState
-from tests.hollow import SECOND
+from tests.fleet_simulation import SECOND
 
 
 class LowDiscrepancySequences(unittest.TestCase):
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -16,10 +16,10 @@
 from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import discovery_client, feed_handover
 from tests.discovery_emulator import DiscoveryCall, DiscoveryEmulator, discovery, entry, list_body, move_discovery
+from tests.http_relay_environment import live
 from tests.postgres_platform import Platform, PostgresClient, free_port, platform
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.test_feed_races import endpoint_status
-from tests.town import live
 
 REJECTION = messages.error("53300", "full") + READY
 SHORT_HOLD_SECONDS = 0.1  # hold time of a watch; the client gives up RESPONSE_GRACE_SECONDS after it
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -17,11 +17,11 @@
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from tests.discovery_emulator import discovery, entry, list_body, move_discovery
+from tests.http_relay_environment import live
 from tests.postgres_platform import Platform, free_port, platform
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.test_discovery_moves import allow_response, assert_single_response, relay_with_discovery, waiting_request
 from tests.test_feed_races import endpoint_status
-from tests.town import live
 
 INTERNAL_ERROR = messages.error("XX000", "internal") + READY
 
--- a/tests/test_feed_clients.py
+++ b/tests/test_feed_clients.py
@@ -8,9 +8,9 @@
 
 from lanelead.decisions.interface import AttemptOutcome, CastVote, Verdict
 from lanelead.protocols import datagrams
+from tests.http_relay_environment import live
 from tests.postgres_platform import STAGE, platform, stage_notification, vote_error, vote_response
 from tests.scripted_endpoints import ScriptedEndpoint
-from tests.town import live
 
 
 class Feeds(unittest.TestCase):
--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -19,9 +19,9 @@
 from lanelead.postgres_relay.config import load
 from lanelead.protocols.feeds import MessageError, decode
 from lanelead.protocols.platform import RpcMessage
+from tests.http_relay_environment import live
 from tests.postgres_platform import SETTINGS, STAGE, Platform, platform, stage_notification, vote_response
 from tests.scripted_endpoints import ScriptedEndpoint
-from tests.town import live
 
 CANARY_STAGE = {"build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 10}
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,9 +20,9 @@
 from lanelead.runtime.gossip_codec import HEADER_BYTES, LATENCY_STEP_TICKS, NOT_REPORTED
 from lanelead.testbed.emulators.fault_proxy import Wires
 from lanelead.testbed.scenarios.processes import free_ports
+from tests.http_relay_environment import live
 from tests.postgres_platform import SETTINGS, Platform, PostgresClient, free_port
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.town import live
 
 RELAYS, AGGREGATORS, LATENCY_OBJECTIVE_MS = 15, 4, 800
 PEERS = RELAYS + 1  # the last peer is the test itself, which receives what the aggregators send
--- a/tests/test_gossip_versions.py
+++ b/tests/test_gossip_versions.py
@@ -40,7 +40,7 @@
     encode_reports,
     registry_of,
 )
-from tests.test_benchlink import BEGIN
+from tests.test_simulator_adapter import BEGIN
 
 
 class EarlierVersionTests(unittest.TestCase):
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -8,7 +8,7 @@
 
 from lanelead.decisions.interface import EndpointStatus
 from lanelead.http import serialization
-from tests.town import Client, Handler, ScriptedUnit, live, reset_connections, says, state_of, town
+from tests.http_relay_environment import Client, Handler, ScriptedUnit, live, reset_connections, says, state_of, town
 
 
 class MayHaveRun(unittest.TestCase):
--- a/tests/test_http_relay_process.py
+++ b/tests/test_http_relay_process.py
@@ -15,7 +15,7 @@
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
-from tests.town import SETTINGS, Client, ScriptedUnit, live, outside, says
+from tests.http_relay_environment import SETTINGS, Client, ScriptedUnit, live, outside, says
 
 # Runs lanelead with the limit of open file descriptors in the first argument.
 RUN_WITH_LIMIT = "import resource, runpy, sys; n = int(sys.argv.pop(1)); \
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from lanelead.cli import main
 from lanelead.testbed.load.generator import LoadGenerator, LoadResult, Shape, due_times
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.town import ScriptedUnit, live, says, town
+from tests.http_relay_environment import ScriptedUnit, live, says, town
 
 
 class ArrivalTimes(unittest.TestCase):
--- a/tests/test_circle_processes.py
+++ b/tests/test_membership_processes.py
@@ -22,7 +22,7 @@
 from lanelead.protocols.feeds import EndpointMessage as Listed
 from lanelead.testbed.emulators.fault_proxy import Wires
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.town import SETTINGS, live, outside
+from tests.http_relay_environment import SETTINGS, live, outside
 
 MEMBERSHIP_SETTINGS = """peers: {listen: port: %d, others: [%s]}
 	circle: {regions: [{name: "hellas", zones: ["north"]}], seeds: [%s], period_ms: 150}"""
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -15,9 +15,9 @@
 from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, StageNeed
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
+from tests.http_relay_environment import Client, ScriptedUnit, live, says, state_of, town
 from tests.test_driver import REQUEST_CLASSES, RESPONSE, SECOND, DriverHarness
 from tests.test_migration_runner import done_entries, plan, step
-from tests.town import Client, ScriptedUnit, live, says, state_of, town
 
 PLAN: MigrationPlan = plan(
     step("a"),
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -16,7 +16,7 @@
 
 from lanelead.cli import main
 from lanelead.migrations import calls
-from lanelead.migrations.backoff import BatchPacer
+from lanelead.migrations.batch_pacing import BatchPacer
 from lanelead.migrations.errors import InvalidEntryError
 from lanelead.migrations.migration_log import MigrationLog, StepStatus
 from lanelead.migrations.plan import execution_order
--- a/tests/test_partial_requests.py
+++ b/tests/test_partial_requests.py
@@ -13,11 +13,11 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_connection, client_listener
 from lanelead.postgres_relay.client_connection import ClientConnection
+from tests.http_relay_environment import live
 from tests.postgres_platform import Platform, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, row
 from tests.test_client_connection_races import accepted_connection
 from tests.test_upstream_races import registered_endpoint
-from tests.town import live
 
 
 class PartialWriter:
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -12,9 +12,9 @@
 import unittest
 from pathlib import Path
 
+from tests.http_relay_environment import live
 from tests.relay_processes import ROOT, relay, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.town import live
 
 
 class ProcessSignals(unittest.TestCase):
--- a/tests/test_postgres_relay_signals.py
+++ b/tests/test_postgres_relay_signals.py
@@ -16,9 +16,9 @@
 from lanelead.pgwire import messages
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from tests.http_relay_environment import live
 from tests.postgres_platform import platform
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.town import live
 
 
 class Signals(unittest.TestCase):
--- a/tests/test_idle_relays.py
+++ b/tests/test_relay_recovery.py
@@ -11,12 +11,12 @@
 from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import service as services
 from tests.discovery_emulator import discovery, entry, move_discovery
+from tests.http_relay_environment import live
 from tests.postgres_platform import free_port, platform, stage_notification
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, echo_id
 from tests.test_discovery_moves import allow_response, relay_with_discovery
 from tests.test_endpoint_lists import state_field
 from tests.test_feed_races import CANARY_STAGE, rollout_state
-from tests.town import live
 
 INTERNAL_ERROR = messages.error("XX000", "internal") + READY
 
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -31,10 +31,10 @@
 )
 from lanelead.runtime.short_ids import long_id_of
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, FakeHost
+from tests.http_relay_environment import live
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.short_id_gossip import A, B, C, decode_reports, encode_reports, registry_of
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
-from tests.town import live
 
 
 class SharedShortIdTests(unittest.TestCase):
--- a/tests/test_sigkill_races.py
+++ b/tests/test_sigkill_races.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 
 from lanelead.pgwire import messages
+from tests.http_relay_environment import live
 from tests.postgres_platform import platform, statement
 from tests.relay_processes import RelayProcess, relay, start_relay
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
-from tests.town import live
 
 REQUEST_BYTES = messages.startup("app", "shop") + messages.query(statement("1a"))
 ESTABLISHED = "01"
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -13,13 +13,13 @@
 from unittest import mock
 
 from lanelead.decisions.endpoint_state import state_of
-from tests import hollow
+from tests import fleet_simulation
 from tests.fake_decisions_host import FakeHost
-from tests.hollow import SECOND, simulate_slow_start
+from tests.fleet_simulation import SECOND, simulate_slow_start
+from tests.http_relay_environment import live
 from tests.postgres_platform import Platform, free_port, platform
 from tests.relay_processes import RelayProcess, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
-from tests.town import live
 
 RELAYS = (24, 40, 60)
 PLATFORM_LIST, STARTED_AT_MS = Platform.list_of, time.time() * 1000
@@ -74,7 +74,7 @@
         self.assertLessEqual(max(result.worst_load for result in results), 1.0)
 
     def test_without_an_overload_time_there_is_no_limit(self) -> None:
-        result = simulate_slow_start("mass", 24, 3.0, 1, limits=replace(hollow.LIMITS, overload_time=0))
+        result = simulate_slow_start("mass", 24, 3.0, 1, limits=replace(fleet_simulation.LIMITS, overload_time=0))
         self.assertEqual(result.idle_relays, 0)
         self.assertGreater(result.succeeded, 0.6 * result.capacity)
 
--- a/tests/test_upstream_races.py
+++ b/tests/test_upstream_races.py
@@ -18,10 +18,10 @@
 from lanelead.postgres_relay.connection_pool import UpstreamConnection
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from tests.http_relay_environment import live
 from tests.manual_loop import ManualLoop
 from tests.postgres_platform import Platform, PostgresClient, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, echo_id, row
-from tests.town import live
 
 
 def manual_loop(env: Platform) -> ManualLoop:
--- a/tests/test_upstream_requests.py
+++ b/tests/test_upstream_requests.py
@@ -15,9 +15,9 @@
 from lanelead.postgres_relay.load_reports import parse_load_report
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
+from tests.http_relay_environment import live
 from tests.postgres_platform import platform, statement
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id, row
-from tests.town import live
 
 REJECTION = messages.error("53300", "full") + READY
 INTERNAL_ERROR = messages.error("XX000", "internal") + READY
