--- a/tests/test_gossip_versions.py
+++ b/tests/test_gossip_versions.py
@@ -25,7 +25,7 @@
     encode_gossip,
 )
 from lanelead.runtime.short_ids import NO_LONG_ID, long_id_of
-from lanelead.simulator_adapter.host import Floor
+from lanelead.simulator_adapter.host import InstanceRegistry
 from tests.fake_decisions_host import IDEMPOTENT_CLASS
 from tests.short_id_gossip import (
     EARLIER_REPORT_OF_A_B_C,
@@ -168,26 +168,27 @@
             self.assertEqual({"other": 2}, receiver.short_ids.skipped)
 
     def test_simulator_adapter_frees_the_short_id_of_an_endpoint_removed_long_ago(self) -> None:
-        floor, state = Floor(), "ROLLOUT_STATE 1 1 2 0 success 1.0 10.0"
+        floor, state = InstanceRegistry(), "ROLLOUT_STATE 1 1 2 0 success 1.0 10.0"
 
         def play_tick(ms: int, *endpoints: str, condition: int = 1) -> None:
             rows = "".join(f"\nENTRY z 0 - std {name} 1 1 {condition}" for name in endpoints)
             message = f"TICK {ms}.0 1\nFOR relay/0\nMANIFEST 0 {len(endpoints)}{rows}\nDIRECTORY_UPDATE 0 1 0"
             lines = message.split("\n")
-            floor.batch([*lines[:2], BEGIN, *lines[2:], state] if ms == 5 else lines)
+            floor.handle_batch([*lines[:2], BEGIN, *lines[2:], state] if ms == 5 else lines)
 
         play_tick(5, A, B)
         host = floor.hosts["relay/0"]
-        a, b = host.door.by_name[A], host.door.by_name[B]
+        a, b = host.registered_endpoints.by_name[A], host.registered_endpoints.by_name[B]
         self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play_tick(100, B)
         play_tick(8000, B)  # the longest timeout is 4 s: other relays may still report A
         self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play_tick(8200, B)
         self.assertEqual(
-            (NO_LONG_ID, 0, b), (a.long_id, b.long_id, host.door.short_ids.by_short_id(long_id_of(A) & 0xFFFF))
+            (NO_LONG_ID, 0, b),
+            (a.long_id, b.long_id, host.registered_endpoints.short_ids.by_short_id(long_id_of(A) & 0xFFFF)),
         )
-        self.assertEqual((a, {}), (host.door.by_name[A], host.gone))
+        self.assertEqual((a, {}), (host.registered_endpoints.by_name[A], host.short_id_release_times))
         play_tick(8300, A, B)
         self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play_tick(8400, B)
