--- a/tests/http_relay_environment.py
+++ b/tests/http_relay_environment.py
@@ -28,7 +28,7 @@
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
 
-Handler = Callable[["ScriptedUnit", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Handler = Callable[["ScriptedEndpoint", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 SETTINGS = """
 relay: {
@@ -82,7 +82,7 @@
     return run
 
 
-class ScriptedUnit:
+class ScriptedEndpoint:
     """An endpoint whose handler serves each connection; it records the requests that it received."""
 
     def __init__(self, name: str, handler: Handler) -> None:
@@ -121,10 +121,10 @@
             self._server.close()
 
 
-def says(body: bytes = b"ok\n", status: int = 200, wait: float = 0.0, *fields: tuple[bytes, bytes]) -> Handler:
+def respond_with(body: bytes = b"ok\n", status: int = 200, wait: float = 0.0, *fields: tuple[bytes, bytes]) -> Handler:
     """Returns a handler that sends the same response to each request, after `wait` seconds."""
 
-    async def handler(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await endpoint.request(reader)
             await asyncio.sleep(wait)
@@ -133,7 +133,9 @@
     return handler
 
 
-async def reset_connections(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def reset_connections(
+    endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A handler that resets the connection after it has read a request."""
     await endpoint.request(reader)
     writer.transport.abort()
@@ -147,7 +149,7 @@
     top: additional settings of the relay.
     """
 
-    def __init__(self, folder: Path, endpoints: list[ScriptedUnit], allowance: str, seed: int, top: str) -> None:
+    def __init__(self, folder: Path, endpoints: list[ScriptedEndpoint], allowance: str, seed: int, top: str) -> None:
         self.endpoints, self._folder, self._allowance, self._seed, self._top = endpoints, folder, allowance, seed, top
         self.clients: list[Client] = []
         self.log = structlog.testing.CapturingLogger()
@@ -183,7 +185,7 @@
         self._task = asyncio.create_task(self.relay.run(lambda host, port: ready.set_result(port)))
         self.port = await ready
 
-    def list_(self, endpoint: ScriptedUnit, condition: str, zone: str = "north", build: int = 1) -> None:
+    def list_(self, endpoint: ScriptedEndpoint, condition: str, zone: str = "north", build: int = 1) -> None:
         """Lists an endpoint with discovery, in the given condition."""
         row = EndpointMessage(endpoint.name, "127.0.0.1", endpoint.port, zone, build, condition)  # type: ignore[arg-type]
         self.roster.list_now(row)
@@ -201,8 +203,8 @@
 
 
 @contextlib.asynccontextmanager
-async def town(
-    *endpoints: ScriptedUnit, allowance: str = "", seed: int = 0, top: str = ""
+async def relay_environment(
+    *endpoints: ScriptedEndpoint, allowance: str = "", seed: int = 0, top: str = ""
 ) -> AsyncIterator[RelayEnvironment]:
     """Runs a `RelayEnvironment`, with its parameters, on a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -8,7 +8,16 @@
 
 from lanelead.decisions.interface import EndpointStatus
 from lanelead.http import serialization
-from tests.http_relay_environment import Client, Handler, ScriptedUnit, live, reset_connections, says, state_of, town
+from tests.http_relay_environment import (
+    Client,
+    Handler,
+    ScriptedEndpoint,
+    live,
+    relay_environment,
+    reset_connections,
+    respond_with,
+    state_of,
+)
 
 
 class MayHaveRun(unittest.TestCase):
@@ -26,8 +35,8 @@
         outcome and the number of attempts that reached the good endpoint.
         """
         for seed in range(20):
-            endpoint, good = ScriptedUnit("bad", bad), ScriptedUnit("good", says())
-            async with town(endpoint, good, seed=seed) as env:
+            endpoint, good = ScriptedEndpoint("bad", bad), ScriptedEndpoint("good", respond_with())
+            async with relay_environment(endpoint, good, seed=seed) as env:
                 if closed:
                     endpoint.close()
                 client = await Client.to(env)
@@ -50,20 +59,20 @@
 
     @live
     async def test_attempt_rejected_by_header_has_not_run_and_one_with_a_plain_503_may_have(self) -> None:
-        rejects = says(b"", 503, 0.0, (b"lanelead-turned-away", b"1"))
+        rejects = respond_with(b"", 503, 0.0, (b"lanelead-turned-away", b"1"))
         self.assertEqual(await self.first_outcome(rejects, "POST"), self.RETRIED)
-        self.assertEqual(await self.first_outcome(says(b"", 503), "POST"), self.NOT_RETRIED)
+        self.assertEqual(await self.first_outcome(respond_with(b"", 503), "POST"), self.NOT_RETRIED)
 
     @live
     async def test_attempt_with_an_error_may_have_run(self) -> None:
-        self.assertEqual(await self.first_outcome(says(b"", 500), "POST"), self.NOT_RETRIED)
+        self.assertEqual(await self.first_outcome(respond_with(b"", 500), "POST"), self.NOT_RETRIED)
 
     @live
     async def test_attempt_with_a_truncated_or_malformed_response_may_have_run(self) -> None:
         for text in (serialization.response(200, (), b"0123456789")[:-4], b"HTP/9 hello\r\n\r\n", b""):
 
             async def truncates(
-                endpoint: ScriptedUnit,
+                endpoint: ScriptedEndpoint,
                 reader: asyncio.StreamReader,
                 writer: asyncio.StreamWriter,
                 text: bytes = text,
@@ -81,8 +90,8 @@
 
     @live
     async def test_non_idempotent_request_to_a_silent_endpoint_fails_by_its_deadline(self) -> None:
-        bad = ScriptedUnit("bad", says(wait=30))
-        async with town(bad) as env:
+        bad = ScriptedEndpoint("bad", respond_with(wait=30))
+        async with relay_environment(bad) as env:
             client, loop = await Client.to(env), asyncio.get_running_loop()
             began = loop.time()
             status, headers, _ = await client.ask("POST", "/x", b"b", lanelead_left="500")
@@ -93,12 +102,12 @@
 
     @live
     async def test_idle_connection_that_the_endpoint_closed_is_not_reused(self) -> None:
-        async def once(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def once(endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await endpoint.request(reader)
             writer.write(serialization.response(200, (), b"ok"))
 
-        endpoint = ScriptedUnit("u", once)
-        async with town(endpoint) as env:
+        endpoint = ScriptedEndpoint("u", once)
+        async with relay_environment(endpoint) as env:
             client = await Client.to(env)
             for _ in range(3):
                 self.assertEqual((await client.ask("POST", "/x", b"b"))[0], 200)
@@ -109,13 +118,15 @@
 class Connections(unittest.TestCase):
     @live
     async def test_responses_come_in_the_order_of_the_requests_though_the_second_is_ready_first(self) -> None:
-        async def by_path(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def by_path(
+            endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             while True:
                 path = (await endpoint.request(reader)).split()[1]
                 await asyncio.sleep(0.3 if path == b"/slow" else 0)
                 writer.write(serialization.response(200, (), path))
 
-        async with town(*(ScriptedUnit(f"u{n}", by_path) for n in range(3))) as env:
+        async with relay_environment(*(ScriptedEndpoint(f"u{n}", by_path) for n in range(3))) as env:
             client = await Client.to(env)
             for _ in range(6):  # the relay learns the endpoints' latency; else all requests would wait for one attempt
                 await client.ask("GET", "/warm")
@@ -125,7 +136,9 @@
 
     @live
     async def test_pipelined_request_with_an_earlier_deadline_than_the_one_ahead_is_deferred(self) -> None:
-        async with town(ScriptedUnit("u", says(wait=0.4)), ScriptedUnit("v", says(wait=0.4))) as env:
+        async with relay_environment(
+            ScriptedEndpoint("u", respond_with(wait=0.4)), ScriptedEndpoint("v", respond_with(wait=0.4))
+        ) as env:
             client = await Client.to(env)
             client.send("GET", "/first")
             client.send("POST", "/second", b"b", lanelead_left="200")
@@ -135,8 +148,8 @@
 
     @live
     async def test_attempt_of_a_client_that_disconnects_is_cancelled(self) -> None:
-        endpoint = ScriptedUnit("u", says(wait=5))
-        async with town(endpoint) as env:
+        endpoint = ScriptedEndpoint("u", respond_with(wait=5))
+        async with relay_environment(endpoint) as env:
             client = await Client.to(env)
             client.send("GET", "/x")
             while not endpoint.requests:
@@ -148,7 +161,7 @@
 
     @live
     async def test_half_closed_client_still_gets_its_response(self) -> None:
-        async with town(ScriptedUnit("u", says(b"late\n", wait=0.2))) as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with(b"late\n", wait=0.2))) as env:
             client = await Client.to(env)
             client.send("GET", "/x")
             client.writer.write_eof()
@@ -157,14 +170,14 @@
 
     @live
     async def test_endpoint_may_respond_before_it_has_read_the_whole_body(self) -> None:
-        async def early(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def early(endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             endpoint.requests.append(await reader.readuntil(b"\r\n\r\n"))
             writer.write(serialization.response(413, (), b"too much\n"))
             await writer.drain()
             await asyncio.sleep(1)
 
-        endpoint = ScriptedUnit("u", early)
-        async with town(endpoint, allowance="body_bytes: 8M") as env:
+        endpoint = ScriptedEndpoint("u", early)
+        async with relay_environment(endpoint, allowance="body_bytes: 8M") as env:
             client = await Client.to(env)
             found = await client.ask("POST", "/x", b"b" * (6 << 20))
             self.assertEqual((found[0], found[2], found[1]["lanelead-outcome"]), (413, b"too much\n", "done"))
@@ -177,14 +190,14 @@
     @live
     async def test_late_response_is_never_matched_to_the_next_attempt(self) -> None:
         async def first_late(
-            endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             while True:
                 path = (await endpoint.request(reader)).split()[1]
                 await asyncio.sleep(0.5 if path == b"/late" else 0)
                 writer.write(serialization.response(200, (), path))
 
-        async with town(ScriptedUnit("u", first_late)) as env:
+        async with relay_environment(ScriptedEndpoint("u", first_late)) as env:
             client = await Client.to(env)
             self.assertEqual((await client.ask("POST", "/late", b"b", lanelead_left="300"))[0], 504)
             await asyncio.sleep(0.4)
@@ -192,8 +205,8 @@
 
     @live
     async def test_100_continue_head_requests_and_chunked_bodies(self) -> None:
-        endpoint = ScriptedUnit("u", says(b"body\n"))
-        async with town(endpoint) as env:
+        endpoint = ScriptedEndpoint("u", respond_with(b"body\n"))
+        async with relay_environment(endpoint) as env:
             client = await Client.to(env)
             client.writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             self.assertEqual(await client.reader.readuntil(b"\r\n\r\n"), serialization.CONTINUE)
@@ -212,8 +225,8 @@
 
     @live
     async def test_malformed_and_unroutable_requests_are_rejected_and_malformed_ones_close_the_connection(self) -> None:
-        endpoint = ScriptedUnit("u", says())
-        async with town(endpoint) as env:
+        endpoint = ScriptedEndpoint("u", respond_with())
+        async with relay_environment(endpoint) as env:
             client = await Client.to(env)
             client.writer.write(
                 b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
@@ -234,7 +247,7 @@
 
     @live
     async def test_client_that_stalls_within_a_request_is_disconnected_and_an_idle_one_is_not(self) -> None:
-        async with town(ScriptedUnit("u", says()), allowance="head_bytes: 1000") as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="head_bytes: 1000") as env:
             stalled, idle = await Client.to(env), await Client.to(env)
             self.assertEqual((await idle.ask("GET", "/"))[0], 200)
             stalled.writer.write(b"GET / HTTP/1.1\r\nHo")
@@ -243,7 +256,7 @@
 
     @live
     async def test_many_idle_clients_do_not_affect_others_and_excess_clients_are_rejected(self) -> None:
-        async with town(ScriptedUnit("u", says()), allowance="open_connections: 300") as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="open_connections: 300") as env:
             idle = [await Client.to(env) for _ in range(299)]
             client = await Client.to(env)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
@@ -256,13 +269,15 @@
 class Stalls(unittest.TestCase):
     @live
     async def test_client_that_does_not_read_blocks_no_connection_that_others_use(self) -> None:
-        async def by_path(endpoint: ScriptedUnit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def by_path(
+            endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             while True:
                 big = b"/big" in await endpoint.request(reader)
                 writer.write(serialization.response(200, (), b"x" * (24 << 20) if big else b"small"))
 
-        endpoint = ScriptedUnit("u", by_path)
-        async with town(endpoint, allowance="body_bytes: 8M") as env:
+        endpoint = ScriptedEndpoint("u", by_path)
+        async with relay_environment(endpoint, allowance="body_bytes: 8M") as env:
             stalled, other = await Client.to(env), await Client.to(env)
             stalled.send("GET", "/big")
             while not state_of(env)["succeeded"]:
@@ -275,8 +290,8 @@
 class Feeds(unittest.TestCase):
     @live
     async def test_draining_endpoint_gets_no_attempt_and_a_relay_without_endpoints_rejects(self) -> None:
-        endpoint = ScriptedUnit("u", says())
-        async with town(endpoint) as env:
+        endpoint = ScriptedEndpoint("u", respond_with())
+        async with relay_environment(endpoint) as env:
             client = await Client.to(env)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
             env.list_(endpoint, "draining")
@@ -289,8 +304,8 @@
 
     @live
     async def test_relay_serves_while_discovery_and_rollout_platform_are_down_and_reconnects(self) -> None:
-        old, new = ScriptedUnit("old", says()), ScriptedUnit("new", says())
-        async with town(old) as env:
+        old, new = ScriptedEndpoint("old", respond_with()), ScriptedEndpoint("new", respond_with())
+        async with relay_environment(old) as env:
             client = await Client.to(env)
             while (await client.ask("GET", "/"))[
                 0
@@ -313,7 +328,7 @@
 
     @live
     async def test_complaint_is_accepted_and_an_invalid_one_is_answered_with_the_reason(self) -> None:
-        async with town(ScriptedUnit("u", says())) as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with())) as env:
             client = await Client.to(env)
             path = "/.lanelead/complaint"
             good = b'{"unit":"u","lane":"read","age_ms":5}'
@@ -329,7 +344,7 @@
 
     @live
     async def test_malformed_endpoint_list_changes_nothing(self) -> None:
-        async with town(ScriptedUnit("u", says())) as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with())) as env:
             client = await Client.to(env)
             for caller in list(env.roster.callers):
                 caller.write(b"5\r\n{bad\n\r\n")
@@ -338,7 +353,7 @@
 
     @live
     async def test_drain_answers_pending_requests_and_accepts_no_more(self) -> None:
-        async with town(ScriptedUnit("u", says(b"last\n", wait=0.3))) as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with(b"last\n", wait=0.3))) as env:
             client, idle = await Client.to(env), await Client.to(env)
             client.send("POST", "/", b"b")
             while not env.endpoints[0].requests:
--- a/tests/test_http_relay_process.py
+++ b/tests/test_http_relay_process.py
@@ -15,7 +15,7 @@
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
-from tests.http_relay_environment import SETTINGS, Client, ScriptedUnit, live, outside, says
+from tests.http_relay_environment import SETTINGS, Client, ScriptedEndpoint, live, outside, respond_with
 
 # Runs lanelead with the limit of open file descriptors in the first argument.
 RUN_WITH_LIMIT = "import resource, runpy, sys; n = int(sys.argv.pop(1)); \
@@ -36,7 +36,7 @@
 
 
 @contextlib.asynccontextmanager
-async def relay_process(endpoint: ScriptedUnit, descriptors: int = 1024) -> AsyncIterator[RelayProcess]:
+async def relay_process(endpoint: ScriptedEndpoint, descriptors: int = 1024) -> AsyncIterator[RelayProcess]:
     """Runs a relay process with an endpoint, discovery and a rollout platform. `descriptors`: limit of open files."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -49,7 +49,7 @@
 
 @contextlib.asynccontextmanager
 async def start_relay(
-    endpoint: ScriptedUnit, descriptors: int, folder: Path, roster: Roster, desk: Desk
+    endpoint: ScriptedEndpoint, descriptors: int, folder: Path, roster: Roster, desk: Desk
 ) -> AsyncIterator[RelayProcess]:
     """Opens and lists the endpoint, then runs a relay process; kills it at the end."""
     await endpoint.open()
@@ -83,7 +83,7 @@
 class Signals(unittest.TestCase):
     @live
     async def test_sigterm_answers_pending_requests_and_exits_with_0(self) -> None:
-        endpoint = ScriptedUnit("u", says(b"last\n", wait=0.4))
+        endpoint = ScriptedEndpoint("u", respond_with(b"last\n", wait=0.4))
         async with relay_process(endpoint) as relay:
             client = await Client.to(relay)
             client.send("POST", "/", b"b")
@@ -95,7 +95,7 @@
 
     @live
     async def test_second_sigterm_exits_at_once_with_1(self) -> None:
-        endpoint = ScriptedUnit("u", says(wait=5))
+        endpoint = ScriptedEndpoint("u", respond_with(wait=5))
         async with relay_process(endpoint) as relay:
             client = await Client.to(relay)
             client.send("POST", "/", b"b")
@@ -109,7 +109,7 @@
 
     @live
     async def test_relay_stopped_past_a_deadline_and_continued_fails_the_request_and_serves_the_next(self) -> None:
-        endpoint = ScriptedUnit("u", says(b"ok\n", wait=0.1))
+        endpoint = ScriptedEndpoint("u", respond_with(b"ok\n", wait=0.1))
         async with relay_process(endpoint) as relay:
             client = await Client.to(relay)
             client.send("POST", "/late", b"b", lanelead_left="300")
@@ -126,7 +126,7 @@
 class Descriptors(unittest.TestCase):
     @live
     async def test_with_few_descriptors_connected_clients_are_served_and_others_rejected(self) -> None:
-        endpoint = ScriptedUnit("u", says())
+        endpoint = ScriptedEndpoint("u", respond_with())
         async with relay_process(endpoint, descriptors=48) as relay:
             first = await Client.to(relay)
             self.assertEqual((await first.ask("GET", "/"))[0], 200)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from lanelead.cli import main
 from lanelead.testbed.load.generator import LoadGenerator, LoadResult, Shape, due_times
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.http_relay_environment import ScriptedUnit, live, says, town
+from tests.http_relay_environment import ScriptedEndpoint, live, relay_environment, respond_with
 
 
 class ArrivalTimes(unittest.TestCase):
@@ -38,7 +38,7 @@
 class Requests(unittest.TestCase):
     @live
     async def test_every_request_is_counted_once_with_its_outcome(self) -> None:
-        async with town(ScriptedUnit("u", says()), allowance="body_bytes: 10") as env:
+        async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="body_bytes: 10") as env:
             result = await LoadGenerator(Shape(200, 1.0, keys=5, members=("m",)), "127.0.0.1", env.port).run()
             self.assertEqual(result.count("done"), result.due)
             result = await LoadGenerator(Shape(50, 0.5, "POST", body=100), "127.0.0.1", env.port).run()
@@ -46,7 +46,9 @@
 
     @live
     async def test_latency_includes_the_wait_for_a_connection(self) -> None:
-        async with town(ScriptedUnit("u", says(wait=0.1)), allowance="second_copies: false") as env:
+        async with relay_environment(
+            ScriptedEndpoint("u", respond_with(wait=0.1)), allowance="second_copies: false"
+        ) as env:
             shape = Shape(20, 0.5, connections=1, poisson=False)
             result = await LoadGenerator(shape, "127.0.0.1", env.port).run()
             self.assertEqual(result.count("done"), result.due)
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -15,7 +15,7 @@
 from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, StageNeed
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
-from tests.http_relay_environment import Client, ScriptedUnit, live, says, state_of, town
+from tests.http_relay_environment import Client, ScriptedEndpoint, live, relay_environment, respond_with, state_of
 from tests.test_driver import REQUEST_CLASSES, RESPONSE, SECOND, DriverHarness
 from tests.test_migration_runner import done_entries, plan, step
 
@@ -173,9 +173,9 @@
                 return server.store.last_seq()
 
             write(PLAN_ENTRY)
-            old, new = ScriptedUnit("old", says(b"old")), ScriptedUnit("new", says(b"new"))
+            old, new = ScriptedEndpoint("old", respond_with(b"old")), ScriptedEndpoint("new", respond_with(b"new"))
             feed = f"steps: {{address: port: {port}, least_wait_ms: 20}}"
-            async with town(old, new, top=feed) as place:
+            async with relay_environment(old, new, top=feed) as place:
                 place.list_(new, "ready", "south", 2)
                 place.desk.offer(2)
                 client = await Client.to(place)
