--- a/lanelead/http/client.py
+++ b/lanelead/http/client.py
@@ -69,7 +69,7 @@
     while True:
         size = await loop.sock_recv_into(sock, buffer)
         progress = reader.feed(view[:size]) if size else reader.eof()
-        if progress is Progress.BROKEN:
+        if progress is Progress.INVALID:
             raise CallFailedError(reader.reason or "connection closed before the response was complete")
         if reader.response is not None:
             return reader.response
--- a/lanelead/http/responses.py
+++ b/lanelead/http/responses.py
@@ -18,8 +18,8 @@
     """The state of the response that a reader parses."""
 
     WAITING = "incomplete"
-    WHOLE = "complete"
-    BROKEN = "invalid"
+    COMPLETE = "complete"
+    INVALID = "invalid"
 
 
 @dataclass(slots=True, eq=False)
@@ -88,17 +88,17 @@
             # Guards against a server that responds twice: it is not known which response belongs to the request.
             return self._broken(SURPLUS_BYTES)
         if self.response is not None:
-            return Progress.WHOLE
+            return Progress.COMPLETE
         self._fed_bytes += len(data)
         if not self._head_complete and self._fed_bytes > self._max_head_bytes:
             self.reason = "response head too long"
-            return Progress.BROKEN
+            return Progress.INVALID
         return Progress.WAITING
 
     def _broken(self, reason: str) -> Progress:
         self.response = None
         self.reason = reason
-        return Progress.BROKEN
+        return Progress.INVALID
 
     def eof(self) -> Progress:
         """Handles the close of the connection.
@@ -107,7 +107,7 @@
         """
         if self.response is None and self._head_complete and not self._framed:
             self._finish(False)
-        return Progress.WHOLE if self.response is not None else Progress.BROKEN
+        return Progress.COMPLETE if self.response is not None else Progress.INVALID
 
     @property
     def begun(self) -> bool:
--- a/lanelead/http_relay/connection_pool.py
+++ b/lanelead/http_relay/connection_pool.py
@@ -172,7 +172,7 @@
                 progress = connection.reader.feed(view[:size]) if size else connection.reader.eof()
                 if progress is Progress.WAITING:
                     continue
-                response = connection.reader.response if progress is Progress.WHOLE else None
+                response = connection.reader.response if progress is Progress.COMPLETE else None
                 self._response_received(connection, response, size > 0)
                 if connection.closed:
                     break
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -94,12 +94,12 @@
             self._close()
             return
         progress = self._reader.feed(data)
-        if progress is Progress.BROKEN:
+        if progress is Progress.INVALID:
             if self._reader.reason == SURPLUS_BYTES:
                 self._clients.tap.note("extra", id=self.ident, relay=self.relay, bytes=len(data))
             self._record_end("gone", why="garbage: " + self._reader.reason)
             self._close()
-        elif progress is Progress.WHOLE:
+        elif progress is Progress.COMPLETE:
             response = self._reader.response
             assert response is not None
 
--- a/lanelead/testbed/load/generator.py
+++ b/lanelead/testbed/load/generator.py
@@ -111,9 +111,9 @@
 
     def data_received(self, data: bytes) -> None:
         progress = self._reader.feed(data)
-        if progress is Progress.BROKEN:
+        if progress is Progress.INVALID:
             self.close()
-        elif progress is Progress.WHOLE:
+        elif progress is Progress.COMPLETE:
             response = self._reader.response
             assert response is not None
             outcome = response.header(b"lanelead-outcome") or b"not-a-lookup"
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -155,13 +155,13 @@
         for text, head, body, keep in cases:
             for split in range(len(text)):
                 progress, reader = self.read(text, head, split)
-                self.assertIs(progress, Progress.WHOLE, text)
+                self.assertIs(progress, Progress.COMPLETE, text)
                 assert reader.response is not None
                 self.assertEqual((reader.response.body, reader.response.keep), (body, keep))
         progress, reader = self.read(b"HTTP/1.1 200 OK\r\n\r\nab")
         self.assertEqual(
             (progress, reader.eof(), reader.response and reader.response.body),
-            (Progress.WAITING, Progress.WHOLE, b"ab"),
+            (Progress.WAITING, Progress.COMPLETE, b"ab"),
         )
 
     def test_truncated_response_is_invalid(self) -> None:
@@ -172,7 +172,7 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         ):
             _, reader = self.read(text) if text else (None, ResponseReader(10))
-            self.assertEqual((reader.eof(), reader.response), (Progress.BROKEN, None))
+            self.assertEqual((reader.eof(), reader.response), (Progress.INVALID, None))
 
     def test_garbage_a_body_over_the_limit_a_second_response_and_an_upgrade_are_invalid(self) -> None:
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
@@ -182,14 +182,14 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + b"x" * 2000,
             b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         ):
-            self.assertIs(self.read(text)[0], Progress.BROKEN, text[:30])
+            self.assertIs(self.read(text)[0], Progress.INVALID, text[:30])
 
     def test_one_reader_parses_many_responses_of_a_keep_alive_connection(self) -> None:
         reader = ResponseReader(1000)
         for number in range(3):
             reader.expect(False)
             body = b"%d" % number
-            self.assertIs(reader.feed(serialization.response(200, (), body)), Progress.WHOLE)
+            self.assertIs(reader.feed(serialization.response(200, (), body)), Progress.COMPLETE)
             self.assertEqual(reader.response and reader.response.body, body)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
@@ -211,7 +211,7 @@
             (request.method, request.target, request.body, request.header(b"x-y")), (method, b"/p?q", sent, b"z")
         )
         reader = ResponseReader(1000)
-        self.assertIs(reader.feed(serialization.response(status, [(b"x-y", b"z")], body)), Progress.WHOLE)
+        self.assertIs(reader.feed(serialization.response(status, [(b"x-y", b"z")], body)), Progress.COMPLETE)
         self.assertEqual(reader.response and reader.response.body, b"" if status in (204, 304) else body)
 
     def test_hop_by_hop_headers_and_those_that_connection_names_are_not_forwarded(self) -> None:
