--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -169,7 +169,8 @@
             return
         if self.registered_endpoints.names[attempt.endpoint] != name:
             raise ParameterError(
-                f"attempt {number} of request {request_id} went to {self.registered_endpoints.names[attempt.endpoint]}, not {name}"
+                f"attempt {number} of request {request_id} went to "
+                f"{self.registered_endpoints.names[attempt.endpoint]}, not {name}"
             )
         attempt_outcome = parse_enumeration(wire.OUTCOMES, outcome)
         closed, report = wire.parse_flag(finished), wire.parse_load_report(load, self.report_names)
