--- a/tests/http_relay_environment.py
+++ b/tests/http_relay_environment.py
@@ -68,7 +68,7 @@
         desk.close()
 
 
-def live(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def run_on_uvloop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Runs an asynchronous test on uvloop, with a timeout of 30 s."""
 
     @wraps(test)
--- a/tests/test_applied_configuration.py
+++ b/tests/test_applied_configuration.py
@@ -15,7 +15,7 @@
     classes_without_values,
     entries_of_settings,
 )
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import SETTINGS, Platform, platform
 from tests.scripted_endpoints import ScriptedEndpoint
 
@@ -63,7 +63,7 @@
 
 
 class Reload(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_tenants_and_class_values_of_the_file_apply_without_a_restart(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             relay = env.relay
@@ -95,7 +95,7 @@
             relay.reload()  # an unchanged file applies nothing
             self.assertEqual(1, env.logged("tenant and class values changed"))
 
-    @live
+    @run_on_uvloop
     async def test_an_invalid_value_is_rejected_and_the_last_good_one_stays(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             rewrite_settings(env, accounts=[{"name": "m", "quotaPerS": 30.0, "share": 7.0}])
@@ -104,7 +104,7 @@
 
 
 class Sweeps(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_sweeps_go_on_after_one_fails(self) -> None:
         with mock.patch.object(services, "SWEEP_INTERVAL_SECONDS", 0.01):
             async with platform(ScriptedEndpoint("u0")) as env:
--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -14,7 +14,7 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener
 from lanelead.postgres_relay.client_connection import ClientConnection
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import Platform, PostgresClient, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 
@@ -51,7 +51,7 @@
 
 
 class Draining(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_drain_answers_all_requests_in_the_receive_buffer(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1"), ScriptedEndpoint("u2")) as env:
             listener, sock = env.relay.listener, env.raw_client()
@@ -65,7 +65,7 @@
             for number in range(3):
                 self.assertIn(b"value of %da" % number, received)
 
-    @live
+    @run_on_uvloop
     async def test_drain_accepts_all_connections_in_the_listen_queue(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1"), sockets=900) as env:
             socks = [env.raw_client(statement(f"{number:x}")) for number in range(200)]
@@ -75,7 +75,7 @@
                 self.assertTrue(b"value of %x" % number in received or b"C53300" in received, received[-80:])
             await drained
 
-    @live
+    @run_on_uvloop
     async def test_drain_gives_unused_connections_a_moment_and_then_rejects_them(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             requester, silent = await env.client(), await env.client()
@@ -87,7 +87,7 @@
                 self.assertEqual((await silent.response())["C"], b"57P03")
                 await drained
 
-    @live
+    @run_on_uvloop
     async def test_drain_waits_for_the_rest_of_a_request(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             client, text = await env.client(), messages.query(statement("2a"))
@@ -101,7 +101,7 @@
             self.assertEqual(await client.reader.read(), b"")
             await drained
 
-    @live
+    @run_on_uvloop
     async def test_disconnect_during_drain_cancels_the_attempt(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -111,7 +111,7 @@
             await env.until(lambda: not env.relay.upstream.connections)  # its attempt was cancelled
             await drained
 
-    @live
+    @run_on_uvloop
     async def test_request_behind_a_pending_one_is_rejected_during_drain(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -125,7 +125,7 @@
             self.assertEqual(len(endpoint.queries), 1)
             await drained
 
-    @live
+    @run_on_uvloop
     async def test_last_response_arrives_and_a_request_after_the_shutdown_stays_unread(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             sock = env.raw_client()
@@ -142,7 +142,7 @@
             self.assertNotIn(b"2a", received)
             self.assertEqual((env.relay.driver.counters.received, client.discarded_bytes), (1, 0))
 
-    @live
+    @run_on_uvloop
     async def test_request_pending_at_the_drain_deadline_fails(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -153,7 +153,7 @@
             self.assertEqual((await client.response())["C"], b"58000")
             self.assertEqual((env.relay.listener.clients, env.relay.driver.pending), ({}, {}))
 
-    @live
+    @run_on_uvloop
     async def test_time_left_is_capped_at_the_drain_deadline(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             client, listener = await env.client(), env.relay.listener
@@ -162,7 +162,7 @@
                 await client.request("1a", left=1400)
             self.assertLessEqual(receive.call_args.args[4], 3000)
 
-    @live
+    @run_on_uvloop
     async def test_request_that_crosses_a_rejection_never_runs(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             sock = env.raw_client()
@@ -174,7 +174,7 @@
             self.assertEqual((received.count(b"SFATAL"), b"value of" in received), (1, False))
             self.assertEqual((env.endpoints[0].queries, env.relay.driver.counters.received), ([], 0))
 
-    @live
+    @run_on_uvloop
     async def test_first_request_just_before_the_rejection_is_answered(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             sock = env.raw_client()
@@ -201,7 +201,7 @@
 
 
 class Violations(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_disconnect_after_a_violation_cancels_the_attempt(self) -> None:
         endpoint = HeldEndpoint()
         with mock.patch.object(client_listener, "VIOLATION_GRACE_SECONDS", 60):
@@ -214,7 +214,7 @@
                 await env.until(lambda: env.relay.driver.counters.abandoned == 1)
                 await env.until(lambda: not env.relay.upstream.connections)
 
-    @live
+    @run_on_uvloop
     async def test_bytes_after_a_violation_are_discarded_up_to_a_limit(self) -> None:
         with mock.patch("lanelead.postgres_relay.client_connection.MAX_DISCARDED_BYTES", 100_000):
             async with platform(HeldEndpoint("u0"), ScriptedEndpoint("u1")) as env:
@@ -231,7 +231,7 @@
 
 
 class Timeouts(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_sweep_keeps_connections_with_unread_bytes(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             socks = [env.raw_client(), env.raw_client()]
@@ -246,13 +246,13 @@
             self.assertEqual([client.closing for client in clients], [False, False])
             await env.until(lambda: env.relay.driver.counters.succeeded == 2)
 
-    @live
+    @run_on_uvloop
     async def test_silent_client_is_rejected(self) -> None:
         with mock.patch.object(client_listener, "SILENCE_TIMEOUT_SECONDS", 0.1):
             async with platform(ScriptedEndpoint("u0")) as env:
                 self.assertEqual((await (await env.client()).response())["C"], b"57P03")
 
-    @live
+    @run_on_uvloop
     async def test_only_connections_without_unread_bytes_are_evicted(self) -> None:
         async with platform(ScriptedEndpoint("u0"), sockets=64) as env:
             listener = env.relay.listener
@@ -270,7 +270,7 @@
             await env.until(lambda: env.relay.driver.counters.succeeded == len(socks))
             requester.close()
 
-    @live
+    @run_on_uvloop
     async def test_connections_over_the_limit_are_rejected(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint, HeldEndpoint("u1"), sockets=64) as env:
@@ -288,7 +288,7 @@
                 self.assertIn(b"C53300", await env.read_to_end(sock))
             await env.until(lambda: not listener._rejected_sockets)
 
-    @live
+    @run_on_uvloop
     async def test_accepting_pauses_when_descriptors_run_out(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             listener, sock = env.relay.listener, env.relay.listener._sock
--- a/tests/test_client_violations.py
+++ b/tests/test_client_violations.py
@@ -8,7 +8,7 @@
 
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_listener
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import platform, statement
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 
@@ -19,7 +19,7 @@
 
 
 class ClientViolations(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_each_violation_gets_an_error_or_a_close_and_no_attempt(self) -> None:
         start = messages.startup("app", "shop")
         many = b"".join(messages.query(statement(str(n))) for n in range(300))
@@ -53,7 +53,7 @@
                 self.assertIn("D", await (await env.client()).request("1a"))
                 await env.until(lambda: len(env.relay.listener.clients) <= 1 + 4)
 
-    @live
+    @run_on_uvloop
     async def test_request_before_a_violation_is_answered(self) -> None:
         async def slow(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.1)
@@ -67,7 +67,7 @@
             self.assertEqual((await client.response())["C"], b"08P01")
             self.assertEqual(await client.reader.read(), b"")
 
-    @live
+    @run_on_uvloop
     async def test_request_before_a_violation_fails_after_the_grace_period(self) -> None:
         with mock.patch.multiple(client_listener, VIOLATION_GRACE_SECONDS=0.2):
             async with platform(ScriptedEndpoint("u0", no_response)) as env:
@@ -78,7 +78,7 @@
                 self.assertEqual((await client.response())["C"], b"08P01")
                 self.assertEqual((env.relay.driver.pending, env.relay.listener.open_request_ids), ({}, {}))
 
-    @live
+    @run_on_uvloop
     async def test_silent_connections_leave_room_for_active_clients(self) -> None:
         async with platform(ScriptedEndpoint("u0"), sockets=64) as env:
             requester = await env.client()
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -18,7 +18,7 @@
 from lanelead.protocols.feeds import MAX_LINE_BYTES as LINE
 from lanelead.protocols.feeds import MessageError, encode
 from tests.follower_harness import entry, row
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.scripted_replica import (
     APPLIED,
     BUCKETS,
@@ -101,7 +101,7 @@
 
 
 class Watches(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_source_with_an_invalid_watch_is_replaced_by_another_and_seldom_retried(
         self,
     ) -> None:
@@ -123,7 +123,7 @@
 
         await asyncio.gather(*(check_case(name, response) for name, response in BAD_WATCHES.items()))
 
-    @live
+    @run_on_uvloop
     async def test_the_only_source_is_retried_less_and_less_if_its_watch_is_invalid(self) -> None:
         async def check_case(name: str, response: Answer) -> None:
             async with scripted_replicas(1) as (faulty,):
@@ -138,7 +138,7 @@
 
         await asyncio.gather(*(check_case(name, response) for name, response in BAD_WATCHES.items()))
 
-    @live
+    @run_on_uvloop
     async def test_unknown_fields_of_a_newer_version_are_ignored(self) -> None:
         async with scripted_replicas(1) as (replica,):
             replica.publish(entry("tenant/m", {"quota_per_s": 3, "burst": {"of": [1]}}))
@@ -152,7 +152,7 @@
                 self.assertEqual(TenantValue(3.0), relay.client.values.values["tenant/m"])
                 self.assertEqual([], relay.log.rows)
 
-    @live
+    @run_on_uvloop
     async def test_an_invalid_value_is_rejected_alone_reported_and_logged(self) -> None:
         async with scripted_replicas(1) as (replica,):
             rows = {"tenant/m": {"quota_per_s": -3}, "tenant/b": {}, "later/x": 1}
@@ -166,7 +166,7 @@
                 self.assertEqual(1, len(relay.log.logged("an entry of the configuration was refused")))
                 self.assertEqual({"later": 1}, relay.client.values.unknown_kinds)
 
-    @live
+    @run_on_uvloop
     async def test_of_many_invalid_values_some_are_logged_and_all_are_counted(self) -> None:
         async with scripted_replicas(1) as (replica,):
             replica.publish(*(entry(f"tenant/x{number}", []) for number in range(25)))
@@ -177,7 +177,7 @@
                 self.assertEqual(10, len(relay.log.rows))
                 self.assertEqual((25, 0), (relay.client.follower.rejections, relay.change_calls))
 
-    @live
+    @run_on_uvloop
     async def test_an_exception_in_the_client_is_logged_and_following_goes_on(self) -> None:
         async with scripted_replicas(2) as replicas, following(replicas, faults=True) as relay:
             while not replicas[0].count(APPLIED):
@@ -199,7 +199,7 @@
         for replica in at:
             replica.publish(*(Entry(key, msgspec.Raw(value)) for key, value in map(row, range(rows))))
 
-    @live
+    @run_on_uvloop
     async def test_a_source_with_an_invalid_snapshot_is_replaced_by_another(self) -> None:
         async def wrong_digests(replica: ScriptedReplica, writer: Writer) -> None:
             digest_tree = replica.source.digest_tree(0.0)
@@ -249,7 +249,7 @@
                 *(check_case(number, *cases[number]) for number in range(start, min(start + 4, len(cases))))
             )
 
-    @live
+    @run_on_uvloop
     async def test_buckets_too_large_for_one_response_are_fetched_in_smaller_parts(self) -> None:
         async with scripted_replicas(1) as (replica,):
             self.fill(replica)
@@ -268,7 +268,7 @@
                 await relay.wait_for_version(1)
             self.assertEqual([16, 8], requests[:2])
 
-    @live
+    @run_on_uvloop
     async def test_a_document_over_the_limits_is_not_fetched_repeatedly(self) -> None:
         cases: list[dict[str, Any]] = [{"most_entries": 5}, {"most_bytes": 1024}]
         for bounds in cases:
@@ -286,7 +286,7 @@
                     self.assertEqual({"tenant/m": TenantValue(9.0)}, relay.client.values.values)
                     self.assertEqual(0, relay.version)
 
-    @live
+    @run_on_uvloop
     async def test_a_change_over_the_limits_is_not_fetched_repeatedly(self) -> None:
         async with scripted_replicas(1) as (replica,):
             replica.publish(entry("tenant/m", {"quota_per_s": 9}))
@@ -309,7 +309,7 @@
 
 
 class Scheduling(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_due_time_in_the_past_does_not_cause_a_busy_loop(self) -> None:
         async with scripted_replicas(1) as replicas:
             past = mock.patch.object(Follower, "due", new_callable=mock.PropertyMock, return_value=0.0)
@@ -318,7 +318,7 @@
                     await asyncio.sleep(0.5)
                 self.assertLessEqual(tick.call_count, 60)
 
-    @live
+    @run_on_uvloop
     async def test_cancellation_leaves_no_task_and_no_watch_behind(self) -> None:
         async with scripted_replicas(2) as replicas:
             replicas[0].publish(entry("tenant/n", {}))
@@ -335,7 +335,7 @@
             while replicas[0].open_connections > replicas[0].count(OUTLINE) + replicas[0].count(APPLIED):
                 await asyncio.sleep(0.01)
 
-    @live
+    @run_on_uvloop
     async def test_cancellation_works_when_an_event_arrives_at_the_same_moment(self) -> None:
         for turns in range(4):
             async with scripted_replicas(1) as (replica,):
@@ -354,7 +354,7 @@
                     await asyncio.sleep(0.05)
                 self.assertTrue(ended, turns)
 
-    @live
+    @run_on_uvloop
     async def test_unanswered_reports_do_not_accumulate(self) -> None:
         async with scripted_replicas(1) as (replica,):
             replica.overrides[APPLIED] = silent
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -24,12 +24,12 @@
 from lanelead.protocols.configuration import AppliedVersion, Entry, Proposal, RejectedProposal
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.replica_processes import replica_processes
 
 
 class Responses(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_publish_and_status_print_results_and_exit_statuses(self) -> None:
         async with replica_processes(4, voters=3) as replicas:
             run = CliRunner().invoke
@@ -81,7 +81,7 @@
             self.assertEqual(3, result.exit_code)
             self.assertIn("does not answer", result.output)
 
-    @live
+    @run_on_uvloop
     async def test_a_watch_sends_heartbeats_and_each_change_as_it_is_committed(self) -> None:
         async with replica_processes() as replicas:
             port = replicas.ports[1]
@@ -113,7 +113,7 @@
                 heads += [0] * text.startswith(b"{")
             writer.close()
 
-    @live
+    @run_on_uvloop
     async def test_invalid_calls_are_rejected_and_the_replica_goes_on(self) -> None:
         async with replica_processes(1) as replicas:
             at = replicas.at(0)[0]
@@ -233,7 +233,7 @@
 
 
 class Unreachable(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_without_any_response_the_result_is_unknown_and_the_ident_is_printed(self) -> None:
         ports = free_ports(2)
         at = [f"127.0.0.1:{port}" for port in ports]
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -22,7 +22,7 @@
 from lanelead.protocols.feeds import decode, encode
 from lanelead.testbed.scenarios.processes import free_ports
 from tests.faulty_tcp_links import FaultyTcpLinks
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import SETTINGS, Platform, platform
 from tests.replica_processes import ReplicaProcesses, replica_processes
 from tests.scripted_endpoints import ScriptedEndpoint
@@ -142,7 +142,7 @@
 class Processes(unittest.TestCase):
     """Changes reach all relays under faults of replicas, links and relays."""
 
-    @live
+    @run_on_uvloop
     async def test_a_change_is_applied_by_all_relays_in_time_also_with_a_replica_killed(self) -> None:
         async with fleet() as running_fleet:
             version = await running_fleet.publish("new-tenant", [("tenant/new", tenant(5))])
@@ -159,7 +159,7 @@
             self.assertLess(await running_fleet.in_force(version), 3.0)
             self.assertNotIn("another history", "".join(map(running_fleet.log, range(RELAYS))))
 
-    @live
+    @run_on_uvloop
     async def test_a_replica_is_stopped_and_continued(self) -> None:
         async with fleet() as running_fleet:
             running_fleet.replicas.signal(0, signal.SIGSTOP)
@@ -169,7 +169,7 @@
             version = await running_fleet.publish("woken-again", [("tenant/a", tenant(2))], 0)
             self.assertLess(await running_fleet.in_force(version), 3.0)
 
-    @live
+    @run_on_uvloop
     async def test_links_cut_in_one_direction_broken_and_delayed_by_two_seconds(self) -> None:
         async with fleet() as running_fleet:
             relays = range(REPLICAS, REPLICAS + RELAYS)
@@ -187,7 +187,7 @@
             version = await running_fleet.publish("delayed-by-two", [("tenant/d", tenant(1))], 0)
             await running_fleet.in_force(version)
 
-    @live
+    @run_on_uvloop
     async def test_relays_keep_running_without_replicas_and_follow_them_again(self) -> None:
         async with fleet() as running_fleet:
             version = await running_fleet.publish("before-it-all", [("tenant/new", tenant(5))])
@@ -202,7 +202,7 @@
             await running_fleet.in_force(version)
             self.assertTrue(all(process.returncode is None for process in running_fleet.processes.values()))
 
-    @live
+    @run_on_uvloop
     async def test_all_relays_killed_and_back_with_their_old_files(self) -> None:
         async with fleet() as running_fleet:
             version = await running_fleet.publish("a-change-since", [("tenant/m", tenant(7)), ("tenant/x", tenant(1))])
@@ -213,7 +213,7 @@
             await running_fleet.start(RELAYS - 1, quota=3.0)  # its file is of no version: it fetches only what differs
             await running_fleet.in_force(version)
 
-    @live
+    @run_on_uvloop
     async def test_an_invalid_value_is_rejected_and_unknown_kinds_are_kept(self) -> None:
         async with fleet() as running_fleet:
             bad = Proposal("one-is-bad", [Entry("tenant/bad", msgspec.Raw(b'{"quota_per_s":-1}'))])
--- a/tests/test_configuration_replica_processes.py
+++ b/tests/test_configuration_replica_processes.py
@@ -11,7 +11,7 @@
 
 from lanelead.configuration.commands import submit_proposal
 from lanelead.protocols.configuration import RejectedProposal
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.replica_processes import replica_processes
 from tests.simulated_replicas import proposal
 
@@ -19,7 +19,7 @@
 class Faults(unittest.TestCase):
     """One kind of fault in each test."""
 
-    @live
+    @run_on_uvloop
     async def test_changes_go_on_without_a_killed_replica_and_it_catches_up(self) -> None:
         async with replica_processes() as replicas:
             await replicas.commit_proposal("before-it", 0)
@@ -29,7 +29,7 @@
             await replicas.commit_proposal("with-it-again", 0)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_a_replica_is_killed_during_changes(self) -> None:
         async with replica_processes() as replicas:
             some = [
@@ -43,7 +43,7 @@
             await asyncio.gather(*some)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_all_replicas_killed_at_once_lose_nothing(self) -> None:
         async with replica_processes() as replicas:
             for number in range(3):
@@ -54,7 +54,7 @@
             await replicas.commit_proposal("after-it", 2)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_a_replica_is_stopped_and_continued(self) -> None:
         async with replica_processes() as replicas:
             await replicas.commit_proposal("before-it", 2)
@@ -65,7 +65,7 @@
             await replicas.commit_proposal("woken-again", 2)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_replicas_restarted_without_their_store_one_after_another(self) -> None:
         async with replica_processes() as replicas:
             await replicas.commit_proposal("at-first", 0)
@@ -80,7 +80,7 @@
                 await replicas.wait_until_voting(number)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_five_voters_go_on_without_two_and_reject_without_three(self) -> None:
         async with replica_processes(5) as replicas:
             await replicas.commit_proposal("with-all", 0)
@@ -96,7 +96,7 @@
             await replicas.commit_proposal("all-again", 4)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_links_cut_one_way_cut_both_ways_and_broken(self) -> None:
         async with replica_processes() as replicas:
             await replicas.commit_proposal("at-first", 0)
@@ -114,7 +114,7 @@
             await replicas.commit_proposal("healed-again", 0)
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_two_proposers_of_one_change_with_half_a_second_of_delay(self) -> None:
         async with replica_processes(4, voters=3) as replicas:
             for direction in replicas.links.directions.values():
@@ -126,7 +126,7 @@
             replicas.links.heal()
             await replicas.wait_for_agreement()
 
-    @live
+    @run_on_uvloop
     async def test_a_replica_that_lacks_more_than_the_log_fetches_a_snapshot(self) -> None:
         async with replica_processes() as replicas:
             await replicas.kill(2)
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -16,7 +16,7 @@
 from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import discovery_client, feed_handover
 from tests.discovery_emulator import DiscoveryCall, DiscoveryEmulator, discovery, entry, list_body, move_discovery
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import Platform, PostgresClient, free_port, platform
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.test_feed_races import endpoint_status
@@ -90,7 +90,7 @@
             self.assertIn("T", await client.request(f"{number}b", "read"))
         self.assertEqual((len(draining.queries), draining.connections), (queries_before, connections_before))
 
-    @live
+    @run_on_uvloop
     async def test_drain_reported_by_the_earlier_discovery_while_the_new_one_is_silent(self) -> None:
         async with (
             relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
@@ -108,7 +108,7 @@
             allow_response(draining)
             await assert_single_response(self, client, "1a")
 
-    @live
+    @run_on_uvloop
     async def test_drain_reported_by_the_new_discovery_only(self) -> None:
         async with (
             relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
@@ -124,7 +124,7 @@
             allow_response(draining)
             await assert_single_response(self, client, "1a")
 
-    @live
+    @run_on_uvloop
     async def test_drain_reported_by_both_and_then_removed_from_the_list(self) -> None:
         async with (
             relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, watch),
@@ -146,7 +146,7 @@
             await env.until(lambda: endpoint_status(env, serving.name) == "draining")
             await self._assert_served_only_by(env, serving, draining)
 
-    @live
+    @run_on_uvloop
     async def test_restarted_versions_are_accepted_while_the_earlier_discovery_responds(self) -> None:
         with mock.patch.object(discovery_client, "VERSION_RESET_SECONDS", 0.3):
             async with (
@@ -178,7 +178,7 @@
                 self.assertEqual(env.logged("discovery restarted its versions"), 1)
                 self.assertEqual(len(env.relay._discovery_handover._running), 1)
 
-    @live
+    @run_on_uvloop
     async def test_many_moves_to_silent_addresses_leave_few_feeds(self) -> None:
         async with (
             relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, _, watch),
@@ -212,7 +212,7 @@
         await emulator.watch(version, entry(env.endpoints[0]), entry(env.endpoints[1], state="leaving"))
         self.assertEqual(endpoint_status(env, "u1"), "draining")
 
-    @live
+    @run_on_uvloop
     async def test_after_many_valid_responses(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", 0.5):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -224,7 +224,7 @@
                 await self._assert_resynchronized(env, emulator, watch, 211)
                 self.assertEqual(env.logged("feed down"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_directly_after_a_move(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
             async with (
@@ -235,7 +235,7 @@
                 watch = await new.watch(10, *(entry(endpoint) for endpoint in env.endpoints))
                 await self._assert_resynchronized(env, new, watch)
 
-    @live
+    @run_on_uvloop
     async def test_with_a_partial_response(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -250,7 +250,7 @@
                     version += 1
                     watch = await emulator.watch(version, *map(entry, env.endpoints))
 
-    @live
+    @run_on_uvloop
     async def test_a_response_sent_byte_by_byte_times_out(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -267,7 +267,7 @@
                 await self._assert_resynchronized(env, emulator, watch)
                 dripping.cancel()
 
-    @live
+    @run_on_uvloop
     async def test_snapshot_calls_without_a_response_are_repeated(self) -> None:
         with mock.patch.object(discovery_client, "WATCH_HOLD_SECONDS", SHORT_HOLD_SECONDS):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -278,7 +278,7 @@
                 await self._assert_resynchronized(env, emulator, watch)
                 self.assertIn("T", await (await env.client()).request("1a"))
 
-    @live
+    @run_on_uvloop
     async def test_a_drain_that_begins_with_the_silence_is_noticed_in_time(self) -> None:
         """With the real constants: at most 2 s after the hold time, which is well within 6 s."""
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, _):
@@ -290,7 +290,7 @@
             self.assertLess(elapsed, discovery_client.WATCH_HOLD_SECONDS + 2)
             self.assertGreaterEqual(elapsed, discovery_client.WATCH_HOLD_SECONDS)
 
-    @live
+    @run_on_uvloop
     async def test_outdated_lists_with_timeouts_between_them_are_not_accepted(self) -> None:
         with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SHORT_HOLD_SECONDS, VERSION_RESET_SECONDS=0.5):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -304,7 +304,7 @@
                     self.assertEqual(endpoint_status(env, "u1"), "draining")
                 self.assertEqual(env.logged("discovery restarted its versions"), 0)
 
-    @live
+    @run_on_uvloop
     async def test_while_the_relay_itself_drains(self) -> None:
         """A request that is rejected while the relay drains is not retried at an endpoint that drains by then."""
         with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=SHORT_HOLD_SECONDS, RESPONSE_GRACE_SECONDS=0.2):
@@ -325,7 +325,7 @@
 class DiscoveryCrashes(unittest.TestCase):
     """Discovery moves to an address that refuses connections, and the earlier one stops as well."""
 
-    @live
+    @run_on_uvloop
     async def test_the_last_list_is_used_until_the_new_discovery_is_up(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, old, _):
             port = free_port()
--- a/tests/test_endpoint_lists.py
+++ b/tests/test_endpoint_lists.py
@@ -17,7 +17,7 @@
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, RejectedEntry, read_endpoint_list
 from tests.discovery_emulator import discovery, entry, list_body, move_discovery
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import Platform, free_port, platform
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.test_discovery_moves import allow_response, assert_single_response, relay_with_discovery, waiting_request
@@ -34,7 +34,7 @@
 class Snapshots(unittest.TestCase):
     """A snapshot in response to a watch, and the endpoints that it leaves out."""
 
-    @live
+    @run_on_uvloop
     async def test_a_snapshot_replaces_all_known_endpoints(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1"), ScriptedEndpoint("u2")) as (
             env,
@@ -50,7 +50,7 @@
             self.assertEqual((len(u0.queries), len(u2.queries)), (0, 1))
             self.assertEqual(env.logged("feed down"), 0)
 
-    @live
+    @run_on_uvloop
     async def test_a_removed_endpoints_response_is_passed_on_and_its_connection_closed(self) -> None:
         async with relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, emulator, watch):
             client, removed, remaining = await waiting_request(env, "1a")
@@ -64,7 +64,7 @@
             self.assertEqual(env.relay.upstream.connections, {})
             self.assertEqual([endpoint.status.value for endpoint in env.relay.upstream._pools], [])
 
-    @live
+    @run_on_uvloop
     async def test_an_endpoint_is_listed_again_while_an_attempt_is_in_flight(self) -> None:
         """The endpoint returns unchanged, at another address, with another build, or restarted."""
         for fields in ({}, {"addr": None}, {"revision_no": 2}, {"started_ms": 1}):
@@ -122,7 +122,7 @@
             writer.close()
         elsewhere.server.close()
 
-    @live
+    @run_on_uvloop
     async def test_an_endpoint_removed_and_listed_again_in_one_list(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             u0, u1 = env.endpoints
@@ -165,7 +165,7 @@
 class InvalidEntries(unittest.TestCase):
     """An invalid entry is rejected without the rest of its list; the endpoint's last good entry stays in force."""
 
-    @live
+    @run_on_uvloop
     async def test_other_entries_of_the_list_are_applied(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1"), ScriptedEndpoint("u2")) as (
             env,
@@ -194,7 +194,7 @@
             self.assertEqual((lines[0]["count"], lines[0]["first"]), (1, ["u1"]))
             self.assertIn("discovery", lines[0]["remedy"])
 
-    @live
+    @run_on_uvloop
     async def test_an_invalid_entry_of_a_leaving_endpoint_still_drains_it(self) -> None:
         for full in (True, False):
             async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
@@ -204,7 +204,7 @@
                 self.assertEqual((endpoint_status(env, "u0"), endpoint_status(env, "u1")), ("ready", "draining"))
                 self.assertEqual(state_field(env, "rejected_entries"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_invalid_entries_without_a_known_id_are_skipped(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0")) as (env, emulator, watch):
             u0 = env.endpoints[0]
@@ -232,7 +232,7 @@
             )
             self.assertIn("T", await (await env.client()).request("1a"))
 
-    @live
+    @run_on_uvloop
     async def test_an_endpoint_with_two_different_entries_in_a_snapshot_stays_unchanged(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             u0, u1 = env.endpoints
@@ -257,7 +257,7 @@
         self.assertEqual([entry.id for entry in rejected], ["u1"])
         self.assertEqual(read_endpoint_list(found).units, [])
 
-    @live
+    @run_on_uvloop
     async def test_all_fields_of_an_endpoint_survive_a_rejected_entry(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             u0, u1 = env.endpoints
@@ -285,7 +285,7 @@
             )
             self.assertEqual(now, was)
 
-    @live
+    @run_on_uvloop
     async def test_invalid_entries_in_the_configuration_file(self) -> None:
         """Invalid entries in `known` prevent neither a start nor a reload."""
         async with relay_with_discovery(ScriptedEndpoint("u0")) as (env, _, _), discovery() as new:
@@ -308,7 +308,7 @@
 class InvalidLists(unittest.TestCase):
     """An invalid list is rejected as a whole; the last good list stays in force."""
 
-    @live
+    @run_on_uvloop
     async def test_each_invalid_list_is_counted_and_changes_nothing(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             u0, u1 = env.endpoints
@@ -334,7 +334,7 @@
             call.respond(11, *entries)
             await env.until(lambda: endpoint_status(env, "u1") == "draining")
 
-    @live
+    @run_on_uvloop
     async def test_a_list_that_is_too_long(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             with mock.patch.object(discovery_client, "MAX_LIST_BYTES", 5000):
@@ -345,7 +345,7 @@
                 call.respond(11, entry(env.endpoints[0]))
                 await env.until(lambda: endpoint_status(env, "u1") == "removed")
 
-    @live
+    @run_on_uvloop
     async def test_changes_in_response_to_a_snapshot_call(self) -> None:
         async with (
             relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, _, _),
@@ -357,7 +357,7 @@
             self.assertEqual((call.is_snapshot, endpoint_status(env, "u1")), (True, "ready"))
             self.assertEqual((env.relay._list_state.version, state_field(env, "rejected_lists")), (10, 1))
 
-    @live
+    @run_on_uvloop
     async def test_invalid_lists_from_the_start_are_logged_with_the_reason(self) -> None:
         with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(ScriptedEndpoint("u0"), known=False, silent=True) as env:
--- a/tests/test_feed_clients.py
+++ b/tests/test_feed_clients.py
@@ -8,13 +8,13 @@
 
 from lanelead.decisions.interface import AttemptOutcome, CastVote, Verdict
 from lanelead.protocols import datagrams
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import STAGE, platform, stage_notification, vote_error, vote_response
 from tests.scripted_endpoints import ScriptedEndpoint
 
 
 class Feeds(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_invalid_responses_of_discovery_lead_to_a_snapshot(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: len(env.list_requests) == 2)
@@ -28,7 +28,7 @@
                 self.assertIn("D", await client.request(str(number)))
             self.assertEqual(env.endpoints[1].queries, [])
 
-    @live
+    @run_on_uvloop
     async def test_outcomes_of_votes(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             await env.until(lambda: env.relay.state()["rollout_connected"])
@@ -54,7 +54,7 @@
             await env.until(lambda: len(env.rollout_writers) == 2)  # the invalid line ended the first connection
             self.assertEqual({call["params"]["verdict"] for call in env.rollout_calls if "params" in call}, {"abort"})
 
-    @live
+    @run_on_uvloop
     async def test_stage_notifications_apply_at_once(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             await env.until(lambda: env.relay.state()["rollout_connected"])
@@ -65,7 +65,7 @@
             env.rollout_writers[0].write(stage_notification({**stage, "phase": "recalling", "cap": 0.0}))
             await env.until(lambda: exposure.rollout.exposure_limit == 0.0)
 
-    @live
+    @run_on_uvloop
     async def test_an_internal_error_on_one_message_ends_no_feed(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: env.relay.state()["rollout_connected"])
@@ -81,7 +81,7 @@
             await env.until(lambda: env.relay.state()["rollout_connected"] and env.relay.state()["discovery_connected"])
             await env.until(lambda: driver.registry.by_name["u1"].status.value == "draining")
 
-    @live
+    @run_on_uvloop
     async def test_datagrams_keep_their_length_and_unknown_senders_are_dropped(self) -> None:
         for size in range(255):
             data = datagrams.encode_plain(bytes(size))
--- a/tests/test_feed_races.py
+++ b/tests/test_feed_races.py
@@ -19,7 +19,7 @@
 from lanelead.postgres_relay.config import load
 from lanelead.protocols.feeds import MessageError, decode
 from lanelead.protocols.platform import RpcMessage
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import SETTINGS, STAGE, Platform, platform, stage_notification, vote_response
 from tests.scripted_endpoints import ScriptedEndpoint
 
@@ -38,7 +38,7 @@
 
 
 class StartWithoutList(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_without_a_list_it_listens_and_rejects_requests(self) -> None:
         with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(ScriptedEndpoint("u0"), known=False, silent=True) as env:
@@ -51,7 +51,7 @@
                 await env.until(lambda: env.relay.state()["endpoints"] == 1)
                 self.assertIn("D", await client.request("2a", "file"))
 
-    @live
+    @run_on_uvloop
     async def test_sigterm_before_the_first_list_stops_it_without_listening(self) -> None:
         with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 60):
             async with platform(ScriptedEndpoint("u0"), known=False, silent=True, listening=False) as env:
@@ -61,7 +61,7 @@
 
 
 class Watches(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_watch_that_times_out_is_followed_by_a_snapshot(self) -> None:
         with mock.patch.multiple(discovery_client, WATCH_HOLD_SECONDS=0.1, RESPONSE_GRACE_SECONDS=0.2):
             async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
@@ -72,7 +72,7 @@
                 env.discovery_responds.set()
                 await env.until(lambda: endpoint_status(env, "u1") == "draining")
 
-    @live
+    @run_on_uvloop
     async def test_an_outdated_list_does_not_make_a_draining_endpoint_ready(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: env.relay.state()["discovery_connected"])
@@ -93,7 +93,7 @@
             self.assertEqual({call.args[0].version for call in endpoints_listed.call_args_list}, {2})
             self.assertEqual(endpoint_status(env, "u1"), "draining")
 
-    @live
+    @run_on_uvloop
     async def test_restarted_versions_are_accepted_after_the_reset_time(self) -> None:
         with mock.patch.object(discovery_client, "VERSION_RESET_SECONDS", 0.3):
             async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
@@ -104,7 +104,7 @@
                 await env.until(lambda: endpoint_status(env, "u1") == "draining")
                 self.assertEqual(env.logged("discovery restarted its versions"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_an_indented_list_received_in_small_pieces_is_read(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: env.relay.state()["discovery_connected"])
@@ -116,7 +116,7 @@
                 env.change_state(env.endpoints[0], "active")
                 await env.until(lambda: endpoint_status(env, "u1") == "draining")
 
-    @live
+    @run_on_uvloop
     async def test_a_list_of_more_than_a_mebibyte_is_read(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: env.relay.state()["discovery_connected"])
@@ -127,7 +127,7 @@
             env.change_state(env.endpoints[0], "active")
             await env.until(lambda: endpoint_status(env, "u1") == "draining")
 
-    @live
+    @run_on_uvloop
     async def test_a_truncated_body_changes_nothing(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             await env.until(lambda: env.relay.state()["discovery_connected"])
@@ -142,7 +142,7 @@
 
 
 class Reloads(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_the_earlier_discovery_is_followed_until_the_new_one_responds(self) -> None:
         async with (
             platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as old,
@@ -163,7 +163,7 @@
             await old.until(lambda: old.relay.state()["discovery_connected"])
             self.assertEqual((len(old.list_requests), endpoint_status(old, "u0")), (calls_before, "ready"))
 
-    @live
+    @run_on_uvloop
     async def test_the_earlier_rollout_platform_is_followed_until_the_new_one_sends_a_stage(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u0")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
@@ -185,7 +185,7 @@
                 await old.until(lambda: earlier._sock is None)
                 self.assertEqual([call.args[0].phase for call in rollout_read.call_args_list], ["withdrawn"])
 
-    @live
+    @run_on_uvloop
     async def test_a_vote_pending_at_a_move_times_out(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u0")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
@@ -207,7 +207,7 @@
                     lambda: any(c.args[1:] == (True, AttemptOutcome.SUCCEEDED) for c in rollout_read.call_args_list)
                 )
 
-    @live
+    @run_on_uvloop
     async def test_after_many_reloads_one_feed_of_each_kind_runs(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             for _ in range(12):
@@ -219,7 +219,7 @@
             )
             await env.until(lambda: len(relay._background_tasks) <= 3)  # two feeds and the sweep task
 
-    @live
+    @run_on_uvloop
     async def test_a_reload_while_draining_is_applied_and_one_after_the_end_is_not(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u0")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
@@ -233,7 +233,7 @@
             self.assertEqual(len(old.relay._background_tasks), 0)
             self.assertEqual(old.logged("configuration reloaded"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_changes_that_need_a_restart_are_logged_and_ignored(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             path = env.folder / "config.json"
@@ -245,7 +245,7 @@
             reload_lines = [c.kwargs for c in env.log.calls if c.kwargs.get("event") == "configuration reloaded"]
             self.assertEqual(reload_lines[0]["ignored_until_restart"], ["limits", "settings.allowed"])
 
-    @live
+    @run_on_uvloop
     async def test_a_missing_or_invalid_file_changes_nothing(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             path = env.folder / "config.json"
@@ -260,7 +260,7 @@
 
 
 class InvalidMessages(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_canary_stage_that_the_settings_do_not_have_is_rejected(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             await env.until(lambda: env.relay.state()["rollout_connected"])
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,7 +20,7 @@
 from lanelead.runtime.gossip_codec import HEADER_BYTES, LATENCY_STEP_TICKS, NOT_REPORTED
 from lanelead.testbed.emulators.fault_proxy import Wires
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import SETTINGS, Platform, PostgresClient, free_port
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 
@@ -167,7 +167,7 @@
 
 
 class Overload(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_hubs_tell_how_long_trips_take_and_relays_shed_until_the_flood_is_over(self) -> None:
         endpoints = [ScriptedEndpoint(f"u{number}") for number in range(4)]
         for endpoint in endpoints:
@@ -191,7 +191,7 @@
             while await relays.send_rounds(remaining_clients, 1) < len(remaining_clients):
                 await asyncio.sleep(0.05)
 
-    @live
+    @run_on_uvloop
     async def test_relays_serve_alone_without_gossip_and_aggregators(self) -> None:
         endpoints = [ScriptedEndpoint(f"u{number}") for number in range(4)]
         async with fleet(endpoints) as relays:
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -12,10 +12,10 @@
     Client,
     Handler,
     ScriptedEndpoint,
-    live,
     relay_environment,
     reset_connections,
     respond_with,
+    run_on_uvloop,
     state_of,
 )
 
@@ -48,26 +48,26 @@
     NOT_RETRIED, RETRIED = (502, "broken-off", 0), (200, "done", 1)
     RETRIED_AS_IDEMPOTENT = RETRIED  # the attempt may have run, but may run again
 
-    @live
+    @run_on_uvloop
     async def test_attempt_reset_after_the_body_may_have_run(self) -> None:
         self.assertEqual(await self.first_outcome(reset_connections, "POST"), self.NOT_RETRIED)
         self.assertEqual(await self.first_outcome(reset_connections, "GET"), self.RETRIED_AS_IDEMPOTENT)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_with_refused_connection_has_not_run(self) -> None:
         self.assertEqual(await self.first_outcome(reset_connections, "POST", closed=True), self.RETRIED)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_rejected_by_header_has_not_run_and_one_with_a_plain_503_may_have(self) -> None:
         rejects = respond_with(b"", 503, 0.0, (b"lanelead-turned-away", b"1"))
         self.assertEqual(await self.first_outcome(rejects, "POST"), self.RETRIED)
         self.assertEqual(await self.first_outcome(respond_with(b"", 503), "POST"), self.NOT_RETRIED)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_with_an_error_may_have_run(self) -> None:
         self.assertEqual(await self.first_outcome(respond_with(b"", 500), "POST"), self.NOT_RETRIED)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_with_a_truncated_or_malformed_response_may_have_run(self) -> None:
         for text in (serialization.response(200, (), b"0123456789")[:-4], b"HTP/9 hello\r\n\r\n", b""):
 
@@ -83,12 +83,12 @@
             self.assertEqual(await self.first_outcome(truncates, "POST"), self.NOT_RETRIED, text)
             self.assertEqual(await self.first_outcome(truncates, "GET"), self.RETRIED_AS_IDEMPOTENT, text)
 
-    @live
+    @run_on_uvloop
     async def test_keyed_request_is_retried_only_in_its_zone(self) -> None:
         # The good endpoint is in another zone, so an attempt that may have run cannot be retried there.
         self.assertEqual(await self.first_outcome(reset_connections, "PUT", idempotency_key="r1"), self.NOT_RETRIED)
 
-    @live
+    @run_on_uvloop
     async def test_non_idempotent_request_to_a_silent_endpoint_fails_by_its_deadline(self) -> None:
         bad = ScriptedEndpoint("bad", respond_with(wait=30))
         async with relay_environment(bad) as env:
@@ -100,7 +100,7 @@
             self.assertGreater(loop.time() - began, 0.3)
             self.assertEqual(len(bad.requests), 1)
 
-    @live
+    @run_on_uvloop
     async def test_idle_connection_that_the_endpoint_closed_is_not_reused(self) -> None:
         async def once(endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await endpoint.request(reader)
@@ -116,7 +116,7 @@
 
 
 class Connections(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_responses_come_in_the_order_of_the_requests_though_the_second_is_ready_first(self) -> None:
         async def by_path(
             endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -134,7 +134,7 @@
                 client.send("GET", path)
             self.assertEqual([(await client.read_response())[2] for _ in range(3)], [b"/slow", b"/quick", b"/quick2"])
 
-    @live
+    @run_on_uvloop
     async def test_pipelined_request_with_an_earlier_deadline_than_the_one_ahead_is_deferred(self) -> None:
         async with relay_environment(
             ScriptedEndpoint("u", respond_with(wait=0.4)), ScriptedEndpoint("v", respond_with(wait=0.4))
@@ -146,7 +146,7 @@
             self.assertEqual((first[0], second[0], second[1]["lanelead-outcome"]), (200, 503, "shed"))
             self.assertFalse([text for endpoint in env.endpoints for text in endpoint.requests if b"POST" in text])
 
-    @live
+    @run_on_uvloop
     async def test_attempt_of_a_client_that_disconnects_is_cancelled(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with(wait=5))
         async with relay_environment(endpoint) as env:
@@ -159,7 +159,7 @@
                 await asyncio.sleep(0.01)
             self.assertEqual(state_of(env)["outcomes"], {"cancelled": 1})
 
-    @live
+    @run_on_uvloop
     async def test_half_closed_client_still_gets_its_response(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with(b"late\n", wait=0.2))) as env:
             client = await Client.to(env)
@@ -168,7 +168,7 @@
             self.assertEqual((await client.read_response())[2], b"late\n")
             self.assertEqual(await client.read_to_end(), b"")
 
-    @live
+    @run_on_uvloop
     async def test_endpoint_may_respond_before_it_has_read_the_whole_body(self) -> None:
         async def early(endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             endpoint.requests.append(await reader.readuntil(b"\r\n\r\n"))
@@ -187,7 +187,7 @@
             endpoint.connections, 2
         )  # the first connection cannot be reused: the rest of the body is still being sent on it
 
-    @live
+    @run_on_uvloop
     async def test_late_response_is_never_matched_to_the_next_attempt(self) -> None:
         async def first_late(
             endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -203,7 +203,7 @@
             await asyncio.sleep(0.4)
             self.assertEqual((await client.ask("POST", "/next", b"b"))[2], b"/next")
 
-    @live
+    @run_on_uvloop
     async def test_100_continue_head_requests_and_chunked_bodies(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with(b"body\n"))
         async with relay_environment(endpoint) as env:
@@ -223,7 +223,7 @@
         self.assertTrue(endpoint.requests[0].endswith(b"\r\n\r\nab") and endpoint.requests[1].endswith(b"\r\n\r\nabc"))
         self.assertNotIn(b"expect", endpoint.requests[0].lower())
 
-    @live
+    @run_on_uvloop
     async def test_malformed_and_unroutable_requests_are_rejected_and_malformed_ones_close_the_connection(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with())
         async with relay_environment(endpoint) as env:
@@ -245,7 +245,7 @@
             self.assertEqual((await client.ask("GET", "/", lanelead_left="soon"))[0], 400)
         self.assertEqual(endpoint.requests, [])
 
-    @live
+    @run_on_uvloop
     async def test_client_that_stalls_within_a_request_is_disconnected_and_an_idle_one_is_not(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="head_bytes: 1000") as env:
             stalled, idle = await Client.to(env), await Client.to(env)
@@ -254,7 +254,7 @@
             self.assertEqual(await stalled.read_to_end(), b"")
             self.assertEqual((await idle.ask("GET", "/"))[0], 200)
 
-    @live
+    @run_on_uvloop
     async def test_many_idle_clients_do_not_affect_others_and_excess_clients_are_rejected(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="open_connections: 300") as env:
             idle = [await Client.to(env) for _ in range(299)]
@@ -267,7 +267,7 @@
 
 
 class Stalls(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_client_that_does_not_read_blocks_no_connection_that_others_use(self) -> None:
         async def by_path(
             endpoint: ScriptedEndpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -288,7 +288,7 @@
 
 
 class Feeds(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_draining_endpoint_gets_no_attempt_and_a_relay_without_endpoints_rejects(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with())
         async with relay_environment(endpoint) as env:
@@ -302,7 +302,7 @@
             self.assertIn("retry-after", headers)
         self.assertEqual(len(endpoint.requests), 1)
 
-    @live
+    @run_on_uvloop
     async def test_relay_serves_while_discovery_and_rollout_platform_are_down_and_reconnects(self) -> None:
         old, new = ScriptedEndpoint("old", respond_with()), ScriptedEndpoint("new", respond_with())
         async with relay_environment(old) as env:
@@ -326,7 +326,7 @@
             self.assertEqual((await client.ask("GET", "/"))[1]["lanelead-unit"], "new")
             new.close()
 
-    @live
+    @run_on_uvloop
     async def test_complaint_is_accepted_and_an_invalid_one_is_answered_with_the_reason(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with())) as env:
             client = await Client.to(env)
@@ -342,7 +342,7 @@
                 self.assertEqual(status, 400)
                 self.assertIn(word, body)
 
-    @live
+    @run_on_uvloop
     async def test_malformed_endpoint_list_changes_nothing(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with())) as env:
             client = await Client.to(env)
@@ -351,7 +351,7 @@
             await asyncio.sleep(0.3)
             self.assertEqual((await client.ask("GET", "/"))[0], 200)
 
-    @live
+    @run_on_uvloop
     async def test_drain_answers_pending_requests_and_accepts_no_more(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with(b"last\n", wait=0.3))) as env:
             client, idle = await Client.to(env), await Client.to(env)
--- a/tests/test_http_relay_process.py
+++ b/tests/test_http_relay_process.py
@@ -15,7 +15,7 @@
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.testbed.emulators.discovery import Roster
 from lanelead.testbed.emulators.rollout_platform import Desk
-from tests.http_relay_environment import SETTINGS, Client, ScriptedEndpoint, live, outside, respond_with
+from tests.http_relay_environment import SETTINGS, Client, ScriptedEndpoint, outside, respond_with, run_on_uvloop
 
 # Runs lanelead with the limit of open file descriptors in the first argument.
 RUN_WITH_LIMIT = "import resource, runpy, sys; n = int(sys.argv.pop(1)); \
@@ -81,7 +81,7 @@
 
 
 class Signals(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_sigterm_answers_pending_requests_and_exits_with_0(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with(b"last\n", wait=0.4))
         async with relay_process(endpoint) as relay:
@@ -93,7 +93,7 @@
             self.assertEqual((await client.read_response())[2], b"last\n")
             self.assertEqual(await relay.exit_code(), 0)
 
-    @live
+    @run_on_uvloop
     async def test_second_sigterm_exits_at_once_with_1(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with(wait=5))
         async with relay_process(endpoint) as relay:
@@ -107,7 +107,7 @@
             relay.process.send_signal(signal.SIGTERM)
             self.assertEqual(await relay.exit_code(), 1)
 
-    @live
+    @run_on_uvloop
     async def test_relay_stopped_past_a_deadline_and_continued_fails_the_request_and_serves_the_next(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with(b"ok\n", wait=0.1))
         async with relay_process(endpoint) as relay:
@@ -124,7 +124,7 @@
 
 
 class Descriptors(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_with_few_descriptors_connected_clients_are_served_and_others_rejected(self) -> None:
         endpoint = ScriptedEndpoint("u", respond_with())
         async with relay_process(endpoint, descriptors=48) as relay:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from lanelead.cli import main
 from lanelead.testbed.load.generator import LoadGenerator, LoadResult, Shape, due_times
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.http_relay_environment import ScriptedEndpoint, live, relay_environment, respond_with
+from tests.http_relay_environment import ScriptedEndpoint, relay_environment, respond_with, run_on_uvloop
 
 
 class ArrivalTimes(unittest.TestCase):
@@ -36,7 +36,7 @@
 
 
 class Requests(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_every_request_is_counted_once_with_its_outcome(self) -> None:
         async with relay_environment(ScriptedEndpoint("u", respond_with()), allowance="body_bytes: 10") as env:
             result = await LoadGenerator(Shape(200, 1.0, keys=5, members=("m",)), "127.0.0.1", env.port).run()
@@ -44,7 +44,7 @@
             result = await LoadGenerator(Shape(50, 0.5, "POST", body=100), "127.0.0.1", env.port).run()
             self.assertEqual(result.count("not-a-lookup"), result.due)
 
-    @live
+    @run_on_uvloop
     async def test_latency_includes_the_wait_for_a_connection(self) -> None:
         async with relay_environment(
             ScriptedEndpoint("u", respond_with(wait=0.1)), allowance="second_copies: false"
@@ -55,7 +55,7 @@
             # One connection serves ten requests per second: the last of nine waits for at least four others.
             self.assertGreater(result.latency["done"].get_value_at_percentile(100), 400_000)
 
-    @live
+    @run_on_uvloop
     async def test_requests_without_a_server_are_counted_as_lost(self) -> None:
         result = await LoadGenerator(Shape(50, 0.3), "127.0.0.1", free_ports(1)[0]).run()
         self.assertEqual(result.count("lost"), result.due)
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -22,7 +22,7 @@
 from lanelead.protocols.feeds import EndpointMessage as Listed
 from lanelead.testbed.emulators.fault_proxy import Wires
 from lanelead.testbed.scenarios.processes import free_ports
-from tests.http_relay_environment import SETTINGS, live, outside
+from tests.http_relay_environment import SETTINGS, outside, run_on_uvloop
 
 MEMBERSHIP_SETTINGS = """peers: {listen: port: %d, others: [%s]}
 	circle: {regions: [{name: "hellas", zones: ["north"]}], seeds: [%s], period_ms: 150}"""
@@ -106,7 +106,7 @@
 
 
 class Processes(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_killed_relay_is_declared_dead_and_returns_as_a_new_process(self) -> None:
         async with relay_group() as group:
             before = (await group.fetch_records(0))[5].started_at_ms
@@ -116,7 +116,7 @@
             await group.wait_until_all_alive()
             self.assertGreater((await group.fetch_records(1))[5].started_at_ms, before)
 
-    @live
+    @run_on_uvloop
     async def test_the_command_prints_the_members_and_explains_a_missing_response(self) -> None:
         async with relay_group(3) as group:
             at = f"127.0.0.1:{group.ports[1]}"
@@ -133,14 +133,14 @@
                 self.assertEqual(code, found.exit_code)
                 self.assertIn("peers.listen", found.stderr)
 
-    @live
+    @run_on_uvloop
     async def test_a_terminated_relay_has_left_and_is_not_declared_dead(self) -> None:
         async with relay_group() as group:
             group.signal(4, signal.SIGTERM)
             self.assertEqual(0, await group.wait_for_exit(4))
             await group.wait_for([0, 1, 2, 3, 5], lambda rows: rows[4].state == LEFT)
 
-    @live
+    @run_on_uvloop
     async def test_a_suspended_relay_returns_as_the_same_process(self) -> None:
         async with relay_group() as group:
             before = (await group.fetch_records(0))[2]
@@ -152,7 +152,7 @@
             self.assertEqual(before.started_at_ms, after.started_at_ms)
             self.assertGreater(after.incarnation, before.incarnation)
 
-    @live
+    @run_on_uvloop
     async def test_each_side_of_a_partition_has_its_own_members_and_all_merge_afterwards(self) -> None:
         async with relay_group() as group:
             group.wires.partition([0, 1], [2, 3, 4, 5])
@@ -161,7 +161,7 @@
             group.wires.heal()
             await group.wait_until_all_alive()
 
-    @live
+    @run_on_uvloop
     async def test_a_relay_that_reaches_both_sides_of_a_partition_keeps_them_together(self) -> None:
         async with relay_group() as group:
             before = {n: row.started_at_ms for n, row in (await group.fetch_records(0)).items()}
@@ -173,7 +173,7 @@
             await group.wait_for(range(5), lambda rows: present_numbers(rows) == {0, 1, 2, 3, 4})
             self.assertEqual(before, {n: row.started_at_ms for n, row in (await group.fetch_records(1)).items()})
 
-    @live
+    @run_on_uvloop
     async def test_a_relay_that_receives_but_can_not_send_is_declared_dead_and_returns(self) -> None:
         async with relay_group() as group:
             for link in group.wires.each([3], range(6)):
@@ -183,7 +183,7 @@
             await group.wait_until_all_alive()
             self.assertGreater((await group.fetch_records(0))[3].incarnation, 0)
 
-    @live
+    @run_on_uvloop
     async def test_relays_that_are_killed_and_restarted_at_once_find_each_other(self) -> None:
         async with relay_group() as group:
             before = await group.fetch_records(0)
@@ -196,7 +196,7 @@
             after = await group.fetch_records(5)
             self.assertTrue(all(after[n].started_at_ms > before[n].started_at_ms for n in range(6)))
 
-    @live
+    @run_on_uvloop
     async def test_a_dead_relay_is_detected_despite_lost_late_and_duplicated_messages(self) -> None:
         async with relay_group() as group:
             group.wires.set(loss=0.2, double=0.1, delay=0.002, spread=0.01)
--- a/tests/test_migration_readiness.py
+++ b/tests/test_migration_readiness.py
@@ -15,7 +15,14 @@
 from lanelead.settings.migration_settings import BuildRequirements, MigrationPlan, StageNeed
 from lanelead.store.migration_store import MigrationStore
 from lanelead.testbed.emulators.migration_store import FaultyMigrationStoreServer
-from tests.http_relay_environment import Client, ScriptedEndpoint, live, relay_environment, respond_with, state_of
+from tests.http_relay_environment import (
+    Client,
+    ScriptedEndpoint,
+    relay_environment,
+    respond_with,
+    run_on_uvloop,
+    state_of,
+)
 from tests.test_driver import REQUEST_CLASSES, RESPONSE, SECOND, DriverHarness
 from tests.test_migration_runner import done_entries, plan, step
 
@@ -160,7 +167,7 @@
 
 
 class ReadinessOverSockets(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_relay_withholds_traffic_releases_it_and_acknowledges_a_barrier(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             server = FaultyMigrationStoreServer(MigrationStore(Path(directory, "store.db")))
--- a/tests/test_partial_requests.py
+++ b/tests/test_partial_requests.py
@@ -13,7 +13,7 @@
 from lanelead.pgwire import messages
 from lanelead.postgres_relay import client_connection, client_listener
 from lanelead.postgres_relay.client_connection import ClientConnection
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import Platform, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, row
 from tests.test_client_connection_races import accepted_connection
@@ -73,7 +73,7 @@
 
 
 class ByteByByte(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_request_sent_byte_by_byte_is_answered(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer = await partial_writer(env)
@@ -83,7 +83,7 @@
             received = await env.read_to_end(writer.sock)
             self.assertEqual((received.count(b"value of 1a"), received.count(b"SERROR")), (1, 0))
 
-    @live
+    @run_on_uvloop
     async def test_slow_first_request_may_exceed_the_silence_timeout(self) -> None:
         """The startup and the first query take longer than SILENCE_TIMEOUT_SECONDS, but no pause within them does."""
         async with platform(ScriptedEndpoint("u0")) as env:
@@ -97,7 +97,7 @@
             await env.until(lambda: env.relay.driver.counters.succeeded == 1)
             self.assertEqual((listener.rejections, listener.protocol_violations), (0, 0))
 
-    @live
+    @run_on_uvloop
     async def test_first_request_slower_than_the_idle_timeout_is_rejected(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer = await partial_writer(env)
@@ -107,7 +107,7 @@
             received = await env.read_to_end(writer.sock)
             self.assertIn(b"C57P03", received)
 
-    @live
+    @run_on_uvloop
     async def test_request_that_stops_in_the_middle_is_a_protocol_violation(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer = await partial_writer(env)
@@ -117,7 +117,7 @@
             self.assertIn(b"C08P01", await env.read_to_end(writer.sock))
             self.assertEqual(env.endpoints[0].queries, [])
 
-    @live
+    @run_on_uvloop
     async def test_slow_later_request_is_not_cut_off(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer, listener, text = await partial_writer(env), env.relay.listener, messages.query(statement("2a"))
@@ -132,7 +132,7 @@
 
 
 class SplitRequests(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_request_split_around_an_endpoint_drain_goes_to_another_endpoint(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             writer, text = await partial_writer(env), messages.query(statement("1a"))
@@ -143,7 +143,7 @@
             await env.until(lambda: env.relay.driver.counters.succeeded == 1)
             self.assertEqual([len(endpoint.queries) for endpoint in env.endpoints], [0, 1])
 
-    @live
+    @run_on_uvloop
     async def test_request_split_around_sighup_is_one_request(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer, text = await partial_writer(env), messages.query(statement("1a"))
@@ -153,7 +153,7 @@
             await writer.send(text[40:], 64)
             await env.until(lambda: env.relay.driver.counters.succeeded == 1)
 
-    @live
+    @run_on_uvloop
     async def test_request_split_around_sigterm_is_one_request(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer, text = await partial_writer(env), messages.query(statement("1a"))
@@ -165,7 +165,7 @@
             self.assertEqual((received.count(b"value of 1a"), received.count(b"SFATAL")), (1, 0))
             await env.run
 
-    @live
+    @run_on_uvloop
     async def test_incomplete_request_is_rejected_at_the_end_of_the_drain(self) -> None:
         """On a connection without and with an earlier request."""
         for has_requested in (False, True):
@@ -181,7 +181,7 @@
                 self.assertEqual(received.count(b"C57P03"), 1, (has_requested, received))
                 self.assertEqual(len(env.endpoints[0].queries), int(has_requested))
 
-    @live
+    @run_on_uvloop
     async def test_partial_request_behind_a_pending_one_when_the_drain_starts(self) -> None:
         for late in (False, True):  # the rest arrives before the first response, or after it
             endpoint = HeldEndpoint()
@@ -211,7 +211,7 @@
 
 
 class PipelinedRequests(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_three_requests_split_at_every_byte_are_answered_in_order(self) -> None:
         texts = [messages.query(statement(f"{number}a")) for number in range(3)]
         whole = b"".join(texts)
@@ -229,7 +229,7 @@
                 self.assertTrue(0 < positions[0] < positions[1] < positions[2], (cut, received))
                 self.assertEqual(received.count(b"Z\0\0\0\5I"), 4)
 
-    @live
+    @run_on_uvloop
     async def test_partial_request_is_kept_when_an_earlier_response_is_written(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -250,7 +250,7 @@
 
 
 class EveryRequestIsAnswered(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_large_responses_all_reach_a_slow_reader(self) -> None:
         """The responses have the largest values; the client reads none until the relay has stopped reading requests."""
 
@@ -281,7 +281,7 @@
                 self.assertEqual((positions, min(positions) > 0), (sorted(positions), True))
                 self.assertFalse(writer.client.reading_paused)
 
-    @live
+    @run_on_uvloop
     async def test_slow_reader_does_not_time_out(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             writer = await slow_writer(env)
@@ -295,7 +295,7 @@
             env.relay.listener.sweep()
             self.assertFalse(writer.closed)
 
-    @live
+    @run_on_uvloop
     async def test_request_is_answered_after_an_internal_error(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             client, listener = await env.client(), env.relay.listener
@@ -310,7 +310,7 @@
             )
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
-    @live
+    @run_on_uvloop
     async def test_request_before_a_violation_fails_after_the_grace_period(self) -> None:
         endpoint = HeldEndpoint()
         with mock.patch.object(client_listener, "VIOLATION_GRACE_SECONDS", 0.05):
@@ -341,7 +341,7 @@
         received = await env.read_to_end(writer.sock)
         return re.findall(rb"\0C([0-9A-Z]{5})\0", received)
 
-    @live
+    @run_on_uvloop
     async def test_each_pipelined_request_is_answered(self) -> None:
         # A scenario with pipelining clients lost 4,334 requests, because the ninth pending request of a connection
         # closed the connection together with all requests behind it.
@@ -350,28 +350,28 @@
             self.assertEqual(env.relay.driver.counters.received, 60)
             self.assertEqual(codes, [b"58000"] * 60)
 
-    @live
+    @run_on_uvloop
     async def test_pipelined_requests_over_the_limit_are_rejected_in_order(self) -> None:
         async with platform(HeldEndpoint(), HeldEndpoint("u1"), HeldEndpoint("u2")) as env:
             codes = await self.pipelined_error_codes(env, client_connection.MAX_PIPELINED_REQUESTS + 20)
             self.assertEqual(env.relay.driver.counters.received, client_connection.MAX_PIPELINED_REQUESTS)
             self.assertEqual(codes, [b"58000"] * client_connection.MAX_PIPELINED_REQUESTS + [b"53300"] * 20)
 
-    @live
+    @run_on_uvloop
     async def test_pipelined_requests_over_the_byte_limit_are_rejected(self) -> None:
         with mock.patch.object(client_connection, "MAX_PENDING_BYTES", 3 * len(statement("000a"))):
             async with platform(HeldEndpoint(), HeldEndpoint("u1"), HeldEndpoint("u2")) as env:
                 codes = await self.pipelined_error_codes(env, 6)
                 self.assertEqual(codes, [b"58000"] * 3 + [b"53300"] * 3)
 
-    @live
+    @run_on_uvloop
     async def test_commands_over_the_slot_limit_are_a_protocol_violation(self) -> None:
         with mock.patch.object(client_connection, "MAX_RESPONSE_SLOTS", 140):
             async with platform(HeldEndpoint(), HeldEndpoint("u1"), HeldEndpoint("u2")) as env:
                 codes = await self.pipelined_error_codes(env, 150)
                 self.assertEqual(codes, [b"58000"] * 128 + [b"53300"] * 12 + [b"54000"])
 
-    @live
+    @run_on_uvloop
     async def test_too_many_queries_in_one_read_are_one_error_and_none_runs(self) -> None:
         async with platform(HeldEndpoint(), HeldEndpoint("u1"), HeldEndpoint("u2")) as env:
             writer = await partial_writer(env)
@@ -385,7 +385,7 @@
             self.assertEqual((received.count(b"C54000"), received.count(b"C58000")), (1, 0))
             self.assertEqual(env.relay.driver.counters.received, 0)
 
-    @live
+    @run_on_uvloop
     async def test_sweep_closes_a_client_that_reads_nothing(self) -> None:
         with mock.patch.object(client_listener, "SILENCE_TIMEOUT_SECONDS", 0.05):
             async with platform(ScriptedEndpoint("u0")) as env:
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -12,13 +12,13 @@
 import unittest
 from pathlib import Path
 
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.relay_processes import ROOT, relay, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 
 
 class ProcessSignals(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_sigterm_while_waiting_for_the_first_list(self) -> None:
         async with relay(ScriptedEndpoint("u0"), known=False, silent=True) as relay_process:
             await relay_process.until("settings read")
@@ -26,7 +26,7 @@
             self.assertEqual(await relay_process.wait_for_exit(), 0)
             self.assertEqual(relay_process.count_logged("stopped"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_repeated_sigterm_while_a_request_is_pending(self) -> None:
         may_respond = asyncio.Event()
 
@@ -50,7 +50,7 @@
             self.assertEqual(await relay_process.wait_for_exit(), 0)
             self.assertEqual((relay_process.count_logged("draining"), relay_process.count_logged("stopped")), (1, 1))
 
-    @live
+    @run_on_uvloop
     async def test_repeated_sighup_disturbs_no_request(self) -> None:
         async with relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as relay_process:
             await relay_process.until("listening")
@@ -64,7 +64,7 @@
             self.assertEqual(await relay_process.wait_for_exit(), 0)
             self.assertGreaterEqual(relay_process.count_logged("configuration reloaded"), 1)
 
-    @live
+    @run_on_uvloop
     async def test_the_address_can_be_used_again_after_sigkill(self) -> None:
         async with relay(ScriptedEndpoint("u0")) as relay_process:
             await relay_process.until("listening")
--- a/tests/test_postgres_relay_signals.py
+++ b/tests/test_postgres_relay_signals.py
@@ -16,13 +16,13 @@
 from lanelead.pgwire import messages
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import platform
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
 
 
 class Signals(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_sigterm_serves_late_clients_and_completes_accepted_requests(self) -> None:
         async def slow(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.7)
@@ -50,7 +50,7 @@
             with self.assertRaises(OSError):
                 await env.client()
 
-    @live
+    @run_on_uvloop
     async def test_sighup_moves_the_feeds_without_disturbing_requests(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as old, platform(ScriptedEndpoint("u1")) as new:
             await old.until(lambda: old.relay.state()["rollout_connected"])
@@ -92,7 +92,7 @@
 
 
 class TableSizes(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_tables_drop_endpoints_ids_and_connections(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             relay = env.relay
--- a/tests/test_relay_recovery.py
+++ b/tests/test_relay_recovery.py
@@ -11,7 +11,7 @@
 from lanelead.pgwire.messages import READY
 from lanelead.postgres_relay import service as services
 from tests.discovery_emulator import discovery, entry, move_discovery
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import free_port, platform, stage_notification
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, echo_id
 from tests.test_discovery_moves import allow_response, relay_with_discovery
@@ -24,7 +24,7 @@
 class Recovery(unittest.TestCase):
     """A relay with capacity, a usable endpoint list and clients must not stay idle."""
 
-    @live
+    @run_on_uvloop
     async def test_a_list_of_unreachable_endpoints_and_then_one_of_others(self) -> None:
         unreachable = [ScriptedEndpoint(f"g{number}") for number in range(4)]
         for endpoint in unreachable:
@@ -48,7 +48,7 @@
             await asyncio.sleep(0.05)
         return answer
 
-    @live
+    @run_on_uvloop
     async def test_an_empty_list_and_then_endpoints(self) -> None:
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
             client = await env.client()
@@ -62,7 +62,7 @@
                 watch = await emulator.next()
                 self.assertIn("T", await client.request("2a"))
 
-    @live
+    @run_on_uvloop
     async def test_an_empty_list_at_the_start_and_then_changes(self) -> None:
         with mock.patch.object(services, "FIRST_LIST_TIMEOUT_SECONDS", 0.05):
             async with platform(ScriptedEndpoint("u0"), known=False, silent=True) as env, discovery() as emulator:
@@ -74,7 +74,7 @@
                 await emulator.next()
                 self.assertIn("T", await client.request("2a"))
 
-    @live
+    @run_on_uvloop
     async def test_all_endpoints_fail_and_recover(self) -> None:
         for failure in ("error", "reset"):
             failing = [True]
@@ -96,7 +96,7 @@
                     failing[0] = False
                     self.assertIn("T", await self._retry_until_served(client))
 
-    @live
+    @run_on_uvloop
     async def test_all_endpoints_are_silent_and_recover(self) -> None:
         async with relay_with_discovery(HeldEndpoint("u0"), HeldEndpoint("u1")) as (env, _, _):
             clients = [await env.client() for _ in range(20)]
@@ -109,7 +109,7 @@
                     allow_response(endpoint)
             self.assertIn("T", await self._retry_until_served(clients[0]))
 
-    @live
+    @run_on_uvloop
     async def test_a_released_build_whose_stage_the_settings_do_not_have(self) -> None:
         """All endpoints have that build: treated as a canary they would get only a fifth of the requests."""
         async with relay_with_discovery(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as (env, emulator, watch):
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -31,7 +31,7 @@
 )
 from lanelead.runtime.short_ids import long_id_of
 from tests.fake_decisions_host import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, FakeHost
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
 from tests.short_id_gossip import A, B, C, decode_reports, encode_reports, registry_of
 from tests.test_fleet_processes import RELAYS, Fleet, fleet
@@ -139,7 +139,7 @@
 
 
 class ProcessTests(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_aggregators_report_a_held_endpoint_but_not_the_other_with_its_short_id(self) -> None:
         endpoints = [HeldEndpoint(A), ScriptedEndpoint(B), HeldEndpoint(C)]
         registry, received_short_ids = registry_of(A, B, C), list[int]()
--- a/tests/test_sigkill_races.py
+++ b/tests/test_sigkill_races.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from lanelead.pgwire import messages
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import platform, statement
 from tests.relay_processes import RelayProcess, relay, start_relay
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint
@@ -84,7 +84,7 @@
 
 
 class SigkillRaces(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_accepted_connection_is_reset_and_its_unread_request_never_runs(self) -> None:
         """The three connections hold a complete request, a part of one, and nothing."""
         async with relay(ScriptedEndpoint("u0")) as relay_process, contextlib.AsyncExitStack() as stack:
@@ -102,7 +102,7 @@
             self.assertIn("D", await (await successor.client()).request("2a"))
             self.assertEqual(request_ids(successor), [b"2a"])
 
-    @live
+    @run_on_uvloop
     async def test_listen_queue_of_a_killed_relay_is_reset_and_not_inherited(self) -> None:
         async with relay(ScriptedEndpoint("u0")) as relay_process, contextlib.AsyncExitStack() as stack:
             await relay_process.until("listening")
@@ -116,7 +116,7 @@
             self.assertIn("D", await (await successor.client()).request("2a"))
             self.assertEqual(request_ids(successor), [b"2a"])
 
-    @live
+    @run_on_uvloop
     async def test_requests_in_the_successors_listen_queue_are_answered(self) -> None:
         async with (
             relay(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as relay_process,
@@ -138,7 +138,7 @@
                 self.assertTrue(b"value of %x" % number in received or b"C53300" in received, received)
             self.assertEqual(await successor.wait_for_exit(), 0)
 
-    @live
+    @run_on_uvloop
     async def test_repeated_kills_at_one_address(self) -> None:
         """At each kill one client is idle, one waits in the listen queue, and one has a request at the endpoint."""
         endpoint = HeldEndpoint()
@@ -163,7 +163,7 @@
             self.assertTrue(response["D"].endswith(b"value of ff"))
             self.assertEqual(request_ids(current), [b"0a", b"1a", b"2a", b"ff"])
 
-    @live
+    @run_on_uvloop
     async def test_response_written_before_the_kill_arrives_completely(self) -> None:
         async with relay(ScriptedEndpoint("u0")) as relay_process:
             await relay_process.until("listening")
@@ -181,7 +181,7 @@
 
 
 class ManyConnections(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_connections_without_request_are_known_without_a_scan(self) -> None:
         # In a scenario with 770 new connections a second, looking at all 500 open ones was half of the cost of each new
         # one. The listener therefore keeps those without a request separately.
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -16,7 +16,7 @@
 from tests import fleet_simulation
 from tests.fake_decisions_host import FakeHost
 from tests.fleet_simulation import SECOND, simulate_slow_start
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import Platform, free_port, platform
 from tests.relay_processes import RelayProcess, start_relay
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id
@@ -80,7 +80,7 @@
 
 
 class Processes(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_six_relays_all_serve_and_overload_none_of_the_warming_endpoints(self) -> None:
         """Each relay's share of an endpoint is a sixth of a request per second; no endpoint finishes warming up."""
         arrivals: dict[str, list[float]] = {}
--- a/tests/test_upstream_races.py
+++ b/tests/test_upstream_races.py
@@ -18,7 +18,7 @@
 from lanelead.postgres_relay.connection_pool import UpstreamConnection
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.manual_loop import ManualLoop
 from tests.postgres_platform import Platform, PostgresClient, platform, statement
 from tests.scripted_endpoints import HeldEndpoint, ScriptedEndpoint, echo_id, row
@@ -49,7 +49,7 @@
 
 
 class HealthChecks(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_timer_of_an_earlier_health_check_does_not_end_a_later_one(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -72,7 +72,7 @@
                     [call.args[1] for call in health_checked.call_args_list], [AttemptOutcome.SUCCEEDED] * 2
                 )
 
-    @live
+    @run_on_uvloop
     async def test_immediate_health_check_failure_is_not_reported_within_the_call(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             await (await env.client()).request("1a")
@@ -86,7 +86,7 @@
 
 
 class IdleConnections(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_late_duplicate_response_is_not_taken_for_the_next_one(self) -> None:
         async def repeat_first_response(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             if b"id=2a," in text:  # a late duplicate of the first response, on its connection
@@ -101,7 +101,7 @@
             self.assertTrue((await client.request("1a"))["D"].endswith(b"value of 1a"))
             self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
-    @live
+    @run_on_uvloop
     async def test_connection_is_reused_after_the_delay(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             clock, client = manual_loop(env), await env.client()
@@ -110,7 +110,7 @@
                 clock.advance(0.02)
             self.assertEqual(env.endpoints[0].connections, 1)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_on_a_broken_idle_connection_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             client = await env.client()
@@ -124,7 +124,7 @@
             self.assertEqual(env.relay.driver.counters.outcomes.get(AttemptOutcome.RESET), None)
             self.assertGreaterEqual(env.relay.driver.counters.outcomes[AttemptOutcome.CONNECT_FAILED], 1)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_reset_after_its_query_was_read_may_have_run(self) -> None:
         async def reset_second(endpoint: ScriptedEndpoint, text: bytes) -> bytes | None:
             return None if b"id=2a," in text else await echo_id(endpoint, text)
@@ -137,7 +137,7 @@
             self.assertEqual(env.relay.driver.counters.outcomes[AttemptOutcome.RESET], 1)
             self.assertEqual(len(env.endpoints[0].queries), 2)
 
-    @live
+    @run_on_uvloop
     async def test_response_without_ready_is_passed_on_and_its_connection_closes(self) -> None:
         responses = [row(b"first"), row(b"second") + READY]
 
@@ -150,7 +150,7 @@
             self.assertTrue((await client.request("2a"))["D"].endswith(b"second"))
             self.assertEqual(env.endpoints[0].connections, 2)
 
-    @live
+    @run_on_uvloop
     async def test_response_before_the_query_was_sent_completely_is_malformed(self) -> None:
         class SmallSendBufferSocket(socket.socket):
             def __init__(self, *args: Any, **fields: Any) -> None:
@@ -197,7 +197,7 @@
         await env.until(lambda: endpoint.connections == 1)
         return client
 
-    @live
+    @run_on_uvloop
     async def test_endpoint_listed_as_leaving_while_connecting_gets_no_query(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             manual_loop(env)
@@ -207,7 +207,7 @@
             self.assertEqual((await client.response())["C"], b"53300")
             self.assertEqual(env.endpoints[0].queries, [])
 
-    @live
+    @run_on_uvloop
     async def test_endpoint_with_a_new_address_or_incarnation_gets_a_new_connection(self) -> None:
         for fields in ({"revision_no": 2}, {"started_ms": 5e11}):
             async with platform(ScriptedEndpoint("u0")) as env:
@@ -227,7 +227,7 @@
             self.assertIn("D", await client.response())
             self.assertEqual((env.endpoints[0].queries, len(other.queries)), ([], 1))
 
-    @live
+    @run_on_uvloop
     async def test_connection_of_a_cancelled_attempt_serves_the_next_one(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             manual_loop(env)
@@ -239,7 +239,7 @@
             self.assertIn("D", await (await env.client()).request("2a"))
             self.assertEqual((env.endpoints[0].connections, len(env.relay.upstream.connections)), (1, 1))
 
-    @live
+    @run_on_uvloop
     async def test_attempt_without_a_startup_response_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             clock = manual_loop(env)
@@ -252,7 +252,7 @@
 
 
 class Retries(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_response_after_the_attempt_timed_out_is_dropped(self) -> None:
         endpoint = HeldEndpoint()
         async with platform(endpoint) as env:
@@ -264,7 +264,7 @@
             self.assertEqual(env.relay.driver.counters.outcomes[AttemptOutcome.TIMED_OUT], 1)
             self.assertEqual(endpoint.connections, 2)
 
-    @live
+    @run_on_uvloop
     async def test_rejected_attempt_is_retried_and_an_error_is_not(self) -> None:
         for code, retried in (("53300", True), ("XX000", False)):
             responses = [error(code, "") + READY]
@@ -279,7 +279,7 @@
 
 
 class Timers(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_closing_connections_cancels_their_timers(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             clock, upstream = manual_loop(env), env.relay.upstream
--- a/tests/test_upstream_requests.py
+++ b/tests/test_upstream_requests.py
@@ -15,7 +15,7 @@
 from lanelead.postgres_relay.load_reports import parse_load_report
 from lanelead.protocols.feeds import decode
 from lanelead.protocols.platform import EndpointList, read_endpoint_list
-from tests.http_relay_environment import live
+from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import platform, statement
 from tests.scripted_endpoints import ScriptedEndpoint, echo_id, row
 
@@ -43,7 +43,7 @@
 
 
 class Requests(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_a_value_passes_byte_for_byte_and_the_statement_unchanged(self) -> None:
         value = bytes(range(256)) * 200
         async with platform(responding(row(value) + READY)) as env:
@@ -55,7 +55,7 @@
             self.assertEqual(before, statement("1a").partition(b",d=")[0])
             self.assertTrue(left.endswith(b",r=1 */") and 0 < int(left.split(b",")[0]) < 1000, left)
 
-    @live
+    @run_on_uvloop
     async def test_a_query_behind_the_startup_and_several_at_once_are_answered_in_order(self) -> None:
         async def slow_first(endpoint: ScriptedEndpoint, text: bytes) -> bytes:
             await asyncio.sleep(0.2 if b"id=1," in text else 0)
@@ -73,7 +73,7 @@
             for number in (1, 2, 3):
                 self.assertTrue((await client.response())["D"].endswith(b"value of %d" % number))
 
-    @live
+    @run_on_uvloop
     async def test_rejection_is_immediate_and_has_a_retry_time(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             env.change_state(env.endpoints[0], "leaving")
@@ -84,7 +84,7 @@
             self.assertGreater(int(response["M"] and response["D"]), 0)
             self.assertEqual(env.endpoints[0].queries, [])
 
-    @live
+    @run_on_uvloop
     async def test_disconnect_frees_the_request_id(self) -> None:
         async with platform(ScriptedEndpoint("u0", no_response)) as env:
             client = await env.client()
@@ -102,7 +102,7 @@
     A request that is not idempotent (class `file`) is retried only if its attempt never ran.
     """
 
-    @live
+    @run_on_uvloop
     async def test_rejected_attempt_never_ran(self) -> None:
         async with platform(responding(REJECTION), ScriptedEndpoint("u1")) as env:
             client = await env.client()
@@ -110,7 +110,7 @@
                 self.assertIn("D", await client.request(str(number), "file"))
             self.assertEqual(env.relay.driver.counters.outcomes.get(AttemptOutcome.REJECTED), 1)
 
-    @live
+    @run_on_uvloop
     async def test_an_error_and_a_reset_may_have_run(self) -> None:
         for script, outcome in (
             (responding(INTERNAL_ERROR).script, AttemptOutcome.ERROR),
@@ -123,7 +123,7 @@
                 self.assertEqual(len(env.endpoints[0].queries), 1)
                 self.assertEqual(env.relay.driver.counters.outcomes, {outcome: 1})
 
-    @live
+    @run_on_uvloop
     async def test_idempotent_request_is_retried_elsewhere(self) -> None:
         async with platform(ScriptedEndpoint("u0", reset), ScriptedEndpoint("u1")) as env:
             client = await env.client()
@@ -131,7 +131,7 @@
                 self.assertIn("D", await client.request(str(number)))
             self.assertTrue(env.endpoints[0].queries)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_refused_or_without_startup_response_never_ran(self) -> None:
         async with platform(ScriptedEndpoint("u0"), ScriptedEndpoint("u1")) as env:
             env.endpoints[0].server.close()
@@ -154,7 +154,7 @@
                     self.assertIn("D", await client.request(str(number), "file"))
                 self.assertEqual(len(env.endpoints[1].queries), 6)
 
-    @live
+    @run_on_uvloop
     async def test_attempt_without_a_response_may_have_run_and_its_connection_closes(self) -> None:
         async with platform(ScriptedEndpoint("u0", no_response)) as env:
             client = await env.client()
@@ -165,7 +165,7 @@
 
 
 class MalformedResponses(unittest.TestCase):
-    @live
+    @run_on_uvloop
     async def test_malformed_response_does_not_reach_the_client(self) -> None:
         for malformed in (b"\0noise", row(b"v")[:-14] + row(b"v")[29:], b"T\x7f\xff\xff\xff", b"D" * 100):
             async with platform(responding(malformed)) as env:
@@ -175,14 +175,14 @@
                 self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
                 self.assertEqual(env.endpoints[0].connections, 2)
 
-    @live
+    @run_on_uvloop
     async def test_incomplete_response_fails_before_the_timeout(self) -> None:
         async with platform(responding(row(b"value")[:-20])) as env:
             client = await env.client()
             self.assertEqual((await client.request("1a", "file", left=1400))["C"], b"58000")
             self.assertEqual(env.relay.driver.counters.outcomes, {AttemptOutcome.RESET: 1})
 
-    @live
+    @run_on_uvloop
     async def test_response_with_an_unread_rest_is_not_incomplete(self) -> None:
         whole = row(b"value") + READY
         async with platform(responding(whole[:30])) as env:
@@ -203,7 +203,7 @@
             upstream.sweep()
             self.assertTrue((await client.response())["D"].endswith(b"value"))
 
-    @live
+    @run_on_uvloop
     async def test_duplicate_response_is_not_taken_for_the_next_one(self) -> None:
         for behind in (row(b"old") + READY, b"\0noise"):
             async with platform(responding(row(b"old") + READY + behind)) as env:
@@ -211,7 +211,7 @@
                 self.assertTrue((await client.request("1a"))["D"].endswith(b"old"))
                 self.assertTrue((await client.request("2a"))["D"].endswith(b"value of 2a"))
 
-    @live
+    @run_on_uvloop
     async def test_unsolicited_bytes_close_an_idle_connection(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             client = await env.client()
@@ -230,7 +230,7 @@
             self.assertIsNone(parse_load_report(text, names), text)
         self.assertIsNone(parse_load_report(b"waiting=7", frozenset()))
 
-    @live
+    @run_on_uvloop
     async def test_outcomes_of_health_checks(self) -> None:
         for response, outcome, report in (
             (row(b"waiting=3,cpu=0.5") + READY, AttemptOutcome.SUCCEEDED, {"waiting": 3.0, "cpu": 0.5}),
@@ -248,7 +248,7 @@
                 )
                 self.assertEqual(env.endpoints[0].queries, [b"SHOW vitals"])
 
-    @live
+    @run_on_uvloop
     async def test_endpoint_with_a_new_build_gets_new_connections(self) -> None:
         async with platform(ScriptedEndpoint("u0")) as env:
             client = await env.client()
