--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -6,7 +6,7 @@
 from functools import partial
 from statistics import median
 
-from benchmarks.slopes.hollow_relay import NEWS, RATE, RELAYS, UNITS, Meter, Town
+from benchmarks.slopes.hollow_relay import RATE, RELAYS, ROLLOUT_STATE, UNITS, Meter, RelaySimulation
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.decisions.interface import EndpointStatus, UpdateScope
 
@@ -20,30 +20,31 @@
 )
 
 
-def steady(make: Callable[[], Town], small: bool) -> tuple[dict[str, float], Town]:
+def steady(make: Callable[[], RelaySimulation], small: bool) -> tuple[dict[str, float], RelaySimulation]:
     """Microseconds of a call by name, medians over windows; `lookup` is all that was spent on one."""
-    town, found = make(), list[dict[str, float]]()
-    town.run(3 if small else WARM)
+    simulation, found = make(), list[dict[str, float]]()
+    simulation.run(3 if small else WARM)
     for _ in range(3 if small else WINDOWS):
-        town.meter.clear()
-        asked = town.asked
-        town.run(1 if small else WINDOW)
-        found.append(figures(town.meter, town.asked - asked))
-    return {name: median(one.get(name, 0.0) for one in found) for name in found[0]}, town
+        simulation.meter.clear()
+        asked = simulation.asked
+        simulation.run(1 if small else WINDOW)
+        found.append(figures(simulation.meter, simulation.asked - asked))
+    return {name: median(one.get(name, 0.0) for one in found) for name in found[0]}, simulation
 
 
 def figures(meter: Meter, asked: int) -> dict[str, float]:
-    one = {name: meter.us(name) for name in meter.calls}
+    one = {name: meter.cpu_us(name) for name in meter.calls}
     parts = ("take", "outcome", "woken", "probed")
     one["lookup"] = sum(one[name] * meter.calls[name] for name in parts if name in one) / max(1, asked)
     return one
 
 
-def change_us(town: Town) -> float:
+def change_us(simulation: RelaySimulation) -> float:
     """One unit is told of as draining, then as ready again: of one such change."""
-    unit, relay = town.units[len(town.units) // 2], town.relay
+    unit, relay = simulation.units[len(simulation.units) // 2], simulation.relay
     rows = [
-        town.listing(unit, NEWS["build"], condition) for condition in (EndpointStatus.DRAINING, EndpointStatus.READY)
+        simulation.listing(unit, ROLLOUT_STATE["build"], condition)
+        for condition in (EndpointStatus.DRAINING, EndpointStatus.READY)
     ]
 
     def both() -> None:
@@ -70,11 +71,11 @@
 def by_units(sizes: tuple[int, ...], small: bool) -> list[Series]:
     points = {name: list[tuple[float, float]]() for name in NOTES}
     for size in sizes:
-        found, town = steady(partial(Town, size), small)
-        found |= {"choice": found["take"], "change": change_us(town)}
-        found["trial.beat"] = steady(partial(Town, size, trial=0.08), small)[0]["beat"]
-        found["asking.lookup"] = steady(partial(Town, size, probe=0.01), small)[0]["lookup"]
-        found["quiet.beat"] = steady(partial(Town, size, rate=0.5), small)[0]["beat"]
+        found, simulation = steady(partial(RelaySimulation, size), small)
+        found |= {"choice": found["take"], "change": change_us(simulation)}
+        found["trial.beat"] = steady(partial(RelaySimulation, size, canary_share=0.08), small)[0]["beat"]
+        found["asking.lookup"] = steady(partial(RelaySimulation, size, probe=0.01), small)[0]["lookup"]
+        found["quiet.beat"] = steady(partial(RelaySimulation, size, rate=0.5), small)[0]["beat"]
         found["memory"] = traced_mb(partial(used, size, 2 if small else WARM))[0]
         for name, rows in points.items():
             rows.append((size, round(found[name], 3)))
@@ -84,10 +85,10 @@
     ]
 
 
-def used(units: int, seconds: float) -> Town:
-    town = Town(units)
-    town.run(seconds)
-    return town
+def used(units: int, seconds: float) -> RelaySimulation:
+    simulation = RelaySimulation(units)
+    simulation.run(seconds)
+    return simulation
 
 
 def by_services(sizes: tuple[int, ...], small: bool) -> list[Series]:
@@ -95,18 +96,18 @@
     points = {name: list[tuple[float, float]]() for name in ("lookup", "beat", "change", "memory")}
     for size in sizes:
         meter = Meter()
-        held, towns = traced_mb(partial(split, size, meter))
+        held, simulations = traced_mb(partial(split, size, meter))
         found = list[dict[str, float]]()
         for turn in range(2 if small else 8):  # the first ones warm up
             meter.clear()
-            asked = sum(town.asked for town in towns)
+            asked = sum(simulation.asked for simulation in simulations)
             for _ in range(10 if small else 25):  # in turns: a service's state is not still in the cache
-                for town in towns:
-                    town.run(0.2)
+                for simulation in simulations:
+                    simulation.run(0.2)
             if turn >= (1 if small else 3):
-                found.append(figures(meter, sum(town.asked for town in towns) - asked))
+                found.append(figures(meter, sum(simulation.asked for simulation in simulations) - asked))
         one = {name: median(each[name] for each in found) for name in ("lookup", "beat")}
-        one |= {"beat": size * one["beat"], "change": change_us(towns[0]), "memory": held}
+        one |= {"beat": size * one["beat"], "change": change_us(simulations[0]), "memory": held}
         for name, rows in points.items():
             rows.append((size, round(one[name], 3)))
     none = (
@@ -132,8 +133,8 @@
     ]
 
 
-def split(services: int, meter: Meter) -> list[Town]:
-    return [Town(OF_ONE, RATE / services, meter=meter) for _ in range(services)]
+def split(services: int, meter: Meter) -> list[RelaySimulation]:
+    return [RelaySimulation(OF_ONE, RATE / services, meter=meter) for _ in range(services)]
 
 
 def measure(small: bool) -> list[Series]:
--- a/benchmarks/slopes/few.py
+++ b/benchmarks/slopes/few.py
@@ -13,8 +13,8 @@
     for rate, name in ((PEAK, "peak"), (LOW, "low")):
         for relays in SMALL if small else SIZES:
             found = play(size_of(relays, rate))
-            both = found.mean("plain", lambda relay: relay.sent["bytes"] + relay.came["bytes"])
-            spent = found.mean("plain", lambda relay: relay.us(*LETTERS) / 1e6)
+            both = found.mean("plain", lambda relay: relay.sent["bytes"] + relay.received["bytes"])
+            spent = found.mean("plain", lambda relay: relay.cpu_us(*LETTERS) / 1e6)
             fixed = FIXED.format(rate=rate)
             for what, unit, value in (("bytes", "B/s", both), ("cpu", "share", spent)):
                 if value:
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -1,10 +1,9 @@
-"""Hollow relays held against real processes: bytes, processor time and memory of a hub, a watcher and a plain
-relay.
+"""Compares simulated relays with real processes: bytes, processor time and memory of a hub, a watcher, a plain relay.
 
-A real one has sockets, an interpreter and a collector around the modules. What these cost is measured at the
-smallest size by itself: idle (no requests, so no letters), with requests and no letters, with both; so come
-the parts a request, a letter and a second. At the larger sizes the real figure is held against the hollow
-one's with these parts added, which were fitted at the smallest size alone.
+A real relay has sockets, an interpreter and a garbage collector around the modules. Their cost is measured at the
+smallest size: idle (no requests, so no gossip), with requests but no gossip, and with both. This gives the cost of
+a second, of a request and of a gossip message. At the larger sizes the real figure is compared with the simulated
+one plus these costs, which are fitted at the smallest size only.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 import uvloop
 from scipy.optimize import nnls
 
-from benchmarks.slopes.fleet import Fleet, Hollow
-from benchmarks.slopes.processes import available_mb, site
+from benchmarks.slopes.fleet import Fleet, Relay
+from benchmarks.slopes.processes import available_mb, process_fleet
 from benchmarks.slopes.restarts import whole_list
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
@@ -29,21 +28,23 @@
 
 UNITS, RATE, CLIENTS = 13, 5.0, 3
 SIZES, SMALL = (30, 150), (15,)
-WATCHED = {"hub": (0,), "watcher": (4, 5), "plain": (9, 10, 11, 12)}  # whose letters go over wires
-ROOM, EACH = 6000.0, 36.0  # 10^6 bytes left to others, and what a process takes
-WARM, SPAN = 6.0, 16.0  # seconds on the wall for real ones, virtual for hollow ones
-PACE = 200.0  # us of the fixed work, which runs beside each measured span: a busy machine is a slower one
-KEPT = "; traced: the modules' objects, and the list in the configuration"
+TAPPED = {"hub": (0,), "watcher": (4, 5), "plain": (9, 10, 11, 12)}  # relays whose gossip goes through taps
+RESERVED_MB, PROCESS_MB = 6000.0, 36.0  # MB left to others, and MB that a process takes
+WARM_UP_SECONDS, MEASURED_SECONDS = 6.0, 16.0  # wall-clock seconds for processes, virtual ones for the simulation
+NOMINAL_WORK_US = 200.0  # of the fixed work, which runs during each measurement, as a busy machine is slower
+MEMORY_NOTE = "; traced: the modules' objects, and the list in the configuration"
 ROLES = ("hub", "watcher", "plain")
 
 
 @dataclass
 class Row:
-    """Of the relays of one role: a second's processor time (s), letters and bytes (of real ones, those
-    watched), requests; memory, MB."""
+    """Figures of the relays of one role: processor time (s), messages, bytes and requests a second; memory in MB.
+
+    Messages and bytes of real relays are the means of those whose gossip is tapped.
+    """
 
     cpu: float
-    letters: tuple[float, float]  # sent and heard
+    gossip_messages: tuple[float, float]  # sent and received
     sent: float  # bytes
     heard: float
     requests: float
@@ -51,7 +52,7 @@
 
 
 def fixed_work_us() -> float:
-    """Processor time of some work that is always the same, by one call: it is made ten times a second."""
+    """Processor time of one call of a fixed piece of work, microseconds; called ten times a second."""
     began = time.thread_time_ns()
     table = {number * 7919 % 1009: number / 3 for number in range(600)}
     b",".join(b"%d" % key for key in sorted(table, key=lambda key: table[key]))
@@ -59,105 +60,110 @@
 
 
 def role_of(number: int) -> str:
+    """The role of the relay with this number."""
     return "hub" if number < 4 else "watcher" if number < 7 else "plain"
 
 
-async def real(size: Size, rate: float, peers: bool) -> dict[str, Row]:
-    watched = [number for some in WATCHED.values() for number in some]
-    async with site(size, watched, peers) as place:
-        await place.start_all(rate, CLIENTS)
-        await asyncio.sleep(WARM)
-        before, asked = place.spent(), place.asked.copy()
-        place.letters.clear()
-        place.bytes.clear()
-        began = place.loop.time()
-        paced: list[float] = []
-        while place.loop.time() < began + SPAN:
+async def measure_processes(size: Size, rate: float, peers: bool) -> dict[str, Row]:
+    """Measures real relay processes, by role; processor time is scaled by the fixed work."""
+    watched = [number for some in TAPPED.values() for number in some]
+    async with process_fleet(size, watched, peers) as processes:
+        await processes.start_all(rate, CLIENTS)
+        await asyncio.sleep(WARM_UP_SECONDS)
+        before, request_count = processes.cpu_seconds(), processes.request_count.copy()
+        processes.gossip_messages.clear()
+        processes.bytes.clear()
+        began = processes.loop.time()
+        work_times: list[float] = []
+        while processes.loop.time() < began + MEASURED_SECONDS:
             await asyncio.sleep(0.1)
-            paced.append(fixed_work_us())
-        after, span = place.spent(), place.loop.time() - began
-        pace = median(paced) / PACE
-        memory = place.memory()
+            work_times.append(fixed_work_us())
+        after, span = processes.cpu_seconds(), processes.loop.time() - began
+        slowdown = median(work_times) / NOMINAL_WORK_US
+        memory = processes.memory()
         table: dict[str, Row] = {}
         for role in ROLES:
-            some = [number for number in place.processes if role_of(number) == role]
+            some = [number for number in processes.processes if role_of(number) == role]
             sent, heard, sent_bytes, heard_bytes = (
-                fmean(counts[number, way] for number in WATCHED[role]) / span
-                for counts in (place.letters, place.bytes)
+                fmean(counts[number, way] for number in TAPPED[role]) / span
+                for counts in (processes.gossip_messages, processes.bytes)
                 for way in ("sent", "heard")
             )
             table[role] = Row(
-                cpu=fmean(after[number] - before[number] for number in some) / span / pace,
-                letters=(sent, heard),
+                cpu=fmean(after[number] - before[number] for number in some) / span / slowdown,
+                gossip_messages=(sent, heard),
                 sent=sent_bytes,
                 heard=heard_bytes,
-                requests=fmean(place.asked[number] - asked[number] for number in some) / span,
+                requests=fmean(processes.request_count[number] - request_count[number] for number in some) / span,
                 memory=fmean(memory[number] for number in some),
             )
         return table
 
 
-def hollow(size: Size) -> dict[str, Row]:
-    fleet = Fleet(replace(size, transit=(0.1, 0.5), link=0.3), 1, even=True)
-    fleet.run(WARM)
+def measure_simulation(size: Size) -> dict[str, Row]:
+    """Measures simulated relays of the same size, by role."""
+    fleet = Fleet(replace(size, transit=(0.1, 0.5), link=0.3), 1, uniform=True)
+    fleet.run(WARM_UP_SECONDS)
     fleet.reset()
-    paced: list[float] = []
-    for tenth in range(int(SPAN * 10)):
-        fleet.at(fleet.now + tenth * SECOND // 10, "call", 0, lambda: paced.append(fixed_work_us()))
-    fleet.run(SPAN)
-    pace = median(paced) / PACE
+    work_times: list[float] = []
+    for tenth in range(int(MEASURED_SECONDS * 10)):
+        fleet.at(fleet.now + tenth * SECOND // 10, "call", 0, lambda: work_times.append(fixed_work_us()))
+    fleet.run(MEASURED_SECONDS)
+    slowdown = median(work_times) / NOMINAL_WORK_US
 
-    def row(some: list[Hollow]) -> Row:
+    def row(some: list[Relay]) -> Row:
         def mean(values: list[float]) -> float:
-            return fmean(values) / SPAN
+            return fmean(values) / MEASURED_SECONDS
 
         return Row(
-            cpu=mean([relay.us() / 1e6 for relay in some]) / pace,
-            letters=(
+            cpu=mean([relay.cpu_us() / 1e6 for relay in some]) / slowdown,
+            gossip_messages=(
                 mean([relay.sent["letters"] for relay in some]),
-                mean([relay.came["letters"] for relay in some]),
+                mean([relay.received["letters"] for relay in some]),
             ),
             sent=mean([relay.sent["bytes"] for relay in some]),
-            heard=mean([relay.came["bytes"] for relay in some]),
-            requests=mean([relay.asked for relay in some]),
+            heard=mean([relay.received["bytes"] for relay in some]),
+            requests=mean([relay.request_count for relay in some]),
         )
 
     return {role: row(some) for role, some in fleet.roles.items()}
 
 
-def fits(relays: int) -> bool:
-    return available_mb() >= ROOM + EACH * relays
+def fits_in_memory(relays: int) -> bool:
+    """Whether so many relay processes fit into the memory that is available."""
+    return available_mb() >= RESERVED_MB + PROCESS_MB * relays
 
 
 def measure(small: bool) -> list[Series]:
+    """Measures all sizes that fit into memory and returns the series."""
     points: dict[tuple[str, str, str], list[tuple[float, float]]] = {}
 
     def note(name: str, unit: str, said: str, relays: float, value: float) -> None:
         points.setdefault((name, unit, said), []).append((relays, value))
 
     parts: dict[str, float] = {}
-    held: list[tuple[float, float, float]] = []
-    skipped = [relays for relays in (SMALL if small else SIZES) if not fits(relays)]
+    memory_points: list[tuple[float, float, float]] = []
+    skipped = [relays for relays in (SMALL if small else SIZES) if not fits_in_memory(relays)]
     left_out = f"; not run for want of memory: {skipped}" if skipped else ""
     for relays in (relays for relays in (SMALL if small else SIZES) if relays not in skipped):
         size = Size(relays, UNITS * relays, RATE)
         if not parts:
-            parts = outside(size)
+            parts = fit_overheads(size)
             said = "what a process has around the modules (sockets, loop, interpreter, collector), fitted here"
             for name, value in parts.items():
                 note(f"outside.{name}", "us", said, relays, value * 1e6)
-        found = uvloop.run(real(size, RATE, True))
-        made = hollow(replace(size, rate=found["plain"].requests))
+        measured = uvloop.run(measure_processes(size, RATE, True))
+        simulated = measure_simulation(replace(size, rate=measured["plain"].requests))
         fixed = f"13 units a relay, some {RATE:g} requests a second a relay, letters on, 16 s; processor time "
-        fixed += f"is scaled by fixed work in each span to {PACE:g} us of that" + left_out
+        fixed += f"is scaled by fixed work in each span to {NOMINAL_WORK_US:g} us of that" + left_out
         for role in ROLES:
-            one, other = found[role], made[role]
-            told = (
+            one, other = measured[role], simulated[role]
+            expected_cpu = (
                 other.cpu
                 + parts["second"]
                 + parts["request"] * other.requests
-                + parts["letter.sent"] * other.letters[0]
-                + parts["letter.heard"] * other.letters[1]
+                + parts["letter.sent"] * other.gossip_messages[0]
+                + parts["letter.heard"] * other.gossip_messages[1]
             )
             for kind, of in (("real", one), ("hollow", other)):
                 note(f"{kind}.{role}.cpu", "share", fixed, relays, of.cpu)
@@ -166,44 +172,54 @@
             note(f"real.{role}.memory", "MB", fixed, relays, one.memory)
             if role == "plain":
                 traced = modules_mb(size)
-                note("hollow.plain.memory", "MB", fixed + KEPT, relays, traced)
-                held.append((relays, one.memory, traced))
+                note("hollow.plain.memory", "MB", fixed + MEMORY_NOTE, relays, traced)
+                memory_points.append((relays, one.memory, traced))
             note(
                 f"ratio.{role}.cpu",
                 "share",
                 fixed + "; real over hollow and its parts",
                 relays,
-                one.cpu / told,
+                one.cpu / expected_cpu,
             )
-            for way, many, of_hollow in (("sent", one.sent, other.sent), ("heard", one.heard, other.heard)):
-                if of_hollow:
+            for way, many, of_simulated in (("sent", one.sent, other.sent), ("heard", one.heard, other.heard)):
+                if of_simulated:
                     ratio = "; real over hollow"
-                    note(f"ratio.{role}.{way}.bytes", "share", fixed + ratio, relays, many / of_hollow)
-        print(f"hollow {relays}: {found} {made}", flush=True)
-    for grown, resident, traced in held[1:]:
-        growth = (resident - held[0][1]) / (traced - held[0][2])
-        said = f"what a plain one has grown by since {held[0][0]:g} relays, real (resident) over hollow (traced)"
+                    note(f"ratio.{role}.{way}.bytes", "share", fixed + ratio, relays, many / of_simulated)
+        print(f"hollow {relays}: {measured} {simulated}", flush=True)
+    for grown, resident, traced in memory_points[1:]:
+        growth = (resident - memory_points[0][1]) / (traced - memory_points[0][2])
+        said = (
+            f"what a plain one has grown by since {memory_points[0][0]:g} relays, real (resident) over hollow (traced)"
+        )
         note("ratio.plain.memory.growth", "share", said, grown, growth)
     return [Series("hollow", name, unit, "relays", row, said) for (name, unit, said), row in points.items()]
 
 
 def modules_mb(size: Size) -> float:
-    """What one relay's modules hold, and the last list in its configuration, which a process keeps."""
+    """Memory of one relay's modules and of the last list in its configuration, which a process keeps."""
     text = whole_list(size.units)
     return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, EndpointList, 16 << 20)))[0]
 
 
-def outside(size: Size) -> dict[str, float]:
-    """Seconds of processor time around the modules: a second, a request (plain relays, no letters), a letter
-    sent and one heard (least squares over the roles; neither below nothing)."""
-    idle = uvloop.run(real(size, 0.0, True))
-    mute = uvloop.run(real(size, RATE, False))
-    both = uvloop.run(real(size, RATE, True))
-    still = hollow(replace(size, rate=0.0))
-    quiet = hollow(replace(size, rate=mute["plain"].requests, peers=False))
-    loud = hollow(replace(size, rate=both["plain"].requests))
-    second = idle["plain"].cpu - still["plain"].cpu
-    request = (mute["plain"].cpu - quiet["plain"].cpu - second) / mute["plain"].requests
-    rests = [both[role].cpu - loud[role].cpu - second - request * both[role].requests for role in ROLES]
-    sent, heard = nnls(np.array([both[role].letters for role in ROLES]), np.array(rests))[0]
+def fit_overheads(size: Size) -> dict[str, float]:
+    """Processor time outside the modules, seconds: for each second, request, message sent and message received.
+
+    The cost of a request is taken from plain relays without gossip; the costs of messages are fitted over the roles by
+    least squares and are not negative.
+    """
+    idle = uvloop.run(measure_processes(size, 0.0, True))
+    without_gossip = uvloop.run(measure_processes(size, RATE, False))
+    with_gossip = uvloop.run(measure_processes(size, RATE, True))
+    simulated_idle = measure_simulation(replace(size, rate=0.0))
+    simulated_without_gossip = measure_simulation(replace(size, rate=without_gossip["plain"].requests, peers=False))
+    simulated_with_gossip = measure_simulation(replace(size, rate=with_gossip["plain"].requests))
+    second = idle["plain"].cpu - simulated_idle["plain"].cpu
+    request = (without_gossip["plain"].cpu - simulated_without_gossip["plain"].cpu - second) / without_gossip[
+        "plain"
+    ].requests
+    rests = [
+        with_gossip[role].cpu - simulated_with_gossip[role].cpu - second - request * with_gossip[role].requests
+        for role in ROLES
+    ]
+    sent, heard = nnls(np.array([with_gossip[role].gossip_messages for role in ROLES]), np.array(rests))[0]
     return {"second": second, "request": request, "letter.sent": float(sent), "letter.heard": float(heard)}
--- a/benchmarks/slopes/hollow_relay.py
+++ b/benchmarks/slopes/hollow_relay.py
@@ -1,6 +1,6 @@
-"""One relay without sockets, for the slopes: real decisions and driver, hollow hands, a virtual clock.
+"""Simulates the decisions of one relay without sockets: real decisions and driver, an inert host, a virtual clock.
 
-The figures of `settings` are near those of a day in the life of the operators' sites; no site's file is read.
+The values of `settings` are close to those of a scenario of the operators' sites; no site's file is read.
 """
 
 from __future__ import annotations
@@ -40,21 +40,24 @@
 from lanelead.runtime.pending_requests import PendingRequest
 
 UNITS = (26, 150, 780, 7800)
-RATE = 183  # lookups a second at one relay: its mean at the peak
-RELAYS, NUMBER = 600, 300  # relays in all, and this one's number: no hub, no watcher
-TOOK: Ticks = 2_500  # a trip's time at a unit
-FAULTY = 100  # one trip of so many ends in an error
+RATE = 183  # requests a second at one relay: the mean at peak load
+RELAYS, NUMBER = 600, 300  # all relays, and this one's number: neither a hub nor a watcher
+ATTEMPT_DURATION: Ticks = 2_500  # time from sending an attempt to its outcome
+ATTEMPTS_PER_ERROR = 100  # one attempt of so many ends in an error
 ZONES = ("kif", "mar", "pal", "ath")
-NEWS: dict[str, Any] = {"build": 7, "stage": 3, "phase": "live", "cap": 1.0, "age_ms": 600_000}
+ROLLOUT_STATE: dict[str, Any] = {"build": 7, "stage": 3, "phase": "live", "cap": 1.0, "age_ms": 600_000}
 
 
 def settings(
     relays: int = RELAYS, number: int = NUMBER, probe: float = 0.1, handshake: float = 0.01, tenants: int = 3
 ) -> dict[str, Any]:
-    """What a relay is told at its start, three classes. `probe`, `handshake`: prices; at a probe's price of
-    0.025 or less a relay of many asks units before it chooses, else letters tell it."""
+    """The settings of a relay with three request classes, as its configuration file has them.
 
-    def lane(name: str, aim: float, deadline: float, credit: float, repeat: str) -> dict[str, Any]:
+    `probe` and `handshake` are prices. At a probe price of 0.025 or less a relay of many probes endpoints before it
+    chooses one; otherwise it relies on gossip.
+    """
+
+    def class_settings(name: str, aim: float, deadline: float, credit: float, repeat: str) -> dict[str, Any]:
         return {
             "name": name,
             "aimMs": aim,
@@ -74,9 +77,9 @@
         "tickMs": 5.0,
         "discovery": "automatic",
         "requestClasses": [
-            lane("status", 1500.0, 6000.0, 1.0, "read_like"),
-            lane("search", 800.0, 3000.0, 1.0, "read_like"),
-            lane("submit", 1200.0, 4000.0, 3.0, "non_idempotent"),
+            class_settings("status", 1500.0, 6000.0, 1.0, "read_like"),
+            class_settings("search", 800.0, 3000.0, 1.0, "read_like"),
+            class_settings("submit", 1200.0, 4000.0, 3.0, "non_idempotent"),
         ],
         "accounts": [
             {
@@ -128,30 +131,34 @@
     }
 
 
-def opening(told: dict[str, Any]) -> ParameterReader:
-    return ParameterReader([*flatten_pairs(told)])
+def read_parameters(parameters: dict[str, Any]) -> ParameterReader:
+    """Wraps settings in the reader that the relay uses."""
+    return ParameterReader([*flatten_pairs(parameters)])
 
 
 def decisions(
-    told: ParameterReader, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant], now: Ticks
+    parameters: ParameterReader, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant], now: Ticks
 ) -> Balancer:
-    """As the platform's relay makes them. Lanes and members are known by the objects given here."""
+    """Creates the decisions as the Postgres relay does.
+
+    Request classes and tenants are compared by identity: later calls have to use the objects given here.
+    """
     return Balancer(
-        position=told.position(),
+        position=parameters.position(),
         request_classes=request_classes,
         tenants=tenants,
-        quota=told.resource_quota(),
-        limits=told.service_limits(),
-        canary_limits=told.canary_limits(),
-        voting_rules=told.voting_rules(),
-        prices=told.prices(),
+        quota=parameters.resource_quota(),
+        limits=parameters.service_limits(),
+        canary_limits=parameters.canary_limits(),
+        voting_rules=parameters.voting_rules(),
+        prices=parameters.prices(),
         rng=Random(7),
         now=now,
     )
 
 
-class Hands:
-    """Does nothing of what it is asked to."""
+class InertHost:
+    """A host for the driver that does nothing."""
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None: ...
     def cancel_attempt(self, attempt: Attempt) -> bool:
@@ -166,23 +173,23 @@
     def log_event(self, text: str) -> None: ...
 
 
-def driver(told: ParameterReader) -> DecisionDriver:
-    """A relay's driver with hollow hands, on a clock that stands still."""
+def driver(parameters: ParameterReader) -> DecisionDriver:
+    """Creates a relay's driver with an inert host and a clock that stands still."""
     now: Ticks = 3600 * SECOND
-    quota, request_classes = told.resource_quota(), told.request_classes()
+    quota, request_classes = parameters.resource_quota(), parameters.request_classes()
     return DecisionDriver(
-        decisions=decisions(told, request_classes, told.tenants(), now),
-        host=Hands(),
+        decisions=decisions(parameters, request_classes, parameters.tenants(), now),
+        host=InertHost(),
         clock=lambda: now,
         request_classes=request_classes,
-        limits=told.service_limits(),
+        limits=parameters.service_limits(),
         max_pending=quota.max_in_flight,
         max_retry_after=quota.max_retry_after,
     )
 
 
 class Meter:
-    """Processor time of single calls, added up by name; the cost of reading the clock is taken off."""
+    """Adds up the processor time of single calls by name, without the cost of reading the clock."""
 
     def __init__(self) -> None:
         self.spent: dict[str, float] = {}
@@ -193,95 +200,107 @@
         self._empty, self._clock = 0.0, self.spent.pop("clock") / self.calls.pop("clock")
 
     def start(self) -> None:
+        """Begins to measure a call."""
         self._began = time.process_time()
 
     def stop(self, name: str) -> None:
+        """Ends the measurement and adds it under `name`."""
         spent = time.process_time() - self._began
         self.spent[name] = self.spent.get(name, 0.0) + spent
         self.calls[name] = self.calls.get(name, 0) + 1
 
-    def us(self, name: str) -> float:
-        """The mean since the last `clear`, microseconds."""
+    def cpu_us(self, name: str) -> float:
+        """Mean processor time of a call since the last `clear`, microseconds."""
         return max(0.0, self.spent[name] / self.calls[name] - self._clock) * 1e6
 
     def clear(self) -> None:
+        """Clears all sums."""
         self.spent, self.calls = {}, {}
 
 
-class Town:
-    """One relay's decisions before `units` units, asked `rate` lookups a second, each trip `TOOK` long.
+class RelaySimulation:
+    """One relay's decisions for `units` endpoints and `rate` requests a second; attempts take `ATTEMPT_DURATION`.
 
-    One trip of `FAULTY` ends in an error. Four times a beat of its own a hub tells it of all trips out, as in
-    `Circle`: the `LOADS` units with the most. `probed`: probes are answered within a millisecond.
+    One attempt of `ATTEMPTS_PER_ERROR` ends in an error. Every fourth of its own timer ticks a hub sends the relay the
+    in-flight counts of up to 83 endpoints, as gossip does. Health checks are answered within a millisecond.
     """
 
     def __init__(
         self,
         units: int,
         rate: float = RATE,
-        trial: float = 0.0,
+        canary_share: float = 0.0,
         probe: float = 0.1,
         meter: Meter | None = None,
     ) -> None:
         self.now: Ticks = 3600 * SECOND
-        told = opening(settings(probe=probe))
-        self.lanes, self.members, self.meter = told.request_classes(), told.tenants(), meter or Meter()
-        self.relay = decisions(told, self.lanes, self.members, self.now)
-        self._gap, self._due, self._heap = SECOND / rate, float(self.now), list[tuple[Ticks, int, Any]]()
-        self._rng, self._number, self._told = Random(11), 0, self.now
+        parameters = read_parameters(settings(probe=probe))
+        self.request_classes, self.tenants, self.meter = (
+            parameters.request_classes(),
+            parameters.tenants(),
+            meter or Meter(),
+        )
+        self.relay = decisions(parameters, self.request_classes, self.tenants, self.now)
+        self._request_interval, self._next_request_at, self._heap = (
+            SECOND / rate,
+            float(self.now),
+            list[tuple[Ticks, int, Any]](),
+        )
+        self._rng, self._number, self._gossiped_at = Random(11), 0, self.now
         self.sent = self.asked = 0
-        marks = self._rng.sample(range(65536), units)  # one for each
+        marks = self._rng.sample(range(65536), units)  # unique short ids
         self.units = [self.relay.new_endpoint(mark) for mark in marks]
-        new = round(trial * units)
+        new = round(canary_share * units)
         rows = [
-            self.listing(unit, NEWS["build"] if place >= new else NEWS["build"] + 1)
+            self.listing(unit, ROLLOUT_STATE["build"] if place >= new else ROLLOUT_STATE["build"] + 1)
             for place, unit in enumerate(self.units)
         ]
         self.relay.endpoints_updated(UpdateScope.CACHED, rows)
-        build, phase, stage = NEWS["build"], RolloutPhase.PROMOTED, NEWS["stage"]
+        build, phase, stage = ROLLOUT_STATE["build"], RolloutPhase.PROMOTED, ROLLOUT_STATE["stage"]
         if new:
             build, phase, stage = build + 1, RolloutPhase.CANARY, 0
         self.relay.rollout_updated(
             RolloutState(build, stage, phase, 0.096 if new else 1.0, 60 * SECOND, False, AttemptOutcome.SUCCEEDED)
         )
-        self._carry()
+        self._collect_actions()
 
     def listing(self, unit: Endpoint, build: int, condition: EndpointStatus = EndpointStatus.READY) -> EndpointRecord:
+        """The endpoint's row of an endpoint list."""
         zone = ZONES[unit.short_id % len(ZONES)]
         return EndpointRecord(unit, zone, unit.short_id % 60, "std", 1, build, 1.0, condition)
 
     def run(self, seconds: float, beats: bool = True) -> None:
-        """Lets the clock go on; each call is counted under its own name."""
+        """Advances the clock; each call of the decisions is measured under its own name."""
         end, meter, collecting = self.now + int(seconds * SECOND), self.meter, gc.isenabled()
-        gc.disable()  # what it costs grows with all that a process holds: the resident and real runs count it
+        gc.disable()  # its cost grows with the whole process; the runs with real processes include it
         try:
-            while self._due <= end:
-                self._until(int(self._due))
-                request_class, tenant = self._rng.choice(self.lanes), self._rng.choice(self.members)
+            while self._next_request_at <= end:
+                self._advance_to(int(self._next_request_at))
+                request_class, tenant = self._rng.choice(self.request_classes), self._rng.choice(self.tenants)
                 request = Request(request_class, tenant, None, self.now, self.now + request_class.timeout)
                 self.asked += 1
                 meter.start()
                 self.relay.request_received(request)
                 meter.stop("take")
-                self._carry()
-                self._due += self._gap
-            self._until(end)
+                self._collect_actions()
+                self._next_request_at += self._request_interval
+            self._advance_to(end)
         finally:
             if collecting:
                 gc.enable()
 
-    def _until(self, when: Ticks) -> None:
+    def _advance_to(self, when: Ticks) -> None:
         while self._heap and self._heap[0][0] <= when:
             at, _, what = heappop(self._heap)
             self.now = self.relay.now = max(self.now, at)
-            self._happen(what)
+            self._handle_event(what)
         self.now = self.relay.now = max(self.now, when)
 
-    def _happen(self, what: Any) -> None:
+    def _handle_event(self, what: Any) -> None:
         meter = self.meter
         if isinstance(what, Attempt):
             if what.outcome is None:
-                good = self._rng.randrange(FAULTY) > 0
+                good = self._rng.randrange(ATTEMPTS_PER_ERROR) > 0
                 outcome = AttemptOutcome.SUCCEEDED if good else AttemptOutcome.ERROR
                 meter.start()
                 self.relay.attempt_ended(what, outcome, good, self.now - what.sent_at, None)
@@ -294,26 +313,26 @@
             meter.start()
             self.relay.timer_fired(None)
             meter.stop("beat")
-            if self.now >= self._told + SECOND * 4 // 5:
-                self._told = self.now
+            if self.now >= self._gossiped_at + SECOND * 4 // 5:
+                self._gossiped_at = self.now
                 words = [InFlightCount(unit, 2) for unit in self._rng.sample(self.units, min(83, len(self.units)))]
                 meter.start()
-                self.relay.gossip_received(0, [*words, FleetLatency(TOOK)])
+                self.relay.gossip_received(0, [*words, FleetLatency(ATTEMPT_DURATION)])
                 meter.stop("told")
         elif not what.finished:
             meter.start()
             self.relay.timer_fired(what)
             meter.stop("woken")
-        self._carry()
+        self._collect_actions()
 
-    def _carry(self) -> None:
+    def _collect_actions(self) -> None:
         actions, self.relay.actions = self.relay.actions, []
         for action in actions:
             self._number += 1
             match action:
                 case StartAttempt(attempt):
                     self.sent += 1
-                    heappush(self._heap, (self.now + TOOK, self._number, attempt))
+                    heappush(self._heap, (self.now + ATTEMPT_DURATION, self._number, attempt))
                 case SetTimer(at, what):
                     heappush(self._heap, (at, self._number, what))
                 case CheckHealth(unit):
--- a/benchmarks/slopes/letters.py
+++ b/benchmarks/slopes/letters.py
@@ -12,7 +12,7 @@
 from statistics import fmean
 from typing import Any
 
-from benchmarks.slopes.fleet import SHARES, Fleet, Hollow
+from benchmarks.slopes.fleet import RATE_SHARES, Fleet, Relay
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND, OutcomeObservation
@@ -42,18 +42,18 @@
     units: list[float] = field(default_factory=list)  # units told of over units in use
     trips: list[float] = field(default_factory=list)  # trips told of over trips out
 
-    def watch(self, fleet: Fleet) -> Callable[[str, Hollow, Any], None]:
+    def watch(self, fleet: Fleet) -> Callable[[str, Relay, Any], None]:
         hub, plain = fleet.relays[0], dict.fromkeys(fleet.roles["plain"])
-        said: dict[Hollow, int] = {}
+        said: dict[Relay, int] = {}
         held = 0.0
 
-        def seen(kind: str, relay: Hollow, goes: Any) -> None:
+        def seen(kind: str, relay: Relay, sendable: Any) -> None:
             nonlocal held
             out = relay.decisions._fleet_in_flight
             if relay is hub and kind == "beat":
                 told = [fleet.now - at for at, _ in out._by_peer.values()]
                 held = fmean(told) / SECOND if told else 0.0
-            elif relay in plain and kind == "take" and goes and out._updated_at > fleet.now - SECOND:
+            elif relay in plain and kind == "take" and sendable and out._updated_at > fleet.now - SECOND:
                 self.age.append((fleet.now - out._updated_at) / SECOND + held)
             elif relay in plain and kind == "heard" and said.get(relay) != out._updated_at:
                 said[relay] = out._updated_at
@@ -73,21 +73,21 @@
     seen: Seen
     span: float
 
-    def mean(self, role: str, of: Callable[[Hollow], float]) -> float | None:
+    def mean(self, role: str, of: Callable[[Relay], float]) -> float | None:
         some = self.fleet.roles.get(role, [])
         return fmean(of(relay) for relay in some) / self.span if some else None
 
     def table(self, role: str) -> dict[tuple[str, str], float | None]:
         return {
             ("sent.letters", "count"): self.mean(role, lambda relay: relay.sent["letters"]),
-            ("heard.letters", "count"): self.mean(role, lambda relay: relay.came["letters"]),
+            ("heard.letters", "count"): self.mean(role, lambda relay: relay.received["letters"]),
             ("sent.bytes", "B/s"): self.mean(role, lambda relay: relay.sent["bytes"]),
-            ("heard.bytes", "B/s"): self.mean(role, lambda relay: relay.came["bytes"]),
-            ("heard.bytes.sightings", "B/s"): self.mean(role, lambda relay: relay.parts["sightings"]),
-            ("heard.bytes.loads", "B/s"): self.mean(role, lambda relay: relay.parts["loads"]),
-            ("heard.cpu", "share"): self.mean(role, lambda relay: relay.us("heard") / 1e6),
-            ("beat.cpu", "share"): self.mean(role, lambda relay: relay.us("beat") / 1e6),
-            ("requests.cpu", "share"): self.mean(role, lambda relay: relay.us("take", "ended", "timer") / 1e6),
+            ("heard.bytes", "B/s"): self.mean(role, lambda relay: relay.received["bytes"]),
+            ("heard.bytes.sightings", "B/s"): self.mean(role, lambda relay: relay.received_parts["sightings"]),
+            ("heard.bytes.loads", "B/s"): self.mean(role, lambda relay: relay.received_parts["loads"]),
+            ("heard.cpu", "share"): self.mean(role, lambda relay: relay.cpu_us("heard") / 1e6),
+            ("beat.cpu", "share"): self.mean(role, lambda relay: relay.cpu_us("beat") / 1e6),
+            ("requests.cpu", "share"): self.mean(role, lambda relay: relay.cpu_us("take", "ended", "timer") / 1e6),
         }
 
 
@@ -96,7 +96,7 @@
     fleet.run(warm)
     fleet.reset()
     if size.relays > 8:
-        fleet.watching = seen.watch(fleet)
+        fleet.on_event = seen.watch(fleet)
     fleet.run(span)
     return Measured(fleet, seen, span)
 
@@ -124,7 +124,7 @@
 
 
 def measure(small: bool) -> list[Series]:
-    assert abs(fmean(SHARES) - 1) < 1e-9
+    assert abs(fmean(RATE_SHARES) - 1) < 1e-9
     points: dict[tuple[str, str, str], list[tuple[float, float]]] = {}
 
     def note(name: str, unit: str, note: str, size: float, value: float | None) -> None:
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from benchmarks.slopes.hollow_relay import NEWS, UNITS, ZONES, driver, opening, settings
+from benchmarks.slopes.hollow_relay import ROLLOUT_STATE, UNITS, ZONES, driver, read_parameters, settings
 from benchmarks.slopes.series import Series, processor_us, traced_mb
 from lanelead.http import serialization
 from lanelead.postgres_relay.discovery_client import MAX_LIST_BYTES
@@ -31,7 +31,7 @@
         cell=place % 60,
         weight=1.0,
         started_ms=1_790_000_000_000.0 + place,
-        build=NEWS["build"],
+        build=ROLLOUT_STATE["build"],
     )
 
 
@@ -61,7 +61,7 @@
 
 
 def filled(texts: list[bytes]) -> DecisionDriver:
-    made = driver(opening(settings()))
+    made = driver(read_parameters(settings()))
     for text in texts:
         made.endpoints_listed(read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)), 0)
     return made
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -13,7 +13,7 @@
 from statistics import fmean
 from typing import Any
 
-from benchmarks.slopes.fleet import Fleet, Hollow
+from benchmarks.slopes.fleet import Fleet, Relay
 from benchmarks.slopes.series import Series, resident_mb
 from benchmarks.slopes.sizes import ZONES, Size, listing
 from lanelead.decisions.interface import SECOND, AttemptOutcome
@@ -36,9 +36,9 @@
     all: Counter[int] = field(default_factory=Counter)
     vain: Counter[int] = field(default_factory=Counter)
 
-    def seen(self, kind: str, relay: Hollow, goes: Any) -> None:
+    def seen(self, kind: str, relay: Relay, sendable: Any) -> None:
         at = (self.fleet.now - self.start) // BIN
-        for attempt in goes:
+        for attempt in sendable:
             self.all[at] += 1
             self.vain[at] += relay.driver.registry.names.get(attempt.endpoint) in self.lost
 
@@ -70,22 +70,22 @@
             for role, some in roles.items():
                 rows[role].append(
                     {
-                        "cpu": fmean(relay.us() for relay in some) / 1e6,
-                        "list.cpu": fmean(relay.us("list") for relay in some),
-                        "bytes": fmean(relay.sent["bytes"] + relay.came["bytes"] for relay in some),
-                        "asked": fmean(relay.asked for relay in some),
+                        "cpu": fmean(relay.cpu_us() for relay in some) / 1e6,
+                        "list.cpu": fmean(relay.cpu_us("list") for relay in some),
+                        "bytes": fmean(relay.sent["bytes"] + relay.received["bytes"] for relay in some),
+                        "asked": fmean(relay.request_count for relay in some),
                     }
                 )
         return rows
 
     before = seconds(2)
     watch = Watch(fleet, lost, fleet.now)
-    fleet.watching = watch.seen
-    fleet.reach = lambda relay, unit: unit not in lost
+    fleet.on_event = watch.seen
+    fleet.endpoint_reachable = lambda relay, unit: unit not in lost
     for relay in fleet.relays:
         if relay not in left:
             fleet.stop(relay)
-    fleet.crowd = ZONES / (ZONES - 1)
+    fleet.load_factor = ZONES / (ZONES - 1)
     gone = [row for row in listing(units, condition="gone") if row.unit in lost]
     for relay in left:
         fleet.at(fleet.now + TOLD * SECOND, "list", relay.number, EndpointListMessage("changes", 2, 0.0, gone))
@@ -131,7 +131,7 @@
 def apart(hour: int) -> list[Series]:
     """Regions without letters and without each other's units; discovery goes on to list all."""
     units = APART * 13
-    fleet = Fleet(Size(APART, units, APART_RATE), 1, even=True)
+    fleet = Fleet(Size(APART, units, APART_RATE), 1, uniform=True)
     regions = {row.unit: region(int(row.zone[1:])) for row in fleet.rows}
     fleet.run(10.0)
     steady: dict[str, dict[str, float]] = {}
@@ -148,14 +148,14 @@
         after, some = trips(), fleet.relays
         steady[name] = {
             "vain": (after[1] - before[1]) / max(1, after[0] - before[0]),
-            "cpu": fmean(relay.us() for relay in some) / 1e6 / seconds,
+            "cpu": fmean(relay.cpu_us() for relay in some) / 1e6 / seconds,
             "bytes": fmean(relay.sent["bytes"] for relay in some) / seconds,
         }
 
     span("before", 20.0)
     points: dict[tuple[str, str], list[tuple[float, float]]] = {}
-    fleet.partition = lambda sender, to: region(sender) == region(to)
-    fleet.reach = lambda relay, unit: region(relay) == regions[unit]
+    fleet.link_up = lambda sender, to: region(sender) == region(to)
+    fleet.endpoint_reachable = lambda relay, unit: region(relay) == regions[unit]
     cut = fleet.now
     for look in (look for look in LOOKS if look <= hour):
         span("apart", look - (fleet.now - cut) / SECOND)
@@ -166,7 +166,7 @@
         for what, value in steady["apart"].items():
             unit = "B/s" if what == "bytes" else "share"
             points.setdefault((f"apart.{what}", unit), []).append((look, value))
-    fleet.partition, fleet.reach = (lambda sender, to: True), (lambda relay, unit: True)
+    fleet.link_up, fleet.endpoint_reachable = (lambda sender, to: True), (lambda relay, unit: True)
     span("reunion", 5.0)
     span("later", 20.0)
     said = (
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from benchmarks.slopes.fleet import Fleet
-from benchmarks.slopes.processes import cpu_s, site
+from benchmarks.slopes.processes import cpu_s, process_fleet
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from benchmarks.slopes.sizes import ZONES, Size, settings, unit_name
 from lanelead.decisions.interface import SECOND
@@ -62,7 +62,7 @@
     for _ in range(3):  # each start makes the decisions anew; the list's own cost is in `list`
         relay.costs.clear()
         fleet.start(relay)
-        taken.append((relay.us("start"), relay.us("list")))
+        taken.append((relay.cpu_us("start"), relay.cpu_us("list")))
     relay.costs.clear()
     fleet.now = CLOCK_START_TICKS + 10
     fleet.at(fleet.now, "request", 0)
@@ -74,7 +74,7 @@
         ("settings.cpu", "us"): opening,
         ("start.cpu", "us"): min(start for start, _ in taken),
         ("list.taken.cpu", "us"): min(took for _, took in taken),
-        ("first.cpu", "us"): relay.us("take", "ended"),
+        ("first.cpu", "us"): relay.cpu_us("take", "ended"),
         ("first.letters.bytes", "B"): float(relay.sent["bytes"]),
         ("modules.memory", "MB"): traced_mb(lambda: Fleet(size, 1))[0],
     }
@@ -83,12 +83,12 @@
 async def process(units: int) -> tuple[float, float]:
     """Processor time (s) of one real relay from exec to a client's first answer, and what it holds then (MB).
     The list comes from discovery."""
-    async with site(Size(2, units, RATE)) as place:
+    async with process_fleet(Size(2, units, RATE)) as place:
         await place.start(0, known=False)
         client = await place.connect(0, 0.0)
         await client.first
         client.first = place.loop.create_future()
-        client.ask()
+        client.send_request()
         await client.first
         assert not place.errors[0], "the first answer was a refusal"
         number = place.processes[0].pid
@@ -98,7 +98,7 @@
 def mass(relays: int, restart: bool) -> dict[str, dict[str, float]]:
     """By role: a second's processor time, bytes sent and heard, while all relays but those whose figures are
     read restart once, or none does."""
-    fleet = Fleet(Size(relays, relays * EACH, RATE), 1, even=True)
+    fleet = Fleet(Size(relays, relays * EACH, RATE), 1, uniform=True)
     fleet.run(3.0)
     fleet.reset()
     roles = {role: some[:2] for role, some in fleet.roles.items()}
@@ -112,9 +112,9 @@
     fleet.run(ROUND)
     return {
         role: {
-            "cpu": fmean(relay.us() for relay in some) / 1e6 / ROUND,
+            "cpu": fmean(relay.cpu_us() for relay in some) / 1e6 / ROUND,
             "sent.bytes": fmean(relay.sent["bytes"] for relay in some) / ROUND,
-            "heard.bytes": fmean(relay.came["bytes"] for relay in some) / ROUND,
+            "heard.bytes": fmean(relay.received["bytes"] for relay in some) / ROUND,
         }
         for role, some in roles.items()
     }
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.slopes.hollow_relay import NEWS, decisions, settings
+from benchmarks.slopes.hollow_relay import ROLLOUT_STATE, decisions, settings
 from benchmarks.slopes.lists import endpoint
 from benchmarks.slopes.series import Series, processor_us, resident_mb, traced_mb
 from lanelead.decisions.balancer import Balancer
@@ -55,7 +55,7 @@
         "seed": "7f",
         "discovery": NOBODY,
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-        "platform": {"address": NOBODY, "news": NEWS},
+        "platform": {"address": NOBODY, "news": ROLLOUT_STATE},
         "settings": settings(tenants=tenants),
         "known": known,
         **more,
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -1,4 +1,4 @@
-"""The hollow fleet that slopes are measured with: repeatable, each request answered, no byte lost."""
+"""Tests the simulated fleet: it is repeatable, answers each request and accounts for each byte of gossip."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from copy import deepcopy
 from typing import Any
 
-from benchmarks.slopes.fleet import Fleet, Hollow
+from benchmarks.slopes.fleet import Fleet, Relay
 from benchmarks.slopes.sizes import Size
 from lanelead.runtime.pending_requests import RequestOutcome
 
@@ -23,51 +23,51 @@
 
 def counted(fleet: Fleet) -> list[tuple[Counter[str], Counter[str], int, dict[str, int]]]:
     return [
-        (relay.sent, relay.came, relay.asked, {kind: cost.events for kind, cost in relay.costs.items()})
+        (relay.sent, relay.received, relay.request_count, {kind: cost.events for kind, cost in relay.costs.items()})
         for relay in fleet.relays
     ]
 
 
 def balance(fleet: Fleet) -> tuple[Counter[str], Counter[str]]:
-    """What was sent by whole relays, and where it is: heard, dropped or under way."""
+    """What the full relays sent, and where it went: received, dropped or in transit."""
     sent, found = Counter[str](), Counter[str](fleet.dropped)
     for relay in fleet.relays:
         sent += relay.sent
-        found += relay.came
-    under_way = fleet.under_way()
-    found["letters"] += len(under_way)
-    found["bytes"] += sum(map(len, under_way))
+        found += relay.received
+    messages_in_transit = fleet.messages_in_transit()
+    found["letters"] += len(messages_in_transit)
+    found["bytes"] += sum(map(len, messages_in_transit))
     return sent, found
 
 
 class HollowFleet(unittest.TestCase):
     def test_one_seed_gives_the_same_events_and_another_gives_others(self) -> None:
         first, second, other = played(1), played(1), played(2)
-        self.assertEqual(first.journal, second.journal)
+        self.assertEqual(first.event_checksum, second.event_checksum)
         self.assertEqual(counted(first), counted(second))
-        self.assertNotEqual(first.journal, other.journal)
+        self.assertNotEqual(first.event_checksum, other.event_checksum)
 
     def test_each_request_gets_one_answer(self) -> None:
         fleet = played(3)
-        fleet.crowd = 1e-9  # nobody comes any more; what is out is answered
+        fleet.load_factor = 1e-9  # no new requests; those in flight are answered
         fleet.run(5.0)
         for relay in fleet.relays:
-            self.assertEqual(relay.asked, relay.outcomes.total())
+            self.assertEqual(relay.request_count, relay.outcomes.total())
             self.assertEqual(0, len(relay.driver.pending))
-        self.assertGreater(sum(relay.asked for relay in fleet.relays), 500)
+        self.assertGreater(sum(relay.request_count for relay in fleet.relays), 500)
         self.assertEqual({RequestOutcome.SUCCEEDED}, {what for relay in fleet.relays for what in relay.outcomes})
 
     def test_bytes_counted_are_those_of_the_letters(self) -> None:
         fleet = Fleet(SIZE, 4)
         lengths = Counter[str]()
-        post = fleet._post
+        post = fleet._transmit
 
         def seen(sender: int, to: int, data: bytes) -> None:
             lengths["letters"] += 1
             lengths["bytes"] += len(data)
             post(sender, to, data)
 
-        fleet._post = seen  # type: ignore[method-assign]
+        fleet._transmit = seen  # type: ignore[method-assign]
         fleet.run(SECONDS)
         sent, found = balance(fleet)
         self.assertEqual(lengths, sent)
@@ -75,7 +75,7 @@
         self.assertGreater(sent["letters"], 100)
 
     def test_echoes_tell_hubs_about_as_much_as_whole_relays_would(self) -> None:
-        heard = [sum(relay.came["bytes"] for relay in played(5, whole).relays[:4]) for whole in (0, 10)]
+        heard = [sum(relay.received["bytes"] for relay in played(5, whole).relays[:4]) for whole in (0, 10)]
         self.assertAlmostEqual(1.0, heard[1] / heard[0], delta=0.2)
 
     def test_a_stopped_relay_hears_and_answers_nothing_and_starts_anew(self) -> None:
@@ -83,37 +83,37 @@
         relay = fleet.relays[9]
         fleet.stop(relay)
         before = deepcopy(counted(fleet)[9])
-        asked = relay.asked
+        request_count = relay.request_count
         fleet.run(1.0)
         self.assertEqual(before, counted(fleet)[9])
         self.assertGreater(fleet.dropped["request"], 0)
         fleet.start(relay)
         fleet.run(1.0)
-        self.assertGreater(relay.asked, asked)
+        self.assertGreater(relay.request_count, request_count)
         self.assertGreater(relay.outcomes[RequestOutcome.SUCCEEDED], 0)
 
     def test_attempts_at_units_that_are_not_reached_end_unreachable(self) -> None:
         fleet = Fleet(SIZE, 7)
         lost = {row.unit: None for row in fleet.rows if row.zone == "z0"}
-        fleet.reach = lambda relay, unit: unit not in lost
+        fleet.endpoint_reachable = lambda relay, unit: unit not in lost
         outcomes = Counter[Any]()
         fleet.run(SECONDS)
         for relay in fleet.relays:
             outcomes += Counter(relay.driver.counters.outcomes)
         self.assertEqual({"succeeded", "connect failed"}, {outcome.value for outcome, many in outcomes.items() if many})
         answered = sum(relay.outcomes[RequestOutcome.SUCCEEDED] for relay in fleet.relays)
-        self.assertGreater(answered, 0.9 * sum(relay.asked for relay in fleet.relays))
+        self.assertGreater(answered, 0.9 * sum(relay.request_count for relay in fleet.relays))
 
     def test_a_relay_is_woken_only_when_something_is_due(self) -> None:
         fleet = Fleet(Size(12, 36, 0.0), 8)
         kinds = Counter[str]()
 
-        def seen(kind: str, relay: Hollow, goes: Any) -> None:
+        def seen(kind: str, relay: Relay, sendable: Any) -> None:
             kinds[kind] += relay.number == 11
 
-        fleet.watching = seen
+        fleet.on_event = seen
         fleet.run(10.0)
-        self.assertEqual({"beat"}, set(kinds))  # five times a second, and nothing between
+        self.assertEqual({"beat"}, set(kinds))  # five timer ticks a second and no other event
         self.assertAlmostEqual(50, kinds["beat"], delta=1)
 
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -12,7 +12,7 @@
 
 from benchmarks.slopes import lists, tenants
 from benchmarks.slopes.__main__ import keep, kept
-from benchmarks.slopes.hollow_relay import Town
+from benchmarks.slopes.hollow_relay import RelaySimulation
 from benchmarks.slopes.series import Series, fit
 
 
@@ -102,15 +102,15 @@
         self.assertIn("none", names["routes.memory"].note)
 
     def test_a_hollow_relay_answers_all_that_it_is_asked(self) -> None:
-        town = Town(26)
-        town.run(5)  # until it knows what its units do, it sends little to each
-        town.meter.clear()
-        asked, sent = town.asked, town.sent
-        town.run(5)
-        self.assertEqual(town.asked - asked, town.meter.calls["take"])
-        self.assertAlmostEqual(town.asked - asked, 5 * 183, delta=2)
-        self.assertGreaterEqual(town.sent - sent, town.asked - asked)
-        self.assertAlmostEqual(town.meter.calls["beat"], 25, delta=2)
+        simulation = RelaySimulation(26)
+        simulation.run(5)  # until it knows what its units do, it sends little to each
+        simulation.meter.clear()
+        asked, sent = simulation.asked, simulation.sent
+        simulation.run(5)
+        self.assertEqual(simulation.asked - asked, simulation.meter.calls["take"])
+        self.assertAlmostEqual(simulation.asked - asked, 5 * 183, delta=2)
+        self.assertGreaterEqual(simulation.sent - sent, simulation.asked - asked)
+        self.assertAlmostEqual(simulation.meter.calls["beat"], 25, delta=2)
 
 
 if __name__ == "__main__":
