--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""How costs grow with size: what docs/CAPACITY.md is worked out from."""
+"""Measures how costs grow with size, as the basis of docs/CAPACITY.md."""
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -1,10 +1,10 @@
-"""Measures, prints and plots the costs that docs/CAPACITY.md is worked out from.
+"""Measures, prints and plots the costs from which docs/CAPACITY.md is computed.
 
     .venv/bin/python -m benchmarks.slopes      # all subjects; docs/CAPACITY.md says how long it takes
     .venv/bin/python -m benchmarks.slopes --only decisions,letters
-    .venv/bin/python -m benchmarks.slopes --small --out FOLDER   # small sizes only: a look
+    .venv/bin/python -m benchmarks.slopes --small --out FOLDER   # small sizes only, for a quick run
 
-Points are kept in `slopes.json` in the folder given, by subject and name; a run replaces those it measured.
+Points are stored in `slopes.json` in the given folder, by subject and name; a run replaces the series it measured.
 """
 
 from __future__ import annotations
@@ -40,20 +40,22 @@
 )
 
 
-def kept(path: Path) -> list[Series]:
+def load_series(path: Path) -> list[Series]:
+    """Reads the stored series; none if the file does not exist."""
     return msgspec.json.decode(path.read_bytes(), type=list[Series]) if path.exists() else []
 
 
-def keep(path: Path, fresh: list[Series]) -> list[Series]:
-    """Replaces the series of the same subject and name, in order of subject and name."""
-    table = {(series.subject, series.name): series for series in [*kept(path), *fresh]}
+def store_series(path: Path, fresh: list[Series]) -> list[Series]:
+    """Stores series, replacing those of the same subject and name; returns all, sorted by subject and name."""
+    table = {(series.subject, series.name): series for series in [*load_series(path), *fresh]}
     path.parent.mkdir(parents=True, exist_ok=True)
     found = [table[at] for at in sorted(table)]
     path.write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
     return found
 
 
-def show(series: Series) -> str:
+def format_series(series: Series) -> str:
+    """The series' points and fitted line as text."""
     line = fit(series.points)
     points = "  ".join(f"{size:g}: {value:.4g}" for size, value in series.points)
     grown = f"{line.start:.4g} + {line.slope:.4g} (+-{line.slope_spread:.2g}) x {series.by}"
@@ -61,14 +63,15 @@
     return f"{series.subject}.{series.name} [{series.unit}]\n    {points}\n    {grown}; {power}"
 
 
-def plot(subject: str, some: list[Series], folder: Path) -> Path:
+def plot(subject: str, subject_series: list[Series], folder: Path) -> Path:
+    """Plots a subject's points and fitted lines, one panel for each unit and size, and returns the file."""
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    units = list(dict.fromkeys((series.unit, series.by) for series in some))
+    units = list(dict.fromkeys((series.unit, series.by) for series in subject_series))
     figure, axes = plt.subplots(1, len(units), figsize=(6 * len(units), 4.5), squeeze=False)
     for axis, (unit, by) in zip(axes[0], units, strict=True):
-        for series in some:
+        for series in subject_series:
             if (series.unit, series.by) != (unit, by):
                 continue
             line, sizes = fit(series.points), [size for size, _ in series.points]
@@ -87,10 +90,11 @@
 
 
 @click.command()
-@click.option("--only", default="", help="Subjects, with commas between.")
-@click.option("--small", is_flag=True, help="Small sizes only: a look.")
+@click.option("--only", default="", help="Subjects to measure, separated by commas (default: all).")
+@click.option("--small", is_flag=True, help="Measure small sizes only, for a quick run.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("docs/capacity"))
 def main(only: str, small: bool, out: Path) -> None:
+    """Measures subjects, stores their series and plots them."""
     chosen = [name for name in only.split(",") if name] or list(SUBJECTS)
     head = ["git", "rev-parse", "--short", "HEAD"]
     commit = subprocess.run(head, capture_output=True, text=True, check=True).stdout.strip()
@@ -103,9 +107,9 @@
             msgspec.structs.replace(series, commit=commit, at=at, reference_us=round(reference, 1))
             for series in measured
         ]
-        found = keep(out / "slopes.json", stamped)
+        found = store_series(out / "slopes.json", stamped)
         for series in stamped:
-            print(show(series), flush=True)
+            print(format_series(series), flush=True)
         plot(subject, [series for series in found if series.subject == subject], out)
 
 
--- a/benchmarks/slopes/distribution.py
+++ b/benchmarks/slopes/distribution.py
@@ -1,8 +1,8 @@
-"""Configuration told by version and change: what a relay and a machine spend, and when a change is in force.
+"""Measures the distribution of configuration as versioned changes: cost for relays and machines, time to take effect.
 
-Hollow: followers, sources, records and their JSON are the modules that run; machines agree by a stand-in,
-sockets are links in virtual time, bytes are counted with TCP and IP heads and acknowledgements, and processor
-time around each event of a relay or machine (without the kernel's and the event loop's part).
+Followers, sources, records and their JSON are the modules in use. Consensus between machines is a stand-in, and
+sockets are links in virtual time. Bytes include TCP and IP headers and acknowledgements. Processor time is measured
+around each event of a relay or machine, without the share of kernel and event loop.
 """
 
 from __future__ import annotations
@@ -21,53 +21,57 @@
 
 SUBJECT = "distribution"
 ZONES = [("a", "one"), ("b", "one"), ("c", "two"), ("d", "two")]
-CHANGES = 20  # of one run, 2 s apart
-QUIET = 60.0  # seconds without a change
-AWAY = 0.98  # seconds that a real relay is away for an idle restart: `configuration.restart.idle` at one relay
-LARGE = 65_000  # entries at the size planned for: 49,000 tenants and 16,000 routes
+CHANGES = 20  # in one run, 2 s apart
+QUIET_SECONDS = 60.0  # seconds without a change
+RESTART_SECONDS = 0.98  # that a real idle relay takes to restart: `configuration.restart.idle` at one relay
+PLANNED_ENTRIES = 65_000  # at the planned size: 49,000 tenants and 16,000 routes
 
 
-def places(many: int) -> list[Location]:
+def relay_locations(many: int) -> list[Location]:
+    """Locations of so many relays, spread over the zones."""
     return [Location(*ZONES[n % 4], f"{ZONES[n % 4][0]}{n // 4}") for n in range(many)]
 
 
 def entries(many: int) -> list[tuple[str, bytes]]:
+    """Entries of a document: three quarters tenants, a quarter routes."""
     tenants = [(f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90)) for n in range(many * 3 // 4)]
     routes = [(f"route/r{n:05d}", b'{"match":"/items/%d","service":"s%d"}' % (n, n % 300)) for n in range(many // 4)]
     return tenants + routes
 
 
-def fleet(relays: int, many: int = 300) -> Fleet:
-    made = Fleet(places(8), [], 5)
+def simulated_fleet(relays: int, many: int = 300) -> Fleet:
+    """Creates a simulated fleet whose relays follow a document of `many` entries."""
+    fleet = Fleet(relay_locations(8), [], 5)
     rows = entries(many)
     for first in range(0, len(rows), 900):
-        made.change(rows[first : first + 900])
-    made.run(2)
+        fleet.change(rows[first : first + 900])
+    fleet.run(2)
 
     def start() -> Document:
         document = Document()
-        document.load(made.document)
+        document.load(fleet.document)
         return document
 
-    made.start = start
-    for place in places(relays):
-        made.join(place)
-    made.run(5)
-    return made
+    fleet.start = start
+    for place in relay_locations(relays):
+        fleet.join(place)
+    fleet.run(5)
+    return fleet
 
 
-def spent(made: Fleet) -> tuple[float, float, float, float]:
-    """Of a relay in the mean, then of the machine that did most: bytes and processor seconds."""
-    many = max(1, len(made.relays))
+def resources_used(fleet: Fleet) -> tuple[float, float, float, float]:
+    """Mean bytes and processor seconds of a relay, then those of the machine with the most."""
+    many = max(1, len(fleet.relays))
     return (
-        sum(relay.heard + relay.sent for relay in made.relays) / many,
-        sum(relay.spent_ns for relay in made.relays) / many / 1e9,
-        max(machine.sent for machine in made.machines),
-        max(machine.spent_ns for machine in made.machines) / 1e9,
+        sum(relay.heard + relay.sent for relay in fleet.relays) / many,
+        sum(relay.spent_ns for relay in fleet.relays) / many / 1e9,
+        max(machine.sent for machine in fleet.machines),
+        max(machine.spent_ns for machine in fleet.machines) / 1e9,
     )
 
 
 def measure(small: bool) -> list[Series]:
+    """Measures all sizes and returns the series."""
     sizes = [8, 40] if small else [8, 40, 200, 600]
     found: dict[str, list[tuple[float, float]]] = {}
 
@@ -75,41 +79,41 @@
         found.setdefault(name, []).append((size, value))
 
     for size in sizes:
-        made = fleet(size)
-        before = spent(made)
+        fleet = simulated_fleet(size)
+        before = resources_used(fleet)
         gc.collect()
-        made.run(QUIET)
-        quiet = [(after - first) / QUIET for first, after in zip(before, spent(made), strict=True)]
+        fleet.run(QUIET_SECONDS)
+        quiet = [(after - first) / QUIET_SECONDS for first, after in zip(before, resources_used(fleet), strict=True)]
         for name, value in zip(("relay.bytes", "relay.cpu", "machine.bytes", "machine.cpu"), quiet, strict=True):
             point(f"quiet.{name}", size, value)
-        worst, before = 0.0, spent(made)
+        worst, before = 0.0, resources_used(fleet)
         for number in range(CHANGES):
-            began = made.now
-            made.change([(f"tenant/t{number:05d}", b'{"quota_per_s":%d}' % number)], number % 7)
-            made.run(2.0)
-            worst = max(worst, *(relay.in_force[-1][0] - began for relay in made.relays))
-        busy = [after - first for first, after in zip(before, spent(made), strict=True)]
+            began = fleet.now
+            fleet.change([(f"tenant/t{number:05d}", b'{"quota_per_s":%d}' % number)], number % 7)
+            fleet.run(2.0)
+            worst = max(worst, *(relay.in_force[-1][0] - began for relay in fleet.relays))
+        busy = [after - first for first, after in zip(before, resources_used(fleet), strict=True)]
         point("change.in_force_everywhere", size, worst)
         for name, value, idle in zip(("relay.bytes", "relay.cpu_us"), busy, quiet, strict=False):
             scale = 1e6 if name.endswith("us") else 1
             point(f"change.{name}", size, max(0.0, (value - idle * 2.0 * CHANGES) / CHANGES * scale))
-        # Before: the same change by a restart of all, a tenth at a time, each wave once the last one is back.
-        began = made.now
+        # For comparison, without distribution: the same change by restarting all relays, a tenth at a time.
+        began = fleet.now
         for wave in range(10):
             for relay in range(wave, size, 10):
-                made.restart(relay, AWAY)
-            made.run(AWAY + 0.02)
-        point("before.in_force_everywhere", size, made.now - began)
-        made.run(5)
-        # A tenth restarts at once, then all of a zone's machines are lost, then a change is made.
+                fleet.restart(relay, RESTART_SECONDS)
+            fleet.run(RESTART_SECONDS + 0.02)
+        point("before.in_force_everywhere", size, fleet.now - began)
+        fleet.run(5)
+        # A tenth of the relays restarts at once, all machines of a zone are lost, and then a change is made.
         for relay in range(0, size, 10):
-            made.restart(relay, 0.5)
+            fleet.restart(relay, 0.5)
         for number in (0, 4):
-            made.kill(number)
-        began = made.now
-        made.change([("tenant/late", b'{"quota_per_s":1}')], 1)
-        made.run(20)
-        late = [relay.in_force[-1][0] - began for relay in made.relays if relay.in_force]
+            fleet.kill(number)
+        began = fleet.now
+        fleet.change([("tenant/late", b'{"quota_per_s":1}')], 1)
+        fleet.run(20)
+        late = [relay.in_force[-1][0] - began for relay in fleet.relays if relay.in_force]
         point("change.in_force_with_faults", size, max(late))
     units = {"bytes": "B/s", "cpu": "share", "cpu_us": "us"}
     series = [
@@ -123,12 +127,12 @@
         )
         for name, points in found.items()
     ]
-    return series + one(small)
+    return series + document_costs(small)
 
 
-def one(small: bool) -> list[Series]:
-    """What one relay's document costs by entries."""
-    counts = [650, 6_500] if small else [650, 6_500, LARGE]
+def document_costs(small: bool) -> list[Series]:
+    """Measures memory, loading, a change and a snapshot of one relay's document, by number of entries."""
+    counts = [650, 6_500] if small else [650, 6_500, PLANNED_ENTRIES]
     rows: dict[str, list[tuple[float, float]]] = {
         "memory": [],
         "load_us": [],
@@ -151,14 +155,14 @@
         change = Change(1, "ident-000001", document.after(wanted), wanted)
         text = encode(change)
 
-        def take(
+        def apply_change(
             document: Document = document, text: bytes = text, values: AppliedValues = values, key: str = data[0][0]
         ) -> None:
             document.version = 0
             document.apply(decode(text, Change))
             values.apply(document, [key])
 
-        rows["change_us"].append((many, processor_us(take)))
+        rows["change_us"].append((many, processor_us(apply_change)))
         rows["snapshot"].append((many, sum(len(encode(document.bucket(n))) for n in range(4096))))
     units = {"memory": "MB", "load_us": "us", "change_us": "us", "snapshot": "B"}
     note = "one document, three quarters tenants, a quarter routes; traced"
--- a/benchmarks/slopes/following.py
+++ b/benchmarks/slopes/following.py
@@ -1,8 +1,8 @@
-"""Real relays that follow the configuration, beside real ones that don't, in one run: processor time, memory.
+"""Compares real relays that follow the configuration with real ones that don't: processor time and memory.
 
-Three machines and six relays as processes over loopback, as tests/test_configuration_processes.py has them;
-nobody asks anything. By entries of the document: what a relay holds, and how long 1,000 entries that
-change at once take from being published to the last relay's word that they are in force.
+Three machines and six relays run as processes over loopback, as in tests/test_configuration_processes.py, without
+requests. By number of entries in the document: a relay's memory, and the time from publishing the last 1,000 entries
+until the last relay reports that they are in force.
 """
 
 from __future__ import annotations
@@ -17,67 +17,70 @@
 from benchmarks.slopes.series import Series, resident_mb
 from tests.test_configuration_processes import RELAYS, Fleet, fleet
 
-QUIET = 20.0  # seconds
-STEP = 1000  # entries of a change
+QUIET_SECONDS = 20.0  # seconds
+ENTRIES_PER_CHANGE = 1000  # published in one change
 
 
 def cpu_s(process: int) -> float:
+    """Processor time of a process so far, seconds, in steps of the kernel's clock tick."""
     with open(f"/proc/{process}/stat") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def quiet(all_: Fleet) -> tuple[float, float]:
-    """Share of a core in the mean, of a relay that follows and of a machine."""
-    relays = [process.pid for process in all_.processes.values()]
-    machines = [process.pid for process in all_.machines.processes.values()]
+async def quiet(running: Fleet) -> tuple[float, float]:
+    """Mean share of a core that a following relay and a machine use without changes."""
+    relays = [process.pid for process in running.processes.values()]
+    machines = [process.pid for process in running.machines.processes.values()]
     before = [cpu_s(pid) for pid in relays + machines]
-    await asyncio.sleep(QUIET)
+    await asyncio.sleep(QUIET_SECONDS)
     spent = [cpu_s(pid) - was for pid, was in zip(relays + machines, before, strict=True)]
-    return sum(spent[:RELAYS]) / RELAYS / QUIET, sum(spent[RELAYS:]) / len(machines) / QUIET
+    return sum(spent[:RELAYS]) / RELAYS / QUIET_SECONDS, sum(spent[RELAYS:]) / len(machines) / QUIET_SECONDS
 
 
-async def alone(all_: Fleet) -> float:
-    """The same of relays whose file has no such section."""
+async def quiet_without_configuration(running: Fleet) -> float:
+    """Mean share of a core of relays whose file has no `configuration` section."""
     for number in range(RELAYS):
-        await all_.kill(number)
-        file = all_.place.folder / f"relay-{number}.json"
+        await running.kill(number)
+        file = running.place.folder / f"relay-{number}.json"
         config = json.loads(file.read_text())
         del config["configuration"]
         file.write_text(json.dumps(config))
-        await all_.again(number, file)
+        await running.again(number, file)
     await asyncio.sleep(2.0)
-    return (await quiet(all_))[0]
+    return (await quiet(running))[0]
 
 
 async def run(small: bool) -> dict[str, list[tuple[float, float]]]:
+    """Makes the measurements and returns points by series name."""
     found: dict[str, list[tuple[float, float]]] = {}
-    async with fleet() as all_:
+    async with fleet() as running:
         await asyncio.sleep(2.0)
-        follows, machine = await quiet(all_)
+        follows, machine = await quiet(running)
         found["quiet.follows"], found["quiet.machine"] = [(RELAYS, follows)], [(RELAYS, machine)]
         held = 0
         for total in (1_000, 5_000) if small else (1_000, 5_000, 20_000, 49_000):
             began, version = time.monotonic(), 0
-            for first in range(held, total, STEP):
+            for first in range(held, total, ENTRIES_PER_CHANGE):
                 rows = [
                     (f"tenant/t{n:05d}", b'{"quota_per_s":%d,"share":0.1}' % (n % 90 + 1))
-                    for n in range(first, min(total, first + STEP))
+                    for n in range(first, min(total, first + ENTRIES_PER_CHANGE))
                 ]
                 began = time.monotonic()
-                version = await all_.publish(f"entries-{first:06d}", rows, 0)
-            await all_.in_force(version)
+                version = await running.publish(f"entries-{first:06d}", rows, 0)
+            await running.in_force(version)
             held = total
             found.setdefault("change.in_force", []).append((total, time.monotonic() - began))
-            pids = [process.pid for process in all_.processes.values()]
+            pids = [process.pid for process in running.processes.values()]
             found.setdefault("memory", []).append((total, max(resident_mb(pid) for pid in pids)))
-            machines = [process.pid for process in all_.machines.processes.values()]
+            machines = [process.pid for process in running.machines.processes.values()]
             found.setdefault("machine.memory", []).append((total, max(resident_mb(pid) for pid in machines)))
-        found["quiet.alone"] = [(RELAYS, await alone(all_))]
+        found["quiet.alone"] = [(RELAYS, await quiet_without_configuration(running))]
     return found
 
 
 def measure(small: bool) -> list[Series]:
+    """Makes the measurements and returns the series."""
     found = uvloop.run(run(small))
     note = "real: 3 machines, 6 relays as processes on one machine, loopback, nobody asks"
     return [
--- a/benchmarks/slopes/page.py
+++ b/benchmarks/slopes/page.py
@@ -1,15 +1,15 @@
-"""docs/CAPACITY.md's tables: each formula worked out from the measured slopes, held against what is written.
+"""Evaluates the formulas in docs/CAPACITY.md's tables from the measured series and compares them with the page.
 
-    .venv/bin/python -m benchmarks.slopes.page           # prints what differs
-    .venv/bin/python -m benchmarks.slopes.page --write   # writes figure, verdict and basis of each row anew
+    .venv/bin/python -m benchmarks.slopes.page           # prints the differences
+    .venv/bin/python -m benchmarks.slopes.page --write   # updates figure, verdict and basis of each row
 
-A table that counts has the columns `formula`, `figure`, `basis` and `mechanism`, and where there is a budget
-`budget` and `verdict`; `share` is the figure over the size planned for. A formula is arithmetic over the
-page's sizes (`relays`, `units`, ...) and:
+A table is evaluated if it has the columns `formula`, `figure`, `basis` and `mechanism`, and if there is a budget
+`budget` and `verdict`; `share` is the figure divided by the planned size. A formula is arithmetic over the page's
+sizes (`relays`, `units`, ...) and these functions:
 
-    at(series, size)          the value at a size: between points by straight lines, beyond them by the fit
+    at(series, size)          the value at a size: linear between points, the fitted line beyond them
     slope(series), start(series)
-    breaks(series, budget)    the size at which the value passes the budget
+    breaks(series, budget)    the size at which the value exceeds the budget
     row(id)                   another row's figure, by its id
 """
 
@@ -32,54 +32,60 @@
 NUMBER = re.compile(r"-?[\d,]*\.?\d+(?:e[+-]?\d+)?")
 
 
-class Untrue(Exception):
-    """A row of the page that can't be worked out; the text says which and what to put right."""
+class PageError(Exception):
+    """A row of the page that can't be evaluated; the text says which one and what to correct."""
 
 
 @dataclass
 class Row:
-    line: int  # in the page, from 0
+    """A row of one of the page's tables."""
+
+    line: int  # line of the page, from 0
     heading: str
     cells: dict[str, str]
     columns: list[str]
 
     @property
     def name(self) -> str:
+        """The row's id, or its first cell where there is none."""
         return self.cells.get("id") or next(iter(self.cells.values()))
 
 
 @dataclass
 class Slopes:
-    """The measured series, and the largest factor by which one was stretched since `stretched` was reset."""
+    """The measured series, and the largest extrapolation factor since `extrapolation` was reset to 1."""
 
     table: dict[str, Series]
-    stretched: float = 1.0
+    extrapolation: float = 1.0
     used: dict[str, None] = field(default_factory=dict)
 
     def _series(self, name: str) -> Series:
         if name not in self.table:
-            raise Untrue(f"no series {name!r} in {POINTS}: run python -m benchmarks.slopes")
+            raise PageError(f"no series {name!r} in {POINTS}: run python -m benchmarks.slopes")
         self.used[name] = None
         return self.table[name]
 
     def at(self, name: str, size: float) -> float:
+        """The value at a size."""
         points = self._series(name).points
         line = fit(points)
         sizes, values = zip(*points, strict=True)
         if sizes[0] <= size <= sizes[-1]:
             return float(np.interp(size, sizes, values))
         if size > sizes[-1]:
-            self.stretched = max(self.stretched, size / sizes[-1])
+            self.extrapolation = max(self.extrapolation, size / sizes[-1])
         return line.at(size)
 
     def slope(self, name: str) -> float:
+        """The slope of the fitted line."""
         return fit(self._series(name).points).slope
 
     def start(self, name: str) -> float:
+        """The fitted line's value at size 0."""
         return fit(self._series(name).points).start
 
     def breaks(self, name: str, budget: float) -> float:
-        """The smallest size at which the value is over the budget, at least 1; infinity where it never is."""
+        """The smallest size, at least 1, at which the value exceeds the budget; infinity if it never does."""
         points = self._series(name).points
         line, before = fit(points), (1.0, max(0.0, fit(points).at(1.0)))
         if before[1] > budget:
@@ -92,21 +98,21 @@
         if line.slope <= 0:
             return math.inf
         found = before[0] + (budget - before[1]) / line.slope
-        self.stretched = max(self.stretched, found / before[0])
+        self.extrapolation = max(self.extrapolation, found / before[0])
         return found
 
 
-def number(text: str) -> float:
-    """The first number of a cell; thousands may have commas."""
+def parse_number(text: str) -> float:
+    """The first number in a cell, which may have thousands separators; `never` is infinity."""
     if text.strip() == "never":
         return math.inf
     if (found := NUMBER.search(text)) is None:
-        raise Untrue(f"no number in {text!r}")
+        raise PageError(f"no number in cell {text!r}")
     return float(found.group().replace(",", ""))
 
 
-def written(value: float) -> str:
-    """Three significant digits, as the page has them."""
+def format_number(value: float) -> str:
+    """Three significant digits, as on the page."""
     if math.isinf(value):
         return "never"
     if value == 0:
@@ -117,6 +123,7 @@
 
 
 def rows(text: str) -> list[Row]:
+    """The rows of all tables that have a formula column."""
     found, heading, columns = list[Row](), "", list[str]()
     for place, line in enumerate(text.splitlines()):
         if line.startswith("#"):
@@ -133,17 +140,18 @@
 
 
 def sizes(text: str) -> dict[str, float]:
-    """The page's own sizes: lines `- name = number` under the heading 'The size'."""
-    return {name: number(value) for name, value in re.findall(r"^- `(\w+)` = ([\d.,]+)", text, re.M)}
+    """The page's sizes: lines `- name = number` under the heading 'The size'."""
+    return {name: parse_number(value) for name, value in re.findall(r"^- `(\w+)` = ([\d.,]+)", text, re.M)}
 
 
-def load(path: Path = POINTS) -> Slopes:
+def load_slopes(path: Path = POINTS) -> Slopes:
+    """Reads the measured series."""
     some = msgspec.json.decode(path.read_bytes(), type=list[Series])
     return Slopes({f"{series.subject}.{series.name}": series for series in some})
 
 
-def worked_out(text: str, slopes: Slopes) -> list[tuple[Row, dict[str, str]]]:
-    """Each row that has a formula, with what its figure, verdict and basis have to say."""
+def evaluate_rows(text: str, slopes: Slopes) -> list[tuple[Row, dict[str, str]]]:
+    """Each row with a formula, with the figure, verdict, basis and share that it should have."""
     known: dict[str, float] = {}
     functions: dict[str, Callable[..., float]] = {
         "at": slopes.at,
@@ -160,59 +168,64 @@
         formula = row.cells["formula"].strip("`")
         if formula in ("-", "none"):
             continue
-        slopes.stretched = 1.0
+        slopes.extrapolation = 1.0
         try:
             value = float(SimpleEval(names=known_sizes, functions=functions).eval(formula))
-        except Untrue:
+        except PageError:
             raise
         except Exception as fault:
-            raise Untrue(f"row {row.name!r}: {formula}: {fault}") from None
+            raise PageError(f"row {row.name!r}: {formula}: {fault}") from None
         known[row.name] = value
-        says = {"figure": _figure(row.cells["figure"], value)}
-        far = slopes.stretched
-        says["basis"] = (
-            f"extrapolated {written(far)} times" if far > 1.001 else "measured" if "(" in formula else "given"
+        expected = {"figure": _format_figure(row.cells["figure"], value)}
+        far = slopes.extrapolation
+        expected["basis"] = (
+            f"extrapolated {format_number(far)} times" if far > 1.001 else "measured" if "(" in formula else "given"
         )
         if NUMBER.search(row.cells.get("budget", "-")):
-            over = value / number(row.cells["budget"])
-            says["verdict"] = f"broken {written(over)} times" if over > 1 else f"kept, {written(over)} of it"
-        if "share" in row.columns:  # of the size planned for, whose name the figure's unit is
-            unit = says["figure"].split()[-1]
+            over = value / parse_number(row.cells["budget"])
+            expected["verdict"] = (
+                f"broken {format_number(over)} times" if over > 1 else f"kept, {format_number(over)} of it"
+            )
+        if "share" in row.columns:  # of the planned size, which the figure's unit names
+            unit = expected["figure"].split()[-1]
             if unit not in known_sizes:
-                raise Untrue(f"row {row.name!r}: {unit!r} is no size of the page")
-            says["share"] = written(value / known_sizes[unit])
-        found.append((row, says))
+                raise PageError(f"row {row.name!r}: unit {unit!r} of the figure is not one of the page's sizes")
+            expected["share"] = format_number(value / known_sizes[unit])
+        found.append((row, expected))
     return found
 
 
-def _figure(cell: str, value: float) -> str:
+def _format_figure(cell: str, value: float) -> str:
     unit = re.sub(r"^(never|[-\d.,e+]*)\s*", "", cell)
-    return f"{written(value)} {unit}".strip()
+    return f"{format_number(value)} {unit}".strip()
 
 
 def differences(text: str, slopes: Slopes) -> list[str]:
+    """One line for each cell that differs from its evaluated value."""
     return [
-        f"{row.name}: {column} says {row.cells.get(column)!r}, worked out {value!r}"
-        for row, says in worked_out(text, slopes)
-        for column, value in says.items()
+        f"{row.name}: {column} is {row.cells.get(column)!r}, expected {value!r}"
+        for row, expected in evaluate_rows(text, slopes)
+        for column, value in expected.items()
         if column in row.columns and row.cells.get(column) != value
     ]
 
 
-def rewritten(text: str, slopes: Slopes) -> str:
+def update_page(text: str, slopes: Slopes) -> str:
+    """The page with all cells as evaluated."""
     lines = text.splitlines()
-    for row, says in worked_out(text, slopes):
-        cells = row.cells | {column: value for column, value in says.items() if column in row.columns}
+    for row, expected in evaluate_rows(text, slopes):
+        cells = row.cells | {column: value for column, value in expected.items() if column in row.columns}
         lines[row.line] = "| " + " | ".join(cells.get(column, "") for column in row.columns) + " |"
     return "\n".join(lines) + "\n"
 
 
 def main() -> None:
+    """Prints the differences, or updates the page with `--write`."""
     text = PAGE.read_text()
     if "--write" in sys.argv:
-        PAGE.write_text(rewritten(text, load()))
+        PAGE.write_text(update_page(text, load_slopes()))
     else:
-        print("\n".join(differences(text, load())) or "the page is true to its slopes")
+        print("\n".join(differences(text, load_slopes())) or "no differences")
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes/series.py
+++ b/benchmarks/slopes/series.py
@@ -1,8 +1,8 @@
-"""Measured points against a size, their fitted slope and its spread; how time and memory are counted.
+"""Defines series of measured points, fits lines to them, and measures processor time and memory.
 
-Processor time is counted (`time.process_time`), never the clock on the wall. It differs from machine to
-machine and a little from minute to minute, so each run also counts a fixed piece of work, and figures of two
-runs are compared as multiples of that one.
+Processor time is measured with `time.process_time`, not wall-clock time. It differs between machines and slightly
+from minute to minute, so each run also measures a fixed piece of work, and figures of two runs are compared as
+multiples of it.
 """
 
 from __future__ import annotations
@@ -21,12 +21,11 @@
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One quantity against one size.
+    """Measured values of one quantity by one size.
 
-    `name`: dotted, unique in its subject, as `hub.heard.cpu`. `unit`: `us`, `B`, `B/s`, `MB`, `s`, `count`,
-    `share` or `ratio`. `by`: what the size counts (`units`, `relays`, `tenants`, `routes`, ...). `points`:
-    size and measured value, in rising order. `note`: what was held fixed, what is hollow, what was not
-    reached.
+    `name`: dotted, unique in its subject, such as `hub.heard.cpu`. `unit`: `us`, `B`, `B/s`, `MB`, `s`, `count`,
+    `share` or `ratio`. `by`: what the size counts (`units`, `relays`, `tenants`, `routes`, ...). `points`: size and
+    measured value, by rising size. `note`: what was constant, what was simulated, what was not reached.
     """
 
     subject: str
@@ -42,26 +41,30 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`value = start + slope * size`, by least squares of relative errors; `power` is the exponent of a power
-    law through the same points (0: does not grow, 1: linear). Spreads are standard errors; `nan` where there
-    are fewer than three points."""
+    """A line `value = start + slope * size` through points, by least squares of relative errors.
+
+    `power` is the exponent of a power law through the same points (0: constant, 1: linear). Spreads are standard
+    errors, `nan` where there are fewer than three points.
+    """
 
     start: float
     slope: float
     slope_spread: float
     power: float
     power_spread: float
-    largest: float  # the largest size measured: beyond it a figure is extrapolated
+    largest: float  # largest size measured; figures beyond it are extrapolated
 
     def at(self, size: float) -> float:
+        """The line's value at a size."""
         return self.start + self.slope * size
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
+    """Fits a line and a power law to points."""
     sizes, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
     if len(points) < 2:
         return Fit(float(values[0]), 0.0, float("nan"), float("nan"), float("nan"), float(sizes[-1]))
-    # Guards against a zero, whose relative error is without bound: no point weighs 10^4 times another.
+    # A zero has an unbounded relative error; this keeps any point from weighing more than 10^4 times another.
     weights = 1 / np.maximum(np.abs(values), np.max(np.abs(values)) * 1e-4 or 1.0)
     table = np.stack([np.ones_like(sizes), sizes], axis=1) * weights[:, None]
     (start, slope), *_ = np.linalg.lstsq(table, values * weights, rcond=None)
@@ -102,7 +105,7 @@
 
 
 def traced_mb(make: Callable[[], Any]) -> tuple[float, Any]:
-    """Memory that stays allocated by what `make` returns, 10^6 bytes, as Python traces it."""
+    """Memory that stays allocated by what `make` returns, in 10^6 bytes, as traced by Python, and its result."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -120,7 +123,7 @@
 
 
 def reference_us() -> float:
-    """Of the fixed piece of work that figures of two runs are compared by: tables, calls, floats, bytes."""
+    """Processor time of the fixed work by which runs are compared: tables, calls, floats and bytes."""
 
     def work() -> int:
         table: dict[int, float] = {}
--- a/benchmarks/slopes/sizes.py
+++ b/benchmarks/slopes/sizes.py
@@ -1,4 +1,4 @@
-"""The sizes that fleets are measured at, hollow ones and real ones: units, settings, names."""
+"""Sizes, settings and endpoint names of measured fleets, both simulated ones and real processes."""
 
 from __future__ import annotations
 
@@ -8,13 +8,17 @@
 
 from lanelead.protocols.feeds import EndpointMessage
 
-ZONES = 4  # of two regions: zones 0 and 1, 2 and 3
+ZONES = 4  # two regions: zones 0 and 1, zones 2 and 3
 
 
 @dataclass(frozen=True)
 class Size:
-    """`rate`: requests a second that a relay takes in the mean. `answer`: a unit's mean time, in ms,
-    lognormal with `spread` as its coefficient of variation. `whole`: relays that are not echoes; 0: all."""
+    """Size and load of a fleet.
+
+    `rate`: mean requests a second at one relay. `answer`: mean time that an endpoint takes to answer, in ms, with a
+    lognormal distribution whose coefficient of variation is `spread`. `whole`: number of full relays, the others being
+    echoes (see `fleet.py`); 0 stands for all.
+    """
 
     relays: int
     units: int
@@ -23,14 +27,15 @@
     spread: float = 0.6
     whole: int = 0
     watchers: int = 7
-    transit: tuple[float, float] = (2.0, 14.0)  # ms, of a letter
-    link: float = 0.4  # ms there and back to a unit
-    probes: float = 0.08  # prices: of a probe, at which letters are on, and of a handshake
-    handshake: float = 0.02
+    transit: tuple[float, float] = (2.0, 14.0)  # ms, least and most, of a gossip message
+    link: float = 0.4  # ms, round trip to an endpoint
+    probes: float = 0.08  # price of a probe, high enough that relays use gossip
+    handshake: float = 0.02  # price
     peers: bool = True
 
 
 def settings(size: Size, number: int) -> dict[str, Any]:
+    """The settings of relay `number`, as its configuration file has them."""
     request_class = {
         "aimMs": 1200.0,
         "deadlineMs": 4000.0,
@@ -93,7 +98,7 @@
 
 
 def listing(units: int, first: int = 0, condition: Any = "ready") -> list[EndpointMessage]:
-    """Rows of units with drawn-like names, in zones one after the other."""
+    """Rows of endpoints, assigned to zones in turn, with names that look random."""
     return [
         EndpointMessage(
             unit_name(number), "127.0.0.1", 5432, f"z{number % ZONES}", 1, condition, number // 4, "std", None
@@ -103,4 +108,5 @@
 
 
 def unit_name(number: int) -> str:
+    """The name of an endpoint."""
     return f"svc{number % 300:03d}-{zlib.crc32(b'%d' % number):08x}"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md is true: figures follow from the slopes, each row has a mechanism, each number its row."""
+"""Tests that docs/CAPACITY.md agrees with the measured series and that its tables are complete."""
 
 from __future__ import annotations
 
@@ -6,12 +6,22 @@
 import unittest
 from pathlib import Path
 
-from benchmarks.slopes.page import Slopes, Untrue, differences, load, number, rewritten, rows, sizes, written
+from benchmarks.slopes.page import (
+    PageError,
+    Slopes,
+    differences,
+    format_number,
+    load_slopes,
+    parse_number,
+    rows,
+    sizes,
+    update_page,
+)
 from benchmarks.slopes.series import Series
 
 ROOT = Path(__file__).parent.parent
 TEXT = (ROOT / "docs/CAPACITY.md").read_text()
-# The numbers to plan with, by the operators' word.
+# The numbers to plan with, as stated by the operators.
 SIZE = {
     "relays": 600,
     "units": 7800,
@@ -31,7 +41,7 @@
 
 
 def faults(text: str) -> list[str]:
-    """Rows without a mechanism, or with one that is not there."""
+    """Rows without a mechanism, or with one whose file does not exist."""
     found = list[str]()
     for row in rows(text):
         cell = row.cells.get("mechanism", "")
@@ -44,7 +54,7 @@
 
 class Page(unittest.TestCase):
     def test_figures_verdicts_and_bases_follow_from_the_slopes(self) -> None:
-        self.assertEqual([], differences(TEXT, load(ROOT / "docs/capacity/slopes.json")))
+        self.assertEqual([], differences(TEXT, load_slopes(ROOT / "docs/capacity/slopes.json")))
 
     def test_each_row_has_a_mechanism_that_is_there_or_none(self) -> None:
         self.assertGreater(len(rows(TEXT)), 40)
@@ -77,17 +87,17 @@
         self.assertEqual(len(names), len(set(names)))
 
     def test_what_breaks_first_stands_first(self) -> None:
-        shares = [number(row.cells["share"]) for row in rows(TEXT) if "share" in row.columns]
+        shares = [parse_number(row.cells["share"]) for row in rows(TEXT) if "share" in row.columns]
         self.assertGreater(len(shares), 10)
         self.assertEqual(sorted(shares), shares)
 
     def test_each_series_says_when_and_of_which_commit(self) -> None:
-        for series in load(ROOT / "docs/capacity/slopes.json").table.values():
+        for series in load_slopes(ROOT / "docs/capacity/slopes.json").table.values():
             self.assertTrue(series.commit and series.at and series.reference_us > 0, series.name)
 
 
 class Check(unittest.TestCase):
-    """The check can fail."""
+    """Tests that the check of the page finds errors."""
 
     slopes = Slopes({"s.a": Series("s", "a", "us", "units", [(10, 100.0), (20, 200.0), (40, 400.0)])})
 
@@ -101,7 +111,7 @@
     def test_a_true_row_is_taken_and_a_wrong_one_told(self) -> None:
         self.assertEqual([], differences(self.page("300 us"), self.slopes))
         self.assertEqual(1, len(differences(self.page("301 us"), self.slopes)))
-        self.assertEqual(self.page("300 us"), rewritten(self.page("7 us", basis="given"), self.slopes))
+        self.assertEqual(self.page("300 us"), update_page(self.page("7 us", basis="given"), self.slopes))
 
     def test_an_extrapolated_figure_has_to_say_so(self) -> None:
         text = self.page("600 us", '`at("s.a", 60)`').replace("broken 2 times", "broken 4 times")
@@ -110,7 +120,7 @@
 
     def test_a_formula_that_can_not_be_worked_out_is_an_error(self) -> None:
         for formula in ('`at("s.b", units)`', "`units +`", "`relays`", '`__import__("os")`'):
-            with self.assertRaises(Untrue):
+            with self.assertRaises(PageError):
                 differences(self.page("1 us", formula), self.slopes)
 
     def test_a_row_without_a_mechanism_is_found(self) -> None:
@@ -122,5 +132,5 @@
         self.assertAlmostEqual(15.0, self.slopes.breaks("s.a", 150))
         self.assertAlmostEqual(80.0, self.slopes.breaks("s.a", 800))
         flat = Slopes({"s.a": Series("s", "a", "us", "units", [(10, 5.0), (20, 5.0), (30, 5.0)])})
-        self.assertEqual("never", written(flat.breaks("s.a", 6)))
+        self.assertEqual("never", format_number(flat.breaks("s.a", 6)))
         self.assertEqual(1.0, flat.breaks("s.a", 4))
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""The slopes: fits on known points, how points are kept, and two subjects at their small sizes."""
+"""Tests the slopes: fits of known points, storing of series, and two subjects at their small sizes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import msgspec
 
 from benchmarks.slopes import lists, tenants
-from benchmarks.slopes.__main__ import keep, kept
+from benchmarks.slopes.__main__ import load_series, store_series
 from benchmarks.slopes.hollow_relay import RelaySimulation
 from benchmarks.slopes.series import Series, fit
 
@@ -57,9 +57,9 @@
         new = [Series("b", "x", "us", "units", [(1, 3), (2, 4)], "again")]
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "capacity" / "slopes.json"
-            keep(path, old)
-            found = keep(path, new)
-            self.assertEqual(kept(path), found)
+            store_series(path, old)
+            found = store_series(path, new)
+            self.assertEqual(load_series(path), found)
         self.assertEqual([(each.subject, each.name) for each in found], [("a", "y"), ("b", "x")])
         self.assertEqual(found[1], msgspec.structs.replace(new[0], points=[(1, 3), (2, 4)]))
         self.assertEqual(found[0].points, [(1, 2)])
@@ -82,7 +82,7 @@
         began = time.process_time()
         names = self.check("lists", lists.measure(small=True))
         self.assertLess(time.process_time() - began, 60)
-        for name in ("whole.bytes", "memory"):  # what does not hang on a clock
+        for name in ("whole.bytes", "memory"):  # figures that don't depend on a clock
             (small, least), (large, most) = names[name].points
             self.assertGreater(most, least, name)
             self.assertLess(most / least, large / small * 1.1, name)
@@ -96,14 +96,14 @@
         for name in ("file.bytes", "routes.bytes", "routes.memory"):
             (_, least), (_, most) = names[name].points
             self.assertGreater(most, least, name)
-        # The decisions hold nothing of a tenant that never asked: 0.12 MB of ninety when they did.
+        # The decisions keep no state of tenants without requests; when they did, ninety tenants took 0.12 MB.
         (_, least), (_, most) = names["state.memory"].points
         self.assertLess(abs(most - least), 0.002)
         self.assertIn("none", names["routes.memory"].note)
 
     def test_a_hollow_relay_answers_all_that_it_is_asked(self) -> None:
         simulation = RelaySimulation(26)
-        simulation.run(5)  # until it knows what its units do, it sends little to each
+        simulation.run(5)  # warm-up: the relay sends few requests to endpoints that it does not know yet
         simulation.meter.clear()
         asked, sent = simulation.asked, simulation.sent
         simulation.run(5)
--- a/tests/test_slopes_votes.py
+++ b/tests/test_slopes_votes.py
@@ -1,4 +1,4 @@
-"""What the slopes of votes and of discovery's side rest on: hollow parts, one result for one seed."""
+"""Tests the simulations behind the slopes of votes and discovery: they are deterministic for a seed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     def test_where_half_must_agree_the_desk_gets_so_many_votes_that_count(self) -> None:
         town = Release(5, poll_of(5, True))
         self.assertTrue(town.play())
-        self.assertGreaterEqual(town.words()["done"], 3 * 3)  # of five in each of three stages
+        self.assertGreaterEqual(town.words()["done"], 3 * 3)  # three of five relays in each of three stages
         self.assertLessEqual(town.worst(), len(town.casts))
 
 
@@ -35,7 +35,7 @@
         seen, quiet = (watching.play(4, 50.0, changes, 90) for changes in ([10.0, 20.0, 20.0001], []))
         told = len(watching.answer(1)) - len(watching.answer(0))
         more = seen.bytes - quiet.bytes - (seen.watches - quiet.watches) * (90 + len(watching.answer(0)))
-        self.assertAlmostEqual(4 * 3 * told, more, delta=4 * 3 * 3)  # a comma or a digit of the length
+        self.assertAlmostEqual(4 * 3 * told, more, delta=4 * 3 * 3)  # a comma, or a digit of the content length
 
     def test_the_relays_own_caller_is_what_is_counted(self) -> None:
         spent, asked = watching.watch_us(1, many=3, rounds=1)
