--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,7 @@
 from lanelead.membership.messages import DEAD, PingRequest
 from lanelead.testbed.simulation.membership import SECOND, Town, Wires
 
-TEMPO = MembershipTimings(3000, 600 * SECOND)
+TIMINGS = MembershipTimings(3000, 600 * SECOND)
 
 
 class Plain(Membership):
@@ -75,7 +75,7 @@
 def play(case: Case) -> Result:
     began = time.perf_counter()
     kind = Plain if case.who == "SWIM" else Membership
-    town = Town(case.many, case.seed, TEMPO, Wires(loss=case.loss), kind=kind)
+    town = Town(case.many, case.seed, TIMINGS, Wires(loss=case.loss), kind=kind)
     town.run(2 * SECOND)
     first, letters, size = town.now, town.letters, town.bytes
     for _ in range(int(case.minutes * 60)):
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -1,4 +1,4 @@
-"""What the decision module alone costs one relay, by units in one flat list, and by services of 26 units."""
+"""Measures what the decision module alone costs one relay, by endpoints in one list and by services of 26 endpoints."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from lanelead.decisions.interface import EndpointStatus, UpdateScope
 
 SERVICES = (1, 10, 100, 300)
-OF_ONE = 26  # units of a service
-WARM, WINDOW, WINDOWS = 20.0, 5.0, 5  # virtual seconds: what scores remember is full by then
-HELD = (
+ENDPOINTS_PER_SERVICE = 26  # endpoints of one service
+WARM, WINDOW, WINDOWS = 20.0, 5.0, 5  # virtual seconds; the scores' history is full after the warm-up
+SETUP_NOTE = (
     f"decisions alone, virtual clock, {RELAYS} relays, letters tell, prices of connections on, {RATE} "
     "lookups a second at this relay whatever the units, each trip 250 ms, 1 of 100 ends in an error, three "
     "classes, three tenants, no collector"
@@ -21,7 +21,7 @@
 
 
 def steady(make: Callable[[], RelaySimulation], small: bool) -> tuple[dict[str, float], RelaySimulation]:
-    """Microseconds of a call by name, medians over windows; `lookup` is all that was spent on one."""
+    """Microseconds of each call, medians over windows; `lookup` is all that was spent on one request."""
     simulation, found = make(), list[dict[str, float]]()
     simulation.run(3 if small else WARM)
     for _ in range(3 if small else WINDOWS):
@@ -33,6 +33,7 @@
 
 
 def figures(meter: Meter, asked: int) -> dict[str, float]:
+    """Mean microseconds of each call, and of all calls for one request."""
     one = {name: meter.cpu_us(name) for name in meter.calls}
     parts = ("take", "outcome", "woken", "probed")
     one["lookup"] = sum(one[name] * meter.calls[name] for name in parts if name in one) / max(1, asked)
@@ -40,7 +41,7 @@
 
 
 def change_us(simulation: RelaySimulation) -> float:
-    """One unit is told of as draining, then as ready again: of one such change."""
+    """Microseconds of one change, as one endpoint is listed as draining and then as ready again."""
     unit, relay = simulation.units[len(simulation.units) // 2], simulation.relay
     rows = [
         simulation.listing(unit, ROLLOUT_STATE["build"], condition)
@@ -69,6 +70,7 @@
 
 
 def by_units(sizes: tuple[int, ...], small: bool) -> list[Series]:
+    """Measures lists with these numbers of endpoints."""
     points = {name: list[tuple[float, float]]() for name in NOTES}
     for size in sizes:
         found, simulation = steady(partial(RelaySimulation, size), small)
@@ -76,32 +78,33 @@
         found["trial.beat"] = steady(partial(RelaySimulation, size, canary_share=0.08), small)[0]["beat"]
         found["asking.lookup"] = steady(partial(RelaySimulation, size, probe=0.01), small)[0]["lookup"]
         found["quiet.beat"] = steady(partial(RelaySimulation, size, rate=0.5), small)[0]["beat"]
-        found["memory"] = traced_mb(partial(used, size, 2 if small else WARM))[0]
+        found["memory"] = traced_mb(partial(after_requests, size, 2 if small else WARM))[0]
         for name, rows in points.items():
             rows.append((size, round(found[name], 3)))
     return [
-        Series("decisions", name, "MB" if name == "memory" else "us", "units", rows, f"{NOTES[name]}; {HELD}")
+        Series("decisions", name, "MB" if name == "memory" else "us", "units", rows, f"{NOTES[name]}; {SETUP_NOTE}")
         for name, rows in points.items()
     ]
 
 
-def used(units: int, seconds: float) -> RelaySimulation:
+def after_requests(units: int, seconds: float) -> RelaySimulation:
+    """A simulation that has run for so many seconds."""
     simulation = RelaySimulation(units)
     simulation.run(seconds)
     return simulation
 
 
 def by_services(sizes: tuple[int, ...], small: bool) -> list[Series]:
-    """One Relay a service, each with a list of its own; the rate is split evenly."""
+    """Measures relays with one decision module for each service, each with its own list; the rate is split evenly."""
     points = {name: list[tuple[float, float]]() for name in ("lookup", "beat", "change", "memory")}
     for size in sizes:
         meter = Meter()
-        held, simulations = traced_mb(partial(split, size, meter))
+        held, simulations = traced_mb(partial(service_simulations, size, meter))
         found = list[dict[str, float]]()
-        for turn in range(2 if small else 8):  # the first ones warm up
+        for turn in range(2 if small else 8):  # the first turns are a warm-up
             meter.clear()
             asked = sum(simulation.asked for simulation in simulations)
-            for _ in range(10 if small else 25):  # in turns: a service's state is not still in the cache
+            for _ in range(10 if small else 25):  # in turns, so that a service's state is no longer in the CPU cache
                 for simulation in simulations:
                     simulation.run(0.2)
             if turn >= (1 if small else 3):
@@ -111,8 +114,8 @@
         for name, rows in points.items():
             rows.append((size, round(one[name], 3)))
     none = (
-        f"nothing carries services yet: one Relay a service of {OF_ONE} units, {RATE} lookups a second split "
-        f"evenly over the services that this relay uses; decisions alone, {RELAYS} relays, virtual clock"
+        f"nothing carries services yet: one Relay a service of {ENDPOINTS_PER_SERVICE} units, {RATE} lookups a second "
+        f"split evenly over the services that this relay uses; decisions alone, {RELAYS} relays, virtual clock"
     )
     notes = {
         "lookup": "as by units",
@@ -133,11 +136,13 @@
     ]
 
 
-def split(services: int, meter: Meter) -> list[RelaySimulation]:
-    return [RelaySimulation(OF_ONE, RATE / services, meter=meter) for _ in range(services)]
+def service_simulations(services: int, meter: Meter) -> list[RelaySimulation]:
+    """One simulation for each service."""
+    return [RelaySimulation(ENDPOINTS_PER_SERVICE, RATE / services, meter=meter) for _ in range(services)]
 
 
 def measure(small: bool) -> list[Series]:
+    """Makes all measurements and returns the series."""
     return [
         *by_units((26, 150) if small else UNITS, small),
         *by_services((1, 4) if small else SERVICES, small),
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -19,7 +19,7 @@
 
 from benchmarks.slopes.fleet import Fleet, Relay
 from benchmarks.slopes.processes import available_mb, process_fleet
-from benchmarks.slopes.restarts import whole_list
+from benchmarks.slopes.restarts import full_list
 from benchmarks.slopes.series import Series, traced_mb
 from benchmarks.slopes.sizes import Size
 from lanelead.decisions.interface import SECOND
@@ -67,26 +67,26 @@
 async def measure_processes(size: Size, rate: float, peers: bool) -> dict[str, Row]:
     """Measures real relay processes, by role; processor time is scaled by the fixed work."""
     watched = [number for some in TAPPED.values() for number in some]
-    async with process_fleet(size, watched, peers) as processes:
-        await processes.start_all(rate, CLIENTS)
+    async with process_fleet(size, watched, peers) as relays:
+        await relays.start_all(rate, CLIENTS)
         await asyncio.sleep(WARM_UP_SECONDS)
-        before, request_count = processes.cpu_seconds(), processes.request_count.copy()
-        processes.gossip_messages.clear()
-        processes.bytes.clear()
-        began = processes.loop.time()
+        before, request_count = relays.cpu_seconds(), relays.request_count.copy()
+        relays.gossip_messages.clear()
+        relays.bytes.clear()
+        began = relays.loop.time()
         work_times: list[float] = []
-        while processes.loop.time() < began + MEASURED_SECONDS:
+        while relays.loop.time() < began + MEASURED_SECONDS:
             await asyncio.sleep(0.1)
             work_times.append(fixed_work_us())
-        after, span = processes.cpu_seconds(), processes.loop.time() - began
+        after, span = relays.cpu_seconds(), relays.loop.time() - began
         slowdown = median(work_times) / NOMINAL_WORK_US
-        memory = processes.memory()
+        memory = relays.memory()
         table: dict[str, Row] = {}
         for role in ROLES:
-            some = [number for number in processes.processes if role_of(number) == role]
+            some = [number for number in relays.processes if role_of(number) == role]
             sent, heard, sent_bytes, heard_bytes = (
                 fmean(counts[number, way] for number in TAPPED[role]) / span
-                for counts in (processes.gossip_messages, processes.bytes)
+                for counts in (relays.gossip_messages, relays.bytes)
                 for way in ("sent", "heard")
             )
             table[role] = Row(
@@ -94,7 +94,7 @@
                 gossip_messages=(sent, heard),
                 sent=sent_bytes,
                 heard=heard_bytes,
-                requests=fmean(processes.request_count[number] - request_count[number] for number in some) / span,
+                requests=fmean(relays.request_count[number] - request_count[number] for number in some) / span,
                 memory=fmean(memory[number] for number in some),
             )
         return table
@@ -197,7 +197,7 @@
 
 def modules_mb(size: Size) -> float:
     """Memory of one relay's modules and of the last list in its configuration, which a process keeps."""
-    text = whole_list(size.units)
+    text = full_list(size.units)
     return traced_mb(lambda: (Fleet(replace(size, rate=0.0, whole=1), 1), decode(text, EndpointList, 16 << 20)))[0]
 
 
--- a/benchmarks/slopes/hollow_fleet.py
+++ b/benchmarks/slopes/hollow_fleet.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from benchmarks.slopes.hollow_relay import ROLLOUT_STATE
-from benchmarks.slopes.lists import body, endpoint
+from benchmarks.slopes.lists import endpoint, list_body
 from lanelead.http import serialization
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import ServerConnection
@@ -93,9 +93,9 @@
 def discovery(size: int, port: int) -> Any:
     """Creates the protocol factory of a discovery server with `size` endpoints."""
     full_list = serialization.response(
-        200, (), body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False
+        200, (), list_body(1, True, [endpoint(place, port=port) for place in range(size)]), keep=False
     )
-    no_changes = serialization.response(200, (), body(1, False, []), keep=False)
+    no_changes = serialization.response(200, (), list_body(1, False, []), keep=False)
 
     def respond(caller: ServerConnection, text: bytes) -> None:
         caller.write(text)
--- a/benchmarks/slopes/latency.py
+++ b/benchmarks/slopes/latency.py
@@ -1,9 +1,10 @@
-"""What a relay adds to a request, by units in its list: processor time counted, and times as ratios.
+"""Measures what a relay adds to a request, by endpoints in its list: processor time, and times as ratios.
 
-Real processes on loopback: a hollow fleet, a relay with 26 units, a relay with more, and this process, which
-asks both and, straight, one unit, each at the same rate and in the same run. Requests are due at drawn times,
-and timed from then. Units answer at once, so that the time through a relay is what it adds, and loopback's.
-Quantiles are taken of slices of a run, and the median over slices counts: the machine's own bursts pass.
+Real processes run on loopback: stand-ins for endpoints and platform, a relay with 26 endpoints, a relay with more, and
+this process, which sends requests to both relays and directly to an endpoint, at the same rate in the same run.
+Requests are due at random times and timed from then. Endpoints answer at once, so the time through a relay is what the
+relay and loopback add. Quantiles are computed by slices of a run, and the median over slices is used, to leave out the
+machine's own bursts.
 """
 
 from __future__ import annotations
@@ -33,13 +34,18 @@
 
 RATES = (RATE, 5 * RATE)
 CONNECTIONS = 32
-WARM, WINDOW, SLICE, QUIET = 9.0, 16.0, 2.0, 4.0  # seconds; in the first, connections to units come up
-SOCKETS = 8192  # of a relay: enough for one connection to each unit that it picks from
-TEXT = b"SELECT doc FROM items WHERE id = 'ab12' /* id=%d,c=status,t=tenant-00000,d=5000 */"
+WARM_UP_SECONDS, WINDOW, SLICE, QUIET_SECONDS = (
+    9.0,
+    16.0,
+    2.0,
+    4.0,
+)  # seconds; relays connect to endpoints during the warm-up
+SOCKETS = 8192  # of a relay: enough for a connection to each endpoint that it chooses from
+QUERY_TEXT = b"SELECT doc FROM items WHERE id = 'ab12' /* id=%d,c=status,t=tenant-00000,d=5000 */"
 
 
-class Asker(asyncio.Protocol):
-    """One connection to a relay or a unit; one request at a time."""
+class Connection(asyncio.Protocol):
+    """One connection to a relay or an endpoint, with one request at a time."""
 
     def __init__(self, target: Target) -> None:
         self._target, self._rest, self.due = target, b"", -1.0
@@ -67,50 +73,55 @@
 
 @dataclass
 class Target:
-    """Who is asked. Of each good answer since `clear`: when it was due, and milliseconds from then."""
+    """A relay or endpoint to send to. `took`: since `clear`, due time of each good answer and milliseconds from it."""
 
     port: int
     host: str = "127.0.0.1"
     took: list[tuple[float, float]] = field(default_factory=list)
-    bad: int = 0
+    failures: int = 0
     asked: int = 0
-    idle: deque[Asker] = field(default_factory=deque)  # the one idle longest first: none idles out
-    line: deque[float] = field(default_factory=deque)
+    idle: deque[Connection] = field(default_factory=deque)  # longest idle first, so that none reaches the idle timeout
+    queue: deque[float] = field(default_factory=deque)
 
     async def open(self) -> None:
+        """Opens the connections."""
         loop = asyncio.get_running_loop()
         for _ in range(CONNECTIONS):
-            await loop.create_connection(lambda: Asker(self), self.host, self.port)
+            await loop.create_connection(lambda: Connection(self), self.host, self.port)
 
     def clear(self) -> None:
-        self.took, self.bad = [], 0
+        """Clears the answers counted so far."""
+        self.took, self.failures = [], 0
 
-    def ask(self, due: float) -> None:
-        """Timed from when it was due: a stall is not left out."""
+    def send_request(self, due: float) -> None:
+        """Sends a request, timed from when it was due, so that stalls of this process are included."""
         if not self.idle:
-            self.line.append(due)
+            self.queue.append(due)
             return
-        asker = self.idle.popleft()
-        asker.due, self.asked = due, self.asked + 1
-        asker.transport.write(query(TEXT % self.asked))  # a relay takes no id twice at a time
+        connection = self.idle.popleft()
+        connection.due, self.asked = due, self.asked + 1
+        connection.transport.write(query(QUERY_TEXT % self.asked))  # a relay rejects an id that is in flight
 
     def answered(self, due: float, good: bool) -> None:
+        """Records an answer."""
         if good:
             self.took.append((due, (time.perf_counter() - due) * 1000))
         else:
-            self.bad += 1
+            self.failures += 1
 
-    def free(self, asker: Asker) -> None:
-        self.idle.append(asker)
-        if self.line:
-            self.ask(self.line.popleft())
+    def free(self, connection: Connection) -> None:
+        """Puts a connection back and sends the next request that waits."""
+        self.idle.append(connection)
+        if self.queue:
+            self.send_request(self.queue.popleft())
 
     def close(self) -> None:
-        for asker in list(self.idle):
-            asker.transport.close()
+        """Closes the idle connections."""
+        for connection in list(self.idle):
+            connection.transport.close()
 
     def slices(self, begin: float, many: int, part: float) -> list[float]:
-        """A quantile of each slice of the run, ms; a slice without an answer has none."""
+        """A quantile of each slice of the run, ms; `nan` for a slice without answers."""
         found: list[list[float]] = [[] for _ in range(many)]
         for due, took in self.took:
             found[min(many - 1, int((due - begin) / SLICE))].append(took)
@@ -118,20 +129,20 @@
 
 
 async def drive(targets: list[Target], rate: float, seconds: float, rng: Random) -> tuple[float, float]:
-    """Asks each at its own drawn times, and says when it began, and how late a request was handed over in 1
-    of 100, ms."""
+    """Sends requests to each target at random times; returns the start and the 99th percentile of delays (ms)."""
     begin, late = time.perf_counter(), list[float]()
-    dues = sorted((at, place) for place in range(len(targets)) for at in drawn(rate, seconds, rng))
+    dues = sorted((at, place) for place in range(len(targets)) for at in random_times(rate, seconds, rng))
     for at, place in dues:
         if (wait := begin + at - time.perf_counter()) > 0:
             await asyncio.sleep(wait)
         late.append(time.perf_counter() - begin - at)
-        targets[place].ask(begin + at)
+        targets[place].send_request(begin + at)
     await asyncio.sleep(0.1)
     return begin, float(np.percentile(late, 99)) * 1000
 
 
-def drawn(rate: float, seconds: float, rng: Random) -> list[float]:
+def random_times(rate: float, seconds: float, rng: Random) -> list[float]:
+    """Random times of requests, seconds from the start."""
     found, at = list[float](), 0.0
     while (at := at + rng.expovariate(rate)) < seconds:
         found.append(at)
@@ -139,21 +150,25 @@
 
 
 @dataclass
-class Found:
-    """Of one relay at one rate: microseconds of processor time a request, and the share not answered well; by
-    slices, the median and the 99th of 100, ms, through it and straight to a unit; how late the generator was.
+class RelayFigures:
+    """Figures of one relay at one rate.
+
+    `cpu`: microseconds of processor time for a request. `failed`: share of requests without a good answer. `took`,
+    `direct`: by slices, median and 99th percentile in ms, through the relay and directly to an endpoint. `late`: 99th
+    percentile of the delay in sending, ms.
     """
 
     cpu: float
     failed: float
     took: tuple[list[float], list[float]]
-    straight: tuple[list[float], list[float]]
+    direct: tuple[list[float], list[float]]
     late: float
 
 
-def node(units: int, ports: Ports, folder: Path) -> tuple[Node, int]:
+def start_relay(units: int, ports: Ports, folder: Path) -> tuple[Node, int]:
+    """Starts a relay with so many endpoints and returns it with its port."""
     file, port, letters = folder / f"relay-{units}.json", free_port(), free_port()
-    told = config(
+    relay_config = config(
         3,
         port,
         units,
@@ -162,30 +177,30 @@
         peer_listen=f"127.0.0.1:{letters}",
         peers=[f"127.0.0.1:{letters if place == NUMBER else ports.sink}" for place in range(RELAYS)],
     )
-    told["platform"]["address"] = f"127.0.0.1:{ports.desk}"
-    told["limits"]["sockets"] = SOCKETS
-    file.write_bytes(msgspec.json.encode(told))
+    relay_config["platform"]["address"] = f"127.0.0.1:{ports.desk}"
+    relay_config["limits"]["sockets"] = SOCKETS
+    file.write_bytes(msgspec.json.encode(relay_config))
     made = Node(file, folder / f"relay-{units}.log")
-    made.until("listening")
+    made.wait_for_event("listening")
     return made, port
 
 
 async def compare(
-    small: int, large: int, ports: Ports, folder: Path, hasty: bool
-) -> tuple[dict[int, float], dict[tuple[float, int], Found]]:
-    """Two relays in one run: the share of a core that each uses unasked, and figures by rate and units."""
-    nodes, quiet, found = dict[int, Node](), dict[int, float](), dict[tuple[float, int], Found]()
+    small: int, large: int, ports: Ports, folder: Path, quick: bool
+) -> tuple[dict[int, float], dict[tuple[float, int], RelayFigures]]:
+    """Runs two relays together: the share of a core that each uses idle, and figures by rate and endpoints."""
+    nodes, quiet, found = dict[int, Node](), dict[int, float](), dict[tuple[float, int], RelayFigures]()
     targets = {0: Target(ports.units, "127.1.0.1")}
-    warm, window, still = (2.0, 3.0, 1.0) if hasty else (WARM, WINDOW, QUIET)
+    warm, window, idle_seconds = (2.0, 3.0, 1.0) if quick else (WARM_UP_SECONDS, WINDOW, QUIET_SECONDS)
     rng = Random(f"{small} {large}")
     try:
         for units in (small, large):
-            nodes[units], port = await asyncio.to_thread(node, units, ports, folder)
+            nodes[units], port = await asyncio.to_thread(start_relay, units, ports, folder)
             targets[units] = Target(port)
         await asyncio.sleep(1.0)
         before = {units: spent_s(one.pid) for units, one in nodes.items()}
-        await asyncio.sleep(still)
-        quiet = {units: (spent_s(one.pid) - before[units]) / still for units, one in nodes.items()}
+        await asyncio.sleep(idle_seconds)
+        quiet = {units: (spent_s(one.pid) - before[units]) / idle_seconds for units, one in nodes.items()}
         for target in targets.values():
             await target.open()
         for rate in RATES:
@@ -201,10 +216,10 @@
             }
             for units, one in nodes.items():
                 target, cpu = targets[units], spent_s(one.pid) - before[units]
-                answers = len(target.took) + target.bad
-                waiting = len(target.line) + CONNECTIONS - len(target.idle)
-                failed = (target.bad + waiting) / max(1, answers + waiting)
-                found[rate, units] = Found(cpu / max(1, answers) * 1e6, failed, parts[units], parts[0], late)
+                answers = len(target.took) + target.failures
+                waiting = len(target.queue) + CONNECTIONS - len(target.idle)
+                failed = (target.failures + waiting) / max(1, answers + waiting)
+                found[rate, units] = RelayFigures(cpu / max(1, answers) * 1e6, failed, parts[units], parts[0], late)
     finally:
         for target in targets.values():
             target.close()
@@ -214,11 +229,12 @@
 
 
 def measure(small: bool) -> list[Series]:
+    """Makes all measurements and returns the series."""
     sizes = UNITS[:2] if small else UNITS
-    words = [sys.executable, "-m", "benchmarks.slopes.hollow_fleet", *map(str, sizes)]
+    command = [sys.executable, "-m", "benchmarks.slopes.hollow_fleet", *map(str, sizes)]
     with (
         tempfile.TemporaryDirectory() as name,
-        subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as fleet,
+        subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as fleet,
     ):
         assert fleet.stdin is not None and fleet.stdout is not None
         ports = msgspec.json.decode(fleet.stdout.readline(), type=Ports)
@@ -227,7 +243,10 @@
     return series(sizes, runs)
 
 
-def series(sizes: tuple[int, ...], runs: list[tuple[dict[int, float], dict[tuple[float, int], Found]]]) -> list[Series]:
+def series(
+    sizes: tuple[int, ...], runs: list[tuple[dict[int, float], dict[tuple[float, int], RelayFigures]]]
+) -> list[Series]:
+    """The series of these runs."""
     least, made = sizes[0], list[Series]()
     setting = (
         f"real relay process, {RELAYS} relays told of, letters sent to a sink and none heard, hollow units "
@@ -247,12 +266,12 @@
         pairs = [(size, one[1][rate, least], one[1][rate, size]) for size, one in zip(sizes[1:], runs, strict=True)]
         cpu: list[tuple[float, float]] = [(least, median(low.cpu for _, low, _ in pairs))]
         cpu += [(size, high.cpu) for size, _, high in pairs]
-        told = "; ".join(
-            f"{size}: not answered well {high.failed:.1%}, {ms(high.took)} ms, {ms(low.took)} before "
-            f"{least}, {ms(high.straight)} straight, handed over {high.late:.2f} ms late in 1 of 100"
+        details = "; ".join(
+            f"{size}: not answered well {high.failed:.1%}, {format_ms(high.took)} ms, {format_ms(low.took)} before "
+            f"{least}, {format_ms(high.direct)} straight, handed over {high.late:.2f} ms late in 1 of 100"
             for size, low, high in pairs
         )
-        add(f"at-{rate:g}.cpu", "us", cpu, f"of the relay, a request, beats and letters in it; {told}")
+        add(f"at-{rate:g}.cpu", "us", cpu, f"of the relay, a request, beats and letters in it; {details}")
         for place, part in ((0, "median"), (1, "99th")):
             ratio: list[tuple[float, float]] = [(least, 1.0)]
             for size, low, high in pairs:
@@ -263,10 +282,11 @@
                 "ratio",
                 ratio,
                 f"the {part} through the relay over that before {least} units, in the same {SLICE:g} s; "
-                f"the median of such slices; {told}",
+                f"the median of such slices; {details}",
             )
     return made
 
 
-def ms(took: tuple[list[float], list[float]]) -> str:
+def format_ms(took: tuple[list[float], list[float]]) -> str:
+    """Medians over the slices, as text."""
     return " and ".join("?" if math.isnan(median(some)) else f"{median(some):.2f}" for some in took)
--- a/benchmarks/slopes/lists.py
+++ b/benchmarks/slopes/lists.py
@@ -1,4 +1,4 @@
-"""What discovery's lists cost one relay: bytes on the wire, decoding, taking in; whole ones and changes."""
+"""Measures what endpoint lists cost one relay, full ones and changes: bytes on the wire, decoding, applying."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def endpoint(place: int, state: Literal["active", "leaving", "left"] = "active", port: int = 5432) -> ListedEndpoint:
-    """A unit on an address of its own, in 127/8; its fields as long as a platform's."""
+    """An endpoint with its own address in 127/8, and fields as long as the platform's."""
     number = place + 1
     return ListedEndpoint(
         id=f"offers-{place % 300:03d}-{place:05d}",
@@ -35,22 +35,24 @@
     )
 
 
-def body(version: int, full: bool, units: list[ListedEndpoint]) -> bytes:
+def list_body(version: int, full: bool, units: list[ListedEndpoint]) -> bytes:
+    """An endpoint list as JSON."""
     rows = [msgspec.Raw(msgspec.json.encode(unit)) for unit in units]
     return msgspec.json.encode(EndpointList(version, full, rows))
 
 
-def answer(text: bytes) -> int:
-    """Bytes of discovery's answer, as HTTP."""
+def response_size(text: bytes) -> int:
+    """Bytes of discovery's HTTP response with this body."""
     return len(serialization.response(200, (), text, keep=False))
 
 
-def decoded(text: bytes) -> None:
+def decode_list(text: bytes) -> None:
+    """Decodes a list as a relay does."""
     read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES))
 
 
-def taken_in(driver: DecisionDriver, texts: list[bytes]) -> float:
-    """Microseconds for one of the lists, which are taken in again and again, in turn."""
+def apply_us(driver: DecisionDriver, texts: list[bytes]) -> float:
+    """Mean processor time of applying one of the lists, microseconds; they are applied again and again in turn."""
     lists = [read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)) for text in texts]
 
     def all_of_them() -> None:
@@ -60,33 +62,35 @@
     return processor_us(all_of_them) / len(lists)
 
 
-def filled(texts: list[bytes]) -> DecisionDriver:
-    made = driver(read_parameters(settings()))
+def driver_with_lists(texts: list[bytes]) -> DecisionDriver:
+    """A driver to which these lists were applied."""
+    filled_driver = driver(read_parameters(settings()))
     for text in texts:
-        made.endpoints_listed(read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)), 0)
-    return made
+        filled_driver.endpoints_listed(read_endpoint_list(decode(text, EndpointList, MAX_LIST_BYTES)), 0)
+    return filled_driver
 
 
 def measure(small: bool) -> list[Series]:
+    """Measures all sizes and returns the series."""
     points: dict[tuple[str, str], list[tuple[float, float]]] = {}
     for size in (26, 150) if small else UNITS:
-        whole = body(1, True, [endpoint(place) for place in range(size)])
+        whole = list_body(1, True, [endpoint(place) for place in range(size)])
         parts = {"one": 1, "tenth": max(1, round(TENTH * size))}
         changes = {
-            name: [body(2, False, [endpoint(place, state) for place in range(many)]) for state in STATES]
+            name: [list_body(2, False, [endpoint(place, state) for place in range(many)]) for state in STATES]
             for name, many in parts.items()
         }
-        held, made = traced_mb(partial(filled, [whole]))
+        memory, filled_driver = traced_mb(partial(driver_with_lists, [whole]))
         row = {
-            ("whole.bytes", "B"): answer(whole),
-            ("whole.decode", "us"): processor_us(partial(decoded, whole)),
-            ("whole.take-in", "us"): taken_in(made, [whole]),
-            ("memory", "MB"): held,
+            ("whole.bytes", "B"): response_size(whole),
+            ("whole.decode", "us"): processor_us(partial(decode_list, whole)),
+            ("whole.take-in", "us"): apply_us(filled_driver, [whole]),
+            ("memory", "MB"): memory,
         }
         for name, texts in changes.items():
-            row[f"{name}.bytes", "B"] = sum(map(answer, texts)) / len(texts)
-            row[f"{name}.decode", "us"] = processor_us(partial(decoded, texts[0]))
-            row[f"{name}.take-in", "us"] = taken_in(made, texts)
+            row[f"{name}.bytes", "B"] = sum(map(response_size, texts)) / len(texts)
+            row[f"{name}.decode", "us"] = processor_us(partial(decode_list, texts[0]))
+            row[f"{name}.take-in", "us"] = apply_us(filled_driver, texts)
         for at, value in row.items():
             points.setdefault(at, []).append((size, round(value, 3)))
     held_fixed = (
--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -1,7 +1,7 @@
-"""Who is there: what the circle costs a member, how soon a loss is known to all, and what a cut leaves.
+"""Measures membership: its cost for a member, the time until all know of a loss, and the state after a partition.
 
-The members are those that relays run (lanelead/membership); wires and the clock are the model's, so that waiting
-times are virtual and one seed gives one result, while processor time is counted of the members' own calls.
+The members are those of the relays (lanelead/membership). Network and clock are simulated, so that waiting times are
+virtual and one seed gives one result; processor time is measured around the members' own calls.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from benchmarks.membership import TEMPO
+from benchmarks.membership import TIMINGS
 from benchmarks.slopes.series import Series, traced_mb
 from lanelead.decisions.interface import Ticks
 from lanelead.membership.member import Membership
@@ -23,17 +23,17 @@
 SUBJECT = "membership"
 SIZES = (8, 40, 200, 600)
 SEED = 37
-QUIET = 20  # seconds over which the ordinary rate is counted
+QUIET_SECONDS = 20  # length of the measurement without failures
 KILLS = 5
-CHURN = 60  # seconds in which a tenth restarts every 10 s
-DOWN = 1  # seconds from a kill to the start of the next life
-KNOWN = 120  # seconds after which one that is dead and not known so to all is given up
-APART = 3600  # seconds
-MET = 300  # seconds after which two regions that have not met are given up
+CHURN_SECONDS = 60  # in which a tenth restarts every 10 s
+DOWN_SECONDS = 1  # from a kill to the restart
+DETECTION_LIMIT = 120  # seconds after which the wait for a detection ends
+APART_SECONDS = 3600  # seconds
+REUNION_LIMIT = 300  # seconds after which the wait for the halves to rejoin ends
 
 
-class Timed(Membership):
-    """A member whose own processor time is counted, over all of them."""
+class TimedMember(Membership):
+    """A member that measures its processor time; the counters are shared by all members."""
 
     spent = 0  # ns
     most = 0  # ns, of one call
@@ -50,12 +50,12 @@
 
 
 def _count(spent: int) -> None:
-    Timed.spent += spent
-    Timed.most = max(Timed.most, spent)
+    TimedMember.spent += spent
+    TimedMember.most = max(TimedMember.most, spent)
 
 
 class Rates(NamedTuple):
-    """Of one member in the mean, each second."""
+    """Rates of one member, the mean over all, by second."""
 
     letters: float
     bytes: float
@@ -63,44 +63,50 @@
 
 
 class Meter:
-    """Counts from its making on; `rates` says what a member had each second since then."""
+    """Counts messages, bytes and processor time from its creation on."""
 
     def __init__(self, town: Town) -> None:
         self._town, self._began = town, town.now
-        self._letters, self._bytes, self._spent = town.letters, town.bytes, Timed.spent
+        self._letters, self._bytes, self._spent = town.letters, town.bytes, TimedMember.spent
 
     def rates(self) -> Rates:
+        """Rates of one member since the meter's creation."""
         town = self._town
         span = (town.now - self._began) / SECOND * max(1, len(town.members))
-        spent = (Timed.spent - self._spent) / 1e9
+        spent = (TimedMember.spent - self._spent) / 1e9
         return Rates((town.letters - self._letters) / span, (town.bytes - self._bytes) / span, spent / span)
 
     def total(self) -> int:
+        """Bytes of all members since the meter's creation."""
         return self._town.bytes - self._bytes
 
 
-class Found:
+class Results:
+    """Points of each series, by size."""
+
     def __init__(self) -> None:
         self.points: dict[str, list[tuple[float, float]]] = {}
 
     def add(self, name: str, size: float, value: float) -> None:
+        """Adds a point."""
         self.points.setdefault(name, []).append((float(size), value))
 
     def rates(self, name: str, size: int, rates: Rates) -> None:
+        """Adds a point for each rate."""
         for part, value in zip(rates._fields, rates, strict=True):
             self.add(f"{name}.{part}", size, value)
 
 
 def town_of(many: int, loss: float = 0.0) -> Town:
-    """A circle in which all know all, after its first seconds."""
+    """A group of members after its first seconds, when all know of all."""
     gc.collect()
-    town = Town(many, SEED, TEMPO, Wires(loss=loss), kind=Timed)
+    town = Town(many, SEED, TIMINGS, Wires(loss=loss), kind=TimedMember)
     town.run(2 * SECOND)
     return town
 
 
 def known_after(town: Town, gone: list[int], limit: int) -> float | None:
-    """Virtual seconds until no member takes any of these to be there; None where it lasts longer."""
+    """Virtual seconds until no member takes any of these to be alive; None if it takes longer than the limit."""
     began = town.now
     while any(town.blind(number) for number in gone):
         if town.now - began >= limit * SECOND:
@@ -109,31 +115,32 @@
     return (town.now - began) / SECOND
 
 
-def quiet(many: int, loss: float, found: Found) -> None:
+def measure_quiet(many: int, loss: float, results: Results) -> None:
+    """Measures a group without failures, and then the detection of single failures."""
     town, word = town_of(many, loss), "quiet" if not loss else "lossy"
     meter = Meter(town)
-    town.run(town.now + QUIET * SECOND)
-    found.rates(word, many, meter.rates())
+    town.run(town.now + QUIET_SECONDS * SECOND)
+    results.rates(word, many, meter.rates())
     took = []
     for number in range(many - 1, many - 1 - min(KILLS, many // 2), -1):
         town.run(town.now + int(town.chance.uniform(0.5, 1.5) * SECOND))
         town.kill(number)
-        took.append(known_after(town, [number], KNOWN) or float(KNOWN))
-    found.add(f"{word}.death.known", many, median(took))
-    found.add(f"{word}.death.known.last", many, max(took))
+        took.append(known_after(town, [number], DETECTION_LIMIT) or float(DETECTION_LIMIT))
+    results.add(f"{word}.death.known", many, median(took))
+    results.add(f"{word}.death.known.last", many, max(took))
 
 
-def churn(many: int, found: Found) -> None:
-    """Each 10 s another tenth is killed at once, and starts anew a second later with only its settings."""
+def measure_churn(many: int, results: Results) -> None:
+    """Kills another tenth every 10 s; each starts again a second later with its settings only."""
     town, meter, missing, worst = town_of(many), None, list[float](), 0.0
     tenth = max(1, many // 10)
-    for second in range(CHURN):
+    for second in range(CHURN_SECONDS):
         turn, phase = divmod(second, 10)
         chosen = [(turn * tenth + place) % many for place in range(tenth)]
         if phase == 0:
             for number in chosen:
                 town.kill(number)
-        if phase == DOWN:
+        if phase == DOWN_SECONDS:
             for number in chosen:
                 town.start(number, 2 + turn * tenth // many + second)
         meter = meter or Meter(town)
@@ -144,61 +151,63 @@
             away = sum(len(town.members) - len(view) for view in town.views())
             missing.append(max(0.0, away / len(town.members) ** 2))
     assert meter is not None
-    found.rates("churn", many, meter.rates())
-    found.add("churn.bytes.worst", many, worst)
-    found.add("churn.unknown", many, sum(missing) / len(missing))
+    results.rates("churn", many, meter.rates())
+    results.add("churn.bytes.worst", many, worst)
+    results.add("churn.unknown", many, sum(missing) / len(missing))
 
 
-def zone(many: int, found: Found) -> None:
-    """A quarter is killed at once."""
+def measure_zone_loss(many: int, results: Results) -> None:
+    """Kills a quarter of the members at once."""
     town = town_of(many)
     gone = [number for number in range(many) if number % 4 == 3]
     for number in gone:
         town.kill(number)
     meter, worst, began = Meter(town), 0.0, town.now
-    while any(town.blind(number) for number in gone) and town.now < began + KNOWN * SECOND:
+    while any(town.blind(number) for number in gone) and town.now < began + DETECTION_LIMIT * SECOND:
         one = Meter(town)
         town.run(town.now + SECOND)
         worst = max(worst, one.rates().bytes)
-    found.add("zone.known", many, (town.now - began) / SECOND)
-    found.rates("zone", many, meter.rates())
-    found.add("zone.bytes.worst", many, worst)
+    results.add("zone.known", many, (town.now - began) / SECOND)
+    results.rates("zone", many, meter.rates())
+    results.add("zone.bytes.worst", many, worst)
 
 
-def apart(many: int, seconds: int, found: Found, word: str) -> bool:
-    """Two halves that hear nothing of each other for so long, and then all; whether they met again."""
+def measure_partition(many: int, seconds: int, results: Results, word: str) -> bool:
+    """Separates two halves for so long and rejoins them; whether all members know of all in the end."""
     town = town_of(many)
     town.wires.cut = lambda sender, receiver: sender % 2 != receiver % 2
     town.run(town.now + min(seconds, 60) * SECOND)
     if seconds > 60:
         meter = Meter(town)
         town.run(town.now + (seconds - 60) * SECOND)
-        found.rates(f"{word}.meanwhile", many, meter.rates())
+        results.rates(f"{word}.meanwhile", many, meter.rates())
     rows = sum(len(member.records) for member in town.members.values()) / many
-    found.add(f"{word}.rows", many, rows)
+    results.add(f"{word}.rows", many, rows)
     there = sum(len(view) for view in town.views()) / many
-    found.add(f"{word}.there", many, there)
+    results.add(f"{word}.there", many, there)
     town.wires.cut = lambda sender, receiver: False
     meter, began, worst = Meter(town), town.now, 0.0
-    while not town.agreed() and town.now < began + MET * SECOND:
+    while not town.agreed() and town.now < began + REUNION_LIMIT * SECOND:
         one = Meter(town)
         town.run(town.now + SECOND)
         worst = max(worst, one.rates().bytes)
     met = town.agreed()
     if met:
-        found.add(f"{word}.reunion", many, (town.now - began) / SECOND)
-        found.add(f"{word}.reunion.total", many, meter.total() / many)
-        found.add(f"{word}.reunion.worst", many, worst)
-        found.rates(f"{word}.reunion", many, meter.rates())
+        results.add(f"{word}.reunion", many, (town.now - began) / SECOND)
+        results.add(f"{word}.reunion.total", many, meter.total() / many)
+        results.add(f"{word}.reunion.worst", many, worst)
+        results.rates(f"{word}.reunion", many, meter.rates())
     return met
 
 
-def memory(many: int, found: Found) -> None:
+def measure_memory(many: int, results: Results) -> None:
+    """Measures the memory of a member that knows of all others."""
+
     def one() -> Membership:
         rows = [MemberRecord(n, 1_700_000_000_000 + n, 0, 0, False, "a", "a", f"10.0.{n}", 7946) for n in range(many)]
-        return Membership(own=rows[0], timings=TEMPO, seeds=[], rng=Random(SEED), now=0, known=rows[1:])
+        return Membership(own=rows[0], timings=TIMINGS, seeds=[], rng=Random(SEED), now=0, known=rows[1:])
 
-    found.add("memory", many, traced_mb(one)[0])
+    results.add("memory", many, traced_mb(one)[0])
 
 
 MODEL = "hollow: the relays' own members, virtual clock, modelled wires, 28 bytes a letter for IPv4 and UDP"
@@ -240,16 +249,17 @@
 
 
 def measure(small: bool) -> list[Series]:
-    found, never = Found(), dict[str, list[int]]()
+    """Makes all measurements and returns the series."""
+    results, unmet_sizes = Results(), dict[str, list[int]]()
     for many in SIZES[:2] if small else SIZES:
-        quiet(many, 0.0, found)
-        quiet(many, 0.05, found)
-        churn(many, found)
-        zone(many, found)
-        memory(many, found)
-        for word, seconds in (("minute", 60), ("hour", APART)):
-            if not apart(many, seconds, found, word):
-                never.setdefault(word, []).append(many)
+        measure_quiet(many, 0.0, results)
+        measure_quiet(many, 0.05, results)
+        measure_churn(many, results)
+        measure_zone_loss(many, results)
+        measure_memory(many, results)
+        for word, seconds in (("minute", 60), ("hour", APART_SECONDS)):
+            if not measure_partition(many, seconds, results, word):
+                unmet_sizes.setdefault(word, []).append(many)
         print(f"membership: {many} relays done", flush=True)
     notes = dict(NOTES)
     for case, note in CASES.items():
@@ -257,12 +267,12 @@
     series = []
     for name, (unit, note) in notes.items():
         text = f"{note}; {MODEL}; one seed"
-        if (missed := never.get(name.split(".")[0])) and "reunion" in name:
-            text += f"; not met within {MET} s at sizes {missed}"
-        if name in found.points:
-            series.append(Series(SUBJECT, name, unit, "relays", found.points[name], text))
-    for word, sizes in never.items():
+        if (missed := unmet_sizes.get(name.split(".")[0])) and "reunion" in name:
+            text += f"; not met within {REUNION_LIMIT} s at sizes {missed}"
+        if name in results.points:
+            series.append(Series(SUBJECT, name, unit, "relays", results.points[name], text))
+    for word, sizes in unmet_sizes.items():
         points = [(float(size), 1.0) for size in sizes]
-        text = f"1 where the halves had not met again {MET} s after the {word} ended; {MODEL}; one seed"
+        text = f"1 where the halves had not met again {REUNION_LIMIT} s after the {word} ended; {MODEL}; one seed"
         series.append(Series(SUBJECT, f"{word}.unmet", "count", "relays", points, text))
     return series
--- a/benchmarks/slopes/tenants.py
+++ b/benchmarks/slopes/tenants.py
@@ -1,7 +1,7 @@
-"""What tenants and routes cost one relay that holds them: the file, memory, its start, and a reload of them.
+"""Measures what tenants and routes cost one relay: its file, memory, start and reload.
 
-The relay is a real process of `lanelead node`, idle: no letters, no desk, discovery refuses. Its units come
-with the file; it can take once it says that it listens.
+The relay is a real process of `lanelead node`, idle: no gossip, no platform, and connections to discovery are refused.
+Its endpoints are in the file; it can take requests once it logs that it listens.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 TENANTS = (100, 4900, 49000)
 ROUTES = (160, 1600, 16000)
 UNITS = 26
-PATIENCE = 120.0  # seconds on the wall for a line of the log
-NOBODY = "127.0.0.1:9"
+LOG_TIMEOUT = 120.0  # seconds to wait for a record in the log
+CLOSED_ADDRESS = "127.0.0.1:9"
 
 
 class Route(msgspec.Struct, frozen=True):
-    """The least that a route may be: no relay reads one today."""
+    """The fewest fields that a route may have; no relay reads routes today."""
 
     name: str
     host: str
@@ -46,16 +46,16 @@
 
 
 def config(tenants: int, port: int, units: int = UNITS, units_port: int = 5432, **more: Any) -> dict[str, Any]:
-    """What a relay of the platform is told by its file."""
+    """The configuration file of a Postgres relay."""
     rows = [endpoint(place, port=units_port) for place in range(units)]
     known = {"version": 1, "full": True, "servers": rows}
     return {
         "name": "relay-300",
         "listen": f"127.0.0.1:{port}",
         "seed": "7f",
-        "discovery": NOBODY,
+        "discovery": CLOSED_ADDRESS,
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-        "platform": {"address": NOBODY, "news": ROLLOUT_STATE},
+        "platform": {"address": CLOSED_ADDRESS, "news": ROLLOUT_STATE},
         "settings": settings(tenants=tenants),
         "known": known,
         **more,
@@ -63,25 +63,26 @@
 
 
 def free_port() -> int:
+    """A free TCP port."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def spent_s(process: int) -> float:
-    """Processor time of all threads of a process so far, seconds, in steps of nanoseconds."""
+    """Processor time of all threads of a process so far, seconds, exact to the nanosecond."""
     folders = Path(f"/proc/{process}/task").iterdir()
     return sum(int((folder / "schedstat").read_text().split()[0]) for folder in folders) / 1e9
 
 
 def peak_mb(process: int) -> float:
-    """The most that was ever resident of a process, 10^6 bytes."""
+    """Peak resident memory of a process, MB."""
     lines = Path(f"/proc/{process}/status").read_text().splitlines()
     return next(int(line.split()[1]) * 1024 / 1e6 for line in lines if line.startswith("VmHWM"))
 
 
 class Node:
-    """A real relay's process, and its log as it comes."""
+    """A real relay's process and its log."""
 
     def __init__(self, file: Path, log: Path) -> None:
         self._log, self._file = log, log.open("wb")
@@ -93,17 +94,20 @@
         )
         self.pid = self._process.pid
 
-    def until(self, event: str, times: int = 1) -> None:
-        end = time.monotonic() + PATIENCE
+    def wait_for_event(self, event: str, times: int = 1) -> None:
+        """Waits until the log has so many records of the event."""
+        end = time.monotonic() + LOG_TIMEOUT
         while self._log.read_text().count(f'"event": "{event}"') < times:
             if self._process.poll() is not None or time.monotonic() > end:
-                raise RuntimeError(f"no {event!r}; the relay's log ends with {self._log.read_text()[-500:]!r}")
+                raise RuntimeError(f"relay did not log {event!r}; its log ends with {self._log.read_text()[-500:]!r}")
             time.sleep(0.005)
 
     def signal(self, number: int) -> None:
+        """Sends a signal."""
         self._process.send_signal(number)
 
     def end(self) -> None:
+        """Ends the process: SIGTERM, and SIGKILL after 10 s."""
         self._process.terminate()
         try:
             self._process.wait(10)
@@ -113,13 +117,13 @@
         self._file.close()
 
 
-def real(tenants: int, folder: Path) -> dict[str, float]:
-    """Of a process: seconds of processor time to its first moment to take, and for a reload; MB resident."""
+def measure_process(tenants: int, folder: Path) -> dict[str, float]:
+    """Processor time (s) of a process until it listens and of a reload, and its memory (MB)."""
     file, port = folder / f"relay-{tenants}.json", free_port()
     file.write_bytes(msgspec.json.encode(config(tenants, port)))
     node = Node(file, folder / f"relay-{tenants}.log")
     try:
-        node.until("listening")
+        node.wait_for_event("listening")
         found = {"start.cpu": spent_s(node.pid), "resident": resident_mb(node.pid)}
         time.sleep(1.0)
         before = spent_s(node.pid)
@@ -127,7 +131,7 @@
         idle = spent_s(node.pid) - before
         before, began = spent_s(node.pid), time.monotonic()
         node.signal(signal.SIGHUP)
-        node.until("configuration reloaded")
+        node.wait_for_event("configuration reloaded")
         found["reload.cpu"] = max(0.0, spent_s(node.pid) - before - idle * (time.monotonic() - began))
         time.sleep(0.3)
         found |= {"reload.resident": resident_mb(node.pid), "reload.peak": peak_mb(node.pid)}
@@ -136,19 +140,21 @@
     return found
 
 
-def made(file: Path) -> Balancer:
-    told = load(str(file)).parameters
-    return decisions(told, told.request_classes(), told.tenants(), 3600 * SECOND)
+def create_decisions(file: Path) -> Balancer:
+    """Creates the decisions from a configuration file."""
+    parameters = load(str(file)).parameters
+    return decisions(parameters, parameters.request_classes(), parameters.tenants(), 3600 * SECOND)
 
 
 def by_tenants(sizes: tuple[int, ...], folder: Path) -> list[Series]:
+    """Measures files with these numbers of tenants."""
     points: dict[str, list[tuple[float, float]]] = {}
     for size in sizes:
         file = folder / f"relay-{size}.json"
-        found = real(size, folder)
+        found = measure_process(size, folder)
         found["file.bytes"] = file.stat().st_size
         found["load.cpu"] = processor_us(lambda file=file: load(str(file)), rounds=3) / 1e6  # type: ignore[misc]
-        found["state.memory"] = traced_mb(partial(made, file))[0]
+        found["state.memory"] = traced_mb(partial(create_decisions, file))[0]
         found["file.memory"] = traced_mb(partial(load, str(file)))[0]
         for name, value in found.items():
             points.setdefault(name, []).append((size, round(value, 6)))
@@ -173,6 +179,7 @@
 
 
 def routes(many: int) -> bytes:
+    """So many routes as JSON."""
     rng = Random(5)
     classes = "status", "search", "submit"
     rows = [
@@ -190,6 +197,7 @@
 
 
 def by_routes(sizes: tuple[int, ...]) -> list[Series]:
+    """Measures these numbers of routes."""
     text, cpu, memory = (list[tuple[float, float]]() for _ in range(3))
     for size in sizes:
         encoded, reader = routes(size), msgspec.json.Decoder(list[Route])
@@ -205,6 +213,7 @@
 
 
 def measure(small: bool) -> list[Series]:
+    """Makes all measurements and returns the series."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         return [
--- a/benchmarks/slopes/votes.py
+++ b/benchmarks/slopes/votes.py
@@ -1,5 +1,4 @@
-"""Votes and the desk's side, by relays (voting.py); discovery's side, by relays and by changes a second
-(watching.py)."""
+"""Measures votes and the platform's side by relays (voting.py), and discovery by relays and changes (watching.py)."""
 
 from __future__ import annotations
 
@@ -10,77 +9,89 @@
 from benchmarks.slopes import watching
 from benchmarks.slopes.moving import PING
 from benchmarks.slopes.series import Series
-from benchmarks.slopes.voting import AFTER, TRIAL, Bucket, Release, poll_of
+from benchmarks.slopes.voting import CANARY_SETTINGS, TAIL_SECONDS, AcceptedCallsPolling, Release, voting_settings
 from lanelead.testbed.emulators.vote_counting import Polling
 
 SUBJECT = "votes"
 SIZES = (8, 40, 200, 600)
 
 
-class Found:
+class Results:
+    """Points of each series, by size."""
+
     def __init__(self) -> None:
         self.points: dict[str, list[tuple[float, float]]] = {}
 
     def add(self, name: str, size: float, value: float) -> None:
+        """Adds a point."""
         self.points.setdefault(name, []).append((float(size), value))
 
 
-def release(relays: int, word: str, found: Found) -> None:
-    poll, kind = poll_of(relays, word != "first"), Bucket if word == "bucket" else Polling
-    town = Release(relays, poll, kind=kind)
-    done = town.play()
-    casts, words = town.casts, town.words()
+def measure_release(relays: int, word: str, results: Results) -> None:
+    """Measures the release of a good build with one way of promotion."""
+    poll, kind = voting_settings(relays, word != "first"), AcceptedCallsPolling if word == "bucket" else Polling
+    release = Release(relays, poll, kind=kind)
+    released = release.play()
+    casts, outcome_counts = release.casts, release.outcome_counts()
     stages = Counter(cast.stage for cast in casts)
     sent = sum(cast.size for cast in casts)
-    found.add(f"{word}.calls", relays, len(casts))
-    found.add(f"{word}.calls.stage", relays, mean(stages.get(stage, 0) for stage in range(len(TRIAL.shares))))
-    found.add(f"{word}.calls.worst", relays, town.worst())
-    found.add(f"{word}.calls.refused", relays, words["overloaded"])
-    found.add(f"{word}.calls.moot", relays, words["moot"])
-    found.add(f"{word}.votes.bytes", relays, sent)
-    found.add(f"{word}.news.bytes", relays, town.news)
-    found.add(f"{word}.relay.bytes", relays, (sent + town.news) / relays)
-    if done:
-        found.add(f"{word}.seconds", relays, town.changes[-1])
-    found.add(f"{word}.look.cpu", relays, town.look_s / town.looks * 1e6)
-    found.add(f"{word}.look.share", relays, town.look_s / relays / (town.seconds + AFTER))
-    found.add(f"{word}.released", relays, float(done))
-    print(f"votes {word}, {relays} relays: {dict(words)}, {town.seconds:.1f} s, released {done}", flush=True)
-
-
-def discovery(sizes: Sequence[int], small: bool, found: Found) -> None:
+    results.add(f"{word}.calls", relays, len(casts))
+    results.add(
+        f"{word}.calls.stage", relays, mean(stages.get(stage, 0) for stage in range(len(CANARY_SETTINGS.shares)))
+    )
+    results.add(f"{word}.calls.worst", relays, release.peak_calls())
+    results.add(f"{word}.calls.refused", relays, outcome_counts["overloaded"])
+    results.add(f"{word}.calls.moot", relays, outcome_counts["moot"])
+    results.add(f"{word}.votes.bytes", relays, sent)
+    results.add(f"{word}.news.bytes", relays, release.news)
+    results.add(f"{word}.relay.bytes", relays, (sent + release.news) / relays)
+    if released:
+        results.add(f"{word}.seconds", relays, release.changes[-1])
+    results.add(f"{word}.look.cpu", relays, release.evaluation_s / release.evaluations * 1e6)
+    results.add(f"{word}.look.share", relays, release.evaluation_s / relays / (release.seconds + TAIL_SECONDS))
+    results.add(f"{word}.released", relays, float(released))
+    print(
+        f"votes {word}, {relays} relays: {dict(outcome_counts)}, {release.seconds:.1f} s, released {released}",
+        flush=True,
+    )
+
+
+def measure_discovery(sizes: Sequence[int], small: bool, results: Results) -> None:
+    """Measures watches with several patterns of change."""
     asked_bytes = 0
     for changed in (0, 1, 10) if small else (0, 1, 10, 100, 780):
         spent, text = watching.watch_us(changed, 50 if small else 200)
         asked_bytes = len(text)
         word = "watch" if changed else "watch.quiet"
-        found.add(f"{word}.cpu", max(1, changed), spent)
-        found.add(f"{word}.bytes", max(1, changed), asked_bytes + len(watching.answer(changed)))
+        results.add(f"{word}.cpu", max(1, changed), spent)
+        results.add(f"{word}.bytes", max(1, changed), asked_bytes + len(watching.watch_response(changed)))
     span = 600.0 if small else 3600.0
     part = span / 86_400
-    day = watching.drawn(round(49 * part), 2, span, 1.0) + watching.drawn(round(2700 * part), 3, span, 2.0, 38)
+    day = watching.random_changes(round(49 * part), 2, span, 1.0) + watching.random_changes(
+        round(2700 * part), 3, span, 2.0, 38
+    )
     wave = [place * 600 / 7800 for place in range(7800)]
     quick = [place * 60 / 7800 for place in range(7800)]
     cases = {"quiet": (span, []), "day": (span, sorted(day)), "release": (600.0, wave), "rush": (60.0, quick)}
     for relays in sizes:
         for word, (seconds, changes) in cases.items():
             seen = watching.play(relays, seconds, changes, asked_bytes)
-            found.add(f"{word}.watches", relays, seen.watches / seconds)
-            found.add(f"{word}.bytes", relays, seen.bytes / seconds)
-            found.add(f"{word}.watches.worst", relays, seen.worst_watches)
-            found.add(f"{word}.bytes.worst", relays, seen.worst_bytes)
+            results.add(f"{word}.watches", relays, seen.watches / seconds)
+            results.add(f"{word}.bytes", relays, seen.bytes / seconds)
+            results.add(f"{word}.watches.worst", relays, seen.worst_watches)
+            results.add(f"{word}.bytes.worst", relays, seen.worst_bytes)
     for rate in (0.1, 0.5, 1, 2, 5, 13, 130):
         changes = [place / rate for place in range(int(600 * rate))]
         seen = watching.play(20, 600.0, changes, asked_bytes)
-        found.add("relay.bytes", rate, seen.bytes / 600 / 20)
-        found.add("relay.watches", rate, seen.watches / 600 / 20)
+        results.add("relay.bytes", rate, seen.bytes / 600 / 20)
+        results.add("relay.watches", rate, seen.watches / 600 / 20)
 
 
-HOLLOW = (
+SIMULATION_NOTE = (
     "hollow: driver and decisions as in `run`, virtual time, 26 units and as many new ones, 8 requests a "
     "second and relay, a good build, 3 stages; the desk is our stand-in, 200 calls a second at the most"
 )
-MODEL = "modelled in virtual time; HTTP's bytes only; an answer's head as our stand-in writes it"
+MODEL_NOTE = "modelled in virtual time; HTTP's bytes only; an answer's head as our stand-in writes it"
 CONTROLS = {
     "first": "the first voice decides, as the site sets it",
     "count": "half of all relays and one must agree; the stand-in counts calls that it refuses, too",
@@ -118,11 +129,11 @@
         "changes",
         "real, over loopback: one watch at a relay, called, read, decoded; the decisions do not take it in",
     ),
-    "watch.bytes": ("B", "changes", f"one watch, asked and answered; {MODEL}"),
+    "watch.bytes": ("B", "changes", f"one watch, asked and answered; {MODEL_NOTE}"),
     "watch.quiet.cpu": ("us", "watches", "real, over loopback: as watch.cpu, where nothing changed"),
-    "watch.quiet.bytes": ("B", "watches", f"one watch on which nothing changed; {MODEL}"),
-    "relay.bytes": ("B/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL}"),
-    "relay.watches": ("count/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL}"),
+    "watch.quiet.bytes": ("B", "watches", f"one watch on which nothing changed; {MODEL_NOTE}"),
+    "relay.bytes": ("B/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL_NOTE}"),
+    "relay.watches": ("count/s", "changes a second", f"watches at one relay, evenly spread changes; {MODEL_NOTE}"),
     "signs.bytes": (
         "B/s",
         "relays",
@@ -132,22 +143,23 @@
 
 
 def measure(small: bool) -> list[Series]:
-    found = Found()
+    """Makes all measurements and returns the series."""
+    results = Results()
     sizes = SIZES[:2] if small else SIZES
     for relays in sizes:
         for control in CONTROLS:
-            release(relays, control, found)
-        found.add("signs.bytes", relays, relays * len(PING))
-    discovery(sizes, small, found)
+            measure_release(relays, control, results)
+        results.add("signs.bytes", relays, relays * len(PING))
+    measure_discovery(sizes, small, results)
     notes = dict(REST)
     for control, said in CONTROLS.items():
         for part, (unit, note) in PARTS.items():
-            notes[f"{control}.{part}"] = unit, "relays", f"{note}; {said}; {HOLLOW}; one seed"
+            notes[f"{control}.{part}"] = unit, "relays", f"{note}; {said}; {SIMULATION_NOTE}; one seed"
     for case, said in CASES.items():
         for part, (unit, note) in SIDES.items():
-            notes[f"{case}.{part}"] = unit, "relays", f"{note}; {said}; {MODEL}; one seed"
+            notes[f"{case}.{part}"] = unit, "relays", f"{note}; {said}; {MODEL_NOTE}; one seed"
     return [
-        Series(SUBJECT, name, unit, by, found.points[name], note)
+        Series(SUBJECT, name, unit, by, results.points[name], note)
         for name, (unit, by, note) in notes.items()
-        if name in found.points
+        if name in results.points
     ]
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -1,8 +1,8 @@
-"""A release at many relays in virtual time: who votes when, what the desk gets, and what looking costs.
+"""Simulates a release at many relays in virtual time: when relays vote, what the platform receives, what it costs.
 
-Each relay is the driver and the decisions that `run` uses, before the stand-in desk's own rules
-(lanelead/testbed/emulators/vote_counting.py); sockets, units and clients are hollow. One seed gives one result, but for
-processor time.
+Each relay has the driver and the decisions of `run`; the platform's rules are those of the emulator
+(lanelead/testbed/emulators/vote_counting.py). Sockets, endpoints and clients are simulated. One seed gives one result,
+except for processor time.
 """
 
 from __future__ import annotations
@@ -47,26 +47,28 @@
 from lanelead.testbed.emulators.vote_counting import Polling
 from tests.postgres_platform import stage_notification, vote_response
 
-UNITS = 26  # of the earlier build
-ASKS = 8.0  # requests a second and relay
-TOOK = (0.05, 0.15)  # seconds of an answer, from and to
-LETTER = 0.001  # seconds of a letter between relays
-TOLD = (0.3, 0.86)  # seconds until a relay hears where the build stands, from and to
-CALL = (0.05, 0.2)  # seconds of a call to the desk, there and back
-BOOT = 3.0  # seconds from a stage's beginning to its machines being listed
-WARM = 4.0  # seconds before the release
-AFTER = 8.0  # seconds after it: votes lapse after 6
-LONGEST = 40.0  # seconds of a release at the most: three times what a good build takes
-EPOCH: Ticks = 36_000_000
-LANE = RequestClass("read", 8000, 15_000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 20_000, False, 0.0)
-ALLOWANCE = ResourceQuota(3, 1000, 1, True, True, True, False, True, 20_000, 2500, 150_000)
-DUTIES = ServiceLimits(200, 20_000, 0.5, 20_000, 4.0, 10_000, False, 0, 50)
-TARIFF = Prices(0.08, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1)
-TRIAL = CanarySettings([0.08, 0.6, 1.0], [0.096, 0.72, 1.0], 3.0, 3000.0, False, 0, False, False)
+ENDPOINTS = 26  # of the previous build
+REQUEST_RATE = 8.0  # requests a second at each relay
+ANSWER_SECONDS = (0.05, 0.15)  # least and most, from an attempt to its answer
+GOSSIP_SECONDS = 0.001  # delay of a gossip message
+STATE_DELAY_SECONDS = (0.3, 0.86)  # least and most, until a relay gets the rollout state
+CALL_SECONDS = (0.05, 0.2)  # least and most, round trip of a call to the platform
+BOOT_SECONDS = 3.0  # from a stage's beginning until its endpoints are listed
+WARM_UP_SECONDS = 4.0  # before the release
+TAIL_SECONDS = 8.0  # after the release; votes expire after 6 s
+MAX_RELEASE_SECONDS = 40.0  # three times what a good build takes
+START_TICKS: Ticks = 36_000_000
+REQUEST_CLASS = RequestClass(
+    "read", 8000, 15_000, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 20_000, False, 0.0
+)
+QUOTA = ResourceQuota(3, 1000, 1, True, True, True, False, True, 20_000, 2500, 150_000)
+LIMITS = ServiceLimits(200, 20_000, 0.5, 20_000, 4.0, 10_000, False, 0, 50)
+PRICES = Prices(0.08, 0.0, 0.0, 0.0, 0.0, 0.02, 0.0, 0.1)
+CANARY_SETTINGS = CanarySettings([0.08, 0.6, 1.0], [0.096, 0.72, 1.0], 3.0, 3000.0, False, 0, False, False)
 
 
 class Cast(NamedTuple):
-    """A vote as the desk got it."""
+    """A vote as the platform received it."""
 
     at: float  # virtual seconds since the release began
     stage: int
@@ -74,81 +76,84 @@
     size: int  # bytes of the call and its answer
 
 
-class Seat:
-    """One relay, with hands that are hollow."""
+class SimulatedRelay:
+    """One relay with a simulated host."""
 
-    def __init__(self, town: Release, number: int, relays: int, poll: VotingSettings) -> None:
-        self.town, self.number = town, number
-        rng = Random(f"{town.seed} relay {number}")
-        self.chance = Random(f"{town.seed} hands {number}")
+    def __init__(self, release: Release, number: int, relays: int, poll: VotingSettings) -> None:
+        self.release, self.number = release, number
+        rng = Random(f"{release.seed} relay {number}")
+        self.rng = Random(f"{release.seed} hands {number}")
         self._timer: Ticks | None = None
         self._calls = 0
         decisions = Balancer(
             position=RelayPosition(number, relays, "north"),
-            request_classes=[LANE],
+            request_classes=[REQUEST_CLASS],
             tenants=[Tenant("m", 1e6, 1.0)],
-            quota=ALLOWANCE,
-            limits=DUTIES,
-            canary_limits=TRIAL.figures(),
+            quota=QUOTA,
+            limits=LIMITS,
+            canary_limits=CANARY_SETTINGS.figures(),
             voting_rules=poll.figures(),
-            prices=TARIFF,
+            prices=PRICES,
             rng=rng,
-            now=town.ticks(),
+            now=release.ticks(),
         )
         self.driver = DecisionDriver(
             decisions=decisions,
             host=self,
-            clock=town.ticks,
-            request_classes=[LANE],
-            limits=DUTIES,
+            clock=release.ticks,
+            request_classes=[REQUEST_CLASS],
+            limits=LIMITS,
             max_pending=1000,
             max_retry_after=20_000,
         )
 
-    def after(self) -> None:
+    def schedule_timer(self) -> None:
+        """Schedules the driver's next timer; called after each event."""
         due = self.driver.next_timer()
         if due is not None and (self._timer is None or due < self._timer):
             self._timer = due
-            self.town.at(due / SECOND, self._fire)
+            self.release.at(due / SECOND, self._timer_fired)
 
-    def _fire(self) -> None:
-        if self._timer is not None and self._timer <= self.town.ticks():
+    def _timer_fired(self) -> None:
+        if self._timer is not None and self._timer <= self.release.ticks():
             self._timer = None
             self.driver.tick()
-            self.after()
+            self.schedule_timer()
 
-    def ask(self) -> None:
-        """A client's request, and the next one after a while."""
+    def send_request(self) -> None:
+        """Handles a client's request and schedules the next one."""
         pending = PendingRequest("", None, _nothing)
-        self.driver.receive(pending, LANE, None, None, 14_000)
-        self.after()
-        self.town.later(self.chance.expovariate(ASKS), self.ask)
-
-    def hear(self, line: RolloutMessage, answer: bool = False, word: AttemptOutcome = AttemptOutcome.SUCCEEDED) -> None:
+        self.driver.receive(pending, REQUEST_CLASS, None, None, 14_000)
+        self.schedule_timer()
+        self.release.later(self.rng.expovariate(REQUEST_RATE), self.send_request)
+
+    def receive_state(
+        self, line: RolloutMessage, answer: bool = False, word: AttemptOutcome = AttemptOutcome.SUCCEEDED
+    ) -> None:
+        """Handles a rollout state, as a notification or as the answer to a vote."""
         self.driver.rollout_read(line, answer, word)
-        self.after()
+        self.schedule_timer()
 
     def listed(self, listed: EndpointListMessage) -> None:
+        """Handles an endpoint list."""
         self.driver.endpoints_listed(listed, 0)
-        self.after()
-
-    # Hands
+        self.schedule_timer()
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        self.town.later(self.chance.uniform(*TOOK), lambda: self._ended(attempt))
+        self.release.later(self.rng.uniform(*ANSWER_SECONDS), lambda: self._ended(attempt))
 
     def _ended(self, attempt: Attempt) -> None:
         self.driver.attempt_ended(attempt, AttemptOutcome.SUCCEEDED)
-        self.after()
+        self.schedule_timer()
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
         for payload in payloads:
-            self.town.letter(self.number, peer, payload)
+            self.release.deliver_gossip(self.number, peer, payload)
 
     def cast_vote(self, vote: CastVote) -> None:
         self._calls += 1
-        there, back = self.chance.uniform(*CALL) / 2, self.chance.uniform(*CALL) / 2
-        self.town.later(there, lambda: self.town.cast(self, vote, self._calls, back))
+        there, back = self.rng.uniform(*CALL_SECONDS) / 2, self.rng.uniform(*CALL_SECONDS) / 2
+        self.release.later(there, lambda: self.release.cast(self, vote, self._calls, back))
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
         return True
@@ -166,8 +171,8 @@
     return
 
 
-class Bucket(Polling):
-    """Counts only the calls that it takes: the bench's page says how many it takes, not how many come."""
+class AcceptedCallsPolling(Polling):
+    """Counts only accepted calls towards the limit: the platform's page says how many it accepts."""
 
     def vote(self, vote: VoteRequest) -> tuple[str, RolloutMessage | None]:
         found = super().vote(vote)
@@ -177,40 +182,41 @@
 
 
 class Release:
-    """One release at a fleet of relays, from its first word to a while after its last."""
+    """A release at a fleet of relays, until some time after its end."""
 
     def __init__(self, relays: int, poll: VotingSettings, seed: int = 37, kind: type[Polling] = Polling) -> None:
-        self.now, self.seed, self.began = EPOCH / SECOND, seed, 0.0
+        self.now, self.seed, self.began = START_TICKS / SECOND, seed, 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         self.casts: list[Cast] = []
-        self.changes: list[float] = []  # when the build came to stand elsewhere
-        self.news = 0  # bytes of what the desk told without being asked
-        self.looks, self.look_s, self.seconds = 0, 0.0, 0.0
-        self.chance = Random(f"{seed} desk")
-        self.desk = kind(TRIAL, poll, self.chance, lambda: self.now, _ignored, self._moved)
-        self.desk.changed = self._changed  # type: ignore[method-assign]
-        self.seats = [Seat(self, number, relays, poll) for number in range(relays)]
-        rows = [self._row(number, 1) for number in range(UNITS)]
-        for seat in self.seats:
-            seat.listed(EndpointListMessage("full", 1, 0.0, rows))
-            seat.hear(RolloutMessage(1, 2, "released", 1.0, 60_000.0))
-            self.later(self.chance.expovariate(ASKS), seat.ask)
-        self.later(0.05, self._beat)
+        self.changes: list[float] = []  # when the rollout state changed
+        self.news = 0  # bytes of the platform's notifications
+        self.evaluations, self.evaluation_s, self.seconds = 0, 0.0, 0.0
+        self.rng = Random(f"{seed} desk")
+        self.platform = kind(CANARY_SETTINGS, poll, self.rng, lambda: self.now, _ignored, self._stage_begun)
+        self.platform.changed = self._state_changed  # type: ignore[method-assign]
+        self.simulated_relays = [SimulatedRelay(self, number, relays, poll) for number in range(relays)]
+        rows = [self._row(number, 1) for number in range(ENDPOINTS)]
+        for relay in self.simulated_relays:
+            relay.listed(EndpointListMessage("full", 1, 0.0, rows))
+            relay.receive_state(RolloutMessage(1, 2, "released", 1.0, 60_000.0))
+            self.later(self.rng.expovariate(REQUEST_RATE), relay.send_request)
+        self.later(0.05, self._tick_platform)
 
     def _row(self, number: int, build: int) -> EndpointMessage:
         return EndpointMessage(f"s-{build}-{number:06x}", "127.0.0.1", 9, "north", build, "ready")
 
-    # Time
-
     def ticks(self) -> Ticks:
+        """The time in ticks."""
         return int(self.now * SECOND + 0.5)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
+        """Schedules a call at a time."""
         self._order += 1
         heappush(self._heap, (max(self.now, when), self._order, call))
 
     def later(self, wait: float, call: Callable[[], None]) -> None:
+        """Schedules a call after a delay."""
         self.at(self.now + wait, call)
 
     def _run(self, until: float) -> None:
@@ -220,55 +226,54 @@
         self.now = until
 
     def play(self) -> bool:
-        """Says whether the build was released."""
-        self._run(self.now + WARM)
+        """Runs the release; whether the build was promoted."""
+        self._run(self.now + WARM_UP_SECONDS)
         self.began = self.now
-        look = RolloutPolicy.evaluate
+        evaluate = RolloutPolicy.evaluate
 
         def timed(rollout: RolloutPolicy, news: RolloutState, roster: EndpointSet, now: Ticks) -> list[Action]:
             began = time.process_time_ns()
-            actions = look(rollout, news, roster, now)
-            self.look_s += (time.process_time_ns() - began) / 1e9
-            self.looks += 1
+            actions = evaluate(rollout, news, roster, now)
+            self.evaluation_s += (time.process_time_ns() - began) / 1e9
+            self.evaluations += 1
             return actions
 
         with patch.object(RolloutPolicy, "evaluate", timed):
-            self.desk.offer(2)
-            while self.desk.phase == "trial" and self.now < self.began + LONGEST:
+            self.platform.offer(2)
+            while self.platform.phase == "trial" and self.now < self.began + MAX_RELEASE_SECONDS:
                 self._run(self.now + 1)
             self.seconds = self.now - self.began
-            self._run(self.now + AFTER)
-        return self.desk.phase == "released" and self.desk.build == 2
+            self._run(self.now + TAIL_SECONDS)
+        return self.platform.phase == "released" and self.platform.build == 2
 
-    # The desk
+    def _tick_platform(self) -> None:
+        self.platform.beat(0.05)
+        self.later(0.05, self._tick_platform)
 
-    def _beat(self) -> None:
-        self.desk.beat(0.05)
-        self.later(0.05, self._beat)
-
-    def _moved(self, build: int, stage: int, phase: str) -> None:
+    def _stage_begun(self, build: int, stage: int, phase: str) -> None:
         if phase != "trial":
             return
-        rows = [self._row(number, build) for number in range(ceil(TRIAL.shares[stage] * UNITS))]
+        rows = [self._row(number, build) for number in range(ceil(CANARY_SETTINGS.shares[stage] * ENDPOINTS))]
 
         def run() -> None:
-            for seat in self.seats:
-                seat.listed(EndpointListMessage("changes", 2 + stage, 0.0, rows))
-            self.desk.machines_run(build, stage)
+            for relay in self.simulated_relays:
+                relay.listed(EndpointListMessage("changes", 2 + stage, 0.0, rows))
+            self.platform.machines_run(build, stage)
 
-        self.later(BOOT, run)
+        self.later(BOOT_SECONDS, run)
 
-    def _changed(self) -> None:
+    def _state_changed(self) -> None:
         self.changes.append(self.now - self.began)
-        for seat in self.seats:
-            self.later(self.chance.uniform(*TOLD), lambda seat=seat: self._tell(seat))  # type: ignore[misc]
+        for relay in self.simulated_relays:
+            self.later(self.rng.uniform(*STATE_DELAY_SECONDS), lambda relay=relay: self._send_state(relay))  # type: ignore[misc]
 
-    def _tell(self, seat: Seat) -> None:
-        line = self.desk.line()
+    def _send_state(self, relay: SimulatedRelay) -> None:
+        line = self.platform.line()
         self.news += len(stage_notification(_state(line)))
-        seat.hear(line)
+        relay.receive_state(line)
 
-    def cast(self, seat: Seat, vote: CastVote, number: int, back: float) -> None:
+    def cast(self, relay: SimulatedRelay, vote: CastVote, number: int, back: float) -> None:
+        """Delivers a vote to the platform and schedules its answer."""
         text = encode_call(
             number,
             "Rollout.Judge",
@@ -278,26 +283,26 @@
                 "verdict": VERDICT_NAMES[vote.verdict],
             },
         )
-        word, line = self.desk.vote(VoteRequest(seat.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict]))  # type: ignore[arg-type]
+        word, line = self.platform.vote(VoteRequest(relay.number, vote.build, vote.stage, VERDICT_WORDS[vote.verdict]))  # type: ignore[arg-type]
         assert line is not None
         size = len(text) + len(vote_response(number, _state(line)))
         self.casts.append(Cast(self.now - self.began, vote.stage, word, size))
         outcome = VOTE_OUTCOMES[word]
-        self.later(back, lambda: seat.hear(line, True, outcome))
+        self.later(back, lambda: relay.receive_state(line, True, outcome))
 
-    def letter(self, sender: int, peer: int | None, payload: bytes) -> None:
-        def come(seat: Seat) -> None:
-            seat.driver.gossip_received(sender, payload)
-            seat.after()
+    def deliver_gossip(self, sender: int, peer: int | None, payload: bytes) -> None:
+        """Delivers a gossip message to one relay, or to all if `peer` is None."""
 
-        for number in range(len(self.seats)) if peer is None else [peer]:
-            if number != sender:
-                self.later(LETTER, lambda seat=self.seats[number]: come(seat))  # type: ignore[misc]
+        def receive(relay: SimulatedRelay) -> None:
+            relay.driver.gossip_received(sender, payload)
+            relay.schedule_timer()
 
-    # What came of it
+        for number in range(len(self.simulated_relays)) if peer is None else [peer]:
+            if number != sender:
+                self.later(GOSSIP_SECONDS, lambda relay=self.simulated_relays[number]: receive(relay))  # type: ignore[misc]
 
-    def worst(self) -> int:
-        """Calls in the worst second."""
+    def peak_calls(self) -> int:
+        """Most calls within one second."""
         times, most, first = [cast.at for cast in self.casts], 0, 0
         for place, at in enumerate(times):
             while times[first] <= at - 1:
@@ -305,7 +310,8 @@
             most = max(most, place - first + 1)
         return most
 
-    def words(self) -> Counter[str]:
+    def outcome_counts(self) -> Counter[str]:
+        """Number of votes by outcome."""
         return Counter(cast.word for cast in self.casts)
 
 
@@ -314,7 +320,7 @@
 
 
 def _state(line: RolloutMessage) -> dict[str, Any]:
-    """As the platform says it: for its length."""
+    """The rollout state as the platform encodes it; only its length counts."""
     phase = {"trial": "testing", "released": "live", "reverting": "recalling", "withdrawn": "recalled"}
     return {
         "build": 1000 + line.build,
@@ -325,9 +331,9 @@
     }
 
 
-def poll_of(relays: int, count: bool) -> VotingSettings:
-    """As the site sets it (the first voice decides), or by the count of half of all relays."""
+def voting_settings(relays: int, count: bool) -> VotingSettings:
+    """Rules as the site has them (the first vote decides), or, with `count`, by votes of half of the relays."""
     control = PromotionControl.VOTE_COUNT if count else PromotionControl.FIRST_VOTE
-    words = {control: word for word, control in PROMOTION_CONTROLS.items()}
+    outcome_counts = {control: word for word, control in PROMOTION_CONTROLS.items()}
     needed, back = (relays // 2 + 1, max(1, relays // 10)) if count else (1, 1)
-    return VotingSettings(words[control], needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
+    return VotingSettings(outcome_counts[control], needed, back, 0, 800.0, 0.0, 800.0, 6000.0, 100.0, 0.35, 6.0, 0.0)
--- a/benchmarks/slopes/watching.py
+++ b/benchmarks/slopes/watching.py
@@ -1,8 +1,8 @@
-"""Discovery's side in virtual time: watches that end at a change or when their time is up, and their bytes.
+"""Simulates watches of the endpoint list in virtual time: each ends at a change or at its time limit; counts bytes.
 
-A watch is `postgres_relay/discovery_client.py`'s: one call after the other, each on a connection of its own, held
-for two seconds at most. Bytes are those of HTTP: what the relay's own caller writes, caught on loopback, and
-the answer as our stand-in writes it; TCP's heads and handshakes are not in them.
+A watch is that of `postgres_relay/discovery_client.py`: one call after another, each on its own connection, held for
+two seconds at most. Bytes are those of HTTP: the request that the relay's own client writes, captured on loopback, and
+the response as the stand-in writes it; TCP headers and handshakes are not included.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from lanelead.protocols.feeds import EndpointListMessage, encode
 from lanelead.protocols.platform import EndpointList, ListedEndpoint, read_endpoint_list
 
-CALL = 0.001  # seconds from an answer to the relay's next watch, over a network of one zone
+CALL_SECONDS = 0.001  # from a response to the relay's next watch, in one zone
 
 
-def answer(changed: int, full: bool = False) -> bytes:
-    """What a watch that tells of so many changed units gets."""
+def watch_response(changed: int, full: bool = False) -> bytes:
+    """The response to a watch that reports so many changed endpoints."""
     points = [
         ListedEndpoint(
             f"s-{number:08x}",
@@ -49,94 +49,100 @@
     return serialization.response(200, ((b"content-type", b"application/json"),), body, keep=False)
 
 
-class Ear:
-    """A stand-in for discovery in a thread, that answers each call at once; keeps what it was asked last."""
+class DiscoveryStandIn:
+    """A stand-in for discovery in a thread; answers each call at once and keeps the last request."""
 
     def __init__(self, changed: int) -> None:
-        self.asked, self.port, self.calls = b"", 0, 0
-        self._whole, self._text, self._ready = answer(1, True), answer(changed), threading.Event()
+        self.last_request, self.port, self.calls = b"", 0, 0
+        self._whole, self._text, self._ready = watch_response(1, True), watch_response(changed), threading.Event()
         self._thread = threading.Thread(target=lambda: asyncio.run(self._serve()))
         self._thread.start()
         self._ready.wait()
 
     async def _serve(self) -> None:
         self._loop, self._over = asyncio.get_running_loop(), asyncio.Event()
-        server = await asyncio.start_server(self._met, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._handle_call, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         self._ready.set()
         await self._over.wait()
         server.close()
 
-    async def _met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(asyncio.IncompleteReadError):  # the last call is broken off
-            self.asked = await reader.readuntil(b"\r\n\r\n")
+    async def _handle_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError):  # the last call is cut off
+            self.last_request = await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
-        writer.write(self._text if b"from=" in self.asked else self._whole)
+        writer.write(self._text if b"from=" in self.last_request else self._whole)
         writer.close()
 
     def close(self) -> None:
+        """Ends the thread."""
         self._loop.call_soon_threadsafe(self._over.set)
         self._thread.join()
 
 
 async def _watch(port: int, many: int) -> tuple[float, int]:
-    """Processor time, in seconds, of this thread for so many watches, and how many came."""
-    loop, heard = asyncio.get_running_loop(), list[EndpointListMessage]()
+    """Processor time of this thread for so many watches, seconds, and the number of responses."""
+    loop, received = asyncio.get_running_loop(), list[EndpointListMessage]()
     log = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
     feed = DiscoveryClient(
         loop,
         address=f"127.0.0.1:{port}",
         state=ListState(0),
         decode_list=read_endpoint_list,
-        on_list=heard.append,
+        on_list=received.append,
         rng=Random(37),
         log=log,
     )
-    spoken = 0
-    came = asyncio.Event()
+    answered = 0
+    enough = asyncio.Event()
 
-    def spoke() -> None:
-        nonlocal spoken
-        spoken += 1
-        if spoken > many:
-            came.set()
+    def on_answer() -> None:
+        nonlocal answered
+        answered += 1
+        if answered > many:
+            enough.set()
 
-    feed.on_received = spoke
+    feed.on_received = on_answer
     run = loop.create_task(feed.run())
     began = time.thread_time()
     async with asyncio.timeout(60):
-        await came.wait()
-    spent, counted = time.thread_time() - began, spoken
+        await enough.wait()
+    spent, counted = time.thread_time() - began, answered
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
     return spent, counted
 
 
 def watch_us(changed: int, many: int = 200, rounds: int = 3) -> tuple[float, bytes]:
-    """Processor time of one watch at a relay, microseconds: the call and its answer decoded, not yet taken
-    in; and the request's bytes."""
-    ear = Ear(changed)
+    """Processor time of one watch at a relay, microseconds, and the request's bytes.
+
+    The time includes the call and the decoding of the response, not the application of the list.
+    """
+    discovery = DiscoveryStandIn(changed)
     try:
-        found = [asyncio.run(_watch(ear.port, many)) for _ in range(rounds)]
+        found = [asyncio.run(_watch(discovery.port, many)) for _ in range(rounds)]
     finally:
-        ear.close()
-    return median(spent / counted for spent, counted in found) * 1e6, ear.asked
+        discovery.close()
+    return median(spent / counted for spent, counted in found) * 1e6, discovery.last_request
 
 
 class Watched(NamedTuple):
-    """Of all relays together."""
+    """Counts of all relays together."""
 
     watches: int
     bytes: int
-    worst_watches: int  # in the worst second, that begin
+    worst_watches: int  # begun in the worst second
     worst_bytes: int
 
 
-def play(relays: int, seconds: float, changes: Sequence[float], asked: int, seed: int = 37) -> Watched:
-    """`changes`: when a unit changed, in rising order, in seconds. `asked`: bytes of one request. Each relay
-    begins at a moment of its own within the first hold."""
+def play(relays: int, seconds: float, changes: Sequence[float], request_bytes: int, seed: int = 37) -> Watched:
+    """Simulates the watches of `relays` relays for `seconds`.
+
+    `changes`: times at which an endpoint changed, rising, in seconds. `request_bytes`: size of a request. Each relay
+    begins at a random time within the first two seconds.
+    """
     rng = Random(f"watching {seed}")
-    sizes = [len(answer(many)) for many in range(3)]
+    sizes = [len(watch_response(many)) for many in range(3)]
 
     def size(many: int) -> int:
         return sizes[many] if many < 3 else sizes[1] + (many - 1) * (sizes[2] - sizes[1])
@@ -149,19 +155,19 @@
             watches += 1
             begun[int(at)] += 1
             ends, then = at, bisect_right(changes, at)
-            if then == known:  # nothing new: held until something is, or time is up
+            if then == known:  # nothing new: held until a change or the time limit
                 due = changes[known] if known < len(changes) else at + WATCH_HOLD_SECONDS
                 ends = min(at + WATCH_HOLD_SECONDS, due)
                 then = bisect_right(changes, ends)
-            spoken = asked + size(then - known)
-            total += spoken
-            moved[int(ends)] += spoken
-            known, at = then, ends + CALL
+            answered = request_bytes + size(then - known)
+            total += answered
+            moved[int(ends)] += answered
+            known, at = then, ends + CALL_SECONDS
     return Watched(watches, total, max(begun.values(), default=0), max(moved.values(), default=0))
 
 
-def drawn(events: int, each: int, seconds: float, gap: float, seed: int = 37) -> list[float]:
-    """When units change: so many events at random moments, each of so many changes `gap` seconds apart."""
+def random_changes(events: int, each: int, seconds: float, gap: float, seed: int = 37) -> list[float]:
+    """Times of changes: `events` random times, each the first of `each` changes that are `gap` seconds apart."""
     rng = Random(f"changes {seed}")
     starts = [rng.uniform(0, seconds) for _ in range(events)]
     return sorted(at + gap * place for at in starts for place in range(each))
