--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,7 +1,8 @@
-"""The same scripts on sockets and in the model, side by side, with the spread over seeds.
+"""Compares the same scenarios on sockets and in the simulation, with the spread over seeds.
 
-Told for each script: service, sheds, median and 99th of 100 answer times, trips a lookup, and when builds
-were released or sent back. Run by hand, on a machine that does little else:
+For each scenario it prints the service, the share of rejected requests, median and 99th percentile of answer times,
+attempts for each request, and when builds were promoted or rolled back. Run it by hand, on a machine without other
+load:
 .venv/bin/python -m benchmarks.agreement --seeds 3
 """
 
@@ -21,7 +22,7 @@
 from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.fleet import SimulatedFleet
 
-SCRIPTS = (
+SCENARIOS = (
     "crash",
     "slow",
     "neighbour",
@@ -35,17 +36,18 @@
 )
 NAMES = (
     "service",
-    "shed share",
+    "rejected share",
     "p50 ms",
     "p99 ms",
-    "trips a lookup",
-    "released s",
-    "back s",
+    "attempts a request",
+    "promoted s",
+    "rolled back s",
     "rules broken",
 )
 
 
 def figures(folder: Path) -> list[float]:
+    """The figures of one recorded run, in the order of `NAMES`."""
     verdict, capture = verify(folder), Recording(folder)
     times = sorted(fact["took"] * 1000 for fact in capture["answer"] if fact["outcome"] == "done")
     build = verdict.builds[0] if verdict.builds else None
@@ -62,7 +64,8 @@
     ]
 
 
-def on_sockets(job: tuple[str, int]) -> list[float]:
+def run_on_sockets(job: tuple[str, int]) -> list[float]:
+    """Runs a scenario with real processes."""
     name, seed = job
     with tempfile.TemporaryDirectory() as folder:
         args = [
@@ -81,16 +84,18 @@
         return figures(Path(folder))
 
 
-def in_model(job: tuple[str, int]) -> list[float]:
+def run_in_simulation(job: tuple[str, int]) -> list[float]:
+    """Runs a scenario in the simulation."""
     name, seed = job
-    day = load(name)
+    scenario = load(name)
     with tempfile.TemporaryDirectory() as folder:
-        SimulatedFleet(day, seed).run().book.write(Path(folder), day)
+        SimulatedFleet(scenario, seed).run().book.write(Path(folder), scenario)
         return figures(Path(folder))
 
 
-def shown(rows: list[list[float]], place: int) -> str:
-    some = [row[place] for row in rows if row[place] == row[place]]
+def format_spread(rows: list[list[float]], column: int) -> str:
+    """Mean, least and most of one figure over the runs."""
+    some = [row[column] for row in rows if row[column] == row[column]]
     if not some:
         return "-"
     return f"{statistics.mean(some):.4g} ({min(some):.4g} to {max(some):.4g})"
@@ -98,19 +103,20 @@
 
 @click.command()
 @click.option("--seeds", default=3)
-@click.option("--together", default=3, help="Days on sockets at a time.")
-@click.option("--scripts", default="", help="Only those whose names hold this.")
+@click.option("--together", default=3, help="Number of scenarios that run on sockets at the same time.")
+@click.option("--scripts", default="", help="Run only scenarios whose names contain this text.")
 def main(seeds: int, together: int, scripts: str) -> None:
-    names = [name for name in SCRIPTS if scripts in name]
+    """Prints the figures of each scenario on sockets and in the simulation."""
+    names = [name for name in SCENARIOS if scripts in name]
     jobs = [(name, seed) for name in names for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(together) as pool:
-        sockets = dict(zip(jobs, pool.map(on_sockets, jobs), strict=True))
-    model = {job: in_model(job) for job in jobs}
-    click.echo(f"script | figure | on sockets: mean (least to most of {seeds}) | in the model")
+        sockets = dict(zip(jobs, pool.map(run_on_sockets, jobs), strict=True))
+    model = {job: run_in_simulation(job) for job in jobs}
+    click.echo(f"scenario | figure | on sockets: mean (least to most of {seeds}) | in the simulation")
     for name in names:
         both = [[table[name, seed] for seed in range(1, seeds + 1)] for table in (sockets, model)]
-        for place, figure in enumerate(NAMES):
-            ours, theirs = (shown(rows, place) for rows in both)
+        for column, figure in enumerate(NAMES):
+            ours, theirs = (format_spread(rows, column) for rows in both)
             if (ours, theirs) != ("-", "-"):
                 click.echo(f"{name} | {figure} | {ours} | {theirs}")
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,9 +1,9 @@
-"""Who is there, in virtual time: how soon a dead relay is known to all, who is falsely accused, and the cost.
+"""Measures membership in virtual time: detection of dead relays, false detections, and cost.
 
-Each run takes `--minutes` of virtual time at a size and a share of letters lost, without and with one member
-in ten stopped for 2 s now and then (each of them once in 20 s in the mean); then members are killed one after
-another. The baseline is SWIM as its paper has it, with the same periods: one ping a period, helpers asked
-once, no local health, suspects not asked again. Runs are spread over all cores; one seed gives one result.
+Each run takes `--minutes` of virtual time at one size and message loss, without and with one member in ten being
+stopped for 2 s from time to time (each of them once in 20 s on average); then members are killed one after another. The
+baseline is SWIM as in its paper, with the same periods: one ping a period, indirect probes requested once, no local
+health, no further probes of suspects. Runs are spread over all cores; one seed gives one result.
 
 Run by hand: .venv/bin/python -m benchmarks.membership --sizes 40,400
 """
@@ -26,8 +26,8 @@
 TIMINGS = MembershipTimings(3000, 600 * SECOND)
 
 
-class Plain(Membership):
-    """SWIM without this project's and Lifeguard's departures."""
+class PlainSwim(Membership):
+    """SWIM without the changes of this project and of Lifeguard."""
 
     def _repeat_probe(self) -> None:
         probing = self._probe
@@ -52,6 +52,8 @@
 
 
 class Case(NamedTuple):
+    """One run: the implementation (`who`), number of members, message loss, stops, length, kills and seed."""
+
     who: str
     many: int
     loss: float
@@ -62,19 +64,22 @@
 
 
 class Result(NamedTuple):
+    """What a run measured."""
+
     case: Case
-    running: int  # members that ran and were found dead by any other
+    running: int  # running members that any other declared dead
     stopped: int
     suspected: int
-    letters: float  # a second and relay
+    letters: float  # a second, for each relay
     bytes: float
-    known: list[float]  # seconds until each dead one was known to all
+    detection_times: list[float]  # seconds until all knew of each dead member
     seconds: float
 
 
-def play(case: Case) -> Result:
+def run_case(case: Case) -> Result:
+    """Makes one run."""
     began = time.perf_counter()
-    kind = Plain if case.who == "SWIM" else Membership
+    kind = PlainSwim if case.who == "SWIM" else Membership
     town = Town(case.many, case.seed, TIMINGS, Wires(loss=case.loss), kind=kind)
     town.run(2 * SECOND)
     first, letters, size = town.now, town.letters, town.bytes
@@ -90,7 +95,7 @@
     stopped = {(number, turn) for number, turn in accused if case.stops and number % 10 == 0}
     rates = (town.letters - letters) / span, (town.bytes - size) / span
     suspected = sum(member.counters.suspicions for member in town.members.values())
-    known = []
+    detection_times = []
     town.stopped.clear()
     for number in range(case.many - 1, case.many - 1 - case.kills, -1):
         town.run(town.now + int(town.chance.uniform(0.5, 1.5) * SECOND))
@@ -98,27 +103,27 @@
         town.kill(number)
         while town.blind(number) and town.now < began_at + 60 * SECOND:
             town.run(town.now + SECOND // 20)
-        known.append((town.now - began_at) / SECOND)
+        detection_times.append((town.now - began_at) / SECOND)
     return Result(
         case,
         len(accused - stopped),
         len(stopped),
         suspected,
         *rates,
-        sorted(known),
+        sorted(detection_times),
         time.perf_counter() - began,
     )
 
 
 @click.command()
-@click.option("--sizes", default="40,400", help="How many relays.")
+@click.option("--sizes", default="40,400", help="Numbers of relays, separated by commas.")
 @click.option("--losses", default="0,0.01,0.05,0.2")
 @click.option("--minutes", default=5.0)
 @click.option("--kills", default=20)
 @click.option("--seeds", default=1)
 @click.option("--only", type=click.Choice(["lanelead", "SWIM"]), default=None)
 def main(sizes: str, losses: str, minutes: float, kills: int, seeds: int, only: str | None) -> None:
-    """Prints a line for each size, loss, with and without stops, and for both."""
+    """Prints a line for each size and loss, with and without stops, for both implementations."""
     cases = [
         Case(who, int(many), float(loss), stops, minutes, min(kills, int(many) // 2), seed)
         for many in sizes.split(",")
@@ -129,13 +134,13 @@
         if only in (None, who)
     ]
     click.echo(
-        "who        relays  loss  stops  seed  found dead though running, stopped (an hour)  suspected  "
-        "letters/s  bytes/s  dead known: median  99th  (s)"
+        "who        relays  loss  stops  seed  declared dead: running, stopped (an hour)     suspected  "
+        "messages/s bytes/s  detection: median   99th  (s)"
     )
     with multiprocessing.Pool(min(len(cases), os.cpu_count() or 1)) as pool:
-        for result in pool.imap(play, cases, chunksize=1):
-            case, hour = result.case, 60 / case_minutes(result.case)
-            median, last = (result.known[int(len(result.known) * q)] for q in (0.5, 0.99))
+        for result in pool.imap(run_case, cases, chunksize=1):
+            case, hour = result.case, 60 / measured_minutes(result.case)
+            median, last = (result.detection_times[int(len(result.detection_times) * q)] for q in (0.5, 0.99))
             click.echo(
                 f"{case.who:9}{case.many:8}{case.loss:6.2f}  {'yes' if case.stops else 'no':5}{case.seed:5}"
                 f"{result.running * hour:28.0f}{result.stopped * hour:19.0f}{result.suspected:11}"
@@ -143,7 +148,8 @@
             )
 
 
-def case_minutes(case: Case) -> float:
+def measured_minutes(case: Case) -> float:
+    """Minutes of the run, at least one second, to divide by."""
     return max(case.minutes, 1 / 60)
 
 
--- a/benchmarks/model_growth.py
+++ b/benchmarks/model_growth.py
@@ -1,6 +1,6 @@
-"""What the model costs: events, time a simulated lookup and memory as relays grow; and the event cores.
+"""Measures the cost of the simulation: events, time for each simulated request and memory, as relays grow.
 
-Run by hand: .venv/bin/python -m benchmarks.model_growth
+Also compares its event loop with simpy's. Run by hand: .venv/bin/python -m benchmarks.model_growth
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from lanelead.testbed.simulation.fleet import SimulatedFleet
 
 
-def day(relays: int, units: int, rate: float, seconds: float) -> Scenario:
-    """The bad day's service, one good build, nothing else."""
+def make_scenario(relays: int, units: int, rate: float, seconds: float) -> Scenario:
+    """The service of `bad-day` with one good build and no other events."""
     base = load("bad-day")
     return msgspec.structs.replace(
         base,
@@ -34,22 +34,24 @@
     )
 
 
-def one(job: tuple[int, int, float, float]) -> dict[str, Any]:
-    town = SimulatedFleet(day(*job), 1, silent=True)
+def run_job(job: tuple[int, int, float, float]) -> dict[str, Any]:
+    """Runs one simulation and returns its figures."""
+    fleet = SimulatedFleet(make_scenario(*job), 1, silent=True)
     began = time.perf_counter()
-    town.run()
+    fleet.run()
     took = time.perf_counter() - began
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     return {
         "took": took,
-        "events": town.clock.done,
-        "asked": town.counts.asked,
+        "events": fleet.clock.done,
+        "asked": fleet.counts.asked,
         "mb": memory,
-        "service": town.value_share(),
+        "service": fleet.value_share(),
     }
 
 
-def heap(timers: int) -> float:
+def measure_event_heap(timers: int) -> float:
+    """Events a second of the simulation's event loop."""
     clock, rng, left = Clock(), Random(1), timers
 
     def tick() -> None:
@@ -65,12 +67,13 @@
     return clock.done / (time.perf_counter() - began)
 
 
-def with_simpy(timers: int) -> float:
+def measure_simpy(timers: int) -> float:
+    """Events a second of simpy."""
     import simpy
 
     world, rng, left, done = simpy.Environment(), Random(1), timers, 0
 
-    def story() -> Any:
+    def process() -> Any:
         nonlocal left, done
         while left > 0:
             yield world.timeout(rng.random())
@@ -78,7 +81,7 @@
             done += 1
 
     for _ in range(1000):
-        world.process(story())
+        world.process(process())
     began = time.perf_counter()
     world.run()
     return done / (time.perf_counter() - began)
@@ -87,10 +90,11 @@
 @click.command()
 @click.option("--seconds", default=20.0)
 def main(seconds: float) -> None:
-    rates = [(heap(400_000), with_simpy(400_000)) for _ in range(3)]
+    """Prints the comparison and the costs by number of relays."""
+    rates = [(measure_event_heap(400_000), measure_simpy(400_000)) for _ in range(3)]
     ratios = sorted(ours / theirs for ours, theirs in rates)
-    click.echo(f"events a second of the plain heap over simpy's: {ratios[1]:.2f} ({ratios[0]:.2f} to {ratios[2]:.2f})")
-    click.echo("relays x units, lookups a second | events a lookup | cost a lookup, over the first's | MB | service")
+    click.echo(f"events a second, as a multiple of simpy's: {ratios[1]:.2f} ({ratios[0]:.2f} to {ratios[2]:.2f})")
+    click.echo("relays x endpoints, requests a second | events a request | relative cost a request | MB | service")
     base = None
     with multiprocessing.get_context("spawn").Pool(1, maxtasksperchild=1) as pool:
         for job in (
@@ -100,7 +104,7 @@
             (1000, 250, 2500.0, seconds / 4),
             (2000, 500, 5000.0, seconds / 4),
         ):
-            row = pool.apply(one, (job,))
+            row = pool.apply(run_job, (job,))
             cost = row["took"] / row["asked"]
             base = base or cost
             click.echo(
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -1,9 +1,9 @@
-"""The relay's ordinary path against a bare forwarder on the same sockets, in the same run.
+"""Compares the relay's request path with a bare forwarder on the same sockets, in the same run.
 
-Four processes on loopback: a generator, the relay (or the forwarder), and two units that answer at once.
-Told are ratios to the forwarder: CPU a lookup, lookups a second at full load, times at a sixth of the
-forwarder's rate (half of what the relay does); and the relay's memory for an idle client. `--parts` runs the
-relay under cProfile and splits its CPU by package.
+Four processes run on loopback: a load generator, the relay (or the forwarder), and two endpoints that answer at once.
+It prints ratios to the forwarder: CPU for each request, requests a second at full load, and times at a sixth of the
+forwarder's rate (half of what the relay reaches); and the relay's memory for an idle client. `--parts` runs the relay
+under cProfile and splits its CPU by package.
 
 Run by hand: .venv/bin/python -m benchmarks.relay_path
 """
@@ -47,29 +47,30 @@
 ]
 
 
-# Units and the bare forwarder
+# Endpoints and the bare forwarder
 
 
-async def unit(port: int) -> None:
-    """Answers every request at once."""
+async def run_endpoint(port: int) -> None:
+    """Serves an endpoint that answers every request at once."""
     loop = asyncio.get_running_loop()
 
-    def heard(caller: ServerConnection, ask: HttpRequest) -> None:
+    def handle_request(caller: ServerConnection, send: HttpRequest) -> None:
         caller.write(ANSWER)
 
-    await loop.create_server(lambda: ServerConnection(heard), "127.0.0.1", port, backlog=1024)
+    await loop.create_server(lambda: ServerConnection(handle_request), "127.0.0.1", port, backlog=1024)
     print("ready", flush=True)
     await asyncio.Event().wait()
 
 
 class Forwarder:
-    """Parses a request, picks a unit at random, passes it on, passes the answer back. Nothing else."""
+    """Parses a request, forwards it to a random endpoint and returns the answer, and nothing else."""
 
     def __init__(self, port: int, units: list[int]) -> None:
         self._port, self._units, self._loop = port, units, asyncio.get_running_loop()
         self._idle: dict[int, list[tuple[socket.socket, ResponseReader, bytearray]]] = {port: [] for port in units}
 
     async def run(self) -> None:
+        """Serves until cancelled."""
         sock = socket.socket()
         sock.setblocking(False)
         sock.bind(("127.0.0.1", self._port))
@@ -90,13 +91,13 @@
             while size := await loop.sock_recv_into(conn, buffer):
                 for event in reader.feed(view[:size]):
                     if isinstance(event, HttpRequest):
-                        await loop.sock_sendall(conn, await self._pass_on(event))
+                        await loop.sock_sendall(conn, await self._forward(event))
         except OSError:
             pass
         finally:
             conn.close()
 
-    async def _pass_on(self, ask: HttpRequest) -> bytes:
+    async def _forward(self, send: HttpRequest) -> bytes:
         loop, port = self._loop, random.choice(self._units)
         if self._idle[port]:
             sock, reader, buffer = self._idle[port].pop()
@@ -108,7 +109,8 @@
         view = memoryview(buffer)
         reader.expect(False)
         await loop.sock_sendall(
-            sock, serialization.request(ask.method, ask.target, serialization.forwarded_headers(ask.headers), ask.body)
+            sock,
+            serialization.request(send.method, send.target, serialization.forwarded_headers(send.headers), send.body),
         )
         while reader.feed(view[: await loop.sock_recv_into(sock, buffer)]) is Progress.WAITING:
             pass
@@ -121,16 +123,19 @@
 # The generator
 
 
-class Asker(asyncio.Protocol):
-    def __init__(self, owner: Generator_) -> None:
+class Connection(asyncio.Protocol):
+    """A client's connection, with one request at a time."""
+
+    def __init__(self, owner: LoadGenerator) -> None:
         self._owner, self._reader, self._began = owner, ResponseReader(1 << 20), 0.0
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
-    def ask(self, text: bytes, meant: float) -> None:
-        self._began = meant
+    def send(self, text: bytes, due: float) -> None:
+        """Sends a request that was due at `due`."""
+        self._began = due
         self._reader.expect(False)
         self.transport.write(text)
 
@@ -141,8 +146,8 @@
             self._owner.answered(self, time.perf_counter() - self._began, good)
 
 
-class Generator_:
-    """Lookups over a fixed number of connections: as fast as answers come, or at a rate of its own."""
+class LoadGenerator:
+    """Sends requests over a fixed number of connections: as fast as answers come, or at a given rate."""
 
     def __init__(self, port: int, connections: int, seconds: float, rate: float) -> None:
         self._port, self._many, self._seconds, self._rate = port, connections, seconds, rate
@@ -150,27 +155,29 @@
         self.times: list[float] = []
         self.bad = self.late = 0
         self._end = 0.0
-        self._idle: list[Asker] = []
+        self._idle: list[Connection] = []
         self._due: list[float] = []
 
     async def run(self) -> dict[str, Any]:
+        """Sends requests and returns rate, percentiles and errors."""
         loop = asyncio.get_running_loop()
-        askers = [
-            (await loop.create_connection(lambda: Asker(self), "127.0.0.1", self._port))[1] for _ in range(self._many)
+        connections = [
+            (await loop.create_connection(lambda: Connection(self), "127.0.0.1", self._port))[1]
+            for _ in range(self._many)
         ]
         begin = time.perf_counter()
         self._end = begin + self._seconds
         if not self._rate:
-            for asker in askers:
-                asker.ask(self._text, time.perf_counter())
+            for connection in connections:
+                connection.send(self._text, time.perf_counter())
             await asyncio.sleep(self._seconds)
         else:
-            self._idle, rng, at = askers, random.Random(1), begin
+            self._idle, rng, at = connections, random.Random(1), begin
             while (at := at + rng.expovariate(self._rate)) < self._end:
                 if (wait := at - time.perf_counter()) > 0:
                     await asyncio.sleep(wait)
-                if self._idle:  # timed from when it was meant, so that a stall is not left out
-                    self._idle.pop().ask(self._text, at)
+                if self._idle:  # timed from when it was due, so that stalls are included
+                    self._idle.pop().send(self._text, at)
                 else:
                     self._due.append(at)
         await asyncio.sleep(0.3)
@@ -183,46 +190,51 @@
             "p99": rows[len(rows) * 99 // 100] if rows else 0,
         }
 
-    def answered(self, asker: Asker, took: float, good: bool) -> None:
+    def answered(self, connection: Connection, took: float, good: bool) -> None:
+        """Records an answer and sends the next request."""
         self.times.append(took)
         self.bad += not good
         now = time.perf_counter()
         if now >= self._end:
             return
         if not self._rate:
-            asker.ask(self._text, now)
+            connection.send(self._text, now)
         elif self._due:
-            asker.ask(self._text, self._due.pop(0))
+            connection.send(self._text, self._due.pop(0))
         else:
-            self._idle.append(asker)
+            self._idle.append(connection)
 
 
 # The measurement
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """CPU seconds of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def memory(pid: int) -> int:
-    """Bytes resident."""
+def resident_bytes(pid: int) -> int:
+    """Resident memory of a process, bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-class Bench:
+class Measurement:
+    """The processes of one measurement."""
+
     def __init__(self, folder: Path, seconds: float, connections: int) -> None:
         self._folder, self._seconds, self._connections = folder, seconds, connections
         self._children: list[ChildProcess] = []
 
     async def child(self, name: str, *args: str) -> ChildProcess:
+        """Starts a process that runs until `close`."""
         process = await ChildProcess.start(name, self._folder / f"{name}.log", *args)
         await process.ready()
         self._children.append(process)
         return process
 
     async def load(self, port: int, rate: float = 0.0) -> dict[str, Any]:
+        """Runs the load generator against a port and returns its figures."""
         args = ["generate", str(port), str(self._connections), str(self._seconds), str(rate)]
         process = await ChildProcess.start("generator", self._folder / "generator.log", "benchmarks.relay_path", *args)
         text = await process.ready(self._seconds + 30)
@@ -231,22 +243,26 @@
         return found
 
     async def measure(self, process: ChildProcess, port: int, rate: float = 0.0) -> dict[str, Any]:
-        before = cpu(process.process.pid)
+        """Runs the load generator and adds the process's CPU for each request."""
+        before = cpu_seconds(process.process.pid)
         found = await self.load(port, rate)
-        found["cpu_us"] = (cpu(process.process.pid) - before) / max(1, found["done"]) * 1e6
+        found["cpu_us"] = (cpu_seconds(process.process.pid) - before) / max(1, found["done"]) * 1e6
         return found
 
     async def relay(self, name: str, units: list[int], parts: str | None) -> tuple[ChildProcess, int]:
-        day = load("bad-day")
+        """Starts a relay with these endpoints, under cProfile if `parts` names a file."""
+        scenario = load("bad-day")
         roster, port = Roster(self._folder, 0, 0.0), free_ports(1)[0]
         await roster.open()
         for number, unit_port in enumerate(units):
             roster.list_now(EndpointMessage(f"u{number}", "127.0.0.1", unit_port, "north", 1, "ready"))
-        trial, poll = day.service.trial, day.service.poll
-        desk = Desk(self._folder, 0, trial, poll, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None)
+        canary_rules, voting_rules = scenario.service.trial, scenario.service.poll
+        desk = Desk(
+            self._folder, 0, canary_rules, voting_rules, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None
+        )
         await desk.open()
-        quota = msgspec.structs.replace(day.service.allowance, open_connections=4000)
-        service = msgspec.structs.replace(day.service, allowance=quota)
+        resource_quota = msgspec.structs.replace(scenario.service.allowance, open_connections=4000)
+        service = msgspec.structs.replace(scenario.service, allowance=resource_quota)
         settings = {
             "relay": {
                 "number": 0,
@@ -266,8 +282,8 @@
         return await self.child(name, *args), port
 
     async def idle(self, process: ChildProcess, port: int, many: int) -> float:
-        """Bytes that an idle client costs."""
-        before, socks = memory(process.process.pid), []
+        """Bytes of memory for each idle client."""
+        before, socks = resident_bytes(process.process.pid), []
         for _ in range(many):
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(b"GET /.lanelead/state HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -275,12 +291,13 @@
         await asyncio.sleep(1.0)
         for sock in socks:
             sock.recv(65536)
-        after = memory(process.process.pid)
+        after = resident_bytes(process.process.pid)
         for sock in socks:
             sock.close()
         return (after - before) / many
 
     async def close(self) -> None:
+        """Ends all processes."""
         for process in self._children:
             process.signal(signal.SIGTERM)
         for process in self._children:
@@ -288,13 +305,14 @@
 
 
 async def compare(seconds: float, connections: int, idle: int, rounds: int, parts: bool) -> None:
+    """Prints the ratios of each round."""
     with tempfile.TemporaryDirectory() as name:
-        bench = Bench(Path(name), seconds, connections)
+        measurement = Measurement(Path(name), seconds, connections)
         ports = free_ports(3)
         try:
             for port in ports[:2]:
-                await bench.child(f"unit-{port}", "benchmarks.relay_path", "unit", str(port))
-            forwarder = await bench.child(
+                await measurement.child(f"unit-{port}", "benchmarks.relay_path", "unit", str(port))
+            forwarder = await measurement.child(
                 "forwarder",
                 "benchmarks.relay_path",
                 "forward",
@@ -302,32 +320,32 @@
                 *(str(port) for port in ports[:2]),
             )
             profile = str(Path(name) / "profile") if parts else None
-            relay, port = await bench.relay("relay", ports[:2], profile)
+            relay, port = await measurement.relay("relay", ports[:2], profile)
             for number in range(rounds):
-                bare, ours = await bench.measure(forwarder, ports[2]), await bench.measure(relay, port)
+                bare, ours = await measurement.measure(forwarder, ports[2]), await measurement.measure(relay, port)
                 rate = bare["rate"] / 6
-                slow_bare = await bench.measure(forwarder, ports[2], rate)
-                slow_ours = await bench.measure(relay, port, rate)
+                slow_bare = await measurement.measure(forwarder, ports[2], rate)
+                slow_ours = await measurement.measure(relay, port, rate)
                 cost = ours["cpu_us"] / bare["cpu_us"]
                 p50, p99 = (slow_ours[name] / slow_bare[name] for name in ("p50", "p99"))
                 bad = f"{ours['bad']} of {ours['done']}, and {slow_ours['bad']} of {slow_ours['done']}"
                 click.echo(
-                    f"round {number + 1}: CPU a lookup {cost:.2f} times the bare forwarder's "
+                    f"round {number + 1}: CPU a request {cost:.2f} times the bare forwarder's "
                     f"({ours['cpu_us']:.0f} and {bare['cpu_us']:.0f} us here), "
-                    f"lookups a second {ours['rate'] / bare['rate']:.2f} of its; "
-                    f"at a sixth of its rate p50 {p50:.2f} and p99 {p99:.2f} times its; not done: {bad}"
+                    f"requests a second {ours['rate'] / bare['rate']:.2f} of its; "
+                    f"at a sixth of its rate p50 {p50:.2f} and p99 {p99:.2f} times its; failed: {bad}"
                 )
             if idle:
-                each = await bench.idle(relay, port, idle)
+                each = await measurement.idle(relay, port, idle)
                 click.echo(f"an idle client costs {each / 1024:.1f} KiB ({idle} of them)")
         finally:
-            await bench.close()
+            await measurement.close()
         if profile:
-            split(profile)
+            print_cpu_shares(profile)
 
 
-def split(profile: str) -> None:
-    """Own time by package, as shares."""
+def print_cpu_shares(profile: str) -> None:
+    """Prints the shares of CPU time by package, and the most expensive functions if TOP is set."""
     stats: Any = pstats.Stats(profile)
     shares: dict[str, float] = {}
     for (file, _, func), (_, _, own, _, _) in stats.stats.items():
@@ -337,7 +355,7 @@
         elif file.endswith("driver.py") or file.endswith("door.py"):
             where = "driver"
         elif "lanelead/http_relay" in file:
-            where = "gate and links"
+            where = "HTTP relay"
         elif "lanelead/decisions" in file or file.endswith("random.py"):
             where = "decisions"
         elif "uvloop" not in file and "uvloop" not in func and "socket" not in func and file != "~":
@@ -355,10 +373,11 @@
 @click.command()
 @click.option("--seconds", default=4.0, help="Length of each of the four runs of a round.")
 @click.option("--connections", default=32)
-@click.option("--idle", default=1000, help="Idle clients, for the memory that one costs; 0 for none.")
+@click.option("--idle", default=1000, help="Number of idle clients to measure memory with; 0 for none.")
 @click.option("--rounds", default=3)
-@click.option("--parts", is_flag=True, help="The relay's CPU by package, under cProfile; its ratios count for nothing.")
+@click.option("--parts", is_flag=True, help="The relay's CPU by package, under cProfile; its ratios are not valid.")
 def main(seconds: float, connections: int, idle: int, rounds: int, parts: bool) -> None:
+    """Compares the relay with the bare forwarder."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
     uvloop.run(compare(seconds, connections, idle, rounds, parts))
@@ -366,7 +385,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["unit"]:
-        uvloop.run(unit(int(sys.argv[2])))
+        uvloop.run(run_endpoint(int(sys.argv[2])))
     elif sys.argv[1:2] == ["forward"]:
 
         async def forward() -> None:
@@ -375,6 +394,6 @@
         uvloop.run(forward())
     elif sys.argv[1:2] == ["generate"]:
         numbers = (int(sys.argv[2]), int(sys.argv[3]), float(sys.argv[4]), float(sys.argv[5]))
-        print(msgspec.json.encode(uvloop.run(Generator_(*numbers).run())).decode(), flush=True)
+        print(msgspec.json.encode(uvloop.run(LoadGenerator(*numbers).run())).decode(), flush=True)
     else:
         main()
--- a/benchmarks/step_costs.py
+++ b/benchmarks/step_costs.py
@@ -1,7 +1,8 @@
-"""What steps cost: lookups' answer times beside a backfill, steps a second, and a long record.
+"""Measures what migration steps cost: write latency during a backfill, steps a second, and reading a long log.
 
-Filings go to the store at a steady rate; their times are taken with nothing else, beside a backfill at its
-pace, and beside one without a pace (all its rows in one batch). Told as ratios to the first, in one run.
+Writes go to the store at a steady rate. Their times are measured without a backfill, beside a backfill at its
+configured rate, and beside one without a limit (all rows in one batch), and are printed as ratios to the first, from
+the same run.
 
 Run by hand: .venv/bin/python -m benchmarks.step_costs
 """
@@ -34,14 +35,15 @@
 
 
 def backfill(rows: int, rate: float, hold: float) -> MigrationPlan:
+    """A plan of one backfill step."""
     work = "(SELECT sum(x) FROM (SELECT id * 3 AS x UNION ALL SELECT 7))"
     text = f"UPDATE t SET n = {work} WHERE id > :low AND id <= :high"
     step = MigrationStep("fill", "backfill", [], [text], "never", 60_000.0, BatchSettings("t", "id", rows, rate, hold))
     return MigrationPlan("fill", [step], [BuildRequirements(1, [], [], WRITE)])
 
 
-async def file(port: int, seconds: float, rate: float) -> list[float]:
-    """Answer times of filings, asked at a steady rate whether or not earlier ones are answered."""
+async def send_writes(port: int, seconds: float, rate: float) -> list[float]:
+    """Answer times of writes, sent at a steady rate whether or not earlier ones have been answered."""
     loop, times, tasks = asyncio.get_running_loop(), list[float](), list[asyncio.Task[None]]()
     body = msgspec.json.encode(SchemaCheck(1, "x", WRITE))
 
@@ -58,7 +60,10 @@
     return sorted(times)
 
 
-def beside(trial: CrashTrial, plan: MigrationPlan | None, seconds: float, rate: float) -> tuple[list[float], float]:
+def measure_writes(
+    trial: CrashTrial, plan: MigrationPlan | None, seconds: float, rate: float
+) -> tuple[list[float], float]:
+    """Answer times of writes while the plan runs, and how long the plan took (0 without a plan)."""
     place = trial.start_store()
     done = [0.0]
 
@@ -70,7 +75,7 @@
     thread = threading.Thread(target=run)
     if plan is not None:
         thread.start()
-    times = asyncio.run(file(place.port, seconds, rate))
+    times = asyncio.run(send_writes(place.port, seconds, rate))
     if plan is not None:
         thread.join()
     place.close()
@@ -80,8 +85,9 @@
 @click.command()
 @click.option("--rows", default=150_000)
 @click.option("--seconds", default=8.0)
-@click.option("--rate", default=100.0, help="Filings a second.")
+@click.option("--rate", default=100.0, help="Writes a second.")
 def main(rows: int, seconds: float, rate: float) -> None:
+    """Prints the ratios, the steps a second and the cost of a long log."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         db = sqlite3.connect(folder / "first.db")
@@ -90,14 +96,14 @@
         db.commit()
         db.close()
         trial = CrashTrial(backfill(1, 1, 1), folder, lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
-        base, _ = beside(trial, None, seconds, rate)
-        click.echo("filings beside | median, 99th of 100, most: as ratios to none | backfill took, s")
+        base, _ = measure_writes(trial, None, seconds, rate)
+        click.echo("writes beside | median, 99th percentile, maximum: as ratios to none | duration of the backfill, s")
         for said, plan in (
             ("none", None),
-            ("a backfill at its pace", backfill(500, 20_000.0, 25)),
-            ("a backfill without one", backfill(1_000_000, 1e9, 1e6)),
+            ("a backfill at its rate", backfill(500, 20_000.0, 25)),
+            ("a backfill without a rate limit", backfill(1_000_000, 1e9, 1e6)),
         ):
-            times, took = beside(trial, plan, seconds, rate)
+            times, took = measure_writes(trial, plan, seconds, rate)
             parts = [times[int(len(times) * part) - 1] / base[int(len(base) * part) - 1] for part in (0.5, 0.99, 1)]
             click.echo(f"{said} | {', '.join(f'{part:.2f}' for part in parts)} | {took:.1f}")
         many = 300
@@ -107,19 +113,19 @@
         place = trial.start_store()
         began = time.perf_counter()
         CrashTrial(MigrationPlan("many", steps, []), folder, trial.launch).run(place, lease_ttl_seconds=5.0)
-        click.echo(f"{many} steps, one after another: {many / (time.perf_counter() - began):.0f} a second")
+        click.echo(f"{many} steps in sequence: {many / (time.perf_counter() - began):.0f} a second")
         place.close()
-        long_record(folder)
+        measure_long_log(folder)
 
 
-def long_record(folder: Path, many: int = 100_000) -> None:
-    """A record of so many entries: its size, and how long a relay that knows nothing reads it."""
+def measure_long_log(folder: Path, many: int = 100_000) -> None:
+    """Prints the size of a log with so many entries, and how long a relay takes to read all of it."""
     file = folder / "long.db"
-    ledger = MigrationStore(file)
-    ledger.connection.execute("PRAGMA synchronous=OFF")
-    token = ledger.acquire_lease(LeaseRequest("one", 60_000))
+    migration_store = MigrationStore(file)
+    migration_store.connection.execute("PRAGMA synchronous=OFF")
+    token = migration_store.acquire_lease(LeaseRequest("one", 60_000))
     plan = MigrationPlan("p", [MigrationStep("s", "expand", [], ["x"], ["y"], 1000.0)], [])
-    ledger.append(AppendRequest(token, 0, LogEntry("plan", text=msgspec.json.encode(plan).decode())))
+    migration_store.append(AppendRequest(token, 0, LogEntry("plan", text=msgspec.json.encode(plan).decode())))
     empty = file.stat().st_size
     for number in range(1, many, 4):
         for after, entry in enumerate(
@@ -130,9 +136,9 @@
                 LogEntry("done", "s", "undo"),
             )
         ):
-            ledger.append(AppendRequest(token, number + after, entry))
-    ledger.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    ledger.close()
+            migration_store.append(AppendRequest(token, number + after, entry))
+    migration_store.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    migration_store.close()
     place = StoreProcess(file, lambda: free_ports(1)[0])
 
     async def read() -> float:
--- a/benchmarks/step_interrupts.py
+++ b/benchmarks/step_interrupts.py
@@ -1,10 +1,10 @@
-"""A plan of eight steps interrupted everywhere, with real processes, while lookups are filed.
+"""Interrupts a plan of eight steps at every point, with real processes, while writes are sent.
 
-For each point of a run: the runner's process killed (SIGKILL), and stopped past its lease (SIGSTOP, another
-does the rest, SIGCONT); for each point of the store's transactions: the store's process killed, and its
-connection cut; answers dropped, late, refused. Beside each a relay in small files for every build that the
-record lets have traffic. After each: the record is clear, a resume ends with all done, each effect was had
-once, nothing was filed against a schema that did not fit.
+At each point of a run the runner's process is killed (SIGKILL), or stopped until its lease has expired (SIGSTOP, then
+another runner finishes, then SIGCONT). At each point of the store's transactions the store's process is killed, or its
+connection cut; responses are dropped, delayed or refused. A small stand-in for a relay sends writes for each build that
+the log allows traffic for. Afterwards the log must be consistent, a resume must complete all steps, each effect must
+have happened once, and no write may have been made against a schema that does not fit.
 
 Run by hand: .venv/bin/python -m benchmarks.step_interrupts
 """
@@ -35,44 +35,45 @@
 
 
 def trial(folder: str) -> CrashTrial:
+    """A run of the plan `offers` in this folder."""
     plan = read(plan_file("offers"))
     assert isinstance(plan, MigrationPlan)
     return CrashTrial(with_tally(plan), Path(folder), lambda file: StoreProcess(file, lambda: free_ports(1)[0]))
 
 
-def one(job: tuple[str, str, int]) -> tuple[str, str, int, list[str], int, float]:
-    """One interruption: what it was, what was wrong, lookups filed, and seconds from the crash to the end."""
+def run_interruption(job: tuple[str, str, int]) -> tuple[str, str, int, list[str], int, float]:
+    """Makes one interruption: its kind, place and number, violations, writes, seconds from the crash to the end."""
     kind, where, number = job
     with tempfile.TemporaryDirectory() as folder:
-        mine = trial(folder)
-        place = mine.start_store()
-        mine.run(place, "take")
-        filer = WriteTraffic(place.port, mine.plan)
+        crash_trial = trial(folder)
+        place = crash_trial.start_store()
+        crash_trial.run(place, "take")
+        traffic = WriteTraffic(place.port, crash_trial.plan)
         try:
             if kind in ("runner killed", "runner stopped"):
-                wrong, took = _runner(mine, place, kind, number)
+                violations, took = _runner(crash_trial, place, kind, number)
             else:
                 place.inject(kind=kind, at=where, skip=number, size=0.3)
                 began = time.monotonic()
-                stop = mine.run(place, lease_ttl_seconds=0.2)
-                wrong = find_violations(place.file, mine.plan)
+                stop = crash_trial.run(place, lease_ttl_seconds=0.2)
+                violations = find_violations(place.file, crash_trial.plan)
                 if not stop.succeeded:
-                    stop = mine.run(place, "resume", name="two", lease_ttl_seconds=0.2)
-                wrong += [] if stop.succeeded else [stop.message]
+                    stop = crash_trial.run(place, "resume", name="two", lease_ttl_seconds=0.2)
+                violations += [] if stop.succeeded else [stop.message]
                 took = time.monotonic() - began
-            wrong += find_violations(place.file, mine.plan, whole=True)
-        except Exception as fault:  # told with the case, not lost with the pool
-            wrong, took = [repr(fault)], 0.0
+            violations += find_violations(place.file, crash_trial.plan, whole=True)
+        except Exception as fault:  # reported with its case
+            violations, took = [repr(fault)], 0.0
         finally:
-            filer.close()
+            traffic.close()
             place.close()
-        wrong += filer.failures[:3]
-        return kind, where, number, wrong, sum(filer.writes.values()), took
+        violations += traffic.failures[:3]
+        return kind, where, number, violations, sum(traffic.writes.values()), took
 
 
-def _runner(mine: CrashTrial, place: Any, kind: str, number: int) -> tuple[list[str], float]:
-    file = mine.folder / "plan.json"
-    file.write_bytes(msgspec.json.encode(mine.plan))
+def _runner(crash_trial: CrashTrial, place: Any, kind: str, number: int) -> tuple[list[str], float]:
+    file = crash_trial.folder / "plan.json"
+    file.write_bytes(msgspec.json.encode(crash_trial.plan))
     word = "SIGKILL" if kind == "runner killed" else "SIGSTOP"
     args = [
         sys.executable,
@@ -88,28 +89,29 @@
     while process.poll() is None and status.read_text().rpartition(")")[2].split()[0] not in "TZ":
         time.sleep(0.005)
     began = time.monotonic()
-    wrong = find_violations(place.file, mine.plan)
-    stop = mine.run(place, "resume", name="two", lease_ttl_seconds=0.2)
+    violations = find_violations(place.file, crash_trial.plan)
+    stop = crash_trial.run(place, "resume", name="two", lease_ttl_seconds=0.2)
     took = time.monotonic() - began
-    wrong += [] if stop.succeeded else [stop.message]
+    violations += [] if stop.succeeded else [stop.message]
     process.send_signal(signal.SIGCONT)
-    said = process.communicate(timeout=30)[0].decode().strip()
-    if kind == "runner stopped" and "taken over" not in said and "all done" not in said:
-        wrong.append(f"the late one: {said!r}")
-    return wrong, took
+    output = process.communicate(timeout=30)[0].decode().strip()
+    if kind == "runner stopped" and "taken over" not in output and "all done" not in output:
+        violations.append(f"expected 'taken over' or 'all done' from the stopped runner, got {output!r}")
+    return violations, took
 
 
 @click.command()
 @click.option("--procs", default=6)
-@click.option("--every", default=1, help="Only every so many points.")
+@click.option("--every", default=1, help="Interrupt only every n-th point.")
 def main(procs: int, every: int) -> None:
+    """Makes all interruptions and prints a summary by kind, with up to five failures of each."""
     with tempfile.TemporaryDirectory() as folder:
-        mine = trial(folder)
-        place, points = mine.start_store(), list[str]()
-        mine.run(place, "take")
-        filer = WriteTraffic(place.port, mine.plan)
-        mine.run(place, on_point=points.append)
-        filer.close()
+        crash_trial = trial(folder)
+        place, points = crash_trial.start_store(), list[str]()
+        crash_trial.run(place, "take")
+        traffic = WriteTraffic(place.port, crash_trial.plan)
+        crash_trial.run(place, on_point=points.append)
+        traffic.close()
         place.close()
     jobs = [(kind, points[n], n) for kind in ("runner killed", "runner stopped") for n in range(0, len(points), every)]
     for call, many in (("lease", 1), ("append", 18), ("apply", 14)):
@@ -120,9 +122,9 @@
             jobs += [(kind, path, n) for n in range(0, many, every)]
     rows = list[tuple[str, str, int, list[str], int, float]]()
     with multiprocessing.Pool(procs) as pool:
-        rows = list(pool.imap_unordered(one, jobs))
+        rows = list(pool.imap_unordered(run_interruption, jobs))
     click.echo(f"{len(points)} points of a run, {len(jobs)} interruptions")
-    click.echo("interruption | cases | wrong | lookups filed | seconds to all done: median, most")
+    click.echo("interruption | cases | failed | writes | seconds until all steps are done: median, maximum")
     by = collections.defaultdict(list)
     for row in rows:
         by[row[0]].append(row)
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,7 +1,7 @@
-"""Verdicts on many builds, half of them bad in one of seven ways: who is sent back, rightly or not, and when.
+"""Measures the verdicts on many builds, half of them bad in one of seven ways: which are rolled back, and when.
 
-In the model; the same builds and arrivals for each policy. Precision: of those sent back, how many were bad;
-recall: of the bad, how many were sent back; with Wilson's 95% intervals. Run by hand:
+Runs in the simulation, with the same builds and arrivals for each policy. Precision: share of bad builds among those
+rolled back; recall: share of bad builds that were rolled back; both with Wilson's 95% intervals. Run by hand:
 .venv/bin/python -m benchmarks.verdicts --builds 100 --relays 4
 """
 
@@ -24,7 +24,8 @@
 VOTERS = ("lanelead", "by clock", "error limit", "sequential")
 
 
-def day(number: int, relays: int, rate: float) -> Scenario:
+def make_scenario(number: int, relays: int, rate: float) -> Scenario:
+    """The scenario of one build; odd numbers are bad builds."""
     base, rng = load("bad-day"), Random(f"build {number}")
     bad = KINDS[number // 2 % len(KINDS)] if number % 2 else None
     offer = BuildOffer(
@@ -43,18 +44,19 @@
     )
 
 
-def one(job: tuple[int, int, float, str]) -> tuple[str, str | None, float | None, bool]:
-    """The policy, how the build was bad, when it was sent back, and whether it was released first."""
+def run_build(job: tuple[int, int, float, str]) -> tuple[str, str | None, float | None, bool]:
+    """The policy, how the build was bad, when it was rolled back, and whether it was promoted before."""
     number, relays, rate, policy = job
-    town = SimulatedFleet(day(number, relays, rate), number, POLICIES[policy]).run()
-    facts = town.book.files["desk"]
-    offered = town.day.desk.offers[0]
+    fleet = SimulatedFleet(make_scenario(number, relays, rate), number, POLICIES[policy]).run()
+    facts = fleet.book.files["desk"]
+    offered = fleet.day.desk.offers[0]
     back = next((fact["t"] - 3603.0 for fact in facts if fact["ev"] == "sent_back"), None)
     released = any(fact["ev"] == "state" and fact["phase"] == "released" for fact in facts)
     return policy, offered.bad, back, released
 
 
-def wilson(hits: int, of: int) -> str:
+def format_with_interval(hits: int, of: int) -> str:
+    """A share with its Wilson 95% interval."""
     if not of:
         return "-"
     z, p = 1.96, hits / of
@@ -69,24 +71,26 @@
 @click.option("--rate", default=90.0)
 @click.option("--procs", default=0)
 def main(builds: int, relays: int, rate: float, procs: int) -> None:
+    """Prints precision, recall and time to roll back for each policy."""
     jobs = [(number, relays, rate, policy) for policy in VOTERS for number in range(builds)]
     with multiprocessing.get_context("spawn").Pool(procs or None) as pool:
-        rows = pool.map(one, jobs, chunksize=4)
-    click.echo(f"{builds} builds, {relays} relays, {rate:g} lookups a second")
-    click.echo("votes | precision | recall | seconds to back, median | good released | recall by kind")
+        rows = pool.map(run_build, jobs, chunksize=4)
+    click.echo(f"{builds} builds, {relays} relays, {rate:g} requests a second")
+    click.echo("policy | precision | recall | seconds to roll back, median | good builds promoted | recall by kind")
     for policy in VOTERS:
-        mine = [row for row in rows if row[0] == policy]
-        back = [row for row in mine if row[2] is not None]
-        bad, good = [row for row in mine if row[1]], [row for row in mine if not row[1]]
+        policy_rows = [row for row in rows if row[0] == policy]
+        back = [row for row in policy_rows if row[2] is not None]
+        bad, good = [row for row in policy_rows if row[1]], [row for row in policy_rows if not row[1]]
         hits = [row for row in back if row[1]]
         kinds = ", ".join(
             f"{kind} {sum(row[1] == kind for row in hits)}/{sum(row[1] == kind for row in bad)}" for kind in KINDS
         )
-        soon = f"{statistics.median(row[2] for row in hits if row[2] is not None):.1f}" if hits else "-"
-        fine = sum(row[3] and row[2] is None for row in good)
+        median_seconds = f"{statistics.median(row[2] for row in hits if row[2] is not None):.1f}" if hits else "-"
+        promoted = sum(row[3] and row[2] is None for row in good)
         click.echo(
-            f"{policy} | {wilson(len(hits), len(back))} | {wilson(len(hits), len(bad))} | {soon} | "
-            f"{fine} of {len(good)} | {kinds}"
+            f"{policy} | {format_with_interval(len(hits), len(back))} | {format_with_interval(len(hits), len(bad))} | "
+            f"{median_seconds} | "
+            f"{promoted} of {len(good)} | {kinds}"
         )
 
 
--- a/benchmarks/zone_loss.py
+++ b/benchmarks/zone_loss.py
@@ -1,9 +1,9 @@
-"""Loss and return of a zone in virtual time: measured spill against three other policies, over many seeds.
+"""Simulates loss and return of a zone in virtual time: measured spillover and three other policies, over many seeds.
 
-Told for each policy: the value earned in the 5 s after the loss, and from then to the return, over the
-best possible with the capacity left; the most that a returning unit was sent over what it may take, units
-that fell over, and swings of the home share after the return. Runs are spread over all cores; each policy
-meets the same arrivals. `--plot FILE` draws spill and return over time.
+For each policy it prints the value earned in the 5 s after the loss, and from then to the return, as a share of the
+best possible with the remaining capacity; the largest ratio of load to limit at a returning endpoint; endpoints that
+failed from overload; and swings of the home zone's share after the return. Runs are spread over all cores; each policy
+gets the same arrivals. `--plot FILE` draws spillover and return over time.
 
 Run by hand: .venv/bin/python -m benchmarks.zone_loss --runs 100
 """
@@ -24,7 +24,7 @@
 from lanelead.testbed.simulation.hosts import Plan
 from lanelead.testbed.simulation.policies import POLICIES
 
-SCENES: dict[str, tuple[tuple[float, str, str, float], ...]] = {
+SCENARIOS: dict[str, tuple[tuple[float, str, str, float], ...]] = {
     "lost": ((12, "lost", "a", 1.0), (22, "back", "a", 1.0)),
     "lost, back, lost, back": (
         (12, "lost", "a", 1.0),
@@ -45,16 +45,16 @@
 NAMES = ["measured", *POLICIES]
 
 
-def one(job: tuple[Plan, str, str, int]) -> dict[str, Any]:
-    """A run's figures."""
-    plan, scene, policy, seed = job
-    plan = replace(plan, load=Random(f"load {seed}").uniform(0.3, 0.6), events=SCENES[scene])
+def run_scene(job: tuple[Plan, str, str, int]) -> dict[str, Any]:
+    """Makes one run and returns its figures."""
+    plan, scenario, policy, seed = job
+    plan = replace(plan, load=Random(f"load {seed}").uniform(0.3, 0.6), events=SCENARIOS[scenario])
     world = World(plan, seed, POLICIES.get(policy)).run()
-    back = next(at for at, what, _, _ in SCENES[scene] if what == "back")
-    first = SCENES[scene][0][0]
-    gone = [part for at, what, _, part in SCENES[scene] if what in ("lost", "silent") and at < back]
+    back = next(at for at, what, _, _ in SCENARIOS[scenario] if what == "back")
+    first = SCENARIOS[scenario][0][0]
+    gone = [part for at, what, _, part in SCENARIOS[scenario] if what in ("lost", "silent") and at < back]
     lost = sum(gone) / len(plan.zones)
-    left = 1 - (lost if scene != "slow" else 5 / 6 / len(plan.zones))
+    left = 1 - (lost if scenario != "slow" else 5 / 6 / len(plan.zones))
     best = min(1.0, left / plan.load)
     home = [world.sends.get(("a", "a"), [0] * 100), world.sends.get(("a", "b"), [0] * 100)]
     home.append(world.sends.get(("a", "c"), [0] * 100))
@@ -62,7 +62,7 @@
     swings = sum(1 for before, after in pairwise(shares) if after < before - 0.25)
     settled = next((n for n, share in enumerate(shares) if share > 0.9), len(shares))
     return {
-        "scene": scene,
+        "scene": scenario,
         "policy": policy,
         "first": world.value(first, first + 5) / best,
         "then": world.value(first + 5, back) / best,
@@ -76,36 +76,39 @@
     }
 
 
-def low(rows: list[float]) -> float:
+def fifth_percentile(rows: list[float]) -> float:
     """The fifth percentile."""
     return sorted(rows)[len(rows) // 20]
 
 
 @click.command()
-@click.option("--runs", default=40, help="Seeds for each scene and policy.")
+@click.option("--runs", default=40, help="Number of seeds for each scenario and policy.")
 @click.option("--relays", default=60)
 @click.option("--units", default=18)
-@click.option("--scenes", default="", help="Only those whose names hold this.")
-@click.option("--policies", default="", help="Only those whose names hold this.")
-@click.option("--plot", type=click.Path(dir_okay=False), help="Draws seed 1 of each scene here.")
-@click.option("--procs", default=0, help="Processes; 0: one a core.")
+@click.option("--scenes", default="", help="Run only scenarios whose names contain this text.")
+@click.option("--policies", default="", help="Run only policies whose names contain this text.")
+@click.option("--plot", type=click.Path(dir_okay=False), help="Draw the runs of each scenario to this file.")
+@click.option("--procs", default=0, help="Number of processes; 0 for one on each core.")
 def main(runs: int, relays: int, units: int, scenes: str, policies: str, plot: str | None, procs: int) -> None:
+    """Prints the figures of each scenario and policy."""
     plan = Plan(relays=relays, units=units, seconds=40)
-    chosen = [scene for scene in SCENES if scenes in scene]
+    chosen = [scenario for scenario in SCENARIOS if scenes in scenario]
     names = [name for name in NAMES if policies in name]
-    jobs = [(plan, scene, name, seed) for scene in chosen for name in names for seed in range(1, runs + 1)]
+    jobs = [(plan, scenario, name, seed) for scenario in chosen for name in names for seed in range(1, runs + 1)]
     began, found = time.perf_counter(), list[dict[str, Any]]()
     with multiprocessing.Pool(procs or None) as pool:
-        for row in pool.imap_unordered(one, jobs, chunksize=2):
+        for row in pool.imap_unordered(run_scene, jobs, chunksize=2):
             found.append(row)
-    click.echo(f"{len(jobs)} runs of {relays} relays and {units} units, load 0.3 to 0.6")
-    click.echo("scene | policy | first 5 s: mean, 5th percentile | then | after | worst/limit | fell | swings")
-    for scene in chosen:
+    click.echo(f"{len(jobs)} runs of {relays} relays and {units} endpoints, load 0.3 to 0.6")
+    click.echo(
+        "scenario | policy | first 5 s: mean, 5th percentile | until return | after | worst/limit | overloaded | swings"
+    )
+    for scenario in chosen:
         for name in names:
-            rows = [row for row in found if (row["scene"], row["policy"]) == (scene, name)]
+            rows = [row for row in found if (row["scene"], row["policy"]) == (scenario, name)]
             means = {key: statistics.mean(row[key] for row in rows) for key in ("first", "then", "after")}
             click.echo(
-                f"{scene} | {name} | {means['first']:.3f}, {low([row['first'] for row in rows]):.3f} | "
+                f"{scenario} | {name} | {means['first']:.3f}, {fifth_percentile([row['first'] for row in rows]):.3f} | "
                 f"{means['then']:.3f} | {means['after']:.3f} | {max(row['worst'] for row in rows):.2f} | "
                 f"{sum(row['fallen'] > 0 for row in rows)} of {len(rows)} runs | "
                 f"{statistics.mean(row['swings'] for row in rows):.2f}"
@@ -116,26 +119,27 @@
 
 
 def draw(found: list[dict[str, Any]], scenes: list[str], names: list[str], file: str) -> None:
+    """Draws seed 1 of each scenario and policy."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(len(scenes), len(names), figsize=(4 * len(names), 2.2 * len(scenes)), squeeze=False)
-    for line, scene in enumerate(scenes):
+    for line, scenario in enumerate(scenes):
         for column, name in enumerate(names):
-            row = next(row for row in found if (row["scene"], row["policy"]) == (scene, name))
+            row = next(row for row in found if (row["scene"], row["policy"]) == (scenario, name))
             axis, seconds = axes[line][column], range(int(row["plan"].seconds))
             for series, zone in zip(row["home"], "abc", strict=True):
                 axis.plot(seconds, [series[s] for s in seconds], label=f"to {zone}", linewidth=1)
-            for at, what, zone, _ in SCENES[scene]:
+            for at, what, zone, _ in SCENARIOS[scenario]:
                 axis.axvline(at, color="0.6", linewidth=0.7, linestyle=":" if what == "back" else "--")
                 axis.annotate(zone, (at, axis.get_ylim()[1]), fontsize=6)
-            axis.set_title(f"{scene}: {name}", fontsize=8)
+            axis.set_title(f"{scenario}: {name}", fontsize=8)
             axis.tick_params(labelsize=6)
     axes[0][0].legend(fontsize=6)
     figure.supxlabel("seconds; dashed: lost, dotted: back", fontsize=8)
-    figure.supylabel("trips a second of the relays of zone a", fontsize=8)
+    figure.supylabel("attempts a second of the relays of zone a", fontsize=8)
     figure.tight_layout()
     figure.savefig(file, dpi=70)
 
