--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -56,7 +56,7 @@
     def test_figures_verdicts_and_bases_follow_from_the_slopes(self) -> None:
         self.assertEqual([], differences(TEXT, load_slopes(ROOT / "docs/capacity/slopes.json")))
 
-    def test_each_row_has_a_mechanism_that_is_there_or_none(self) -> None:
+    def test_each_row_names_an_existing_mechanism_or_none(self) -> None:
         self.assertGreater(len(rows(TEXT)), 40)
         self.assertEqual([], faults(TEXT))
 
@@ -82,21 +82,21 @@
         for word in ("machine", "restarts", "rack", "zone", "regions apart"):
             self.assertIn(word, kinds)
 
-    def test_ids_are_used_once(self) -> None:
+    def test_ids_are_unique(self) -> None:
         names = [row.name for row in rows(TEXT)]
         self.assertEqual(len(names), len(set(names)))
 
-    def test_what_breaks_first_stands_first(self) -> None:
+    def test_rows_with_a_share_are_sorted_by_it(self) -> None:
         shares = [parse_number(row.cells["share"]) for row in rows(TEXT) if "share" in row.columns]
         self.assertGreater(len(shares), 10)
         self.assertEqual(sorted(shares), shares)
 
-    def test_each_series_says_when_and_of_which_commit(self) -> None:
+    def test_each_series_has_date_commit_and_reference_time(self) -> None:
         for series in load_slopes(ROOT / "docs/capacity/slopes.json").table.values():
             self.assertTrue(series.commit and series.at and series.reference_us > 0, series.name)
 
 
-class Check(unittest.TestCase):
+class PageCheck(unittest.TestCase):
     """Tests that the check of the page finds errors."""
 
     slopes = Slopes({"s.a": Series("s", "a", "us", "units", [(10, 100.0), (20, 200.0), (40, 400.0)])})
@@ -108,17 +108,17 @@
             f"| x | {formula} | {figure} | 150 us | broken 2 times | {basis} | none |\n"
         )
 
-    def test_a_true_row_is_taken_and_a_wrong_one_told(self) -> None:
+    def test_a_correct_row_passes_and_a_wrong_one_is_reported(self) -> None:
         self.assertEqual([], differences(self.page("300 us"), self.slopes))
         self.assertEqual(1, len(differences(self.page("301 us"), self.slopes)))
         self.assertEqual(self.page("300 us"), update_page(self.page("7 us", basis="given"), self.slopes))
 
-    def test_an_extrapolated_figure_has_to_say_so(self) -> None:
+    def test_an_extrapolated_figure_has_to_be_marked(self) -> None:
         text = self.page("600 us", '`at("s.a", 60)`').replace("broken 2 times", "broken 4 times")
         self.assertEqual(1, len(differences(text, self.slopes)))
         self.assertEqual([], differences(text.replace("measured", "extrapolated 1.5 times"), self.slopes))
 
-    def test_a_formula_that_can_not_be_worked_out_is_an_error(self) -> None:
+    def test_a_formula_that_cannot_be_evaluated_is_an_error(self) -> None:
         for formula in ('`at("s.b", units)`', "`units +`", "`relays`", '`__import__("os")`'):
             with self.assertRaises(PageError):
                 differences(self.page("1 us", formula), self.slopes)
@@ -128,7 +128,7 @@
         self.assertEqual(1, len(faults(self.page("300 us").replace("| none |", "|  |"))))
         self.assertEqual(1, len(faults(self.page("300 us").replace("none", "`lanelead/no/such.py`"))))
 
-    def test_where_a_budget_breaks(self) -> None:
+    def test_the_size_at_which_a_budget_is_exceeded(self) -> None:
         self.assertAlmostEqual(15.0, self.slopes.breaks("s.a", 150))
         self.assertAlmostEqual(80.0, self.slopes.breaks("s.a", 800))
         flat = Slopes({"s.a": Series("s", "a", "us", "units", [(10, 5.0), (20, 5.0), (30, 5.0)])})
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -57,7 +57,7 @@
         self.assertGreater(sum(relay.request_count for relay in fleet.relays), 500)
         self.assertEqual({RequestOutcome.SUCCEEDED}, {what for relay in fleet.relays for what in relay.outcomes})
 
-    def test_bytes_counted_are_those_of_the_letters(self) -> None:
+    def test_counted_bytes_are_those_of_the_gossip_messages(self) -> None:
         fleet = Fleet(SIZE, 4)
         lengths = Counter[str]()
         post = fleet._transmit
@@ -74,11 +74,11 @@
         self.assertEqual(sent, found)
         self.assertGreater(sent["letters"], 100)
 
-    def test_echoes_tell_hubs_about_as_much_as_whole_relays_would(self) -> None:
+    def test_echoes_send_hubs_about_as_many_bytes_as_full_relays(self) -> None:
         heard = [sum(relay.received["bytes"] for relay in played(5, whole).relays[:4]) for whole in (0, 10)]
         self.assertAlmostEqual(1.0, heard[1] / heard[0], delta=0.2)
 
-    def test_a_stopped_relay_hears_and_answers_nothing_and_starts_anew(self) -> None:
+    def test_a_stopped_relay_does_nothing_until_it_is_started_again(self) -> None:
         fleet = played(6)
         relay = fleet.relays[9]
         fleet.stop(relay)
@@ -92,7 +92,7 @@
         self.assertGreater(relay.request_count, request_count)
         self.assertGreater(relay.outcomes[RequestOutcome.SUCCEEDED], 0)
 
-    def test_attempts_at_units_that_are_not_reached_end_unreachable(self) -> None:
+    def test_attempts_at_unreachable_endpoints_fail_to_connect(self) -> None:
         fleet = Fleet(SIZE, 7)
         lost = {row.unit: None for row in fleet.rows if row.zone == "z0"}
         fleet.endpoint_reachable = lambda relay, unit: unit not in lost
@@ -104,7 +104,7 @@
         answered = sum(relay.outcomes[RequestOutcome.SUCCEEDED] for relay in fleet.relays)
         self.assertGreater(answered, 0.9 * sum(relay.request_count for relay in fleet.relays))
 
-    def test_a_relay_is_woken_only_when_something_is_due(self) -> None:
+    def test_an_idle_relay_wakes_only_for_its_timer(self) -> None:
         fleet = Fleet(Size(12, 36, 0.0), 8)
         kinds = Counter[str]()
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -16,8 +16,8 @@
 from benchmarks.slopes.series import Series, fit
 
 
-class Fits(unittest.TestCase):
-    def test_a_line_through_linear_points(self) -> None:
+class LineFits(unittest.TestCase):
+    def test_linear_points_give_their_line(self) -> None:
         line = fit([(size, 5 + 0.25 * size) for size in (10, 100, 1000, 10_000)])
         self.assertAlmostEqual(line.start, 5, places=6)
         self.assertAlmostEqual(line.slope, 0.25, places=9)
@@ -25,12 +25,12 @@
         self.assertAlmostEqual(line.at(20_000), 5005, places=3)
         self.assertEqual(line.largest, 10_000)
 
-    def test_the_exponent_of_a_power_law(self) -> None:
+    def test_a_power_law_gives_its_exponent(self) -> None:
         line = fit([(size, 3 * size**2) for size in (8, 40, 200, 600)])
         self.assertAlmostEqual(line.power, 2, places=9)
         self.assertLess(line.power_spread, 1e-6)
 
-    def test_what_scatters_has_a_spread(self) -> None:
+    def test_scattered_points_have_a_spread(self) -> None:
         line = fit([(10, 12.0), (100, 90.0), (1000, 1150.0)])
         self.assertGreater(line.slope_spread, 0)
         self.assertLess(abs(line.slope - 1), 3 * line.slope_spread)
@@ -43,7 +43,7 @@
             self.assertTrue(math.isnan(line.slope_spread))
             self.assertTrue(math.isnan(line.power))
 
-    def test_a_zero_among_the_points(self) -> None:
+    def test_zero_values_do_not_spoil_the_fit(self) -> None:
         line = fit([(1, 0.0), (10, 9.0), (100, 99.0)])
         self.assertTrue(math.isnan(line.power))
         self.assertAlmostEqual(line.slope, 1, places=6)
@@ -51,7 +51,7 @@
         self.assertEqual((flat.start, flat.slope), (0, 0))
 
 
-class Kept(unittest.TestCase):
+class StoredSeries(unittest.TestCase):
     def test_a_run_replaces_its_own_series_only(self) -> None:
         old = [Series("b", "x", "us", "units", [(1, 1)]), Series("a", "y", "us", "units", [(1, 2)])]
         new = [Series("b", "x", "us", "units", [(1, 3), (2, 4)], "again")]
@@ -101,7 +101,7 @@
         self.assertLess(abs(most - least), 0.002)
         self.assertIn("none", names["routes.memory"].note)
 
-    def test_a_hollow_relay_answers_all_that_it_is_asked(self) -> None:
+    def test_a_simulated_relay_handles_each_request(self) -> None:
         simulation = RelaySimulation(26)
         simulation.run(5)  # warm-up: the relay sends few requests to endpoints that it does not know yet
         simulation.meter.clear()
