--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -77,8 +77,8 @@
         self.request_classes = {request_class.name: request_class for request_class in request_classes}
         self.tenants = {tenant.name: tenant for tenant in tenants}
         self.report_names = parameters.texts("loadReport.names")
-        self.registered_endpoints = EndpointRegistry(self.relay.new_endpoint)
-        self.short_id_release_times: dict[
+        self.registry = EndpointRegistry(self.relay.new_endpoint)
+        self.release_times: dict[
             Endpoint, Ticks
         ] = {}  # removed endpoints that share their short id, and when they may release it
         # Attempts may run at a removed endpoint, and relays report them, for as long as their requests' timeouts.
@@ -117,7 +117,7 @@
         for _, zone, cell, started_at, kind, name, build, capacity, status in entries:
             records.append(
                 EndpointRecord(
-                    endpoint=self.registered_endpoints.get_or_add(name),
+                    endpoint=self.registry.get_or_add(name),
                     zone=zone,
                     cell=int(parse_number(cell)),
                     kind=kind,
@@ -135,14 +135,12 @@
 
         Gossip cannot name an endpoint by its short id as long as another one holds the same short id.
         """
-        for endpoint in self.registered_endpoints.short_ids.endpoints_sharing_short_ids():
+        for endpoint in self.registry.short_ids.endpoints_sharing_short_ids():
             if endpoint.status is not EndpointStatus.REMOVED:
-                self.short_id_release_times.pop(endpoint, None)
-            elif (
-                self.short_id_release_times.setdefault(endpoint, self.relay.now + self.short_id_hold) <= self.relay.now
-            ):
-                del self.short_id_release_times[endpoint]
-                self.registered_endpoints.retire(endpoint)
+                self.release_times.pop(endpoint, None)
+            elif self.release_times.setdefault(endpoint, self.relay.now + self.short_id_hold) <= self.relay.now:
+                del self.release_times[endpoint]
+                self.registry.retire(endpoint)
 
     def request_received(self, words: Words) -> None:
         """ASK: a client's request."""
@@ -167,10 +165,9 @@
         attempt = self.find_attempt(request_id, number)
         if attempt is None:
             return
-        if self.registered_endpoints.names[attempt.endpoint] != name:
+        if self.registry.names[attempt.endpoint] != name:
             raise ParameterError(
-                f"attempt {number} of request {request_id} went to "
-                f"{self.registered_endpoints.names[attempt.endpoint]}, not {name}"
+                f"attempt {number} of request {request_id} went to {self.registry.names[attempt.endpoint]}, not {name}"
             )
         attempt_outcome = parse_enumeration(wire.OUTCOMES, outcome)
         closed, report = wire.parse_flag(finished), wire.parse_load_report(load, self.report_names)
@@ -192,17 +189,13 @@
 
     def gossip_received(self, words: Words) -> None:
         """HEARD: a gossip message from a peer."""
-        entries = decode_gossip(
-            wire.parse_hex(words[2]), self.registered_endpoints.short_ids, [*self.request_classes.values()]
-        )
+        entries = decode_gossip(wire.parse_hex(words[2]), self.registry.short_ids, [*self.request_classes.values()])
         self.relay.gossip_received(parse_integer(words[1]), entries)
 
     def complaint_received(self, words: Words) -> None:
         """BAD_ANSWER: a client's report that an endpoint gave a wrong answer."""
         request_class = parse_enumeration(self.request_classes, words[2])
-        self.relay.complaint_received(
-            self.registered_endpoints.get_or_add(words[1]), request_class, parse_ticks(words[3])
-        )
+        self.relay.complaint_received(self.registry.get_or_add(words[1]), request_class, parse_ticks(words[3]))
 
     def rollout_updated(self, words: Words) -> None:
         """ROLLOUT_STATE: the stage and phase of the newest build, or the answer to a vote."""
@@ -238,7 +231,7 @@
         """PROBE_DONE: the outcome of a health check."""
         _, name, outcome, elapsed, load = words
         result, report = parse_enumeration(wire.OUTCOMES, outcome), wire.parse_load_report(load, self.report_names)
-        self.relay.health_checked(self.registered_endpoints.get_or_add(name), result, parse_ticks(elapsed), report)
+        self.relay.health_checked(self.registry.get_or_add(name), result, parse_ticks(elapsed), report)
 
     def timer_fired(self, words: Words) -> None:
         """ELAPSED: the time that an AFTER line asked for has come."""
@@ -260,7 +253,7 @@
         for action in actions:
             match action:
                 case StartAttempt(attempt):
-                    ids = self.request_ids[attempt.request], self.registered_endpoints.names[attempt.endpoint]
+                    ids = self.request_ids[attempt.request], self.registry.names[attempt.endpoint]
                     lines.append(f"CALL_OUT {ids[0]} {ids[1]} {format_milliseconds(attempt.timeout)}")
                 case SetTimer(at, request):
                     self.last_timer_number += 1
@@ -277,9 +270,9 @@
                     if request_id is not None:
                         lines.append(f"RETRACT {request_id} {attempt.number}")
                 case CheckHealth(endpoint):
-                    lines.append(f"SAMPLE {self.registered_endpoints.names[endpoint]}")
+                    lines.append(f"SAMPLE {self.registry.names[endpoint]}")
                 case CloseIdleConnections(endpoint):
-                    lines.append(f"FREE_LINKS {self.registered_endpoints.names[endpoint]}")
+                    lines.append(f"FREE_LINKS {self.registry.names[endpoint]}")
                 case SendGossip(peer, entries):
                     if entries is not encoded:
                         texts = [text.hex() for text in encode_gossip(entries, [*self.request_classes.values()])]
--- a/tests/test_gossip_versions.py
+++ b/tests/test_gossip_versions.py
@@ -178,7 +178,7 @@
 
         play_tick(5, A, B)
         host = floor.hosts["relay/0"]
-        a, b = host.registered_endpoints.by_name[A], host.registered_endpoints.by_name[B]
+        a, b = host.registry.by_name[A], host.registry.by_name[B]
         self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play_tick(100, B)
         play_tick(8000, B)  # the longest timeout is 4 s: other relays may still report A
@@ -186,9 +186,9 @@
         play_tick(8200, B)
         self.assertEqual(
             (NO_LONG_ID, 0, b),
-            (a.long_id, b.long_id, host.registered_endpoints.short_ids.by_short_id(long_id_of(A) & 0xFFFF)),
+            (a.long_id, b.long_id, host.registry.short_ids.by_short_id(long_id_of(A) & 0xFFFF)),
         )
-        self.assertEqual((a, {}), (host.registered_endpoints.by_name[A], host.short_id_release_times))
+        self.assertEqual((a, {}), (host.registry.by_name[A], host.release_times))
         play_tick(8300, A, B)
         self.assertEqual((long_id_of(A), long_id_of(B)), (a.long_id, b.long_id))
         play_tick(8400, B)
