--- a/lanelead/testbed/simulation/__init__.py
+++ b/lanelead/testbed/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Many relays and units in virtual time, around the same decisions: for sizes that sockets don't reach."""
+"""Scenarios in virtual time with the production decision code, for fleet sizes that real sockets do not reach."""
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -1,10 +1,10 @@
-"""Other ways to choose a unit and to vote, for comparison only: never used by a relay.
+"""Other policies to choose an endpoint and to vote on a build, for comparison in simulations only.
 
-Each is the relay's own decisions with one part exchanged, so every guard of the five rules stands in all of
-them, and what differs is the choice alone. The choices: random; least of two by open trips; least
-outstanding over all; round robin; peak EWMA (Finagle's: latency that rises at once and decays, times open
-trips). The votes: by a clock; by a fixed error limit; by Wald's sequential test of the error share, as canary
-tools use.
+Each policy is the production `Balancer` with one part replaced. All guards of the five rules stay in place, so that
+policies differ in that part alone. Endpoint choices: random; the less loaded of two random endpoints; the least loaded
+of all; round robin; peak EWMA (as in Finagle: the latency estimate rises at once and decays, and is multiplied by the
+attempts in flight). Votes: by a fixed time; by a fixed error limit; by Wald's sequential test of the error share, as
+canary tools use.
 """
 
 from __future__ import annotations
@@ -31,160 +31,188 @@
 from lanelead.decisions.rollout_votes import CanaryAssessment, VoteCaster
 
 
-class _Ranked(EndpointSelector):
-    """Relays whose two choices are exchanged: `rank` orders the units that may be had."""
+class _RankedSelector(EndpointSelector):
+    """A selector whose choice among the endpoints that the guards accept is replaced: `rank` orders them."""
 
-    def select_from(self, servers: Endpoints, request: Request, now: Ticks, already_checked: Endpoints) -> EndpointPair:
-        fit = [
-            server
-            for server in servers
-            if server not in already_checked
-            and server.ejected_until <= now
-            and self.guards.accepts(server, request, now)
+    def select_from(
+        self, endpoints: Endpoints, request: Request, now: Ticks, already_checked: Endpoints
+    ) -> EndpointPair:
+        """Return the first two endpoints of the ranking."""
+        candidates = [
+            endpoint
+            for endpoint in endpoints
+            if endpoint not in already_checked
+            and endpoint.ejected_until <= now
+            and self.guards.accepts(endpoint, request, now)
         ]
-        return self.rank(fit, now)[:2] if fit else []
+        return self.rank(candidates, now)[:2] if candidates else []
 
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        """Order the candidates, best first; only the first two are used."""
         raise NotImplementedError
 
 
-class _Anyone(_Ranked):
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        return self.rng.sample(fit, min(2, len(fit)))
+class _RandomSelector(_RankedSelector):
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        return self.rng.sample(candidates, min(2, len(candidates)))
 
 
-class _LeastOfTwo(_Ranked):
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        return sorted(self.rng.sample(fit, min(2, len(fit))), key=lambda server: len(server.in_flight))
+class _LeastOfTwoSelector(_RankedSelector):
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        return sorted(
+            self.rng.sample(candidates, min(2, len(candidates))), key=lambda endpoint: len(endpoint.in_flight)
+        )
 
 
-class _LeastOfAll(_Ranked):
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        least = min(len(server.in_flight) for server in fit)
-        return [self.rng.choice([server for server in fit if len(server.in_flight) == least])]
+class _LeastOfAllSelector(_RankedSelector):
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        least = min(len(endpoint.in_flight) for endpoint in candidates)
+        return [self.rng.choice([endpoint for endpoint in candidates if len(endpoint.in_flight) == least])]
 
 
-class _RoundRobin(_Ranked):
-    _turn = 0
+class _RoundRobinSelector(_RankedSelector):
+    _next_index = 0
 
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        self._turn += 1
-        return [fit[self._turn % len(fit)]]
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        self._next_index += 1
+        return [candidates[self._next_index % len(candidates)]]
 
 
-class Peaks(_Ranked):
+class PeakEwmaSelector(_RankedSelector):
+    """Ranks two random endpoints by the decaying peak of their latency times their attempts in flight."""
+
     DECAY: Ticks = 10 * SECOND
 
-    def __init__(self, **given: Any) -> None:
-        super().__init__(**given)
+    def __init__(self, **arguments: Any) -> None:
+        super().__init__(**arguments)
         self._peaks = dict[EndpointState, tuple[float, Ticks]]()
 
-    def _peak(self, server: EndpointState, now: Ticks) -> float:
-        cost, at = self._peaks.get(server, (0.0, now))
+    def _decayed_peak(self, endpoint: EndpointState, now: Ticks) -> float:
+        cost, at = self._peaks.get(endpoint, (0.0, now))
         return cost * exp((at - now) / self.DECAY)
 
-    def took(self, server: EndpointState, took: Ticks, now: Ticks) -> None:
-        before = self._peak(server, now)
-        weight = exp(-(now - self._peaks.get(server, (0, now))[1]) / self.DECAY)
-        cost = took if took > before else before * weight + took * (1 - weight)
-        self._peaks[server] = cost, now
+    def record_latency(self, endpoint: EndpointState, latency: Ticks, now: Ticks) -> None:
+        """Updates an endpoint's estimate: a higher latency replaces it, a lower one is averaged in."""
+        before = self._decayed_peak(endpoint, now)
+        weight = exp(-(now - self._peaks.get(endpoint, (0, now))[1]) / self.DECAY)
+        cost = latency if latency > before else before * weight + latency * (1 - weight)
+        self._peaks[endpoint] = cost, now
+
+    def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
+        """Order two random candidates by their cost."""
+        pair = self.rng.sample(candidates, min(2, len(candidates)))
+        return sorted(
+            pair, key=lambda endpoint: (1 + self._decayed_peak(endpoint, now)) * (1 + len(endpoint.in_flight))
+        )
 
-    def rank(self, fit: list[EndpointState], now: Ticks) -> list[EndpointState]:
-        two = self.rng.sample(fit, min(2, len(fit)))
-        return sorted(two, key=lambda server: (1 + self._peak(server, now)) * (1 + len(server.in_flight)))
 
+class RandomChoice(Balancer):
+    """Chooses an endpoint at random."""
 
-class Anyone(Balancer):
-    selector_type = _Anyone
+    selector_type = _RandomSelector
 
 
 class LeastOfTwo(Balancer):
-    selector_type = _LeastOfTwo
+    """Chooses the endpoint with fewer attempts in flight of two random ones."""
+
+    selector_type = _LeastOfTwoSelector
 
 
 class LeastOfAll(Balancer):
-    selector_type = _LeastOfAll
+    """Chooses an endpoint with the fewest attempts in flight of all."""
+
+    selector_type = _LeastOfAllSelector
 
 
 class RoundRobin(Balancer):
-    selector_type = _RoundRobin
+    """Chooses the endpoints in turn."""
+
+    selector_type = _RoundRobinSelector
 
 
 class PeakEwma(Balancer):
-    selector_type = Peaks
+    """Chooses by the peak EWMA of the latency."""
+
+    selector_type = PeakEwmaSelector
 
     def attempt_ended(
         self, attempt: Attempt, outcome: AttemptOutcome, closed: bool, took: Ticks, report: LoadReport | None
     ) -> None:
-        assert isinstance(self._selector, Peaks)
-        self._selector.took(state_of(attempt.endpoint), took, self.now)
+        """Records the attempt's latency before the balancer handles its outcome."""
+        assert isinstance(self._selector, PeakEwmaSelector)
+        self._selector.record_latency(state_of(attempt.endpoint), took, self.now)
         super().attempt_ended(attempt, outcome, closed, took, report)
 
 
-class _Voter(Balancer):
-    """Relays whose verdict is exchanged."""
+class _VotingBaseline(Balancer):
+    """A balancer whose verdict on a build is replaced."""
 
-    def __init__(self, **given: Any) -> None:
-        super().__init__(**given)
-        self._rollout.votes = _Exchanged(self, given["voting_rules"])
+    def __init__(self, **arguments: Any) -> None:
+        super().__init__(**arguments)
+        self._rollout.votes = _BaselineVoteCaster(self, arguments["voting_rules"])
 
-    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
+    def choose_verdict(self, rollout: RolloutState, is_mature: bool) -> Verdict | None:
+        """Return the verdict on the rollout's build, or None to cast no vote."""
         raise NotImplementedError
 
-    def aged(self) -> bool:
+    def is_stage_over(self) -> bool:
+        """Whether the stage has lasted more than 5 s."""
         return self.now - self._rollout.stage_began_at > 5 * SECOND
 
-    def errors(self, news: RolloutState) -> tuple[int, int]:
-        """Errors and outcomes seen at the build on trial in this stage's windows."""
-        windows = [w for w in self._scoring.history.since(self._rollout.stage_began_at) if w.build == news.build]
-        bad = (Fault.ERROR, Fault.TIMED_OUT)
-        return sum(w.faults.get(f, 0) for w in windows for f in bad), sum(w.outcomes for w in windows)
+    def error_counts(self, rollout: RolloutState) -> tuple[int, int]:
+        """Return the errors and outcomes observed at the canary build during this stage."""
+        windows = [w for w in self._scoring.history.since(self._rollout.stage_began_at) if w.build == rollout.build]
+        faults = (Fault.ERROR, Fault.TIMED_OUT)
+        return sum(w.faults.get(f, 0) for w in windows for f in faults), sum(w.outcomes for w in windows)
 
 
-class _Exchanged(VoteCaster):
-    def __init__(self, relay: _Voter, poll: VotingRules) -> None:
-        super().__init__(poll, relay._rng)
-        self._relay = relay
+class _BaselineVoteCaster(VoteCaster):
+    def __init__(self, balancer: _VotingBaseline, voting_rules: VotingRules) -> None:
+        super().__init__(voting_rules, balancer._rng)
+        self._balancer = balancer
 
     def choose_verdict(self, rollout: RolloutState, assessment: CanaryAssessment) -> Verdict | None:
-        return self._relay.judged(rollout, assessment.is_mature)
+        return self._balancer.choose_verdict(rollout, assessment.is_mature)
 
 
-class ByClock(_Voter):
-    """On after a while, whatever is seen; never back."""
+class ByClock(_VotingBaseline):
+    """Promotes once the stage has lasted 5 s, whatever the outcomes; never rolls back."""
 
-    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
-        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and self.aged() else None
+    def choose_verdict(self, rollout: RolloutState, is_mature: bool) -> Verdict | None:
+        """Promote after the fixed time."""
+        return Verdict.PROMOTE if rollout.phase is RolloutPhase.CANARY and self.is_stage_over() else None
 
 
-class ErrorLimit(_Voter):
-    """Back at over 5 errors of 100, of 20 outcomes or more; on after a while."""
+class ErrorLimit(_VotingBaseline):
+    """Rolls back at over 5 % errors of at least 20 outcomes; promotes once the stage has lasted 5 s."""
 
-    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
-        errors, outcomes = self.errors(news)
+    def choose_verdict(self, rollout: RolloutState, is_mature: bool) -> Verdict | None:
+        """Compare the error share with the limit."""
+        errors, outcomes = self.error_counts(rollout)
         if outcomes >= 20 and errors > 0.05 * outcomes:
             return Verdict.ROLL_BACK
-        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and self.aged() else None
+        return Verdict.PROMOTE if rollout.phase is RolloutPhase.CANARY and self.is_stage_over() else None
 
 
-class Sequential(_Voter):
-    """Wald's test of an error share of 1 in 200 against 1 in 20, both errors 1 in 100 (Wald 1945)."""
+class Sequential(_VotingBaseline):
+    """Wald's test of an error share of 1 in 200 against 1 in 20, with both error rates at 1 in 100 (Wald 1945)."""
 
     GOOD, BAD, RISK = 0.005, 0.05, 0.01
 
-    def judged(self, news: RolloutState, ripe: bool) -> Verdict | None:
-        errors, outcomes = self.errors(news)
-        weight = errors * log(self.BAD / self.GOOD)
-        weight += (outcomes - errors) * log((1 - self.BAD) / (1 - self.GOOD))
-        if weight >= log((1 - self.RISK) / self.RISK):
+    def choose_verdict(self, rollout: RolloutState, is_mature: bool) -> Verdict | None:
+        """Compare the log likelihood ratio with the test's two bounds."""
+        errors, outcomes = self.error_counts(rollout)
+        log_ratio = errors * log(self.BAD / self.GOOD)
+        log_ratio += (outcomes - errors) * log((1 - self.BAD) / (1 - self.GOOD))
+        if log_ratio >= log((1 - self.RISK) / self.RISK):
             return Verdict.ROLL_BACK
-        good = weight <= log(self.RISK / (1 - self.RISK))
-        return Verdict.PROMOTE if news.phase is RolloutPhase.CANARY and good else None
+        is_good = log_ratio <= log(self.RISK / (1 - self.RISK))
+        return Verdict.PROMOTE if rollout.phase is RolloutPhase.CANARY and is_good else None
 
 
 POLICIES: dict[str, type[Balancer]] = {
     "lanelead": Balancer,
-    "random": Anyone,
+    "random": RandomChoice,
     "least of two": LeastOfTwo,
     "least of all": LeastOfAll,
     "round robin": RoundRobin,
--- a/lanelead/testbed/simulation/decision_loop.py
+++ b/lanelead/testbed/simulation/decision_loop.py
@@ -1,11 +1,9 @@
-"""A small world in virtual time: relays that host the decisions, units with queues, zones that are lost and
-return.
-
-It is honest where the zone work needs it: units have cores, a waiting room, a cold start and fall over; the
-network takes time; a dead unit refuses at once and a silent one answers nothing; the roster tells late,
-each relay at its own moment; clients don't wait for answers to ask again. It has one heap of events and one
-stream of chance for each purpose, so that two policies meet the same arrivals. Times are whole tenths of a
-millisecond.
+"""A small simulation of the decision loop: relays, endpoints with queues, and zones that fail and return.
+
+It models what the spillover between zones depends on. Endpoints have cores, a waiting room, a slow start and fall over
+under overload; the network has a delay; a dead endpoint refuses connections at once and a silent one never answers;
+each relay receives changes of the endpoint list late, at its own time; clients send new requests without waiting for
+responses. One event heap and one random stream per purpose give two policies the same arrivals. Times are ticks.
 """
 
 from __future__ import annotations
@@ -57,49 +55,51 @@
 START: Ticks = 3600 * SECOND
 
 
-class Host:
-    """One relay: the decisions, and the units as it knows them."""
+class SimulatedHost:
+    """One relay: its decisions, and its short ids of the endpoints."""
 
     def __init__(self, world: World, number: int, zone: str, weight: float) -> None:
         self.world, self.number, self.zone, self.weight = world, number, zone, weight
         plan = world.plan
         tiers = plan.preference or ((zone,), tuple(other for other in plan.zones if other != zone))
         if plan.preference:
-            # A relay's own zone comes first, whatever the order of the others.
+            # A relay's own zone always comes first.
             tiers = ((zone,), *(tuple(z for z in tier if z != zone) for tier in plan.preference))
             tiers = tuple(tier for tier in tiers if tier)
         self.relay = Balancer(
             position=RelayPosition(number, plan.relays, zone),
-            request_classes=world.lanes,
+            request_classes=world.request_classes,
             tenants=[],
             quota=ResourceQuota(3, 10_000, 1, True, False, plan.peers, True, True, 2 * SECOND, SECOND // 4),
-            limits=world.duties,
-            canary_limits=world.trial,
-            voting_rules=world.poll,
+            limits=world.limits,
+            canary_limits=world.canary_limits,
+            voting_rules=world.voting_rules,
             prices=Prices(0, 0, 0, 0, 0, 0, 0, 1),
             rng=Random(world.seed * 7919 + number),
             now=START,
             preference=ZonePreference(tiers),
         )
         if world.policy is not None:
-            self.relay._spillover = world.policy(tiers, world.duties, Random(world.seed * 31 + number))
-        self.units: dict[Machine, Endpoint] = {}
+            self.relay._spillover = world.policy(tiers, world.limits, Random(world.seed * 31 + number))
+        self.endpoint_of: dict[Machine, Endpoint] = {}
         self.machines: dict[Endpoint, Machine] = {}
-        self.out: dict[Attempt, tuple[Machine, int]] = {}
+        self.in_flight: dict[Attempt, tuple[Machine, int]] = {}
         self.relay.now = START
 
-    def listed(self, update_scope: UpdateScope, rows: list[tuple[Machine, EndpointStatus, Ticks]]) -> None:
+    def update_endpoints(self, update_scope: UpdateScope, rows: list[tuple[Machine, EndpointStatus, Ticks]]) -> None:
+        """Gives the relay rows of the endpoint list, and carries out what it decides."""
         records = []
-        for machine, condition, since in rows:
-            if machine not in self.units:
-                unit = self.units[machine] = self.relay.new_endpoint(int(machine.name[1:]))
-                self.machines[unit] = machine
-            records.append(EndpointRecord(self.units[machine], machine.zone, 0, "std", since, 1, 1.0, condition))
+        for machine, status, since in rows:
+            if machine not in self.endpoint_of:
+                endpoint_id = self.endpoint_of[machine] = self.relay.new_endpoint(int(machine.name[1:]))
+                self.machines[endpoint_id] = machine
+            records.append(EndpointRecord(self.endpoint_of[machine], machine.zone, 0, "std", since, 1, 1.0, status))
         self.relay.now = self.world.now
         self.relay.endpoints_updated(update_scope, records)
-        self.carry()
+        self.carry_out_actions()
 
-    def carry(self) -> None:
+    def carry_out_actions(self) -> None:
+        """Carries out the relay's pending actions until there are none left."""
         world, relay = self.world, self.relay
         while relay.actions:
             actions, relay.actions = relay.actions, []
@@ -108,48 +108,65 @@
                     case StartAttempt(attempt):
                         world.send(self, attempt)
                     case SetTimer(at, request):
-                        world.at(max(at, world.now), lambda request=request: self.wake(request))  # type: ignore[misc]
+                        world.at(max(at, world.now), lambda request=request: self.fire_timer(request))  # type: ignore[misc]
                     case RejectRequest(request, _):
-                        world.finish(request, "shed")
+                        world.record_end(request, "shed")
                     case FailRequest(request):
-                        world.finish(request, "broken off")
+                        world.record_end(request, "broken off")
                     case CancelAttempt(attempt):
-                        if self.out.pop(attempt, None) is not None:
-                            world.at(world.now, lambda attempt=attempt: self.ended(attempt, AttemptOutcome.CANCELLED))  # type: ignore[misc]
-                    case SendGossip(peer, words):
-                        world.tell(self, peer, words)
-
-    def wake(self, request: Request | None) -> None:
+                        if self.in_flight.pop(attempt, None) is not None:
+                            world.at(
+                                world.now,
+                                lambda attempt=attempt: self.end_attempt(attempt, AttemptOutcome.CANCELLED),  # type: ignore[misc]
+                            )
+                    case SendGossip(peer, entries):
+                        world.send_gossip(self, peer, entries)
+
+    def fire_timer(self, request: Request | None) -> None:
+        """Fires a timer of the relay, or of one request."""
         self.relay.now = self.world.now
         self.relay.timer_fired(request)
-        self.carry()
+        self.carry_out_actions()
 
-    def ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Reports an attempt's outcome to the relay; ignored where the attempt already has one."""
         if attempt.outcome is not None:
             return
         self.relay.now = now = self.world.now
         done = outcome is AttemptOutcome.SUCCEEDED
         if done and not attempt.request.finished:
-            self.world.finish(attempt.request, "done")
+            self.world.record_end(attempt.request, "done")
         self.relay.attempt_ended(attempt, outcome, done, now - attempt.sent_at, None)
-        self.carry()
+        self.carry_out_actions()
 
 
 Policy = Callable[[tuple[tuple[str, ...], ...], ServiceLimits, Random], Any]
 
 
 class World:
+    """All relays and endpoints of one run.
+
+    Parameters
+    ----------
+    plan
+        The parameters of the run.
+    seed
+        Determines all random draws.
+    policy
+        Creates the spillover policy of each relay; None: the production `ZoneSpillover`.
+    """
+
     def __init__(self, plan: Plan, seed: int, policy: Policy | None = None) -> None:
         self.plan, self.seed, self.policy = plan, seed, policy
         self.now = START
         self._heap: list[tuple[Ticks, int, Callable[[], None]]] = []
         self._number = 0
-        # A stream of chance for each purpose: what one part draws moves nothing in another.
+        # One random stream per purpose: draws for one do not affect another.
         self._arrivals, self._net, self._work = (Random(f"{seed} {name}") for name in ("arrivals", "net", "work"))
         fleet = Random(f"{seed} fleet")
         ms = SECOND // 1000
         expected, limit = int(plan.expected * SECOND), int(plan.limit * SECOND)
-        self.lanes = [
+        self.request_classes = [
             RequestClass(
                 "status", expected, limit, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 0.0
             ),
@@ -158,9 +175,9 @@
             ),
         ]
         cold = int(plan.cold * SECOND)
-        self.duties = ServiceLimits(20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms)
-        self.trial = CanaryLimits((0.1, 1.0), (0.12, 1.0), 3.0, 3 * SECOND, False, 0, False, False)
-        self.poll = VotingRules(
+        self.limits = ServiceLimits(20 * ms, 2 * SECOND, plan.cold_share, cold, plan.multiple, SECOND, False, 0, 5 * ms)
+        self.canary_limits = CanaryLimits((0.1, 1.0), (0.12, 1.0), 3.0, 3 * SECOND, False, 0, False, False)
+        self.voting_rules = VotingRules(
             PromotionControl.FIRST_VOTE, 1, 1, 0, SECOND, 0, SECOND, 6 * SECOND, 100.0, 0.35, 6.0, 0.0
         )
         self.machines = [
@@ -168,32 +185,37 @@
         ]
         weights = [fleet.lognormvariate(0, 0.5) for _ in range(plan.relays)]
         self.hosts = [
-            Host(self, n, plan.zones[n % len(plan.zones)], weights[n] / sum(weights)) for n in range(plan.relays)
+            SimulatedHost(self, n, plan.zones[n % len(plan.zones)], weights[n] / sum(weights))
+            for n in range(plan.relays)
         ]
-        self.capacity = sum(m.speed for m in self.machines) * plan.cores / plan.work  # lookups a second
+        self.capacity = sum(m.speed for m in self.machines) * plan.cores / plan.work  # requests a second
         self.rate = plan.load * self.capacity
-        self.rows: list[tuple[float, float, str, float, bool]] = []  # asked at, value, end, earned, in time
-        self._asked: dict[Request, Ticks] = {}
-        self.sends: dict[tuple[str, str], list[int]] = {}  # by the second: from a relay's zone to a unit's
+        self.rows: list[
+            tuple[float, float, str, float, bool]
+        ] = []  # received at, value, outcome, value earned, within the objective
+        self._open_requests: dict[Request, Ticks] = {}
+        self.sends: dict[tuple[str, str], list[int]] = {}  # attempts in each second, by the zones of relay and endpoint
         self.series: list[dict[str, float]] = []
 
     # Time
 
     def at(self, when: Ticks, call: Callable[[], None]) -> None:
+        """Schedules a call at a time, or now where that has passed."""
         self._number += 1
         heappush(self._heap, (max(when, self.now), self._number, call))
 
     def run(self) -> World:
+        """Runs the plan to its end, including the time in which the last requests may end."""
         plan = self.plan
         for host in self.hosts:
-            host.listed(UpdateScope.CACHED, [(machine, EndpointStatus.READY, 0) for machine in self.machines])
+            host.update_endpoints(UpdateScope.CACHED, [(machine, EndpointStatus.READY, 0) for machine in self.machines])
             host.relay.rollout_updated(
                 RolloutState(1, 1, RolloutPhase.PROMOTED, 1.0, 0, False, AttemptOutcome.SUCCEEDED)
             )
-            host.carry()
-            self._next(host)
+            host.carry_out_actions()
+            self._schedule_next_request(host)
         for second, what, zone, part in plan.events:
-            self.at(START + int(second * SECOND), lambda event=(what, zone, part): self._happen(*event))  # type: ignore[misc]
+            self.at(START + int(second * SECOND), lambda event=(what, zone, part): self._apply_zone_event(*event))  # type: ignore[misc]
         end = START + int(plan.seconds * SECOND)
         last = end + int(plan.limit * SECOND) + SECOND
         while self._heap and self._heap[0][0] <= last:
@@ -201,98 +223,101 @@
             call()
         return self
 
-    def _next(self, host: Host) -> None:
+    def _schedule_next_request(self, host: SimulatedHost) -> None:
         gap = self._arrivals.expovariate(self.rate * host.weight)
         at = self.now + max(1, int(gap * SECOND))
         if at < START + int(self.plan.seconds * SECOND):
-            self.at(at, lambda: self._ask(host))
+            self.at(at, lambda: self._receive_request(host))
 
-    def _ask(self, host: Host) -> None:
-        self._next(host)
-        request_class = self.lanes[self._arrivals.random() < self.plan.effectful]
+    def _receive_request(self, host: SimulatedHost) -> None:
+        self._schedule_next_request(host)
+        request_class = self.request_classes[self._arrivals.random() < self.plan.effectful]
         request = Request(request_class, None, None, self.now, self.now + int(self.plan.limit * SECOND))
-        self._asked[request] = self.now
+        self._open_requests[request] = self.now
         host.relay.now = self.now
         host.relay.request_received(request)
-        host.carry()
+        host.carry_out_actions()
 
-    def finish(self, request: Request, end: str) -> None:
-        asked = self._asked.pop(request, None)
-        if asked is None:
+    def record_end(self, request: Request, end: str) -> None:
+        """Records how a request ended and the value earned."""
+        received_at = self._open_requests.pop(request, None)
+        if received_at is None:
             return
-        timely = end == "done" and self.now - asked <= request.request_class.latency_objective
-        share = 1.0 if timely else request.request_class.late_value if end == "done" else 0.0
+        in_time = end == "done" and self.now - received_at <= request.request_class.latency_objective
+        value_share = 1.0 if in_time else request.request_class.late_value if end == "done" else 0.0
         value = request.request_class.value
-        self.rows.append(((asked - START) / SECOND, value, end, value * share, timely))
+        self.rows.append(((received_at - START) / SECOND, value, end, value * value_share, in_time))
 
-    # Units
+    # Endpoints
 
-    def _latency(self, host: Host, machine: Machine) -> Ticks:
+    def _network_delay(self, host: SimulatedHost, machine: Machine) -> Ticks:
         base = 2 if host.zone == machine.zone else 20
         return max(1, int(base * self._net.uniform(0.7, 1.5)))
 
-    def send(self, host: Host, attempt: Attempt) -> None:
+    def send(self, host: SimulatedHost, attempt: Attempt) -> None:
+        """Sends an attempt to its endpoint and schedules its timeout."""
         machine = host.machines[attempt.endpoint]
-        host.out[attempt] = (machine, machine.life)
+        host.in_flight[attempt] = (machine, machine.life)
         second = (self.now - START) // SECOND
         counts = self.sends.setdefault((host.zone, machine.zone), [0] * (int(self.plan.seconds) + 10))
         counts[min(second, len(counts) - 1)] += 1
         self.at(attempt.sent_at + attempt.timeout, lambda: self._time_out(host, attempt))
         work = self._work.gammavariate(2.0, self.plan.work / 2)
-        self.at(self.now + self._latency(host, machine), lambda: self._arrive(host, attempt, machine, work))
+        self.at(self.now + self._network_delay(host, machine), lambda: self._arrive(host, attempt, machine, work))
 
-    def _time_out(self, host: Host, attempt: Attempt) -> None:
-        if host.out.pop(attempt, None) is not None:
-            host.ended(attempt, AttemptOutcome.TIMED_OUT)
+    def _time_out(self, host: SimulatedHost, attempt: Attempt) -> None:
+        if host.in_flight.pop(attempt, None) is not None:
+            host.end_attempt(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _reply(self, host: Host, attempt: Attempt, machine: Machine, outcome: AttemptOutcome) -> None:
-        def come() -> None:
-            if host.out.pop(attempt, None) is not None:
-                host.ended(attempt, outcome)
+    def _reply(self, host: SimulatedHost, attempt: Attempt, machine: Machine, outcome: AttemptOutcome) -> None:
+        def deliver() -> None:
+            if host.in_flight.pop(attempt, None) is not None:
+                host.end_attempt(attempt, outcome)
 
-        self.at(self.now + self._latency(host, machine), come)
+        self.at(self.now + self._network_delay(host, machine), deliver)
 
-    def _arrive(self, host: Host, attempt: Attempt, machine: Machine, work: float) -> None:
+    def _arrive(self, host: SimulatedHost, attempt: Attempt, machine: Machine, work: float) -> None:
         if machine.silent:
             return
         if not machine.up:
             self._reply(host, attempt, machine, AttemptOutcome.CONNECT_FAILED)
             return
-        self._weigh(machine, work)
+        self._record_work(machine, work)
         if machine.fallen:
             return
         if machine.busy < self.plan.cores:
-            self._begin(host, attempt, machine, work)
+            self._start_work(host, attempt, machine, work)
         elif len(machine.waiting) < self.plan.waiting_room:
             machine.waiting.append((host, attempt, work))
         else:
             self._reply(host, attempt, machine, AttemptOutcome.REJECTED)
 
-    def warmth(self, machine: Machine) -> float:
+    def warmup_fraction(self, machine: Machine) -> float:
+        """Return the share of its full speed that an endpoint has reached in its slow start."""
         age = (self.now - machine.since) / SECOND
         if not machine.since or age >= self.plan.cold:
             return 1.0
         return self.plan.cold_share + (1 - self.plan.cold_share) * age / self.plan.cold
 
-    def _weigh(self, machine: Machine, work: float) -> None:
-        warmth = self.warmth(machine)
-        if warmth >= 1:
+    def _record_work(self, machine: Machine, work: float) -> None:
+        warmup_fraction = self.warmup_fraction(machine)
+        if warmup_fraction >= 1:
             return
         machine.recent.append((self.now, work))
         machine.sent += work
         while machine.recent[0][0] < self.now - SECOND:
             machine.sent -= machine.recent.popleft()[1]
-        may = self.plan.multiple * self.plan.cores * machine.speed * warmth + 8 * self.plan.work
-        machine.worst = max(machine.worst, machine.sent / may)
-        if machine.sent > may:
+        allowed = self.plan.multiple * self.plan.cores * machine.speed * warmup_fraction + 8 * self.plan.work
+        machine.worst = max(machine.worst, machine.sent / allowed)
+        if machine.sent > allowed:
             machine.fallen = True
 
-    def _begin(self, host: Host, attempt: Attempt, machine: Machine, work: float) -> None:
+    def _start_work(self, host: SimulatedHost, attempt: Attempt, machine: Machine, work: float) -> None:
         machine.busy += 1
-        life, pace = machine.life, machine.speed * self.warmth(machine) / machine.slow
-        self.at(self.now + max(1, int(work / pace * SECOND)), lambda: self._end(host, attempt, machine, life))
+        life, speed = machine.life, machine.speed * self.warmup_fraction(machine) / machine.slow
+        self.at(self.now + max(1, int(work / speed * SECOND)), lambda: self._finish_work(host, attempt, machine, life))
 
-    def _end(self, host: Host, attempt: Attempt, machine: Machine, life: int) -> None:
+    def _finish_work(self, host: SimulatedHost, attempt: Attempt, machine: Machine, life: int) -> None:
         if machine.life != life:
             return
         machine.busy -= 1
@@ -300,83 +325,86 @@
             self._reply(host, attempt, machine, AttemptOutcome.SUCCEEDED)
         while machine.waiting and machine.busy < self.plan.cores:
             other, waiting, work = machine.waiting.popleft()
-            if waiting in other.out:  # whose time has passed is not begun
-                self._begin(other, waiting, machine, work)
+            if waiting in other.in_flight:  # an attempt that has timed out is not started
+                self._start_work(other, waiting, machine, work)
 
     # Zones
 
-    def _happen(self, what: str, zone: str, part: float) -> None:
-        mine = [machine for machine in self.machines if machine.zone == zone]
-        for machine in mine[: max(1, round(len(mine) * part))]:
+    def _apply_zone_event(self, what: str, zone: str, part: float) -> None:
+        in_zone = [machine for machine in self.machines if machine.zone == zone]
+        for machine in in_zone[: max(1, round(len(in_zone) * part))]:
             if what == "slow":
                 machine.slow = 6.0
                 continue
             if what in ("lost", "silent"):
-                self._cut(machine, what == "silent")
+                self._end_process(machine, what == "silent")
             elif what == "back":
                 if machine.up and not machine.silent:
-                    self._cut(machine, False)  # a slow one is restarted: what it held is cut
+                    self._end_process(machine, False)  # a slow endpoint is restarted, which resets its attempts
                 machine.up, machine.silent, machine.slow, machine.since = True, False, 1.0, self.now
                 machine.life += 1
                 machine.fallen, machine.sent = False, 0.0
                 machine.recent.clear()
-            late = 8.0 if what == "silent" else 0.0
-            condition = EndpointStatus.READY if what == "back" else EndpointStatus.REMOVED
-            self._spread(machine, condition, late, machine.life)
+            notice_delay = 8.0 if what == "silent" else 0.0
+            status = EndpointStatus.READY if what == "back" else EndpointStatus.REMOVED
+            self._update_endpoint_lists(machine, status, notice_delay, machine.life)
 
-    def _cut(self, machine: Machine, silent: bool) -> None:
+    def _end_process(self, machine: Machine, silent: bool) -> None:
         machine.life += 1
         machine.up, machine.silent, machine.busy = False, silent, 0
         machine.waiting.clear()
         if silent:
             return
         for host in self.hosts:
-            for attempt, (where, _) in list(host.out.items()):
-                if where is machine:
+            for attempt, (attempt_machine, _) in list(host.in_flight.items()):
+                if attempt_machine is machine:
                     self._reply(host, attempt, machine, AttemptOutcome.RESET)
 
-    def _spread(self, machine: Machine, condition: EndpointStatus, late: float, life: int) -> None:
-        """Each relay hears of it at its own moment."""
+    def _update_endpoint_lists(self, machine: Machine, status: EndpointStatus, notice_delay: float, life: int) -> None:
+        """Gives every relay an endpoint's new status, each after its own delay."""
         for host in self.hosts:
-            delay = int((late + self._net.uniform(*self.plan.told)) * SECOND)
+            delay = int((notice_delay + self._net.uniform(*self.plan.told)) * SECOND)
 
-            def tell(host: Host = host) -> None:
+            def update(host: SimulatedHost = host) -> None:
                 if machine.life == life:
-                    host.listed(UpdateScope.DELTA, [(machine, condition, machine.since)])
+                    host.update_endpoints(UpdateScope.DELTA, [(machine, status, machine.since)])
 
-            self.at(self.now + delay, tell)
+            self.at(self.now + delay, update)
 
-    def tell(self, host: Host, peer: int | None, words: Sequence[GossipEntry]) -> None:
+    def send_gossip(self, host: SimulatedHost, peer: int | None, entries: Sequence[GossipEntry]) -> None:
+        """Sends gossip entries to one relay or to all others; 2 % of the messages are lost."""
         for other in self.hosts:
             if other is host or (peer is not None and other.number != peer) or self._net.random() < 0.02:
                 continue
-            self.at(self.now + 50, lambda other=other: self._heard(other, host, words))  # type: ignore[misc]
-
-    def _heard(self, other: Host, host: Host, words: Sequence[GossipEntry]) -> None:
-        theirs = list[GossipEntry]()
-        for word in words:
-            if isinstance(word, FleetLatency | CompletionCount | InFlightBound):
-                theirs.append(word)
-            elif (machine := host.machines.get(word.endpoint)) in other.units:
-                unit = other.units[machine]
-                if isinstance(word, InFlightCount):
-                    theirs.append(InFlightCount(unit, word.attempts))
+            self.at(self.now + 50, lambda other=other: self._receive_gossip(other, host, entries))  # type: ignore[misc]
+
+    def _receive_gossip(self, other: SimulatedHost, host: SimulatedHost, entries: Sequence[GossipEntry]) -> None:
+        translated = list[GossipEntry]()
+        for entry in entries:
+            if isinstance(entry, FleetLatency | CompletionCount | InFlightBound):
+                translated.append(entry)
+            elif (machine := host.machines.get(entry.endpoint)) in other.endpoint_of:
+                endpoint_id = other.endpoint_of[machine]
+                if isinstance(entry, InFlightCount):
+                    translated.append(InFlightCount(endpoint_id, entry.attempts))
                 else:
-                    theirs.append(
-                        OutcomeObservation(unit, word.request_class, word.build, word.outcomes, list(word.faults))
+                    translated.append(
+                        OutcomeObservation(
+                            endpoint_id, entry.request_class, entry.build, entry.outcomes, list(entry.faults)
+                        )
                     )
         other.relay.now = self.now
-        other.relay.gossip_received(host.number, theirs)
-        other.carry()
+        other.relay.gossip_received(host.number, translated)
+        other.carry_out_actions()
 
-    # Figures
+    # Results
 
     def value(self, start: float, end: float) -> float:
-        """The value earned over the value asked, of lookups asked between two seconds."""
+        """Return the value earned over the value requested, of requests received between two seconds."""
         rows = [row for row in self.rows if start <= row[0] < end]
-        asked = sum(row[1] for row in rows)
-        return sum(row[3] for row in rows) / asked if asked else 1.0
+        requested = sum(row[1] for row in rows)
+        return sum(row[3] for row in rows) / requested if requested else 1.0
 
     def worst(self) -> float:
-        """The most that a cold unit was sent, over what it may take without falling over."""
+        """Return the highest ratio of work sent to a cold endpoint to what it can take without falling over."""
         return max(machine.worst for machine in self.machines)
--- a/lanelead/testbed/simulation/fault_injection.py
+++ b/lanelead/testbed/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""The events of a scenario's script in virtual time: faults that begin at their time, last, and end."""
+"""Injects the faults of a scenario's script in virtual time: each starts at its time, lasts and ends."""
 
 from __future__ import annotations
 
@@ -6,39 +6,44 @@
 from typing import TYPE_CHECKING
 
 from lanelead.settings.scenario_settings import ScenarioEvent
-from lanelead.testbed.simulation.clock import Story
+from lanelead.testbed.simulation.clock import SimulationProcess
 from lanelead.testbed.simulation.simulated_endpoint import SimulatedEndpoint
 
 if TYPE_CHECKING:
     from lanelead.testbed.simulation.fleet import SimulatedFleet
 
-SOCKETS_ONLY = ("drop_idle", "few_connections", "idle_reap", "garbage")  # faults of connections: left out
+SOCKETS_ONLY = (
+    "drop_idle",
+    "few_connections",
+    "idle_reap",
+    "garbage",
+)  # faults of single connections, which are not simulated
 
 
-def _discovery_away(town: SimulatedFleet, on: bool, size: float) -> None:
-    town.discovery_away = on
+def _discovery_away(fleet: SimulatedFleet, on: bool, size: float) -> None:
+    fleet.discovery_away = on
     if not on:
-        for host in town.hosts:
-            town.send_list(host, "full", list(town.endpoint_rows.values()))
+        for relay in fleet.relays:
+            fleet.send_list(relay, "full", list(fleet.endpoint_rows.values()))
 
 
-def _rollout_platform_away(town: SimulatedFleet, on: bool, size: float) -> None:
-    town.desk.away = on
+def _rollout_platform_away(fleet: SimulatedFleet, on: bool, size: float) -> None:
+    fleet.rollout_platform.away = on
     if not on:
-        for host in town.hosts:
-            town.desk.tell(host)
+        for relay in fleet.relays:
+            fleet.rollout_platform.send_state(relay)
 
 
-def _rollout_platform_mute(town: SimulatedFleet, on: bool, size: float) -> None:
-    town.desk.mute = on
+def _rollout_platform_mute(fleet: SimulatedFleet, on: bool, size: float) -> None:
+    fleet.rollout_platform.mute = on
 
 
-def _rollout_platform_stale(town: SimulatedFleet, on: bool, size: float) -> None:
-    town.desk.stale = size if on else 0.0
+def _rollout_platform_stale(fleet: SimulatedFleet, on: bool, size: float) -> None:
+    fleet.rollout_platform.stale = size if on else 0.0
 
 
-def _datagrams_lost(town: SimulatedFleet, on: bool, size: float) -> None:
-    town.datagram_loss = size if on else 0.0
+def _datagrams_lost(fleet: SimulatedFleet, on: bool, size: float) -> None:
+    fleet.datagram_loss = size if on else 0.0
 
 
 FEED_FAULTS: dict[str, Callable[[SimulatedFleet, bool, float], None]] = {
@@ -63,104 +68,112 @@
 
 
 class FaultInjector:
-    """Carries out a script's events."""
+    """Runs the events of a scenario's script on a simulated fleet."""
 
-    def __init__(self, town: SimulatedFleet) -> None:
-        self._town = town
+    def __init__(self, fleet: SimulatedFleet) -> None:
+        self._fleet = fleet
 
-    def run(self, event: ScenarioEvent) -> Story:
-        self._town.book.note("conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count)
-        kind, last = event.kind, event.for_
+    def run(self, event: ScenarioEvent) -> SimulationProcess:
+        """Runs one event, from the current time to its end."""
+        self._fleet.book.note(
+            "conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count
+        )
+        kind, duration = event.kind, event.for_
         if kind.startswith("zone_"):
-            mine = [machine for machine in self._town.running() if machine.zone == event.zone]
-            for machine in mine[: max(1, round(len(mine) * event.part))]:
-                story = {"zone_lost": self._kill(machine, last), "zone_silent": self._stop(machine, last)}
-                self._town.clock.tell(story.get(kind) or self._hurt(machine, "slow", event.size, last))
+            in_zone = [endpoint for endpoint in self._fleet.running() if endpoint.zone == event.zone]
+            for endpoint in in_zone[: max(1, round(len(in_zone) * event.part))]:
+                fault_process = {
+                    "zone_lost": self._kill(endpoint, duration),
+                    "zone_silent": self._stop(endpoint, duration),
+                }
+                self._fleet.clock.run_process(
+                    fault_process.get(kind) or self._inject_fault(endpoint, "slow", event.size, duration)
+                )
         elif kind in ("kill", "stop", "drain"):
-            stories = {"kill": self._kill, "stop": self._stop, "drain": self._upkeep}
-            for machine in self._choose(event.count, event.unit):
-                self._town.clock.tell(stories[kind](machine, last))
+            fault_processes = {"kill": self._kill, "stop": self._stop, "drain": self._drain_and_return}
+            for endpoint in self._choose_endpoints(event.count, event.unit):
+                self._fleet.clock.run_process(fault_processes[kind](endpoint, duration))
         elif kind in ("relay_kill", "relay_stop", "relay_roll"):
-            self._town.clock.tell(self._relays(event))
+            self._fleet.clock.run_process(self._disturb_relays(event))
         elif kind in FEED_FAULTS:
-            FEED_FAULTS[kind](self._town, True, event.size)
-            yield last
-            FEED_FAULTS[kind](self._town, False, event.size)
+            FEED_FAULTS[kind](self._fleet, True, event.size)
+            yield duration
+            FEED_FAULTS[kind](self._fleet, False, event.size)
         elif kind in ENDPOINT_FAULTS:
-            for machine in self._choose(event.count, event.unit):
-                self._town.clock.tell(self._hurt(machine, kind, event.size, last))
+            for endpoint in self._choose_endpoints(event.count, event.unit):
+                self._fleet.clock.run_process(self._inject_fault(endpoint, kind, event.size, duration))
         elif kind not in SOCKETS_ONLY:
             facts = {"kind": kind, "size": event.size, "extra": event.extra, "member": event.member, "lane": event.lane}
-            self._town.demand.obey({"on": True, **facts})
-            yield last
-            self._town.demand.obey({"on": False, **facts})
+            self._fleet.demand.obey({"on": True, **facts})
+            yield duration
+            self._fleet.demand.obey({"on": False, **facts})
 
-    def _choose(self, many: int, unit: int | None) -> list[SimulatedEndpoint]:
-        running = self._town.running()
+    def _choose_endpoints(self, count: int, unit: int | None) -> list[SimulatedEndpoint]:
+        running = self._fleet.running()
         if unit is not None:
-            return [machine for machine in running if machine.place == unit]
-        return self._town.fleet_rng.sample(running, min(many, max(1, len(running) // 3), len(running)))
-
-    def _kill(self, machine: SimulatedEndpoint, back: float) -> Story:
-        machine.hurt = True
-        machine.die()
-        self._town.book.note("processes", "kill", name=machine.life.name)
-        self._town.report(machine, "gone")
-        yield back + self._town.day.units.boot_ms / 1000 * self._town.fleet_rng.uniform(0.5, 1.0)
-        if not machine.leaving:
-            self._town.launch(machine.life.build.number, machine.place, True, machine.life.name)
-
-    def _stop(self, machine: SimulatedEndpoint, last: float) -> Story:
-        machine.hurt = machine.stopped = True
-        self._town.book.note("processes", "stop", name=machine.life.name)
-        seen = self._town.day.roster.silent_ms / 1000
-        if last > seen:
-            self._town.clock.later(seen, self._town.report, machine, "gone", True, 0.0)
-        yield last
-        machine.hurt = machine.stopped = False
-        self._town.book.note("processes", "cont", name=machine.life.name)
-        machine.go_on()
-        if last > seen and machine.up and not machine.leaving:
-            self._town.report(machine, "ready", False)
-
-    def _hurt(self, machine: SimulatedEndpoint, kind: str, size: float, last: float) -> Story:
-        machine.hurt = True
-        machine.fault(kind, size)
-        yield last
-        machine.mend(kind)
-        machine.hurt = False
-
-    def _upkeep(self, machine: SimulatedEndpoint, last: float) -> Story:
-        machine.hurt = True
-        self._town.book.note("processes", "drain", name=machine.life.name)
-        self._town.report(machine, "draining", late=0.05)
-        yield self._town.day.service.duties.drain_grace_ms / 1000 + 0.5
-        self._town.finish(machine)
-        yield max(0.2, last - 3) + self._town.day.units.boot_ms / 1000 * 0.75
-        if not machine.leaving:
-            self._town.launch(machine.life.build.number, machine.place, True, machine.life.name)
-
-    def _relays(self, event: ScenarioEvent) -> Story:
+            return [endpoint for endpoint in running if endpoint.place == unit]
+        return self._fleet.fleet_rng.sample(running, min(count, max(1, len(running) // 3), len(running)))
+
+    def _kill(self, endpoint: SimulatedEndpoint, downtime: float) -> SimulationProcess:
+        endpoint.disturbed = True
+        endpoint.kill()
+        self._fleet.book.note("processes", "kill", name=endpoint.life.name)
+        self._fleet.report(endpoint, "gone")
+        yield downtime + self._fleet.day.units.boot_ms / 1000 * self._fleet.fleet_rng.uniform(0.5, 1.0)
+        if not endpoint.leaving:
+            self._fleet.launch(endpoint.life.build.number, endpoint.place, True, endpoint.life.name)
+
+    def _stop(self, endpoint: SimulatedEndpoint, duration: float) -> SimulationProcess:
+        endpoint.disturbed = endpoint.stopped = True
+        self._fleet.book.note("processes", "stop", name=endpoint.life.name)
+        notice_delay = self._fleet.day.roster.silent_ms / 1000
+        if duration > notice_delay:
+            self._fleet.clock.later(notice_delay, self._fleet.report, endpoint, "gone", True, 0.0)
+        yield duration
+        endpoint.disturbed = endpoint.stopped = False
+        self._fleet.book.note("processes", "cont", name=endpoint.life.name)
+        endpoint.resume()
+        if duration > notice_delay and endpoint.up and not endpoint.leaving:
+            self._fleet.report(endpoint, "ready", False)
+
+    def _inject_fault(self, endpoint: SimulatedEndpoint, kind: str, size: float, duration: float) -> SimulationProcess:
+        endpoint.disturbed = True
+        endpoint.fault(kind, size)
+        yield duration
+        endpoint.mend(kind)
+        endpoint.disturbed = False
+
+    def _drain_and_return(self, endpoint: SimulatedEndpoint, duration: float) -> SimulationProcess:
+        endpoint.disturbed = True
+        self._fleet.book.note("processes", "drain", name=endpoint.life.name)
+        self._fleet.report(endpoint, "draining", late=0.05)
+        yield self._fleet.day.service.duties.drain_grace_ms / 1000 + 0.5
+        self._fleet.finish(endpoint)
+        yield max(0.2, duration - 3) + self._fleet.day.units.boot_ms / 1000 * 0.75
+        if not endpoint.leaving:
+            self._fleet.launch(endpoint.life.build.number, endpoint.place, True, endpoint.life.name)
+
+    def _disturb_relays(self, event: ScenarioEvent) -> SimulationProcess:
         roll = event.kind == "relay_roll"
-        one = event.relay if event.relay is not None else self._town.fleet_rng.randrange(self._town.day.relays)
-        numbers = list(range(self._town.day.relays)) if roll else [one]
+        one = event.relay if event.relay is not None else self._fleet.fleet_rng.randrange(self._fleet.day.relays)
+        numbers = list(range(self._fleet.day.relays)) if roll else [one]
         for number in numbers:
-            host = self._town.hosts[number]
+            relay = self._fleet.relays[number]
             if event.kind == "relay_stop":
-                host.frozen = True
-                self._town.book.note("conductor", "relay_stop", relay=number)
+                relay.frozen = True
+                self._fleet.book.note("conductor", "relay_stop", relay=number)
                 yield event.for_
-                self._town.book.note("conductor", "relay_cont", relay=number)
-                host.go_on()
+                self._fleet.book.note("conductor", "relay_cont", relay=number)
+                relay.resume()
                 continue
-            self._town.book.note("conductor", "relay_kill", relay=number)
-            host.up = False
-            for machine in self._town.machines.values():
-                machine.idle.pop(number, None)
-            for asked in list(host.asked):
-                asked.reset()
+            self._fleet.book.note("conductor", "relay_kill", relay=number)
+            relay.up = False
+            for endpoint in self._fleet.endpoints.values():
+                endpoint.idle.pop(number, None)
+            for client_try in list(relay.client_tries):
+                client_try.reset()
             yield event.size if roll else event.for_
-            yield 0.4  # a process takes a while to start
-            self._town.hosts[number] = self._town.start_relay(number)
+            yield 0.4  # the time a relay's process takes to start
+            self._fleet.relays[number] = self._fleet.start_relay(number)
             if roll:
                 yield event.for_ / len(numbers)
--- a/lanelead/testbed/simulation/hosts.py
+++ b/lanelead/testbed/simulation/hosts.py
@@ -1,4 +1,4 @@
-"""What one run of the small world is made of: its plan, and its units."""
+"""The parameters of a run of the decision loop's simulation, and its endpoints' state."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One run: who there is, what is asked, and what happens to the zones."""
+    """Parameters of one run: the relays and endpoints, the demand, and the zone events. Times are in seconds."""
 
     relays: int = 30
     units: int = 12
     zones: tuple[str, ...] = ("a", "b", "c")
-    load: float = 0.5  # of what all units can do
+    load: float = 0.5  # offered load, as a share of all endpoints' capacity
     seconds: float = 40.0
-    warm_up: float = 8.0  # seconds before the figures count
-    work: float = 0.1  # seconds a lookup, mean
+    warm_up: float = 8.0  # seconds at the start that are not measured
+    work: float = 0.1  # mean seconds of work per request
     cores: int = 2
     waiting_room: int = 30
     cold_share: float = 0.4
@@ -27,16 +27,18 @@
     multiple: float = 4.0
     expected: float = 1.0
     limit: float = 4.0
-    effectful: float = 0.35  # the part of lookups that must not run twice
+    effectful: float = 0.35  # share of requests that are not idempotent
     peers: bool = True
-    told: tuple[float, float] = (0.5, 1.5)  # seconds until a relay hears of a change
-    # (second, 'lost' or 'silent' or 'slow' or 'back', zone, the part of its units)
+    told: tuple[float, float] = (0.5, 1.5)  # range of the seconds until a relay receives a change of the endpoint list
+    # (second, 'lost' or 'silent' or 'slow' or 'back', zone, share of its endpoints)
     events: tuple[tuple[float, str, str, float], ...] = ()
-    preference: tuple[tuple[str, ...], ...] | None = None  # None: its own zone, then all others
+    preference: tuple[tuple[str, ...], ...] | None = None  # None: the relay's own zone, then all others
 
 
 @dataclass(eq=False)
 class Machine:
+    """An endpoint's state in the simulation. `life` grows whenever the process ends or starts."""
+
     name: str
     zone: str
     speed: float
@@ -48,6 +50,6 @@
     busy: int = 0
     waiting: deque[Any] = field(default_factory=deque)
     recent: deque[tuple[Ticks, float]] = field(default_factory=deque)
-    sent: float = 0.0  # work in `recent`
-    worst: float = 0.0  # the most work it was sent in a window, over what it may take
+    sent: float = 0.0  # sum of the work in `recent`
+    worst: float = 0.0  # highest ratio of the work sent in a window to the endpoint's limit
     fallen: bool = False
--- a/lanelead/testbed/simulation/policies.py
+++ b/lanelead/testbed/simulation/policies.py
@@ -1,4 +1,4 @@
-"""Other ways to spill over, for comparison only, with the methods of `ZoneSpillover`: never used by a relay."""
+"""Other spillover policies, with the interface of `ZoneSpillover`, for comparison in simulations only."""
 
 from __future__ import annotations
 
@@ -13,62 +13,79 @@
 
 
 class NoSpill:
-    """A lookup stays in its own zone, whatever happens."""
+    """Keeps every request in the relay's own zone, and implements the methods that all policies share."""
 
     def __init__(self, tiers: Tiers, limits: ServiceLimits, rng: Random) -> None:
         self._tiers, self._rng = tiers, rng
-        self._place = {zone: place for place, zones in enumerate(tiers) for zone in zones}
+        self._tier_of_zone = {zone: tier for tier, zones in enumerate(tiers) for zone in zones}
         self.health = [1.0] * len(tiers)
-        self._full = [0] * len(tiers)
+        self._largest_counts = [0] * len(tiers)
 
-    def tier_index(self, server: EndpointState) -> int:
-        return self._place.get(server.zone, len(self._tiers) - 1)
+    def tier_index(self, endpoint: EndpointState) -> int:
+        """Return the tier of an endpoint's zone; unknown zones belong to the last tier."""
+        return self._tier_of_zone.get(endpoint.zone, len(self._tiers) - 1)
 
-    def record_outcomes(self, server: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
+    # These policies keep no state per request or endpoint.
+    def record_outcomes(self, endpoint: EndpointState, outcomes: int, bad: int, now: int) -> None: ...
     def forget(self, request: Request) -> None: ...
-    def take_token(self, server: EndpointState) -> None: ...
+    def take_token(self, endpoint: EndpointState) -> None: ...
 
-    def is_degraded(self, server: EndpointState) -> bool:
+    def is_degraded(self, endpoint: EndpointState) -> bool:
+        """Return False: no endpoint counts as degraded."""
         return False
 
-    def update(self, servers: Iterable[EndpointState], rate: float, trial: bool, now: int) -> None:
-        here = [0] * len(self._tiers)
-        for server in servers:
-            # Healthy: listed, and not set aside by the relay's own outlier rule.
-            here[self.tier_index(server)] += server.status is EndpointStatus.READY and server.ejected_until <= now
-        self._full = [max(full, many) for full, many in zip(self._full, here, strict=True)]
-        self.health = [many / full if full else 0.0 for many, full in zip(here, self._full, strict=True)]
+    def update(self, endpoints: Iterable[EndpointState], rate: float, trial: bool, now: int) -> None:
+        """Recomputes each tier's health: its healthy endpoints over the most that it has had."""
+        counts = [0] * len(self._tiers)
+        for endpoint in endpoints:
+            # Healthy: listed as ready and not ejected as an outlier by the relay.
+            counts[self.tier_index(endpoint)] += (
+                endpoint.status is EndpointStatus.READY and endpoint.ejected_until <= now
+            )
+        self._largest_counts = [
+            max(largest, count) for largest, count in zip(self._largest_counts, counts, strict=True)
+        ]
+        self.health = [
+            count / largest if largest else 0.0 for count, largest in zip(counts, self._largest_counts, strict=True)
+        ]
 
     def choose(self, request: Request) -> list[int]:
+        """Return the tiers whose endpoints a request may use."""
         return [0]
 
     def candidate_pools(self, pools: EndpointPools, request: Request) -> Iterator[EndpointPools]:
-        open_ = self.choose(request)
-        yield {build: [s for s in some if self.tier_index(s) in open_] for build, some in pools.items()}
+        """Yield the pools with the endpoints of the chosen tiers alone."""
+        tiers = self.choose(request)
+        yield {build: [s for s in endpoints if self.tier_index(s) in tiers] for build, endpoints in pools.items()}
 
 
 class AllAtOnce(NoSpill):
-    """The first tier that has any healthy unit takes all."""
+    """Sends all requests to the first tier with a healthy endpoint."""
 
     def choose(self, request: Request) -> list[int]:
-        return [next((place for place, health in enumerate(self.health) if health > 0), 0)]
+        """Return the first tier with a healthy endpoint."""
+        return [next((tier for tier, health in enumerate(self.health) if health > 0), 0)]
 
 
 class HealthShare(NoSpill):
-    """Envoy's priority levels: a level takes min(1, 1.4 x its healthy share), the next what is left; below a
-    total of one, in proportion; a level whose healthy share is under a half is in panic, and all its listed
-    units are used (Envoy's documentation, 'Priority levels' and 'Panic threshold')."""
+    """Envoy's priority levels ('Priority levels' and 'Panic threshold' in Envoy's documentation).
+
+    A tier takes min(1, 1.4 x its healthy share) of the requests and the next one the rest; where the total is below
+    one, the tiers share in proportion. A tier whose healthy share is under a half is in panic, and all its listed
+    endpoints are used.
+    """
 
     def choose(self, request: Request) -> list[int]:
+        """Draw one tier by the tiers' shares."""
         scores = [min(1.0, 1.4 * health) for health in self.health]
         total = min(1.0, sum(scores))
         if total <= 0:
             return [0]
         draw, left = self._rng.random(), 1.0
-        for place, score in enumerate(scores):
+        for tier, score in enumerate(scores):
             share = min(left, score / total)
             if draw < share:
-                return [place]
+                return [tier]
             draw, left = draw - share, left - share
         return [len(scores) - 1]
 
--- a/lanelead/testbed/simulation/simulated_clients.py
+++ b/lanelead/testbed/simulation/simulated_clients.py
@@ -1,4 +1,4 @@
-"""Clients in virtual time: arrivals, tries, waits for a connection, and what comes of them."""
+"""Clients in virtual time: arrivals, tries, waits for a free connection, retries and outcomes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lanelead.http.responses import HttpResponse
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.testbed.emulators.workload import Op
-from lanelead.testbed.simulation.clock import CLOCK_START_SECONDS, Story
+from lanelead.testbed.simulation.clock import CLOCK_START_SECONDS, SimulationProcess
 
 if TYPE_CHECKING:
     from lanelead.testbed.simulation.fleet import SimulatedFleet
@@ -25,45 +25,47 @@
 
 @dataclass(slots=True)
 class ClientCounters:
+    """Counts of requests by outcome, latencies in seconds, and values by operation."""
+
     asked: int = 0
     done: int = 0
     shed: int = 0
     broken_off: int = 0
     times: list[float] = field(default_factory=list)
-    asked_value: dict[str, float] = field(default_factory=dict)  # by what its client wants done, over all tries
+    asked_value: dict[str, float] = field(default_factory=dict)  # by operation, over all its tries
     had_value: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class ClientTry:
-    """One try, as its client has it."""
+    """One try of an operation, as its client sees it."""
 
-    town: SimulatedFleet
-    host: SimulatedRelay
+    fleet: SimulatedFleet
+    relay: SimulatedRelay
     op: Op
     ident: str
     began: float
     left: float
-    ticket: PendingRequest | None = None
+    pending: PendingRequest | None = None
     over: bool = False
 
     def _close(self, what: str, **facts: Any) -> bool:
         if self.over:
             return False
         self.over = True
-        self.host.asked.pop(self, None)
-        town = self.town
-        town.book.note(
+        self.relay.client_tries.pop(self, None)
+        fleet = self.fleet
+        fleet.book.note(
             "clients",
             what,
             id=self.ident,
             op=self.op.ident,
-            relay=self.host.number,
-            took=town.clock.now - self.began,
-            late=town.clock.now - self.began - self.left,
+            relay=self.relay.number,
+            took=fleet.clock.now - self.began,
+            late=fleet.clock.now - self.began - self.left,
             **facts,
         )
-        town.clients.freed(self.host.number)
+        fleet.clients.connection_freed(self.relay.number)
         return True
 
     def replied(
@@ -74,27 +76,28 @@
         answer: HttpResponse | None,
         retry_after: Ticks,
     ) -> None:
-        self.town.clock.later(self.town.hop_mean, self._answered, outcome, attempt, retry_after)
+        """Receives the relay's final response, which reaches the client after the network delay."""
+        self.fleet.clock.later(self.fleet.hop_mean, self._answered, outcome, attempt, retry_after)
 
     def _answered(self, outcome: RequestOutcome, attempt: Attempt | None, retry_after: Ticks) -> None:
-        town, host = self.town, self.host
+        fleet, relay = self.fleet, self.relay
         status = {RequestOutcome.SUCCEEDED: 200, RequestOutcome.REJECTED: 503, RequestOutcome.FAILED: 502}[outcome]
         unit = (
-            host.driver.registry.names[attempt.endpoint]
+            relay.driver.registry.names[attempt.endpoint]
             if attempt is not None and outcome is RequestOutcome.SUCCEEDED
             else ""
         )
-        build = str(town.machines[unit].life.build.number) if unit else ""
-        wrong = self.ident in town.wrong and outcome is RequestOutcome.SUCCEEDED
-        told = self._close("answer", status=status, outcome=outcome.value, unit=unit, build=build, wrong=wrong)
-        if not told:
+        build = str(fleet.endpoints[unit].life.build.number) if unit else ""
+        wrong = self.ident in fleet.wrong_responses and outcome is RequestOutcome.SUCCEEDED
+        was_open = self._close("answer", status=status, outcome=outcome.value, unit=unit, build=build, wrong=wrong)
+        if not was_open:
             return
-        counts = town.counts
+        counts = fleet.counts
         if outcome is RequestOutcome.SUCCEEDED:
             counts.done += 1
-            counts.times.append(town.clock.now - self.began)
-            request_class = town.demand.lanes[self.op.lane]
-            timely = town.clock.now - self.op.first <= request_class.expected_time_ms / 1000
+            counts.times.append(fleet.clock.now - self.began)
+            request_class = fleet.demand.lanes[self.op.lane]
+            timely = fleet.clock.now - self.op.first <= request_class.expected_time_ms / 1000
             priority_weight = 0.0 if wrong else request_class.value * (1.0 if timely else request_class.late_value)
             counts.had_value[self.op.ident] = max(priority_weight, counts.had_value.get(self.op.ident, 0.0))
         elif outcome is RequestOutcome.REJECTED:
@@ -102,61 +105,67 @@
         else:
             counts.broken_off += 1
         if wrong:
-            town.clients.complain(self.op, unit, host)
-        wait = town.demand.again(self.op, outcome.value, retry_after / 10_000, town.clock.now)
-        town.clients.retry_later(self.op, wait)
+            fleet.clients.complain(self.op, unit, relay)
+        wait = fleet.demand.again(self.op, outcome.value, retry_after / 10_000, fleet.clock.now)
+        fleet.clients.schedule_retry(self.op, wait)
 
     def leave(self) -> None:
-        if self._close("gone", why="left") and self.ticket is not None:
-            pending = self.ticket
-            self.host.whenever(lambda: self.host.driver.client_left(pending))
+        """Abandons the try: the client closes its connection before the response."""
+        if self._close("gone", why="left") and self.pending is not None:
+            pending = self.pending
+            self.relay.call_when_running(lambda: self.relay.driver.client_left(pending))
 
     def silent(self) -> None:
+        """Gives up on a try that got no response in time, and may retry."""
         if self._close("gone", why="silent"):
-            self.town.clients.retry_later(self.op, self.town.demand.lost(self.op, True, self.town.clock.now))
+            self.fleet.clients.schedule_retry(self.op, self.fleet.demand.lost(self.op, True, self.fleet.clock.now))
 
     def reset(self) -> None:
+        """Handles a connection that the relay's process has cut by ending, and may retry."""
         if self._close("gone", why="reset"):
-            self.town.clients.retry_later(self.op, self.town.demand.lost(self.op, True, self.town.clock.now))
+            self.fleet.clients.schedule_retry(self.op, self.fleet.demand.lost(self.op, True, self.fleet.clock.now))
 
 
 class ClientPool:
     """All clients of a simulated scenario."""
 
-    def __init__(self, town: SimulatedFleet) -> None:
-        self._town = town
-        self.queues: list[deque[tuple[Op, float]]] = [deque() for _ in range(town.day.relays)]
-        self.open_connections = [0] * town.day.relays
+    def __init__(self, fleet: SimulatedFleet) -> None:
+        self._fleet = fleet
+        self.queues: list[deque[tuple[Op, float]]] = [deque() for _ in range(fleet.day.relays)]
+        self.open_connections = [0] * fleet.day.relays
 
-    def arrivals(self) -> Story:
-        end = CLOCK_START_SECONDS + self._town.day.seconds
+    def arrivals(self) -> SimulationProcess:
+        """Starts new operations at random intervals until the scenario's end."""
+        end = CLOCK_START_SECONDS + self._fleet.day.seconds
         while True:
-            yield self._town.demand.gap()
-            if self._town.clock.now >= end:
+            yield self._fleet.demand.gap()
+            if self._fleet.clock.now >= end:
                 return
-            self.start_try(self._town.demand.draw(self._town.clock.now))
+            self.start_try(self._fleet.demand.draw(self._fleet.clock.now))
 
     def start_try(self, op: Op) -> None:
-        left = self._town.demand.patience(op, self._town.clock.now)
+        """Starts a try, or queues it where the relay's client connections are all in use."""
+        left = self._fleet.demand.patience(op, self._fleet.clock.now)
         if left <= 0.05:
             return
-        host = self._town.hosts[op.relay]
-        if not host.up:
-            self.retry_later(op, self._town.demand.lost(op, False, self._town.clock.now))
-        elif self.open_connections[op.relay] >= self._town.day.clients.connections:
-            self.queues[op.relay].append((op, self._town.clock.now + left))
+        relay = self._fleet.relays[op.relay]
+        if not relay.up:
+            self.schedule_retry(op, self._fleet.demand.lost(op, False, self._fleet.clock.now))
+        elif self.open_connections[op.relay] >= self._fleet.day.clients.connections:
+            self.queues[op.relay].append((op, self._fleet.clock.now + left))
         else:
-            self.send_request(host, op, left)
+            self.send_request(relay, op, left)
 
-    def send_request(self, host: SimulatedRelay, op: Op, left: float) -> None:
+    def send_request(self, relay: SimulatedRelay, op: Op, left: float) -> None:
+        """Sends a try to its relay and schedules when its client leaves or gives up."""
         op.tries += 1
         ident = f"{op.ident}.{op.tries}"
         self.open_connections[op.relay] += 1
-        self._town.ops[ident] = op
-        self._town.demand.method(op)
-        if self._town.demand.bad():
-            self._town.bad.add(ident)
-        self._town.book.note(
+        self._fleet.ops[ident] = op
+        self._fleet.demand.method(op)
+        if self._fleet.demand.bad():
+            self._fleet.bad_requests.add(ident)
+        self._fleet.book.note(
             "clients",
             "ask",
             id=ident,
@@ -168,41 +177,47 @@
             left=left,
             nth=op.tries,
         )
-        asked = ClientTry(self._town, host, op, ident, self._town.clock.now, left)
-        pending = PendingRequest(ident, REQUEST, asked.replied)
-        asked.ticket = pending
-        request_class, tenant = host.by_lane[op.lane], host.members.get(op.member or "")
-        self._town.counts.asked += 1
-        self._town.counts.asked_value[op.ident] = self._town.demand.lanes[op.lane].value
-        op.first = op.first or self._town.clock.now
+        client_try = ClientTry(self._fleet, relay, op, ident, self._fleet.clock.now, left)
+        pending = PendingRequest(ident, REQUEST, client_try.replied)
+        client_try.pending = pending
+        request_class, tenant = relay.request_class_by_name[op.lane], relay.tenants.get(op.member or "")
+        self._fleet.counts.asked += 1
+        self._fleet.counts.asked_value[op.ident] = self._fleet.demand.lanes[op.lane].value
+        op.first = op.first or self._fleet.clock.now
         ticks = int(left * 10_000)
-        wait = self._town.hop_mean
-        self._town.clock.later(
-            wait, lambda: host.whenever(lambda: host.driver.receive(pending, request_class, tenant, op.key, ticks))
+        wait = self._fleet.hop_mean
+        self._fleet.clock.later(
+            wait,
+            lambda: relay.call_when_running(
+                lambda: relay.driver.receive(pending, request_class, tenant, op.key, ticks)
+            ),
         )
-        host.asked[asked] = None
-        if (after := self._town.demand.leaves(left)) is not None:
-            self._town.clock.later(after, asked.leave)
-        self._town.clock.later(left + 2 * self._town.day.slack_ms / 1000 + 0.5, asked.silent)
+        relay.client_tries[client_try] = None
+        if (after := self._fleet.demand.leaves(left)) is not None:
+            self._fleet.clock.later(after, client_try.leave)
+        self._fleet.clock.later(left + 2 * self._fleet.day.slack_ms / 1000 + 0.5, client_try.silent)
 
-    def freed(self, relay: int) -> None:
+    def connection_freed(self, relay: int) -> None:
+        """Sends the next queued try over a connection that has become free."""
         self.open_connections[relay] -= 1
         queue = self.queues[relay]
         while queue:
             op, until = queue.popleft()
-            if until - self._town.clock.now > 0.05 and self._town.hosts[relay].up:
-                self.send_request(self._town.hosts[relay], op, until - self._town.clock.now)
+            if until - self._fleet.clock.now > 0.05 and self._fleet.relays[relay].up:
+                self.send_request(self._fleet.relays[relay], op, until - self._fleet.clock.now)
                 return
 
-    def retry_later(self, op: Op, wait: float | None) -> None:
+    def schedule_retry(self, op: Op, wait: float | None) -> None:
+        """Starts another try after `wait` seconds; none where it is None."""
         if wait is not None:
-            self._town.clock.later(wait, self.start_try, op)
+            self._fleet.clock.later(wait, self.start_try, op)
 
-    def complain(self, op: Op, unit: str, host: SimulatedRelay) -> None:
-        if self._town.demand.complains():
-            request_class = host.by_lane[op.lane]
+    def complain(self, op: Op, unit: str, relay: SimulatedRelay) -> None:
+        """Reports a wrong response to the relay a second later, where the client is one that complains."""
+        if self._fleet.demand.complains():
+            request_class = relay.request_class_by_name[op.lane]
 
-            def say() -> None:
-                host.driver.complaint_received(unit, request_class, 10_000)
+            def send_complaint() -> None:
+                relay.driver.complaint_received(unit, request_class, 10_000)
 
-            self._town.clock.later(1.0, host.whenever, say)
+            self._fleet.clock.later(1.0, relay.call_when_running, send_complaint)
--- a/lanelead/testbed/simulation/simulated_relay.py
+++ b/lanelead/testbed/simulation/simulated_relay.py
@@ -1,4 +1,4 @@
-"""A relay in virtual time: the driver and its host, on the simulation's clock."""
+"""A relay in virtual time: the production driver, with the simulation in place of sockets and the event loop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from lanelead.runtime.pending_requests import PendingRequest
 from lanelead.settings.relay_settings import NO_PRICES
 from lanelead.settings.service_settings import ticks
-from lanelead.testbed.simulation.clock import stream
+from lanelead.testbed.simulation.clock import random_stream
 from lanelead.testbed.simulation.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint
 
 if TYPE_CHECKING:
@@ -33,21 +33,24 @@
 
 
 class SimulatedRelay:
-    """One relay's process: the driver, and the hands that it asks."""
+    """One relay's process: the driver and the host interface that the driver calls.
 
-    def __init__(self, town: SimulatedFleet, number: int, make: Callable[..., Decisions]) -> None:
-        self.town, self.number = town, number
-        day = town.day
+    The methods from `start_attempt` on implement the host interface.
+    """
+
+    def __init__(self, fleet: SimulatedFleet, number: int, make: Callable[..., Decisions]) -> None:
+        self.fleet, self.number = fleet, number
+        day = fleet.day
         service = day.service
         self.zone = day.units.zones[number % len(day.units.zones)]
         self.up, self.frozen = True, False
-        self._kept: list[Callable[[], None]] = []
-        self._armed: Ticks | None = None
-        self.out: dict[Attempt, bool] = {}  # trips under way, and whether a byte was written
-        self.asked: dict[ClientTry, None] = {}
-        self.lanes = [request_class.figures() for request_class in service.lanes]
-        self.by_lane = {request_class.name: request_class for request_class in self.lanes}
-        self.members = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
+        self._deferred_calls: list[Callable[[], None]] = []
+        self._armed_timer: Ticks | None = None
+        self.attempts_out: dict[Attempt, bool] = {}  # attempts in flight, and whether a byte has been written
+        self.client_tries: dict[ClientTry, None] = {}
+        self.request_classes = [request_class.figures() for request_class in service.lanes]
+        self.request_class_by_name = {request_class.name: request_class for request_class in self.request_classes}
+        self.tenants = {row.name: Tenant(row.name, row.quota, row.share) for row in service.members}
         limits = service.duties.figures(False)
         preference = NO_ZONE_PREFERENCE
         if day.spill is not None:
@@ -56,14 +59,14 @@
             preference = ZonePreference(tiers, day.spill.most, day.spill.grow, day.spill.shrink)
         decisions = make(
             position=RelayPosition(number, day.relays, self.zone),
-            request_classes=self.lanes,
-            tenants=list(self.members.values()),
+            request_classes=self.request_classes,
+            tenants=list(self.tenants.values()),
             quota=service.allowance.figures(True),
             limits=limits,
             canary_limits=service.trial.figures(),
             voting_rules=service.poll.figures(),
             prices=NO_PRICES,
-            rng=stream(town.seed, f"relay {number} {town.clock.now}"),
+            rng=random_stream(fleet.seed, f"relay {number} {fleet.clock.now}"),
             now=self.clock(),
             preference=preference,
         )
@@ -71,135 +74,152 @@
             decisions=decisions,
             host=self,
             clock=self.clock,
-            request_classes=self.lanes,
+            request_classes=self.request_classes,
             limits=limits,
             max_pending=service.allowance.open_lookups,
             max_retry_after=ticks(service.allowance.longest_advice_ms),
         )
 
     def clock(self) -> Ticks:
-        return int(self.town.clock.now * 10_000)
+        """Return the time in ticks."""
+        return int(self.fleet.clock.now * 10_000)
+
+    def call_when_running(self, call: Callable[[], None]) -> None:
+        """Makes a call now, or once the process resumes, and arms the driver's next timer.
 
-    def whenever(self, call: Callable[[], None]) -> None:
-        """Does it now, or once the process goes on; what comes to a dead one is lost."""
+        Calls to a relay that has been killed are lost.
+        """
         if not self.up:
             return
         if self.frozen:
-            self._kept.append(call)
+            self._deferred_calls.append(call)
             return
         call()
         due = self.driver.next_timer()
-        if due is not None and (self._armed is None or due < self._armed):
-            self._armed = due
-            # Timers of the loop on sockets fire a moment late too.
-            self.town.clock.later(due / 10_000 - self.town.clock.now + 5e-4, self._tick, due)
-
-    def _tick(self, due: Ticks) -> None:
-        if self._armed == due:
-            self._armed = None
-            self.whenever(self.driver.tick)
-
-    def go_on(self) -> None:
+        if due is not None and (self._armed_timer is None or due < self._armed_timer):
+            self._armed_timer = due
+            # An event loop's timers also fire slightly late.
+            self.fleet.clock.later(due / 10_000 - self.fleet.clock.now + 5e-4, self._timer_fired, due)
+
+    def _timer_fired(self, due: Ticks) -> None:
+        if self._armed_timer == due:
+            self._armed_timer = None
+            self.call_when_running(self.driver.tick)
+
+    def resume(self) -> None:
+        """Continues a stopped process: makes the calls that were deferred."""
         self.frozen = False
-        kept, self._kept = self._kept, []
-        for call in kept:
-            self.whenever(call)
+        deferred, self._deferred_calls = self._deferred_calls, []
+        for call in deferred:
+            self.call_when_running(call)
 
-    # Hands
+    # Host interface of the driver
 
     def start_attempt(self, attempt: Attempt, pending: PendingRequest) -> None:
-        self.out[attempt] = False
-        self.town.clock.later(0.0, self._write, attempt, pending)
+        """Sends an attempt, over an idle connection where there is one."""
+        self.attempts_out[attempt] = False
+        self.fleet.clock.later(0.0, self._write, attempt, pending)
 
     def _write(self, attempt: Attempt, pending: PendingRequest) -> None:
-        machine = self.town.by_unit(self, attempt.endpoint)
-        hop = self.town.hop(self, machine)
-        if machine.idle.get(self.number, 0) > 0:
-            machine.idle[self.number] -= 1
-            self._go(attempt, pending, machine)
-        elif not machine.up or "refuse" in machine._faults:
-            self.town.clock.later(
-                2 * hop, lambda: self.whenever(lambda: self._ended(attempt, AttemptOutcome.CONNECT_FAILED))
+        endpoint = self.fleet.endpoint_by_id(self, attempt.endpoint)
+        hop = self.fleet.hop_delay(self, endpoint)
+        if endpoint.idle.get(self.number, 0) > 0:
+            endpoint.idle[self.number] -= 1
+            self._send(attempt, pending, endpoint)
+        elif not endpoint.up or "refuse" in endpoint._faults:
+            self.fleet.clock.later(
+                2 * hop, lambda: self.call_when_running(lambda: self._ended(attempt, AttemptOutcome.CONNECT_FAILED))
             )
-        elif machine.stopped:  # the kernel takes the connection, though nobody reads
-            self._go(attempt, pending, machine)
+        elif endpoint.stopped:  # the kernel accepts the connection although the process does not read
+            self._send(attempt, pending, endpoint)
         else:
-            self.town.clock.later(2 * hop, self._go, attempt, pending, machine)
+            self.fleet.clock.later(2 * hop, self._send, attempt, pending, endpoint)
 
-    def _go(self, attempt: Attempt, pending: PendingRequest, machine: SimulatedEndpoint) -> None:
+    def _send(self, attempt: Attempt, pending: PendingRequest, endpoint: SimulatedEndpoint) -> None:
         if attempt.outcome is not None or not self.up:
             return
         if self.driver.destination_of(attempt) is None:
-            self.whenever(lambda: self._ended(attempt, AttemptOutcome.NOT_SENT))
+            self.call_when_running(lambda: self._ended(attempt, AttemptOutcome.NOT_SENT))
             return
-        self.out[attempt] = True
-        hop, op = self.town.hop(self, machine), self.town.ops[pending.id]
+        self.attempts_out[attempt] = True
+        hop, op = self.fleet.hop_delay(self, endpoint), self.fleet.ops[pending.id]
         due = (attempt.sent_at + attempt.timeout) / 10_000
-        job = SimulatedAttempt(self, attempt, op, pending.id, op.lane, op.work, pending.id in self.town.bad, due)
-        self.town.clock.later(hop, machine.heard, job)
+        job = SimulatedAttempt(
+            self, attempt, op, pending.id, op.lane, op.work, pending.id in self.fleet.bad_requests, due
+        )
+        self.fleet.clock.later(hop, endpoint.attempt_received, job)
 
     def reply(
         self,
-        machine: SimulatedEndpoint,
+        endpoint: SimulatedEndpoint,
         job: SimulatedAttempt,
         outcome: AttemptOutcome,
         wrong: bool = False,
         slow: float = 0.0,
     ) -> None:
-        """The unit's end of a trip, on its way back."""
+        """Sends an attempt's outcome from the endpoint back to the relay.
+
+        `wrong` marks a response with wrong content; `slow` is an additional delay in seconds.
+        """
         report = (
-            machine.report()
+            endpoint.report()
             if outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
             else None
         )
 
-        def come() -> None:
+        def deliver() -> None:
             if report is not None:
-                machine.idle[self.number] = machine.idle.get(self.number, 0) + 1
+                endpoint.idle[self.number] = endpoint.idle.get(self.number, 0) + 1
             if wrong:
-                self.town.wrong[job.ident] = machine.life.name
-            self._ended(job.trip, outcome, report)
+                self.fleet.wrong_responses[job.ident] = endpoint.life.name
+            self._ended(job.attempt, outcome, report)
 
-        self.town.clock.later(slow + self.town.hop(self, machine), lambda: self.whenever(come))
+        self.fleet.clock.later(slow + self.fleet.hop_delay(self, endpoint), lambda: self.call_when_running(deliver))
 
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, report: dict[str, float] | None = None) -> None:
-        if self.out.pop(attempt, None) is not None:
+        if self.attempts_out.pop(attempt, None) is not None:
             self.driver.attempt_ended(attempt, outcome, RESPONSE, report)
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        return self.out.pop(attempt, False)
+        """Cancels an attempt; true where its request may already have been written."""
+        return self.attempts_out.pop(attempt, False)
 
-    def check_health(self, unit: Endpoint) -> None:
-        machine, began = self.town.by_unit(self, unit), self.clock()
+    def check_health(self, endpoint_id: Endpoint) -> None:
+        """Checks an endpoint's health, and gives the driver the outcome and the load report."""
+        endpoint, started_at = self.fleet.endpoint_by_id(self, endpoint_id), self.clock()
 
-        def heard() -> None:
-            if machine.up and "refuse" not in machine._faults:
-                machine.whenever(answer)
+        def check_received() -> None:
+            if endpoint.up and "refuse" not in endpoint._faults:
+                endpoint.call_when_running(respond)
             else:
-                back(AttemptOutcome.CONNECT_FAILED, None)
+                send_result(AttemptOutcome.CONNECT_FAILED, None)
 
-        def answer() -> None:
-            if not machine.fallen and "mute" not in machine._faults:
-                back(AttemptOutcome.SUCCEEDED, machine.report())
+        def respond() -> None:
+            if not endpoint.fallen and "mute" not in endpoint._faults:
+                send_result(AttemptOutcome.SUCCEEDED, endpoint.report())
 
-        def back(outcome: AttemptOutcome, report: dict[str, float] | None) -> None:
-            def come() -> None:
-                self.driver.health_checked(unit, outcome, self.clock() - began, report)
+        def send_result(outcome: AttemptOutcome, report: dict[str, float] | None) -> None:
+            def deliver() -> None:
+                self.driver.health_checked(endpoint_id, outcome, self.clock() - started_at, report)
 
-            self.town.clock.later(self.town.hop(self, machine), lambda: self.whenever(come))
+            self.fleet.clock.later(self.fleet.hop_delay(self, endpoint), lambda: self.call_when_running(deliver))
 
-        self.town.clock.later(self.town.hop(self, machine), heard)
+        self.fleet.clock.later(self.fleet.hop_delay(self, endpoint), check_received)
 
-    def close_idle_connections(self, unit: Endpoint) -> None:
-        self.town.by_unit(self, unit).idle.pop(self.number, None)
+    def close_idle_connections(self, endpoint_id: Endpoint) -> None:
+        """Closes the relay's idle connections to an endpoint."""
+        self.fleet.endpoint_by_id(self, endpoint_id).idle.pop(self.number, None)
 
     def send_gossip(self, peer: int | None, payloads: Sequence[bytes]) -> None:
+        """Sends gossip datagrams to one relay, or to all others where `peer` is None."""
         for payload in payloads:
-            self.town.post(self, peer, payload)
+            self.fleet.send_datagram(self, peer, payload)
 
     def cast_vote(self, vote: CastVote) -> None:
-        self.town.clock.later(self.town.hop_mean, self.town.voted, self, vote)
+        """Sends a vote to the rollout platform."""
+        self.fleet.clock.later(self.fleet.hop_mean, self.fleet.cast_vote, self, vote)
 
+    # The simulated fleet sends endpoint lists by itself, and the relay's log is discarded.
     def watch_endpoints(self, on: bool) -> None: ...
     def poll_endpoints(self) -> None: ...
     def log_event(self, text: str) -> None: ...
--- a/lanelead/testbed/simulation/simulated_rollout.py
+++ b/lanelead/testbed/simulation/simulated_rollout.py
@@ -8,7 +8,7 @@
     AttemptOutcome,
 )
 from lanelead.testbed.emulators.vote_counting import Polling
-from lanelead.testbed.simulation.clock import Story, stream
+from lanelead.testbed.simulation.clock import SimulationProcess, random_stream
 
 if TYPE_CHECKING:
     from lanelead.testbed.simulation.fleet import SimulatedFleet
@@ -16,36 +16,49 @@
 
 
 class SimulatedRolloutPlatform(Polling):
-    def __init__(self, town: SimulatedFleet) -> None:
-        day = town.day
+    """The rollout platform with the emulators' counting of votes, and simulated delivery to relays.
+
+    `away`: relays cannot reach it. `stale`: additional seconds until relays receive a changed state.
+    """
+
+    def __init__(self, fleet: SimulatedFleet) -> None:
+        day = fleet.day
 
         def note(what: str, **facts: Any) -> None:
-            town.book.note("desk", what, **facts)
+            fleet.book.note("desk", what, **facts)
 
         super().__init__(
-            day.service.trial, day.service.poll, stream(town.seed, "desk"), town.clock, note, town.moves.moved
+            day.service.trial,
+            day.service.poll,
+            random_stream(fleet.seed, "desk"),
+            fleet.clock,
+            note,
+            fleet.build_moves.build_moved,
         )
-        self._town = town
+        self._fleet = fleet
         self.away, self.stale = False, 0.0
 
     def changed(self) -> None:
-        for host in self._town.hosts:
-            late = self.stale + self._town.day.desk.told_ms / 1000 * self._rng.uniform(0.5, 1.0)
-            self._town.clock.later(late, self.tell, host)
+        """Sends a changed rollout state to each relay after its own delay."""
+        for relay in self._fleet.relays:
+            late = self.stale + self._fleet.day.desk.told_ms / 1000 * self._rng.uniform(0.5, 1.0)
+            self._fleet.clock.later(late, self.send_state, relay)
 
-    def tell(self, host: SimulatedRelay) -> None:
-        if not self.away and host.up:
+    def send_state(self, relay: SimulatedRelay) -> None:
+        """Sends the current rollout state to a relay."""
+        if not self.away and relay.up:
             line = self.line()
-            self.told(host.number, line)
-            host.whenever(lambda: host.driver.rollout_read(line, False, AttemptOutcome.SUCCEEDED))
+            self.told(relay.number, line)
+            relay.call_when_running(lambda: relay.driver.rollout_read(line, False, AttemptOutcome.SUCCEEDED))
 
-    def go(self) -> Story:
+    def run(self) -> SimulationProcess:
+        """Advances the platform every 0.05 s and pushes its state to all relays at the configured interval."""
         since = 0.0
         while True:
             yield 0.05
             self.beat(0.05)
             since += 0.05
-            if since >= self._town.day.desk.push_ms / 1000 and not self.stale:
+            if since >= self._fleet.day.desk.push_ms / 1000 and not self.stale:
                 since = 0.0
-                for host in self._town.hosts:
-                    self.tell(host)
+                for relay in self._fleet.relays:
+                    self.send_state(relay)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -22,7 +22,7 @@
 from lanelead.testbed.scenarios.rules.findings import Verdict
 from lanelead.testbed.scenarios.rules.verifier import verify
 from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
-from lanelead.testbed.simulation.clock import Clock, stream
+from lanelead.testbed.simulation.clock import Clock, random_stream
 from lanelead.testbed.simulation.fleet import SimulatedFleet
 from tests.test_day import SHORT
 
@@ -48,8 +48,8 @@
         self.assertEqual((seen, clock.now), (["a", "b", "c"], 3))
 
     def test_streams_of_chance_are_apart(self) -> None:
-        drawn = {purpose: stream(1, purpose).random() for purpose in ("net", "desk")}
-        other = stream(1, "net")
+        drawn = {purpose: random_stream(1, purpose).random() for purpose in ("net", "desk")}
+        other = random_stream(1, "net")
         self.assertEqual(other.random(), drawn["net"])
         self.assertNotEqual(drawn["net"], drawn["desk"])
 
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -63,7 +63,7 @@
         self.assertGreater(done[3.0], done[1.0])
         self.assertGreater(done[1.0], 0.1)
         self.assertGreater(ends[1.0].count("shed"), 10)
-        self.assertFalse(world._asked)  # each got its one answer
+        self.assertFalse(world._open_requests)  # each got its one answer
         self.assertLess(sum(end == "broken off" for _, _, end, _, _ in rows), len(rows) * 0.1)
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
@@ -75,7 +75,7 @@
         machine = world.machines[0]
         machine.since = world.now
         for _ in range(200):
-            world._weigh(machine, 0.1)
+            world._record_work(machine, 0.1)
         self.assertTrue(machine.fallen)
         self.assertGreater(world.worst(), 1.0)
 
