--- a/lanelead/testbed/scenarios/bench_import.py
+++ b/lanelead/testbed/scenarios/bench_import.py
@@ -1,7 +1,7 @@
-"""Turns a day that the simulator has drawn into a scenario for sockets: the same faults, at the same times.
+"""Converts a day that the simulator has generated into a scenario for sockets, with the same faults at the same times.
 
-The simulator's fleet is large; here there are processes. So it is cut down to what the machine at hand runs, and what
-is cut, changed or cannot be carried over is named in the script's head and to whoever runs the command.
+The simulator's fleet is large, and a scenario runs processes, so the fleet is scaled down to what one machine can run.
+The script's head and the command's output list everything that was scaled, changed or cannot be converted.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 MAX_ATTEMPTS = 16
 REPEATS = {"safe": "pure", "keyed": "receipted", "unsafe": "effectful"}
 CONTROLS = {"any": "first voice", "share": "by count", "timer": "automatic"}
-Fault = dict[str, Any]  # as the simulator writes it
+Fault = dict[str, Any]  # a fault as the simulator writes it
 
 
 class InvalidBenchDayError(Exception):
-    """The text is not a day as the simulator writes it; the message names what is missing."""
+    """The text is not a day in the simulator's format; the message names the field or the JSON error."""
 
 
 def _endpoint_count(fault: Fault, endpoints: int, simulated_endpoints: int) -> int:
@@ -35,11 +35,11 @@
 
 
 def _endpoint_fault(kind: str, size: Callable[[Fault], float] = lambda fault: 1.0) -> Callable[[Fault, Any], Events]:
-    def make(fault: Fault, scale: Any) -> Events:
+    def convert(fault: Fault, scale: Any) -> Events:
         count = _endpoint_count(fault, scale["endpoints"], scale["simulated_endpoints"])
         return [{"kind": kind, "count": count, "size": size(fault)}]
 
-    return make
+    return convert
 
 
 def _service_fault(kind: str, size: Callable[[Fault], float] = lambda fault: 1.0) -> Callable[[Fault, Any], Events]:
@@ -50,19 +50,19 @@
     return float(fault["size"])
 
 
-def _tenant(fault: Fault, scale: Any) -> Events:
+def _tenant_burst(fault: Fault, scale: Any) -> Events:
     tenant = scale["tenants"][fault["which"] % len(scale["tenants"])] if scale["tenants"] else None
     return [{"kind": "member_burst", "size": fault["size"], "member": tenant}]
 
 
-def _control(fault: Fault, scale: Any) -> Events:
+def _rollout_platform_fault(fault: Fault, scale: Any) -> Events:
     kinds = {"silence": "desk_mute", "errors": "desk_away", "stale": "desk_stale"}
     return [{"kind": kinds.get(fault.get("how", ""), "desk_mute"), "size": fault["size"]}]
 
 
 def _slow_request_class(fault: Fault, scale: Any) -> Events:
     request_class = scale["request_classes"][fault["which"] % len(scale["request_classes"])]
-    # The bench has the work wait for some seconds on something else; here it holds its core for as long.
+    # On the bench the work waits some seconds for something else; here it occupies its core for as long.
     factor = min(20.0, 1 + fault["size"] * 1000 / scale["work"][request_class])
     return [{"kind": "slow_lane", "size": factor, "lane": request_class}]
 
@@ -71,7 +71,7 @@
     return [{"kind": "give_up", "size": min(1.0, fault["size"]), "extra": min(1.0, fault["extra"])}]
 
 
-MAKERS: dict[str, Callable[[Fault, Any], Events]] = {
+EVENT_CONVERTERS: dict[str, Callable[[Fault, Any], Events]] = {
     "crash": _endpoint_fault("kill"),
     "vanish": _endpoint_fault("stop"),
     "slow": _endpoint_fault("slow", _size),
@@ -81,7 +81,7 @@
     "idle_reap": _endpoint_fault("idle_reap", _size),
     "conn_squeeze": _endpoint_fault("few_connections", lambda fault: max(2.0, round(_size(fault)))),
     "burst": _service_fault("burst", _size),
-    "tenant_burst": _tenant,
+    "tenant_burst": _tenant_burst,
     "hot_key": _service_fault("hot_key", _size),
     "hot_caller": _service_fault("hot_caller", _size),
     "heavy_tail": _service_fault("heavy_tail", _size),
@@ -90,29 +90,34 @@
     "slow_class": _slow_request_class,
     "give_up": _give_up,
     "peer_down": _service_fault("peers_lost"),
-    "control_down": _control,
+    "control_down": _rollout_platform_fault,
     "balancer_roll": _service_fault("relay_roll", lambda fault: min(2.0, max(0.2, float(fault["extra"])))),
 }
 
 
-def script(text: bytes, name: str) -> tuple[dict[str, Any], list[str]]:
-    """The day as a scenario's record, and what had to be changed or left out. Raises InvalidBenchDayError."""
+def convert_bench_day(text: bytes, name: str) -> tuple[dict[str, Any], list[str]]:
+    """Convert a day into a scenario's record, and list what was changed or left out.
+
+    Raises InvalidBenchDayError.
+    """
     try:
         day = msgspec.json.decode(text)
         changes: list[str] = []
-        return {"day": _day(day, name, changes)}, changes
-    except msgspec.DecodeError as fault:
-        raise InvalidBenchDayError(f"not JSON: {fault}") from None
-    except (KeyError, TypeError, IndexError, ValueError, AttributeError, ZeroDivisionError) as fault:
-        raise InvalidBenchDayError(f"no day of the bench: {type(fault).__name__} {fault}") from None
+        return {"day": _scenario_record(day, name, changes)}, changes
+    except msgspec.DecodeError as error:
+        raise InvalidBenchDayError(f"not JSON: {error}") from None
+    except (KeyError, TypeError, IndexError, ValueError, AttributeError, ZeroDivisionError) as error:
+        raise InvalidBenchDayError(
+            f"not a day of the bench, missing or invalid field: {type(error).__name__} {error}"
+        ) from None
 
 
-def _day(day: dict[str, Any], name: str, changes: list[str]) -> dict[str, Any]:
+def _scenario_record(day: dict[str, Any], name: str, changes: list[str]) -> dict[str, Any]:
     fam = day["fam"]
     kind = day["tiers"][0]["kinds"][0]
     simulated_endpoints = int(fam["places"])
-    endpoints = _at_most(MAX_ENDPOINTS, simulated_endpoints, "units", changes)
-    relays = _at_most(MAX_RELAYS, len(day["balancers"]), "relays", changes)
+    endpoints = _limited(MAX_ENDPOINTS, simulated_endpoints, "units", changes)
+    relays = _limited(MAX_RELAYS, len(day["balancers"]), "relays", changes)
     classes = [row for row in day["classes"] if row["share"] > 0]
     rate, work = _rate_and_work(day, classes, endpoints * kind["cores"], changes)
     request_classes = [_request_class(row, changes) for row in classes]
@@ -153,7 +158,7 @@
     }
 
 
-def _at_most(limit: int, count: int, what: str, changes: list[str]) -> int:
+def _limited(limit: int, count: int, what: str, changes: list[str]) -> int:
     if count > limit:
         changes.append(f"{limit} {what} in place of {count}")
     return min(limit, count)
@@ -162,14 +167,14 @@
 def _rate_and_work(
     day: dict[str, Any], classes: list[dict[str, Any]], cores: int, changes: list[str]
 ) -> tuple[float, dict[str, float]]:
-    """Requests a second, and each class's mean work in milliseconds: the simulator's load on so many cores."""
+    """Return the requests a second and each class's mean work in milliseconds that give the simulator's load."""
     work = {row["name"]: row["work"] / 1000 for row in classes}
     shares = sum(row["share"] for row in classes)
     mean = sum(row["share"] / shares * work[row["name"]] for row in classes)
     rate = day["traffic"]["load"] * cores * 1000 / mean
     if rate <= MAX_RATE:
         return rate, work
-    # The same load with fewer requests: each is made so much longer.
+    # Fewer requests with more work each give the same load.
     stretch = rate / MAX_RATE
     changes.append(f"{MAX_RATE:g} requests a second in place of {rate:.0f}, each {stretch:.1f} times the work")
     return MAX_RATE, {name: ms * stretch for name, ms in work.items()}
@@ -283,13 +288,13 @@
 
 
 def _offers(fam: dict[str, Any], request_classes: list[dict[str, Any]], changes: list[str]) -> list[dict[str, Any]]:
-    ways = {"errors", "slow", "load", "late", "wrong", "shared"}
+    known_faults = {"errors", "slow", "load", "late", "wrong", "shared"}
     offers = []
     for row in fam["releases"]:
         offer = {"at": row["at"] / 1e6, "speed": row["speed"], "strength": min(1.0, row["strength"])}
         if row["bad"] == "class":
             offer |= {"bad": "lane", "lane": request_classes[row["class"] % len(request_classes)]["name"]}
-        elif row["bad"] in ways:
+        elif row["bad"] in known_faults:
             offer["bad"] = row["bad"]
         elif row["bad"]:
             changes.append(
@@ -304,21 +309,21 @@
     for fault in day["troubles"]:
         kind = fault["kind"]
         if kind == "bad_build":
-            continue  # it stands among the builds that are offered
-        if kind not in MAKERS:
+            continue  # it is among the offered builds
+        if kind not in EVENT_CONVERTERS:
             changes.append(f"cannot be carried over: {kind}")
             continue
         at = fault["at"] / 1e6
         if at > seconds:
             changes.append(f"left out: {kind}, which comes at {at:.1f} s, after the day's end")
             continue
-        for event in MAKERS[kind](fault, scale):
+        for event in EVENT_CONVERTERS[kind](fault, scale):
             row = {"at": round(at, 3), "for": round(max(0.1, fault["len"] / 1e6), 3), **event}
             events.append({name: value for name, value in row.items() if value is not None})
     return events
 
 
-def written(record: dict[str, Any], changes: list[str]) -> str:
-    """The script as text, with what was changed in its head."""
+def script_text(record: dict[str, Any], changes: list[str]) -> str:
+    """Return the script as text, with the changes as comments at its head."""
     head = [f"// {line}" for line in ["A day of the bench, for sockets.", *changes]]
     return "\n".join(head) + "\n" + json.dumps(record, indent=2) + "\n"
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -19,30 +19,33 @@
 
 
 def scripts() -> dict[str, Path]:
-    """The scenarios that come with lanelead, by name."""
+    """Return the scenarios that come with lanelead, by name."""
     folder = Path(str(files("lanelead.testbed.scenarios").joinpath("scripts")))
     return {path.stem: path for path in sorted(folder.glob("*.cue"))}
 
 
 def load(name: str) -> Scenario:
-    """A scenario by name or file. Raises SettingsError, or click.BadParameter where there is none."""
+    """Return a scenario by its name or file.
+
+    Raises SettingsError where it is invalid, or click.BadParameter where there is no such scenario.
+    """
     path = scripts().get(name, Path(name))
     if not path.exists():
-        raise click.BadParameter(f"no day {name}: there are {', '.join(scripts())}")
+        raise click.BadParameter(f"scenario '{name}' does not exist, expected a file or one of {', '.join(scripts())}")
     record = read(path)
     if not isinstance(record, Scenario):
-        raise click.BadParameter(f"{path}: a relay, expected a day")
+        raise click.BadParameter(f"{path}: not a scenario, expected the field `day`")
     return record
 
 
 @click.group()
 def scenario() -> None:
-    """Runs scripted scenarios on loopback, and verifies the five rules from what passed on the sockets."""
+    """Run scripted scenarios on loopback, and verify the five rules from what passed on the sockets."""
 
 
 @scenario.command("list")
 def list_() -> None:
-    """The scenarios that come with lanelead."""
+    """List the scenarios that come with lanelead."""
     for name, path in scripts().items():
         record = read(path)
         assert isinstance(record, Scenario)
@@ -51,17 +54,19 @@
 
 @scenario.command()
 @click.argument("name")
-@click.option("--seed", type=click.IntRange(0), help="Another seed than the script's.")
-@click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
-@click.option("--capture", type=click.Path(file_okay=False), help="Where the recording is kept.")
+@click.option("--seed", type=click.IntRange(0), help="Seed to use instead of the script's.")
+@click.option("--verdict", type=click.Path(dir_okay=False), help="File to write the verdict to, as JSON.")
+@click.option(
+    "--capture", type=click.Path(file_okay=False), help="Folder to keep the recording in; must not hold one yet."
+)
 @click.option(
     "--seam",
     type=click.Choice(["answers", "effects", "drains", "cold", "exposure", "strangers", "steps"]),
-    help="Takes that guard out of the relays, to see the verifier catch it.",
+    help="Remove this guard from the relays, to test that the verifier reports it.",
 )
-@click.option("--quiet", is_flag=True, help="Only the verdict.")
+@click.option("--quiet", is_flag=True, help="Print only the verdict.")
 def play(name: str, seed: int | None, verdict: str | None, capture: str | None, seam: str | None, quiet: bool) -> None:
-    """Runs NAME, a scenario's name or file. Exits with 0: rules kept, 3: a rule broken, 2: bad input."""
+    """Run NAME, a scenario's name or file. Exits with 0: rules kept, 3: a rule broken, 2: invalid input."""
     import uvloop
 
     from lanelead.testbed.scenarios.runner import ScenarioRunner
@@ -77,7 +82,7 @@
         folder = Path(capture) if capture else Path(spare)
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.glob("*.ndjson")):
-            raise click.BadParameter(f"{folder} holds a recording already")
+            raise click.BadParameter(f"{folder} already holds a recording, expected a new or empty folder")
 
         def say(text: str) -> None:
             if not quiet:
@@ -89,22 +94,22 @@
 
 @scenario.command("judge")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--verdict", type=click.Path(dir_okay=False), help="Where the verdict is written, as JSON.")
+@click.option("--verdict", type=click.Path(dir_okay=False), help="File to write the verdict to, as JSON.")
 def verify_recording(folder: str, verdict: str | None) -> None:
-    """The verdict again, from a recording that was kept."""
+    """Verify the rules again from the recording in FOLDER."""
     end(Path(folder), verdict)
 
 
 @scenario.command("from-bench")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="Where the script is written.")
+@click.option("-o", "--out", required=True, type=click.Path(dir_okay=False), help="File to write the script to.")
 def from_bench(file: str, out: str) -> None:
-    """Turns FILE, a day that the simulator has drawn, into a script; says what could not be carried over."""
-    from lanelead.testbed.scenarios.bench_import import InvalidBenchDayError, script, written
+    """Convert FILE, a day that the simulator has generated, into a script, and list what could not be converted."""
+    from lanelead.testbed.scenarios.bench_import import InvalidBenchDayError, convert_bench_day, script_text
 
     try:
-        record, changes = script(Path(file).read_bytes(), Path(out).stem)
-        text = written(record, changes)
+        record, changes = convert_bench_day(Path(file).read_bytes(), Path(out).stem)
+        text = script_text(record, changes)
         read_text(text, out)
     except InvalidBenchDayError as error:
         click.echo(f"{file}: {error}", err=True)
@@ -118,7 +123,7 @@
 
 
 def end(folder: Path, out: str | None) -> None:
-    """Shows the verdict on a recording, writes it where asked for, and ends the process with its exit code."""
+    """Print the verdict on a recording, write it to the file `out` where given, and exit with the verdict's code."""
     try:
         found: Verdict = verify(folder)
     except BadCapture as error:
--- a/lanelead/testbed/scenarios/datagram_delays.py
+++ b/lanelead/testbed/scenarios/datagram_delays.py
@@ -1,4 +1,4 @@
-"""Carries datagrams between relays, late, and loses some on demand."""
+"""Forwards datagrams between relays with a delay, and drops some of them on demand."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DatagramDelays:
-    """`loss`: the share of datagrams that are lost at present."""
+    """Ports that forward datagrams late; `loss` is the share that is dropped at present."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -22,7 +22,7 @@
         self._sockets: list[socket.socket] = []
 
     def open_port(self, receiver: int) -> int:
-        """A port of its own for one receiver's port; what comes there goes on to it."""
+        """Open a port that forwards to the port `receiver`, and return its number."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((LOOPBACK, 0))
         sock.setblocking(False)
@@ -42,7 +42,7 @@
 
     @staticmethod
     def _send(sock: socket.socket, data: bytes, receiver: tuple[str, int]) -> None:
-        with contextlib.suppress(OSError):  # the receiver is gone: such messages may be lost
+        with contextlib.suppress(OSError):  # the receiver is down, and gossip may be lost
             sock.sendto(data, receiver)
 
     def close(self) -> None:
--- a/lanelead/testbed/scenarios/processes.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -1,5 +1,4 @@
-"""The processes of a scenario: endpoints by place and build, relays, clients; started, ended and disturbed as the
-script says."""
+"""The child processes of a scenario, and its endpoints by place and build."""
 
 from __future__ import annotations
 
@@ -27,12 +26,11 @@
 ENV = {**os.environ, "PYTHONHASHSEED": "0"}
 
 
-def free_ports(many: int, kind: int = socket.SOCK_STREAM) -> list[int]:
-    """Ports that were free a moment ago, all different.
+def free_ports(count: int, kind: int = socket.SOCK_STREAM) -> list[int]:
+    """Return ports that were free a moment ago, all different. Raises RuntimeError where there are too few.
 
-    They lie below the range that the kernel hands out by itself: a port of that range may be taken by any
-    connection before the process it is meant for has started, as happened to scenarios that were played side by
-    side.
+    They lie below the range from which the kernel assigns ports. Any connection may take a port of that range before
+    the process that it is meant for has started, which happened to scenarios that ran at the same time.
     """
     first = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     below, ports = range(min(10_000, first // 2), first), list[int]()
@@ -40,20 +38,20 @@
         with socket.socket(socket.AF_INET, kind) as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
             ports.append(port)
-        if len(ports) == many:
+        if len(ports) == count:
             return ports
-    raise RuntimeError(f"no {many} ports are free")
+    raise RuntimeError(f"found fewer than {count} free ports")
 
 
 class ChildProcess:
-    """One child. Only processes started here are ever signalled."""
+    """One child process. Only processes started here are ever signalled."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
 
     @classmethod
     async def start(cls, name: str, errors: Path, *args: str) -> ChildProcess:
-        """Starts `python -m ARGS`; what it writes to standard error goes to the file `errors`."""
+        """Start `python -m ARGS`; its standard error is appended to the file `errors`."""
         with errors.open("ab") as file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -67,7 +65,7 @@
         return cls(name, process)
 
     async def ready(self, limit: float = 30.0) -> str:
-        """The first line that it says. Raises RuntimeError where it says none in time."""
+        """Return the first line that the process prints. Raises RuntimeError where it prints none in time."""
         assert self.process.stdout is not None
         try:
             async with asyncio.timeout(limit):
@@ -78,24 +76,24 @@
             raise RuntimeError(f"{self.name} did not start")
         return line.decode().strip()
 
-    def order(self, **what: Any) -> None:
-        """Sends it an order as a JSON line on its standard input."""
+    def order(self, **fields: Any) -> None:
+        """Send the process an order as a JSON line on its standard input."""
         if self.alive and self.process.stdin is not None:
-            self.process.stdin.write(json.dumps(what).encode() + b"\n")
+            self.process.stdin.write(json.dumps(fields).encode() + b"\n")
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended yet."""
+        """Whether the process has not ended yet."""
         return self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends it a signal, unless it has ended."""
+        """Send the process a signal, unless it has ended."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     async def end(self, grace: float = 0.0) -> int:
-        """Waits for it for `grace` seconds, then kills it."""
+        """Wait up to `grace` seconds for the process to end, then kill it, and return its exit code."""
         try:
             async with asyncio.timeout(max(grace, 0.01)):
                 await self.process.wait()
@@ -107,7 +105,7 @@
 
 
 class EndpointProcess:
-    """An endpoint at a place: one process of one build, or none at the moment."""
+    """An endpoint at a place in the fleet: one process of one build, or none at the moment."""
 
     def __init__(self, name: str, place: int, build: Build, port: int, zone: str) -> None:
         self.name = name
@@ -117,15 +115,15 @@
         self.zone = zone
         self.process: ChildProcess | None = None
         self.started = 0.0
-        self.wanted = True  # false once it drains or has been ended
-        self.disturbed = False  # a fault is being injected into it
+        self.wanted = True  # false once the endpoint drains or has been ended
+        self.disturbed = False  # whether a fault is being injected into the endpoint
 
 
 class EndpointFleet:
     """All endpoints of a scenario, by name."""
 
-    def __init__(self, day: Scenario, folder: Path, seed: int, discovery: Roster) -> None:
-        self._day = day
+    def __init__(self, scenario: Scenario, folder: Path, seed: int, discovery: Roster) -> None:
+        self._scenario = scenario
         self._folder = folder
         self._discovery = discovery
         self._rng = Random(f"fleet {seed}")
@@ -135,52 +133,52 @@
         self.builds: dict[int, Build] = {1: Build(1)}
         self.store = 0  # the port of the migration store, if there is one
         self.writes: dict[int, str] = {}  # how each build writes a request's effect there
-        spread = day.units.speed_spread
-        self._speeds = [self._rng.uniform(1 - spread, 1 + spread) for _ in range(day.units.count)]
+        spread = scenario.units.speed_spread
+        self._speeds = [self._rng.uniform(1 - spread, 1 + spread) for _ in range(scenario.units.count)]
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._lives = 0
+        self._started_count = 0
 
-    def task(self, what: Any) -> asyncio.Task[Any]:
-        """Runs work until the scenario ends."""
-        task = asyncio.get_running_loop().create_task(what)
+    def task(self, work: Any) -> asyncio.Task[Any]:
+        """Run a coroutine in the background until the scenario ends."""
+        task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     # Endpoints
 
-    def of(self, build: int) -> list[EndpointProcess]:
-        """The endpoints of a build that are to run."""
+    def endpoints_of_build(self, build: int) -> list[EndpointProcess]:
+        """Return the endpoints of a build that should be running."""
         return [endpoint for endpoint in self.endpoints.values() if endpoint.build.number == build and endpoint.wanted]
 
     def running(self) -> list[EndpointProcess]:
-        """The endpoints that run undisturbed."""
+        """Return the running endpoints without an injected fault."""
         return [m for m in self.endpoints.values() if m.wanted and m.process and m.process.alive and not m.disturbed]
 
     async def start_build(self, number: int, places: list[int], cold: bool) -> None:
-        """Endpoints with a build on the places given, listed late; returns when all run."""
+        """Start endpoints with a build at the given places, and return once all of them run."""
         ports = free_ports(len(places))
         fresh = []
         for place, port in zip(places, ports, strict=True):
             name = f"u{place:02d}b{number}"
-            zone = self._day.units.zones[place % len(self._day.units.zones)]
+            zone = self._scenario.units.zones[place % len(self._scenario.units.zones)]
             endpoint = self.endpoints[name] = EndpointProcess(name, place, self.builds[number], port, zone)
             fresh.append(endpoint)
         await asyncio.gather(*(self.start(endpoint, cold) for endpoint in fresh))
 
     async def start(self, endpoint: EndpointProcess, cold: bool) -> None:
-        """Starts an endpoint's process; a cold one after its boot, in its slow start."""
-        units, limits = self._day.units, self._day.service.duties
+        """Start an endpoint's process; a cold one boots first and begins in its slow start."""
+        units, limits = self._scenario.units, self._scenario.service.duties
         if cold:
             await asyncio.sleep(units.boot_ms / 1000 * self._rng.uniform(0.5, 1.0))
-        self._lives += 1
+        self._started_count += 1
         life = Life(
             name=endpoint.name,
             folder=str(self._folder),
             zone=endpoint.zone,
             cell=endpoint.place // 4,
             port=endpoint.port,
-            seed=self._seed * 1000 + self._lives,
+            seed=self._seed * 1000 + self._started_count,
             cores=units.cores,
             waiting_room=units.waiting_room,
             connections=units.connections,
@@ -190,12 +188,12 @@
             fall_time=limits.fall_ms / 1000,
             memory={
                 request_class.name: request_class.memory_ms / 1000
-                for request_class in self._day.service.lanes
+                for request_class in self._scenario.service.lanes
                 if request_class.memory_ms
             },
             receipts={
                 request_class.name: self._receipts(request_class, endpoint)
-                for request_class in self._day.service.lanes
+                for request_class in self._scenario.service.lanes
                 if request_class.memory_ms
             },
             report=units.report_ms / 1000,
@@ -221,7 +219,7 @@
         return str(folder)
 
     def row(self, endpoint: EndpointProcess, condition: str, cold: bool = True) -> EndpointMessage:
-        """What discovery lists of an endpoint."""
+        """Return an endpoint's row in the endpoint list."""
         started = endpoint.started * 1000 if cold else None
         return EndpointMessage(
             endpoint.name,
@@ -236,21 +234,21 @@
         )
 
     def report(self, endpoint: EndpointProcess, condition: str, cold: bool = True, late: float | None = None) -> None:
-        """Has discovery learn of an endpoint's condition, after `late` seconds or its usual delay."""
+        """Have discovery list an endpoint's condition after `late` seconds, or after its usual delay."""
         self._discovery.see(self.row(endpoint, condition, cold), late)
 
-    async def drain(self, endpoint: EndpointProcess, last: float) -> None:
-        """Lists it as draining, lets it finish, then ends it."""
+    async def drain(self, endpoint: EndpointProcess, finish_seconds: float) -> None:
+        """List an endpoint as draining, wait for the drain grace and `finish_seconds` more, then end it."""
         if not endpoint.wanted:
             return
         endpoint.wanted = False
         self.tap.note("drain", name=endpoint.name)
         self.report(endpoint, "draining", late=0.05)
-        await asyncio.sleep(self._day.service.duties.drain_grace_ms / 1000 + last)
+        await asyncio.sleep(self._scenario.service.duties.drain_grace_ms / 1000 + finish_seconds)
         await self.end(endpoint)
 
     async def end(self, endpoint: EndpointProcess) -> None:
-        """Ends an endpoint's process for good."""
+        """End an endpoint's process for good."""
         endpoint.wanted = False
         if endpoint.process is not None:
             endpoint.process.order(do="end")
@@ -260,76 +258,79 @@
 
     # Faults
 
-    def choose(self, many: int, unit: int | None) -> list[EndpointProcess]:
-        """Endpoints to disturb, never more than a third of those that run."""
+    def choose(self, count: int, unit: int | None) -> list[EndpointProcess]:
+        """Return endpoints to disturb: the one at place `unit`, or random ones, at most a third of those that run."""
         running = sorted(self.running(), key=lambda endpoint: endpoint.name)
         if unit is not None:
             return [endpoint for endpoint in running if endpoint.place == unit]
-        return self._rng.sample(running, min(many, max(1, len(running) // 3), len(running)))
+        return self._rng.sample(running, min(count, max(1, len(running) // 3), len(running)))
 
     def of_zone(self, zone: str, part: float) -> list[EndpointProcess]:
-        """The running endpoints of a zone, or a part of them."""
+        """Return the running endpoints of a zone, or a share of them."""
         in_zone = sorted((m for m in self.running() if m.zone == zone), key=lambda endpoint: endpoint.name)
         return in_zone[: max(1, round(len(in_zone) * part))]
 
-    async def kill(self, endpoint: EndpointProcess, back: float) -> None:
-        """SIGKILL; it comes back cold at the same port after a time."""
+    async def kill(self, endpoint: EndpointProcess, downtime: float) -> None:
+        """Kill an endpoint with SIGKILL; after `downtime` seconds it starts again, cold, at the same port."""
         endpoint.disturbed = True
         assert endpoint.process is not None
         endpoint.process.signal(signal.SIGKILL)
         self.tap.note("kill", name=endpoint.name)
         await endpoint.process.end(5)
         self.report(endpoint, "gone")
-        await asyncio.sleep(back)
+        await asyncio.sleep(downtime)
         if endpoint.wanted:
             await self.start(endpoint, True)
         endpoint.disturbed = False
 
-    async def stop(self, endpoint: EndpointProcess, last: float) -> None:
-        """SIGSTOP: it goes silent; discovery, which knows of processes only, may take long to see it."""
+    async def stop(self, endpoint: EndpointProcess, duration: float) -> None:
+        """Stop an endpoint with SIGSTOP for `duration` seconds.
+
+        The endpoint stays silent; discovery, which sees only whether processes exist, may take long to notice.
+        """
         endpoint.disturbed = True
         assert endpoint.process is not None
         endpoint.process.signal(signal.SIGSTOP)
         self.tap.note("stop", name=endpoint.name)
-        seen = self._day.roster.silent_ms / 1000
-        if last > seen:
-            asyncio.get_running_loop().call_later(seen, self.report, endpoint, "gone")
-        await asyncio.sleep(last)
+        notice_delay = self._scenario.roster.silent_ms / 1000
+        if duration > notice_delay:
+            asyncio.get_running_loop().call_later(notice_delay, self.report, endpoint, "gone")
+        await asyncio.sleep(duration)
         endpoint.process.signal(signal.SIGCONT)
         self.tap.note("cont", name=endpoint.name)
-        if last > seen and endpoint.wanted:
+        if duration > notice_delay and endpoint.wanted:
             self.report(endpoint, "ready", False)
         endpoint.disturbed = False
 
-    async def fault(self, endpoint: EndpointProcess, kind: str, size: float, last: float) -> None:
-        """Has an endpoint misbehave for some seconds."""
+    async def fault(self, endpoint: EndpointProcess, kind: str, size: float, duration: float) -> None:
+        """Inject a fault into an endpoint for `duration` seconds."""
         endpoint.disturbed = True
         assert endpoint.process is not None
         endpoint.process.order(do="fault", kind=kind, size=size)
-        await asyncio.sleep(last)
+        await asyncio.sleep(duration)
         endpoint.process.order(do="mend", kind=kind)
         endpoint.disturbed = False
 
-    async def drain_and_return(self, endpoint: EndpointProcess, last: float) -> None:
-        """Maintenance: an endpoint drains, goes, and comes back cold."""
+    async def drain_and_return(self, endpoint: EndpointProcess, duration: float) -> None:
+        """Drain and end an endpoint for maintenance, and start it again, cold."""
         endpoint.disturbed = True
         endpoint.wanted = False
         self.tap.note("drain", name=endpoint.name)
         self.report(endpoint, "draining", late=0.05)
-        await asyncio.sleep(self._day.service.duties.drain_grace_ms / 1000 + 0.5)
+        await asyncio.sleep(self._scenario.service.duties.drain_grace_ms / 1000 + 0.5)
         await self.end(endpoint)
-        await asyncio.sleep(max(0.2, last - 3))
+        await asyncio.sleep(max(0.2, duration - 3))
         await self.start(endpoint, True)
         endpoint.disturbed = False
 
     # Builds
 
     def needed(self, stage: int) -> int:
-        """How many endpoints a stage takes."""
-        return math.ceil(self._day.service.trial.shares[stage] * self._day.units.count - 1e-6)
+        """Return how many endpoints a stage needs."""
+        return math.ceil(self._scenario.service.trial.shares[stage] * self._scenario.units.count - 1e-6)
 
     async def close(self) -> None:
-        """Ends all work and all endpoints."""
+        """Cancel all background work and end all endpoints."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/lanelead/testbed/scenarios/relay_processes.py
+++ b/lanelead/testbed/scenarios/relay_processes.py
@@ -1,4 +1,4 @@
-"""The relays of a scenario as processes: their settings files, starts and ends."""
+"""The relays of a scenario as processes: writes their settings, starts and ends them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayPorts:
-    """The ports of a scenario. `gossip` is where relays listen, `delayed` where the others send to them."""
+    """The ports of a scenario. Relays listen on `gossip`; others send to `delayed`, which forwards there late."""
 
     discovery: int
     rollout_platform: int
@@ -80,7 +80,7 @@
         return settings
 
     async def start(self, number: int) -> None:
-        """Starts a relay, and returns once it listens."""
+        """Start a relay, and return once it listens."""
         file = str(self._settings_file(number))
         if self._scenario.seam is not None:
             args = ["lanelead.testbed.emulators.seeded_faults", self._scenario.seam, file]
@@ -92,11 +92,11 @@
         self._tap.note("relay_start", relay=number, pid=process.process.pid)
 
     async def start_all(self) -> None:
-        """Starts all relays side by side."""
+        """Start all relays at the same time."""
         await asyncio.gather(*(self.start(number) for number in range(self._scenario.relays)))
 
     async def stop_for(self, number: int, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after some seconds."""
+        """Stop a relay with SIGSTOP, and resume it after some seconds."""
         process = self.processes[number]
         process.signal(signal.SIGSTOP)
         self._tap.note("relay_stop", relay=number)
@@ -105,7 +105,7 @@
         self._tap.note("relay_cont", relay=number)
 
     async def kill_and_restart(self, number: int, seconds: float) -> None:
-        """SIGKILL, and another process after some seconds."""
+        """Kill a relay with SIGKILL, and start a new process after some seconds."""
         process = self.processes[number]
         self._tap.note("relay_kill", relay=number)
         process.signal(signal.SIGKILL)
@@ -114,7 +114,7 @@
         await self.start(number)
 
     async def end(self) -> None:
-        """SIGTERM to all, and waits until they have drained."""
+        """Send SIGTERM to all relays, and wait until they have drained."""
         for number, process in self.processes.items():
             if process.alive:
                 self._tap.note("relay_term", relay=number)
--- a/lanelead/testbed/scenarios/rules/__init__.py
+++ b/lanelead/testbed/scenarios/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules, verified from a recording alone; a module a rule."""
+"""Verifies the five rules from a recording alone, with one module per rule."""
--- a/lanelead/testbed/scenarios/rules/drains.py
+++ b/lanelead/testbed/scenarios/rules/drains.py
@@ -1,4 +1,7 @@
-"""Rule 3: no attempt at an endpoint later than the grace after the relay was notified that it drains or is gone."""
+"""Rule 3: no attempt at an endpoint once the grace has passed since the relay was notified that it drains.
+
+The same holds for an endpoint that has been removed from the endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 def _readiness_changes(recording: Recording, finding: Finding) -> Changes:
-    """By relay and endpoint, when it was notified that the endpoint is ready, or is not."""
+    """Return, by relay and endpoint, the times at which the relay was notified that it became ready or not ready."""
     changes: Changes = defaultdict(list)
     known_of: dict[int, dict[str, bool]] = defaultdict(dict)
     for event in recording["roster-told"]:
@@ -29,7 +32,7 @@
 
 
 def verify_drains(recording: Recording, finding: Finding) -> None:
-    """Checks the rule."""
+    """Checks every recorded attempt against what its relay had been notified of."""
     grace = recording.scenario.service.duties.drain_grace_ms / 1000
     changes = _readiness_changes(recording, finding)
     for attempt in recording["trip"]:
--- a/lanelead/testbed/scenarios/rules/effects.py
+++ b/lanelead/testbed/scenarios/rules/effects.py
@@ -1,4 +1,7 @@
-"""Rule 2: no effect twice; a rejection, or another attempt, only where no earlier attempt may have run."""
+"""Rule 2: no effect happens twice.
+
+A request is rejected, or attempted again, only where no earlier attempt of it may have run.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,8 @@
 
 
 class _EffectCheck:
+    """Checks the attempts of every request and the effects of every operation."""
+
     def __init__(self, recording: Recording, finding: Finding) -> None:
         self._recording = recording
         self._finding = finding
@@ -15,7 +20,7 @@
         self._not_run = {
             (event["file"], event["id"]) for kind in ("turned_away", "expired") for event in recording[kind]
         }
-        self._places = {event["file"]: (event["zone"], event["cell"]) for event in recording["up"]}
+        self._zone_and_cell = {event["file"]: (event["zone"], event["cell"]) for event in recording["up"]}
         self._rejected = {event["id"] for event in recording["answer"] if event["outcome"] == "shed"}
         self._operations: set[str] = set()
 
@@ -32,7 +37,7 @@
             return
         self._finding.seen += 1
         self._operations.add(request["op"])
-        # An endpoint that rejected one attempt of a request rejected all that counts here: it records by request.
+        # Endpoints record rejections by request: one that rejected an attempt counts as having run none of them.
         ran = [attempt for attempt in attempts if (attempt["file"], request_id) not in self._not_run]
         if not ran:
             return
@@ -52,19 +57,19 @@
         later: list[RecordedEvent],
         request_class: RequestClassSettings,
     ) -> None:
-        """A repeat stays within the endpoints that drop it, and within the time for which they remember the key."""
+        """Checks that repeats reach endpoints that know the key, within the time for which they remember it."""
         remembered_until = first["t"] + request_class.memory_ms / 1000 + CLOCK_SLACK_SECONDS
         for attempt in later:
             if self._recording.was_suspended(attempt) or self._recording.was_suspended(first):
-                continue  # when it was sent is not known
-            inside = self._same_group(first, attempt, request_class.scope)
-            if not inside or attempt["t"] > remembered_until:
-                why = "outside the group" if not inside else "after the key was forgotten"
-                self._finding.breach(f"{request_id}: repeated at {attempt['file']}, {why}")
+                continue  # the time at which it was sent is unknown
+            same_group = self._same_group(first, attempt, request_class.scope)
+            if not same_group or attempt["t"] > remembered_until:
+                reason = "outside the group" if not same_group else "after the key was forgotten"
+                self._finding.breach(f"{request_id}: repeated at {attempt['file']}, {reason}")
 
     def _same_group(self, first: RecordedEvent, attempt: RecordedEvent, scope: str) -> bool:
-        first_zone, first_cell = self._places[first["file"]]
-        zone, cell = self._places[attempt["file"]]
+        first_zone, first_cell = self._zone_and_cell[first["file"]]
+        zone, cell = self._zone_and_cell[attempt["file"]]
         return bool({"all": True, "zone": zone == first_zone, "cell": cell == first_cell}[scope])
 
     def _check_effects(self) -> None:
@@ -75,7 +80,7 @@
         for operation in sorted(self._operations):
             effects = effects_of.get(operation, [])
             if class_of[operation] in keyed_classes:
-                # What an endpoint does after it stood still may lie beyond its group's memory, whoever sent it when.
+                # A stopped endpoint may run an attempt after its group has forgotten the key, whenever it was sent.
                 effects = [effect for effect in effects if not self._recording.was_suspended(effect)]
             if len(effects) > 1:
                 where = ", ".join(effect["file"] for effect in effects)
@@ -83,5 +88,5 @@
 
 
 def verify_effects(recording: Recording, finding: Finding) -> None:
-    """Checks the rule."""
+    """Checks the attempts and effects of all requests of classes that are not idempotent."""
     _EffectCheck(recording, finding).run()
--- a/lanelead/testbed/scenarios/rules/exposure.py
+++ b/lanelead/testbed/scenarios/rules/exposure.py
@@ -1,7 +1,8 @@
-"""Rule 5: a relay's attempts at a canary build stay within the uncounted ones and its limit's share of its requests.
+"""Rule 5: a relay's attempts at a canary build stay within its exposure limit.
 
-Where the settings ask for it: no attempts of other than idempotent requests in guarded stages, and a key that the new
-build has answered goes to no earlier build.
+Within a window, a relay may send the canary build a few uncounted attempts and its limit's share of the requests that
+it receives. Where the settings ask for it, two more checks hold: in guarded stages only idempotent requests are sent,
+and a key that the new build has answered goes to no earlier build.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
     by_key,
 )
 
-EARLY_STATE_SECONDS = 3.0  # before a relay's start, from which the state that it received last still holds
+EARLY_STATE_SECONDS = 3.0  # states received this long before a relay's recorded start count as received by its process
 ROUNDING = 1e-9
-INSTANT = 1e-6  # seconds: just after
+INSTANT = 1e-6  # seconds; just after a change
 
 
 @dataclass(slots=True)
 class ReceivedState:
-    """A rollout state as a relay received it."""
+    """A rollout state as a relay received it; `cap` is the exposure limit."""
 
     t: float
     build: int
@@ -35,12 +36,12 @@
     cap: float
 
     def is_canary(self, build: int) -> bool:
-        """Whether the build counts as a canary, one that was not announced yet included."""
+        """Whether the build counts as a canary; a build that has not been announced yet does."""
         return build > self.build or (build == self.build and self.phase != "released")
 
 
 class ReceivedStates:
-    """The rollout states that one relay received, in one process; `limits` has the exposure limit of each stage."""
+    """The rollout states that one process of a relay received; `limits` holds the exposure limit of each stage."""
 
     def __init__(self, rows: list[ReceivedState], limits: list[float]) -> None:
         self.rows = rows
@@ -48,12 +49,12 @@
         self._times = [row.t for row in rows]
 
     def at(self, t: float) -> ReceivedState | None:
-        """The state that held at a time."""
+        """The state in force at a time, or None before the first."""
         count = bisect_right(self._times, t)
         return self.rows[count - 1] if count else None
 
     def limit(self, state: ReceivedState | None, build: int) -> float:
-        """A build's exposure limit under a state; a build not yet announced counts as in the first stage."""
+        """A build's exposure limit under a state; a build that has not been announced counts as in the first stage."""
         if state is None or build > state.build:
             return self._limits[0]
         return state.cap if state.phase == "trial" else 0.0
@@ -64,7 +65,7 @@
         return max(self.limit(row, build) for row in rows)
 
     def lowered_at(self, build: int, end: float) -> float:
-        """When the build's limit was last lowered, up to a time; minus infinity where never."""
+        """The last time up to `end` at which the build's limit was lowered; minus infinity where it never was."""
         last: float | None = None
         at = float("-inf")
         for row in self.rows:
@@ -77,12 +78,12 @@
         return at
 
     def rolled_back(self, build: int, t: float) -> bool:
-        """Whether a build had been taken back up to a time."""
+        """Whether a build's rollback had begun by a time."""
         return any(row.build == build and row.phase in ("reverting", "withdrawn") and row.t <= t for row in self.rows)
 
 
 class _RunCheck:
-    """One process of one relay."""
+    """Checks the attempts of one process of a relay."""
 
     def __init__(self, recording: Recording, finding: Finding, relay: int, run: RelayRun) -> None:
         self._recording = recording
@@ -99,7 +100,7 @@
             and event.get("word", "done") == "done"
         ]
         self._states = ReceivedStates(rows, self._rules.caps)
-        self._received: dict[str | None, list[float]] = defaultdict(list)  # by class; None: of all
+        self._received: dict[str | None, list[float]] = defaultdict(list)  # times by request class; None: all classes
         for request in recording["ask"]:
             if request["relay"] == relay and run.start <= request["t"] <= run.end:
                 self._received[None].append(request["t"])
@@ -107,6 +108,7 @@
         self._sent: dict[tuple[int, str | None], list[float]] = defaultdict(list)
 
     def check_attempt(self, attempt: RecordedEvent) -> None:
+        """Checks an attempt against the exposure limit and the guarded stages."""
         t = attempt["t"]
         build = attempt["build"]
         state = self._states.at(t)
@@ -138,7 +140,7 @@
         if lowered:
             start = max(start, binds_at + CLOCK_SLACK_SECONDS)
         count = len(times) - bisect_left(times, start)
-        # A lower limit binds when its grace is over; up to then the higher one did.
+        # A lowered limit applies once its grace has passed; the higher limit applies until then.
         limit_from = binds_at + INSTANT if lowered else t - self._window - self._grace
         limit = self._states.highest_limit(build, limit_from, t)
         received = self._received[name]
@@ -152,7 +154,7 @@
             )
 
     def check_keys(self, attempts: list[RecordedEvent], requests: dict[str, RecordedEvent]) -> None:
-        """A key that the newest build has answered goes to no earlier one."""
+        """Checks that a key which the newest build has answered goes to no earlier build."""
         answered: dict[str, list[tuple[float, int]]] = defaultdict(list)
         for event in self._recording["answer"]:
             request = requests.get(event["id"])
@@ -180,7 +182,7 @@
 
 
 def verify_exposure(recording: Recording, finding: Finding) -> None:
-    """Checks the rule, relay by relay and process by process."""
+    """Checks the attempts of each process of each relay."""
     requests = {request["id"]: request for request in recording["ask"]}
     attempts_of = by_key(recording["trip"], "relay")
     for relay, runs in sorted(recording.relay_runs.items()):
--- a/lanelead/testbed/scenarios/rules/final_responses.py
+++ b/lanelead/testbed/scenarios/rules/final_responses.py
@@ -1,4 +1,4 @@
-"""Rule 1: every request that a running relay took gets one final response, in time, and nothing after it."""
+"""Rule 1: every request that a running relay received gets one final response, in time, and nothing after it."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
         self._responses = by_key(recording["answer"], "id")
         self._left_clients = {event["id"]: event for event in recording["gone"]}
         self._first_try: dict[str, RecordedEvent] = {}
-        self._value: dict[str, float] = {}  # earned, by operation
+        self._value: dict[str, float] = {}  # value earned, by operation
 
     def run(self) -> None:
+        """Counts and checks every request, and the bytes that came after final responses."""
         for request in self._recording["ask"]:
             self._verdict.lookups += 1
             self._first_try.setdefault(request["op"], request)
@@ -58,7 +59,7 @@
         self._value[operation] = max(value, self._value.get(operation, 0.0))
 
     def _nothing_due(self, request: RecordedEvent, responses: list[RecordedEvent]) -> bool:
-        """The client left first, or its relay was killed or had been ordered to end: no response is due."""
+        """Whether no response is due: the client left first, or the relay was killed or ordered to end."""
         if responses:
             return False
         gone = self._left_clients.get(request["id"])
@@ -95,5 +96,5 @@
 
 
 def verify_final_responses(recording: Recording, verdict: Verdict) -> None:
-    """Checks the rule and counts requests into the verdict."""
+    """Checks the rule and counts the requests into the verdict."""
     _ResponseCheck(recording, verdict).run()
--- a/lanelead/testbed/scenarios/rules/findings.py
+++ b/lanelead/testbed/scenarios/rules/findings.py
@@ -1,15 +1,19 @@
-"""What the verifier finds: per rule, per offered build, and over all. Field names are those of the verdict's JSON."""
+"""The verifier's results: per rule, per offered build, and over all. Field names are those of the verdict's JSON."""
 
 from __future__ import annotations
 
 import msgspec
 
-MAX_CASES = 20  # reported of each rule
-SHOWN_CASES = 5  # of them in the report for people
+MAX_CASES = 20  # cases kept for each rule
+SHOWN_CASES = 5  # of these in the text report
 
 
 class Finding(msgspec.Struct):
-    """One rule: how often something was at stake, how often it was broken, and the first cases."""
+    """The result for one rule.
+
+    `seen` counts the events that could have broken the rule, `broken` those that did, and `cases` describes the first
+    of these.
+    """
 
     seen: int = 0
     broken: int = 0
@@ -17,7 +21,7 @@
 
     @property
     def word(self) -> str:
-        """`broken`, `kept`, or `unproven` where nothing was at stake."""
+        """`broken`, `kept`, or `unproven` where no event could have broken the rule."""
         if self.broken:
             return "broken"
         return "kept" if self.seen else "unproven"
@@ -30,7 +34,7 @@
 
 
 class Offered(msgspec.Struct):
-    """A build that was offered; seconds are counted from then."""
+    """An offered build; `sent_back` (rolled back) and `released` (promoted) are seconds since the offer."""
 
     build: int
     bad: str | None
@@ -39,7 +43,7 @@
 
 
 class Verdict(msgspec.Struct):
-    """What came of a scenario: the rules, the counts of requests, the share of their value that was served."""
+    """The result for a scenario: the rules, the counts of requests, and the share of their value that was earned."""
 
     day: str
     rules: dict[str, Finding]
@@ -48,19 +52,19 @@
     shed: int = 0
     broken_off: int = 0
     lost: int = 0
-    excused: int = 0  # sent to a relay that was killed, or was ending, before it could answer
-    left: int = 0  # their clients left first
+    excused: int = 0  # received by a relay that was killed or ordered to end before it could respond
+    left: int = 0  # the client left before the response
     service: float = 0.0
     builds: list[Offered] = []
 
     @property
     def kept(self) -> bool:
-        """No rule is broken."""
+        """Whether no rule is broken."""
         return not any(finding.broken for finding in self.rules.values())
 
 
 def report(verdict: Verdict) -> str:
-    """The verdict for people."""
+    """Return the verdict as text."""
     lines = [f"day {verdict.day}"]
     for rule, finding in verdict.rules.items():
         lines.append(f"  {rule:9} {finding.word:8}  at stake {finding.seen}, broken {finding.broken}")
--- a/lanelead/testbed/scenarios/rules/migrations.py
+++ b/lanelead/testbed/scenarios/rules/migrations.py
@@ -1,5 +1,8 @@
-"""Where a scenario has a migration store: no request against a schema that its build does not fit, no attempt at a
-build that must wait, no effect but of the intent under way and once, and a log that is clear at the end."""
+"""Checks of migrations, where a scenario has a migration store.
+
+No request runs against a schema that its build does not fit; no attempt is sent to a build that must wait; each effect
+belongs to the intent in progress and is applied once; no step is in progress at the end.
+"""
 
 from __future__ import annotations
 
@@ -15,24 +18,29 @@
 
 
 class _MigrationCheck:
+    """Replays the recorded migration log, and checks effects, filed requests and attempts against it."""
+
     def __init__(self, recording: Recording, finding: Finding) -> None:
         self._recording = recording
         self._finding = finding
         self._log = MigrationLog()
-        self._effects_had: set[tuple[int, int]] = set()
-        self._closed_since: dict[int, float | None] = {}  # since when a build has no traffic, by the log
+        self._applied_effects: set[tuple[int, int]] = set()
+        self._closed_since: dict[
+            int, float | None
+        ] = {}  # by build: since when the log has it wait for a step, without traffic
         self._closed: dict[int, Intervals] = defaultdict(Intervals)
 
     def run(self) -> None:
+        """Checks everything, up to the first log entry that is not allowed."""
         if not self._read_log():
             return
         self._check_filed()
         self._check_attempts()
-        if (mark := self._log.active_step()) is not None:
-            self._finding.breach(f"{mark.step.name!r} is {mark.status.value} at the end")
+        if (active := self._log.active_step()) is not None:
+            self._finding.breach(f"{active.step.name!r} is {active.status.value} at the end")
 
     def _read_log(self) -> bool:
-        """Goes through the log with its effects; false where it follows no rules."""
+        """Replays log entries and effects in order; false where an entry is not allowed."""
         events = (*self._recording["entry"], *self._recording["effect_asked"])
         for event in sorted(events, key=lambda event: event["t"]):
             if event["ev"] == "effect_asked":
@@ -66,11 +74,11 @@
             return
         self._finding.seen += 1
         intent = event["intent"]
-        mark = self._log.active_step()
-        if mark is None or mark.status is not StepStatus.IN_PROGRESS or mark.intent_seq != intent:
+        active = self._log.active_step()
+        if active is None or active.status is not StepStatus.IN_PROGRESS or active.intent_seq != intent:
             self._finding.breach(f"part {event['part']} of intent {intent} had, which is not under way")
-        self._effects_had.add((intent, event["part"]))
-        parts = {part for other, part in self._effects_had if other == intent}
+        self._applied_effects.add((intent, event["part"]))
+        parts = {part for other, part in self._applied_effects if other == intent}
         if event["said"]["parts"] != len(parts):
             self._finding.breach(f"intent {intent}: {event['said']['parts']} parts had, of which some unrequested")
 
@@ -93,5 +101,5 @@
 
 
 def verify_migrations(recording: Recording, finding: Finding) -> None:
-    """Checks what the module's comment says."""
+    """Checks the recording against the rules in the module's doc comment."""
     _MigrationCheck(recording, finding).run()
--- a/lanelead/testbed/scenarios/rules/recording.py
+++ b/lanelead/testbed/scenarios/rules/recording.py
@@ -1,6 +1,6 @@
-"""The recorded events of a scenario, by kind and in the order of time.
+"""The recorded events of a scenario, grouped by kind and sorted by time.
 
-Times are read at two ends of a socket, so each rule is verified with `CLOCK_SLACK_SECONDS` on the lenient side.
+The two ends of a socket record their own times, so each rule allows `CLOCK_SLACK_SECONDS` in favour of the relay.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from lanelead.settings.scenario_settings import Scenario
 from lanelead.testbed.emulators.event_recording import BadCapture, read
 
-CLOCK_SLACK_SECONDS = 0.2  # may lie between the two ends of a socket
-RESUME_SECONDS = 1.0  # after a stopped process goes on, until it is back in time
-EARLY_START_SECONDS = 2.0  # a relay's sockets open a little before it is noted as started
+CLOCK_SLACK_SECONDS = 0.2  # largest difference between the times that two ends of a socket record
+RESUME_SECONDS = 1.0  # time in which a resumed process works off what arrived while it was stopped
+EARLY_START_SECONDS = 2.0  # a relay's sockets open slightly before its start is recorded
 RecordedEvent = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Intervals:
-    """Times at which something was so, in seconds."""
+    """Time intervals in seconds."""
 
     rows: list[tuple[float, float]] = field(default_factory=list)
 
@@ -32,12 +32,12 @@
         self.rows.append((start, end))
 
     def overlap(self, start: float, end: float) -> bool:
-        """Whether any interval meets this one."""
+        """Whether any interval overlaps this one."""
         return any(begin <= end and start <= finish for begin, finish in self.rows)
 
 
 class RelayRun(NamedTuple):
-    """One process of a relay: from when to when it ran, and how that ended (kill, term, or alive)."""
+    """One process of a relay: when it started and ended, and how it ended (kill, term, or alive)."""
 
     start: float
     end: float
@@ -45,7 +45,10 @@
 
 
 class Recording:
-    """All events of a folder. Raises BadCapture where it holds no whole recording."""
+    """All events of a recording's folder.
+
+    Raises BadCapture where the folder does not hold a complete recording.
+    """
 
     def __init__(self, folder: Path) -> None:
         try:
@@ -55,7 +58,7 @@
         self._events: dict[str, list[RecordedEvent]] = defaultdict(list)
         for file, event in read(folder):
             event["file"] = file
-            # Discovery and the rollout platform both record 'told'; which of them it was stands in the file's name.
+            # Discovery and the rollout platform both record 'told'; the file's name tells them apart.
             kind = f"{file}-told" if event["ev"] == "told" else str(event["ev"])
             self._events[kind].append(event)
         for events in self._events.values():
@@ -68,7 +71,10 @@
         return self._events.get(kind, [])
 
     def was_suspended(self, event: RecordedEvent) -> bool:
-        """Whether the recording endpoint was stopped just then: when its peer wrote what it read is unknown."""
+        """Whether the endpoint that recorded an event was stopped at that time.
+
+        If so, the time at which its peer wrote what it read is unknown.
+        """
         return self._stopped[endpoint_name(event)].overlap(event["t"], event["t"])
 
     def _stopped_endpoints(self) -> dict[str, Intervals]:
@@ -87,13 +93,13 @@
             relay = event["relay"]
             later = sorted((t, how) for t, number, how in ends if number == relay and t > event["t"])
             end, how = later[0] if later else (float("inf"), "alive")
-            # What an earlier process sent stays its own.
+            # Events up to the end of an earlier process belong to that one.
             earliest = max((run.end for run in runs[relay]), default=float("-inf")) + CLOCK_SLACK_SECONDS
             runs[relay].append(RelayRun(max(event["t"] - EARLY_START_SECONDS, earliest), end, how))
         return runs
 
     def run_at(self, relay: int, t: float) -> RelayRun | None:
-        """The process of a relay that ran at a time."""
+        """The process of a relay that ran at a time, or None."""
         return next((run for run in self.relay_runs[relay] if run.start <= t <= run.end), None)
 
 
@@ -103,7 +109,7 @@
 
 
 def by_key(events: list[RecordedEvent], key: str) -> dict[Any, list[RecordedEvent]]:
-    """Events grouped by one of their fields, in the order of time."""
+    """Events grouped by one of their fields, sorted by time."""
     found: dict[Any, list[RecordedEvent]] = defaultdict(list)
     for event in events:
         found[event[key]].append(event)
--- a/lanelead/testbed/scenarios/rules/slow_start.py
+++ b/lanelead/testbed/scenarios/rules/slow_start.py
@@ -1,6 +1,7 @@
-"""Rule 4: no endpoint that has just started is sent more than it can do as warm as it is, times a multiple.
+"""Rule 4: no endpoint in its slow start is sent more than a multiple of its capacity.
 
-A stricter check of the same kind holds where endpoints return to a zone: no multiple, and a longer span.
+The capacity grows while the endpoint warms up. A stricter check holds where endpoints return to a zone: a multiple of
+one, over a longer span.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from lanelead.testbed.scenarios.rules.findings import Finding
 from lanelead.testbed.scenarios.rules.recording import RecordedEvent, Recording, by_key, endpoint_name
 
-OVERLOAD_ALLOWED_REQUESTS = 8  # of the class with the longest mean: chance alone brings a few long ones together
+OVERLOAD_ALLOWED_REQUESTS = 8  # of the class with the longest mean: a few long requests may coincide by chance
 RETURN_ALLOWED_REQUESTS = 4
 RETURN_SPAN_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Load:
-    """An attempt at an endpoint in its slow start: the work sent in the span up to then, and what it could do."""
+    """An attempt at an endpoint in its slow start: the work sent in the span up to it, and the endpoint's capacity."""
 
     start: RecordedEvent
     attempt: RecordedEvent
@@ -51,7 +52,10 @@
 def _verify_loads(
     recording: Recording, finding: Finding, *, span: float, multiple: float, allowed_requests: int
 ) -> None:
-    """No endpoint sent more than a multiple of what it can do, and a few requests. One case a start."""
+    """Checks that no endpoint was sent more than `multiple` times its capacity and a few requests more.
+
+    Reports one case per start of an endpoint.
+    """
     longest_mean = max(work.ms for work in recording.scenario.clients.work) / 1000
     reported: set[tuple[str, float]] = set()
     for load in _slow_start_loads(recording, span, finding):
@@ -68,7 +72,7 @@
 
 
 def verify_slow_start(recording: Recording, finding: Finding) -> None:
-    """Checks the rule, and that no endpoint was overloaded into falling over."""
+    """Checks the rule, and that no endpoint was overloaded so that it fell over."""
     limits = recording.scenario.service.duties
     _verify_loads(
         recording,
@@ -82,5 +86,5 @@
 
 
 def verify_returns(recording: Recording, finding: Finding) -> None:
-    """Checks that no returning endpoint was sent more than it could do as warm as it was."""
+    """Checks that no returning endpoint was sent more than its capacity at its stage of warming up."""
     _verify_loads(recording, finding, span=RETURN_SPAN_SECONDS, multiple=1.0, allowed_requests=RETURN_ALLOWED_REQUESTS)
--- a/lanelead/testbed/scenarios/rules/spillover.py
+++ b/lanelead/testbed/scenarios/rules/spillover.py
@@ -1,4 +1,4 @@
-"""Where relays prefer their zones: a relay's attempts outside its own zone stay within the stated part."""
+"""Checks that a relay's attempts outside its own zone stay within the configured share."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 from lanelead.testbed.scenarios.rules.recording import CLOCK_SLACK_SECONDS, Recording, endpoint_name
 
 SPAN_SECONDS = 3.0
-USUAL_SECONDS = 10.0  # what is usual is read leniently: the relay's busiest seconds so far
-PACING_SLACK = 1.5  # a relay paces itself by steps with random parts,
-HELD_ATTEMPTS = 5  # and holds what it may send for half a latency objective
+USUAL_SECONDS = 10.0  # the usual rate is read leniently, as the highest one of the relay so far
+PACING_SLACK = 1.5  # a relay paces its spillover in partly random steps,
+HELD_ATTEMPTS = 5  # and may save up what it does not use for half a latency objective
 
 
 def verify_spillover(recording: Recording, override: SpilloverOverride, finding: Finding) -> None:
-    """In every span: the part `most` of what the others' endpoints would do for the relay, were they its own."""
+    """Checks a relay's attempts outside its zone in every span.
+
+    The limit is the share `most` of the requests that the other zones' endpoints would handle for the relay if they
+    were in its own zone.
+    """
     endpoints = recording.scenario.units
     zones = endpoints.zones
     zone_of = {event["unit"]: event["zone"] for event in recording["up"]}
--- a/lanelead/testbed/scenarios/rules/verifier.py
+++ b/lanelead/testbed/scenarios/rules/verifier.py
@@ -1,20 +1,21 @@
 """Verifies the rules from a recording alone: what passed at the emulators' ends of the sockets.
 
- answers   every request that a running relay took: one final response, in time, and nothing after it
- effects   no effect twice; a rejection, or another attempt, only where no earlier attempt may have run
- drains    no attempt at an endpoint later than the grace after the relay was notified that it drains or is gone
- cold      no endpoint that has just started sent more than the multiple of what it can do
- exposure  a relay's attempts at a canary build within the uncounted ones and the limit's share of its requests
+ answers   every request that a running relay received gets one final response, in time, and nothing after it
+ effects   no effect happens twice; rejections and retries only where no earlier attempt may have run
+ drains    no attempt at an endpoint once the grace has passed since the relay was notified of its drain or removal
+ cold      no endpoint in its slow start is sent more than a multiple of its capacity
+ exposure  a relay's attempts at a canary build stay within its exposure limit
 
-A rule with nothing at stake is unproven, not kept. Where the scenario has relays prefer their zones, two more:
+A rule that nothing in the recording could have broken is unproven, not kept. Two more rules apply where the scenario
+has relays prefer their zones:
 
- spill     a relay's attempts outside its own zone within the stated part of what those endpoints would do for it
- returns   no returning endpoint sent more than it can do as warm as it is
+ spill     a relay's attempts outside its own zone stay within the configured share
+ returns   no returning endpoint is sent more than its capacity at its stage of warming up
 
-Where it has a migration store, one more:
+One more applies where it has a migration store:
 
- steps     no request against a schema that its build does not fit, no attempt at a build that must wait, no effect
-           but of the intent under way and once, and a log that is clear at the end
+ steps     no request against a schema that its build does not fit; no attempt at a build that must wait; each effect
+           belongs to the intent in progress and is applied once; no step in progress at the end
 """
 
 from __future__ import annotations
@@ -37,7 +38,10 @@
 
 
 def verify(folder: Path) -> Verdict:
-    """The verdict on a recording's folder. Raises BadCapture where it holds no whole recording."""
+    """Return the verdict on a recording's folder.
+
+    Raises BadCapture where the folder does not hold a complete recording.
+    """
     recording = Recording(folder)
     scenario = recording.scenario
     verdict = Verdict(scenario.name, {rule: Finding() for rule in RULES})
--- a/lanelead/testbed/scenarios/runner.py
+++ b/lanelead/testbed/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: starts everything on loopback, follows the script, leaves a recording behind."""
+"""Runs a scenario: starts all processes on loopback, follows the script, and writes a recording."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
 from lanelead.testbed.scenarios.relay_processes import LOOPBACK, RelayPorts, RelayProcesses
 from lanelead.testbed.scenarios.scheduled_events import ScheduledEvents
 
-CLIENTS_EXIT_SECONDS = 15.0  # beyond the longest request
+CLIENTS_EXIT_SECONDS = 15.0  # time to exit after the longest request may end
 PROCESS_EXIT_SECONDS = 5.0
 DRAIN_SECONDS = 0.5
 ROLLBACK_DRAIN_SECONDS = 0.2
-LISTED_SECONDS = 0.3  # after discovery's delay, until relays know of new endpoints
-SHARED_SLOWDOWN = 4.0  # at a build with the whole fleet
+LISTED_SECONDS = 0.3  # after discovery's delay, until relays have received new endpoints
+SHARED_SLOWDOWN = 4.0  # added slowdown factor once such a build has the whole fleet
 
 
 def plan_file(name: str) -> Path:
-    """A migration plan that comes with lanelead, or a file."""
+    """Return the file of a migration plan that comes with lanelead, or the file of that name."""
     built_in = Path(str(files("lanelead.testbed.scenarios").joinpath("plans", f"{name}.cue")))
     return built_in if built_in.exists() else Path(name)
 
 
 class ScenarioRunner:
-    """Everything of one scenario while it runs. `say` gets lines for people."""
+    """Everything of one scenario while it runs; `print_line` receives progress lines."""
 
-    def __init__(self, scenario: Scenario, folder: Path, seed: int, say: Callable[[str], None]) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, seed: int, print_line: Callable[[str], None]) -> None:
         self.scenario = scenario
         self.folder = folder
         self.seed = seed
-        self._say = say
+        self._print = print_line
         self.tap = Tap(folder, "conductor")
         self.relays = RelayProcesses(scenario, folder, seed, self.tap)
         self.clients: ChildProcess | None = None
@@ -84,7 +84,7 @@
         )
 
     async def run(self) -> None:
-        """Runs the scenario to its end."""
+        """Run the scenario to its end."""
         scenario = self.scenario
         (self.folder / "day.json").write_bytes(msgspec.json.encode(scenario))
         await self.discovery.open()
@@ -149,12 +149,12 @@
         self.rollout_platform.close()
 
     async def until(self, at: float) -> None:
-        """Waits until so many seconds after the start."""
+        """Wait until `at` seconds after the scenario's start."""
         await asyncio.sleep(max(0.0, self._began + at - clock()))
 
     def report(self, text: str) -> None:
-        """Says something to people, with the time."""
-        self._say(f"{clock() - self._began:5.1f} s  {text}")
+        """Print a progress line with the time."""
+        self._print(f"{clock() - self._began:5.1f} s  {text}")
 
     # Migrations
 
@@ -176,7 +176,7 @@
         self.fleet.store = port
 
     async def _run_migration(self, run: MigrationRun) -> None:
-        """One migration runner's process, killed on the way where the script says so."""
+        """Run one migration runner's process, and kill it on the way where the script says so."""
         await self.until(run.at)
         process = await ChildProcess.start("steps", self.folder / "steps.log", *self._migration_command(run))
         self._migration_runners.append(process)
@@ -185,7 +185,7 @@
         if run.kill_after is not None:
             await asyncio.sleep(run.kill_after)
             process.signal(signal.SIGKILL)
-            self.report("its runner is killed")
+            self.report("migration runner killed")
         output, _ = await process.process.communicate()
         self.tap.note("steps_end", plan=run.plan, code=process.process.returncode)
         last = output.decode().strip().splitlines()[-1:] or ["nothing"]
@@ -213,7 +213,7 @@
         self.fleet.task(self._follow_build(build, stage, phase))
 
     async def _follow_build(self, build: int, stage: int, phase: str) -> None:
-        """What the platform does with endpoints when a build has moved."""
+        """Start and drain endpoints after a build has moved, as the deployment platform does."""
         match phase:
             case "trial":
                 await self._start_stage(build, stage)
@@ -227,9 +227,9 @@
 
     async def _start_stage(self, build: int, stage: int) -> None:
         fleet = self.fleet
-        have = {endpoint.place for endpoint in fleet.of(build)}
-        free = [place for place in range(self.scenario.units.count) if place not in have]
-        places = free[: fleet.needed(stage) - len(have)]
+        occupied = {endpoint.place for endpoint in fleet.endpoints_of_build(build)}
+        free = [place for place in range(self.scenario.units.count) if place not in occupied]
+        places = free[: fleet.needed(stage) - len(occupied)]
         await fleet.start_build(build, places, True)
         self._share_slowness()
         self.rollout_platform.machines_run(build, stage)
@@ -237,7 +237,7 @@
             await self._drain_earlier(build, set(places))
 
     async def _drain_earlier(self, build: int, places: set[int] | None) -> None:
-        """Drains the endpoints of earlier builds, at these places or at all."""
+        """Drain the endpoints of earlier builds at these places, or at all places."""
         fleet = self.fleet
         earlier = [
             endpoint for endpoint in fleet.endpoints.values() if endpoint.wanted and endpoint.build.number < build
@@ -248,27 +248,32 @@
     async def _restore_for_recall(self, build: int) -> None:
         fleet = self.fleet
         earlier = max(number for number in fleet.builds if number < build)
-        have = {endpoint.place for endpoint in fleet.of(earlier)}
-        missing = [place for place in range(self.scenario.units.count) if place not in have]
+        occupied = {endpoint.place for endpoint in fleet.endpoints_of_build(earlier)}
+        missing = [place for place in range(self.scenario.units.count) if place not in occupied]
         await fleet.start_build(earlier, missing, True)
         await asyncio.sleep(self.scenario.roster.late_ms / 1000 + LISTED_SECONDS)
         self.rollout_platform.back()
 
     async def _roll_back(self, build: int) -> None:
         fleet = self.fleet
-        have = {
+        occupied = {
             endpoint.place for endpoint in fleet.endpoints.values() if endpoint.wanted and endpoint.build.number < build
         }
-        missing = [place for place in range(self.scenario.units.count) if place not in have]
+        missing = [place for place in range(self.scenario.units.count) if place not in occupied]
         if missing:
             earlier = max(number for number in fleet.builds if number < build)
             await fleet.start_build(earlier, missing, True)
-        await asyncio.gather(*(fleet.drain(endpoint, ROLLBACK_DRAIN_SECONDS) for endpoint in fleet.of(build)))
+        await asyncio.gather(
+            *(fleet.drain(endpoint, ROLLBACK_DRAIN_SECONDS) for endpoint in fleet.endpoints_of_build(build))
+        )
         self._share_slowness()
         self.rollout_platform.gone_back(build)
 
     def _share_slowness(self) -> None:
-        """A build that is bad by 'shared' slows all endpoints, old and new, in step with its part of the fleet."""
+        """Recompute how much builds with the fault `shared` slow down the whole fleet.
+
+        Every endpoint becomes slower in proportion to the faulty endpoints' share of the fleet.
+        """
         every = [endpoint for endpoint in self.fleet.endpoints.values() if endpoint.wanted]
         faulty_share = sum(endpoint.build.strength for endpoint in every if endpoint.build.bad == "shared")
         slowness = 1 + SHARED_SLOWDOWN * faulty_share / max(1, len(every))
--- a/lanelead/testbed/scenarios/scheduled_events.py
+++ b/lanelead/testbed/scenarios/scheduled_events.py
@@ -1,4 +1,4 @@
-"""The events of a scenario's script: faults that begin at their time, last, and end."""
+"""Injects the faults of a scenario's script: each starts at its time, lasts and ends."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ScheduledEvents:
-    """Carries out a script's events on a runner's processes."""
+    """Runs a script's events on a scenario's processes."""
 
     def __init__(self, runner: ScenarioRunner, rng: Random) -> None:
         self._runner = runner
@@ -43,7 +43,7 @@
         }
 
     async def run(self, event: ScenarioEvent) -> None:
-        """Waits for an event's time and sees it through."""
+        """Wait for an event's time, and run it to its end."""
         runner = self._runner
         await runner.until(event.at)
         runner.tap.note("event", kind=event.kind, for_=event.for_, size=event.size, count=event.count)
--- a/lanelead/testbed/simulation/decision_loop.py
+++ b/lanelead/testbed/simulation/decision_loop.py
@@ -144,17 +144,7 @@
 
 
 class World:
-    """All relays and endpoints of one run.
-
-    Parameters
-    ----------
-    plan
-        The parameters of the run.
-    seed
-        Determines all random draws.
-    policy
-        Creates the spillover policy of each relay; None: the production `ZoneSpillover`.
-    """
+    """All relays and endpoints of one run. `policy` replaces each relay's spillover policy where it is given."""
 
     def __init__(self, plan: Plan, seed: int, policy: Policy | None = None) -> None:
         self.plan, self.seed, self.policy = plan, seed, policy
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -238,14 +238,14 @@
         every = sorted(self.endpoints.values(), key=lambda endpoint: endpoint.life.name)
         return [m for m in every if m.up and not m.leaving and not m.disturbed]
 
-    def drain(self, endpoint: SimulatedEndpoint, last: float) -> SimulationProcess:
-        """Lists an endpoint as draining, waits for the drain grace and `last` more seconds, then ends it."""
+    def drain(self, endpoint: SimulatedEndpoint, finish_seconds: float) -> SimulationProcess:
+        """Lists an endpoint as draining, waits for the drain grace and `finish_seconds` more, then ends it."""
         if endpoint.leaving or not endpoint.up:
             return
         self.book.note("processes", "drain", name=endpoint.life.name)
         self.report(endpoint, "draining", late=0.05)
         endpoint.leaving = True
-        yield self.day.service.duties.drain_grace_ms / 1000 + last
+        yield self.day.service.duties.drain_grace_ms / 1000 + finish_seconds
         self.finish(endpoint)
 
     def finish(self, endpoint: SimulatedEndpoint) -> None:
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -15,7 +15,12 @@
 from lanelead.cli import main
 from lanelead.settings.read import read_text
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.scenarios.bench_import import MAKERS, InvalidBenchDayError, script, written
+from lanelead.testbed.scenarios.bench_import import (
+    EVENT_CONVERTERS,
+    InvalidBenchDayError,
+    convert_bench_day,
+    script_text,
+)
 from lanelead.testbed.scenarios.commands import load
 
 SHORT = """
@@ -140,16 +145,16 @@
 
 class FromBench(unittest.TestCase):
     def test_every_kind_that_is_known_becomes_an_event_of_a_good_script(self) -> None:
-        for kind in MAKERS:
-            record, said = script(msgspec.json.encode(bench_day(trouble(kind))), "d")
-            day = read_text(written(record, said), "d")
+        for kind in EVENT_CONVERTERS:
+            record, said = convert_bench_day(msgspec.json.encode(bench_day(trouble(kind))), "d")
+            day = read_text(script_text(record, said), "d")
             assert isinstance(day, Scenario)
             self.assertEqual(len(day.events), 1, kind)
             self.assertIn("14 units in place of 20", said)
             self.assertEqual((day.desk.offers[0].bad, day.desk.offers[0].lane), ("lane", "file"))
 
     def test_what_cannot_be_carried_over_is_said_by_name(self) -> None:
-        _, said = script(msgspec.json.encode(bench_day(trouble("meteor"))), "d")
+        _, said = convert_bench_day(msgspec.json.encode(bench_day(trouble("meteor"))), "d")
         self.assertIn("cannot be carried over: meteor", said)
 
     def test_every_kind_of_the_recorded_troubles_has_a_script_of_ours(self) -> None:
@@ -178,7 +183,9 @@
         ]
         for name in days:
             self.assertTrue(load(name).says)
-        self.assertEqual(set(MAKERS) | {"bad_build"}, {name.replace("-", "_") for name in days[:-1]} | {"bad_build"})
+        self.assertEqual(
+            set(EVENT_CONVERTERS) | {"bad_build"}, {name.replace("-", "_") for name in days[:-1]} | {"bad_build"}
+        )
 
     def test_any_field_missing_or_of_another_kind_is_refused_not_a_crash(self) -> None:
         whole = bench_day(trouble("crash"))
@@ -193,7 +200,7 @@
                         place = place[step]
                     place[key] = value
                     try:
-                        record, _ = script(msgspec.json.encode(copy_), "d")
+                        record, _ = convert_bench_day(msgspec.json.encode(copy_), "d")
                     except InvalidBenchDayError as fault:
                         self.assertTrue(str(fault))
                     else:
@@ -204,7 +211,7 @@
         spoilt(whole, [])
         for text in (b"", b"[]", b"1", b"{"):
             with self.assertRaises(InvalidBenchDayError):
-                script(text, "d")
+                convert_bench_day(text, "d")
 
 
 if __name__ == "__main__":
