--- a/lanelead/testbed/scenarios/rules/effects.py
+++ b/lanelead/testbed/scenarios/rules/effects.py
@@ -25,6 +25,7 @@
         self._operations: set[str] = set()
 
     def run(self) -> None:
+        """Checks all requests, then all effects."""
         for request_id, attempts in sorted(by_key(self._recording["trip"], "id").items()):
             self._check_attempts(request_id, attempts)
         self._check_effects()
@@ -88,5 +89,5 @@
 
 
 def verify_effects(recording: Recording, finding: Finding) -> None:
-    """Checks the attempts and effects of all requests of classes that are not idempotent."""
+    """Checks the attempts and effects of all requests, except those of idempotent classes."""
     _EffectCheck(recording, finding).run()
--- a/lanelead/testbed/scenarios/rules/exposure.py
+++ b/lanelead/testbed/scenarios/rules/exposure.py
@@ -20,7 +20,7 @@
     by_key,
 )
 
-EARLY_STATE_SECONDS = 3.0  # states received this long before a relay's recorded start count as received by its process
+EARLY_STATE_SECONDS = 3.0  # states received up to this long before a relay's recorded start belong to its process
 ROUNDING = 1e-9
 INSTANT = 1e-6  # seconds; just after a change
 
--- a/lanelead/testbed/scenarios/rules/final_responses.py
+++ b/lanelead/testbed/scenarios/rules/final_responses.py
@@ -59,7 +59,10 @@
         self._value[operation] = max(value, self._value.get(operation, 0.0))
 
     def _nothing_due(self, request: RecordedEvent, responses: list[RecordedEvent]) -> bool:
-        """Whether no response is due: the client left first, or the relay was killed or ordered to end."""
+        """Whether no response is due, and counts the request if so.
+
+        None is due where the client left first, or the relay was killed or ordered to end before the client gave up.
+        """
         if responses:
             return False
         gone = self._left_clients.get(request["id"])
--- a/lanelead/testbed/scenarios/rules/migrations.py
+++ b/lanelead/testbed/scenarios/rules/migrations.py
@@ -25,9 +25,8 @@
         self._finding = finding
         self._log = MigrationLog()
         self._applied_effects: set[tuple[int, int]] = set()
-        self._closed_since: dict[
-            int, float | None
-        ] = {}  # by build: since when the log has it wait for a step, without traffic
+        # By build: since when the log has it wait for a step and take no traffic.
+        self._closed_since: dict[int, float | None] = {}
         self._closed: dict[int, Intervals] = defaultdict(Intervals)
 
     def run(self) -> None:
--- a/lanelead/testbed/scenarios/rules/recording.py
+++ b/lanelead/testbed/scenarios/rules/recording.py
@@ -71,7 +71,7 @@
         return self._events.get(kind, [])
 
     def was_suspended(self, event: RecordedEvent) -> bool:
-        """Whether the endpoint that recorded an event was stopped at that time.
+        """Whether the endpoint that recorded an event was stopped at that time, or had just resumed.
 
         If so, the time at which its peer wrote what it read is unknown.
         """
--- a/lanelead/testbed/simulation/baselines.py
+++ b/lanelead/testbed/simulation/baselines.py
@@ -53,11 +53,15 @@
 
 
 class _RandomSelector(_RankedSelector):
+    """Ranks candidates at random."""
+
     def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
         return self.rng.sample(candidates, min(2, len(candidates)))
 
 
 class _LeastOfTwoSelector(_RankedSelector):
+    """Ranks two random candidates by their attempts in flight."""
+
     def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
         return sorted(
             self.rng.sample(candidates, min(2, len(candidates))), key=lambda endpoint: len(endpoint.in_flight)
@@ -65,12 +69,16 @@
 
 
 class _LeastOfAllSelector(_RankedSelector):
+    """Ranks one of the least loaded candidates first, at random among equals."""
+
     def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
         least = min(len(endpoint.in_flight) for endpoint in candidates)
         return [self.rng.choice([endpoint for endpoint in candidates if len(endpoint.in_flight) == least])]
 
 
 class _RoundRobinSelector(_RankedSelector):
+    """Ranks the next candidate in turn first."""
+
     _next_index = 0
 
     def rank(self, candidates: list[EndpointState], now: Ticks) -> list[EndpointState]:
@@ -167,6 +175,8 @@
 
 
 class _BaselineVoteCaster(VoteCaster):
+    """Casts the verdicts of a `_VotingBaseline` within the production voting rules."""
+
     def __init__(self, balancer: _VotingBaseline, voting_rules: VotingRules) -> None:
         super().__init__(voting_rules, balancer._rng)
         self._balancer = balancer
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -104,8 +104,8 @@
 
     def value_share(self) -> float:
         """Return the value earned over the value requested, computed as the rules' verifier does."""
-        asked = sum(self.counts.asked_value.values())
-        return round(sum(self.counts.had_value.values()) / asked, 4) if asked else 0.0
+        asked = sum(self.counts.requested_value.values())
+        return round(sum(self.counts.earned_value.values()) / asked, 4) if asked else 0.0
 
     def offer_build(self, number: int, bad: str | None) -> None:
         """Offers a new build to the rollout platform."""
--- a/lanelead/testbed/simulation/simulated_clients.py
+++ b/lanelead/testbed/simulation/simulated_clients.py
@@ -32,8 +32,8 @@
     shed: int = 0
     broken_off: int = 0
     times: list[float] = field(default_factory=list)
-    asked_value: dict[str, float] = field(default_factory=dict)  # by operation, over all its tries
-    had_value: dict[str, float] = field(default_factory=dict)
+    requested_value: dict[str, float] = field(default_factory=dict)  # by operation, over all its tries
+    earned_value: dict[str, float] = field(default_factory=dict)  # by operation, of its best response
 
 
 @dataclass(slots=True, eq=False)
@@ -45,14 +45,14 @@
     op: Op
     ident: str
     began: float
-    left: float
+    left: float  # seconds from `began` to the deadline
     pending: PendingRequest | None = None
-    over: bool = False
+    closed: bool = False
 
     def _close(self, what: str, **facts: Any) -> bool:
-        if self.over:
+        if self.closed:
             return False
-        self.over = True
+        self.closed = True
         self.relay.client_tries.pop(self, None)
         fleet = self.fleet
         fleet.book.note(
@@ -77,9 +77,9 @@
         retry_after: Ticks,
     ) -> None:
         """Receives the relay's final response, which reaches the client after the network delay."""
-        self.fleet.clock.later(self.fleet.hop_mean, self._answered, outcome, attempt, retry_after)
+        self.fleet.clock.later(self.fleet.hop_mean, self._response_received, outcome, attempt, retry_after)
 
-    def _answered(self, outcome: RequestOutcome, attempt: Attempt | None, retry_after: Ticks) -> None:
+    def _response_received(self, outcome: RequestOutcome, attempt: Attempt | None, retry_after: Ticks) -> None:
         fleet, relay = self.fleet, self.relay
         status = {RequestOutcome.SUCCEEDED: 200, RequestOutcome.REJECTED: 503, RequestOutcome.FAILED: 502}[outcome]
         unit = (
@@ -97,9 +97,9 @@
             counts.done += 1
             counts.times.append(fleet.clock.now - self.began)
             request_class = fleet.demand.lanes[self.op.lane]
-            timely = fleet.clock.now - self.op.first <= request_class.expected_time_ms / 1000
-            priority_weight = 0.0 if wrong else request_class.value * (1.0 if timely else request_class.late_value)
-            counts.had_value[self.op.ident] = max(priority_weight, counts.had_value.get(self.op.ident, 0.0))
+            in_time = fleet.clock.now - self.op.first <= request_class.expected_time_ms / 1000
+            earned = 0.0 if wrong else request_class.value * (1.0 if in_time else request_class.late_value)
+            counts.earned_value[self.op.ident] = max(earned, counts.earned_value.get(self.op.ident, 0.0))
         elif outcome is RequestOutcome.REJECTED:
             counts.shed += 1
         else:
@@ -182,7 +182,7 @@
         client_try.pending = pending
         request_class, tenant = relay.request_class_by_name[op.lane], relay.tenants.get(op.member or "")
         self._fleet.counts.asked += 1
-        self._fleet.counts.asked_value[op.ident] = self._fleet.demand.lanes[op.lane].value
+        self._fleet.counts.requested_value[op.ident] = self._fleet.demand.lanes[op.lane].value
         op.first = op.first or self._fleet.clock.now
         ticks = int(left * 10_000)
         wait = self._fleet.hop_mean
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""A short day on loopback, played, judged and judged again; and days that came from the bench."""
+"""A short scenario on loopback, run and verified twice, and the import of the bench's days."""
 
 from __future__ import annotations
 
@@ -42,8 +42,10 @@
 """.replace("}\n\t\t{", "},\n\t\t{")
 
 
-class Played(unittest.TestCase):
-    def test_a_short_day_keeps_the_rules_and_its_capture_gives_the_same_verdict_again(self) -> None:
+class ScenarioOnLoopback(unittest.TestCase):
+    """The commands `scenario play` and `scenario judge`, under their earlier name `day`."""
+
+    def test_a_short_scenario_keeps_the_rules_and_its_recording_gives_the_same_verdict_again(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "short.cue").write_text(SHORT)
@@ -60,7 +62,7 @@
                 self.assertGreater(one["rules"][rule]["seen"], 0, rule)
             self.assertGreater(one["done"], 100)
 
-    def test_bad_input_ends_with_2_and_says_why(self) -> None:
+    def test_invalid_input_exits_with_2_and_an_error(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name, "bad.cue")
             path.write_text(SHORT.replace('"kill"', '"kil"'))
@@ -76,8 +78,8 @@
                 self.assertTrue(found.output or found.stderr)
 
 
-def bench_day(*troubles: dict[str, Any]) -> dict[str, Any]:
-    """A day in the bench's form, written here after its published fields."""
+def bench_day(*faults: dict[str, Any]) -> dict[str, Any]:
+    """A day in the bench's format, written after its published fields."""
     request_class = {
         "share": 0.6,
         "work": 200000.0,
@@ -135,29 +137,32 @@
             "flag_share": 0.0,
             "releases": [{"at": 5000000, "bad": "class", "class": 1, "speed": 1.0, "strength": 0.5}],
         },
-        "troubles": list(troubles),
+        "troubles": list(faults),
     }
 
 
-def trouble(kind: str) -> dict[str, Any]:
+def bench_fault(kind: str) -> dict[str, Any]:
+    """A fault in the bench's format."""
     return {"kind": kind, "at": 9000000, "len": 5000000, "size": 0.5, "extra": 0.5, "on": [1, 2], "which": 0}
 
 
 class FromBench(unittest.TestCase):
-    def test_every_kind_that_is_known_becomes_an_event_of_a_good_script(self) -> None:
+    """The conversion of the bench's days into scenarios."""
+
+    def test_every_known_fault_becomes_an_event_of_a_valid_script(self) -> None:
         for kind in EVENT_CONVERTERS:
-            record, said = convert_bench_day(msgspec.json.encode(bench_day(trouble(kind))), "d")
-            day = read_text(script_text(record, said), "d")
+            record, changes = convert_bench_day(msgspec.json.encode(bench_day(bench_fault(kind))), "d")
+            day = read_text(script_text(record, changes), "d")
             assert isinstance(day, Scenario)
             self.assertEqual(len(day.events), 1, kind)
-            self.assertIn("14 units in place of 20", said)
+            self.assertIn("14 units in place of 20", changes)
             self.assertEqual((day.desk.offers[0].bad, day.desk.offers[0].lane), ("lane", "file"))
 
-    def test_what_cannot_be_carried_over_is_said_by_name(self) -> None:
-        _, said = convert_bench_day(msgspec.json.encode(bench_day(trouble("meteor"))), "d")
-        self.assertIn("cannot be carried over: meteor", said)
+    def test_an_unknown_fault_is_listed_by_name(self) -> None:
+        _, changes = convert_bench_day(msgspec.json.encode(bench_day(bench_fault("meteor"))), "d")
+        self.assertIn("cannot be carried over: meteor", changes)
 
-    def test_every_kind_of_the_recorded_troubles_has_a_script_of_ours(self) -> None:
+    def test_every_fault_of_the_bench_has_a_built_in_scenario(self) -> None:
         days = [
             "crash",
             "vanish",
@@ -187,28 +192,28 @@
             set(EVENT_CONVERTERS) | {"bad_build"}, {name.replace("-", "_") for name in days[:-1]} | {"bad_build"}
         )
 
-    def test_any_field_missing_or_of_another_kind_is_refused_not_a_crash(self) -> None:
-        whole = bench_day(trouble("crash"))
+    def test_a_missing_or_invalid_field_raises_the_documented_error(self) -> None:
+        valid_day = bench_day(bench_fault("crash"))
 
-        def spoilt(node: Any, path: list[Any]) -> None:
+        def check_invalid_values(node: Any, path: list[Any]) -> None:
             for key in list(node.keys()) if isinstance(node, dict) else range(len(node)):
                 values: list[Any] = [None, "x", []]
                 for value in values:
-                    copy_ = copy.deepcopy(whole)
-                    place: Any = copy_
+                    changed_day = copy.deepcopy(valid_day)
+                    node_to_change: Any = changed_day
                     for step in path:
-                        place = place[step]
-                    place[key] = value
+                        node_to_change = node_to_change[step]
+                    node_to_change[key] = value
                     try:
-                        record, _ = convert_bench_day(msgspec.json.encode(copy_), "d")
-                    except InvalidBenchDayError as fault:
-                        self.assertTrue(str(fault))
+                        record, _ = convert_bench_day(msgspec.json.encode(changed_day), "d")
+                    except InvalidBenchDayError as error:
+                        self.assertTrue(str(error))
                     else:
                         self.assertIn("day", record)
                 if isinstance(node[key], dict | list) and key != "balancers":
-                    spoilt(node[key], [*path, key])
+                    check_invalid_values(node[key], [*path, key])
 
-        spoilt(whole, [])
+        check_invalid_values(valid_day, [])
         for text in (b"", b"[]", b"1", b"{"):
             with self.assertRaises(InvalidBenchDayError):
                 convert_bench_day(text, "d")
