--- a/lanelead/testbed/scenarios/rules/drains.py
+++ b/lanelead/testbed/scenarios/rules/drains.py
@@ -1,6 +1,6 @@
-"""Rule 3: no attempt at an endpoint once the grace has passed since the relay was notified that it drains.
+"""Rule 3 (see verifier.py): no attempt at a draining endpoint once the grace has passed.
 
-The same holds for an endpoint that has been removed from the endpoint list.
+The grace starts when the relay is notified that the endpoint drains, or that it has been removed.
 """
 
 from __future__ import annotations
--- a/lanelead/testbed/scenarios/rules/effects.py
+++ b/lanelead/testbed/scenarios/rules/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect happens twice.
+"""Rule 2 (see verifier.py): no effect happens twice.
 
 A request is rejected, or attempted again, only where no earlier attempt of it may have run.
 """
--- a/lanelead/testbed/scenarios/rules/final_responses.py
+++ b/lanelead/testbed/scenarios/rules/final_responses.py
@@ -1,4 +1,7 @@
-"""Rule 1: every request that a running relay received gets one final response, in time, and nothing after it."""
+"""Rule 1 (see verifier.py): every request gets one final response, in time, and nothing after it.
+
+It holds for requests that a running relay received.
+"""
 
 from __future__ import annotations
 
--- a/lanelead/testbed/scenarios/rules/findings.py
+++ b/lanelead/testbed/scenarios/rules/findings.py
@@ -11,8 +11,8 @@
 class Finding(msgspec.Struct):
     """The result for one rule.
 
-    `seen` counts the events that could have broken the rule, `broken` those that did, and `cases` describes the first
-    of these.
+    `seen` counts the events by which the rule was tested, `broken` the breaches, and `cases` describes the first of
+    these. Some breaches are found at events that are not counted as `seen`, and one event may hold two.
     """
 
     seen: int = 0
--- a/lanelead/testbed/scenarios/rules/slow_start.py
+++ b/lanelead/testbed/scenarios/rules/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: no endpoint in its slow start is sent more than a multiple of its capacity.
+"""Rule 4 (see verifier.py): no endpoint in its slow start is sent more than a multiple of its capacity.
 
 The capacity grows while the endpoint warms up. A stricter check holds where endpoints return to a zone: a multiple of
 one, over a longer span.
--- a/lanelead/testbed/simulation/configuration.py
+++ b/lanelead/testbed/simulation/configuration.py
@@ -1,8 +1,9 @@
 """Simulates the distribution of the configuration in virtual time: replicas, followers in relays, and faulty links.
 
-The followers and the replicas' publishers are the production classes. Simplified are: the agreement between replicas (a
-change is committed at a replica that reaches a majority, and reaches another after the link's delay), TCP (a link that
-delays, stalls or is cut), and clocks (one heap of events). The same seed gives the same events.
+The followers and the replicas' publishers are the production classes. Simplifications: a replica that reaches a
+majority commits a change alone, and any other that reaches a majority takes missed changes from a shared list; TCP is a
+link that delays, stalls or is cut; closing a watch takes effect at once; clocks are one heap of events. The same seed
+gives the same events.
 """
 
 from __future__ import annotations
@@ -33,14 +34,17 @@
 
 HEADER_BYTES = 52  # bytes of the TCP and IP headers of one packet; its acknowledgement has as many
 SEGMENT_BYTES = 1448
-CALL_BYTES = (
-    8 * HEADER_BYTES + 260
-)  # a call on its own connection: handshake, close, header fields of request and response
+# A call on its own connection, charged to the caller: handshake, close, header fields of request and response.
+CALL_BYTES = 8 * HEADER_BYTES + 260
 
 
 @dataclass
 class Machine:
-    """A replica's machine. Byte counts include headers; `spent_ns` is CPU time."""
+    """A replica's simulated machine, with its publisher `source`; relays refer to it by its number.
+
+    `sent` counts bytes with headers and acknowledgements. `spent_ns` is the CPU time of catching up and composing
+    lines.
+    """
 
     place: Location
     source: ChangePublisher = field(default_factory=ChangePublisher)
@@ -52,18 +56,23 @@
 
 @dataclass
 class Relay:
-    """A relay with its follower. `life` grows at each restart; `in_force` holds (time, version) of applied versions."""
+    """A relay with its follower.
+
+    `life` grows when the relay ends, so that deliveries to an earlier process are dropped. `in_force` holds (time,
+    version) of applied versions. Byte counts include headers and acknowledgements; `spent_ns` is the CPU time of its
+    follower, with the simulation's own scheduling.
+    """
 
     follower: Follower
     place: Location
     number: int
     up: bool = True
     life: int = 0
-    watches: dict[int, int] = field(default_factory=dict)  # by source: number of the open watch
+    watches: dict[int, int] = field(default_factory=dict)  # by machine: number of the open watch
     heard: int = 0  # bytes received, with headers
     sent: int = 0
     spent_ns: int = 0
-    timer: float = -1.0
+    timer: float = -1.0  # when the follower's next tick is scheduled
     in_force: list[tuple[float, int]] = field(default_factory=list)
 
 
@@ -71,7 +80,7 @@
     """The replicas and relays of one simulation.
 
     `reaches(a, b)`: whether what `a` sends arrives at `b`; `delay(a, b)`: its delay in seconds. Ends are ("m", number)
-    for machines and ("r", number) for relays.
+    for machines and ("r", number) for relays. `rate` is the limit of each follower's repairs in bytes a second.
     """
 
     def __init__(
@@ -123,16 +132,17 @@
     def majority(self, number: int) -> bool:
         """Whether a machine runs and can exchange messages with a majority of the voters."""
         here = ("m", number)
-        heard = [
+        reachable = [
             n == number or (self.machines[n].up and self.reaches(("m", n), here) and self.reaches(here, ("m", n)))
             for n in range(self.voters)
         ]
-        return self.machines[number].up and 2 * sum(heard) > self.voters
+        return self.machines[number].up and 2 * sum(reachable) > self.voters
 
     def change(self, entries: Sequence[tuple[str, bytes]], at: int = 0) -> Change | None:
-        """Commits a change at a machine; None where it reaches no majority.
+        """Commits a change at machine `at`; None where it reaches no majority.
 
-        The other machines receive the change after the link's delay, or catch up later.
+        Every machine that reaches a majority then catches up after twice the link's delay; others do at a later
+        heartbeat.
         """
         if not self.majority(at):
             return None
@@ -172,14 +182,14 @@
         for relay in list(machine.watchers):
             self._send_lines(number, relay)
 
-    def _send_lines(self, number: int, relay: int, at: int | None = None) -> None:
+    def _send_lines(self, number: int, relay: int, resume_version: int | None = None) -> None:
         machine = self.machines[number]
         watch, position = machine.watchers[relay]
         while True:
             began = thread_time_ns()
             line, after = machine.source.next_line(position, self.now)
-            if at is not None:
-                line, at = msgspec.structs.replace(line, resume_version=at), None
+            if resume_version is not None:
+                line, resume_version = msgspec.structs.replace(line, resume_version=resume_version), None
             text = encode(line)
             machine.spent_ns += thread_time_ns() - began
             machine.sent += (size := bytes_on_wire(len(text) + 8))
@@ -194,14 +204,18 @@
         relay.follower.line_received(source, decode(text, WatchLine, 4 << 20), self.now)
 
     def _to_relay(self, machine: int, relay: int, watch: int, call: Callable[[], None], size: int) -> None:
-        """Delivers what a machine sends to a relay, late; where the relay is unreachable, its watch stalls for good."""
+        """Delivers what a machine sends to a relay: lines of a watch, responses, and failures.
+
+        Deliveries keep their order. They are dropped where the relay has ended or its watch is no longer the same.
+        Where the relay is unreachable, its watch is removed from the machine, which sends no further lines.
+        """
         life, ends = self.relays[relay].life, (("m", machine), ("r", relay))
 
         def deliver() -> None:
             receiver = self.relays[relay]
             if not receiver.up or receiver.life != life or receiver.watches.get(machine) != watch:
                 return
-            if not self.reaches(*ends):  # the stream stalls: nothing later on it arrives either
+            if not self.reaches(*ends):  # the stream stalls: the machine sends no more on it
                 self.machines[machine].watchers.pop(relay, None)
                 return
             began = thread_time_ns()
@@ -266,6 +280,7 @@
         self.relays[relay].follower.watch_ended(source, "cut", self.now)
 
     def _carry_out_actions(self, relay: Relay) -> None:
+        """Ticks a relay's follower, carries out its actions (except for log events), and arms its next timer."""
         if not relay.up:
             return
         began = thread_time_ns()
@@ -305,10 +320,15 @@
             self.at(relay.timer - self.now, lambda: self._timer_fired(relay, relay.timer))
 
     def _timer_fired(self, relay: Relay, when: float) -> None:
+        """Ticks the relay if its timer is due; an outdated timer may do so too."""
         if relay.timer <= self.now + 1e-9:
             self._carry_out_actions(relay)
 
     def _call_source(self, relay: Relay, source: int, call: Callable[[], None]) -> None:
+        """Calls a machine; the call is lost where the machine is stopped or unreachable.
+
+        A machine that has ended refuses the call, which the follower sees as the end of its watch.
+        """
         there, here = ("m", source), ("r", relay.number)
 
         def deliver() -> None:
