--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,7 +21,7 @@
 from lanelead.membership.member import Membership
 from lanelead.membership.member_state import INDIRECT_PROBES, ROUNDS_PER_PERIOD, MembershipTimings, Suspicion
 from lanelead.membership.messages import DEAD, PingRequest
-from lanelead.testbed.simulation.membership import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, LinkSettings, SimulatedMembers
 
 TIMINGS = MembershipTimings(3000, 600 * SECOND)
 
@@ -80,7 +80,7 @@
     """Makes one run."""
     began = time.perf_counter()
     kind = PlainSwim if case.who == "SWIM" else Membership
-    town = Town(case.many, case.seed, TIMINGS, Wires(loss=case.loss), kind=kind)
+    town = SimulatedMembers(case.many, case.seed, TIMINGS, LinkSettings(loss=case.loss), kind=kind)
     town.run(2 * SECOND)
     first, letters, size = town.now, town.letters, town.bytes
     for _ in range(int(case.minutes * 60)):
@@ -101,7 +101,7 @@
         town.run(town.now + int(town.chance.uniform(0.5, 1.5) * SECOND))
         began_at = town.now
         town.kill(number)
-        while town.blind(number) and town.now < began_at + 60 * SECOND:
+        while town.count_unaware_members(number) and town.now < began_at + 60 * SECOND:
             town.run(town.now + SECOND // 20)
         detection_times.append((town.now - began_at) / SECOND)
     return Result(
--- a/benchmarks/slopes/membership.py
+++ b/benchmarks/slopes/membership.py
@@ -18,7 +18,7 @@
 from lanelead.membership.member import Membership
 from lanelead.membership.member_state import Address
 from lanelead.membership.messages import MemberRecord
-from lanelead.testbed.simulation.membership import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, LinkSettings, SimulatedMembers
 
 SUBJECT = "membership"
 SIZES = (8, 40, 200, 600)
@@ -65,7 +65,7 @@
 class Meter:
     """Counts messages, bytes and processor time from its creation on."""
 
-    def __init__(self, town: Town) -> None:
+    def __init__(self, town: SimulatedMembers) -> None:
         self._town, self._began = town, town.now
         self._letters, self._bytes, self._spent = town.letters, town.bytes, TimedMember.spent
 
@@ -97,18 +97,18 @@
             self.add(f"{name}.{part}", size, value)
 
 
-def town_of(many: int, loss: float = 0.0) -> Town:
+def town_of(many: int, loss: float = 0.0) -> SimulatedMembers:
     """A group of members after its first seconds, when all know of all."""
     gc.collect()
-    town = Town(many, SEED, TIMINGS, Wires(loss=loss), kind=TimedMember)
+    town = SimulatedMembers(many, SEED, TIMINGS, LinkSettings(loss=loss), kind=TimedMember)
     town.run(2 * SECOND)
     return town
 
 
-def known_after(town: Town, gone: list[int], limit: int) -> float | None:
+def known_after(town: SimulatedMembers, gone: list[int], limit: int) -> float | None:
     """Virtual seconds until no member takes any of these to be alive; None if it takes longer than the limit."""
     began = town.now
-    while any(town.blind(number) for number in gone):
+    while any(town.count_unaware_members(number) for number in gone):
         if town.now - began >= limit * SECOND:
             return None
         town.run(town.now + SECOND // 20)
@@ -163,7 +163,7 @@
     for number in gone:
         town.kill(number)
     meter, worst, began = Meter(town), 0.0, town.now
-    while any(town.blind(number) for number in gone) and town.now < began + DETECTION_LIMIT * SECOND:
+    while any(town.count_unaware_members(number) for number in gone) and town.now < began + DETECTION_LIMIT * SECOND:
         one = Meter(town)
         town.run(town.now + SECOND)
         worst = max(worst, one.rates().bytes)
@@ -187,11 +187,11 @@
     results.add(f"{word}.there", many, there)
     town.wires.cut = lambda sender, receiver: False
     meter, began, worst = Meter(town), town.now, 0.0
-    while not town.agreed() and town.now < began + REUNION_LIMIT * SECOND:
+    while not town.all_tables_correct() and town.now < began + REUNION_LIMIT * SECOND:
         one = Meter(town)
         town.run(town.now + SECOND)
         worst = max(worst, one.rates().bytes)
-    met = town.agreed()
+    met = town.all_tables_correct()
     if met:
         results.add(f"{word}.reunion", many, (town.now - began) / SECOND)
         results.add(f"{word}.reunion.total", many, meter.total() / many)
--- a/lanelead/testbed/simulation/membership.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Wires:
+class LinkSettings:
     """The network between members; times in ticks.
 
     loss: the share of datagrams lost on every link.
@@ -38,7 +38,7 @@
     cut: Callable[[int, int], bool] = field(default=lambda sender, receiver: False)
 
 
-class Town:
+class SimulatedMembers:
     """All members of a simulation.
 
     With `warm`, all members know each other at the start; otherwise each joins by the addresses of the first three.
@@ -49,7 +49,7 @@
         many: int,
         seed: int,
         tempo: MembershipTimings,
-        wires: Wires,
+        wires: LinkSettings,
         warm: bool = True,
         kind: type[Membership] = Membership,
     ) -> None:
@@ -61,7 +61,9 @@
         self.seeds: tuple[int, ...] = (0, 1, 2)  # seeds in the settings of members that start from now on
         self.stopped: dict[int, Ticks] = {}  # by number: when the member resumes
         self.found: list[tuple[Ticks, int, MemberChange]] = []  # time, observing member, change
-        self.wrong: Counter[str] = Counter()  # members declared dead while alive, by whether they ran or were stopped
+        self.false_deaths: Counter[str] = (
+            Counter()
+        )  # members declared dead while alive, by whether they ran or were stopped
         self.letters = self.bytes = 0
         self._heap: list[tuple[Ticks, int, int, bytes | None, Address]] = []
         self._order = 0
@@ -131,7 +133,7 @@
             now = change.after
             running = self.members.get(now.number)
             if now.state == DEAD and running is not None and running.own.started_at_ms == now.started_at_ms:
-                self.wrong["stopped" if self.stopped.get(now.number, 0) > self.now else "running"] += 1
+                self.false_deaths["stopped" if self.stopped.get(now.number, 0) > self.now else "running"] += 1
 
     def run(self, until: Ticks) -> None:
         """Runs all events up to the time `until`."""
@@ -166,12 +168,12 @@
         views = (member.present_members() for member in self.members.values())
         return [{row.number: (row.started_at_ms, row.incarnation) for row in view} for view in views]
 
-    def agreed(self) -> bool:
+    def all_tables_correct(self) -> bool:
         """Whether all members see exactly the running members, with their present start times and incarnations."""
         truth = {number: (member.own.started_at_ms, member.own.incarnation) for number, member in self.members.items()}
         return all(view == truth for view in self.views())
 
-    def blind(self, number: int) -> int:
+    def count_unaware_members(self, number: int) -> int:
         """Return how many members still take a dead one to be present."""
         return sum(
             not member.records[number].has_departed for member in self.members.values() if number in member.records
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
     encode_message,
 )
 from lanelead.protocols.datagrams import MAX_MESSAGE_BYTES
-from lanelead.testbed.simulation.membership import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, LinkSettings, SimulatedMembers
 
 TIMINGS = MembershipTimings(3000, 60 * SECOND)
 ANY_ADDRESS = ("10.9.9.9", 1)
@@ -54,77 +54,77 @@
 
 class Faults(unittest.TestCase):
     def test_all_members_detect_a_dead_member_and_suspect_no_other_wrongly(self) -> None:
-        town = Town(40, 1, TIMINGS, Wires(loss=0.05))
+        town = SimulatedMembers(40, 1, TIMINGS, LinkSettings(loss=0.05))
         town.run(SECOND)
         town.kill(7)
         town.run(6 * SECOND)
-        self.assertEqual((0, {}), (town.blind(7), dict(town.wrong)))
-        self.assertTrue(town.agreed())
+        self.assertEqual((0, {}), (town.count_unaware_members(7), dict(town.false_deaths)))
+        self.assertTrue(town.all_tables_correct())
 
     def test_no_member_is_declared_dead_when_a_fifth_of_the_messages_is_lost_and_others_are_late_or_duplicated(
         self,
     ) -> None:
-        town = Town(24, 2, TIMINGS, Wires(loss=0.2, spread=500, double=0.1))
+        town = SimulatedMembers(24, 2, TIMINGS, LinkSettings(loss=0.2, spread=500, double=0.1))
         town.run(120 * SECOND)
-        self.assertEqual({}, dict(town.wrong))
+        self.assertEqual({}, dict(town.false_deaths))
         self.assertGreater(sum(member.counters.suspicions for member in town.members.values()), 0)
 
     def test_a_member_that_one_other_can_not_reach_is_probed_indirectly(self) -> None:
-        town = Town(12, 3, TIMINGS, Wires(cut=lambda a, b: (a, b) in ((1, 2), (4, 3), (3, 4))))
+        town = SimulatedMembers(12, 3, TIMINGS, LinkSettings(cut=lambda a, b: (a, b) in ((1, 2), (4, 3), (3, 4))))
         town.run(60 * SECOND)
-        self.assertEqual({}, dict(town.wrong))
+        self.assertEqual({}, dict(town.false_deaths))
 
     def test_two_partitioned_groups_merge_when_the_partition_ends(self) -> None:
-        wires = Wires()
-        town = Town(20, 4, TIMINGS, wires)
+        wires = LinkSettings()
+        town = SimulatedMembers(20, 4, TIMINGS, wires)
         wires.cut = lambda a, b: (a < 8) != (b < 8)
         town.run(10 * SECOND)
         self.assertEqual([8] * 8 + [12] * 12, [len(member.present_members()) for member in town.members.values()])
         wires.cut = lambda a, b: False
         town.run(40 * SECOND)
-        self.assertTrue(town.agreed())
+        self.assertTrue(town.all_tables_correct())
 
     def test_a_restarted_member_is_a_new_process_and_is_counted_once(self) -> None:
-        town = Town(12, 5, TIMINGS, Wires(loss=0.1))
+        town = SimulatedMembers(12, 5, TIMINGS, LinkSettings(loss=0.1))
         town.run(SECOND)
         for started_at_ms in range(2, 9):  # restarts faster than its death can be detected
             town.kill(5)
             town.start(5, started_at_ms)
             town.run(town.now + SECOND)
         town.run(town.now + 10 * SECOND)
-        self.assertTrue(town.agreed())
+        self.assertTrue(town.all_tables_correct())
         self.assertEqual({8}, {member.records[5].started_at_ms for member in town.members.values()})
 
     def test_members_that_start_at_once_and_know_only_the_seeds_find_each_other(self) -> None:
         for seed in range(6, 10):
-            wires = Wires(loss=0.2)
-            town = Town(30, seed, TIMINGS, wires, warm=False)
-            while not town.agreed():
+            wires = LinkSettings(loss=0.2)
+            town = SimulatedMembers(30, seed, TIMINGS, wires, warm=False)
+            while not town.all_tables_correct():
                 town.run(town.now + SECOND // 4)
                 self.assertLess(town.now, 5 * SECOND)
             town.run(20 * SECOND)  # at this loss a member may be suspected at times; all know all members
             self.assertEqual([30] * 30, [len(view) for view in town.views()])
             wires.loss = 0
             town.run(22 * SECOND)
-            self.assertTrue(town.agreed())
+            self.assertTrue(town.all_tables_correct())
 
     def test_a_member_that_was_suspended_declares_no_other_dead_and_returns_as_the_same_process(self) -> None:
-        town = Town(12, 7, TIMINGS, Wires())
+        town = SimulatedMembers(12, 7, TIMINGS, LinkSettings())
         town.run(SECOND)
         town.stop(3, 10 * SECOND)
         town.run(8 * SECOND)
         self.assertEqual({DEAD}, {m.records[3].state for n, m in town.members.items() if n != 3})
         town.run(30 * SECOND)
-        self.assertTrue(town.agreed())
+        self.assertTrue(town.all_tables_correct())
         self.assertEqual(1, town.members[3].own.started_at_ms)
         self.assertEqual({3}, {change.after.number for _, _, change in town.found if change.after.state == DEAD})
 
     def test_a_new_member_receives_a_large_table_completely_despite_message_loss(self) -> None:
-        town = Town(150, 8, TIMINGS, Wires(loss=0.2))
+        town = SimulatedMembers(150, 8, TIMINGS, LinkSettings(loss=0.2))
         town.run(SECOND)
         town.start(150, 1)
         town.run(15 * SECOND)
-        self.assertTrue(town.agreed())
+        self.assertTrue(town.all_tables_correct())
 
 
 class Rules(unittest.TestCase):
--- a/tests/test_membership_partitions.py
+++ b/tests/test_membership_partitions.py
@@ -31,7 +31,7 @@
     decode_message,
     encode_message,
 )
-from lanelead.testbed.simulation.membership import SECOND, Town, Wires
+from lanelead.testbed.simulation.membership import SECOND, LinkSettings, SimulatedMembers
 
 HOUR = 3600 * SECOND
 TIMINGS = MembershipTimings(3000, 600 * SECOND)
@@ -39,31 +39,31 @@
 MERGE_TIME = 30 * SECOND
 
 
-def partition(town: Town) -> None:
+def partition(town: SimulatedMembers) -> None:
     regions = {number: town.row(number, 1).region for number in range(len(town.members) + 10)}
     town.wires.cut = lambda sender, receiver: regions[sender] != regions[receiver]
 
 
-def heal(town: Town) -> None:
+def heal(town: SimulatedMembers) -> None:
     town.wires.cut = lambda sender, receiver: False
 
 
-def ranks(town: Town) -> list[dict[int, tuple[int, int, int]]]:
+def ranks(town: SimulatedMembers) -> list[dict[int, tuple[int, int, int]]]:
     return [{number: row.rank for number, row in m.records.items()} for m in town.members.values()]
 
 
 class MergeAfterPartition(unittest.TestCase):
-    def assert_merged(self, town: Town) -> None:
+    def assert_merged(self, town: SimulatedMembers) -> None:
         """Every member has exactly the running members as present, and all tables are equal."""
         until = town.now + MERGE_TIME
-        while town.now < until and not town.agreed():
+        while town.now < until and not town.all_tables_correct():
             town.run(town.now + SECOND)
-        self.assertTrue(town.agreed(), [len(view) for view in town.views()])
+        self.assertTrue(town.all_tables_correct(), [len(view) for view in town.views()])
         town.run(town.now + MERGE_TIME)
         first, *others = ranks(town)
         self.assertEqual([first] * len(others), others)
 
-    def assert_other_region_dropped(self, town: Town) -> None:
+    def assert_other_region_dropped(self, town: SimulatedMembers) -> None:
         """No member has a record of the other region: otherwise the case would prove nothing."""
         for member in town.members.values():
             self.assertEqual({member.own.region}, {row.region for row in member.records.values()})
@@ -74,10 +74,10 @@
         timings: MembershipTimings,
         duration: int,
         loss: float = 0.0,
-        during_partition: Callable[[Town], None] | None = None,
-        before_partition: Callable[[Town], None] | None = None,
+        during_partition: Callable[[SimulatedMembers], None] | None = None,
+        before_partition: Callable[[SimulatedMembers], None] | None = None,
     ) -> None:
-        town = Town(count, 11, timings, Wires(loss=loss))
+        town = SimulatedMembers(count, 11, timings, LinkSettings(loss=loss))
         town.run(SECOND)
         if before_partition is not None:
             before_partition(town)
@@ -100,7 +100,7 @@
         for count in (8, 40):
             for side in "ab":
                 with self.subTest(count=count, side=side):
-                    town = Town(count, 12, TIMINGS, Wires())
+                    town = SimulatedMembers(count, 12, TIMINGS, LinkSettings())
                     for member in town.members.values():
                         if member.own.region == side:
                             member._timings = SHORT_TIMINGS
@@ -113,7 +113,7 @@
                     self.assert_merged(town)
 
     def test_regions_merge_when_all_seeds_are_dead(self) -> None:
-        def kill(town: Town) -> None:
+        def kill(town: SimulatedMembers) -> None:
             for seed in range(3):
                 town.kill(seed)
 
@@ -126,7 +126,7 @@
                         self.check_merge(count, SHORT_TIMINGS, 400 * SECOND, during_partition=kill)
 
     def test_regions_merge_when_members_restarted_at_new_addresses(self) -> None:
-        def move(town: Town) -> None:
+        def move(town: SimulatedMembers) -> None:
             town.seeds = (0, 1, 3)  # only 3 of these keeps its address, and none of the former seeds (0, 1, 2)
             for number in (0, 1, 2, 4):
                 town.kill(number)
