--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -32,8 +32,8 @@
 from lanelead.http.responses import Progress, ResponseReader
 from lanelead.http.server import ServerConnection
 from lanelead.protocols.feeds import EndpointMessage
-from lanelead.testbed.emulators.discovery import Roster
-from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import DiscoveryServer
+from lanelead.testbed.emulators.rollout_platform import RolloutPlatformServer
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.scenarios.processes import ChildProcess, free_ports
 
@@ -252,12 +252,12 @@
     async def relay(self, name: str, units: list[int], parts: str | None) -> tuple[ChildProcess, int]:
         """Starts a relay with these endpoints, under cProfile if `parts` names a file."""
         scenario = load("bad-day")
-        roster, port = Roster(self._folder, 0, 0.0), free_ports(1)[0]
+        roster, port = DiscoveryServer(self._folder, 0, 0.0), free_ports(1)[0]
         await roster.open()
         for number, unit_port in enumerate(units):
             roster.list_now(EndpointMessage(f"u{number}", "127.0.0.1", unit_port, "north", 1, "ready"))
         canary_rules, voting_rules = scenario.service.trial, scenario.service.poll
-        desk = Desk(
+        desk = RolloutPlatformServer(
             self._folder, 0, canary_rules, voting_rules, 0.0, 2.0, random.Random(1), lambda build, stage, phase: None
         )
         await desk.open()
--- a/benchmarks/slopes/votes.py
+++ b/benchmarks/slopes/votes.py
@@ -10,7 +10,7 @@
 from benchmarks.slopes.moving import PING
 from benchmarks.slopes.series import Series
 from benchmarks.slopes.voting import CANARY_SETTINGS, TAIL_SECONDS, AcceptedCallsPolling, Release, voting_settings
-from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.vote_counting import VoteCounting
 
 SUBJECT = "votes"
 SIZES = (8, 40, 200, 600)
@@ -29,7 +29,7 @@
 
 def measure_release(relays: int, word: str, results: Results) -> None:
     """Measures the release of a good build with one way of promotion."""
-    poll, kind = voting_settings(relays, word != "first"), AcceptedCallsPolling if word == "bucket" else Polling
+    poll, kind = voting_settings(relays, word != "first"), AcceptedCallsPolling if word == "bucket" else VoteCounting
     release = Release(relays, poll, kind=kind)
     released = release.play()
     casts, outcome_counts = release.casts, release.outcome_counts()
--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -44,7 +44,7 @@
 from lanelead.runtime.driver import DecisionDriver
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
 from lanelead.settings.service_settings import CanarySettings, VotingSettings
-from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.vote_counting import VoteCounting
 from tests.postgres_platform import stage_notification, vote_response
 
 ENDPOINTS = 26  # of the previous build
@@ -171,7 +171,7 @@
     return
 
 
-class AcceptedCallsPolling(Polling):
+class AcceptedCallsPolling(VoteCounting):
     """Counts only accepted calls towards the limit: the platform's page says how many it accepts."""
 
     def vote(self, vote: VoteRequest) -> tuple[str, RolloutMessage | None]:
@@ -184,7 +184,9 @@
 class Release:
     """A release at a fleet of relays, until some time after its end."""
 
-    def __init__(self, relays: int, poll: VotingSettings, seed: int = 37, kind: type[Polling] = Polling) -> None:
+    def __init__(
+        self, relays: int, poll: VotingSettings, seed: int = 37, kind: type[VoteCounting] = VoteCounting
+    ) -> None:
         self.now, self.seed, self.began = START_TICKS / SECOND, seed, 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
--- a/lanelead/testbed/emulators/clients.py
+++ b/lanelead/testbed/emulators/clients.py
@@ -26,11 +26,11 @@
 from lanelead.http.responses import SURPLUS_BYTES, Progress, ResponseReader
 from lanelead.settings.scenario_settings import ClientSettings
 from lanelead.settings.service_settings import ServiceSettings
-from lanelead.testbed.emulators.event_recording import Tap, clock
-from lanelead.testbed.emulators.workload import Demand, Op
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
+from lanelead.testbed.emulators.workload import Operation, Workload
 
 
-class Crowd(msgspec.Struct):
+class ClientsOptions(msgspec.Struct):
     """Options of the clients' process, which gets them as JSON.
 
     Times are in seconds. `slack` is how long after its deadline a response may still come: the verifier counts later
@@ -54,7 +54,7 @@
         self._reader = ResponseReader(64 << 20)
         self.transport: asyncio.Transport | None = None
         self.ident = ""
-        self.op: Op | None = None
+        self.op: Operation | None = None
         self.last_ident = ""
         self.counted = False  # whether the clients count it as open
         self._timer: asyncio.TimerHandle | None = None
@@ -64,7 +64,7 @@
         """Keeps the transport."""
         self.transport = transport  # type: ignore[assignment]
 
-    def send_request(self, op: Op, ident: str, timeout_seconds: float, request: bytes, head: bool) -> None:
+    def send_request(self, op: Operation, ident: str, timeout_seconds: float, request: bytes, head: bool) -> None:
         """Sends a request, given as bytes; `head`: the response has no body."""
         assert self.transport is not None
         self.op, self.ident = op, ident
@@ -180,13 +180,13 @@
 class Clients:
     """All clients of one process: they share the connections to each relay."""
 
-    def __init__(self, options: Crowd) -> None:
+    def __init__(self, options: ClientsOptions) -> None:
         self.options, self.loop = options, asyncio.get_running_loop()
-        self.workload = Demand(options.service, options.clients, len(options.relays), Random(options.seed))
-        self.tap = Tap(Path(options.folder), "clients")
+        self.workload = Workload(options.service, options.clients, len(options.relays), Random(options.seed))
+        self.tap = EventRecorder(Path(options.folder), "clients")
         self._idle: list[list[RelayConnection]] = [[] for _ in options.relays]
         self._open_connections = [0] * len(options.relays)
-        self._queue: list[deque[tuple[Op, float]]] = [deque() for _ in options.relays]
+        self._queue: list[deque[tuple[Operation, float]]] = [deque() for _ in options.relays]
         self._tasks: set[asyncio.Task[None]] = set()
 
     # Arrivals
@@ -210,7 +210,7 @@
 
     # Attempts
 
-    def _start_attempt(self, op: Op) -> None:
+    def _start_attempt(self, op: Operation) -> None:
         timeout_seconds = self.workload.patience(op, clock())
         if timeout_seconds <= 0.05:
             return
@@ -228,7 +228,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, op: Op, timeout_seconds: float) -> None:
+    async def _connect(self, op: Operation, timeout_seconds: float) -> None:
         host, port = self.options.relays[op.relay]
         began = clock()
         try:
@@ -245,7 +245,7 @@
             return
         self._send_attempt(connection, op, timeout_seconds - (clock() - began))
 
-    def _send_attempt(self, connection: RelayConnection, op: Op, timeout_seconds: float) -> None:
+    def _send_attempt(self, connection: RelayConnection, op: Operation, timeout_seconds: float) -> None:
         if timeout_seconds <= 0.02:
             self.connection_free(connection)
             return
@@ -294,29 +294,29 @@
 
     # Outcomes
 
-    def response_received(self, op: Op, outcome: str, retry_after: float) -> None:
+    def response_received(self, op: Operation, outcome: str, retry_after: float) -> None:
         """Retries where the response's outcome allows it; `retry_after` in seconds."""
         self._schedule_retry(op, self.workload.again(op, outcome, retry_after, clock()))
 
-    def attempt_lost(self, op: Op, asked: bool) -> None:
+    def attempt_lost(self, op: Operation, asked: bool) -> None:
         """Retries an attempt without a response where that is safe; `asked`: it had been sent."""
         self._schedule_retry(op, self.workload.lost(op, asked, clock()))
 
-    def _schedule_retry(self, op: Op, wait: float | None) -> None:
+    def _schedule_retry(self, op: Operation, wait: float | None) -> None:
         if wait is not None:
             self.loop.call_later(wait, self._start_attempt, op)
 
-    def wrong_answer_received(self, op: Op, unit: str, relay: int) -> None:
+    def wrong_answer_received(self, op: Operation, unit: str, relay: int) -> None:
         """Complains about a wrong answer a second later, for a share of them."""
         if self.workload.complains():
             self.loop.call_later(1.0, lambda: self._start_complaint(op, unit, relay))
 
-    def _start_complaint(self, op: Op, unit: str, relay: int) -> None:
+    def _start_complaint(self, op: Operation, unit: str, relay: int) -> None:
         task = self.loop.create_task(self._send_complaint(op, unit, relay))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send_complaint(self, op: Op, unit: str, relay: int) -> None:
+    async def _send_complaint(self, op: Operation, unit: str, relay: int) -> None:
         host, port = self.options.relays[relay]
         body = json.dumps({"unit": unit, "lane": op.lane, "age_ms": 1000.0}).encode()
         fields = [(b"host", b"relay"), (b"connection", b"close")]
@@ -338,7 +338,7 @@
         self.workload.obey(order)
 
 
-async def _run(options: Crowd) -> None:
+async def _run(options: ClientsOptions) -> None:
     clients, loop = Clients(options), asyncio.get_running_loop()
     sys.stdout.write("ready\n")
     sys.stdout.flush()
@@ -356,7 +356,7 @@
 
 def main() -> None:
     """Runs the clients with the options in the first argument (JSON)."""
-    uvloop.run(_run(msgspec.json.decode(sys.argv[1], type=Crowd)))
+    uvloop.run(_run(msgspec.json.decode(sys.argv[1], type=ClientsOptions)))
 
 
 if __name__ == "__main__":
--- a/lanelead/testbed/emulators/discovery.py
+++ b/lanelead/testbed/emulators/discovery.py
@@ -15,7 +15,7 @@
 from lanelead.http.requests import HttpRequest
 from lanelead.http.server import STREAM_HEAD, ServerConnection, chunk
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, encode
-from lanelead.testbed.emulators.event_recording import Tap, clock
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
 
 
 def relay_number(request: HttpRequest) -> int:
@@ -28,7 +28,7 @@
 class RestartableServer:
     """An HTTP server that can be shut and opened again at the same port. Port 0: any free port."""
 
-    def __init__(self, port: int, tap: Tap) -> None:
+    def __init__(self, port: int, tap: EventRecorder) -> None:
         self.port, self.tap = port, tap
         self._server: asyncio.Server | None = None
         self.callers: dict[ServerConnection, None] = {}
@@ -66,11 +66,11 @@
         raise NotImplementedError
 
 
-class Roster(RestartableServer):
+class DiscoveryServer(RestartableServer):
     """The discovery server: endpoint lists, and streams of their changes to the relays that watch."""
 
     def __init__(self, folder: Path, port: int, delay_seconds: float) -> None:
-        super().__init__(port, Tap(folder, "roster"))
+        super().__init__(port, EventRecorder(folder, "roster"))
         self._delay_seconds = delay_seconds
         self._endpoints: dict[str, EndpointMessage] = {}
         self._version = 0
--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -50,8 +50,8 @@
 from lanelead.http.server import ServerConnection
 from lanelead.protocols.migrations import SchemaCheck
 from lanelead.settings.service_settings import Address
-from lanelead.testbed.emulators.event_recording import Tap, clock
-from lanelead.testbed.emulators.service_model import Engine, Life
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
+from lanelead.testbed.emulators.service_model import EndpointOptions, ServiceModel
 
 
 class PendingRequest:
@@ -72,13 +72,13 @@
         self.due = clock() + float(text(b"lanelead-left", "60000")) / 1000
 
 
-class EmulatedEndpoint(Engine):
+class EmulatedEndpoint(ServiceModel):
     """The service model behind an HTTP server."""
 
-    def __init__(self, life: Life) -> None:
+    def __init__(self, life: EndpointOptions) -> None:
         super().__init__(life, clock)
         self._loop = asyncio.get_running_loop()
-        self._tap = Tap(Path(life.folder), f"unit-{life.name}")
+        self._tap = EventRecorder(Path(life.folder), f"unit-{life.name}")
         self._waiting = deque[PendingRequest]()
         self._connections: dict[ServerConnection, None] = {}
         self._last_report: tuple[float, bytes] = (-1.0, b"{}")
@@ -345,7 +345,7 @@
         connection.reset()
 
 
-async def _run(life: Life) -> None:
+async def _run(life: EndpointOptions) -> None:
     endpoint, loop = EmulatedEndpoint(life), asyncio.get_running_loop()
     port = await endpoint.open()
     sys.stdout.write(f"ready {port}\n")
@@ -365,7 +365,7 @@
 
 def main() -> None:
     """Runs an endpoint with the options in the first argument (JSON)."""
-    life = msgspec.json.decode(sys.argv[1], type=Life)
+    life = msgspec.json.decode(sys.argv[1], type=EndpointOptions)
     uvloop.run(_run(life))
 
 
--- a/lanelead/testbed/emulators/event_recording.py
+++ b/lanelead/testbed/emulators/event_recording.py
@@ -16,7 +16,7 @@
 clock = time.monotonic
 
 
-class Tap:
+class EventRecorder:
     """Writes the events of one emulator to its file in the recording's folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -33,7 +33,7 @@
         self._file.close()
 
 
-class BadCapture(Exception):
+class InvalidRecordingError(Exception):
     """A recording that does not exist or has a malformed line."""
 
 
@@ -44,7 +44,7 @@
     """
     files = sorted(folder.glob("*.ndjson"))
     if not files:
-        raise BadCapture(f"no recording (*.ndjson) in {folder}")
+        raise InvalidRecordingError(f"no recording (*.ndjson) in {folder}")
     for recording_file in files:
         text = recording_file.read_bytes()
         lines = text.split(b"\n")
@@ -62,5 +62,5 @@
             except msgspec.DecodeError as fault:
                 if number == len(lines) - 1:
                     continue
-                raise BadCapture(f"{recording_file.name}:{number + 1}: {fault}") from None
+                raise InvalidRecordingError(f"{recording_file.name}:{number + 1}: {fault}") from None
             yield recording_file.stem, event_fields
--- a/lanelead/testbed/emulators/migration_store.py
+++ b/lanelead/testbed/emulators/migration_store.py
@@ -37,7 +37,7 @@
 from lanelead.protocols.migrations import LoggedEntry, RejectedCall, SchemaCheck
 from lanelead.store.migration_store import MigrationStore
 from lanelead.store.service import MigrationStoreServer, serve
-from lanelead.testbed.emulators.event_recording import Tap
+from lanelead.testbed.emulators.event_recording import EventRecorder
 
 FaultKind = Literal["refuse", "early", "drop", "hang", "late", "cut", "kill", "full", "slow"]
 TRANSACTION_FAULTS = ("kill", "cut")
@@ -63,7 +63,7 @@
 class FaultyMigrationStoreServer(MigrationStoreServer):
     """A store that injects faults, and records calls and log entries with `tap`."""
 
-    def __init__(self, store: MigrationStore, tap: Tap | None = None) -> None:
+    def __init__(self, store: MigrationStore, tap: EventRecorder | None = None) -> None:
         super().__init__(store)
         self._tap = tap
         self._pending_faults: list[StoreFault] = []
@@ -202,7 +202,7 @@
 
 
 async def _run(file: str, port: int, folder: str | None) -> None:
-    tap = Tap(Path(folder), "store") if folder else None
+    tap = EventRecorder(Path(folder), "store") if folder else None
     server = FaultyMigrationStoreServer(MigrationStore(file), tap)
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
--- a/lanelead/testbed/emulators/rollout_platform.py
+++ b/lanelead/testbed/emulators/rollout_platform.py
@@ -13,12 +13,12 @@
 from lanelead.protocols.feeds import MessageError, VoteRequest, VoteResponse, decode, encode
 from lanelead.settings.service_settings import CanarySettings, VotingSettings
 from lanelead.testbed.emulators.discovery import RestartableServer, relay_number
-from lanelead.testbed.emulators.event_recording import Tap, clock
-from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
+from lanelead.testbed.emulators.vote_counting import VoteCounting
 
 
-class Desk(RestartableServer, Polling):
-    """The rollout state and vote counting of `Polling` behind an HTTP server.
+class RolloutPlatformServer(RestartableServer, VoteCounting):
+    """The rollout state and vote counting of `VoteCounting` behind an HTTP server.
 
     Relays get a change of the state after 0.5 to 1 times `update_delay` seconds, and the state again every
     `push_interval` seconds. `on_move` is called as in Polling.
@@ -35,8 +35,8 @@
         rng: Random,
         on_move: Callable[[int, int, str], None],
     ) -> None:
-        RestartableServer.__init__(self, port, Tap(folder, "desk"))
-        Polling.__init__(self, trial, poll, rng, clock, self.tap.note, on_move)
+        RestartableServer.__init__(self, port, EventRecorder(folder, "desk"))
+        VoteCounting.__init__(self, trial, poll, rng, clock, self.tap.note, on_move)
         self._update_delay, self._push_interval = update_delay, push_interval
         self._watchers: dict[ServerConnection, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
--- a/lanelead/testbed/emulators/seeded_faults.py
+++ b/lanelead/testbed/emulators/seeded_faults.py
@@ -188,7 +188,7 @@
         self._decisions.rollout_updated(replace(state, phase=RolloutPhase.PROMOTED, exposure_limit=1.0))
 
 
-SEAMS = {
+SEEDED_FAULTS = {
     "answers": DroppedResponses,
     "effects": UnsafeRetries,
     "drains": IgnoredDrains,
@@ -206,7 +206,7 @@
     if sys.argv[1] == "steps":  # whatever the migration log says, builds may have traffic and be promoted
         for name in ("accepts_traffic", "allows_promotion"):
             setattr(Readiness, name, lambda *_: True)
-    run(settings, settings.log, SEAMS[sys.argv[1]])
+    run(settings, settings.log, SEEDED_FAULTS[sys.argv[1]])
 
 
 if __name__ == "__main__":
--- a/lanelead/testbed/emulators/service_model.py
+++ b/lanelead/testbed/emulators/service_model.py
@@ -31,7 +31,7 @@
     lane: str | None = None
 
 
-class Life(msgspec.Struct):
+class EndpointOptions(msgspec.Struct):
     """Options of an endpoint's process, which gets them as JSON.
 
     `waiting_room` limits the queue, `errors` is the share of requests that fail without a fault, `speed` is relative to
@@ -69,10 +69,10 @@
     lane: str
 
 
-class Engine:
+class ServiceModel:
     """Speed, errors and overload of one endpoint; subclasses queue the work and answer requests."""
 
-    def __init__(self, life: Life, clock: Callable[[], float]) -> None:
+    def __init__(self, life: EndpointOptions, clock: Callable[[], float]) -> None:
         self.life, self._clock = life, clock
         self._rng = Random(life.seed)
         self._started_at = clock()
--- a/lanelead/testbed/emulators/vote_counting.py
+++ b/lanelead/testbed/emulators/vote_counting.py
@@ -16,7 +16,7 @@
 from lanelead.settings.service_settings import CanarySettings, VotingSettings
 
 
-class Polling:
+class VoteCounting:
     """The newest build's stage and phase, and the relays' votes on it.
 
     `record_event` records an event. `on_move` is called with build, stage and phase when these change, and with
--- a/lanelead/testbed/emulators/workload.py
+++ b/lanelead/testbed/emulators/workload.py
@@ -13,7 +13,7 @@
 from lanelead.settings.service_settings import ServiceSettings
 
 
-class Op:
+class Operation:
     """One operation of a client, over all of its attempts. Times are in seconds on the clients' clock."""
 
     __slots__ = ("due", "first", "ident", "key", "lane", "member", "relay", "tries", "work")
@@ -27,7 +27,7 @@
         self.first = 0.0  # when the first attempt was sent
 
 
-class Demand:
+class Workload:
     """Draws operations, timeouts and retries from one random generator, under the present faults."""
 
     def __init__(self, service: ServiceSettings, clients: ClientSettings, relays: int, rng: Random) -> None:
@@ -49,7 +49,7 @@
         tenant_factor = sum(share for _, share in self._tenant_rates()) / usual_share if usual_share else 1.0
         return self._rng.expovariate(self._clients.rate * self._rate_factor * tenant_factor)
 
-    def draw(self, now: float) -> Op:
+    def draw(self, now: float) -> Operation:
         """Draws the next operation, which arrives at `now`."""
         rng, clients, tenants = self._rng, self._clients, self._tenant_rates()
         work = rng.choices(clients.work, [row.share for row in clients.work])[0]
@@ -63,7 +63,7 @@
             hot = rng.random() < self._hot_key_share
             key = "k0" if hot else f"k{int(max(1, clients.keys) * rng.random() ** 2)}"
         self._op_count += 1
-        op = Op(f"op-{self._op_count}", work.lane, tenant, key, self._draw(work), relay)
+        op = Operation(f"op-{self._op_count}", work.lane, tenant, key, self._draw(work), relay)
         op.due = now + self.lanes[work.lane].outer_limit_ms / 1000
         return op
 
@@ -76,7 +76,7 @@
         spread = math.sqrt(math.log(1 + cv * cv))
         return self._rng.lognormvariate(math.log(mean) - spread * spread / 2, spread)
 
-    def patience(self, op: Op, now: float) -> float:
+    def patience(self, op: Operation, now: float) -> float:
         """Draws an attempt's timeout in seconds; with 0.05 or less, callers don't start the attempt."""
         request_class = self.lanes[op.lane]
         share = self._rng.uniform(self._clients.try_share, 1.0)
@@ -85,7 +85,7 @@
             left = min(left, request_class.expected_time_ms / 1000 / 2)
         return left
 
-    def method(self, op: Op) -> str:
+    def method(self, op: Operation) -> str:
         """Draws the HTTP method: mostly the first of the class, in 5% the last."""
         methods = self.lanes[op.lane].methods
         return methods[0] if self._rng.random() < 0.95 else methods[-1]
@@ -100,7 +100,7 @@
             return left * self._give_up_after
         return None
 
-    def again(self, op: Op, outcome: str, retry_after: float, now: float) -> float | None:
+    def again(self, op: Operation, outcome: str, retry_after: float, now: float) -> float | None:
         """Returns the seconds until the retry of a rejected or failed operation; None: no retry."""
         request_class = self.lanes[op.lane]
         if outcome == "shed":
@@ -110,7 +110,7 @@
             return self._retry_delay(op, 0.0, now)
         return None
 
-    def lost(self, op: Op, asked: bool, now: float) -> float | None:
+    def lost(self, op: Operation, asked: bool, now: float) -> float | None:
         """Returns the seconds until the retry after a lost or failed connection, at another relay; None: no retry.
 
         `asked`: the request had been sent, so that only idempotent ones are retried.
@@ -120,7 +120,7 @@
         op.relay = self._rng.randrange(self._relay_count)
         return self._retry_delay(op, 0.0, now)
 
-    def _retry_delay(self, op: Op, retry_after: float, now: float) -> float | None:
+    def _retry_delay(self, op: Operation, retry_after: float, now: float) -> float | None:
         if op.tries > self._clients.retries + self._extra_retries or now > op.due:
             return None
         # Abusive clients ignore backoff and advice on when to retry.
--- a/lanelead/testbed/scenarios/commands.py
+++ b/lanelead/testbed/scenarios/commands.py
@@ -13,7 +13,7 @@
 from lanelead.settings.errors import SettingsError
 from lanelead.settings.read import read, read_text
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.emulators.event_recording import BadCapture
+from lanelead.testbed.emulators.event_recording import InvalidRecordingError
 from lanelead.testbed.scenarios.rules.findings import Verdict, report
 from lanelead.testbed.scenarios.rules.verifier import verify
 
@@ -126,7 +126,7 @@
     """Print the verdict on a recording, write it to the file `out` where given, and exit with the verdict's code."""
     try:
         found: Verdict = verify(folder)
-    except BadCapture as error:
+    except InvalidRecordingError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     if out is not None:
--- a/lanelead/testbed/scenarios/processes.py
+++ b/lanelead/testbed/scenarios/processes.py
@@ -19,9 +19,9 @@
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings.scenario_settings import Scenario
 from lanelead.settings.service_settings import RequestClassSettings
-from lanelead.testbed.emulators.discovery import Roster
-from lanelead.testbed.emulators.event_recording import Tap, clock
-from lanelead.testbed.emulators.service_model import Build, Life
+from lanelead.testbed.emulators.discovery import DiscoveryServer
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
+from lanelead.testbed.emulators.service_model import Build, EndpointOptions
 
 ENV = {**os.environ, "PYTHONHASHSEED": "0"}
 
@@ -122,13 +122,13 @@
 class EndpointFleet:
     """All endpoints of a scenario, by name."""
 
-    def __init__(self, scenario: Scenario, folder: Path, seed: int, discovery: Roster) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, seed: int, discovery: DiscoveryServer) -> None:
         self._scenario = scenario
         self._folder = folder
         self._discovery = discovery
         self._rng = Random(f"fleet {seed}")
         self._seed = seed
-        self.tap = Tap(folder, "processes")
+        self.tap = EventRecorder(folder, "processes")
         self.endpoints: dict[str, EndpointProcess] = {}
         self.builds: dict[int, Build] = {1: Build(1)}
         self.store = 0  # the port of the migration store, if there is one
@@ -172,7 +172,7 @@
         if cold:
             await asyncio.sleep(units.boot_ms / 1000 * self._rng.uniform(0.5, 1.0))
         self._started_count += 1
-        life = Life(
+        life = EndpointOptions(
             name=endpoint.name,
             folder=str(self._folder),
             zone=endpoint.zone,
--- a/lanelead/testbed/scenarios/relay_processes.py
+++ b/lanelead/testbed/scenarios/relay_processes.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.emulators.event_recording import Tap
+from lanelead.testbed.emulators.event_recording import EventRecorder
 from lanelead.testbed.scenarios.processes import ChildProcess
 
 LOOPBACK = "127.0.0.1"
@@ -35,7 +35,7 @@
 class RelayProcesses:
     """All relays of a scenario."""
 
-    def __init__(self, scenario: Scenario, folder: Path, seed: int, tap: Tap) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, seed: int, tap: EventRecorder) -> None:
         self._scenario = scenario
         self._folder = folder
         self._seed = seed
--- a/lanelead/testbed/scenarios/rules/recording.py
+++ b/lanelead/testbed/scenarios/rules/recording.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.emulators.event_recording import BadCapture, read
+from lanelead.testbed.emulators.event_recording import InvalidRecordingError, read
 
 CLOCK_SLACK_SECONDS = 0.2  # largest difference between the times that two ends of a socket record
 RESUME_SECONDS = 1.0  # time in which a resumed process works off what arrived while it was stopped
@@ -54,7 +54,7 @@
         try:
             self.scenario = msgspec.json.decode((folder / "day.json").read_bytes(), type=Scenario)
         except (OSError, msgspec.MsgspecError) as error:
-            raise BadCapture(f"day.json: {error}") from None
+            raise InvalidRecordingError(f"day.json: {error}") from None
         self._events: dict[str, list[RecordedEvent]] = defaultdict(list)
         for file, event in read(folder):
             event["file"] = file
--- a/lanelead/testbed/scenarios/runner.py
+++ b/lanelead/testbed/scenarios/runner.py
@@ -17,10 +17,10 @@
 from lanelead.settings.migration_settings import MigrationPlan
 from lanelead.settings.read import read
 from lanelead.settings.scenario_settings import MigrationRun, MigrationScenario, Scenario
-from lanelead.testbed.emulators.clients import Crowd
-from lanelead.testbed.emulators.discovery import Roster
-from lanelead.testbed.emulators.event_recording import Tap, clock
-from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.clients import ClientsOptions
+from lanelead.testbed.emulators.discovery import DiscoveryServer
+from lanelead.testbed.emulators.event_recording import EventRecorder, clock
+from lanelead.testbed.emulators.rollout_platform import RolloutPlatformServer
 from lanelead.testbed.emulators.service_model import Build
 from lanelead.testbed.scenarios.datagram_delays import DatagramDelays
 from lanelead.testbed.scenarios.processes import ChildProcess, EndpointFleet, free_ports
@@ -49,15 +49,15 @@
         self.folder = folder
         self.seed = seed
         self._print = print_line
-        self.tap = Tap(folder, "conductor")
+        self.tap = EventRecorder(folder, "conductor")
         self.relays = RelayProcesses(scenario, folder, seed, self.tap)
         self.clients: ChildProcess | None = None
         self._store: ChildProcess | None = None
         self._migration_runners: list[ChildProcess] = []
         self._began = 0.0
         self._ports = self._make_ports()
-        self.discovery = Roster(folder, self._ports.discovery, scenario.roster.late_ms / 1000)
-        self.rollout_platform = Desk(
+        self.discovery = DiscoveryServer(folder, self._ports.discovery, scenario.roster.late_ms / 1000)
+        self.rollout_platform = RolloutPlatformServer(
             folder,
             self._ports.rollout_platform,
             scenario.service.trial,
@@ -120,7 +120,7 @@
 
     async def _start_clients(self) -> ChildProcess:
         scenario = self.scenario
-        clients_config = Crowd(
+        clients_config = ClientsOptions(
             str(self.folder),
             self.seed,
             scenario.seconds,
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -23,8 +23,8 @@
 from lanelead.protocols.feeds import EndpointListMessage, EndpointMessage, RolloutMessage, VoteRequest
 from lanelead.protocols.vocabulary import VERDICT_WORDS, VOTE_OUTCOMES
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.emulators.service_model import Build, Life
-from lanelead.testbed.emulators.workload import Demand, Op
+from lanelead.testbed.emulators.service_model import Build, EndpointOptions
+from lanelead.testbed.emulators.workload import Operation, Workload
 from lanelead.testbed.simulation.build_moves import BuildMoves
 from lanelead.testbed.simulation.clock import CLOCK_START_SECONDS, Clock, SimulationProcess, random_stream
 from lanelead.testbed.simulation.event_recorder import EventRecorder
@@ -63,8 +63,8 @@
         self.book = EventRecorder(self.clock, silent)
         self.left_out = sorted({event.kind for event in day.events if event.kind in SOCKETS_ONLY})
         self.network_rng, self.fleet_rng = random_stream(seed, "net"), random_stream(seed, "fleet")
-        self.demand = Demand(day.service, day.clients, day.relays, random_stream(seed, "demand"))
-        self.ops: dict[str, Op] = {}
+        self.demand = Workload(day.service, day.clients, day.relays, random_stream(seed, "demand"))
+        self.ops: dict[str, Operation] = {}
         self.bad_requests: set[str] = set()
         self.wrong_responses: dict[str, str] = {}
         self.receipts: dict[tuple[str, str, str], float] = {}
@@ -149,7 +149,7 @@
         units, limits = self.day.units, self.day.service.duties
         name = name or f"u{place:02d}b{build}"
         self.launched += 1
-        life = Life(
+        life = EndpointOptions(
             name=name,
             folder="",
             zone=units.zones[place % len(units.zones)],
--- a/lanelead/testbed/simulation/simulated_clients.py
+++ b/lanelead/testbed/simulation/simulated_clients.py
@@ -13,7 +13,7 @@
 from lanelead.http.requests import HttpRequest
 from lanelead.http.responses import HttpResponse
 from lanelead.runtime.pending_requests import PendingRequest, RequestOutcome
-from lanelead.testbed.emulators.workload import Op
+from lanelead.testbed.emulators.workload import Operation
 from lanelead.testbed.simulation.clock import CLOCK_START_SECONDS, SimulationProcess
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
 
     fleet: SimulatedFleet
     relay: SimulatedRelay
-    op: Op
+    op: Operation
     ident: str
     began: float
     left: float  # seconds from `began` to the deadline
@@ -131,7 +131,7 @@
 
     def __init__(self, fleet: SimulatedFleet) -> None:
         self._fleet = fleet
-        self.queues: list[deque[tuple[Op, float]]] = [deque() for _ in range(fleet.day.relays)]
+        self.queues: list[deque[tuple[Operation, float]]] = [deque() for _ in range(fleet.day.relays)]
         self.open_connections = [0] * fleet.day.relays
 
     def arrivals(self) -> SimulationProcess:
@@ -143,7 +143,7 @@
                 return
             self.start_try(self._fleet.demand.draw(self._fleet.clock.now))
 
-    def start_try(self, op: Op) -> None:
+    def start_try(self, op: Operation) -> None:
         """Starts a try, or queues it where the relay's client connections are all in use."""
         left = self._fleet.demand.patience(op, self._fleet.clock.now)
         if left <= 0.05:
@@ -156,7 +156,7 @@
         else:
             self.send_request(relay, op, left)
 
-    def send_request(self, relay: SimulatedRelay, op: Op, left: float) -> None:
+    def send_request(self, relay: SimulatedRelay, op: Operation, left: float) -> None:
         """Sends a try to its relay and schedules when its client leaves or gives up."""
         op.tries += 1
         ident = f"{op.ident}.{op.tries}"
@@ -207,12 +207,12 @@
                 self.send_request(self._fleet.relays[relay], op, until - self._fleet.clock.now)
                 return
 
-    def schedule_retry(self, op: Op, wait: float | None) -> None:
+    def schedule_retry(self, op: Operation, wait: float | None) -> None:
         """Starts another try after `wait` seconds; none where it is None."""
         if wait is not None:
             self._fleet.clock.later(wait, self.start_try, op)
 
-    def complain(self, op: Op, unit: str, relay: SimulatedRelay) -> None:
+    def complain(self, op: Operation, unit: str, relay: SimulatedRelay) -> None:
         """Reports a wrong response to the relay a second later, where the client is one that complains."""
         if self._fleet.demand.complains():
             request_class = relay.request_class_by_name[op.lane]
--- a/lanelead/testbed/simulation/simulated_endpoint.py
+++ b/lanelead/testbed/simulation/simulated_endpoint.py
@@ -12,8 +12,8 @@
     AttemptOutcome,
     Idempotency,
 )
-from lanelead.testbed.emulators.service_model import Engine, Life
-from lanelead.testbed.emulators.workload import Op
+from lanelead.testbed.emulators.service_model import EndpointOptions, ServiceModel
+from lanelead.testbed.emulators.workload import Operation
 
 if TYPE_CHECKING:
     from lanelead.testbed.simulation.fleet import SimulatedFleet
@@ -26,7 +26,7 @@
 
     relay: SimulatedRelay
     attempt: Attempt
-    op: Op
+    op: Operation
     ident: str
     lane: str
     work: float
@@ -34,10 +34,10 @@
     due: float
 
 
-class SimulatedEndpoint(Engine):
+class SimulatedEndpoint(ServiceModel):
     """One process of an endpoint."""
 
-    def __init__(self, fleet: SimulatedFleet, life: Life, place: int) -> None:
+    def __init__(self, fleet: SimulatedFleet, life: EndpointOptions, place: int) -> None:
         super().__init__(life, fleet.clock)
         self.fleet, self.place = fleet, place
         self.up, self.stopped, self.leaving, self.disturbed = True, False, False, False
--- a/lanelead/testbed/simulation/simulated_rollout.py
+++ b/lanelead/testbed/simulation/simulated_rollout.py
@@ -7,7 +7,7 @@
 from lanelead.decisions.interface import (
     AttemptOutcome,
 )
-from lanelead.testbed.emulators.vote_counting import Polling
+from lanelead.testbed.emulators.vote_counting import VoteCounting
 from lanelead.testbed.simulation.clock import SimulationProcess, random_stream
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
     from lanelead.testbed.simulation.simulated_relay import SimulatedRelay
 
 
-class SimulatedRolloutPlatform(Polling):
+class SimulatedRolloutPlatform(VoteCounting):
     """The rollout platform with the emulators' counting of votes, and simulated delivery to relays.
 
     `away`: relays cannot reach it. `stale`: additional seconds until relays receive a changed state.
--- a/tests/http_relay_environment.py
+++ b/tests/http_relay_environment.py
@@ -25,8 +25,8 @@
 from lanelead.protocols.feeds import EndpointMessage
 from lanelead.settings.read import read_text
 from lanelead.settings.relay_settings import RelaySettings
-from lanelead.testbed.emulators.discovery import Roster
-from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import DiscoveryServer
+from lanelead.testbed.emulators.rollout_platform import RolloutPlatformServer
 
 Handler = Callable[["ScriptedEndpoint", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -52,13 +52,13 @@
 
 
 @contextlib.asynccontextmanager
-async def outside(folder: Path) -> AsyncIterator[tuple[Roster, Desk]]:
+async def outside(folder: Path) -> AsyncIterator[tuple[DiscoveryServer, RolloutPlatformServer]]:
     """The discovery and rollout platform emulators that a relay process needs; no endpoint is listed yet."""
     record = read_text(SETTINGS.replace(", MORE", "") % (1, 1), "town")
     assert isinstance(record, RelaySettings)
-    roster = Roster(folder, 0, 0.0)
+    roster = DiscoveryServer(folder, 0, 0.0)
     trial, poll = record.service.trial, record.service.poll
-    desk = Desk(folder, 0, trial, poll, 0.0, 1.0, Random(0), lambda build, stage, phase: None)
+    desk = RolloutPlatformServer(folder, 0, trial, poll, 0.0, 1.0, Random(0), lambda build, stage, phase: None)
     await roster.open()
     await desk.open()
     try:
@@ -156,7 +156,7 @@
 
     async def open(self) -> None:
         """Starts everything; returns once the relay listens."""
-        self.roster = Roster(self._folder, 0, 0.0)
+        self.roster = DiscoveryServer(self._folder, 0, 0.0)
         await self.roster.open()
         for index, endpoint in enumerate(self.endpoints):
             await endpoint.open()
@@ -166,7 +166,7 @@
         record = read_text(text % (1, 1), "town")
         assert isinstance(record, RelaySettings)
         service = record.service
-        self.desk = Desk(
+        self.desk = RolloutPlatformServer(
             self._folder,
             0,
             service.trial,
--- a/tests/test_http_relay_process.py
+++ b/tests/test_http_relay_process.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from lanelead.protocols.feeds import EndpointMessage
-from lanelead.testbed.emulators.discovery import Roster
-from lanelead.testbed.emulators.rollout_platform import Desk
+from lanelead.testbed.emulators.discovery import DiscoveryServer
+from lanelead.testbed.emulators.rollout_platform import RolloutPlatformServer
 from tests.http_relay_environment import SETTINGS, Client, ScriptedEndpoint, outside, respond_with, run_on_uvloop
 
 # Runs lanelead with the limit of open file descriptors in the first argument.
@@ -49,7 +49,7 @@
 
 @contextlib.asynccontextmanager
 async def start_relay(
-    endpoint: ScriptedEndpoint, descriptors: int, folder: Path, roster: Roster, desk: Desk
+    endpoint: ScriptedEndpoint, descriptors: int, folder: Path, roster: DiscoveryServer, desk: RolloutPlatformServer
 ) -> AsyncIterator[RelayProcess]:
     """Opens and lists the endpoint, then runs a relay process; kills it at the end."""
     await endpoint.open()
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,7 +16,7 @@
 from lanelead.decisions.balancer import Balancer
 from lanelead.settings.read import read_text
 from lanelead.settings.scenario_settings import Scenario
-from lanelead.testbed.emulators.seeded_faults import SEAMS
+from lanelead.testbed.emulators.seeded_faults import SEEDED_FAULTS
 from lanelead.testbed.experiments.run import interval, measures, paired, read
 from lanelead.testbed.scenarios.commands import load
 from lanelead.testbed.scenarios.rules.findings import Verdict
@@ -75,7 +75,9 @@
         for seam in ("answers", "effects", "drains", "cold", "exposure"):
             day = load("bad-day")
             day = msgspec.structs.replace(day, seconds=30.0, events=[e for e in day.events if e.at < 28])
-            verdict = verified(SimulatedFleet(day, 1, lambda seam=seam, **given: SEAMS[seam](Balancer(**given))).run())
+            verdict = verified(
+                SimulatedFleet(day, 1, lambda seam=seam, **given: SEEDED_FAULTS[seam](Balancer(**given))).run()
+            )
             self.assertGreater(verdict.rules[seam].broken, 0, seam)
 
     def test_every_policy_keeps_the_rules(self) -> None:
--- a/tests/test_rules_verifier.py
+++ b/tests/test_rules_verifier.py
@@ -11,7 +11,7 @@
 from lanelead.migrations.runner import Goal
 from lanelead.protocols.migrations import LogEntry
 from lanelead.settings.scenario_settings import MigrationScenario, SpilloverOverride
-from lanelead.testbed.emulators.event_recording import BadCapture
+from lanelead.testbed.emulators.event_recording import InvalidRecordingError
 from lanelead.testbed.scenarios.rules.findings import Finding
 from lanelead.testbed.scenarios.rules.verifier import verify
 from tests.recording_writer import RecordingWriter
@@ -306,7 +306,7 @@
         recording.served(1.0)
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            with self.assertRaises(BadCapture):
+            with self.assertRaises(InvalidRecordingError):
                 verify(folder)
             recording.write(folder)
             file = folder / "clients.ndjson"
@@ -314,7 +314,7 @@
             file.write_bytes(whole + b'{"t": 3, "ev"')
             self.assertEqual(verify(folder).lookups, 1)
             file.write_bytes(b'{"t": 3, "ev"\n' + whole)
-            with self.assertRaises(BadCapture):
+            with self.assertRaises(InvalidRecordingError):
                 verify(folder)
 
 
