--- a/benchmarks/slopes/voting.py
+++ b/benchmarks/slopes/voting.py
@@ -260,7 +260,7 @@
         def run() -> None:
             for relay in self.simulated_relays:
                 relay.listed(EndpointListMessage("changes", 2 + stage, 0.0, rows))
-            self.platform.machines_run(build, stage)
+            self.platform.endpoints_running(build, stage)
 
         self.later(BOOT_SECONDS, run)
 
--- a/lanelead/testbed/emulators/vote_counting.py
+++ b/lanelead/testbed/emulators/vote_counting.py
@@ -67,13 +67,13 @@
         self._votes.clear()
         self._change(build, 0, "trial")
 
-    def machines_run(self, build: int, stage: int) -> None:
+    def endpoints_running(self, build: int, stage: int) -> None:
         """Starts the stage's time: all of its endpoints run."""
         if (build, stage) == (self.build, self.stage) and self._running_since is None:
             self._running_since = self._clock()
             self._record_event("running", build=build, stage=stage)
 
-    def gone_back(self, build: int) -> None:
+    def rollback_finished(self, build: int) -> None:
         """Ends a rollback: the build's endpoints have been removed."""
         if build == self.build and self.phase == "reverting":
             self._change(build, self.stage, "withdrawn")
--- a/lanelead/testbed/scenarios/runner.py
+++ b/lanelead/testbed/scenarios/runner.py
@@ -232,7 +232,7 @@
         places = free[: fleet.needed(stage) - len(occupied)]
         await fleet.start_build(build, places, True)
         self._share_slowness()
-        self.rollout_platform.machines_run(build, stage)
+        self.rollout_platform.endpoints_running(build, stage)
         if self.scenario.service.trial.in_place:
             await self._drain_earlier(build, set(places))
 
@@ -267,7 +267,7 @@
             *(fleet.drain(endpoint, ROLLBACK_DRAIN_SECONDS) for endpoint in fleet.endpoints_of_build(build))
         )
         self._share_slowness()
-        self.rollout_platform.gone_back(build)
+        self.rollout_platform.rollback_finished(build)
 
     def _share_slowness(self) -> None:
         """Recompute how much builds with the fault `shared` slow down the whole fleet.
--- a/lanelead/testbed/simulation/build_moves.py
+++ b/lanelead/testbed/simulation/build_moves.py
@@ -40,7 +40,7 @@
 
             def stage_started() -> None:
                 self.share_slowness()
-                self._fleet.rollout_platform.machines_run(build, stage)
+                self._fleet.rollout_platform.endpoints_running(build, stage)
                 if trial.in_place:
                     for endpoint in list(self._fleet.endpoints.values()):
                         if endpoint.life.build.number < build and endpoint.place in places:
@@ -81,7 +81,7 @@
     def finish_rollback(self, build: int) -> None:
         """Tells the rollout platform that a build has been rolled back."""
         self.share_slowness()
-        self._fleet.rollout_platform.gone_back(build)
+        self._fleet.rollout_platform.rollback_finished(build)
 
     def share_slowness(self) -> None:
         """Recomputes how much builds with the fault `shared` slow down the whole fleet.
