--- a/lanelead/testbed/emulators/fault_proxy.py
+++ b/lanelead/testbed/emulators/fault_proxy.py
@@ -33,7 +33,7 @@
     spread: float = 0.0
 
 
-class Wires:
+class FaultProxy:
     """The proxy between `many` ends, numbered from 0.
 
     `on_datagram` is called with "passed", "lost" or "cut", the sender and the receiver, for each datagram
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,7 +18,7 @@
 from lanelead.pgwire import messages
 from lanelead.protocols import datagrams
 from lanelead.runtime.gossip_codec import HEADER_BYTES, LATENCY_STEP_TICKS, NOT_REPORTED
-from lanelead.testbed.emulators.fault_proxy import Wires
+from lanelead.testbed.emulators.fault_proxy import FaultProxy
 from lanelead.testbed.scenarios.processes import free_ports
 from tests.http_relay_environment import run_on_uvloop
 from tests.postgres_platform import SETTINGS, Platform, PostgresClient, free_port
@@ -31,7 +31,7 @@
 class Fleet:
     def __init__(self, folder: Path, platform: Platform) -> None:
         self.folder, self.platform = folder, platform
-        self.wires, self.request_count, self.answered = Wires(PEERS, 7), 0, 0
+        self.wires, self.request_count, self.answered = FaultProxy(PEERS, 7), 0, 0
         self.rejections: list[dict[str, bytes]] = []
         self.gossip_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.gossip_socket.bind(("127.0.0.1", 0))
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -20,7 +20,7 @@
 from lanelead.membership.commands import membership as commands
 from lanelead.membership.messages import ALIVE, DEAD, LEFT, MemberRecord
 from lanelead.protocols.feeds import EndpointMessage as Listed
-from lanelead.testbed.emulators.fault_proxy import Wires
+from lanelead.testbed.emulators.fault_proxy import FaultProxy
 from lanelead.testbed.scenarios.processes import free_ports
 from tests.http_relay_environment import SETTINGS, outside, run_on_uvloop
 
@@ -31,7 +31,7 @@
 class RelayGroup:
     """`count` relay processes; each reaches the others through the fault proxy, and has the first two as seeds."""
 
-    def __init__(self, count: int, folder: Path, wires: Wires, roster: int, desk: int) -> None:
+    def __init__(self, count: int, folder: Path, wires: FaultProxy, roster: int, desk: int) -> None:
         self.count, self.wires, self._folder = count, wires, folder
         self._feed_ports, self.processes = (roster, desk), dict[int, asyncio.subprocess.Process]()
         self.ports = free_ports(count, socket.SOCK_DGRAM)
@@ -91,7 +91,7 @@
         folder = Path(name)
         async with outside(folder) as (roster, desk):
             roster.list_now(Listed("u", "127.0.0.1", 1, "north", 1, "ready"))
-            wires = Wires(count, 1)
+            wires = FaultProxy(count, 1)
             found = RelayGroup(count, folder, wires, roster.port, desk.port)
             try:
                 await asyncio.gather(*(found.start(number) for number in range(count)))
