--- a/lanelead/testbed/emulators/endpoint.py
+++ b/lanelead/testbed/emulators/endpoint.py
@@ -137,7 +137,7 @@
             connection.unresponsive = True  # as if dropped without notice while idle: requests on it are lost
             return
         job = PendingRequest(connection, request)
-        warmth = self._warmth()
+        warmth = self._slow_start_share()
         self._tap.note(
             "trip",
             id=job.ident,
@@ -149,12 +149,12 @@
             build=self.life.build.number,
             warmth=round(warmth, 4),
         )
-        self._weigh(job, warmth)
+        self._check_overload(job, warmth)
         if self.fallen or "mute" in self._faults:
             return
         if self.draining or len(self._waiting) >= self.life.waiting_room:
             self._reject(job)
-        elif self._hit("cut"):
+        elif self._fault_occurs("cut"):
             # Half of these requests have their effect before the connection is closed; none occupies a core.
             if self._rng.random() < 0.5:
                 self._apply_effect(job)
@@ -181,7 +181,7 @@
             job.connection.write(serialization.response(503, [(b"lanelead-turned-away", b"1")], b"too late\n"))
             return
         self._busy += 1
-        self._loop.call_later(job.work / max(1e-3, self._pace(job)), self._work_done, job)
+        self._loop.call_later(job.work / max(1e-3, self._current_speed(job)), self._work_done, job)
 
     def _work_done(self, job: PendingRequest) -> None:
         if self.life.store and job.request.method not in ("GET", "HEAD"):
@@ -244,18 +244,18 @@
         connection, build = job.connection, self.life.build
         fields: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain"), *self._load_header()]
         fields.append((b"lanelead-answered-by", b"%s" % self.life.name.encode()))
-        if b"day-bad" in dict(job.request.headers) or self._errs(job):
+        if b"day-bad" in dict(job.request.headers) or self._answers_with_error(job):
             if self._rng.random() < 0.5:  # half of the errors occur after the effect
                 self._apply_effect(job)
             self._tap.note("erred", id=job.ident, op=job.op)
             connection.write(serialization.response(500, fields, b"error\n"))
             return
         repeat_body = self._apply_effect(job)
-        if self._hit("cut_answer"):
+        if self._fault_occurs("cut_answer"):
             connection.write(serialization.response(200, fields, b"x" * 400)[:-200])
             connection.close()
             return
-        if "garbage" in self._faults and self._hit("garbage"):
+        if "garbage" in self._faults and self._fault_occurs("garbage"):
             connection.write(b"HTP/1.1 200 what\r\n\x00\x01\r\n\r\n")
             connection.close()
             return
@@ -263,7 +263,7 @@
         if build.bad == "wrong" and self._rng.random() < build.strength:
             fields.append((b"day-wrong", b"1"))
         text = serialization.response(200, fields, body, head=job.request.method == "HEAD", length=b"%d" % len(body))
-        if self._hit("trickle"):
+        if self._fault_occurs("trickle"):
             self._trickle(connection, text, 0)
         else:
             connection.write(text)
--- a/lanelead/testbed/emulators/service_model.py
+++ b/lanelead/testbed/emulators/service_model.py
@@ -85,7 +85,7 @@
 
     # Speed
 
-    def _warmth(self) -> float:
+    def _slow_start_share(self) -> float:
         life, age = self.life, self._clock() - self._started_at
         if life.cold <= 0 or age >= life.cold:
             return 1.0
@@ -93,10 +93,10 @@
 
     def _capacity(self) -> float:
         """Returns the seconds of work that the endpoint can do in a second at present."""
-        return self.life.cores * self.life.speed * self._warmth()
+        return self.life.cores * self.life.speed * self._slow_start_share()
 
-    def _pace(self, item: WorkItem) -> float:
-        build, pace = self.life.build, self.life.speed * self._warmth() * self.life.build.speed
+    def _current_speed(self, item: WorkItem) -> float:
+        build, pace = self.life.build, self.life.speed * self._slow_start_share() * self.life.build.speed
         if "slow" in self._faults:
             pace /= max(1.0, self._faults["slow"]["size"])
         if "neighbour" in self._faults and int(self._clock() * 0.5) % 2:
@@ -110,11 +110,11 @@
     def _fault(self, name: str) -> dict[str, Any] | None:
         return self._faults.get(name)
 
-    def _hit(self, name: str) -> bool:
+    def _fault_occurs(self, name: str) -> bool:
         fault = self._faults.get(name)
         return fault is not None and self._rng.random() < min(1.0, fault["size"])
 
-    def _weigh(self, item: WorkItem, warmth: float) -> None:
+    def _check_overload(self, item: WorkItem, warmth: float) -> None:
         """Adds a request's work to the recent work, and checks for overload; once warm, nothing can overload it.
 
         The limit is `fall_multiple` times the work that the endpoint could do in `fall_time`, without the build's speed
@@ -134,11 +134,11 @@
     def fell(self, work: float, warmth: float) -> None:
         """Called once, when the endpoint becomes overloaded, with the recent work in seconds; for subclasses."""
 
-    def _errs(self, item: WorkItem) -> bool:
+    def _answers_with_error(self, item: WorkItem) -> bool:
         build = self.life.build
         share = self.life.errors
         if build.bad == "errors" or (build.bad == "lane" and item.lane == build.lane):
             share = max(share, build.strength)
         if build.bad == "late" and self._clock() - self._started_at > 4:
             share = max(share, build.strength / 3)
-        return self._rng.random() < share or self._hit("errors")
+        return self._rng.random() < share or self._fault_occurs("errors")
--- a/lanelead/testbed/simulation/simulated_endpoint.py
+++ b/lanelead/testbed/simulation/simulated_endpoint.py
@@ -78,7 +78,7 @@
     def _attempt_received(self, job: SimulatedAttempt) -> None:
         if self.fallen:
             return
-        warmth = self._warmth()
+        warmth = self._slow_start_share()
         self.note(
             "trip",
             id=job.ident,
@@ -90,13 +90,13 @@
             build=self.life.build.number,
             warmth=round(warmth, 4),
         )
-        self._weigh(job, warmth)
+        self._check_overload(job, warmth)
         if self.fallen or "mute" in self._faults:
             return
         if len(self._waiting) >= self.life.waiting_room:
             self.note("turned_away", id=job.ident, op=job.op.ident)
             job.relay.reply(self, job, AttemptOutcome.REJECTED)
-        elif self._hit("cut"):
+        elif self._fault_occurs("cut"):
             if self._rng.random() < 0.5:
                 self._effect(job)
             job.relay.reply(self, job, AttemptOutcome.RESET)
@@ -112,7 +112,7 @@
             return
         self._busy += 1
         self._running[job] = None
-        wait = job.work / max(1e-3, self._pace(job))
+        wait = job.work / max(1e-3, self._current_speed(job))
         self.fleet.clock.later(wait, lambda: self.call_when_running(lambda: self._end(job)))
 
     def _end(self, job: SimulatedAttempt) -> None:
@@ -133,19 +133,19 @@
         self.note("effect", id=job.ident, op=ident, lane=job.lane, key=key, cell=self.life.cell)
 
     def _answer(self, job: SimulatedAttempt) -> None:
-        if job.bad or self._errs(job):
+        if job.bad or self._answers_with_error(job):
             if self._rng.random() < 0.5:
                 self._effect(job)
             self.note("erred", id=job.ident, op=job.op.ident)
             job.relay.reply(self, job, AttemptOutcome.ERROR)
             return
         self._effect(job)
-        if self._hit("cut_answer"):
+        if self._fault_occurs("cut_answer"):
             job.relay.reply(self, job, AttemptOutcome.RESET)
             return
         build = self.life.build
         wrong = build.bad == "wrong" and self._rng.random() < build.strength
-        job.relay.reply(self, job, AttemptOutcome.SUCCEEDED, wrong, 0.9 if self._hit("trickle") else 0.0)
+        job.relay.reply(self, job, AttemptOutcome.SUCCEEDED, wrong, 0.9 if self._fault_occurs("trickle") else 0.0)
 
     def report(self) -> dict[str, float]:
         """Return the load report: waiting requests and CPU share; both zero under the fault `false_reports`."""
