--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -89,7 +89,7 @@
     name, seed = job
     scenario = load(name)
     with tempfile.TemporaryDirectory() as folder:
-        SimulatedFleet(scenario, seed).run().book.write(Path(folder), scenario)
+        SimulatedFleet(scenario, seed).run().recorder.write(Path(folder), scenario)
         return figures(Path(folder))
 
 
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -48,7 +48,7 @@
     """The policy, how the build was bad, when it was rolled back, and whether it was promoted before."""
     number, relays, rate, policy = job
     fleet = SimulatedFleet(make_scenario(number, relays, rate), number, POLICIES[policy]).run()
-    facts = fleet.book.files["desk"]
+    facts = fleet.recorder.files["desk"]
     offered = fleet.day.desk.offers[0]
     back = next((fact["t"] - 3603.0 for fact in facts if fact["ev"] == "sent_back"), None)
     released = any(fact["ev"] == "state" and fact["phase"] == "released" for fact in facts)
--- a/lanelead/testbed/experiments/commands.py
+++ b/lanelead/testbed/experiments/commands.py
@@ -59,11 +59,11 @@
     }
     scenario = msgspec.structs.replace(scenario, **overrides)
     fleet = SimulatedFleet(scenario, scenario.seed if seed is None else seed, POLICIES[policy]).run()
-    for kind in fleet.left_out:
+    for kind in fleet.unsupported_events:
         click.echo(f"skipped fault {kind}: the simulation has no connections")
     with tempfile.TemporaryDirectory(prefix="lanelead-model-") as temporary:
         folder = Path(capture) if capture else Path(temporary)
-        fleet.book.write(folder, scenario)
+        fleet.recorder.write(folder, scenario)
         end(folder, verdict)
 
 
--- a/lanelead/testbed/experiments/run.py
+++ b/lanelead/testbed/experiments/run.py
@@ -60,7 +60,7 @@
     found["service"] = fleet.value_share()
     if verified:
         with tempfile.TemporaryDirectory() as folder:
-            fleet.book.write(Path(folder), scenario)
+            fleet.recorder.write(Path(folder), scenario)
             found |= _verified_measures(verify(Path(folder)))
     return found
 
--- a/lanelead/testbed/simulation/fault_injection.py
+++ b/lanelead/testbed/simulation/fault_injection.py
@@ -75,7 +75,7 @@
 
     def run(self, event: ScenarioEvent) -> SimulationProcess:
         """Runs one event, from the current time to its end."""
-        self._fleet.book.note(
+        self._fleet.recorder.note(
             "conductor", "event", kind=event.kind, for_=event.for_, size=event.size, count=event.count
         )
         kind, duration = event.kind, event.for_
@@ -117,7 +117,7 @@
     def _kill(self, endpoint: SimulatedEndpoint, downtime: float) -> SimulationProcess:
         endpoint.disturbed = True
         endpoint.kill()
-        self._fleet.book.note("processes", "kill", name=endpoint.life.name)
+        self._fleet.recorder.note("processes", "kill", name=endpoint.life.name)
         self._fleet.report(endpoint, "gone")
         yield downtime + self._fleet.day.units.boot_ms / 1000 * self._fleet.fleet_rng.uniform(0.5, 1.0)
         if not endpoint.leaving:
@@ -125,13 +125,13 @@
 
     def _stop(self, endpoint: SimulatedEndpoint, duration: float) -> SimulationProcess:
         endpoint.disturbed = endpoint.stopped = True
-        self._fleet.book.note("processes", "stop", name=endpoint.life.name)
+        self._fleet.recorder.note("processes", "stop", name=endpoint.life.name)
         notice_delay = self._fleet.day.roster.silent_ms / 1000
         if duration > notice_delay:
             self._fleet.clock.later(notice_delay, self._fleet.report, endpoint, "gone", True, 0.0)
         yield duration
         endpoint.disturbed = endpoint.stopped = False
-        self._fleet.book.note("processes", "cont", name=endpoint.life.name)
+        self._fleet.recorder.note("processes", "cont", name=endpoint.life.name)
         endpoint.resume()
         if duration > notice_delay and endpoint.up and not endpoint.leaving:
             self._fleet.report(endpoint, "ready", False)
@@ -145,7 +145,7 @@
 
     def _drain_and_return(self, endpoint: SimulatedEndpoint, duration: float) -> SimulationProcess:
         endpoint.disturbed = True
-        self._fleet.book.note("processes", "drain", name=endpoint.life.name)
+        self._fleet.recorder.note("processes", "drain", name=endpoint.life.name)
         self._fleet.report(endpoint, "draining", late=0.05)
         yield self._fleet.day.service.duties.drain_grace_ms / 1000 + 0.5
         self._fleet.finish(endpoint)
@@ -161,12 +161,12 @@
             relay = self._fleet.relays[number]
             if event.kind == "relay_stop":
                 relay.frozen = True
-                self._fleet.book.note("conductor", "relay_stop", relay=number)
+                self._fleet.recorder.note("conductor", "relay_stop", relay=number)
                 yield event.for_
-                self._fleet.book.note("conductor", "relay_cont", relay=number)
+                self._fleet.recorder.note("conductor", "relay_cont", relay=number)
                 relay.resume()
                 continue
-            self._fleet.book.note("conductor", "relay_kill", relay=number)
+            self._fleet.recorder.note("conductor", "relay_kill", relay=number)
             relay.up = False
             for endpoint in self._fleet.endpoints.values():
                 endpoint.idle.pop(number, None)
--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -3,7 +3,7 @@
 Each simulated relay hosts the production `DecisionDriver`, so requests, timers, ids and gossip run the same code as in
 a real relay. Demand, the endpoints' service model and the counting of votes are shared with the emulators. Only
 sockets and processes are simulated: a network hop takes `hop` seconds (`far` to another zone), a dead process refuses
-connections, a stopped one answers once it resumes, and a new connection costs one more round trip. `left_out` lists
+connections, a stopped one answers once it resumes, and a new connection costs one more round trip. `unsupported_events` lists
 the script's events that are not simulated.
 """
 
@@ -60,8 +60,8 @@
         self.day, self.seed, self.make_decisions, self.hop_mean = day, seed, make, hop
         self.far_hop = hop if far is None else far
         self.clock = Clock(CLOCK_START_SECONDS)
-        self.book = EventRecorder(self.clock, silent)
-        self.left_out = sorted({event.kind for event in day.events if event.kind in SOCKETS_ONLY})
+        self.recorder = EventRecorder(self.clock, silent)
+        self.unsupported_events = sorted({event.kind for event in day.events if event.kind in SOCKETS_ONLY})
         self.network_rng, self.fleet_rng = random_stream(seed, "net"), random_stream(seed, "fleet")
         self.demand = Workload(day.service, day.clients, day.relays, random_stream(seed, "demand"))
         self.ops: dict[str, Operation] = {}
@@ -89,7 +89,7 @@
         for number in range(day.relays):
             self.relays.append(self.start_relay(number))
         self.clock.run_process(self.rollout_platform.run())
-        self.book.note("conductor", "begin", seconds=day.seconds, seed=self.seed)
+        self.recorder.note("conductor", "begin", seconds=day.seconds, seed=self.seed)
         self.clock.run_process(self.clients.arrivals())
         for number, offer in enumerate(day.desk.offers, 2):
             self.builds[number] = Build(number, offer.speed, offer.bad, offer.strength, offer.lane)
@@ -99,7 +99,7 @@
         longest = max(request_class.outer_limit_ms for request_class in day.service.lanes) / 1000
         self.clock.run(CLOCK_START_SECONDS + day.seconds + longest + 2 * day.slack_ms / 1000 + 1)
         for relay in self.relays:
-            self.book.note("conductor", "relay_term", relay=relay.number)
+            self.recorder.note("conductor", "relay_term", relay=relay.number)
         return self
 
     def value_share(self) -> float:
@@ -109,13 +109,13 @@
 
     def offer_build(self, number: int, bad: str | None) -> None:
         """Offers a new build to the rollout platform."""
-        self.book.note("conductor", "offer", build=number, bad=bad)
+        self.recorder.note("conductor", "offer", build=number, bad=bad)
         self.rollout_platform.offer(number)
 
     def start_relay(self, number: int) -> SimulatedRelay:
         """Starts a relay and sends it the endpoint list and the rollout state."""
         relay = SimulatedRelay(self, number, self.make_decisions)
-        self.book.note("conductor", "relay_start", relay=number, pid=0)
+        self.recorder.note("conductor", "relay_start", relay=number, pid=0)
         self.send_list(relay, "full", list(self.endpoint_rows.values()))
         line = self.rollout_platform.line()
         self.rollout_platform.told(number, line)
@@ -187,7 +187,7 @@
             cold=life.cold,
             speed=life.speed * life.build.speed,
         )
-        self.book.note("processes", "start", name=name, pid=0, build=build)
+        self.recorder.note("processes", "start", name=name, pid=0, build=build)
         self.report(endpoint, "ready", cold, None if cold else 0.0)
         return endpoint
 
@@ -224,7 +224,7 @@
 
     def send_list(self, relay: SimulatedRelay, update_scope: str, rows: list[EndpointMessage]) -> None:
         """Sends a relay the full endpoint list or changes of it."""
-        self.book.note("roster", "told", relay=relay.number, coverage=update_scope, units=msgspec.to_builtins(rows))
+        self.recorder.note("roster", "told", relay=relay.number, coverage=update_scope, units=msgspec.to_builtins(rows))
         listed = EndpointListMessage(update_scope, self.list_version, self.clock.now * 1000, rows)  # type: ignore[arg-type]
         relay.call_when_running(lambda: relay.driver.endpoints_listed(listed, 0))
 
@@ -242,7 +242,7 @@
         """Lists an endpoint as draining, waits for the drain grace and `finish_seconds` more, then ends it."""
         if endpoint.leaving or not endpoint.up:
             return
-        self.book.note("processes", "drain", name=endpoint.life.name)
+        self.recorder.note("processes", "drain", name=endpoint.life.name)
         self.report(endpoint, "draining", late=0.05)
         endpoint.leaving = True
         yield self.day.service.duties.drain_grace_ms / 1000 + finish_seconds
@@ -253,7 +253,7 @@
         if endpoint.up:
             endpoint.kill()
             endpoint.note("down")
-            self.book.note("processes", "end", name=endpoint.life.name)
+            self.recorder.note("processes", "end", name=endpoint.life.name)
             self.report(endpoint, "gone", late=0.05)
 
     def cast_vote(self, relay: SimulatedRelay, vote: CastVote) -> None:
--- a/lanelead/testbed/simulation/simulated_clients.py
+++ b/lanelead/testbed/simulation/simulated_clients.py
@@ -55,7 +55,7 @@
         self.closed = True
         self.relay.client_tries.pop(self, None)
         fleet = self.fleet
-        fleet.book.note(
+        fleet.recorder.note(
             "clients",
             what,
             id=self.ident,
@@ -165,7 +165,7 @@
         self._fleet.demand.method(op)
         if self._fleet.demand.bad():
             self._fleet.bad_requests.add(ident)
-        self._fleet.book.note(
+        self._fleet.recorder.note(
             "clients",
             "ask",
             id=ident,
--- a/lanelead/testbed/simulation/simulated_endpoint.py
+++ b/lanelead/testbed/simulation/simulated_endpoint.py
@@ -49,7 +49,7 @@
 
     def note(self, what: str, **facts: Any) -> None:
         """Records an event of this endpoint."""
-        self.fleet.book.note(f"unit-{self.life.name}", what, **facts)
+        self.fleet.recorder.note(f"unit-{self.life.name}", what, **facts)
 
     def fell(self, work: float, warmth: float) -> None:
         """Records that the endpoint was overloaded during its slow start and fell over."""
--- a/lanelead/testbed/simulation/simulated_rollout.py
+++ b/lanelead/testbed/simulation/simulated_rollout.py
@@ -25,7 +25,7 @@
         day = fleet.day
 
         def note(what: str, **facts: Any) -> None:
-            fleet.book.note("desk", what, **facts)
+            fleet.recorder.note("desk", what, **facts)
 
         super().__init__(
             day.service.trial,
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -37,7 +37,7 @@
 def verified(fleet: SimulatedFleet) -> Verdict:
     """Return the verifier's verdict on a simulated scenario."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet.book.write(Path(folder), fleet.day)
+        fleet.recorder.write(Path(folder), fleet.day)
         return verify(Path(folder))
 
 
@@ -63,8 +63,8 @@
 
     def test_a_short_scenario_keeps_the_rules_and_the_same_seed_gives_the_same_recording(self) -> None:
         first, second = (SimulatedFleet(short(), 3).run() for _ in range(2))
-        self.assertEqual(msgspec.json.encode(first.book.files), msgspec.json.encode(second.book.files))
-        self.assertNotEqual(SimulatedFleet(short(), 4).run().book.files, first.book.files)
+        self.assertEqual(msgspec.json.encode(first.recorder.files), msgspec.json.encode(second.recorder.files))
+        self.assertNotEqual(SimulatedFleet(short(), 4).run().recorder.files, first.recorder.files)
         verdict = verified(first)
         self.assertTrue(verdict.kept, verdict.rules)
         for rule in ("answers", "effects", "drains", "cold", "exposure"):
@@ -95,7 +95,7 @@
         clients = msgspec.structs.replace(day.clients, rate=160.0)
         day = msgspec.structs.replace(day, seconds=18.0, events=[lost, burst], clients=clients)
         fleet = SimulatedFleet(day, 1).run()
-        events = fleet.book.files["clients"]
+        events = fleet.recorder.files["clients"]
         tenant = {event["id"]: event["member"] for event in events if event["ev"] == "ask" and event["t"] > 3609}
         outcomes: dict[str, list[bool]] = {}
         for event in events:
