--- a/lanelead/testbed/simulation/fleet.py
+++ b/lanelead/testbed/simulation/fleet.py
@@ -3,8 +3,8 @@
 Each simulated relay hosts the production `DecisionDriver`, so requests, timers, ids and gossip run the same code as in
 a real relay. Demand, the endpoints' service model and the counting of votes are shared with the emulators. Only
 sockets and processes are simulated: a network hop takes `hop` seconds (`far` to another zone), a dead process refuses
-connections, a stopped one answers once it resumes, and a new connection costs one more round trip. `unsupported_events` lists
-the script's events that are not simulated.
+connections, a stopped one answers once it resumes, and a new connection costs one more round trip.
+`unsupported_events` lists the script's events that are not simulated.
 """
 
 from __future__ import annotations
--- a/tests/test_model.py
+++ b/tests/test_simulation.py
@@ -24,7 +24,7 @@
 from lanelead.testbed.simulation.baselines import POLICIES, LeastOfAll, LeastOfTwo
 from lanelead.testbed.simulation.clock import Clock, random_stream
 from lanelead.testbed.simulation.fleet import SimulatedFleet
-from tests.test_day import SHORT
+from tests.test_scenario_commands import SHORT
 
 
 def short() -> Scenario:
