--- a/benchmarks/slopes/latency.py
+++ b/benchmarks/slopes/latency.py
@@ -34,12 +34,8 @@
 
 RATES = (RATE, 5 * RATE)
 CONNECTIONS = 32
-WARM_UP_SECONDS, WINDOW, SLICE, QUIET_SECONDS = (
-    9.0,
-    16.0,
-    2.0,
-    4.0,
-)  # seconds; relays connect to endpoints during the warm-up
+# All four are in seconds. Relays connect to endpoints during the warm-up.
+WARM_UP_SECONDS, WINDOW, SLICE, QUIET_SECONDS = 9.0, 16.0, 2.0, 4.0
 SOCKETS = 8192  # of a relay: enough for a connection to each endpoint that it chooses from
 QUERY_TEXT = b"SELECT doc FROM items WHERE id = 'ab12' /* id=%d,c=status,t=tenant-00000,d=5000 */"
 
--- a/benchmarks/slopes/losses.py
+++ b/benchmarks/slopes/losses.py
@@ -20,13 +20,8 @@
 from lanelead.protocols.feeds import EndpointListMessage
 
 SIZES, SMALL = ((8, 104), (40, 520), (200, 2600), (600, 7800)), ((8, 104), (40, 520))
-RATE, FULL_RELAYS, WARM_UP_SECONDS, NOTICE_SECOND, SECONDS_AFTER = (
-    183.0,
-    17,
-    4.0,
-    10,
-    13,
-)  # `NOTICE_SECOND`: when discovery reports the loss
+# Discovery reports the loss at `NOTICE_SECOND`.
+RATE, FULL_RELAYS, WARM_UP_SECONDS, NOTICE_SECOND, SECONDS_AFTER = 183.0, 17, 4.0, 10, 13
 INTERVAL = SECOND // 4
 APART_RELAYS, APART_RATE, HOUR_SECONDS = 12, 2.0, 3600
 CHECKPOINTS = (10, 60, 300, 900, 1800, 3600)
--- a/benchmarks/slopes/restarts.py
+++ b/benchmarks/slopes/restarts.py
@@ -27,11 +27,9 @@
 UNITS, SMALL_UNITS = (26, 150, 780, 2600, 7800), (26, 150)
 REAL, REAL_SMALL = (26, 780, 2600, 7800), (26,)
 RELAYS, SMALL = (12, 40, 100), (12,)
-RATE, ROUND_SECONDS, ENDPOINTS_PER_RELAY = (
-    5.0,
-    20.0,
-    13,
-)  # requests a second at a relay; for all to restart; for each relay
+# `RATE` is in requests a second at a relay, all relays restart within `ROUND_SECONDS`, and the endpoints are for each
+# relay.
+RATE, ROUND_SECONDS, ENDPOINTS_PER_RELAY = 5.0, 20.0, 13
 DOWN_SECONDS = 0.8  # from a relay's end to its next start
 
 
--- a/lanelead/postgres_relay/configuration_client.py
+++ b/lanelead/postgres_relay/configuration_client.py
@@ -73,9 +73,8 @@
         self.follower = Follower(
             number, own_location, source_locations, document, following.catch_up_bytes_per_s, rng, loop.time()
         )
-        self._tasks: dict[
-            asyncio.Task[None], int | None
-        ] = {}  # the source by task; None if CloseWatch does not cancel it
+        # The source is kept by task; it is None if CloseWatch does not cancel the task.
+        self._tasks: dict[asyncio.Task[None], int | None] = {}
         self._woken = asyncio.Event()
 
     async def run(self) -> None:
--- a/lanelead/settings/relay_settings.py
+++ b/lanelead/settings/relay_settings.py
@@ -90,6 +90,7 @@
     steps: FeedSettings | None = None  # the migration store, whose log tells which builds are ready for traffic
 
 
+# Settings files have no prices; only parameters read by `runtime.parameter_reader` do.
 NO_PRICES = interface.Prices(
     health_check=0.0,
     gossip=0.0,
@@ -99,7 +100,7 @@
     handshake=0.0,
     connection=0.0,
     over_quota_value=1.0,
-)  # settings files have no prices; only parameters read by `runtime.parameter_reader` do
+)
 
 
 def position_of(relay: RelaySettings) -> interface.RelayPosition:
--- a/lanelead/simulator_adapter/host.py
+++ b/lanelead/simulator_adapter/host.py
@@ -78,9 +78,8 @@
         self.tenants = {tenant.name: tenant for tenant in tenants}
         self.report_names = parameters.texts("loadReport.names")
         self.registry = EndpointRegistry(self.relay.new_endpoint)
-        self.release_times: dict[
-            Endpoint, Ticks
-        ] = {}  # removed endpoints that share their short id, and when they may release it
+        # These are the removed endpoints that share their short id, and the times when they may release it.
+        self.release_times: dict[Endpoint, Ticks] = {}
         # Attempts may run at a removed endpoint, and relays report them, for as long as their requests' timeouts.
         self.short_id_hold = 2 * max((request_class.timeout for request_class in request_classes), default=0)
         self.requests: dict[str, Request] = {}
--- a/lanelead/testbed/emulators/running_stores.py
+++ b/lanelead/testbed/emulators/running_stores.py
@@ -59,9 +59,8 @@
         asyncio.set_event_loop(self._loop)
         self._server = AcknowledgingStoreServer(MigrationStore(self.file))
         self._server.store.register_relay(0)
-        self._server.store.connection.execute(
-            "PRAGMA synchronous=OFF"
-        )  # durability against power loss is not tested here
+        # Durability against power loss is not tested here.
+        self._server.store.connection.execute("PRAGMA synchronous=OFF")
         self.port = self._loop.run_until_complete(self._server.start(0))
         self._started.set()
         self._loop.run_forever()
--- a/lanelead/testbed/simulation/decision_loop.py
+++ b/lanelead/testbed/simulation/decision_loop.py
@@ -180,9 +180,8 @@
         ]
         self.capacity = sum(m.speed for m in self.machines) * plan.cores / plan.work  # requests a second
         self.rate = plan.load * self.capacity
-        self.rows: list[
-            tuple[float, float, str, float, bool]
-        ] = []  # received at, value, outcome, value earned, within the objective
+        # A row holds: received at, value, outcome, value earned, within the objective.
+        self.rows: list[tuple[float, float, str, float, bool]] = []
         self._open_requests: dict[Request, Ticks] = {}
         self.sends: dict[tuple[str, str], list[int]] = {}  # attempts in each second, by the zones of relay and endpoint
         self.series: list[dict[str, float]] = []
--- a/lanelead/testbed/simulation/fault_injection.py
+++ b/lanelead/testbed/simulation/fault_injection.py
@@ -12,12 +12,8 @@
 if TYPE_CHECKING:
     from lanelead.testbed.simulation.fleet import SimulatedFleet
 
-SOCKETS_ONLY = (
-    "drop_idle",
-    "few_connections",
-    "idle_reap",
-    "garbage",
-)  # faults of single connections, which are not simulated
+# These are faults of single connections, which are not simulated.
+SOCKETS_ONLY = ("drop_idle", "few_connections", "idle_reap", "garbage")
 
 
 def _discovery_away(fleet: SimulatedFleet, on: bool, size: float) -> None:
--- a/lanelead/testbed/simulation/membership.py
+++ b/lanelead/testbed/simulation/membership.py
@@ -61,9 +61,8 @@
         self.seeds: tuple[int, ...] = (0, 1, 2)  # seeds in the settings of members that start from now on
         self.stopped: dict[int, Ticks] = {}  # by number: when the member resumes
         self.found: list[tuple[Ticks, int, MemberChange]] = []  # time, observing member, change
-        self.false_deaths: Counter[str] = (
-            Counter()
-        )  # members declared dead while alive, by whether they ran or were stopped
+        # Members declared dead while alive are counted by whether they ran or were stopped.
+        self.false_deaths: Counter[str] = Counter()
         self.letters = self.bytes = 0
         self._heap: list[tuple[Ticks, int, int, bytes | None, Address]] = []
         self._order = 0
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -182,9 +182,8 @@
         harness, remote = FollowerHarness(document(3, 1), rate=65536.0), document(600, 5)
         harness.start_repair(0, remote)
         harness.receive_lines(0, 5, 0.8)
-        self.assertEqual(
-            [], harness.take_actions(FetchBuckets)
-        )  # the 65,536 bytes of the digest tree use up one second
+        # The 65,536 bytes of the digest tree use up one second.
+        self.assertEqual([], harness.take_actions(FetchBuckets))
         harness.receive_lines(0, 5, 0.4)
         harness.answer_buckets(0, remote, 65536)
         harness.receive_lines(0, 5, 0.8)
--- a/tests/test_configuration_follower_simulation.py
+++ b/tests/test_configuration_follower_simulation.py
@@ -231,9 +231,8 @@
         check_same_documents(self, simulation)
         self.assertEqual(1, simulation.relays[3].follower.repairs)
         digest_tree_bytes = 65636 + 104 * 46
-        self.assertLess(
-            simulation.relays[3].heard - before, digest_tree_bytes + 20000
-        )  # all buckets would take 170,000 bytes
+        # All buckets would take 170,000 bytes.
+        self.assertLess(simulation.relays[3].heard - before, digest_tree_bytes + 20000)
 
     def test_an_interrupted_repair_continues_at_another_source(self) -> None:
         simulation = fleet(8, entries=3000)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -152,9 +152,8 @@
             await running_fleet.replicas.kill(0)
             version = await running_fleet.publish("next-tenant", [("tenant/next", tenant(6))], 1, 2)
             self.assertLess(await running_fleet.in_force(version, 1, 2), 3.0)
-            await running_fleet.replicas.start(
-                0, empty=True
-            )  # an empty replica must not make a relay drop its document
+            # An empty replica must not make a relay drop its document.
+            await running_fleet.replicas.start(0, empty=True)
             version = await running_fleet.publish("third-tenant", [("tenant/third", tenant(7))], 2)
             self.assertLess(await running_fleet.in_force(version), 3.0)
             self.assertNotIn("another history", "".join(map(running_fleet.log, range(RELAYS))))
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -300,9 +300,8 @@
         Store(self.file).close()
         content = self.file.read_bytes()
         for at in range(0, len(content), 4096):
-            if (
-                content[at : at + 4096].count(b"y") > 4000
-            ):  # a page of the log; the entry itself was overwritten by the second change
+            # A page with this many `y` is one of the log; the entry itself was overwritten by the second change.
+            if content[at : at + 4096].count(b"y") > 4000:
                 content = content[:at] + b"\0" * 4096 + content[at + 4096 :]
         self.file.write_bytes(content)
         with self.assertRaises(CorruptStoreError):
--- a/tests/test_gossip_versions.py
+++ b/tests/test_gossip_versions.py
@@ -50,15 +50,13 @@
         names = [f"s-{number}" for number in range(120)]
         sender = registry_of(A, B, C, *names)
         for known_names in ([A], [B], [A, B], [B, A]):
-            endpoints = {
-                long_id_of(name) & 0xFFFF: name for name in [*known_names, C, *names]
-            }  # the name seen last keeps the short id
+            # The name seen last keeps the short id.
+            endpoints = {long_id_of(name) & 0xFFFF: name for name in [*known_names, C, *names]}
             for in_flight in ({A: 6, B: 7, C: 5}, {A: 1, **dict.fromkeys(names, 9), C: 5}, {B: 7}):
                 for observed in ({}, {A: 3, B: 9, C: 4}, dict.fromkeys([A, *names[:23], C], 3)):
                     for message in encode_reports(sender, in_flight, observed):
-                        decoded = decode_as_earlier_version(
-                            message, endpoints, 7, 255
-                        )  # 255: the most request classes a relay could have
+                        # A relay could have 255 request classes at the most.
+                        decoded = decode_as_earlier_version(message, endpoints, 7, 255)
                         self.assertEqual({}, {name: rows for name, rows in decoded.items() if name in (A, B)})
             (message,) = encode_reports(sender, {A: 6, C: 5, names[0]: 4}, {C: 4})
             self.assertEqual(
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -183,9 +183,8 @@
             self.assertEqual((found[0], found[2], found[1]["lanelead-outcome"]), (413, b"too much\n", "done"))
             client.send("POST", "/x", b"b")
             self.assertEqual((await client.read_response())[0], 413)
-        self.assertEqual(
-            endpoint.connections, 2
-        )  # the first connection cannot be reused: the rest of the body is still being sent on it
+        # The first connection cannot be reused: the rest of the body is still being sent on it.
+        self.assertEqual(endpoint.connections, 2)
 
     @run_on_uvloop
     async def test_late_response_is_never_matched_to_the_next_attempt(self) -> None:
--- a/tests/test_postgres_relay_processes.py
+++ b/tests/test_postgres_relay_processes.py
@@ -154,6 +154,5 @@
             self.assertEqual(self._run_build(folder, "exit 0").returncode, 0)
             self.assertEqual((folder / "log").read_text().split(), ["venv", "install"] * 3)
             self.assertEqual(self._run_build(folder, "exit 0").returncode, 0)
-            self.assertEqual(
-                (folder / "log").read_text().split(), ["venv", "install"] * 3
-            )  # the complete installation is not repeated
+            # The complete installation is not repeated.
+            self.assertEqual((folder / "log").read_text().split(), ["venv", "install"] * 3)
--- a/tests/test_relay_recovery.py
+++ b/tests/test_relay_recovery.py
@@ -56,9 +56,8 @@
                 watch.respond(version, full=True)
                 watch = await emulator.next()
                 self.assertEqual((await client.request("1a"))["C"], b"53300")
-                watch.respond(
-                    version + 1, *map(entry, env.endpoints), full=version == 11
-                )  # once as a snapshot, once as changes
+                # The list arrives once as a snapshot, and once as changes.
+                watch.respond(version + 1, *map(entry, env.endpoints), full=version == 11)
                 watch = await emulator.next()
                 self.assertIn("T", await client.request("2a"))
 
--- a/tests/test_short_id_decisions.py
+++ b/tests/test_short_id_decisions.py
@@ -161,9 +161,8 @@
 
         async with fleet(endpoints) as relays:
             clients = {number: await relays.client(number) for number in range(RELAYS)}
-            requests = asyncio.create_task(
-                relays.send_rounds(clients, 1000)
-            )  # requests to held endpoints wait, others end
+            # Requests to held endpoints wait, and others end.
+            requests = asyncio.create_task(relays.send_rounds(clients, 1000))
             await receive_expected(relays)
             requests.cancel()
             await asyncio.gather(requests, return_exceptions=True)
